--- a/internal/backend/words.go
+++ b/internal/backend/advertised.go
@@ -32,40 +32,40 @@
 	ByList   Source = "list"
 )
 
-// words are what one life of a back end said of itself, by whichever way it was heard. They
+// advertisedState are what one life of a back end said of itself, by whichever way it was heard. They
 // outlast its row, and end with that life.
 //
 // No source goes before another: each word has an order of its own, in which it does not matter
 // when a source is heard. That a back end leaves only ever begins. Of limits the one with the
 // highest sequence holds, of rests the one that ends last. So a row that is written late, an
 // answer that was overtaken or a router that knows less takes nothing back.
-type words struct {
+type advertisedState struct {
 	limit   limit
-	leaving leaving
-	rest    rest
+	drain   drain
+	backoff backoff
 }
 
-// leaving is that a back end is about to end; the zero value means that it isn't.
-type leaving struct {
+// drain is that a back end is about to end; the zero value means that it isn't.
+type drain struct {
 	// since is when this router first heard so, from by.
 	since time.Time
 	by    Source
 }
 
-// begun reports whether the back end leaves.
-func (l *leaving) begun() bool { return !l.since.IsZero() }
+// active reports whether the back end leaves.
+func (l *drain) active() bool { return !l.since.IsZero() }
 
-// begins takes in that the back end leaves, and reports whether that is news.
-func (l *leaving) begins(now time.Time, by Source) bool {
-	if l.begun() {
+// begin takes in that the back end leaves, and reports whether that is news.
+func (l *drain) begin(now time.Time, by Source) bool {
+	if l.active() {
 		return false
 	}
 	l.since, l.by = now, by
 	return true
 }
 
-// own reports whether the back end said so itself, to this router or to another one.
-func (l *leaving) own() bool { return l.begun() && l.by != ByList }
+// advertised reports whether the back end said so itself, to this router or to another one.
+func (l *drain) advertised() bool { return l.active() && l.by != ByList }
 
 // Heard is what an answer of a back end changed in what is believed of it.
 type Heard struct {
@@ -82,48 +82,48 @@
 func (h *Heard) News() bool { return h.LimitChanged || h.Leaving }
 
 // TakeSaid takes in what an answer says of its back end; the call was sent at a time.
-func (r *Registry) TakeSaid(now time.Time, instance ident.Incarnation, sentAt time.Time, said Said, by Source) Heard {
+func (r *Registry) TakeSaid(now time.Time, instance ident.Incarnation, sentAt time.Time, advertised Said, by Source) Heard {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	heard := Heard{}
-	known := r.wordsOf(instance)
+	change := Heard{}
+	known := r.advertisedStateOf(instance)
 	if known == nil {
-		return heard
+		return change
 	}
-	heard.Limit, heard.LimitChanged = known.limit.take(now, sentAt, said.Limit)
-	if said.Leaving && r.config.Off.On(mechanism.BackendWords) {
-		heard.Leaving = known.leaving.begins(now, by)
+	change.Limit, change.LimitChanged = known.limit.observe(now, sentAt, advertised.Limit)
+	if advertised.Leaving && r.config.Off.On(mechanism.BackendWords) {
+		change.Leaving = known.drain.begin(now, by)
 	}
-	if said.Rest > 0 && r.config.Off.On(mechanism.BackendWords) {
-		heard.Rest = said.Rest
-		known.rest.asked(now, said.Rest)
+	if advertised.Rest > 0 && r.config.Off.On(mechanism.BackendWords) {
+		change.Rest = advertised.Rest
+		known.backoff.extend(now, advertised.Rest)
 	}
-	return heard
+	return change
 }
 
-// wordsOf returns the words of a life, nil if it is not known; the caller holds the mutex.
-func (r *Registry) wordsOf(instance ident.Incarnation) *words {
+// advertisedStateOf returns the words of a life, nil if it is not known; the caller holds the mutex.
+func (r *Registry) advertisedStateOf(instance ident.Incarnation) *advertisedState {
 	if known := r.byID[instance]; known != nil {
-		return known.words
+		return known.advertisedState
 	}
-	if known, gone := r.formers[instance]; gone {
-		return known.words
+	if known, gone := r.removed[instance]; gone {
+		return known.advertised
 	}
 	return nil
 }
 
 // Wishes returns the numbers of the back ends in the list that leave, and of those that want
 // nothing from this router now.
-func (r *Registry) Wishes(now time.Time) (leaving, resting int) {
+func (r *Registry) Wishes(now time.Time) (draining, backingOff int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, known := range r.byID {
-		if known.leaving.begun() {
-			leaving++
+		if known.drain.active() {
+			draining++
 		}
-		if known.rest.on(now) {
-			resting++
+		if known.backoff.active(now) {
+			backingOff++
 		}
 	}
-	return leaving, resting
+	return draining, backingOff
 }
--- a/internal/backend/words_test.go
+++ b/internal/backend/advertised_test.go
@@ -20,43 +20,43 @@
 	return records
 }
 
-var wordsQuery = Query{Service: "s", Model: "m", SpreadKey: 1}
+var modelQuery = Query{Service: "s", Model: "m", SpreadKey: 1}
 
 // Once a back end said that it leaves nothing takes that back but its next life, whichever source
 // is heard in whichever order.
-func TestNothingButANewLifeTakesBackThatABackEndLeaves(t *testing.T) {
+func TestOnlyNewIncarnationEndsDrain(t *testing.T) {
 	at := time.Unix(1000, 0)
-	leaves := func(r *Registry) { r.TakeSaid(at, "e@1", at, Said{Leaving: true}, ByAnswer) }
+	advertiseDrain := func(r *Registry) { r.TakeSaid(at, "e@1", at, Said{Leaving: true}, ByAnswer) }
 	tests := []struct {
 		name string
 		// course is what happens after the list named the first life, up to two seconds later.
 		course func(r *Registry)
 		chosen ident.Incarnation
 	}{
-		{"an answer", leaves, ""},
+		{"an answer", advertiseDrain, ""},
 		{"a report", func(r *Registry) { r.TakeSaid(at, "e@1", at, Said{Leaving: true}, ByReport) }, ""},
 		{"another router", func(r *Registry) { r.TakeNews(at, []News{{Instance: "e@1", Leaving: true}}) }, ""},
 		{"a row", func(r *Registry) {
-			row := listOf(2, "e@1")
-			row[0].Draining = true
-			r.Update(at.Add(time.Second), row)
+			records := listOf(2, "e@1")
+			records[0].Draining = true
+			r.Update(at.Add(time.Second), records)
 		}, ""},
 		{"and its row is written anew", func(r *Registry) {
-			leaves(r)
+			advertiseDrain(r)
 			r.Update(at.Add(time.Second), listOf(9, "e@1"))
 		}, ""},
 		{"and its row is written late", func(r *Registry) {
-			leaves(r)
+			advertiseDrain(r)
 			r.Update(at.Add(time.Second), listOf(0, "e@1"))
 		}, ""},
 		{"and its row goes and comes back", func(r *Registry) {
-			leaves(r)
+			advertiseDrain(r)
 			r.Update(at.Add(time.Second), nil)
 			r.Update(at.Add(2*time.Second), listOf(9, "e@1"))
 		}, ""},
 		{"after its row went, which comes back", func(r *Registry) {
 			r.Update(at.Add(time.Second), nil)
-			leaves(r)
+			advertiseDrain(r)
 			r.Update(at.Add(2*time.Second), listOf(9, "e@1"))
 		}, ""},
 		{"told before its row was read", func(r *Registry) {
@@ -65,26 +65,26 @@
 			r.Update(at.Add(2*time.Second), listOf(9, "f@1"))
 		}, ""},
 		{"and the store comes back from an older copy", func(r *Registry) {
-			leaves(r)
+			advertiseDrain(r)
 			r.CameBack(at.Add(time.Second))
 			r.Update(at.Add(time.Second), nil)
 			r.Update(at.Add(2*time.Second), listOf(1, "e@1"))
 		}, ""},
 		{"and an answer that was overtaken does not say so", func(r *Registry) {
-			leaves(r)
+			advertiseDrain(r)
 			r.TakeSaid(at.Add(time.Second), "e@1", at.Add(-time.Second), Said{}, ByAnswer)
 		}, ""},
 		{"and a router does not know", func(r *Registry) {
-			leaves(r)
+			advertiseDrain(r)
 			r.TakeNews(at.Add(time.Second), []News{{Instance: "e@1", Sequence: 1, Limited: true, Rate: 100}})
 		}, ""},
 		{"and its next life begins", func(r *Registry) {
-			leaves(r)
+			advertiseDrain(r)
 			r.Update(at.Add(time.Second), listOf(2, "e@2"))
 		}, "e@2"},
 		{"and words of the former life come late", func(r *Registry) {
 			r.Update(at.Add(time.Second), listOf(2, "e@2"))
-			leaves(r)
+			advertiseDrain(r)
 			r.TakeNews(at.Add(time.Second), []News{{Instance: "e@1", Leaving: true}})
 		}, "e@2"},
 	}
@@ -94,7 +94,7 @@
 			r := NewRegistry(Config{})
 			r.Update(at, listOf(1, "e@1"))
 			tt.course(r)
-			choice, _, found := r.Pick(at.Add(5*time.Second), &wordsQuery)
+			choice, _, found := r.Pick(at.Add(5*time.Second), &modelQuery)
 			is.Equal(found, tt.chosen != "")
 			is.Equal(choice.Instance, tt.chosen)
 			for _, record := range r.Records() {
@@ -105,7 +105,7 @@
 }
 
 // What a list that is passed on says of a back end includes what that said itself.
-func TestAListThatIsPassedOnTellsWhoLeaves(t *testing.T) {
+func TestMarkDraining(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{})
@@ -119,36 +119,36 @@
 
 // Where all leave, what comes soon after the first word is still served there, and what comes
 // later is refused.
-func TestTheLastBackEndsServeForAMoment(t *testing.T) {
+func TestLastDrainingBackendsServeBriefly(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{LeavingServes: time.Second})
 	r.Update(at, listOf(1, "e", "f"))
 	r.TakeSaid(at, "e", at, Said{Leaving: true}, ByAnswer)
-	choice, _, _ := r.Pick(at, &wordsQuery)
+	choice, _, _ := r.Pick(at, &modelQuery)
 	is.Equal(choice.Instance, ident.Incarnation("f")) // it stays
 	r.TakeSaid(at, "f", at, Said{Leaving: true}, ByAnswer)
-	_, flight, found := r.Pick(at.Add(900*time.Millisecond), &wordsQuery)
+	_, flight, found := r.Pick(at.Add(900*time.Millisecond), &modelQuery)
 	is.True(found)
 	is.True(!flight.Withdrawn(at.Add(900 * time.Millisecond)))
 	is.True(flight.Withdrawn(at.Add(time.Second))) // its connection took too long to open
-	_, _, found = r.Pick(at.Add(time.Second), &wordsQuery)
+	_, _, found = r.Pick(at.Add(time.Second), &modelQuery)
 	is.True(!found)
-	is.Equal(r.Outlook(at.Add(time.Second), &wordsQuery), AllLeave{})
+	is.Equal(r.Outlook(at.Add(time.Second), &modelQuery), AllLeave{})
 	r.Update(at.Add(2*time.Second), listOf(2, "e", "f", "g"))
-	choice, _, _ = r.Pick(at.Add(2*time.Second), &wordsQuery)
+	choice, _, _ = r.Pick(at.Add(2*time.Second), &modelQuery)
 	is.Equal(choice.Instance, ident.Incarnation("g"))
 }
 
 // What other routers tell of lives that nobody lists takes bounded memory.
-func TestNewsOfUnlistedLivesAreBounded(t *testing.T) {
+func TestStateUpdatesOfUnlistedBackendsAreBounded(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{})
-	for index := range 2 * maxFormers {
+	for index := range 2 * maxRemoved {
 		r.TakeNews(at, []News{{Instance: ident.Incarnation(string(rune('a' + index))), Leaving: true}})
 	}
-	is.True(len(r.formers) <= maxFormers)
-	r.Update(at.Add(2*formerKept), nil)
-	is.Equal(len(r.formers), 0)
+	is.True(len(r.removed) <= maxRemoved)
+	r.Update(at.Add(2*removedTTL), nil)
+	is.Equal(len(r.removed), 0)
 }
--- a/internal/backend/flight.go
+++ b/internal/backend/attempt.go
@@ -14,19 +14,19 @@
 	tokens   int
 	model    ident.Model
 	// version is that of the model's weights when the back end was chosen.
-	version int
-	dueAt   time.Time
-	begunAt time.Time
+	version    int
+	expectedAt time.Time
+	startedAt  time.Time
 	// sentAt is set if the answer tells how fast the engine reads: no other attempt
 	// of this router waits there, and the engine is the prompt's home.
-	sentAt time.Time
-	first  bool
+	sentAt            time.Time
+	firstByteReceived bool
 	// trial says that the back end is one of a few of a release that is being tried: how
 	// fast it answers tells nothing of the service's other back ends.
 	trial bool
-	// servesUntil bounds an attempt that was placed at a back end which leaves; it is zero for
+	// drainServesUntil bounds an attempt that was placed at a back end which leaves; it is zero for
 	// others.
-	servesUntil time.Time
+	drainServesUntil time.Time
 }
 
 // Withdrawn reports whether the back end wants no new work any more, so that the attempt is not
@@ -34,34 +34,34 @@
 func (f *Flight) Withdrawn(now time.Time) bool {
 	f.registry.mutex.Lock()
 	defer f.registry.mutex.Unlock()
-	leaves := f.target.leaving.begun() && !now.Before(f.servesUntil)
-	return leaves || f.target.rest.on(now)
+	draining := f.target.drain.active() && !now.Before(f.drainServesUntil)
+	return draining || f.target.backoff.active(now)
 }
 
 // Heard takes in that bytes of the attempt's answer came.
 func (f *Flight) Heard(now time.Time) {
 	f.registry.mutex.Lock()
 	defer f.registry.mutex.Unlock()
-	if !f.first {
-		f.target.late.observe(now, now.Sub(f.dueAt))
-		f.learn(now)
+	if !f.firstByteReceived {
+		f.target.lateness.observe(now, now.Sub(f.expectedAt))
+		f.observeFirstByte(now)
 	}
-	f.first = true
-	f.target.rest.answered(f.begunAt)
-	f.target.heardAt = now
-	f.registry.answered(f.target)
+	f.firstByteReceived = true
+	f.target.backoff.observeAnswer(f.startedAt)
+	f.target.lastByteAt = now
+	f.registry.observeReachable(f.target)
 }
 
-// learn takes in what the first byte tells of the whole service. A release that is being
+// observeFirstByte takes in what the first byte tells of the whole service. A release that is being
 // tried and answers late would have requests refused that other back ends could serve.
-func (f *Flight) learn(now time.Time) {
+func (f *Flight) observeFirstByte(now time.Time) {
 	if f.trial {
 		return
 	}
 	service := f.target.record.Service
-	f.registry.lateness(service).observe(now, now.Sub(f.dueAt))
+	f.registry.lateness(service).observe(now, now.Sub(f.expectedAt))
 	if !f.sentAt.IsZero() && f.registry.config.Off.On(mechanism.ReadingRate) {
-		f.registry.reading(service).observe(f.tokens, now.Sub(f.sentAt))
+		f.registry.prefillRate(service).observe(f.tokens, now.Sub(f.sentAt))
 	}
 }
 
@@ -70,7 +70,7 @@
 func (f *Flight) ToldBusy(now time.Time) bool {
 	f.registry.mutex.Lock()
 	defer f.registry.mutex.Unlock()
-	return f.target.told.waiting > 0 && f.target.told.fresh(now) && !f.target.toldSilent(now)
+	return f.target.peerQueue.waiting > 0 && f.target.peerQueue.fresh(now) && !f.target.peerSilent(now)
 }
 
 // Ended takes in the end of the attempt; it is called exactly once.
@@ -78,33 +78,33 @@
 	f.registry.mutex.Lock()
 	defer f.registry.mutex.Unlock()
 	target := f.target
-	delete(target.flights, f)
+	delete(target.attempts, f)
 	target.decay(now)
 	switch outcome {
 	case Answered:
-		f.registry.answered(target)
+		f.registry.observeReachable(target)
 		target.tried++
 		target.pause = 0
 	case Failed:
-		f.registry.answered(target)
+		f.registry.observeReachable(target)
 		target.tried++
 		target.failed += 0.5
 	case Broken, Silent:
 		if outcome == Silent {
-			f.registry.unanswered(now, target)
+			f.registry.observeUnreachable(now, target)
 		}
 		target.tried++
 		target.failed++
 	case Misdirected:
-		f.registry.sawGone(now, target)
+		f.registry.observeGone(now, target)
 	case Unreachable:
-		f.registry.unanswered(now, target)
+		f.registry.observeUnreachable(now, target)
 		target.tried++
 		target.failed++
-		target.pause = min(max(2*target.pause, firstPause), maxPause)
+		target.pause = min(max(2*target.pause, firstFailurePause), maxFailurePause)
 		target.pausedUntil = now.Add(target.pause)
 	case Refused:
-		target.refused(now)
+		target.observeRefusal(now)
 	case WrongVersion:
 		if target.assumed == f.version {
 			target.assumedUntil = time.Time{}
@@ -113,23 +113,23 @@
 			target.loadingUntil = time.Time{}
 		}
 		if target.version(now, f.model) <= f.version {
-			target.pausedUntil = now.Add(versionPause)
+			target.pausedUntil = now.Add(wrongVersionPause)
 		}
 	case Withdrawn, Abandoned:
 	}
 }
 
-// refused takes in a refusal. A back end that said for how long it wants nothing is taken at its
+// observeRefusal takes in a refusal. A back end that said for how long it wants nothing is taken at its
 // word; one that did not rests for a time of this router's own.
-func (s *state) refused(now time.Time) {
-	if s.rest.on(now) {
+func (s *state) observeRefusal(now time.Time) {
+	if s.backoff.active(now) {
 		s.pause = 0
 		return
 	}
-	first := firstRefusal
+	first := firstRefusalPause
 	if len(s.record.Models) > 0 {
-		first = firstEngineRefusal
+		first = firstEngineRefusalPause
 	}
-	s.pause = min(max(2*s.pause, first), maxRefusal)
+	s.pause = min(max(2*s.pause, first), maxRefusalPause)
 	s.pausedUntil = now.Add(s.pause)
 }
--- a/internal/backend/outlook.go
+++ b/internal/backend/availability.go
@@ -4,7 +4,7 @@
 
 // Outlook says when a back end may take an attempt that none can take now: MaySoon, NotBefore or
 // AllLeave.
-type Outlook interface{ outlook() }
+type Outlook interface{ availability() }
 
 // MaySoon says that one may be back at any moment, or that none is known.
 type MaySoon struct{}
@@ -19,53 +19,53 @@
 // AllLeave says that all that are left leave.
 type AllLeave struct{}
 
-func (MaySoon) outlook()   {}
-func (NotBefore) outlook() {}
-func (AllLeave) outlook()  {}
+func (MaySoon) availability()   {}
+func (NotBefore) availability() {}
+func (AllLeave) availability()  {}
 
 // Outlook tells when one of the back ends of a query may take it.
 func (r *Registry) Outlook(now time.Time, query *Query) Outlook {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var earliest NotBefore
-	left, leaving := 0, 0
+	suitable, draining := 0, 0
 	for _, known := range r.allowed(query) {
-		if known.leaving.begun() {
-			leaving++
+		if known.drain.active() {
+			draining++
 			continue
 		}
-		if !known.fit(now, query) {
+		if !known.suitable(now, query) {
 			continue
 		}
-		left++
+		suitable++
 		// One that just rests after a failure or a refusal is worth a short wait.
-		held := known.heldBack(now)
-		if held.At.IsZero() {
+		after := known.availableAfter(now)
+		if after.At.IsZero() {
 			return MaySoon{}
 		}
-		if earliest.At.IsZero() || held.At.Before(earliest.At) {
-			earliest = held
+		if earliest.At.IsZero() || after.At.Before(earliest.At) {
+			earliest = after
 		}
 	}
 	switch {
-	case left > 0:
+	case suitable > 0:
 		return earliest
-	case leaving > 0 && leaving == len(r.services[query.Service]):
+	case draining > 0 && draining == len(r.services[query.Service]):
 		return AllLeave{}
 	default:
 		return MaySoon{}
 	}
 }
 
-// heldBack returns when the back end may get an attempt again, the zero value if nothing but the
+// availableAfter returns when the back end may get an attempt again, the zero value if nothing but the
 // pauses of this router's own, or attempts that it awaits, keep it from that.
-func (s *state) heldBack(now time.Time) NotBefore {
-	var held NotBefore
+func (s *state) availableAfter(now time.Time) NotBefore {
+	var after NotBefore
 	if s.limit.usedUp(now) {
-		held.At = s.limit.usedUpUntil
+		after.At = s.limit.usedUpUntil
 	}
-	if s.rest.on(now) && s.rest.until.After(held.At) {
-		held = NotBefore{At: s.rest.until, Rest: true}
+	if s.backoff.active(now) && s.backoff.until.After(after.At) {
+		after = NotBefore{At: s.backoff.until, Rest: true}
 	}
-	return held
+	return after
 }
--- a/internal/backend/rest_test.go
+++ b/internal/backend/backoff_test.go
@@ -10,19 +10,19 @@
 )
 
 // resting returns a registry that knows one back end, which asked for a rest at a time.
-func resting(at time.Time, rest time.Duration) *Registry {
+func backingOffRegistry(at time.Time, duration time.Duration) *Registry {
 	r := NewRegistry(Config{})
 	r.Update(at, listOf(1, "e@1"))
-	askRest(r, at, rest)
+	advertiseBackoff(r, at, duration)
 	return r
 }
 
-func askRest(r *Registry, at time.Time, rest time.Duration) {
-	r.TakeSaid(at, "e@1", at, Said{Rest: rest}, ByAnswer)
+func advertiseBackoff(r *Registry, at time.Time, duration time.Duration) {
+	r.TakeSaid(at, "e@1", at, Said{Rest: duration}, ByAnswer)
 }
 
 // The longest rest holds, for that life and whatever becomes of its row.
-func TestWhenARestEnds(t *testing.T) {
+func TestEndOfBackoff(t *testing.T) {
 	at := time.Unix(1000, 0)
 	tests := []struct {
 		name   string
@@ -33,9 +33,9 @@
 		{"as asked for", 3 * time.Second, nil, 3 * time.Second},
 		{"a fraction of a second", 200 * time.Millisecond, nil, 200 * time.Millisecond},
 		{"a year", 365 * 24 * time.Hour, nil, 365 * 24 * time.Hour},
-		{"a shorter one later", 3 * time.Second, func(r *Registry) { askRest(r, at.Add(time.Second), time.Second) }, 3 * time.Second},
-		{"a longer one later", 3 * time.Second, func(r *Registry) { askRest(r, at.Add(time.Second), 3*time.Second) }, 4 * time.Second},
-		{"none later", 3 * time.Second, func(r *Registry) { askRest(r, at.Add(time.Second), 0) }, 3 * time.Second},
+		{"a shorter one later", 3 * time.Second, func(r *Registry) { advertiseBackoff(r, at.Add(time.Second), time.Second) }, 3 * time.Second},
+		{"a longer one later", 3 * time.Second, func(r *Registry) { advertiseBackoff(r, at.Add(time.Second), 3*time.Second) }, 4 * time.Second},
+		{"none later", 3 * time.Second, func(r *Registry) { advertiseBackoff(r, at.Add(time.Second), 0) }, 3 * time.Second},
 		{"another answer later", 3 * time.Second, func(r *Registry) {
 			r.TakeSaid(at.Add(time.Second), "e@1", at, Said{Limit: Unlimited{}}, ByAnswer)
 		}, 3 * time.Second},
@@ -52,30 +52,30 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			r := resting(at, tt.rest)
+			r := backingOffRegistry(at, tt.rest)
 			if tt.course != nil {
 				tt.course(r)
 			}
 			if tt.ends > time.Second {
-				_, _, found := r.Pick(at.Add(tt.ends-time.Millisecond), &wordsQuery)
+				_, _, found := r.Pick(at.Add(tt.ends-time.Millisecond), &modelQuery)
 				is.True(!found)
 			}
-			_, _, found := r.Pick(at.Add(tt.ends), &wordsQuery)
+			_, _, found := r.Pick(at.Add(tt.ends), &modelQuery)
 			is.True(found)
 		})
 	}
 }
 
 // A back end that is told what to do by its own word is neither paused nor marked as failing.
-func TestARestIsNoMarkOfFailure(t *testing.T) {
+func TestBackoffIsNoFailure(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{})
 	r.Update(at, listOf(1, "e@1"))
 	for range 5 {
-		_, flight, found := r.Pick(at, &wordsQuery)
+		_, flight, found := r.Pick(at, &modelQuery)
 		is.True(found)
-		askRest(r, at, 100*time.Millisecond)
+		advertiseBackoff(r, at, 100*time.Millisecond)
 		flight.Ended(at, Refused)
 		at = at.Add(100 * time.Millisecond)
 	}
@@ -85,14 +85,14 @@
 }
 
 // After a rest attempts come as answers do: one, then two, four and so on, and all after a time.
-func TestABackEndIsTriedWithFewAttemptsAfterItsRest(t *testing.T) {
+func TestFewAttemptsAfterBackoff(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
-	r := resting(at, time.Second)
+	r := backingOffRegistry(at, time.Second)
 	now := at.Add(time.Second)
 	place := func() (placed []*Flight) {
-		for range 2 * allRoom {
-			_, flight, found := r.Pick(now, &wordsQuery)
+		for range 2 * lastReopenLimit {
+			_, flight, found := r.Pick(now, &modelQuery)
 			if !found {
 				break
 			}
@@ -100,40 +100,40 @@
 		}
 		return placed
 	}
-	is.Equal(len(place()), firstRoom)
-	is.Equal(r.Outlook(now, &wordsQuery), MaySoon{}) // the first awaits its answer
-	now = now.Add(reopening)
-	is.Equal(len(place()), 2*allRoom) // answers are slow
-	r, now = resting(at, time.Second), at.Add(time.Second)
-	for room := firstRoom; room <= allRoom; room *= 2 {
+	is.Equal(len(place()), firstReopenLimit)
+	is.Equal(r.Outlook(now, &modelQuery), MaySoon{}) // the first awaits its answer
+	now = now.Add(reopenPeriod)
+	is.Equal(len(place()), 2*lastReopenLimit) // answers are slow
+	r, now = backingOffRegistry(at, time.Second), at.Add(time.Second)
+	for allowed := firstReopenLimit; allowed <= lastReopenLimit; allowed *= 2 {
 		placed := place()
-		is.Equal(len(placed), room)
+		is.Equal(len(placed), allowed)
 		placed[0].Heard(now)
 		for _, flight := range placed {
 			flight.Ended(now, Answered)
 		}
 	}
-	is.Equal(len(place()), 2*allRoom)
+	is.Equal(len(place()), 2*lastReopenLimit)
 }
 
 // An attempt that was placed before is not sent once the back end wants rest.
-func TestAnAttemptIsWithdrawnByARest(t *testing.T) {
+func TestBackoffWithdrawsAttempt(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{})
 	r.Update(at, listOf(1, "e@1"))
-	_, flight, _ := r.Pick(at, &wordsQuery)
+	_, flight, _ := r.Pick(at, &modelQuery)
 	is.True(!flight.Withdrawn(at))
-	askRest(r, at, time.Second)
+	advertiseBackoff(r, at, time.Second)
 	is.True(flight.Withdrawn(at.Add(999 * time.Millisecond)))
 	is.True(!flight.Withdrawn(at.Add(time.Second)))
 }
 
 // Two reports or orders may go to a back end that rests, in each rest.
-func TestFewCallsGoToABackEndThatRests(t *testing.T) {
+func TestCallsDuringBackoffAreBounded(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
-	r := resting(at, time.Second)
+	r := backingOffRegistry(at, time.Second)
 	allowed := func(now time.Time) (count int) {
 		for range 5 {
 			if r.MayCall(now, "e@1") {
@@ -142,90 +142,90 @@
 		}
 		return count
 	}
-	is.Equal(allowed(at), callsInRest)
-	askRest(r, at.Add(500*time.Millisecond), time.Second)
+	is.Equal(allowed(at), maxBackoffCalls)
+	advertiseBackoff(r, at.Add(500*time.Millisecond), time.Second)
 	is.Equal(allowed(at.Add(500*time.Millisecond)), 0)
 	is.Equal(allowed(at.Add(1500*time.Millisecond)), 5)
-	askRest(r, at.Add(2*time.Second), time.Second)
-	is.Equal(allowed(at.Add(2*time.Second)), callsInRest)
+	advertiseBackoff(r, at.Add(2*time.Second), time.Second)
+	is.Equal(allowed(at.Add(2*time.Second)), maxBackoffCalls)
 }
 
 // Of back ends at rest, and of those whose limits are used up, the first that is free counts.
-func TestOutlookOfBackEndsAtRest(t *testing.T) {
+func TestAvailabilityDuringBackoff(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{})
 	r.Update(at, listOf(1, "e@1", "f", "g"))
-	askRest(r, at, 3*time.Second)
-	is.Equal(r.Outlook(at, &wordsQuery), MaySoon{})
+	advertiseBackoff(r, at, 3*time.Second)
+	is.Equal(r.Outlook(at, &modelQuery), MaySoon{})
 	r.TakeSaid(at, "f", at, Said{Limit: LimitedTo{Rate: 1}, Rest: time.Second}, ByAnswer)
 	r.LimitUsedUp("f", at.Add(2*time.Second))
 	r.TakeSaid(at, "g", at, Said{Leaving: true}, ByAnswer)
-	is.Equal(r.Outlook(at, &wordsQuery), NotBefore{At: at.Add(2 * time.Second)})
+	is.Equal(r.Outlook(at, &modelQuery), NotBefore{At: at.Add(2 * time.Second)})
 	r.LimitUsedUp("f", at)
-	is.Equal(r.Outlook(at, &wordsQuery), NotBefore{At: at.Add(time.Second), Rest: true})
+	is.Equal(r.Outlook(at, &modelQuery), NotBefore{At: at.Add(time.Second), Rest: true})
 }
 
 // Without the mechanism words are passed over.
-func TestWithoutBackendWords(t *testing.T) {
+func TestAdvertisedStateIsIgnoredWhenDisabled(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
-	off, err := mechanism.Without([]string{string(mechanism.BackendWords)})
+	disabled, err := mechanism.Without([]string{string(mechanism.BackendWords)})
 	is.NoErr(err)
-	r := NewRegistry(Config{Off: off})
+	r := NewRegistry(Config{Off: disabled})
 	r.Update(at, listOf(1, "e@1"))
 	r.TakeSaid(at, "e@1", at, Said{Leaving: true, Rest: time.Hour}, ByAnswer)
 	r.TakeNews(at, []News{{Instance: "e@1", Leaving: true}})
-	_, _, found := r.Pick(at, &wordsQuery)
+	_, _, found := r.Pick(at, &modelQuery)
 	is.True(found)
 }
 
 // A choice tells that it went elsewhere, if a back end that rests would have been faster.
-func TestAChoiceTellsWhyItWentElsewhere(t *testing.T) {
+func TestChoiceReportsSkippedFasterBackend(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{Zone: "near"})
 	records := listOf(1, "e@1", "f")
 	records[0].Zone, records[1].Zone = "near", "far"
 	r.Update(at, records)
-	choice, flight, _ := r.Pick(at, &wordsQuery)
+	choice, flight, _ := r.Pick(at, &modelQuery)
 	is.Equal(choice.Instance, records[0].Instance)
 	is.Equal(choice.Instead, NotPassedOver)
 	flight.Ended(at, Abandoned)
-	askRest(r, at, time.Second)
-	choice, _, _ = r.Pick(at, &wordsQuery)
+	advertiseBackoff(r, at, time.Second)
+	choice, _, _ = r.Pick(at, &modelQuery)
 	is.Equal(choice.Instead, PassedOverRest)
 	is.Equal(choice.Resting, 1)
 	r.TakeSaid(at, "e@1", at, Said{Leaving: true}, ByAnswer)
-	choice, _, _ = r.Pick(at, &wordsQuery)
+	choice, _, _ = r.Pick(at, &modelQuery)
 	is.Equal(choice.Instead, PassedOverLeft)
 	is.Equal(choice.Leaving, 1)
 }
 
 // Where no repeat is to spare, back ends that asked for rest lately are passed over as long as there
 // are others.
-func TestBackEndsThatMayRefuseAgainAreAvoided(t *testing.T) {
+func TestAvoidRecentBackoff(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{})
 	r.Update(at, listOf(1, "e@1", "f"))
-	askRest(r, at, time.Second)
+	advertiseBackoff(r, at, time.Second)
 	after := at.Add(time.Second)
-	doubted := 0
+	recent := 0
 	for key := range uint64(20) {
 		choice, flight, _ := r.Pick(after, &Query{Service: "s", Model: "m", SpreadKey: key})
 		is.Equal(choice.Doubted, choice.Instance == "e@1")
 		if choice.Doubted {
-			doubted++
+			recent++
 		}
 		flight.Ended(after, Abandoned)
 		choice, flight, _ = r.Pick(after, &Query{Service: "s", Model: "m", SpreadKey: key, AvoidDoubted: true})
 		is.True(choice.Instance != "e@1")
 		flight.Ended(after, Abandoned)
 	}
-	is.True(doubted > 0)
+	is.True(recent > 0)
 	r.TakeSaid(after, "f", after, Said{Leaving: true}, ByAnswer)
-	query := wordsQuery
+	query := modelQuery
 	query.AvoidDoubted = true
 	choice, _, found := r.Pick(after.Add(time.Second), &query)
 	is.True(found)
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -19,27 +19,27 @@
 	home := r.home(now, query, allowed)
 	best, compared := r.cheapest(now, query, home, allowed)
 	if best == nil && query.AvoidDoubted {
-		all := *query
-		all.AvoidDoubted = false
-		best, compared = r.cheapest(now, &all, home, allowed)
+		relaxed := *query
+		relaxed.AvoidDoubted = false
+		best, compared = r.cheapest(now, &relaxed, home, allowed)
 	}
-	if best == nil && compared.passedOver.leaving > 0 {
+	if best == nil && compared.skips.draining > 0 {
 		// What comes soon after the first word may still go to back ends that leave.
-		last := *query
-		last.leavingServes = r.config.LeavingServes
-		best, compared = r.cheapest(now, &last, home, allowed)
+		draining := *query
+		draining.drainServeTime = r.config.LeavingServes
+		best, compared = r.cheapest(now, &draining, home, allowed)
 	}
 	if best == nil {
 		return Choice{}, nil, false
 	}
 	predicted, queued := r.predict(best, query, home), r.queued(best, query)
 	flight := &Flight{
-		registry: r, target: best, dueAt: now.Add(predicted), begunAt: now,
+		registry: r, target: best, expectedAt: now.Add(predicted), startedAt: now,
 		model: query.Model, version: best.version(now, query.Model),
 	}
 	flight.trial = query.Releases.Among > 0
-	if best.leaving.begun() {
-		flight.servesUntil = best.leaving.since.Add(r.config.LeavingServes)
+	if best.drain.active() {
+		flight.drainServesUntil = best.drain.since.Add(r.config.LeavingServes)
 	}
 	flight.tokens = query.OwnTokens
 	if best != home {
@@ -47,16 +47,16 @@
 	} else if best.waitingTokens() == 0 {
 		flight.sentAt = now
 	}
-	best.flights[flight] = struct{}{}
+	best.attempts[flight] = struct{}{}
 	choice := Choice{
 		Record: best.record, Version: flight.version, Home: best == home,
-		Predicted: predicted, Queued: queued, Late: r.usualLateness(now, best),
-		Told: best.told.wait(now), Congestion: r.congestion(now, query.Service), Candidates: compared.eligible,
-		Uncached: r.uncached(query), Releases: query.Releases,
+		Predicted: predicted, Queued: queued, Late: r.recentLateness(now, best),
+		Told: best.peerQueue.wait(now), Congestion: r.congestion(now, query.Service), Candidates: compared.eligible,
+		Uncached: r.predictUncached(query), Releases: query.Releases,
 		Distance: r.config.Regions.Between(r.config.Zone, best.record.Zone),
-		Doubted:  best.rest.doubted(now) && compared.eligible > 1,
-		Resting:  compared.passedOver.resting, Leaving: compared.passedOver.leaving, Instead: compared.instead,
-		UsedUp: compared.usedUp, AllLimited: compared.limited == compared.eligible,
+		Doubted:  best.backoff.recent(now) && compared.eligible > 1,
+		Resting:  compared.skips.backoff, Leaving: compared.skips.draining, Instead: compared.fasterSkip,
+		UsedUp: compared.limitSkips, AllLimited: compared.limited == compared.eligible,
 	}
 	if best.limit.inForce(now) {
 		choice.Limit = Limit{Rate: best.limit.rate, Sequence: best.limit.sequence}
@@ -82,15 +82,15 @@
 	if query.Releases.Among <= 0 {
 		return allowed
 	}
-	return narrowed(allowed, &query.Releases)
+	return selectBackends(allowed, &query.Releases)
 }
 
-// narrowed returns those back ends of one release that may be used. Back ends that leave
+// selectBackends returns those back ends of one release that may be used. Back ends that leave
 // the service don't count, so that as many others are used in their place.
-func narrowed(allowed []*state, releases *Releases) []*state {
+func selectBackends(allowed []*state, releases *Releases) []*state {
 	var staying []ident.Incarnation
 	for _, known := range allowed {
-		if !known.leaving.begun() {
+		if !known.drain.active() {
 			staying = append(staying, known.record.Instance)
 		}
 	}
@@ -98,36 +98,36 @@
 	return slices.DeleteFunc(allowed, func(known *state) bool { return !slices.Contains(used, known.record.Instance) })
 }
 
-// compared counts the back ends that a choice was made among.
-type compared struct {
-	// eligible may be used, limited of them have a limit. usedUp could be but for that.
-	eligible, limited, usedUp int
-	// passedOver are those that said that they want nothing.
-	passedOver passedOver
-	// instead is why the choice did not fall on one of those.
-	instead PassedOver
+// comparison counts the back ends that a choice was made among.
+type comparison struct {
+	// eligible may be used, limited of them have a limit. limitSkips could be but for that.
+	eligible, limited, limitSkips int
+	// skips are those that said that they want nothing.
+	skips skipCounts
+	// fasterSkip is why the choice did not fall on one of those.
+	fasterSkip PassedOver
 }
 
 // cheapest returns the back end of the least cost, or nil, and the numbers of
 // those that may be used. Among equals the query's own order decides, so that
 // they share the work and routers agree on who stands in for a home.
-func (r *Registry) cheapest(now time.Time, query *Query, home *state, allowed []*state) (best *state, counts compared) {
+func (r *Registry) cheapest(now time.Time, query *Query, home *state, allowed []*state) (best *state, counts comparison) {
 	bestCost := math.Inf(1)
 	var bestScore uint64
-	stale := r.stalePrice(now, query)
+	staleCost := r.staleCost(now, query)
 	for _, candidate := range allowed {
 		if !candidate.eligible(now, query) {
 			if candidate.limit.usedUp(now) {
-				counts.usedUp++
+				counts.limitSkips++
 			}
-			if why := candidate.passedOver(now); why != NotPassedOver {
-				counts.passedOver.add(why, r.cost(now, candidate, query, home))
+			if reason := candidate.skipReason(now); reason != NotPassedOver {
+				counts.skips.add(reason, r.cost(now, candidate, query, home))
 			}
 			continue
 		}
 		cost := r.cost(now, candidate, query, home)
-		if stale > 0 && candidate.stale(now, query) {
-			cost += stale.Seconds()
+		if staleCost > 0 && candidate.stale(now, query) {
+			cost += staleCost.Seconds()
 		}
 		if math.IsInf(cost, 1) {
 			continue
@@ -142,37 +142,37 @@
 			best, bestCost, bestScore = candidate, cost, score
 		}
 	}
-	counts.instead = counts.passedOver.instead(bestCost * costGrain.Seconds())
+	counts.fasterSkip = counts.skips.ifCheaper(bestCost * costGrain.Seconds())
 	return best, counts
 }
 
 // predict returns the expected time to the first byte of the answer.
 func (r *Registry) predict(candidate *state, query *Query, home *state) time.Duration {
 	if query.Model == "" {
-		ahead := float64(len(candidate.flights)) / float64(max(candidate.record.Slots, 1))
+		ahead := float64(len(candidate.attempts)) / float64(max(candidate.record.Slots, 1))
 		return query.Expected + time.Duration(ahead*float64(query.Expected))
 	}
-	learned := r.reading(query.Service)
-	predicted := learned.of(candidate.waitingTokens() + query.OwnTokens)
+	rate := r.prefillRate(query.Service)
+	predicted := rate.estimate(candidate.waitingTokens() + query.OwnTokens)
 	if candidate != home {
-		predicted += time.Duration(r.spillPrice(candidate, home) * float64(learned.of(query.SharedTokens)))
+		predicted += time.Duration(r.spillFactor(candidate, home) * float64(rate.estimate(query.SharedTokens)))
 	}
 	return predicted
 }
 
-// fastest is the part of the usual time of a request without a model, as a divisor, that is
+// idleDivisor is the part of the usual time of a request without a model, as a divisor, that is
 // taken as its time at an idle back end. The usual time is only guessed, and answers that
 // are faster than this are not told apart: applications answer in a third to nine tenths
 // of it, and one that takes three times as long as before has to be seen.
-const fastest = 8
+const idleDivisor = 8
 
-// uncached returns the expected time to the first byte of the answer of a back end that
+// predictUncached returns the expected time to the first byte of the answer of a back end that
 // is idle and has nothing of the prompt cached.
-func (r *Registry) uncached(query *Query) time.Duration {
+func (r *Registry) predictUncached(query *Query) time.Duration {
 	if query.Model == "" {
-		return query.Expected / fastest
+		return query.Expected / idleDivisor
 	}
-	return r.reading(query.Service).of(query.SharedTokens + query.OwnTokens)
+	return r.prefillRate(query.Service).estimate(query.SharedTokens + query.OwnTokens)
 }
 
 // queued returns the time for which the prompts of this router's other attempts keep
@@ -181,42 +181,42 @@
 	if query.Model == "" {
 		return 0
 	}
-	return r.reading(query.Service).of(candidate.waitingTokens())
+	return r.prefillRate(query.Service).estimate(candidate.waitingTokens())
 }
 
-// reading returns what is learned of the reading rate of a service's engines.
-func (r *Registry) reading(service ident.Service) *reading {
-	learned := r.readings[service]
-	if learned == nil {
-		fresh := newReading(r.config.ReadPerToken)
-		learned = &fresh
-		r.readings[service] = learned
+// prefillRate returns what is learned of the reading rate of a service's engines.
+func (r *Registry) prefillRate(service ident.Service) *prefillRate {
+	rate := r.prefillRates[service]
+	if rate == nil {
+		fresh := newPrefillRate(r.config.ReadPerToken)
+		rate = &fresh
+		r.prefillRates[service] = rate
 	}
-	return learned
+	return rate
 }
 
-// usualLateness returns by how much answers of a back end lately came later than
+// recentLateness returns by how much answers of a back end lately came later than
 // predicted.
-func (r *Registry) usualLateness(now time.Time, known *state) time.Duration {
+func (r *Registry) recentLateness(now time.Time, known *state) time.Duration {
 	if !r.config.Off.On(mechanism.LatePatience) {
 		return 0
 	}
-	return known.excessAt(now)
+	return known.latenessAt(now)
 }
 
 // congestion returns by how much answers of a service lately came late on the mean, in
-// units of congestedAt. It is the mean of answers and not of back ends: of most of a
+// units of fullCongestionLateness. It is the mean of answers and not of back ends: of most of a
 // large fleet's a router has heard nothing lately.
 func (r *Registry) congestion(now time.Time, service ident.Service) float64 {
-	return r.lateness(service).at(now).Seconds() / congestedAt.Seconds()
+	return r.lateness(service).at(now).Seconds() / fullCongestionLateness.Seconds()
 }
 
 // lateness returns by how much answers of a service lately came later than predicted.
 func (r *Registry) lateness(service ident.Service) *serviceLateness {
-	known := r.latenesses[service]
+	known := r.serviceLateness[service]
 	if known == nil {
 		known = &serviceLateness{}
-		r.latenesses[service] = known
+		r.serviceLateness[service] = known
 	}
 	return known
 }
@@ -225,22 +225,22 @@
 // added to it.
 func (r *Registry) cost(now time.Time, candidate *state, query *Query, home *state) float64 {
 	predicted := r.predict(candidate, query, home)
-	cost := (predicted + candidate.excessAt(now) + candidate.told.wait(now)).Seconds()
+	cost := (predicted + candidate.latenessAt(now) + candidate.peerQueue.wait(now)).Seconds()
 	switch candidate.versionRisk(now, query, predicted) {
 	case versionExpired:
 		return math.Inf(1)
 	case versionUncertain:
-		cost += uncertainPenalty.Seconds()
+		cost += uncertainVersionPenalty.Seconds()
 	}
-	cost += r.hop(candidate).Seconds()
-	if r.lost(now, candidate) {
+	cost += r.hopCost(candidate).Seconds()
+	if r.regionUnreachable(now, candidate) {
 		cost += failurePenalty.Seconds()
 	}
 	candidate.decay(now)
 	// One failure in few attempts says less than many in a row.
 	cost += candidate.failed / (candidate.tried + 2) * failurePenalty.Seconds()
-	silentAfter := r.config.SilentAfter + lateFactor*r.usualLateness(now, candidate)
-	if candidate.toldSilent(now) || candidate.silence(now) > silentAfter {
+	silentAfter := r.config.SilentAfter + silenceLatenessFactor*r.recentLateness(now, candidate)
+	if candidate.peerSilent(now) || candidate.silence(now) > silentAfter {
 		cost += failurePenalty.Seconds()
 	}
 	return cost
--- a/internal/backend/config.go
+++ b/internal/backend/config.go
@@ -34,59 +34,59 @@
 }
 
 const (
-	defaultZoneHop      = 3 * time.Millisecond
-	defaultRegionHop    = 40 * time.Millisecond
-	defaultReadPerToken = 26 * time.Microsecond
-	defaultSilentAfter  = 500 * time.Millisecond
+	defaultZoneHop         = 3 * time.Millisecond
+	defaultRegionHop       = 40 * time.Millisecond
+	defaultPrefillPerToken = 26 * time.Microsecond
+	defaultSilentAfter     = 500 * time.Millisecond
 	// Back ends that leave serve for two seconds after they said so.
-	defaultLeavingServes = time.Second
-	// spillPrice is the price of a shared part at an engine that is not the home
+	defaultDrainServeTime = time.Second
+	// spillFactor is the price of a shared part at an engine that is not the home
 	// of its prompt, in times that it takes to read it there: it may have to be
 	// fetched or read again.
-	spillPrice = 1.6
-	// farSpillPrice is that price in another region than the home's: what was kept of
+	spillFactor = 1.6
+	// farSpillFactor is that price in another region than the home's: what was kept of
 	// the part takes five times as long from there as from another zone.
-	farSpillPrice = 3.2
-	// congestedAt is the mean lateness of a service's answers at which its
+	farSpillFactor = 3.2
+	// fullCongestionLateness is the mean lateness of a service's answers at which its
 	// congestion is 1.
-	congestedAt = 100 * time.Millisecond
+	fullCongestionLateness = 100 * time.Millisecond
 	// failureHalfLife is how fast a failure is forgotten.
 	failureHalfLife = 2 * time.Second
 	// failurePenalty is the price of a back end all of whose attempts fail.
 	failurePenalty = 3 * time.Second
-	// firstPause and maxPause bound how long a back end rests after a failure
+	// firstFailurePause and maxFailurePause bound how long a back end rests after a failure
 	// to reach it; the pause doubles with each one in a row.
-	firstPause = 250 * time.Millisecond
-	maxPause   = 2 * time.Second
-	// firstRefusal and maxRefusal bound how long a back end that was full gets
+	firstFailurePause = 250 * time.Millisecond
+	maxFailurePause   = 2 * time.Second
+	// firstRefusalPause and maxRefusalPause bound how long a back end that was full gets
 	// no new work; the pause doubles with each refusal in a row.
-	firstRefusal = 60 * time.Millisecond
-	maxRefusal   = 800 * time.Millisecond
-	// firstEngineRefusal is the first pause of an engine that runs models: it
+	firstRefusalPause = 60 * time.Millisecond
+	maxRefusalPause   = 800 * time.Millisecond
+	// firstEngineRefusalPause is the first pause of an engine that runs models: it
 	// mostly refuses because it takes new weights, which is soon known but not
 	// soon over.
-	firstEngineRefusal = 250 * time.Millisecond
-	// lateFactor times the usual lateness of a back end may pass before its silence
+	firstEngineRefusalPause = 250 * time.Millisecond
+	// silenceLatenessFactor times the usual lateness of a back end may pass before its silence
 	// is a bad sign.
-	lateFactor = 3
-	// beginFactor times the predicted wait may pass until a request begins.
-	beginFactor = 2
+	silenceLatenessFactor = 3
+	// beginWaitFactor times the predicted wait may pass until a request begins.
+	beginWaitFactor = 2
 	// costGrain is the difference in cost below which back ends count as equal.
 	costGrain = 2 * time.Millisecond
-	// uncertainPenalty is the price of weights that may have expired.
-	uncertainPenalty = 5 * time.Second
-	// excessWeight is the part of a new observation in the mean excess, and
-	// excessHalfLife how fast the mean is forgotten.
-	excessWeight   = 0.3
-	excessHalfLife = time.Second
-	// assumedFor is how long an assumed version stands: the list lags by less.
-	assumedFor = 2 * time.Second
-	// loadingFor is how long a back end gets no work after it was said to take
+	// uncertainVersionPenalty is the price of weights that may have expired.
+	uncertainVersionPenalty = 5 * time.Second
+	// latenessWeight is the part of a new observation in the mean excess, and
+	// latenessHalfLife how fast the mean is forgotten.
+	latenessWeight   = 0.3
+	latenessHalfLife = time.Second
+	// assumedVersionTTL is how long an assumed version stands: the list lags by less.
+	assumedVersionTTL = 2 * time.Second
+	// defaultLoadingTime is how long a back end gets no work after it was said to take
 	// new weights, if no time was told, unless it is known to have them before.
-	loadingFor = 700 * time.Millisecond
-	// versionPause is how long a back end whose version was not as believed
+	defaultLoadingTime = 700 * time.Millisecond
+	// wrongVersionPause is how long a back end whose version was not as believed
 	// rests, unless the list tells a newer one before.
-	versionPause = 200 * time.Millisecond
+	wrongVersionPause = 200 * time.Millisecond
 )
 
 func (c Config) withDefaults() Config {
@@ -97,11 +97,11 @@
 		c.RegionHop = defaultRegionHop
 	}
 	if c.ReadPerToken <= 0 {
-		c.ReadPerToken = defaultReadPerToken
+		c.ReadPerToken = defaultPrefillPerToken
 	}
 	if c.SilentAfter <= 0 {
 		c.SilentAfter = defaultSilentAfter
 	}
-	c.LeavingServes = cmp.Or(c.LeavingServes, defaultLeavingServes)
+	c.LeavingServes = cmp.Or(c.LeavingServes, defaultDrainServeTime)
 	return c
 }
--- a/internal/backend/distance_test.go
+++ b/internal/backend/distance_test.go
@@ -40,7 +40,7 @@
 
 // A request goes to the nearest back end that may take it, and over the border of the
 // region only when nobody in it may.
-func TestTheNearestBackEndThatMayTakeItIsChosen(t *testing.T) {
+func TestPickPrefersNearestEligibleBackend(t *testing.T) {
 	request := &backend.Query{Service: "s", Expected: 50 * time.Millisecond}
 	tests := []struct {
 		name string
@@ -88,7 +88,7 @@
 
 // Some requests under way in the own region don't drive one over its border: the way there
 // and back takes longer than they put it off.
-func TestAFewOpenRequestsDoNotDriveOverABorder(t *testing.T) {
+func TestFewOpenRequestsStayInRegion(t *testing.T) {
 	is := is.New(t)
 	known := regional("a1", application("a1"), application("b1"))
 	request := &backend.Query{Service: "s", Expected: 50 * time.Millisecond}
@@ -99,7 +99,7 @@
 }
 
 // The price of a way over a border is the round trip that was measured.
-func TestTheWayToAnotherRegionIsMeasured(t *testing.T) {
+func TestRoundTripMeasurement(t *testing.T) {
 	tests := []struct {
 		name string
 		took []time.Duration
@@ -126,7 +126,7 @@
 }
 
 // Of two other regions the nearer one is chosen.
-func TestTheNearerOfTwoRegionsIsChosen(t *testing.T) {
+func TestPickPrefersNearerRegion(t *testing.T) {
 	for _, far := range []ident.Zone{"b1", "c1"} {
 		t.Run(string(far), func(t *testing.T) {
 			is := is.New(t)
@@ -184,7 +184,7 @@
 const manyPrompts = 600
 
 // Routers of all regions agree on the homes of prompts, and each region has its share.
-func TestHomesAreSharedByAllRegions(t *testing.T) {
+func TestRoutersOfAllRegionsAgreeOnHomes(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 2, "a2": 4, "b1": 6, "b2": 6, "c1": 12})
 	first := homes(regional("a1", records...), manyPrompts)
@@ -194,15 +194,15 @@
 	for _, zone := range first {
 		shares[regions.Of(zone)]++
 	}
-	for place, want := range map[ident.Region]int{"a": 120, "b": 240, "c": 240} {
-		is.True(shares[place] > want*3/4) // the share of its engines
-		is.True(shares[place] < want*5/4)
+	for name, want := range map[ident.Region]int{"a": 120, "b": 240, "c": 240} {
+		is.True(shares[name] > want*3/4) // the share of its engines
+		is.True(shares[name] < want*5/4)
 	}
 }
 
 // Who stands in for a home that is silent or gone is in its region, where the store
 // that keeps its prompts is.
-func TestWhoStandsInForAHomeIsInItsRegion(t *testing.T) {
+func TestHomeFallbackStaysInRegion(t *testing.T) {
 	whole := fleet(map[ident.Zone]int{"a1": 5, "a2": 5, "b1": 5, "b2": 5, "c1": 5, "c2": 5})
 	// Each region loses two engines of ten.
 	var left []backend.Record
@@ -237,7 +237,7 @@
 }
 
 // A region all of whose engines are silent keeps its prompts' homes elsewhere meanwhile.
-func TestARegionThatIsSilentIsPassedOver(t *testing.T) {
+func TestSilentRegionHasNoHomes(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 3, "b1": 3, "c1": 3})
 	known := regional("a1", records...)
@@ -249,7 +249,7 @@
 
 // In a fleet of one region homes are those of the engines' own ranking, with or without
 // a name for the region.
-func TestOneRegionChangesNoHome(t *testing.T) {
+func TestSingleRegionKeepsEngineRanking(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 4, "a2": 4})
 	named := regional("a1", records...)
@@ -265,7 +265,7 @@
 
 // A short shared part is read anew near by rather than sent to a home in another region; a
 // long one is worth the way.
-func TestALongPartIsWorthTheWayToItsHome(t *testing.T) {
+func TestOnlyLongPromptsCrossRegionsToTheirHome(t *testing.T) {
 	tests := []struct {
 		name   string
 		shared int
@@ -290,10 +290,10 @@
 
 // Prompts with one region key have their homes in one region, at several of its engines;
 // those with others are spread over all.
-func TestARegionKeyDrawsTheRegionOfHomes(t *testing.T) {
+func TestRegionKeySelectsRegionOfHomes(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 3, "a2": 3, "b1": 3, "b2": 3, "c1": 3, "c2": 3})
-	places := map[ident.Region]bool{}
+	seen := map[ident.Region]bool{}
 	for family := uint64(1); family <= 12; family++ {
 		engines, regionsOfFamily := map[ident.Incarnation]bool{}, map[ident.Region]bool{}
 		known := regional("a1", records...)
@@ -310,9 +310,9 @@
 		}
 		is.Equal(len(regionsOfFamily), 1)
 		is.True(len(engines) >= 4) // of six
-		for place := range regionsOfFamily {
-			places[place] = true
+		for name := range regionsOfFamily {
+			seen[name] = true
 		}
 	}
-	is.Equal(len(places), 3)
+	is.Equal(len(seen), 3)
 }
--- a/internal/backend/gone_test.go
+++ b/internal/backend/gone_test.go
@@ -12,7 +12,7 @@
 
 // A back end at whose address another one was found gets no work for a time, and its
 // prompts have another home.
-func TestABackEndThatIsGoneGetsNoWork(t *testing.T) {
+func TestGoneBackendGetsNoWork(t *testing.T) {
 	tests := []struct {
 		name string
 		find func(known *backend.Registry, home ident.Incarnation)
--- a/internal/backend/home.go
+++ b/internal/backend/home.go
@@ -17,21 +17,21 @@
 	if query.HomeKey == 0 || !r.config.Off.On(mechanism.HomeEngines) {
 		return nil
 	}
-	serves := func(known *state) bool { return !known.leaving.begun() }
-	heard := func(known *state) bool {
-		return serves(known) && !known.toldSilent(now) && !known.gone(now) && !r.lost(now, known)
+	notDraining := func(known *state) bool { return !known.drain.active() }
+	reachable := func(known *state) bool {
+		return notDraining(known) && !known.peerSilent(now) && !known.gone(now) && !r.regionUnreachable(now, known)
 	}
 	if r.config.Regions.Several() {
-		place := r.homeRegion(now, query, allowed)
-		near := func(known *state) bool { return heard(known) && r.config.Regions.Of(known.record.Zone) == place }
-		if best := firstRanked(query, allowed, near); best != nil {
+		region := r.homeRegion(now, query, allowed)
+		inRegion := func(known *state) bool { return reachable(known) && r.config.Regions.Of(known.record.Zone) == region }
+		if best := firstRanked(query, allowed, inRegion); best != nil {
 			return best
 		}
 	}
-	if best := firstRanked(query, allowed, heard); best != nil {
+	if best := firstRanked(query, allowed, reachable); best != nil {
 		return best
 	}
-	return firstRanked(query, allowed, serves)
+	return firstRanked(query, allowed, notDraining)
 }
 
 // homeRegion returns the region of the home of a prompt, the same at every router.
@@ -42,17 +42,17 @@
 func (r *Registry) homeRegion(now time.Time, query *Query, allowed []*state) ident.Region {
 	counts := make(map[ident.Region]int)
 	for _, known := range allowed {
-		if !known.leaving.begun() && !r.lost(now, known) {
+		if !known.drain.active() && !r.regionUnreachable(now, known) {
 			counts[r.config.Regions.Of(known.record.Zone)]++
 		}
 	}
 	key := cmp.Or(query.RegionKey, query.HomeKey)
 	var best ident.Region
 	bestDraw := math.Inf(1)
-	for place, count := range counts {
-		draw := weightedDraw(rendezvous.Score(key, ident.Engine(place)), count)
-		if draw < bestDraw || (draw == bestDraw && place < best) {
-			best, bestDraw = place, draw
+	for region, count := range counts {
+		draw := weightedDraw(rendezvous.Score(key, ident.Engine(region)), count)
+		if draw < bestDraw || (draw == bestDraw && region < best) {
+			best, bestDraw = region, draw
 		}
 	}
 	return best
--- a/internal/backend/lateness_test.go
+++ b/internal/backend/lateness_test.go
@@ -13,7 +13,7 @@
 
 // A router of a large fleet hears a few answers a second, of a few of many engines. It
 // notices by them that the whole service is late.
-func TestARouterOfALargeFleetNoticesCongestion(t *testing.T) {
+func TestFewLateAnswersShowCongestion(t *testing.T) {
 	const engines = 90
 	tests := []struct {
 		name string
@@ -55,7 +55,7 @@
 }
 
 // What other routers saw waiting at an engine counts as a wait there.
-func TestToldQueuesCountAsAWait(t *testing.T) {
+func TestPeerQueueCountsAsWait(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	before, flight := pick(t, known, start, query())
--- a/internal/backend/latenotice_test.go
+++ b/internal/backend/latenotification_test.go
@@ -12,7 +12,7 @@
 
 // A notice of older weights that comes late does not take back which ones an engine takes:
 // requests would be sent for the older ones, and be turned away.
-func TestALateNoticeOfOlderWeightsChangesNothing(t *testing.T) {
+func TestLateNotificationOfOlderWeightsIsIgnored(t *testing.T) {
 	const load = 700 * time.Millisecond
 	is := is.New(t)
 	known := registry(engine("a", 1))
@@ -25,7 +25,7 @@
 }
 
 // One that is known to have the newer weights stays in use.
-func TestALateNoticeOfWeightsThatAreThereChangesNothing(t *testing.T) {
+func TestLateNotificationOfLoadedWeightsIsIgnored(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	known.VersionSeen("a", model, 3)
--- a/internal/backend/limit.go
+++ b/internal/backend/limit.go
@@ -9,12 +9,12 @@
 
 // ToldLimit is what an answer of a back end says of a limit of its own: LimitedTo,
 // Unlimited or LimitUntold.
-type ToldLimit interface{ toldLimit() }
+type ToldLimit interface{ advertisedLimit() }
 
 // LimitedTo names a limit.
 type LimitedTo struct {
 	// Rate is the number of requests a second that the back end takes from all routers
-	// together. One that takes none is tried at leastLimit all the same.
+	// together. One that takes none is tried at minLimit all the same.
 	Rate float64
 }
 
@@ -25,31 +25,31 @@
 // cannot be read. What was told before holds on.
 type LimitUntold struct{}
 
-func (LimitedTo) toldLimit()   {}
-func (Unlimited) toldLimit()   {}
-func (LimitUntold) toldLimit() {}
+func (LimitedTo) advertisedLimit()   {}
+func (Unlimited) advertisedLimit()   {}
+func (LimitUntold) advertisedLimit() {}
 
 const (
-	// leastLimit is the number of requests a second that a back end is tried with which takes
+	// minLimit is the number of requests a second that a back end is tried with which takes
 	// fewer, or none: only an answer tells that its need is over. It is a twelfth of what may
 	// reach a back end beyond its limit (five requests in 4 s).
-	leastLimit = 0.1
-	// mostLimit bounds a limit. No back end comes near it, and sums of it stay exact.
-	mostLimit = 1e6
-	// limitGrain is the part by which a named limit must differ to count as another one, so
+	minLimit = 0.1
+	// maxLimit bounds a limit. No back end comes near it, and sums of it stay exact.
+	maxLimit = 1e6
+	// limitTolerance is the part by which a named limit must differ to count as another one, so
 	// that one that is worked out anew for each answer is not told to all routers each time.
-	limitGrain = 0.1
-	// limitKept is how long a limit is believed that no answer confirms, here or at a router
-	// that tells of it. While there is demand an answer comes at least each 10 s (leastLimit);
+	limitTolerance = 0.1
+	// limitTTL is how long a limit is believed that no answer confirms, here or at a router
+	// that tells of it. While there is demand an answer comes at least each 10 s (minLimit);
 	// a router that meanwhile can neither be granted a request nor hears of one must not shun
 	// the back end for ever.
-	limitKept = time.Minute
-	// easedFactor and easedStep raise a limit with each answer that no longer names one, and
-	// easedMost ends it. One answer without a limit may be one that a busy back end left it
+	limitTTL = time.Minute
+	// raiseFactor and raiseStep raise a limit with each answer that no longer names one, and
+	// raiseEnd ends it. One answer without a limit may be one that a busy back end left it
 	// out of: if all routers took it as the end, what waited would come at once. A limit of
 	// 1.3 a second ends with the fourth such answer, 1.1 s after the first on the mean.
-	easedFactor, easedStep = 2, 2
-	easedMost              = 32
+	raiseFactor, raiseStep = 2, 2
+	raiseEnd               = 32
 	// maxLimitSequence bounds what other routers may tell.
 	maxLimitSequence = 1 << 53
 )
@@ -62,16 +62,16 @@
 	rate    float64
 	// sequence orders what routers tell of one life of a back end: the highest is the newest.
 	sequence uint64
-	// since is when this was learnt, heardAt when it was last confirmed.
-	since, heardAt time.Time
+	// since is when this was learnt, lastByteAt when it was last confirmed.
+	changedAt, confirmedAt time.Time
 	// usedUpUntil ends the time for which no request will be granted to this router.
 	usedUpUntil time.Time
 }
 
 // inForce reports whether the back end gets only what is granted.
-func (l *limit) inForce(now time.Time) bool { return l.limited && now.Sub(l.heardAt) <= limitKept }
+func (l *limit) inForce(now time.Time) bool { return l.limited && now.Sub(l.confirmedAt) <= limitTTL }
 
-// usedUp reports whether nothing more is granted for now.
+// limitSkips reports whether nothing more is granted for now.
 func (l *limit) usedUp(now time.Time) bool { return l.inForce(now) && now.Before(l.usedUpUntil) }
 
 // tighter reports whether a limit allows less than another one.
@@ -79,12 +79,12 @@
 	return l.limited && (!other.limited || l.rate < other.rate)
 }
 
-// near reports whether two limits differ by too little to tell.
-func (l *limit) near(other *limit) bool {
+// similar reports whether two limits differ by too little to tell.
+func (l *limit) similar(other *limit) bool {
 	if !l.limited || !other.limited {
 		return l.limited == other.limited
 	}
-	return math.Abs(l.rate-other.rate) <= limitGrain*other.rate
+	return math.Abs(l.rate-other.rate) <= limitTolerance*other.rate
 }
 
 // LimitChange is a change of what is believed of a back end's limit.
@@ -94,21 +94,21 @@
 	Rate, Before float64
 }
 
-// take takes in what an answer says of the limit; the call was sent at a time. It reports
+// observe takes in what an answer says of the limit; the call was sent at a time. It reports
 // whether that changes what was believed.
 //
 // A lower limit counts at once. A higher one, or none, counts only if the call was sent after
 // the one in force was learnt: answers on several connections overtake one another.
-func (l *limit) take(now, sentAt time.Time, told ToldLimit) (LimitChange, bool) {
+func (l *limit) observe(now, sentAt time.Time, advertised ToldLimit) (LimitChange, bool) {
 	before := *l
-	next, said := before.after(now, told)
+	next, known := before.next(now, advertised)
 	switch {
-	case !said:
+	case !known:
 		return LimitChange{}, false
-	case next.near(&before):
-		l.heardAt = now
+	case next.similar(&before):
+		l.confirmedAt = now
 		return LimitChange{}, false
-	case before.inForce(now) && !next.tighter(&before) && sentAt.Before(before.since):
+	case before.inForce(now) && !next.tighter(&before) && sentAt.Before(before.changedAt):
 		return LimitChange{}, false
 	}
 	next.sequence = before.sequence + 1
@@ -117,14 +117,14 @@
 }
 
 // after returns the limit that an answer leaves, and whether it says anything of one.
-func (l *limit) after(now time.Time, told ToldLimit) (limit, bool) {
-	next := limit{since: now, heardAt: now}
-	switch told := told.(type) {
+func (l *limit) next(now time.Time, advertised ToldLimit) (limit, bool) {
+	next := limit{changedAt: now, confirmedAt: now}
+	switch advertised := advertised.(type) {
 	case LimitedTo:
-		next.limited, next.rate = true, min(max(told.Rate, leastLimit), mostLimit)
+		next.limited, next.rate = true, min(max(advertised.Rate, minLimit), maxLimit)
 	case Unlimited:
-		if eased := easedFactor*l.rate + easedStep; l.inForce(now) && eased < easedMost {
-			next.limited, next.rate = true, eased
+		if raised := raiseFactor*l.rate + raiseStep; l.inForce(now) && raised < raiseEnd {
+			next.limited, next.rate = true, raised
 		}
 	default:
 		return limit{}, false
@@ -150,7 +150,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if known := r.byID[instance]; known != nil && known.limit.inForce(now) {
-		known.limit.heardAt = now
+		known.limit.confirmedAt = now
 	}
 }
 
--- a/internal/backend/limit_test.go
+++ b/internal/backend/limit_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-func TestWhatAnswersTellOfLimits(t *testing.T) {
+func TestLimitsAdvertisedInAnswers(t *testing.T) {
 	at := time.Unix(1000, 0)
 	type answer struct {
 		sent time.Duration
@@ -36,22 +36,22 @@
 		{"none afterwards", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, Unlimited{}}, true, 4},
 		{"none after a high one", []answer{{0, LimitedTo{Rate: 20}}}, answer{2, Unlimited{}}, true, 0},
 		{"a little more", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, LimitedTo{Rate: 1.05}}, false, 1},
-		{"one of nothing", []answer{{0, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 0}}, true, leastLimit},
-		{"one that nothing reaches", nil, answer{0, LimitedTo{Rate: 1e308}}, true, mostLimit},
+		{"one of nothing", []answer{{0, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 0}}, true, minLimit},
+		{"one that nothing reaches", nil, answer{0, LimitedTo{Rate: 1e308}}, true, maxLimit},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			r := NewRegistry(Config{})
 			r.Update(at, []Record{{Instance: "e", Service: "s"}})
-			take := func(step int, given answer) (LimitChange, bool) {
+			observe := func(step int, given answer) (LimitChange, bool) {
 				now := at.Add(time.Duration(step) * time.Second)
-				return takeLimit(r, now, "e", at.Add(given.sent*time.Second), given.told)
+				return observeLimit(r, now, "e", at.Add(given.sent*time.Second), given.told)
 			}
 			for step, given := range tt.before {
-				take(step+1, given)
+				observe(step+1, given)
 			}
-			change, changed := take(len(tt.before)+1, tt.last)
+			change, changed := observe(len(tt.before)+1, tt.last)
 			is.Equal(changed, tt.changed)
 			is.Equal(r.byID["e"].limit.rate, tt.rate)
 			if changed {
@@ -61,29 +61,29 @@
 	}
 }
 
-func TestANextLifeHasNoLimitBefore(t *testing.T) {
+func TestNextIncarnationHasNoLimit(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{})
 	r.Update(at, []Record{{Instance: "e@1", Service: "s"}})
-	_, changed := takeLimit(r, at, "e@1", at, LimitedTo{Rate: 1})
+	_, changed := observeLimit(r, at, "e@1", at, LimitedTo{Rate: 1})
 	is.True(changed)
 	is.Equal(len(r.Limited(at)), 1)
 	r.Update(at.Add(time.Second), []Record{{Instance: "e@2", Service: "s"}})
 	is.Equal(len(r.Limited(at)), 0)
 }
 
-// limited returns a registry with one back end that has named a limit.
-func limited(at time.Time, rate float64) *Registry {
+// limitedRegistry returns a registry with one back end that has named a limit.
+func limitedRegistry(at time.Time, rate float64) *Registry {
 	r := NewRegistry(Config{})
 	r.Update(at, []Record{{Instance: "e", Service: "s", Models: map[ident.Model]int{"m": 1}}})
-	takeLimit(r, at, "e", at, LimitedTo{Rate: rate})
+	observeLimit(r, at, "e", at, LimitedTo{Rate: rate})
 	return r
 }
 
 // A back end that names no limit any more is free after a few answers, and one that leaves its
 // limit out of one answer is not.
-func TestALimitEndsOverAFewAnswers(t *testing.T) {
+func TestLimitEndsAfterSeveralAnswersWithoutOne(t *testing.T) {
 	tests := []struct {
 		rate    float64
 		answers int
@@ -92,11 +92,11 @@
 		t.Run(fmt.Sprint(tt.rate), func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
-			r := limited(now, tt.rate)
+			r := limitedRegistry(now, tt.rate)
 			for answer := range tt.answers {
 				is.Equal(len(r.Limited(now)), 1)
 				now = now.Add(time.Second)
-				change, changed := takeLimit(r, now, "e", now, Unlimited{})
+				change, changed := observeLimit(r, now, "e", now, Unlimited{})
 				is.True(changed)
 				is.Equal(change.Limited, answer < tt.answers-1)
 			}
@@ -105,25 +105,25 @@
 	}
 }
 
-func TestALimitThatIsLeftOutOnceIsBackAtOnce(t *testing.T) {
+func TestLimitOmittedOnceIsRestored(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	r := limited(now, 1.3)
-	takeLimit(r, now.Add(time.Second), "e", now.Add(time.Second), Unlimited{})
-	change, changed := takeLimit(r, now.Add(2*time.Second), "e", now, LimitedTo{Rate: 1.3})
+	r := limitedRegistry(now, 1.3)
+	observeLimit(r, now.Add(time.Second), "e", now.Add(time.Second), Unlimited{})
+	change, changed := observeLimit(r, now.Add(2*time.Second), "e", now, LimitedTo{Rate: 1.3})
 	is.True(changed)
 	is.Equal(change, LimitChange{Limited: true, Rate: 1.3, Before: 4.6})
 }
 
-func TestALimitThatNothingConfirmsIsForgotten(t *testing.T) {
+func TestUnconfirmedLimitExpires(t *testing.T) {
 	tests := []struct {
 		name    string
 		confirm func(r *Registry, at time.Time)
 		kept    bool
 	}{
 		{"nothing", func(*Registry, time.Time) {}, false},
-		{"an answer", func(r *Registry, at time.Time) { takeLimit(r, at, "e", at, LimitedTo{Rate: 2}) }, true},
-		{"an answer that can't be read", func(r *Registry, at time.Time) { takeLimit(r, at, "e", at, LimitUntold{}) }, false},
+		{"an answer", func(r *Registry, at time.Time) { observeLimit(r, at, "e", at, LimitedTo{Rate: 2}) }, true},
+		{"an answer that can't be read", func(r *Registry, at time.Time) { observeLimit(r, at, "e", at, LimitUntold{}) }, false},
 		{"a claim at another router", func(r *Registry, at time.Time) { r.LimitConfirmed(at, "e") }, true},
 		{"news", func(r *Registry, at time.Time) {
 			r.TakeNews(at, []News{{Instance: "e", Sequence: 1, Limited: true, Rate: 2}})
@@ -136,15 +136,15 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			at := time.Unix(1000, 0)
-			r := limited(at, 2)
-			is.Equal(len(r.Limited(at.Add(limitKept))), 1)
+			r := limitedRegistry(at, 2)
+			is.Equal(len(r.Limited(at.Add(limitTTL))), 1)
 			tt.confirm(r, at.Add(40*time.Second))
-			is.Equal(len(r.Limited(at.Add(limitKept+time.Second))) == 1, tt.kept)
+			is.Equal(len(r.Limited(at.Add(limitTTL+time.Second))) == 1, tt.kept)
 		})
 	}
 }
 
-func TestNewsOfLimits(t *testing.T) {
+func TestStateUpdatesOfLimits(t *testing.T) {
 	tests := []struct {
 		name    string
 		told    News
@@ -168,7 +168,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			at := time.Unix(1000, 0)
-			r := limited(at, 2)
+			r := limitedRegistry(at, 2)
 			tt.told.Instance = "e"
 			is.Equal(len(r.TakeNews(at, []News{tt.told})) == 1, tt.changed)
 			is.Equal(r.byID["e"].limit.rate, tt.rate)
@@ -176,15 +176,15 @@
 	}
 }
 
-func TestNewsOfUnknownBackEndsArePassedOver(t *testing.T) {
-	r := limited(time.Unix(1000, 0), 2)
+func TestStateUpdateOfUnknownBackendIsIgnored(t *testing.T) {
+	r := limitedRegistry(time.Unix(1000, 0), 2)
 	is.New(t).Equal(r.TakeNews(time.Unix(1000, 0), []News{{Instance: "other", Sequence: 1, Limited: true, Rate: 1}}), nil)
 }
 
-func TestABackEndWhoseLimitIsUsedUpIsPassedOver(t *testing.T) {
+func TestBackendWithUsedUpLimitIsSkipped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	r := limited(now, 2)
+	r := limitedRegistry(now, 2)
 	query := Query{Service: "s", Model: "m", SpreadKey: 1}
 	choice, flight, found := r.Pick(now, &query)
 	is.True(found)
@@ -210,10 +210,10 @@
 }
 
 // A back end that rests after a refusal is worth a short wait, though all others are used up.
-func TestABackEndThatRestsIsLeft(t *testing.T) {
+func TestPausedBackendMayBeAvailableSoon(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	r := limited(now, 2)
+	r := limitedRegistry(now, 2)
 	r.Update(now.Add(time.Millisecond), []Record{
 		{Instance: "e", Service: "s", Models: map[ident.Model]int{"m": 1}}, {Instance: "f", Service: "s", Models: map[ident.Model]int{"m": 1}},
 	})
@@ -228,8 +228,8 @@
 	is.Equal(r.Outlook(now, &query), MaySoon{})
 }
 
-// takeLimit takes in what an answer to an attempt that was sent at a time says of a limit.
-func takeLimit(r *Registry, now time.Time, instance ident.Incarnation, sentAt time.Time, told ToldLimit) (LimitChange, bool) {
-	heard := r.TakeSaid(now, instance, sentAt, Said{Limit: told}, ByAnswer)
-	return heard.Limit, heard.LimitChanged
+// observeLimit takes in what an answer to an attempt that was sent at a time says of a limit.
+func observeLimit(r *Registry, now time.Time, instance ident.Incarnation, sentAt time.Time, advertised ToldLimit) (LimitChange, bool) {
+	change := r.TakeSaid(now, instance, sentAt, Said{Limit: advertised}, ByAnswer)
+	return change.Limit, change.LimitChanged
 }
--- a/internal/backend/lapses_test.go
+++ b/internal/backend/listoutage_test.go
@@ -10,9 +10,9 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// usable returns 1 if an engine may get work, else 0. The others are those of the
+// countUsable returns 1 if an engine may get work, else 0. The others are those of the
 // tests of this file.
-func usable(known *backend.Registry, name ident.Incarnation) int {
+func countUsable(known *backend.Registry, name ident.Incarnation) int {
 	wanted := query()
 	for _, other := range []ident.Incarnation{"a", "b"} {
 		if other != name {
@@ -27,7 +27,7 @@
 
 // Entries that lapsed while the list could not be read have two seconds after its
 // return to come back; then, and at any other time, a missing one is gone.
-func TestEntriesThatLapsedInAnOutageMayReturn(t *testing.T) {
+func TestRecordsMissingAfterListOutageHaveGracePeriod(t *testing.T) {
 	both := []backend.Record{engine("a", 1), engine("b", 1)}
 	one := both[:1]
 	type read struct {
@@ -66,7 +66,7 @@
 				is.Equal(change.Kind, backend.Gone)
 			}
 			is.Equal(len(known.Records()), tt.want)
-			is.Equal(usable(known, "a")+usable(known, "b"), tt.want)
+			is.Equal(countUsable(known, "a")+countUsable(known, "b"), tt.want)
 		})
 	}
 }
--- a/internal/backend/told_test.go
+++ b/internal/backend/peerreports_test.go
@@ -12,7 +12,7 @@
 
 // What another router told of the home of a prompt moves work elsewhere, for a short
 // time, unless this router knows better.
-func TestWhatOthersToldOfAHome(t *testing.T) {
+func TestPeerReportsAboutHome(t *testing.T) {
 	tests := []struct {
 		name string
 		tell func(known *backend.Registry, home ident.Incarnation)
@@ -70,7 +70,7 @@
 }
 
 // A teller that is wrong about all engines shuts none out.
-func TestEnginesThatAreAllToldSilentAreStillUsed(t *testing.T) {
+func TestAllEnginesReportedSilentAreStillUsed(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1))
 	known.ToldSilent(start, []ident.Incarnation{"a", "b"})
@@ -83,7 +83,7 @@
 
 // Routers agree on the next home of a prompt whose home was told silent, and it takes
 // its prompts back when it answers.
-func TestTheHomeOfASilentEngineIsTheSameAtAllRouters(t *testing.T) {
+func TestRoutersAgreeOnNextHomeOfSilentEngine(t *testing.T) {
 	is := is.New(t)
 	first, second := registry(engine("a", 1), engine("b", 1), engine("c", 1)), registry(engine("c", 1), engine("a", 1), engine("b", 1))
 	home, _ := pick(t, registry(engine("a", 1), engine("b", 1), engine("c", 1)), start, query())
--- a/internal/backend/reading_test.go
+++ b/internal/backend/prefillrate_test.go
@@ -10,7 +10,7 @@
 
 // Whatever the prior, the estimate comes near the true rate although three answers
 // in four are delayed by something else.
-func TestTheReadingRateIsLearned(t *testing.T) {
+func TestPrefillRateConverges(t *testing.T) {
 	const prior = 26 * time.Microsecond
 	tests := []struct {
 		name string
@@ -25,22 +25,22 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			random := rand.New(rand.NewPCG(1, 2))
-			learned := newReading(prior)
+			rate := newPrefillRate(prior)
 			for range 400 {
 				tokens := 1000 + random.IntN(4000)
-				took := readingBase + time.Duration(tokens)*tt.rate
+				took := prefillOverhead + time.Duration(tokens)*tt.rate
 				if random.IntN(4) > 0 {
 					took += time.Duration(random.IntN(200)) * time.Millisecond
 				}
-				learned.observe(tokens, took)
+				rate.observe(tokens, took)
 			}
-			is.True(learned.perToken > tt.rate*8/10)
-			is.True(learned.perToken < tt.rate*14/10)
+			is.True(rate.perToken > tt.rate*8/10)
+			is.True(rate.perToken < tt.rate*14/10)
 		})
 	}
 }
 
-func TestWhatTellsNothingOfTheReadingRate(t *testing.T) {
+func TestPrefillRateIsRobust(t *testing.T) {
 	const prior = 20 * time.Microsecond
 	tests := []struct {
 		name   string
@@ -51,20 +51,20 @@
 		most   time.Duration
 	}{
 		{"a short prompt", 999, time.Second, 50, prior, prior},
-		{"an answer faster than its way", 5000, readingBase, 50, prior, prior},
+		{"an answer faster than its way", 5000, prefillOverhead, 50, prior, prior},
 		{"one answer", 5000, time.Hour, 1, prior, prior * 103 / 100},
-		{"very slow answers", 5000, time.Hour, 5000, prior * readingBound, prior * readingBound},
-		{"very fast answers", 5000, readingBase + 1, 5000, prior / readingBound, prior / readingBound},
+		{"very slow answers", 5000, time.Hour, 5000, prior * maxPrefillRatio, prior * maxPrefillRatio},
+		{"very fast answers", 5000, prefillOverhead + 1, 5000, prior / maxPrefillRatio, prior / maxPrefillRatio},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			learned := newReading(prior)
+			rate := newPrefillRate(prior)
 			for range tt.times {
-				learned.observe(tt.tokens, tt.took)
+				rate.observe(tt.tokens, tt.took)
 			}
-			is.True(learned.perToken >= tt.least)
-			is.True(learned.perToken <= tt.most)
+			is.True(rate.perToken >= tt.least)
+			is.True(rate.perToken <= tt.most)
 		})
 	}
 }
--- a/internal/backend/reach_test.go
+++ b/internal/backend/reachability_test.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// fail lets an attempt at each of some back ends of a zone end so.
-func fail(t *testing.T, known *backend.Registry, now time.Time, zone ident.Zone, count int, outcome backend.Outcome) {
+// failAttempts lets an attempt at each of some back ends of a zone end so.
+func failAttempts(t *testing.T, known *backend.Registry, now time.Time, zone ident.Zone, count int, outcome backend.Outcome) {
 	t.Helper()
 	failed := 0
 	for _, record := range known.Records() {
@@ -51,7 +51,7 @@
 }
 
 // A region of whose engines several fail, and none answers, gets no work for a while.
-func TestARegionThatDoesNotAnswerIsPassedOver(t *testing.T) {
+func TestUnreachableRegionIsSkipped(t *testing.T) {
 	tests := []struct {
 		name string
 		see  func(known *backend.Registry)
@@ -60,31 +60,31 @@
 		avoid bool
 	}{
 		{"two are unreachable", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 2, backend.Unreachable)
+			failAttempts(t, known, start, "b1", 2, backend.Unreachable)
 		}, 0, false},
 		{"three are unreachable", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Unreachable)
+			failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 		}, 0, true},
 		{"three are silent", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Silent)
+			failAttempts(t, known, start, "b1", 3, backend.Silent)
 		}, 0, true},
 		{"three refuse", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Refused)
+			failAttempts(t, known, start, "b1", 3, backend.Refused)
 		}, 0, false},
 		{"three are unreachable in the own region", func(known *backend.Registry) {
-			fail(t, known, start, "a1", 3, backend.Unreachable)
+			failAttempts(t, known, start, "a1", 3, backend.Unreachable)
 		}, 0, false},
 		{"one answers in between", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 2, backend.Unreachable)
-			fail(t, known, start, "b2", 1, backend.Answered)
-			fail(t, known, start, "b2", 2, backend.Unreachable)
+			failAttempts(t, known, start, "b1", 2, backend.Unreachable)
+			failAttempts(t, known, start, "b2", 1, backend.Answered)
+			failAttempts(t, known, start, "b2", 2, backend.Unreachable)
 		}, 0, false},
 		{"three were unreachable some time ago", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Unreachable)
+			failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 		}, 1100 * time.Millisecond, false},
 		{"three were, and one is again", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Unreachable)
-			fail(t, known, start.Add(1100*time.Millisecond), "b2", 1, backend.Unreachable)
+			failAttempts(t, known, start, "b1", 3, backend.Unreachable)
+			failAttempts(t, known, start.Add(1100*time.Millisecond), "b2", 1, backend.Unreachable)
 		}, 1900 * time.Millisecond, true},
 	}
 	for _, tt := range tests {
@@ -101,12 +101,12 @@
 }
 
 // Routers of a region that lost another one agree on the homes of its prompts meanwhile.
-func TestRoutersThatLostARegionAgreeOnHomes(t *testing.T) {
+func TestRoutersAgreeOnHomesWithoutUnreachableRegion(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 8, "b1": 8, "c1": 8})
 	one, other := regional("a1", records...), regional("a2", records...)
 	for _, known := range []*backend.Registry{one, other} {
-		fail(t, known, start, "b1", 3, backend.Unreachable)
+		failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 	}
 	found := homes(one, manyPrompts)
 	is.Equal(len(found), manyPrompts)
@@ -114,14 +114,14 @@
 }
 
 // Where all else is lost too, a request is still sent to a region that does not answer.
-func TestARegionThatDoesNotAnswerIsBetterThanNone(t *testing.T) {
+func TestUnreachableRegionIsUsedAsLastResort(t *testing.T) {
 	is := is.New(t)
 	var records []backend.Record
 	for number := range 6 {
 		records = append(records, engineIn("b1", ident.Incarnation(fmt.Sprint("b-", number))))
 	}
 	known := regional("a1", records...)
-	fail(t, known, start, "b1", 3, backend.Unreachable)
+	failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 	_, _, found := known.Pick(start, query())
 	is.True(found)
 }
--- a/internal/backend/record.go
+++ b/internal/backend/record.go
@@ -152,8 +152,8 @@
 	// AvoidDoubted passes over back ends that asked for rest lately, if there are others: no repeat
 	// is to spare, and they may refuse again.
 	AvoidDoubted bool
-	// leavingServes is how long after its first word a back end that leaves may be chosen.
-	leavingServes time.Duration
+	// drainServeTime is how long after its first word a back end that leaves may be chosen.
+	drainServeTime time.Duration
 }
 
 func (q *Query) excludes(instance ident.Incarnation) bool {
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -15,33 +15,33 @@
 type Registry struct {
 	config Config
 
-	mutex    sync.Mutex
-	services map[ident.Service][]*state
-	readings map[ident.Service]*reading
-	// latenesses are those of the answers of whole services.
-	latenesses map[ident.Service]*serviceLateness
-	byID       map[ident.Incarnation]*state
-	formers    formers
-	listedAt   time.Time
-	lapses     lapses
+	mutex        sync.Mutex
+	services     map[ident.Service][]*state
+	prefillRates map[ident.Service]*prefillRate
+	// serviceLateness are those of the answers of whole services.
+	serviceLateness map[ident.Service]*serviceLateness
+	byID            map[ident.Incarnation]*state
+	removed         removedBackends
+	listedAt        time.Time
+	listOutage      listOutage
 	// newlyGone are the back ends that this router found gone and has not told yet.
-	newlyGone []ident.Incarnation
-	trips     trips
-	// reaches are those of other regions with back ends that failed lately.
-	reaches map[ident.Region]*reach
+	newlyGone  []ident.Incarnation
+	roundTrips roundTrips
+	// reachability are those of other regions with back ends that failed lately.
+	reachability map[ident.Region]*reachability
 }
 
 // NewRegistry returns a registry that knows no back end.
 func NewRegistry(config Config) *Registry {
 	return &Registry{
-		config:     config.withDefaults(),
-		services:   make(map[ident.Service][]*state),
-		readings:   make(map[ident.Service]*reading),
-		latenesses: make(map[ident.Service]*serviceLateness),
-		byID:       make(map[ident.Incarnation]*state),
-		formers:    make(formers),
-		trips:      make(trips),
-		reaches:    make(map[ident.Region]*reach),
+		config:          config.withDefaults(),
+		services:        make(map[ident.Service][]*state),
+		prefillRates:    make(map[ident.Service]*prefillRate),
+		serviceLateness: make(map[ident.Service]*serviceLateness),
+		byID:            make(map[ident.Incarnation]*state),
+		removed:         make(removedBackends),
+		roundTrips:      make(roundTrips),
+		reachability:    make(map[ident.Region]*reachability),
 	}
 }
 
@@ -59,7 +59,7 @@
 	records := make([]Record, 0, len(r.byID))
 	for _, known := range r.byID {
 		record := known.record
-		record.Draining = known.leaving.begun()
+		record.Draining = known.drain.active()
 		records = append(records, record)
 	}
 	slices.SortFunc(records, func(a, b Record) int {
@@ -85,10 +85,10 @@
 
 // The kinds of change.
 const (
-	Appeared ChangeKind = "appeared"
-	Drained  ChangeKind = "draining"
-	Gone     ChangeKind = "gone"
-	Reloaded ChangeKind = "reloaded"
+	Appeared   ChangeKind = "appeared"
+	DrainBegan ChangeKind = "draining"
+	Gone       ChangeKind = "gone"
+	Reloaded   ChangeKind = "reloaded"
 )
 
 // Update takes in a whole list as it was at a time; an older list than the
@@ -99,13 +99,13 @@
 	if listedAt.Before(r.listedAt) {
 		return nil
 	}
-	r.lapses.read(r.listedAt, listedAt)
+	r.listOutage.observeRead(r.listedAt, listedAt)
 	r.listedAt = listedAt
 	var changes []Change
 	listed := make(map[ident.Incarnation]*state, len(records))
 	services := make(map[ident.Service][]*state)
 	for _, record := range records {
-		known, change := r.listed(listedAt, record)
+		known, change := r.applyRecord(listedAt, record)
 		if change != "" {
 			changes = append(changes, Change{Kind: change, Record: record})
 		}
@@ -115,16 +115,16 @@
 	for instance, known := range r.byID {
 		switch {
 		case listed[instance] != nil:
-		case r.lapses.mayReturn(listedAt) && r.config.Off.On(mechanism.LapseGrace):
+		case r.listOutage.mayReturn(listedAt) && r.config.Off.On(mechanism.LapseGrace):
 			known.missing = true
 			listed[instance] = known
 			services[known.record.Service] = append(services[known.record.Service], known)
 		default:
-			r.formers.add(listedAt, known)
+			r.removed.add(listedAt, known)
 			changes = append(changes, Change{Kind: Gone, Record: known.record})
 		}
 	}
-	r.formers.forget(listedAt)
+	r.removed.expire(listedAt)
 	r.byID, r.services = listed, services
 	return changes
 }
@@ -133,7 +133,7 @@
 func (r *Registry) CameBack(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lapses.cameBack(now)
+	r.listOutage.observeRestore(now)
 }
 
 // Confirm takes in that the newest list still held at a time. It returns what
@@ -144,9 +144,9 @@
 	if !listedAt.After(r.listedAt) {
 		return nil
 	}
-	r.lapses.read(r.listedAt, listedAt)
+	r.listOutage.observeRead(r.listedAt, listedAt)
 	r.listedAt = listedAt
-	if r.lapses.mayReturn(listedAt) {
+	if r.listOutage.mayReturn(listedAt) {
 		return nil
 	}
 	return r.dropMissing()
@@ -160,7 +160,7 @@
 			continue
 		}
 		delete(r.byID, instance)
-		r.formers.add(r.listedAt, known)
+		r.removed.add(r.listedAt, known)
 		service := known.record.Service
 		r.services[service] = slices.DeleteFunc(r.services[service], func(other *state) bool { return other == known })
 		changes = append(changes, Change{Kind: Gone, Record: known.record})
@@ -168,13 +168,13 @@
 	return changes
 }
 
-// listed takes in one record of a list as it was at a time, and tells what changed, if anything.
-func (r *Registry) listed(listedAt time.Time, record Record) (*state, ChangeKind) {
+// applyRecord takes in one record of a list as it was at a time, and tells what changed, if anything.
+func (r *Registry) applyRecord(listedAt time.Time, record Record) (*state, ChangeKind) {
 	known := r.byID[record.Instance]
 	if known == nil {
-		known = r.appeared(record)
+		known = r.newState(record)
 		if record.Draining {
-			known.leaving.begins(listedAt, ByList)
+			known.drain.begin(listedAt, ByList)
 		}
 		return known, Appeared
 	}
@@ -183,39 +183,39 @@
 		return known, ""
 	}
 	var change ChangeKind
-	record = settled(&known.record, record)
+	record = mergeRecord(&known.record, record)
 	for model, version := range record.Models {
 		if known.record.Models[model] != version {
 			change = Reloaded
 			known.pausedUntil = time.Time{}
 		}
 	}
-	if record.Draining && known.leaving.begins(listedAt, ByList) {
-		change = Drained
+	if record.Draining && known.drain.begin(listedAt, ByList) {
+		change = DrainBegan
 	}
 	known.record = record
 	return known, change
 }
 
-// appeared returns the state of a back end that the last list did not hold. One that was known
+// newState returns the state of a back end that the last list did not hold. One that was known
 // before goes on with what it said then.
-func (r *Registry) appeared(record Record) *state {
-	said := &words{}
-	if earlier, gone := r.formers[record.Instance]; gone {
-		delete(r.formers, record.Instance)
-		record = settled(&earlier.record, record)
-		said = earlier.words
+func (r *Registry) newState(record Record) *state {
+	advertised := &advertisedState{}
+	if earlier, gone := r.removed[record.Instance]; gone {
+		delete(r.removed, record.Instance)
+		record = mergeRecord(&earlier.record, record)
+		advertised = earlier.advertised
 	}
-	return &state{record: record, words: said, flights: make(map[*Flight]struct{})}
+	return &state{record: record, advertisedState: advertised, attempts: make(map[*Flight]struct{})}
 }
 
-// newestOf returns the versions that a list tells, but for those of which newer
+// newestVersions returns the versions that a list tells, but for those of which newer
 // ones were seen before: a back end never goes back within one life, and the list
 // lags.
-func newestOf(seen, told map[ident.Model]int) map[ident.Model]int {
-	newest := maps.Clone(told)
-	for model, version := range told {
-		newest[model] = max(version, seen[model])
+func newestVersions(earlier, listed map[ident.Model]int) map[ident.Model]int {
+	newest := maps.Clone(listed)
+	for model, version := range listed {
+		newest[model] = max(version, earlier[model])
 	}
 	return newest
 }
@@ -244,7 +244,7 @@
 	defer r.mutex.Unlock()
 	if known := r.byID[instance]; known != nil {
 		known.assumed, known.assumedModel = version, model
-		known.assumedUntil = now.Add(assumedFor)
+		known.assumedUntil = now.Add(assumedVersionTTL)
 	}
 }
 
@@ -252,15 +252,15 @@
 // weights. It gets no work of that model for the time that this takes, 0 meaning that
 // it was not told, and is then taken to have the version, until the list must have
 // told it. Versions only rise: a notice of an older one than was told before is late.
-func (r *Registry) Loading(now time.Time, instance ident.Incarnation, model ident.Model, version int, takes time.Duration) {
+func (r *Registry) Loading(now time.Time, instance ident.Incarnation, model ident.Model, version int, duration time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.byID[instance]
-	if known == nil || known.takesNewer(now, model, version) {
+	if known == nil || known.loadingNewer(now, model, version) {
 		return
 	}
 	known.loading, known.loadingModel = version, model
-	known.loadingUntil = now.Add(cmp.Or(takes, loadingFor))
+	known.loadingUntil = now.Add(cmp.Or(duration, defaultLoadingTime))
 }
 
 // NotLoading takes back that a back end is about to take a version.
@@ -287,10 +287,10 @@
 		if known == nil {
 			continue
 		}
-		if !now.Before(known.silentUntil) {
-			known.silentFrom = now
+		if !now.Before(known.peerSilentUntil) {
+			known.peerSilentFrom = now
 		}
-		known.silentUntil = now.Add(SilentFor)
+		known.peerSilentUntil = now.Add(SilentFor)
 	}
 }
 
@@ -300,7 +300,7 @@
 	defer r.mutex.Unlock()
 	for _, instance := range instances {
 		if known := r.byID[instance]; known != nil {
-			known.silentUntil = time.Time{}
+			known.peerSilentUntil = time.Time{}
 		}
 	}
 }
@@ -311,7 +311,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if known := r.byID[instance]; known != nil {
-		known.told = queue{waiting: min(max(waiting, 0), maxQueue), at: now}
+		known.peerQueue = peerQueue{waiting: min(max(waiting, 0), maxPeerQueue), at: now}
 	}
 }
 
@@ -320,7 +320,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.byID[instance]
-	return known == nil || known.missing || known.leaving.begun()
+	return known == nil || known.missing || known.drain.active()
 }
 
 // InFlightSince reports whether an attempt is under way at a back end that began before a time.
@@ -331,8 +331,8 @@
 	if known == nil {
 		return false
 	}
-	for flight := range known.flights {
-		if flight.begunAt.Before(before) {
+	for flight := range known.attempts {
+		if flight.startedAt.Before(before) {
 			return true
 		}
 	}
@@ -345,7 +345,7 @@
 	defer r.mutex.Unlock()
 	count := 0
 	for _, known := range r.byID {
-		count += len(known.flights)
+		count += len(known.attempts)
 	}
 	return count
 }
--- a/internal/backend/registry_test.go
+++ b/internal/backend/registry_test.go
@@ -41,7 +41,7 @@
 	return choice, flight
 }
 
-func TestRoutersAgreeOnTheHomeOfAPrompt(t *testing.T) {
+func TestRoutersAgreeOnHome(t *testing.T) {
 	is := is.New(t)
 	one := registry(engine("a", 1), engine("b", 1), engine("c", 1))
 	other := registry(engine("c", 1), engine("a", 1), engine("b", 1))
@@ -51,7 +51,7 @@
 	is.True(first.Home)
 }
 
-func TestALoadedHomeIsPassedBy(t *testing.T) {
+func TestLoadedHomeIsSkipped(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1))
 	home, _ := pick(t, known, start, query())
@@ -62,7 +62,7 @@
 	is.True(next.Instance != home.Instance)
 }
 
-func TestWhoGetsNoWork(t *testing.T) {
+func TestIneligibleBackends(t *testing.T) {
 	draining := engine("a", 1)
 	draining.Draining = true
 	otherModel := engine("a", 1)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestWeightsExpireByWhenTheRequestIsExpectedToBegin(t *testing.T) {
+func TestWeightsExpireBeforeExpectedStart(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	wanted := query()
@@ -104,7 +104,7 @@
 	is.True(found)
 }
 
-func TestUncertainWeightsAreALastResort(t *testing.T) {
+func TestUncertainWeightsAreLastResort(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1), engine("c", 2))
 	wanted := query()
@@ -116,7 +116,7 @@
 	is.Equal(choice.Version, 1)
 }
 
-func TestAVersionSeenCountsAtOnce(t *testing.T) {
+func TestObservedVersionAppliesAtOnce(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	known.VersionSeen("a", model, 3)
@@ -127,7 +127,7 @@
 	is.Equal(choice.Version, 3)
 }
 
-func TestOutcomesKeepWorkAway(t *testing.T) {
+func TestFailedOutcomesDivertWork(t *testing.T) {
 	cases := []struct {
 		outcome backend.Outcome
 		away    bool
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestASilentBackEndGetsNoNewWork(t *testing.T) {
+func TestSilentBackendGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1))
 	home, flight := pick(t, known, start, query())
@@ -171,7 +171,7 @@
 	is.Equal(again.Instance, home.Instance)
 }
 
-func TestAnOlderListChangesNothing(t *testing.T) {
+func TestOlderListIsIgnored(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	is.Equal(len(known.Update(start.Add(-time.Second), nil)), 0)
@@ -183,7 +183,7 @@
 	pick(t, known, start, query())
 }
 
-func TestChangesOfTheListAreTold(t *testing.T) {
+func TestApplyListReturnsChanges(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1))
 	reloaded := engine("a", 2)
@@ -198,7 +198,7 @@
 	})
 }
 
-func TestAnEndAfterTheBackEndIsGoneDoesNoHarm(t *testing.T) {
+func TestAttemptMayEndAfterBackendIsGone(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	_, flight := pick(t, known, start, query())
@@ -211,7 +211,7 @@
 
 // What is only assumed of a back end decides where attempts go, but is not told
 // to those who change its weights: they would leave it behind for ever.
-func TestAnAssumedVersionIsNoFact(t *testing.T) {
+func TestAssumedVersionIsNotInRecords(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 4))
 	known.AssumeVersion(start, "a", model, 5)
@@ -222,7 +222,7 @@
 	is.Equal(later.Version, 4) // the list would have told it by then
 }
 
-func TestAWrongAssumptionIsDropped(t *testing.T) {
+func TestRefusalDropsAssumedVersion(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 4))
 	known.AssumeVersion(start, "a", model, 5)
@@ -235,7 +235,7 @@
 // Where back ends cost the same, prompts spread over them: an engine that is
 // first in the list is no better than another, and each prompt has its own order
 // in which the engines stand in for its home.
-func TestEqualBackEndsShareTheWork(t *testing.T) {
+func TestEqualBackendsShareWork(t *testing.T) {
 	is := is.New(t)
 	const engines, prompts = 20, 400
 	var records []backend.Record
@@ -263,7 +263,7 @@
 }
 
 // The list lags behind what answers prove; a back end never goes back.
-func TestTheListDoesNotTakeBackAVersionThatWasSeen(t *testing.T) {
+func TestListDoesNotLowerObservedVersion(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	known.VersionSeen("a", model, 3)
@@ -279,7 +279,7 @@
 	is.Equal(choice.Version, 4)
 }
 
-func TestABackEndThatTakesWeightsGetsNoWork(t *testing.T) {
+func TestLoadingBackendGetsNoWork(t *testing.T) {
 	nothing := func(*backend.Registry) {}
 	tests := []struct {
 		name  string
@@ -321,7 +321,7 @@
 
 // The congestion of a service is the mean over its back ends of how late they lately
 // answered, also of those that answer in time.
-func TestCongestionIsTheMeanLateness(t *testing.T) {
+func TestCongestionIsMeanLateness(t *testing.T) {
 	tests := []struct {
 		name        string
 		late        []time.Duration
@@ -352,7 +352,7 @@
 	}
 }
 
-func TestWhoIsRefusedUnderOverload(t *testing.T) {
+func TestOverloaded(t *testing.T) {
 	tests := []struct {
 		name   string
 		choice backend.Choice
@@ -376,7 +376,7 @@
 }
 
 // What a prompt waits for is what was sent before it, not its own length.
-func TestAPromptDoesNotWaitForItself(t *testing.T) {
+func TestWaitExcludesOwnPrompt(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	long := query()
@@ -391,7 +391,7 @@
 }
 
 // The wait that is predicted follows what engines are seen to need.
-func TestPredictionsFollowTheReadingRate(t *testing.T) {
+func TestPredictionsFollowPrefillRate(t *testing.T) {
 	tests := []struct {
 		name string
 		rate time.Duration
--- a/internal/backend/releases_choice_test.go
+++ b/internal/backend/releases_choice_test.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// released returns an engine of a release.
-func released(name ident.Incarnation, release ident.Release) backend.Record {
+// engineOfRelease returns an engine of a release.
+func engineOfRelease(name ident.Incarnation, release ident.Release) backend.Record {
 	record := engine(name, 1)
 	record.Release = release
 	return record
@@ -23,7 +23,7 @@
 	var records []backend.Record
 	for index := range 4 {
 		records = append(records,
-			released(ident.Incarnation(fmt.Sprint("old-", index)), "v1"), released(ident.Incarnation(fmt.Sprint("new-", index)), "v2"))
+			engineOfRelease(ident.Incarnation(fmt.Sprint("old-", index)), "v1"), engineOfRelease(ident.Incarnation(fmt.Sprint("new-", index)), "v2"))
 	}
 	return records
 }
@@ -67,7 +67,7 @@
 }
 
 // The home of a prompt is one of the allowed back ends, so that its parts are kept there.
-func TestAPromptHasItsHomeAmongTheAllowed(t *testing.T) {
+func TestHomeIsAnAllowedBackend(t *testing.T) {
 	is := is.New(t)
 	known := registry(twoReleases()...)
 	for key := range uint64(50) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestFewBackEndsOfARelease(t *testing.T) {
+func TestMaxBackendsOfRelease(t *testing.T) {
 	is := is.New(t)
 	releases := backend.Releases{Only: "v2", Among: 2, Seed: 7}
 	chosen := func(known *backend.Registry) map[ident.Incarnation]bool {
@@ -112,7 +112,7 @@
 
 // What a release on trial does late says nothing of the others' load, and nothing of how
 // fast they read.
-func TestATrialThatIsLateCongestsNoOther(t *testing.T) {
+func TestLateTrialDoesNotCongestService(t *testing.T) {
 	tests := []struct {
 		name   string
 		trial  backend.Releases
@@ -125,7 +125,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			known := registry(twoReleases()...)
-			fresh, _ := pick(t, known, start, query())
+			before, _ := pick(t, known, start, query())
 			now := start
 			for range 30 {
 				wanted := query()
@@ -139,7 +139,7 @@
 			other.Releases = backend.Releases{Not: []ident.Release{"v2"}}
 			choice, _ := pick(t, known, now, other)
 			is.Equal(choice.Congestion > 0, tt.counts)
-			is.Equal(choice.Uncached > fresh.Uncached, tt.counts)
+			is.Equal(choice.Uncached > before.Uncached, tt.counts)
 		})
 	}
 }
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestAChoiceOfAnyReleaseAllocatesOnlyItsFlight(t *testing.T) {
+func TestPickAllocatesOnlyItsAttempt(t *testing.T) {
 	known := registry(twoReleases()...)
 	wanted := query()
 	allocs := testing.AllocsPerRun(200, func() {
--- a/internal/backend/former_test.go
+++ b/internal/backend/removed_test.go
@@ -19,67 +19,67 @@
 )
 
 // lists are lists of engines, read one second apart.
-func lists(known *backend.Registry, told ...[]backend.Record) time.Time {
+func applyLists(known *backend.Registry, lists ...[]backend.Record) time.Time {
 	now := start
-	for _, records := range told {
+	for _, records := range lists {
 		now = now.Add(time.Second)
 		known.Update(now, records)
 	}
 	return now
 }
 
-func written(revision uint64, draining bool, version int) backend.Record {
+func recordAt(revision uint64, draining bool, version int) backend.Record {
 	record := engine("a", version)
 	record.Revision, record.Draining = revision, draining
 	return record
 }
 
-func TestABackEndThatDrainsTakesNoWorkAgainInItsLife(t *testing.T) {
+func TestDrainedIncarnationGetsNoWorkAgain(t *testing.T) {
 	none := []backend.Record{}
 	for _, tt := range []struct {
 		name string
 		told [][]backend.Record
 		work bool
 	}{
-		{"an older write after it", [][]backend.Record{{written(2, true, 1)}, {written(3, false, 1)}}, false},
-		{"and two older ones", [][]backend.Record{{written(2, true, 1)}, {written(3, false, 1)}, {written(4, false, 1)}}, false},
-		{"an older one after its row was removed", [][]backend.Record{{written(2, true, 1)}, none, {written(4, false, 1)}}, false},
-		{"removed twice", [][]backend.Record{{written(2, true, 1)}, none, {written(4, false, 1)}, none, {written(6, false, 1)}}, false},
-		{"one that did not drain comes back", [][]backend.Record{none, {written(4, false, 1)}}, true},
+		{"an older write after it", [][]backend.Record{{recordAt(2, true, 1)}, {recordAt(3, false, 1)}}, false},
+		{"and two older ones", [][]backend.Record{{recordAt(2, true, 1)}, {recordAt(3, false, 1)}, {recordAt(4, false, 1)}}, false},
+		{"an older one after its row was removed", [][]backend.Record{{recordAt(2, true, 1)}, none, {recordAt(4, false, 1)}}, false},
+		{"removed twice", [][]backend.Record{{recordAt(2, true, 1)}, none, {recordAt(4, false, 1)}, none, {recordAt(6, false, 1)}}, false},
+		{"one that did not drain comes back", [][]backend.Record{none, {recordAt(4, false, 1)}}, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			known := registry(engine("a", 1))
-			_, _, found := known.Pick(lists(known, tt.told...), query())
+			_, _, found := known.Pick(applyLists(known, tt.told...), query())
 			is.Equal(found, tt.work)
 		})
 	}
 }
 
-func TestTheNextLifeOfADrainedBackEndTakesWork(t *testing.T) {
+func TestNextIncarnationOfDrainedBackendGetsWork(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
-	now := lists(known, []backend.Record{written(2, true, 1)}, []backend.Record{engine("b", 1)})
+	now := applyLists(known, []backend.Record{recordAt(2, true, 1)}, []backend.Record{engine("b", 1)})
 	choice, _ := pick(t, known, now, query())
 	is.Equal(choice.Instance, ident.Incarnation("b"))
 }
 
-func TestABackEndThatComesBackHasTheWeightsThatWereSeen(t *testing.T) {
+func TestRelistedBackendKeepsObservedVersion(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	known.VersionSeen("a", model, 3)
-	now := lists(known, []backend.Record{}, []backend.Record{written(4, false, 2)})
+	now := applyLists(known, []backend.Record{}, []backend.Record{recordAt(4, false, 2)})
 	choice, _ := pick(t, known, now, query())
 	is.Equal(choice.Version, 3)
 }
 
 // What is remembered of those that are gone is bounded.
-func TestABackEndIsNotRememberedForGood(t *testing.T) {
+func TestRemovedBackendsExpire(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 3))
-	lists(known, []backend.Record{})
+	applyLists(known, []backend.Record{})
 	known.Update(start.Add(time.Hour), []backend.Record{})
-	known.Update(start.Add(time.Hour+time.Second), []backend.Record{written(9, false, 2)})
+	known.Update(start.Add(time.Hour+time.Second), []backend.Record{recordAt(9, false, 2)})
 	choice, _ := pick(t, known, start.Add(time.Hour+time.Second), query())
 	is.Equal(choice.Version, 2)
 }
--- a/internal/backend/stale_test.go
+++ b/internal/backend/stale_test.go
@@ -38,13 +38,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			off, fault := mechanism.Without(tt.without)
+			disabled, fault := mechanism.Without(tt.without)
 			is.True(fault == nil)
 			var records []backend.Record
 			for index := range engines {
 				records = append(records, engine(ident.Incarnation(fmt.Sprintf("i-%d", index)), 1))
 			}
-			known := backend.NewRegistry(backend.Config{Zone: "z", Off: off})
+			known := backend.NewRegistry(backend.Config{Zone: "z", Off: disabled})
 			known.Update(start, records)
 			home, flight := pick(t, known, start, tt.query)
 			flight.Ended(start, backend.Answered)
@@ -66,7 +66,7 @@
 }
 
 // A service whose answers come late is not calm: there engines are chosen by load.
-func TestCalm(t *testing.T) {
+func TestHeadroom(t *testing.T) {
 	tests := []struct {
 		name        string
 		late        time.Duration
@@ -87,9 +87,9 @@
 				flight.Heard(now)
 				flight.Ended(now, backend.Answered)
 			}
-			calm := known.Calm(now, "s")
-			is.True(calm >= tt.least)
-			is.True(calm <= tt.most)
+			headroom := known.Calm(now, "s")
+			is.True(headroom >= tt.least)
+			is.True(headroom <= tt.most)
 		})
 	}
 }
--- a/internal/backend/state.go
+++ b/internal/backend/state.go
@@ -10,29 +10,29 @@
 // state is what is believed of one back end.
 type state struct {
 	record Record
-	*words
+	*advertisedState
 	// missing says that the newest list lacks the back end, which may come back.
 	missing bool
-	// flights are the attempts under way.
-	flights map[*Flight]struct{}
-	// heardAt is when a byte of any attempt last came.
-	heardAt time.Time
+	// attempts are the attempts under way.
+	attempts map[*Flight]struct{}
+	// lastByteAt is when a byte of any attempt last came.
+	lastByteAt time.Time
 	// pausedUntil ends the rest after a failure or a refusal; pause is the
 	// length of the last one after a failure.
 	pausedUntil time.Time
 	pause       time.Duration
-	// silentFrom and silentUntil bound the time for which other routers told that
+	// peerSilentFrom and peerSilentUntil bound the time for which other routers told that
 	// the back end does not answer.
-	silentFrom, silentUntil time.Time
+	peerSilentFrom, peerSilentUntil time.Time
 	// goneUntil ends the time for which another back end was found at the address.
 	goneUntil time.Time
-	// told is the queue that another router saw there.
-	told queue
+	// peerQueue is the queue that another router saw there.
+	peerQueue peerQueue
 	// tried and failed count recent attempts, halved every failureHalfLife.
 	tried, failed float64
 	decayedAt     time.Time
-	// late shows the load that other routers make.
-	late lateness
+	// lateness shows the load that other routers make.
+	lateness lateness
 	// assumed is a version of a model's weights that the back end is taken to
 	// have until assumedUntil, ahead of the list.
 	assumed      int
@@ -46,16 +46,16 @@
 	loadingUntil time.Time
 }
 
-// takesWeights reports whether the back end refuses work of a model because it
+// loadingWeights reports whether the back end refuses work of a model because it
 // takes new weights.
-func (s *state) takesWeights(now time.Time, model ident.Model) bool {
+func (s *state) loadingWeights(now time.Time, model ident.Model) bool {
 	return model == s.loadingModel && now.Before(s.loadingUntil) && s.record.Models[model] < s.loading
 }
 
-// takesNewer reports whether the back end was told to take newer weights of a model than a
+// loadingNewer reports whether the back end was told to take newer weights of a model than a
 // version, and the list need not have told them yet.
-func (s *state) takesNewer(now time.Time, model ident.Model, version int) bool {
-	return model == s.loadingModel && version < s.loading && now.Before(s.loadingUntil.Add(assumedFor))
+func (s *state) loadingNewer(now time.Time, model ident.Model, version int) bool {
+	return model == s.loadingModel && version < s.loading && now.Before(s.loadingUntil.Add(assumedVersionTTL))
 }
 
 // version returns the version of a model's weights that an attempt is meant for.
@@ -64,27 +64,27 @@
 	if model == s.assumedModel && now.Before(s.assumedUntil) {
 		version = max(version, s.assumed)
 	}
-	loaded := !now.Before(s.loadingUntil) && now.Before(s.loadingUntil.Add(assumedFor))
+	loaded := !now.Before(s.loadingUntil) && now.Before(s.loadingUntil.Add(assumedVersionTTL))
 	if model == s.loadingModel && loaded {
 		version = max(version, s.loading)
 	}
 	return version
 }
 
-// excessAt returns by how much answers lately came later than predicted, as far as it
+// latenessAt returns by how much answers lately came later than predicted, as far as it
 // is not forgotten.
-func (s *state) excessAt(now time.Time) time.Duration { return s.late.at(now) }
+func (s *state) latenessAt(now time.Time) time.Duration { return s.lateness.at(now) }
 
 // eligible reports whether the back end may get the attempt.
 func (s *state) eligible(now time.Time, query *Query) bool {
-	if query.AvoidDoubted && s.rest.doubted(now) {
+	if query.AvoidDoubted && s.backoff.recent(now) {
 		return false
 	}
-	return s.hasRoom(now) && !s.limit.usedUp(now) && !now.Before(s.pausedUntil) && s.fit(now, query)
+	return s.backoffAllows(now) && !s.limit.usedUp(now) && !now.Before(s.pausedUntil) && s.suitable(now, query)
 }
 
-// fit reports whether the back end could take the attempt, its limit, rest and pauses aside.
-func (s *state) fit(now time.Time, query *Query) bool {
+// suitable reports whether the back end could take the attempt, its limit, rest and pauses aside.
+func (s *state) suitable(now time.Time, query *Query) bool {
 	if !s.serves(now, query) || query.excludes(s.record.Instance) || s.gone(now) {
 		return false
 	}
@@ -92,13 +92,13 @@
 		return true
 	}
 	_, holds := s.record.Models[query.Model]
-	return holds && !s.takesWeights(now, query.Model)
+	return holds && !s.loadingWeights(now, query.Model)
 }
 
 // serves reports whether the back end does not leave, or may take an attempt for which there is
 // no other one.
 func (s *state) serves(now time.Time, query *Query) bool {
-	return !s.leaving.begun() || (s.leaving.own() && now.Before(s.leaving.since.Add(query.leavingServes)))
+	return !s.drain.active() || (s.drain.advertised() && now.Before(s.drain.since.Add(query.drainServeTime)))
 }
 
 // versionRisk says whether the attempt may begin on the back end's weights
@@ -109,21 +109,21 @@
 		if expiry.Version <= version {
 			continue
 		}
-		if now.Add(beginFactor*predicted + s.excessAt(now)).After(expiry.At) {
+		if now.Add(beginWaitFactor*predicted + s.latenessAt(now)).After(expiry.At) {
 			return versionExpired
 		}
 		if expiry.Uncertain {
 			return versionUncertain
 		}
 	}
-	return versionSound
+	return versionValid
 }
 
 // versionRisk is what is known of the age of a back end's weights.
 type versionRisk uint8
 
 const (
-	versionSound versionRisk = iota
+	versionValid versionRisk = iota
 	versionUncertain
 	versionExpired
 )
@@ -132,29 +132,29 @@
 // read.
 func (s *state) waitingTokens() int {
 	waiting := 0
-	for flight := range s.flights {
-		if !flight.first {
+	for flight := range s.attempts {
+		if !flight.firstByteReceived {
 			waiting += flight.tokens
 		}
 	}
 	return waiting
 }
 
-// toldSilent reports whether the back end does not answer other routers, nor this one
+// peerSilent reports whether the back end does not answer other routers, nor this one
 // since it was told so first.
-func (s *state) toldSilent(now time.Time) bool {
-	return now.Before(s.silentUntil) && !s.heardAt.After(s.silentFrom)
+func (s *state) peerSilent(now time.Time) bool {
+	return now.Before(s.peerSilentUntil) && !s.lastByteAt.After(s.peerSilentFrom)
 }
 
 // silence returns for how long the back end owes a byte.
 func (s *state) silence(now time.Time) time.Duration {
 	longest := time.Duration(0)
-	for flight := range s.flights {
-		since := flight.dueAt
-		if s.heardAt.After(since) {
-			since = s.heardAt
+	for flight := range s.attempts {
+		since := flight.expectedAt
+		if s.lastByteAt.After(since) {
+			since = s.lastByteAt
 		}
-		if !flight.first {
+		if !flight.firstByteReceived {
 			longest = max(longest, now.Sub(since))
 		}
 	}
--- a/internal/backend/news.go
+++ b/internal/backend/stateupdate.go
@@ -26,9 +26,9 @@
 	Leaving bool `cbor:"6,keyasint,omitempty"`
 }
 
-// sound reports whether the news may be taken in: what another router tells may be anything.
-func (n *News) sound() bool {
-	return n.Sequence < maxLimitSequence && n.Age >= 0 && n.Age <= limitKept && n.Rate >= 0 && n.Rate <= mostLimit
+// valid reports whether the news may be taken in: what another router tells may be anything.
+func (n *News) valid() bool {
+	return n.Sequence < maxLimitSequence && n.Age >= 0 && n.Age <= limitTTL && n.Rate >= 0 && n.Rate <= maxLimit
 }
 
 // Learnt is a piece of news with what it changed.
@@ -38,46 +38,46 @@
 }
 
 // TakeNews takes in what other routers know of back ends, and returns what that changes.
-func (r *Registry) TakeNews(now time.Time, news []News) []Learnt {
+func (r *Registry) TakeNews(now time.Time, updates []News) []Learnt {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var learnt []Learnt
-	for _, told := range news {
-		if !told.sound() {
+	var applied []Learnt
+	for _, update := range updates {
+		if !update.valid() {
 			continue
 		}
-		known := r.wordsOf(told.Instance)
-		leaving := told.Leaving && r.config.Off.On(mechanism.BackendWords)
-		if known == nil && leaving {
-			known = r.formers.expect(now, told.Instance)
+		known := r.advertisedStateOf(update.Instance)
+		draining := update.Leaving && r.config.Off.On(mechanism.BackendWords)
+		if known == nil && draining {
+			known = r.removed.addUnlisted(now, update.Instance)
 		}
 		if known == nil {
 			continue
 		}
-		change := Learnt{News: told, LimitChanged: known.limit.takes(now, &told)}
-		change.LeavingBegan = leaving && known.leaving.begins(now, ByRouter)
+		change := Learnt{News: update, LimitChanged: known.limit.merge(now, &update)}
+		change.LeavingBegan = draining && known.drain.begin(now, ByRouter)
 		if change.LimitChanged || change.LeavingBegan {
-			learnt = append(learnt, change)
+			applied = append(applied, change)
 		}
 	}
-	return learnt
+	return applied
 }
 
 // takes takes in one piece of news, and reports whether it changes anything. The highest
 // sequence counts; of two that are alike, as two routers saw changes at once, the tighter
 // limit does.
-func (l *limit) takes(now time.Time, told *News) bool {
-	next := limit{limited: told.Limited, sequence: told.Sequence, since: now, heardAt: now.Add(-told.Age)}
-	if told.Limited {
-		next.rate = max(told.Rate, leastLimit)
+func (l *limit) merge(now time.Time, update *News) bool {
+	next := limit{limited: update.Limited, sequence: update.Sequence, changedAt: now, confirmedAt: now.Add(-update.Age)}
+	if update.Limited {
+		next.rate = max(update.Rate, minLimit)
 	}
-	if told.Sequence == l.sequence && next.limited == l.limited && next.rate == l.rate {
-		if next.heardAt.After(l.heardAt) {
-			l.heardAt = next.heardAt
+	if update.Sequence == l.sequence && next.limited == l.limited && next.rate == l.rate {
+		if next.confirmedAt.After(l.confirmedAt) {
+			l.confirmedAt = next.confirmedAt
 		}
 		return false
 	}
-	if told.Sequence < l.sequence || (told.Sequence == l.sequence && !next.tighter(l)) {
+	if update.Sequence < l.sequence || (update.Sequence == l.sequence && !next.tighter(l)) {
 		return false
 	}
 	*l = next
@@ -89,47 +89,47 @@
 func (r *Registry) News(now time.Time) []News {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var news []News
+	var updates []News
 	for instance, known := range r.byID {
-		if told, some := known.news(now, instance); some {
-			news = append(news, told)
+		if update, found := known.stateUpdate(now, instance); found {
+			updates = append(updates, update)
 		}
 	}
-	slices.SortFunc(news, func(a, b News) int { return cmp.Compare(a.Instance, b.Instance) })
-	return news
+	slices.SortFunc(updates, func(a, b News) int { return cmp.Compare(a.Instance, b.Instance) })
+	return updates
 }
 
 // NewsOf returns what others are told of one back end, if there is anything.
 func (r *Registry) NewsOf(now time.Time, instance ident.Incarnation) (News, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known := r.wordsOf(instance)
+	known := r.advertisedStateOf(instance)
 	if known == nil {
 		return News{}, false
 	}
-	return known.news(now, instance)
+	return known.stateUpdate(now, instance)
 }
 
-// news returns what others are told, and whether there is anything. That a back end leaves they
+// stateUpdate returns what others are told, and whether there is anything. That a back end leaves they
 // read in the list as well, unless it was the back end itself that said so.
-func (w *words) news(now time.Time, instance ident.Incarnation) (told News, some bool) {
-	told = News{Instance: instance, Leaving: w.leaving.own()}
-	if w.limit.sequence > 0 && now.Sub(w.limit.heardAt) <= limitKept {
-		told.Sequence, told.Limited, told.Rate = w.limit.sequence, w.limit.limited, w.limit.rate
-		told.Age = max(now.Sub(w.limit.heardAt), 0)
+func (w *advertisedState) stateUpdate(now time.Time, instance ident.Incarnation) (update News, found bool) {
+	update = News{Instance: instance, Leaving: w.drain.advertised()}
+	if w.limit.sequence > 0 && now.Sub(w.limit.confirmedAt) <= limitTTL {
+		update.Sequence, update.Limited, update.Rate = w.limit.sequence, w.limit.limited, w.limit.rate
+		update.Age = max(now.Sub(w.limit.confirmedAt), 0)
 	}
-	return told, told.Leaving || told.Sequence > 0
+	return update, update.Leaving || update.Sequence > 0
 }
 
 // NewsDigest names what is known of back ends, ages aside; it is 0 if that is nothing.
-func NewsDigest(news []News) uint64 {
-	if len(news) == 0 {
+func NewsDigest(updates []News) uint64 {
+	if len(updates) == 0 {
 		return 0
 	}
 	sum := fnv.New64a()
-	for _, one := range news {
-		line := string(one.Instance) + " " + strconv.FormatUint(one.Sequence, 10) + " " + strconv.FormatFloat(one.Rate, 'g', -1, 64) + "\n"
-		if one.Leaving {
+	for _, update := range updates {
+		line := string(update.Instance) + " " + strconv.FormatUint(update.Sequence, 10) + " " + strconv.FormatFloat(update.Rate, 'g', -1, 64) + "\n"
+		if update.Leaving {
 			line += "leaving\n"
 		}
 		// A hash takes in everything.
--- a/internal/endpoint/bench_test.go
+++ b/internal/endpoint/bench_test.go
@@ -26,14 +26,14 @@
 func BenchmarkDue(b *testing.B) {
 	for _, count := range []int{12, 100, 860} {
 		b.Run(fmt.Sprint("engines=", count), func(b *testing.B) {
-			registry, now, asked := benchRegistry(count), start, 0
+			registry, now, polled := benchRegistry(count), start, 0
 			rounds := 0
 			for b.Loop() {
 				rounds++
 				now = now.Add(50 * time.Millisecond)
-				asked += len(registry.Due(now, 250*time.Millisecond, 8))
+				polled += len(registry.Due(now, 250*time.Millisecond, 8))
 			}
-			b.ReportMetric(float64(asked)/float64(rounds)*20, "polls/s")
+			b.ReportMetric(float64(polled)/float64(rounds)*20, "polls/s")
 		})
 	}
 }
--- a/internal/endpoint/leaving.go
+++ b/internal/endpoint/draining.go
@@ -6,47 +6,47 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// leavingMemory is how long a sign of leaving outlives a lack of reports that
+// drainingTTL is how long a sign of leaving outlives a lack of reports that
 // confirm it. A new incarnation ends it at once.
-const leavingMemory = 2 * time.Minute
+const drainingTTL = 2 * time.Minute
 
 // LeavingSeen takes in a sign that the engine is leaving: its own refusal, the
 // machine list, or another router's word. An incarnation other than the
 // engine's known one makes the sign void; an empty one always counts.
 func (r *Registry) LeavingSeen(now time.Time, engine ident.Engine, incarnation ident.Incarnation) []Change {
-	known := r.find(engine)
+	known := r.findForChange(engine)
 	if known == nil {
 		return nil
 	}
 	if incarnation != "" && known.incarnation != "" && incarnation != known.incarnation {
 		return nil
 	}
-	return known.leaving(now, engine)
+	return known.markDraining(now, engine)
 }
 
 // Listed takes in a machine list: for each engine on it, whether its machine is
 // leaving. The list speaks of machines, whatever life the engine on one is in,
 // and it lags: it takes back its own word only, never another sign.
-func (r *Registry) Listed(now time.Time, leaving map[ident.Engine]bool) []Change {
+func (r *Registry) Listed(now time.Time, draining map[ident.Engine]bool) []Change {
 	var changes []Change
 	for _, known := range r.order {
 		name := known.target.Engine
-		listed, found := leaving[name]
+		listed, found := draining[name]
 		if !found {
 			continue
 		}
-		known.stale = known.stale || known.listedLeaving != listed
-		known.listedLeaving = listed
+		known.viewStale = known.viewStale || known.listedDraining != listed
+		known.listedDraining = listed
 		if listed {
-			changes = append(changes, known.leaving(now, name)...)
+			changes = append(changes, known.markDraining(now, name)...)
 		}
 	}
 	return changes
 }
 
-func (s *state) leaving(now time.Time, engine ident.Engine) []Change {
-	already := now.Before(s.leavingUntil)
-	s.leavingUntil = now.Add(leavingMemory)
+func (s *state) markDraining(now time.Time, engine ident.Engine) []Change {
+	already := now.Before(s.drainingUntil)
+	s.drainingUntil = now.Add(drainingTTL)
 	if already {
 		return nil
 	}
--- a/internal/endpoint/poller.go
+++ b/internal/endpoint/poller.go
@@ -28,21 +28,21 @@
 // answers pass through bounded rings: a question that finds its ring full is
 // dropped and will fall due again; an answer replaces older ones.
 type Poller struct {
-	reader    LoadReader
-	timeout   time.Duration
-	questions *ring.Ring[Question]
-	answers   *ring.Ring[Answer]
-	workers   sync.WaitGroup
+	reader   LoadReader
+	timeout  time.Duration
+	requests *ring.Ring[Question]
+	results  *ring.Ring[Answer]
+	workers  sync.WaitGroup
 }
 
 // NewPoller returns a poller whose reads each take at most timeout. The rings
 // hold at most capacity items.
 func NewPoller(reader LoadReader, timeout time.Duration, capacity int) *Poller {
 	return &Poller{
-		reader:    reader,
-		timeout:   timeout,
-		questions: ring.New[Question]("load-questions", capacity, ring.RefuseNew),
-		answers:   ring.New[Answer]("load-answers", capacity, ring.DropOldest),
+		reader:   reader,
+		timeout:  timeout,
+		requests: ring.New[Question]("load-questions", capacity, ring.RefuseNew),
+		results:  ring.New[Answer]("load-answers", capacity, ring.DropOldest),
 	}
 }
 
@@ -57,18 +57,18 @@
 func (p *Poller) Wait() { p.workers.Wait() }
 
 // Ask queues questions.
-func (p *Poller) Ask(questions []Question) {
-	for _, question := range questions {
-		p.questions.Push(question)
+func (p *Poller) Ask(requests []Question) {
+	for _, request := range requests {
+		p.requests.Push(request)
 	}
 }
 
 // Answers returns the ring of answers.
-func (p *Poller) Answers() *ring.Ring[Answer] { return p.answers }
+func (p *Poller) Answers() *ring.Ring[Answer] { return p.results }
 
 // Rings returns the counters of both rings.
 func (p *Poller) Rings() []func() ring.Counters {
-	return []func() ring.Counters{p.questions.Counters, p.answers.Counters}
+	return []func() ring.Counters{p.requests.Counters, p.results.Counters}
 }
 
 func (p *Poller) work(ctx context.Context) {
@@ -76,20 +76,20 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.questions.Ready():
+		case <-p.requests.Ready():
 		}
-		for question, ok := p.questions.Pop(); ok; question, ok = p.questions.Pop() {
-			p.read(ctx, question)
+		for request, ok := p.requests.Pop(); ok; request, ok = p.requests.Pop() {
+			p.read(ctx, request)
 		}
 	}
 }
 
-func (p *Poller) read(ctx context.Context, question Question) {
+func (p *Poller) read(ctx context.Context, request Question) {
 	bounded, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	report, err := p.reader.Load(bounded, question.Address)
+	report, err := p.reader.Load(bounded, request.Address)
 	if ctx.Err() != nil {
 		return
 	}
-	p.answers.Push(Answer{Engine: question.Engine, Address: question.Address, Report: report, Err: err})
+	p.results.Push(Answer{Engine: request.Engine, Address: request.Address, Report: report, Err: err})
 }
--- a/internal/endpoint/registry.go
+++ b/internal/endpoint/registry.go
@@ -21,9 +21,9 @@
 // engine is believed dead. One lost report must not empty a cache belief.
 const failuresUntilDead = 3
 
-// retiredMemory is the number of past incarnations whose late answers are
+// maxRetired is the number of past incarnations whose late answers are
 // recognised, so that they cannot pass for a new life.
-const retiredMemory = 8
+const maxRetired = 8
 
 // viewMaxAge is how long a whole view of the endpoints is used again. Loads
 // age by at most this much less than they should, which is far below the lag of
@@ -81,7 +81,7 @@
 // state is what is known of one engine.
 type state struct {
 	target      Target
-	stale       bool
+	viewStale   bool
 	incarnation ident.Incarnation
 	retired     []ident.Incarnation
 	// retiredReports counts reports of past incarnations since the last of the
@@ -90,15 +90,15 @@
 	reported       bool
 	alive          bool
 	failures       int
-	leavingUntil   time.Time
-	listedLeaving  bool
+	drainingUntil  time.Time
+	listedDraining bool
 	role           string
 	loaded         []framework.LoadedModel
 	// queue estimates the engine's queue; a new life starts with a new one.
 	queue         *load.Tracker
 	limit         int
 	lastCandidate time.Time
-	lastAsked     time.Time
+	lastPolled    time.Time
 }
 
 // AttemptKey identifies one attempt of one request.
@@ -143,26 +143,26 @@
 // changed. It is zero before the first Configure.
 func (r *Registry) Generation() uint64 { return r.generation }
 
-// find returns the state of an engine that is about to change, or nil.
-func (r *Registry) find(engine ident.Engine) *state {
+// findForChange returns the state of an engine that is about to change, or nil.
+func (r *Registry) findForChange(engine ident.Engine) *state {
 	known := r.engines[engine]
 	if known != nil {
-		known.stale = true
+		known.viewStale = true
 	}
 	return known
 }
 
 // Reported takes in a load report that arrived at now.
 func (r *Registry) Reported(now time.Time, engine ident.Engine, report protocol.LoadReport) []Change {
-	known := r.find(engine)
+	known := r.findForChange(engine)
 	if known == nil {
 		return nil
 	}
-	if slices.Contains(known.retired, report.Incarnation) && !known.returned() {
+	if slices.Contains(known.retired, report.Incarnation) && !known.retiredIsCurrent() {
 		return nil
 	}
 	known.retiredReports = 0
-	changes := known.live(engine, report.Incarnation)
+	changes := known.markAlive(engine, report.Incarnation)
 	loaded := convertLoaded(report.Loaded)
 	if !equalLoaded(loaded, known.loaded) {
 		changes = append(changes, Change{ChangeLoaded, engine, report.Incarnation})
@@ -172,14 +172,14 @@
 	known.queue.Report(now, report)
 	known.reported = true
 	if report.Leaving {
-		changes = append(changes, known.leaving(now, engine)...)
+		changes = append(changes, known.markDraining(now, engine)...)
 	}
 	return changes
 }
 
 // ReportFailed takes in that a report could not be read.
 func (r *Registry) ReportFailed(engine ident.Engine) []Change {
-	known := r.find(engine)
+	known := r.findForChange(engine)
 	if known == nil {
 		return nil
 	}
@@ -187,27 +187,27 @@
 	if known.failures < failuresUntilDead {
 		return nil
 	}
-	return known.dead(engine)
+	return known.markDead(engine)
 }
 
 // Unreachable takes in that a connection to the engine was refused or reset
 // before a byte was exchanged. It is believed dead until its next report.
 func (r *Registry) Unreachable(engine ident.Engine) []Change {
-	known := r.find(engine)
+	known := r.findForChange(engine)
 	if known == nil {
 		return nil
 	}
-	return known.dead(engine)
+	return known.markDead(engine)
 }
 
 // SeenIncarnation takes in the incarnation that an answer or a refusal of the
 // engine carried.
 func (r *Registry) SeenIncarnation(engine ident.Engine, incarnation ident.Incarnation) []Change {
-	known := r.find(engine)
+	known := r.findForChange(engine)
 	if known == nil || incarnation == "" || slices.Contains(known.retired, incarnation) {
 		return nil
 	}
-	return known.live(engine, incarnation)
+	return known.markAlive(engine, incarnation)
 }
 
 // Dead reports whether the engine answered once and is believed dead now.
@@ -225,7 +225,7 @@
 
 // Sent takes in that an attempt with so many tokens to prefill left for the engine.
 func (r *Registry) Sent(now time.Time, engine ident.Engine, key AttemptKey, prefillTokens int) {
-	known := r.find(engine)
+	known := r.findForChange(engine)
 	if known == nil {
 		return
 	}
@@ -234,14 +234,14 @@
 
 // FirstToken takes in that the engine has prefilled the attempt's prompt.
 func (r *Registry) FirstToken(now time.Time, engine ident.Engine, key AttemptKey) {
-	if known := r.find(engine); known != nil {
+	if known := r.findForChange(engine); known != nil {
 		known.queue.FirstToken(now, key)
 	}
 }
 
 // Ended takes in that an attempt is over, however it ended.
 func (r *Registry) Ended(now time.Time, engine ident.Engine, key AttemptKey) {
-	if known := r.find(engine); known != nil {
+	if known := r.findForChange(engine); known != nil {
 		known.queue.Finished(now, key)
 	}
 }
@@ -288,22 +288,22 @@
 // Endpoints returns what is known of every engine at the given time, sorted by
 // name. The slice is reused by the next call.
 func (r *Registry) Endpoints(now time.Time) []framework.Endpoint {
-	whole := len(r.view) != len(r.order) || now.Sub(r.viewAt) > viewMaxAge || now.Before(r.viewAt)
-	if whole {
+	rebuild := len(r.view) != len(r.order) || now.Sub(r.viewAt) > viewMaxAge || now.Before(r.viewAt)
+	if rebuild {
 		r.view = slices.Grow(r.view[:0], len(r.order))[:len(r.order)]
 		r.viewAt = now
 	}
 	for index, known := range r.order {
-		if whole || known.stale {
+		if rebuild || known.viewStale {
 			r.view[index] = known.endpoint(now)
-			known.stale = false
+			known.viewStale = false
 		}
 	}
 	return r.view
 }
 
-// live records that the engine answered in the given incarnation.
-func (s *state) live(engine ident.Engine, incarnation ident.Incarnation) []Change {
+// markAlive records that the engine answered in the given incarnation.
+func (s *state) markAlive(engine ident.Engine, incarnation ident.Incarnation) []Change {
 	revived := !s.alive
 	s.failures = 0
 	s.alive = true
@@ -315,7 +315,7 @@
 	}
 	s.retire()
 	s.incarnation = incarnation
-	s.leavingUntil = time.Time{}
+	s.drainingUntil = time.Time{}
 	s.reported = false
 	s.loaded = nil
 	s.role = ""
@@ -329,15 +329,15 @@
 		return
 	}
 	s.retired = append(s.retired, s.incarnation)
-	if len(s.retired) > retiredMemory {
+	if len(s.retired) > maxRetired {
 		s.retired = s.retired[1:]
 	}
 }
 
-// returned counts a report of a past incarnation, and reports whether there
+// retiredIsCurrent counts a report of a past incarnation, and reports whether there
 // were so many in a row that it is the present one after all: two lives were
 // heard of in the wrong order. Without this the engine would be lost for good.
-func (s *state) returned() bool {
+func (s *state) retiredIsCurrent() bool {
 	s.retiredReports++
 	if s.retiredReports < failuresUntilDead {
 		return false
@@ -346,7 +346,7 @@
 	return true
 }
 
-func (s *state) dead(engine ident.Engine) []Change {
+func (s *state) markDead(engine ident.Engine) []Change {
 	if !s.alive {
 		return nil
 	}
@@ -365,7 +365,7 @@
 		Zone:        s.target.Zone,
 		Incarnation: s.incarnation,
 		Alive:       s.alive && s.reported,
-		Leaving:     s.target.Leaving || s.listedLeaving || now.Before(s.leavingUntil),
+		Leaving:     s.target.Leaving || s.listedDraining || now.Before(s.drainingUntil),
 		Role:        role,
 		Loaded:      s.loaded,
 		Load:        s.load(now),
--- a/internal/endpoint/registry_test.go
+++ b/internal/endpoint/registry_test.go
@@ -39,7 +39,7 @@
 	return found
 }
 
-func TestLifeOfAnEngine(t *testing.T) {
+func TestEngineStateTransitions(t *testing.T) {
 	type step struct {
 		name    string
 		do      func(r *Registry) []Change
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestLoadIsAgedAndOwnAttemptsAreAdded(t *testing.T) {
+func TestLoadIsAgedAndIncludesOwnAttempts(t *testing.T) {
 	is := is.New(t)
 	registry := newTestRegistry("e")
 	lagged := report("1")
@@ -108,7 +108,7 @@
 	is.Equal(registry.InFlight("e"), 0)
 }
 
-func TestAttemptsOfADeadLifeDoNotCount(t *testing.T) {
+func TestNewIncarnationResetsAttempts(t *testing.T) {
 	is := is.New(t)
 	registry := newTestRegistry("e")
 	registry.Reported(start, "e", report("1"))
@@ -119,7 +119,7 @@
 	is.Equal(registry.InFlight("e"), 0)
 }
 
-func TestDueKeepsToItsBudgetAndServesEnginesInUseFirst(t *testing.T) {
+func TestDueRespectsBudgetAndPrefersEnginesInUse(t *testing.T) {
 	is := is.New(t)
 	registry := newTestRegistry("a", "b", "c", "d")
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -143,25 +143,25 @@
 	is.True(registry.Endpoints(start)[0].Leaving)
 }
 
-func TestDueAsksTheOneAskedLongestAgo(t *testing.T) {
+func TestDuePollsLeastRecentlyPolledFirst(t *testing.T) {
 	is := is.New(t)
 	registry := newTestRegistry("a", "b", "c", "d", "e")
 	for _, name := range []ident.Engine{"a", "b", "c", "d", "e"} {
 		registry.Reported(start, name, report("1"))
 	}
-	var asked []ident.Engine
-	ask := func(round, budget int) {
-		for _, question := range registry.Due(start.Add(time.Duration(round)*time.Minute), time.Second, budget) {
-			asked = append(asked, question.Engine)
+	var polled []ident.Engine
+	poll := func(round, budget int) {
+		for _, request := range registry.Due(start.Add(time.Duration(round)*time.Minute), time.Second, budget) {
+			polled = append(polled, request.Engine)
 		}
 	}
-	ask(0, 0)
+	poll(0, 0)
 	for round := range 7 {
-		ask(round, 1)
+		poll(round, 1)
 	}
 	for round := 7; round < 10; round++ {
 		registry.Considered(start.Add(time.Duration(round)*time.Minute), "e") // in use: it goes first
-		ask(round, 2)
+		poll(round, 2)
 	}
-	is.Equal(asked, []ident.Engine{"a", "b", "c", "d", "e", "a", "b", "e", "c", "e", "d", "e", "a"})
+	is.Equal(polled, []ident.Engine{"a", "b", "c", "d", "e", "a", "b", "e", "c", "e", "d", "e", "a"})
 }
--- a/internal/endpoint/schedule.go
+++ b/internal/endpoint/schedule.go
@@ -7,9 +7,9 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// candidateMemory is how long an engine counts as in use after it was last a
+// candidateTTL is how long an engine counts as in use after it was last a
 // candidate for a request.
-const candidateMemory = 30 * time.Second
+const candidateTTL = 30 * time.Second
 
 // idleFactor is how much more rarely an engine is asked that is not in use.
 const idleFactor = 8
@@ -36,7 +36,7 @@
 	best := make([]dueEngine, 0, max(0, budget)+1)
 	for _, known := range r.order {
 		candidate := dueEngine{known: known, inUse: known.inUse(now)}
-		if now.Sub(known.lastAsked) < candidate.interval(interval) {
+		if now.Sub(known.lastPolled) < candidate.interval(interval) {
 			continue
 		}
 		position := len(best)
@@ -47,12 +47,12 @@
 			best = slices.Insert(best, position, candidate)[:min(len(best)+1, budget)]
 		}
 	}
-	questions := make([]Question, 0, len(best))
+	requests := make([]Question, 0, len(best))
 	for _, chosen := range best {
-		chosen.known.lastAsked = now
-		questions = append(questions, Question{chosen.known.target.Engine, chosen.known.target.Address})
+		chosen.known.lastPolled = now
+		requests = append(requests, Question{chosen.known.target.Engine, chosen.known.target.Address})
 	}
-	return questions
+	return requests
 }
 
 // dueEngine is an engine whose report may be read now.
@@ -73,9 +73,9 @@
 	if d.inUse != other.inUse {
 		return d.inUse
 	}
-	return d.known.lastAsked.Before(other.known.lastAsked)
+	return d.known.lastPolled.Before(other.known.lastPolled)
 }
 
 func (s *state) inUse(now time.Time) bool {
-	return !s.reported || now.Sub(s.lastCandidate) < candidateMemory
+	return !s.reported || now.Sub(s.lastCandidate) < candidateTTL
 }
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -28,26 +28,26 @@
 const (
 	defaultInterval = 400 * time.Millisecond
 	defaultRetry    = 100 * time.Millisecond
-	// silentMisses is the number of checks in a row without an answer after which an
+	// silentAfterMisses is the number of checks in a row without an answer after which an
 	// engine counts as silent: one may be a lost packet.
-	silentMisses = 2
-	// overdue is how long a check may be under way before it is a sign of silence.
-	overdue = 100 * time.Millisecond
-	// doubtfulShare is the part of the engines, as a divisor, of which more may not show
+	silentAfterMisses = 2
+	// overdueAfter is how long a check may be under way before it is a sign of silence.
+	overdueAfter = 100 * time.Millisecond
+	// maxSuspectDivisor is the part of the engines, as a divisor, of which more may not show
 	// signs of silence: that rather says that this router is cut off or was frozen.
-	doubtfulShare = 2
+	maxSuspectDivisor = 2
 )
 
 // engine is one engine that is watched.
 type engine struct {
-	record  backend.Record
-	misses  int
-	asking  bool
-	askedAt time.Time
-	checkAt time.Time
+	record         backend.Record
+	misses         int
+	checking       bool
+	checkStartedAt time.Time
+	checkAt        time.Time
 	// waiting is the number of requests that waited there at the last check, told
 	// the number in the last notice.
-	waiting, told int
+	waiting, notified int
 }
 
 // Tracker decides which engines are to be checked and which count as silent. It is
@@ -85,10 +85,10 @@
 func (t *Tracker) Due(now time.Time) []backend.Record {
 	var due []backend.Record
 	for _, known := range t.engines {
-		if known.asking || now.Before(known.checkAt) {
+		if known.checking || now.Before(known.checkAt) {
 			continue
 		}
-		known.asking, known.askedAt = true, now
+		known.checking, known.checkStartedAt = true, now
 		due = append(due, known.record)
 	}
 	return due
@@ -100,7 +100,7 @@
 	if known == nil {
 		return
 	}
-	known.asking, known.misses, known.waiting = false, 0, waiting
+	known.checking, known.misses, known.waiting = false, 0, waiting
 	known.checkAt = now.Add(t.cfg.Interval)
 }
 
@@ -111,7 +111,7 @@
 	if known == nil {
 		return
 	}
-	known.asking = false
+	known.checking = false
 	known.checkAt = now.Add(t.cfg.Interval)
 }
 
@@ -121,10 +121,10 @@
 	if known == nil {
 		return
 	}
-	known.asking, known.waiting = false, 0
+	known.checking, known.waiting = false, 0
 	known.misses++
 	known.checkAt = now.Add(t.cfg.Retry)
-	if known.misses > silentMisses {
+	if known.misses > silentAfterMisses {
 		known.checkAt = now.Add(t.cfg.Interval)
 	}
 }
@@ -134,10 +134,10 @@
 func (t *Tracker) Queues() []Queue {
 	var queues []Queue
 	for instance, known := range t.engines {
-		if known.waiting == 0 && known.told == 0 {
+		if known.waiting == 0 && known.notified == 0 {
 			continue
 		}
-		known.told = known.waiting
+		known.notified = known.waiting
 		queues = append(queues, Queue{Instance: instance, Waiting: known.waiting})
 	}
 	slices.SortFunc(queues, func(a, b Queue) int { return cmp.Compare(a.Instance, b.Instance) })
@@ -148,16 +148,16 @@
 // many show signs of silence that this router itself is in doubt.
 func (t *Tracker) Silent(now time.Time) []ident.Incarnation {
 	var silent []ident.Incarnation
-	signs := 0
+	suspects := 0
 	for instance, known := range t.engines {
-		if known.misses > 0 || (known.asking && now.Sub(known.askedAt) >= overdue) {
-			signs++
+		if known.misses > 0 || (known.checking && now.Sub(known.checkStartedAt) >= overdueAfter) {
+			suspects++
 		}
-		if known.misses >= silentMisses {
+		if known.misses >= silentAfterMisses {
 			silent = append(silent, instance)
 		}
 	}
-	if signs*doubtfulShare > len(t.engines) {
+	if suspects*maxSuspectDivisor > len(t.engines) {
 		return nil
 	}
 	slices.Sort(silent)
@@ -186,11 +186,11 @@
 // Since returns the notice of what changed from one set of silent engines to
 // another: those that are silent are told again each time, others once.
 func Since(before, silent []ident.Incarnation) Notice {
-	notice := Notice{Silent: silent}
+	notification := Notice{Silent: silent}
 	for _, instance := range before {
 		if !slices.Contains(silent, instance) {
-			notice.Answering = append(notice.Answering, instance)
+			notification.Answering = append(notification.Answering, instance)
 		}
 	}
-	return notice
+	return notification
 }
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -31,9 +31,9 @@
 // timeout is how long a check of an engine that does not answer takes.
 const timeout = 300 * time.Millisecond
 
-// play checks engines for a time; answers says whether an engine answers at a time
+// simulateChecks checks engines for a time; answers says whether an engine answers at a time
 // after the start. It returns the time at which each engine was first silent.
-func play(tracked *health.Tracker, last time.Duration, answers func(index int, after time.Duration) bool) map[ident.Incarnation]time.Duration {
+func simulateChecks(tracked *health.Tracker, last time.Duration, answers func(index int, after time.Duration) bool) map[ident.Incarnation]time.Duration {
 	first := make(map[ident.Incarnation]time.Duration)
 	missedAt := make(map[ident.Incarnation]time.Duration)
 	for after := time.Duration(0); after <= last; after += 10 * time.Millisecond {
@@ -78,7 +78,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			tracked := tracker()
-			first := play(tracked, 3*dies, tt.answers)
+			first := simulateChecks(tracked, 3*dies, tt.answers)
 			is.Equal(len(first), tt.silent)
 			for _, silentFrom := range first {
 				is.True(silentFrom >= dies)
@@ -88,10 +88,10 @@
 	}
 }
 
-func TestOneLostCheckIsNoSilence(t *testing.T) {
+func TestOneMissedCheckIsNotSilence(t *testing.T) {
 	is := is.New(t)
 	checks := 0
-	first := play(tracker(), 5*time.Second, func(index int, _ time.Duration) bool {
+	first := simulateChecks(tracker(), 5*time.Second, func(index int, _ time.Duration) bool {
 		if index == 1 {
 			checks++
 		}
@@ -100,10 +100,10 @@
 	is.Equal(len(first), 0)
 }
 
-func TestASilentEngineThatAnswersIsToldOnce(t *testing.T) {
+func TestSilentEngineThatAnswersIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	tracked := tracker()
-	play(tracked, time.Second, func(index int, _ time.Duration) bool { return index != 3 })
+	simulateChecks(tracked, time.Second, func(index int, _ time.Duration) bool { return index != 3 })
 	now := start.Add(time.Second)
 	before := tracked.Silent(now)
 	is.Equal(before, []ident.Incarnation{name(3)})
@@ -115,7 +115,7 @@
 	is.Equal(len(tracked.Queues()), 0)
 }
 
-func TestQueuesAreToldUntilTheyEnd(t *testing.T) {
+func TestQueuesAreReportedUntilEmpty(t *testing.T) {
 	is := is.New(t)
 	tracked := tracker()
 	tracked.Answered(start, name(4), 7)
@@ -129,7 +129,7 @@
 
 // A check that is postponed says neither that the engine is silent nor that it is not, and is due
 // again.
-func TestAPostponedCheckSaysNothing(t *testing.T) {
+func TestPostponedCheckIsNoEvidence(t *testing.T) {
 	is := is.New(t)
 	tracked := tracker()
 	due := 0
--- a/internal/region/region_test.go
+++ b/internal/region/region_test.go
@@ -9,7 +9,7 @@
 	"github.com/fieldpond/fieldpond/internal/region"
 )
 
-func TestTheDistanceOfZonesFollowsTheirRegions(t *testing.T) {
+func TestDistanceBetweenZones(t *testing.T) {
 	three := region.NewMap(map[ident.Zone]ident.Region{"a1": "a", "a2": "a", "b1": "b", "c1": "c"})
 	tests := []struct {
 		name  string
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestSeveralRegionsAreTold(t *testing.T) {
+func TestHasMultipleRegions(t *testing.T) {
 	tests := []struct {
 		name  string
 		zones map[ident.Zone]ident.Region
