--- a/internal/backend/home.go
+++ b/internal/backend/home.go
@@ -14,14 +14,14 @@
 // those allowed in its region, whether it is usable now or not. One that was told silent
 // or gone is passed over: as all routers are told so, they agree on the next one.
 func (r *Registry) home(now time.Time, query *Query, allowed []*state) *state {
-	if query.HomeKey == 0 || !r.config.Off.On(mechanism.HomeEngines) {
+	if query.HomeKey == 0 || !r.config.Disabled.On(mechanism.HomeEngines) {
 		return nil
 	}
 	notDraining := func(known *state) bool { return !known.drain.active() }
 	reachable := func(known *state) bool {
 		return notDraining(known) && !known.peerSilent(now) && !known.gone(now) && !r.regionUnreachable(now, known)
 	}
-	if r.config.Regions.Several() {
+	if r.config.Regions.HasMultiple() {
 		region := r.homeRegion(now, query, allowed)
 		inRegion := func(known *state) bool { return reachable(known) && r.config.Regions.Of(known.record.Zone) == region }
 		if best := firstRanked(query, allowed, inRegion); best != nil {
--- a/internal/backend/skipreason.go
+++ b/internal/backend/skipreason.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// PassedOver is why a back end that said something of itself got no attempt.
-type PassedOver string
+// SkipReason is why a back end that said something of itself got no attempt.
+type SkipReason string
 
 // The reasons.
 const (
-	NotPassedOver  PassedOver = ""
-	PassedOverRest PassedOver = "rest"
-	PassedOverLeft PassedOver = "leaving"
+	SkipNone     SkipReason = ""
+	SkipBackoff  SkipReason = "rest"
+	SkipDraining SkipReason = "leaving"
 )
 
 // skipCounts counts the back ends that an attempt did not go to as they said that they want rest
 // or leave, and keeps the least cost of those.
 type skipCounts struct {
 	backoff, draining int
-	cheapestReason    PassedOver
+	cheapestReason    SkipReason
 	cheapestCost      float64
 }
 
 // add takes in a back end, with what the attempt would have cost there.
-func (p *skipCounts) add(reason PassedOver, cost float64) {
-	if reason == PassedOverRest {
+func (p *skipCounts) add(reason SkipReason, cost float64) {
+	if reason == SkipBackoff {
 		p.backoff++
 	} else {
 		p.draining++
 	}
-	if p.cheapestReason == NotPassedOver || cost < p.cheapestCost {
+	if p.cheapestReason == SkipNone || cost < p.cheapestCost {
 		p.cheapestReason, p.cheapestCost = reason, cost
 	}
 }
 
 // ifCheaper returns why the attempt did not go to a back end that would have cost less than the one
 // that was chosen.
-func (p *skipCounts) ifCheaper(chosen float64) PassedOver {
+func (p *skipCounts) ifCheaper(chosen float64) SkipReason {
 	if p.cheapestCost < chosen {
 		return p.cheapestReason
 	}
-	return NotPassedOver
+	return SkipNone
 }
 
 // skipReason returns why the back end gets nothing, as far as it said so itself.
-func (s *state) skipReason(now time.Time) PassedOver {
+func (s *state) skipReason(now time.Time) SkipReason {
 	switch {
 	case s.drain.active():
-		return PassedOverLeft
+		return SkipDraining
 	case s.backoff.active(now):
-		return PassedOverRest
+		return SkipBackoff
 	default:
-		return NotPassedOver
+		return SkipNone
 	}
 }
--- a/internal/backend/state.go
+++ b/internal/backend/state.go
@@ -14,7 +14,7 @@
 	// missing says that the newest list lacks the back end, which may come back.
 	missing bool
 	// attempts are the attempts under way.
-	attempts map[*Flight]struct{}
+	attempts map[*Attempt]struct{}
 	// lastByteAt is when a byte of any attempt last came.
 	lastByteAt time.Time
 	// pausedUntil ends the rest after a failure or a refusal; pause is the
@@ -77,7 +77,7 @@
 
 // eligible reports whether the back end may get the attempt.
 func (s *state) eligible(now time.Time, query *Query) bool {
-	if query.AvoidDoubted && s.backoff.recent(now) {
+	if query.AvoidRecentBackoff && s.backoff.recent(now) {
 		return false
 	}
 	return s.backoffAllows(now) && !s.limit.usedUp(now) && !now.Before(s.pausedUntil) && s.suitable(now, query)
--- a/internal/backend/stateupdate.go
+++ b/internal/backend/stateupdate.go
@@ -11,9 +11,9 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// News is what one router tells others of what one life of a back end said of itself. A rest is
+// StateUpdate is what one router tells others of what one life of a back end said of itself. A rest is
 // asked of one router, and is not told.
-type News struct {
+type StateUpdate struct {
 	Instance ident.Incarnation `cbor:"1,keyasint"`
 	// Sequence orders what is told of limits; 0 says nothing of them.
 	Sequence uint64  `cbor:"2,keyasint"`
@@ -21,42 +21,42 @@
 	Rate     float64 `cbor:"4,keyasint,omitempty"`
 	// Age is the time since an answer last confirmed the limit.
 	Age time.Duration `cbor:"5,keyasint,omitempty"`
-	// Leaving says that the back end is about to end. False says nothing: the teller may not
+	// Draining says that the back end is about to end. False says nothing: the teller may not
 	// know, or be of a build that does not tell.
-	Leaving bool `cbor:"6,keyasint,omitempty"`
+	Draining bool `cbor:"6,keyasint,omitempty"`
 }
 
 // valid reports whether the news may be taken in: what another router tells may be anything.
-func (n *News) valid() bool {
+func (n *StateUpdate) valid() bool {
 	return n.Sequence < maxLimitSequence && n.Age >= 0 && n.Age <= limitTTL && n.Rate >= 0 && n.Rate <= maxLimit
 }
 
-// Learnt is a piece of news with what it changed.
-type Learnt struct {
-	News
-	LimitChanged, LeavingBegan bool
+// AppliedUpdate is a piece of news with what it changed.
+type AppliedUpdate struct {
+	StateUpdate
+	LimitChanged, DrainBegan bool
 }
 
-// TakeNews takes in what other routers know of back ends, and returns what that changes.
-func (r *Registry) TakeNews(now time.Time, updates []News) []Learnt {
+// ApplyUpdates takes in what other routers know of back ends, and returns what that changes.
+func (r *Registry) ApplyUpdates(now time.Time, updates []StateUpdate) []AppliedUpdate {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var applied []Learnt
+	var applied []AppliedUpdate
 	for _, update := range updates {
 		if !update.valid() {
 			continue
 		}
 		known := r.advertisedStateOf(update.Instance)
-		draining := update.Leaving && r.config.Off.On(mechanism.BackendWords)
+		draining := update.Draining && r.config.Disabled.On(mechanism.BackendWords)
 		if known == nil && draining {
 			known = r.removed.addUnlisted(now, update.Instance)
 		}
 		if known == nil {
 			continue
 		}
-		change := Learnt{News: update, LimitChanged: known.limit.merge(now, &update)}
-		change.LeavingBegan = draining && known.drain.begin(now, ByRouter)
-		if change.LimitChanged || change.LeavingBegan {
+		change := AppliedUpdate{StateUpdate: update, LimitChanged: known.limit.merge(now, &update)}
+		change.DrainBegan = draining && known.drain.begin(now, SourcePeer)
+		if change.LimitChanged || change.DrainBegan {
 			applied = append(applied, change)
 		}
 	}
@@ -66,7 +66,7 @@
 // takes takes in one piece of news, and reports whether it changes anything. The highest
 // sequence counts; of two that are alike, as two routers saw changes at once, the tighter
 // limit does.
-func (l *limit) merge(now time.Time, update *News) bool {
+func (l *limit) merge(now time.Time, update *StateUpdate) bool {
 	next := limit{limited: update.Limited, sequence: update.Sequence, changedAt: now, confirmedAt: now.Add(-update.Age)}
 	if update.Limited {
 		next.rate = max(update.Rate, minLimit)
@@ -84,52 +84,52 @@
 	return true
 }
 
-// News returns what is known of back ends that others are told, ordered by back end: limits,
+// StateUpdates returns what is known of back ends that others are told, ordered by back end: limits,
 // those that ended among them, and which back ends said that they leave.
-func (r *Registry) News(now time.Time) []News {
+func (r *Registry) StateUpdates(now time.Time) []StateUpdate {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var updates []News
+	var updates []StateUpdate
 	for instance, known := range r.byID {
 		if update, found := known.stateUpdate(now, instance); found {
 			updates = append(updates, update)
 		}
 	}
-	slices.SortFunc(updates, func(a, b News) int { return cmp.Compare(a.Instance, b.Instance) })
+	slices.SortFunc(updates, func(a, b StateUpdate) int { return cmp.Compare(a.Instance, b.Instance) })
 	return updates
 }
 
-// NewsOf returns what others are told of one back end, if there is anything.
-func (r *Registry) NewsOf(now time.Time, instance ident.Incarnation) (News, bool) {
+// StateUpdateOf returns what others are told of one back end, if there is anything.
+func (r *Registry) StateUpdateOf(now time.Time, instance ident.Incarnation) (StateUpdate, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.advertisedStateOf(instance)
 	if known == nil {
-		return News{}, false
+		return StateUpdate{}, false
 	}
 	return known.stateUpdate(now, instance)
 }
 
 // stateUpdate returns what others are told, and whether there is anything. That a back end leaves they
 // read in the list as well, unless it was the back end itself that said so.
-func (w *advertisedState) stateUpdate(now time.Time, instance ident.Incarnation) (update News, found bool) {
-	update = News{Instance: instance, Leaving: w.drain.advertised()}
+func (w *advertisedState) stateUpdate(now time.Time, instance ident.Incarnation) (update StateUpdate, found bool) {
+	update = StateUpdate{Instance: instance, Draining: w.drain.advertised()}
 	if w.limit.sequence > 0 && now.Sub(w.limit.confirmedAt) <= limitTTL {
 		update.Sequence, update.Limited, update.Rate = w.limit.sequence, w.limit.limited, w.limit.rate
 		update.Age = max(now.Sub(w.limit.confirmedAt), 0)
 	}
-	return update, update.Leaving || update.Sequence > 0
+	return update, update.Draining || update.Sequence > 0
 }
 
-// NewsDigest names what is known of back ends, ages aside; it is 0 if that is nothing.
-func NewsDigest(updates []News) uint64 {
+// UpdatesDigest names what is known of back ends, ages aside; it is 0 if that is nothing.
+func UpdatesDigest(updates []StateUpdate) uint64 {
 	if len(updates) == 0 {
 		return 0
 	}
 	sum := fnv.New64a()
 	for _, update := range updates {
 		line := string(update.Instance) + " " + strconv.FormatUint(update.Sequence, 10) + " " + strconv.FormatFloat(update.Rate, 'g', -1, 64) + "\n"
-		if update.Leaving {
+		if update.Draining {
 			line += "leaving\n"
 		}
 		// A hash takes in everything.
--- a/internal/endpoint/poller.go
+++ b/internal/endpoint/poller.go
@@ -10,8 +10,8 @@
 	"github.com/fieldpond/fieldpond/internal/ring"
 )
 
-// Answer is what came of one Question.
-type Answer struct {
+// PollResult is what came of one Question.
+type PollResult struct {
 	Engine  ident.Engine
 	Address string
 	Report  protocol.LoadReport
@@ -30,8 +30,8 @@
 type Poller struct {
 	reader   LoadReader
 	timeout  time.Duration
-	requests *ring.Ring[Question]
-	results  *ring.Ring[Answer]
+	requests *ring.Ring[PollRequest]
+	results  *ring.Ring[PollResult]
 	workers  sync.WaitGroup
 }
 
@@ -41,8 +41,8 @@
 	return &Poller{
 		reader:   reader,
 		timeout:  timeout,
-		requests: ring.New[Question]("load-questions", capacity, ring.RefuseNew),
-		results:  ring.New[Answer]("load-answers", capacity, ring.DropOldest),
+		requests: ring.New[PollRequest]("load-questions", capacity, ring.RefuseNew),
+		results:  ring.New[PollResult]("load-answers", capacity, ring.DropOldest),
 	}
 }
 
@@ -56,15 +56,15 @@
 // Wait returns when every worker has ended.
 func (p *Poller) Wait() { p.workers.Wait() }
 
-// Ask queues questions.
-func (p *Poller) Ask(requests []Question) {
+// Enqueue queues questions.
+func (p *Poller) Enqueue(requests []PollRequest) {
 	for _, request := range requests {
 		p.requests.Push(request)
 	}
 }
 
-// Answers returns the ring of answers.
-func (p *Poller) Answers() *ring.Ring[Answer] { return p.results }
+// Results returns the ring of answers.
+func (p *Poller) Results() *ring.Ring[PollResult] { return p.results }
 
 // Rings returns the counters of both rings.
 func (p *Poller) Rings() []func() ring.Counters {
@@ -84,12 +84,12 @@
 	}
 }
 
-func (p *Poller) read(ctx context.Context, request Question) {
+func (p *Poller) read(ctx context.Context, request PollRequest) {
 	bounded, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 	report, err := p.reader.Load(bounded, request.Address)
 	if ctx.Err() != nil {
 		return
 	}
-	p.results.Push(Answer{Engine: request.Engine, Address: request.Address, Report: report, Err: err})
+	p.results.Push(PollResult{Engine: request.Engine, Address: request.Address, Report: report, Err: err})
 }
