--- a/internal/backend/advertised.go
+++ b/internal/backend/advertised.go
@@ -53,19 +53,19 @@
 }
 
 // active reports whether the back end leaves.
-func (l *drain) active() bool { return !l.since.IsZero() }
+func (d *drain) active() bool { return !d.since.IsZero() }
 
 // begin takes in that the back end leaves, and reports whether that is news.
-func (l *drain) begin(now time.Time, by Source) bool {
-	if l.active() {
+func (d *drain) begin(now time.Time, by Source) bool {
+	if d.active() {
 		return false
 	}
-	l.since, l.by = now, by
+	d.since, d.by = now, by
 	return true
 }
 
 // advertised reports whether the back end said so itself, to this router or to another one.
-func (l *drain) advertised() bool { return l.active() && l.by != SourceList }
+func (d *drain) advertised() bool { return d.active() && d.by != SourceList }
 
 // AdvertisedChange is what an answer of a back end changed in what is believed of it.
 type AdvertisedChange struct {
@@ -79,7 +79,7 @@
 }
 
 // ConcernsPeers reports whether other routers are to be told.
-func (h *AdvertisedChange) ConcernsPeers() bool { return h.LimitChanged || h.DrainBegan }
+func (c *AdvertisedChange) ConcernsPeers() bool { return c.LimitChanged || c.DrainBegan }
 
 // ObserveAdvertised takes in what an answer says of its back end; the call was sent at a time.
 func (r *Registry) ObserveAdvertised(now time.Time, instance ident.Incarnation, sentAt time.Time, advertised Advertised, by Source) AdvertisedChange {
--- a/internal/backend/advertised_test.go
+++ b/internal/backend/advertised_test.go
@@ -128,10 +128,10 @@
 	choice, _, _ := r.Pick(at, &modelQuery)
 	is.Equal(choice.Instance, ident.Incarnation("f")) // it stays
 	r.ObserveAdvertised(at, "f", at, Advertised{Draining: true}, SourceAnswer)
-	_, flight, found := r.Pick(at.Add(900*time.Millisecond), &modelQuery)
+	_, attempt, found := r.Pick(at.Add(900*time.Millisecond), &modelQuery)
 	is.True(found)
-	is.True(!flight.MustWithdraw(at.Add(900 * time.Millisecond)))
-	is.True(flight.MustWithdraw(at.Add(time.Second))) // its connection took too long to open
+	is.True(!attempt.MustWithdraw(at.Add(900 * time.Millisecond)))
+	is.True(attempt.MustWithdraw(at.Add(time.Second))) // its connection took too long to open
 	_, _, found = r.Pick(at.Add(time.Second), &modelQuery)
 	is.True(!found)
 	is.Equal(r.Availability(at.Add(time.Second), &modelQuery), AllDraining{})
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -31,74 +31,74 @@
 
 // MustWithdraw reports whether the back end wants no new work any more, so that the attempt is not
 // to leave.
-func (f *Attempt) MustWithdraw(now time.Time) bool {
-	f.registry.mutex.Lock()
-	defer f.registry.mutex.Unlock()
-	draining := f.target.drain.active() && !now.Before(f.drainServesUntil)
-	return draining || f.target.backoff.active(now)
+func (a *Attempt) MustWithdraw(now time.Time) bool {
+	a.registry.mutex.Lock()
+	defer a.registry.mutex.Unlock()
+	draining := a.target.drain.active() && !now.Before(a.drainServesUntil)
+	return draining || a.target.backoff.active(now)
 }
 
 // ObserveBytes takes in that bytes of the attempt's answer came.
-func (f *Attempt) ObserveBytes(now time.Time) {
-	f.registry.mutex.Lock()
-	defer f.registry.mutex.Unlock()
-	if !f.firstByteReceived {
-		f.target.lateness.observe(now, now.Sub(f.expectedAt))
-		f.observeFirstByte(now)
+func (a *Attempt) ObserveBytes(now time.Time) {
+	a.registry.mutex.Lock()
+	defer a.registry.mutex.Unlock()
+	if !a.firstByteReceived {
+		a.target.lateness.observe(now, now.Sub(a.expectedAt))
+		a.observeFirstByte(now)
 	}
-	f.firstByteReceived = true
-	f.target.backoff.observeAnswer(f.startedAt)
-	f.target.lastByteAt = now
-	f.registry.observeReachable(f.target)
+	a.firstByteReceived = true
+	a.target.backoff.observeAnswer(a.startedAt)
+	a.target.lastByteAt = now
+	a.registry.observeReachable(a.target)
 }
 
 // observeFirstByte takes in what the first byte tells of the whole service. A release that is being
 // tried and answers late would have requests refused that other back ends could serve.
-func (f *Attempt) observeFirstByte(now time.Time) {
-	if f.trial {
+func (a *Attempt) observeFirstByte(now time.Time) {
+	if a.trial {
 		return
 	}
-	service := f.target.record.Service
-	f.registry.lateness(service).observe(now, now.Sub(f.expectedAt))
-	if !f.sentAt.IsZero() && f.registry.config.Disabled.On(mechanism.ReadingRate) {
-		f.registry.prefillRate(service).observe(f.tokens, now.Sub(f.sentAt))
+	service := a.target.record.Service
+	a.registry.lateness(service).observe(now, now.Sub(a.expectedAt))
+	if !a.sentAt.IsZero() && a.registry.config.Disabled.On(mechanism.ReadingRate) {
+		a.registry.prefillRate(service).observe(a.tokens, now.Sub(a.sentAt))
 	}
 }
 
 // PeerBusy reports whether another router lately found that the back end answers and
 // that requests wait there.
-func (f *Attempt) PeerBusy(now time.Time) bool {
-	f.registry.mutex.Lock()
-	defer f.registry.mutex.Unlock()
-	return f.target.peerQueue.waiting > 0 && f.target.peerQueue.fresh(now) && !f.target.peerSilent(now)
+func (a *Attempt) PeerBusy(now time.Time) bool {
+	a.registry.mutex.Lock()
+	defer a.registry.mutex.Unlock()
+	return a.target.peerQueue.waiting > 0 && a.target.peerQueue.fresh(now) && !a.target.peerSilent(now)
 }
 
 // End takes in the end of the attempt; it is called exactly once.
-func (f *Attempt) End(now time.Time, outcome Outcome) {
-	f.registry.mutex.Lock()
-	defer f.registry.mutex.Unlock()
-	target := f.target
-	delete(target.attempts, f)
+func (a *Attempt) End(now time.Time, outcome Outcome) {
+	a.registry.mutex.Lock()
+	defer a.registry.mutex.Unlock()
+	target := a.target
+	delete(target.attempts, a)
 	target.decay(now)
 	switch outcome {
 	case Answered:
-		f.registry.observeReachable(target)
+		a.registry.observeReachable(target)
 		target.tried++
 		target.pause = 0
 	case Failed:
-		f.registry.observeReachable(target)
+		a.registry.observeReachable(target)
 		target.tried++
 		target.failed += 0.5
 	case Broken, Silent:
 		if outcome == Silent {
-			f.registry.observeUnreachable(now, target)
+			a.registry.observeUnreachable(now, target)
 		}
 		target.tried++
 		target.failed++
 	case Misdirected:
-		f.registry.observeGone(now, target)
+		a.registry.observeGone(now, target)
 	case Unreachable:
-		f.registry.observeUnreachable(now, target)
+		a.registry.observeUnreachable(now, target)
 		target.tried++
 		target.failed++
 		target.pause = min(max(2*target.pause, firstFailurePause), maxFailurePause)
@@ -106,13 +106,13 @@
 	case Refused:
 		target.observeRefusal(now)
 	case WrongVersion:
-		if target.assumed == f.version {
+		if target.assumed == a.version {
 			target.assumedUntil = time.Time{}
 		}
-		if target.loading == f.version {
+		if target.loading == a.version {
 			target.loadingUntil = time.Time{}
 		}
-		if target.version(now, f.model) <= f.version {
+		if target.version(now, a.model) <= a.version {
 			target.pausedUntil = now.Add(wrongVersionPause)
 		}
 	case Withdrawn, Abandoned:
--- a/internal/backend/backoff.go
+++ b/internal/backend/backoff.go
@@ -33,35 +33,35 @@
 
 // asked takes in that the back end wants nothing for a time. Of several such times the one that
 // ends last holds.
-func (r *backoff) extend(now time.Time, duration time.Duration) {
+func (b *backoff) extend(now time.Time, duration time.Duration) {
 	until := now.Add(duration)
-	if !until.After(r.until) {
+	if !until.After(b.until) {
 		return
 	}
-	if !r.active(now) {
-		r.calls = 0
+	if !b.active(now) {
+		b.calls = 0
 	}
-	r.until, r.reopenLimit = until, firstReopenLimit
+	b.until, b.reopenLimit = until, firstReopenLimit
 }
 
 // active reports whether the back end wants nothing now.
-func (r *backoff) active(now time.Time) bool { return now.Before(r.until) }
+func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
 
 // reopening reports whether the rest was over lately, and the back end is tried with a few attempts.
-func (r *backoff) reopening(now time.Time) bool {
-	return r.reopenLimit > 0 && !r.active(now) && now.Before(r.until.Add(reopenPeriod))
+func (b *backoff) reopening(now time.Time) bool {
+	return b.reopenLimit > 0 && !b.active(now) && now.Before(b.until.Add(reopenPeriod))
 }
 
 // recent reports whether the back end asked for rest lately.
-func (r *backoff) recent(now time.Time) bool { return now.Before(r.until.Add(recentBackoffPeriod)) }
+func (b *backoff) recent(now time.Time) bool { return now.Before(b.until.Add(recentBackoffPeriod)) }
 
 // answered takes in an answer to an attempt that began at a time.
-func (r *backoff) observeAnswer(startedAt time.Time) {
-	if r.reopenLimit == 0 || startedAt.Before(r.until) {
+func (b *backoff) observeAnswer(startedAt time.Time) {
+	if b.reopenLimit == 0 || startedAt.Before(b.until) {
 		return
 	}
-	if r.reopenLimit *= 2; r.reopenLimit > lastReopenLimit {
-		r.reopenLimit = 0
+	if b.reopenLimit *= 2; b.reopenLimit > lastReopenLimit {
+		b.reopenLimit = 0
 	}
 }
 
@@ -74,8 +74,8 @@
 		return true
 	}
 	awaited := 0
-	for flight := range s.attempts {
-		if !flight.firstByteReceived && !flight.startedAt.Before(s.backoff.until) {
+	for attempt := range s.attempts {
+		if !attempt.firstByteReceived && !attempt.startedAt.Before(s.backoff.until) {
 			awaited++
 		}
 	}
--- a/internal/backend/backoff_test.go
+++ b/internal/backend/backoff_test.go
@@ -25,10 +25,10 @@
 func TestEndOfBackoff(t *testing.T) {
 	at := time.Unix(1000, 0)
 	tests := []struct {
-		name   string
-		rest   time.Duration
-		course func(r *Registry)
-		ends   time.Duration
+		name    string
+		backoff time.Duration
+		course  func(r *Registry)
+		ends    time.Duration
 	}{
 		{"as asked for", 3 * time.Second, nil, 3 * time.Second},
 		{"a fraction of a second", 200 * time.Millisecond, nil, 200 * time.Millisecond},
@@ -52,7 +52,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			r := backingOffRegistry(at, tt.rest)
+			r := backingOffRegistry(at, tt.backoff)
 			if tt.course != nil {
 				tt.course(r)
 			}
@@ -73,10 +73,10 @@
 	r := NewRegistry(Config{})
 	r.ApplyList(at, listOf(1, "e@1"))
 	for range 5 {
-		_, flight, found := r.Pick(at, &modelQuery)
+		_, attempt, found := r.Pick(at, &modelQuery)
 		is.True(found)
 		advertiseBackoff(r, at, 100*time.Millisecond)
-		flight.End(at, Refused)
+		attempt.End(at, Refused)
 		at = at.Add(100 * time.Millisecond)
 	}
 	known := r.byID["e@1"]
@@ -92,11 +92,11 @@
 	now := at.Add(time.Second)
 	place := func() (placed []*Attempt) {
 		for range 2 * lastReopenLimit {
-			_, flight, found := r.Pick(now, &modelQuery)
+			_, attempt, found := r.Pick(now, &modelQuery)
 			if !found {
 				break
 			}
-			placed = append(placed, flight)
+			placed = append(placed, attempt)
 		}
 		return placed
 	}
@@ -109,8 +109,8 @@
 		placed := place()
 		is.Equal(len(placed), allowed)
 		placed[0].ObserveBytes(now)
-		for _, flight := range placed {
-			flight.End(now, Answered)
+		for _, attempt := range placed {
+			attempt.End(now, Answered)
 		}
 	}
 	is.Equal(len(place()), 2*lastReopenLimit)
@@ -122,11 +122,11 @@
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{})
 	r.ApplyList(at, listOf(1, "e@1"))
-	_, flight, _ := r.Pick(at, &modelQuery)
-	is.True(!flight.MustWithdraw(at))
+	_, attempt, _ := r.Pick(at, &modelQuery)
+	is.True(!attempt.MustWithdraw(at))
 	advertiseBackoff(r, at, time.Second)
-	is.True(flight.MustWithdraw(at.Add(999 * time.Millisecond)))
-	is.True(!flight.MustWithdraw(at.Add(time.Second)))
+	is.True(attempt.MustWithdraw(at.Add(999 * time.Millisecond)))
+	is.True(!attempt.MustWithdraw(at.Add(time.Second)))
 }
 
 // Two reports or orders may go to a back end that rests, in each rest.
@@ -188,10 +188,10 @@
 	records := listOf(1, "e@1", "f")
 	records[0].Zone, records[1].Zone = "near", "far"
 	r.ApplyList(at, records)
-	choice, flight, _ := r.Pick(at, &modelQuery)
+	choice, attempt, _ := r.Pick(at, &modelQuery)
 	is.Equal(choice.Instance, records[0].Instance)
 	is.Equal(choice.FasterSkip, SkipNone)
-	flight.End(at, Abandoned)
+	attempt.End(at, Abandoned)
 	advertiseBackoff(r, at, time.Second)
 	choice, _, _ = r.Pick(at, &modelQuery)
 	is.Equal(choice.FasterSkip, SkipBackoff)
@@ -213,15 +213,15 @@
 	after := at.Add(time.Second)
 	recent := 0
 	for key := range uint64(20) {
-		choice, flight, _ := r.Pick(after, &Query{Service: "s", Model: "m", SpreadKey: key})
+		choice, attempt, _ := r.Pick(after, &Query{Service: "s", Model: "m", SpreadKey: key})
 		is.Equal(choice.RecentBackoff, choice.Instance == "e@1")
 		if choice.RecentBackoff {
 			recent++
 		}
-		flight.End(after, Abandoned)
-		choice, flight, _ = r.Pick(after, &Query{Service: "s", Model: "m", SpreadKey: key, AvoidRecentBackoff: true})
+		attempt.End(after, Abandoned)
+		choice, attempt, _ = r.Pick(after, &Query{Service: "s", Model: "m", SpreadKey: key, AvoidRecentBackoff: true})
 		is.True(choice.Instance != "e@1")
-		flight.End(after, Abandoned)
+		attempt.End(after, Abandoned)
 	}
 	is.True(recent > 0)
 	r.ObserveAdvertised(after, "f", after, Advertised{Draining: true}, SourceAnswer)
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -33,23 +33,23 @@
 		return Choice{}, nil, false
 	}
 	predicted, queued := r.predict(best, query, home), r.queued(best, query)
-	flight := &Attempt{
+	attempt := &Attempt{
 		registry: r, target: best, expectedAt: now.Add(predicted), startedAt: now,
 		model: query.Model, version: best.version(now, query.Model),
 	}
-	flight.trial = query.Releases.MaxBackends > 0
+	attempt.trial = query.Releases.MaxBackends > 0
 	if best.drain.active() {
-		flight.drainServesUntil = best.drain.since.Add(r.config.DrainServeTime)
+		attempt.drainServesUntil = best.drain.since.Add(r.config.DrainServeTime)
 	}
-	flight.tokens = query.OwnTokens
+	attempt.tokens = query.OwnTokens
 	if best != home {
-		flight.tokens += query.SharedTokens
+		attempt.tokens += query.SharedTokens
 	} else if best.waitingTokens() == 0 {
-		flight.sentAt = now
+		attempt.sentAt = now
 	}
-	best.attempts[flight] = struct{}{}
+	best.attempts[attempt] = struct{}{}
 	choice := Choice{
-		Record: best.record, Version: flight.version, Home: best == home,
+		Record: best.record, Version: attempt.version, Home: best == home,
 		Predicted: predicted, Queued: queued, Lateness: r.recentLateness(now, best),
 		PeerQueueWait: best.peerQueue.wait(now), Congestion: r.congestion(now, query.Service), Candidates: compared.eligible,
 		PredictedUncached: r.predictUncached(query), Releases: query.Releases,
@@ -64,7 +64,7 @@
 	if home != nil {
 		choice.HomeZone = home.record.Zone
 	}
-	return choice, flight, true
+	return choice, attempt, true
 }
 
 // allowed returns the back ends of the service whose releases the query allows.
@@ -88,13 +88,13 @@
 // selectBackends returns those back ends of one release that may be used. Back ends that leave
 // the service don't count, so that as many others are used in their place.
 func selectBackends(allowed []*state, releases *Releases) []*state {
-	var staying []ident.Incarnation
+	var candidates []ident.Incarnation
 	for _, known := range allowed {
 		if !known.drain.active() {
-			staying = append(staying, known.record.Instance)
+			candidates = append(candidates, known.record.Instance)
 		}
 	}
-	used := releases.Select(staying)
+	used := releases.Select(candidates)
 	return slices.DeleteFunc(allowed, func(known *state) bool { return !slices.Contains(used, known.record.Instance) })
 }
 
--- a/internal/backend/distance_test.go
+++ b/internal/backend/distance_test.go
@@ -44,11 +44,11 @@
 	request := &backend.Query{Service: "s", Expected: 50 * time.Millisecond}
 	tests := []struct {
 		name string
-		// full are the zones whose back ends refused lately.
-		full []ident.Zone
-		// open is the number of requests of this router that each back end works on.
-		open int
-		want []ident.Zone
+		// refused are the zones whose back ends refused lately.
+		refused []ident.Zone
+		// inFlight is the number of requests of this router that each back end works on.
+		inFlight int
+		want     []ident.Zone
 	}{
 		{"all free", nil, 0, []ident.Zone{"a1"}},
 		{"a request in each", nil, 1, []ident.Zone{"a1"}},
@@ -63,18 +63,18 @@
 				records = append(records, application(zone))
 			}
 			known := regional("a1", records...)
-			for range tt.open * len(records) {
+			for range tt.inFlight * len(records) {
 				pick(t, known, start, request)
 			}
-			for _, zone := range tt.full {
+			for _, zone := range tt.refused {
 				only := *request
 				for _, record := range records {
 					if record.Zone != zone {
 						only.Excluded = append(only.Excluded, record.Instance)
 					}
 				}
-				_, flight := pick(t, known, start, &only)
-				flight.End(start, backend.Refused)
+				_, attempt := pick(t, known, start, &only)
+				attempt.End(start, backend.Refused)
 			}
 			choice, _ := pick(t, known, start.Add(time.Millisecond), request)
 			found := false
@@ -116,9 +116,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			known := regional("a1", application("b1"))
-			_, flight := pick(t, known, start, &backend.Query{Service: "s"})
+			_, attempt := pick(t, known, start, &backend.Query{Service: "s"})
 			for _, took := range tt.took {
-				flight.ObserveConnect(took)
+				attempt.ObserveConnect(took)
 			}
 			is.Equal(known.RoundTrips()["b1"], tt.want)
 		})
@@ -139,13 +139,13 @@
 						only.Excluded = append(only.Excluded, ident.Incarnation("app-"+other))
 					}
 				}
-				_, flight := pick(t, known, start, only)
+				_, attempt := pick(t, known, start, only)
 				took := 40 * time.Millisecond
 				if zone == far {
 					took = 80 * time.Millisecond
 				}
-				flight.ObserveConnect(took)
-				flight.End(start, backend.Answered)
+				attempt.ObserveConnect(took)
+				attempt.End(start, backend.Answered)
 			}
 			choice, _ := pick(t, known, start, &backend.Query{Service: "s"})
 			is.True(choice.Zone != far)
@@ -170,12 +170,12 @@
 	for key := uint64(1); key <= prompts; key++ {
 		// A long part brings the request home from any place.
 		wanted := &backend.Query{Service: "s", Model: model, HomeKey: key * 0x9e3779b97f4a7c15, SharedTokens: 60_000, OwnTokens: 1}
-		choice, flight, found := known.Pick(start, wanted)
+		choice, attempt, found := known.Pick(start, wanted)
 		if found && choice.Home {
 			chosen[key] = choice.Zone
 		}
 		if found {
-			flight.End(start, backend.Answered)
+			attempt.End(start, backend.Answered)
 		}
 	}
 	return chosen
@@ -302,9 +302,9 @@
 				Service: "s", Model: model, HomeKey: key * 0x9e3779b97f4a7c15, RegionKey: family * 0x9e3779b97f4a7c15,
 				SharedTokens: 60_000, OwnTokens: 1,
 			}
-			choice, flight := pick(t, known, start, wanted)
+			choice, attempt := pick(t, known, start, wanted)
 			is.True(choice.Home)
-			flight.End(start, backend.Answered)
+			attempt.End(start, backend.Answered)
 			engines[choice.Instance] = true
 			regionsOfFamily[regions.Of(choice.Zone)] = true
 		}
--- a/internal/backend/gone_test.go
+++ b/internal/backend/gone_test.go
@@ -19,19 +19,19 @@
 		// after is the time between the finding and the choice.
 		after time.Duration
 		same  bool
-		// told is what the other routers are told.
-		told bool
+		// notified is what the other routers are notified.
+		notified bool
 	}{
-		{name: "by a request", told: true, find: func(known *backend.Registry, _ ident.Incarnation) {
-			_, flight, _ := known.Pick(start, query())
-			flight.End(start, backend.Misdirected)
+		{name: "by a request", notified: true, find: func(known *backend.Registry, _ ident.Incarnation) {
+			_, attempt, _ := known.Pick(start, query())
+			attempt.End(start, backend.Misdirected)
 		}},
-		{name: "by a check", told: true, find: func(known *backend.Registry, home ident.Incarnation) {
+		{name: "by a check", notified: true, find: func(known *backend.Registry, home ident.Incarnation) {
 			known.ObserveGone(start, home)
 		}},
-		{name: "by a request and a check", told: true, find: func(known *backend.Registry, home ident.Incarnation) {
-			_, flight, _ := known.Pick(start, query())
-			flight.End(start, backend.Misdirected)
+		{name: "by a request and a check", notified: true, find: func(known *backend.Registry, home ident.Incarnation) {
+			_, attempt, _ := known.Pick(start, query())
+			attempt.End(start, backend.Misdirected)
 			known.ObserveGone(start, home)
 		}},
 		{name: "by another router", find: func(known *backend.Registry, home ident.Incarnation) {
@@ -58,11 +58,11 @@
 			choice, _ := pick(t, known, start.Add(tt.after), query())
 			is.Equal(choice.Instance == home.Instance, tt.same)
 			is.True(choice.Home)
-			var told []ident.Incarnation
-			if tt.told {
-				told = []ident.Incarnation{home.Instance}
+			var want []ident.Incarnation
+			if tt.notified {
+				want = []ident.Incarnation{home.Instance}
 			}
-			is.Equal(known.NewlyGone(), told)
+			is.Equal(known.NewlyGone(), want)
 			is.Equal(len(known.NewlyGone()), 0) // told once
 		})
 	}
--- a/internal/backend/lateness_test.go
+++ b/internal/backend/lateness_test.go
@@ -42,10 +42,10 @@
 			for key := range uint64(tt.answers) {
 				wanted := query()
 				wanted.HomeKey, wanted.SpreadKey = key+1, key+1
-				choice, flight := pick(t, known, now, wanted)
+				choice, attempt := pick(t, known, now, wanted)
 				now = now.Add(tt.apart)
-				flight.ObserveBytes(now.Add(choice.Predicted - tt.apart + tt.by))
-				flight.End(now, backend.Answered)
+				attempt.ObserveBytes(now.Add(choice.Predicted - tt.apart + tt.by))
+				attempt.End(now, backend.Answered)
 			}
 			choice, _ := pick(t, known, now.Add(tt.by+tt.after), query())
 			t.Log(choice.Congestion)
@@ -58,8 +58,8 @@
 func TestPeerQueueCountsAsWait(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
-	before, flight := pick(t, known, start, query())
-	flight.End(start, backend.Answered)
+	before, attempt := pick(t, known, start, query())
+	attempt.End(start, backend.Answered)
 	known.PeerQueue(start, "a", 10)
 	choice, _ := pick(t, known, start, query())
 	is.Equal(choice.Wait()-before.Wait(), 500*time.Millisecond)
--- a/internal/backend/limit_test.go
+++ b/internal/backend/limit_test.go
@@ -14,8 +14,8 @@
 func TestLimitsAdvertisedInAnswers(t *testing.T) {
 	at := time.Unix(1000, 0)
 	type answer struct {
-		sent time.Duration
-		told AdvertisedLimit
+		sent       time.Duration
+		advertised AdvertisedLimit
 	}
 	tests := []struct {
 		name    string
@@ -46,7 +46,7 @@
 			r.ApplyList(at, []Record{{Instance: "e", Service: "s"}})
 			observe := func(step int, given answer) (LimitChange, bool) {
 				now := at.Add(time.Duration(step) * time.Second)
-				return observeLimit(r, now, "e", at.Add(given.sent*time.Second), given.told)
+				return observeLimit(r, now, "e", at.Add(given.sent*time.Second), given.advertised)
 			}
 			for step, given := range tt.before {
 				observe(step+1, given)
@@ -147,7 +147,7 @@
 func TestStateUpdatesOfLimits(t *testing.T) {
 	tests := []struct {
 		name    string
-		told    StateUpdate
+		update  StateUpdate
 		changed bool
 		rate    float64
 	}{
@@ -169,8 +169,8 @@
 			is := is.New(t)
 			at := time.Unix(1000, 0)
 			r := limitedRegistry(at, 2)
-			tt.told.Instance = "e"
-			is.Equal(len(r.ApplyUpdates(at, []StateUpdate{tt.told})) == 1, tt.changed)
+			tt.update.Instance = "e"
+			is.Equal(len(r.ApplyUpdates(at, []StateUpdate{tt.update})) == 1, tt.changed)
 			is.Equal(r.byID["e"].limit.rate, tt.rate)
 		})
 	}
@@ -186,11 +186,11 @@
 	now := time.Unix(1000, 0)
 	r := limitedRegistry(now, 2)
 	query := Query{Service: "s", Model: "m", SpreadKey: 1}
-	choice, flight, found := r.Pick(now, &query)
+	choice, attempt, found := r.Pick(now, &query)
 	is.True(found)
 	is.Equal(choice.Limit, Limit{Rate: 2, Sequence: 1})
 	is.True(choice.AllLimited)
-	flight.End(now, Abandoned)
+	attempt.End(now, Abandoned)
 	until := now.Add(300 * time.Millisecond)
 	r.ObserveLimitUsedUp("e", until)
 	_, _, found = r.Pick(now, &query)
@@ -219,10 +219,10 @@
 	})
 	r.ObserveLimitUsedUp("e", now.Add(time.Second))
 	query := Query{Service: "s", Model: "m", SpreadKey: 1}
-	choice, flight, found := r.Pick(now, &query)
+	choice, attempt, found := r.Pick(now, &query)
 	is.True(found)
 	is.Equal(choice.Instance, ident.Incarnation("f"))
-	flight.End(now, Refused)
+	attempt.End(now, Refused)
 	_, _, found = r.Pick(now, &query)
 	is.True(!found)
 	is.Equal(r.Availability(now, &query), AvailableSoon{})
--- a/internal/backend/peerreports_test.go
+++ b/internal/backend/peerreports_test.go
@@ -14,8 +14,8 @@
 // time, unless this router knows better.
 func TestPeerReportsAboutHome(t *testing.T) {
 	tests := []struct {
-		name string
-		tell func(known *backend.Registry, home ident.Incarnation)
+		name   string
+		report func(known *backend.Registry, home ident.Incarnation)
 		// after is the time between the telling and the choice.
 		after time.Duration
 		// same says that the choice stays where the prompt was at home, home that it is
@@ -34,11 +34,11 @@
 			known.PeerAnswering([]ident.Incarnation{home})
 		}, 0, true, true},
 		{"silent, but heard here since", func(known *backend.Registry, home ident.Incarnation) {
-			_, flight, _ := known.Pick(start, query())
+			_, attempt, _ := known.Pick(start, query())
 			known.PeerSilent(start, []ident.Incarnation{home})
-			flight.ObserveBytes(start.Add(time.Millisecond))
+			attempt.ObserveBytes(start.Add(time.Millisecond))
 			known.PeerSilent(start.Add(2*time.Millisecond), []ident.Incarnation{home})
-			flight.End(start.Add(2*time.Millisecond), backend.Answered)
+			attempt.End(start.Add(2*time.Millisecond), backend.Answered)
 		}, 3 * time.Millisecond, true, true},
 		{"unknown engines", func(known *backend.Registry, _ ident.Incarnation) {
 			known.PeerSilent(start, []ident.Incarnation{"x"})
@@ -61,7 +61,7 @@
 			is := is.New(t)
 			known := registry(engine("a", 1), engine("b", 1), engine("c", 1))
 			home, _ := pick(t, registry(engine("a", 1), engine("b", 1), engine("c", 1)), start, query())
-			tt.tell(known, home.Instance)
+			tt.report(known, home.Instance)
 			choice, _ := pick(t, known, start.Add(tt.after), query())
 			is.Equal(choice.Instance == home.Instance, tt.same)
 			is.Equal(choice.Home, tt.home)
@@ -90,12 +90,12 @@
 	for _, known := range []*backend.Registry{first, second} {
 		known.PeerSilent(start, []ident.Incarnation{home.Instance})
 	}
-	one, flight := pick(t, first, start, query())
+	one, attempt := pick(t, first, start, query())
 	other, _ := pick(t, second, start, query())
 	is.True(one.Home)
 	is.Equal(one.Instance, other.Instance)
 	is.True(one.Instance != home.Instance)
-	flight.End(start, backend.Answered)
+	attempt.End(start, backend.Answered)
 	first.PeerAnswering([]ident.Incarnation{home.Instance})
 	back, _ := pick(t, first, start, query())
 	is.Equal(back.Instance, home.Instance)
--- a/internal/backend/reachability_test.go
+++ b/internal/backend/reachability_test.go
@@ -25,12 +25,12 @@
 				only.Excluded = append(only.Excluded, other.Instance)
 			}
 		}
-		_, flight, found := known.Pick(now, only)
+		_, attempt, found := known.Pick(now, only)
 		if !found {
 			continue
 		}
 		failed++
-		flight.End(now, outcome)
+		attempt.End(now, outcome)
 	}
 }
 
@@ -41,10 +41,10 @@
 		wanted := query()
 		wanted.HomeKey = key * 0x9e3779b97f4a7c15
 		wanted.SharedTokens = 60_000
-		choice, flight, found := known.Pick(now, wanted)
+		choice, attempt, found := known.Pick(now, wanted)
 		if found {
 			sent[choice.Zone]++
-			flight.End(now, backend.Abandoned)
+			attempt.End(now, backend.Abandoned)
 		}
 	}
 	return sent
@@ -53,8 +53,8 @@
 // A region of whose engines several fail, and none answers, gets no work for a while.
 func TestUnreachableRegionIsSkipped(t *testing.T) {
 	tests := []struct {
-		name string
-		see  func(known *backend.Registry)
+		name    string
+		observe func(known *backend.Registry)
 		// after is the time from the last failure to the choice.
 		after time.Duration
 		avoid bool
@@ -91,7 +91,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			known := regional("a1", fleet(map[ident.Zone]int{"a1": 8, "b1": 4, "b2": 4, "c1": 8})...)
-			tt.see(known)
+			tt.observe(known)
 			sent := zonesAt(known, start.Add(tt.after))
 			is.Equal(sent["b1"]+sent["b2"] == 0, tt.avoid)
 			is.True(sent["a1"] > 10)
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -331,8 +331,8 @@
 	if known == nil {
 		return false
 	}
-	for flight := range known.attempts {
-		if flight.startedAt.Before(before) {
+	for attempt := range known.attempts {
+		if attempt.startedAt.Before(before) {
 			return true
 		}
 	}
--- a/internal/backend/registry_test.go
+++ b/internal/backend/registry_test.go
@@ -34,11 +34,11 @@
 
 func pick(t *testing.T, known *backend.Registry, now time.Time, wanted *backend.Query) (backend.Choice, *backend.Attempt) {
 	t.Helper()
-	choice, flight, found := known.Pick(now, wanted)
+	choice, attempt, found := known.Pick(now, wanted)
 	if !found {
 		t.Fatal("no back end was chosen")
 	}
-	return choice, flight
+	return choice, attempt
 }
 
 func TestRoutersAgreeOnHome(t *testing.T) {
@@ -145,8 +145,8 @@
 		t.Run(c.outcome.String(), func(t *testing.T) {
 			is := is.New(t)
 			known := registry(engine("a", 1), engine("b", 1))
-			first, flight := pick(t, known, start, query())
-			flight.End(start, c.outcome)
+			first, attempt := pick(t, known, start, query())
+			attempt.End(start, c.outcome)
 			next, other := pick(t, known, start, query())
 			is.Equal(next.Instance != first.Instance, c.away)
 			other.End(start, backend.Answered)
@@ -159,13 +159,13 @@
 func TestSilentBackendGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1))
-	home, flight := pick(t, known, start, query())
+	home, attempt := pick(t, known, start, query())
 	later := start.Add(2 * time.Second)
 	next, other := pick(t, known, later, query())
 	is.True(next.Instance != home.Instance)
 	other.End(later, backend.Answered)
-	flight.ObserveBytes(later)
-	flight.End(later, backend.Answered)
+	attempt.ObserveBytes(later)
+	attempt.End(later, backend.Answered)
 	// The lateness is forgotten too.
 	again, _ := pick(t, known, later.Add(time.Minute), query())
 	is.Equal(again.Instance, home.Instance)
@@ -201,12 +201,12 @@
 func TestAttemptMayEndAfterBackendIsGone(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
-	_, flight := pick(t, known, start, query())
+	_, attempt := pick(t, known, start, query())
 	is.Equal(known.InFlight(), 1)
 	known.ApplyList(start.Add(time.Second), nil)
 	is.Equal(known.InFlight(), 0)
-	flight.ObserveBytes(start)
-	flight.End(start, backend.Broken)
+	attempt.ObserveBytes(start)
+	attempt.End(start, backend.Broken)
 }
 
 // What is only assumed of a back end decides where attempts go, but is not told
@@ -226,8 +226,8 @@
 	is := is.New(t)
 	known := registry(engine("a", 4))
 	known.AssumeVersion(start, "a", model, 5)
-	_, flight := pick(t, known, start, query())
-	flight.End(start, backend.WrongVersion)
+	_, attempt := pick(t, known, start, query())
+	attempt.End(start, backend.WrongVersion)
 	choice, _ := pick(t, known, start.Add(time.Second), query())
 	is.Equal(choice.Version, 4)
 }
@@ -246,8 +246,8 @@
 	for key := range uint64(prompts) {
 		wanted := query()
 		wanted.HomeKey, wanted.SpreadKey = key+1, key+1
-		home, flight := pick(t, registry(records...), start, wanted)
-		flight.End(start, backend.Answered)
+		home, attempt := pick(t, registry(records...), start, wanted)
+		attempt.End(start, backend.Answered)
 		wanted.Excluded = []ident.Incarnation{home.Instance}
 		second, _ := pick(t, registry(records...), start, wanted)
 		again, _ := pick(t, registry(records...), start, wanted)
@@ -303,8 +303,8 @@
 			known.MarkLoading(start, "a", model, 2, 1400*time.Millisecond)
 		}, 1500 * time.Millisecond, 2},
 		{"after it proved not to have them", func(known *backend.Registry) {
-			_, flight, _ := known.Pick(start.Add(time.Second), query())
-			flight.End(start.Add(time.Second), backend.WrongVersion)
+			_, attempt, _ := known.Pick(start.Add(time.Second), query())
+			attempt.End(start.Add(time.Second), backend.WrongVersion)
 		}, 1300 * time.Millisecond, 1},
 	}
 	for _, tt := range tests {
@@ -339,10 +339,10 @@
 			for _, by := range tt.late {
 				wanted := query()
 				wanted.Excluded = tried
-				choice, flight := pick(t, known, start, wanted)
+				choice, attempt := pick(t, known, start, wanted)
 				tried = append(tried, choice.Instance)
-				flight.ObserveBytes(start.Add(choice.Predicted + by))
-				flight.End(start.Add(choice.Predicted+by), backend.Answered)
+				attempt.ObserveBytes(start.Add(choice.Predicted + by))
+				attempt.End(start.Add(choice.Predicted+by), backend.Answered)
 			}
 			// One observation counts three tenths, and half of that a second later.
 			choice, _ := pick(t, known, start.Add(time.Second), query())
@@ -381,11 +381,11 @@
 	known := registry(engine("a", 1))
 	long := query()
 	long.OwnTokens = 40_000
-	first, flight := pick(t, known, start, long)
+	first, attempt := pick(t, known, start, long)
 	is.Equal(first.Wait(), time.Duration(0))
 	second, _ := pick(t, known, start, query())
 	is.Equal(second.Wait(), 40_000*26*time.Microsecond) // the prior
-	flight.ObserveBytes(start.Add(time.Second))
+	attempt.ObserveBytes(start.Add(time.Second))
 	third, _ := pick(t, known, start.Add(time.Second), query())
 	is.True(third.Wait() < second.Wait())
 }
@@ -405,10 +405,10 @@
 			wanted.OwnTokens = 4000
 			for range 60 {
 				now = now.Add(5 * time.Second)
-				_, flight := pick(t, known, now, wanted)
+				_, attempt := pick(t, known, now, wanted)
 				answered := now.Add(15*time.Millisecond + 4000*tt.rate)
-				flight.ObserveBytes(answered)
-				flight.End(answered, backend.Answered)
+				attempt.ObserveBytes(answered)
+				attempt.End(answered, backend.Answered)
 			}
 			choice, _ := pick(t, known, now.Add(5*time.Second), wanted)
 			is.True(choice.Predicted > 4000*tt.rate*8/10)
--- a/internal/backend/releases_choice_test.go
+++ b/internal/backend/releases_choice_test.go
@@ -50,7 +50,7 @@
 			for key := range uint64(200) {
 				wanted := query()
 				wanted.HomeKey, wanted.SpreadKey, wanted.Releases = key+1, key+1, tt.releases
-				choice, flight, found := known.Pick(start, wanted)
+				choice, attempt, found := known.Pick(start, wanted)
 				if !found {
 					continue
 				}
@@ -58,7 +58,7 @@
 				is.True(!tt.releases.Restricted() || tt.releases.Allows(choice.Release))
 				is.Equal(choice.Releases, tt.releases)
 				if key%3 == 0 {
-					flight.End(start, backend.Broken) // the rest carry ever more
+					attempt.End(start, backend.Broken) // the rest carry ever more
 				}
 			}
 			is.Equal(got, tt.want)
@@ -73,10 +73,10 @@
 	for key := range uint64(50) {
 		wanted := query()
 		wanted.HomeKey, wanted.Releases = key+1, backend.Releases{Only: "v2"}
-		choice, flight := pick(t, known, start, wanted)
+		choice, attempt := pick(t, known, start, wanted)
 		is.True(choice.Home)
 		is.Equal(choice.HomeZone, ident.Zone("z"))
-		flight.End(start, backend.Answered)
+		attempt.End(start, backend.Answered)
 	}
 }
 
@@ -88,8 +88,8 @@
 		for key := range uint64(100) {
 			wanted := query()
 			wanted.HomeKey, wanted.Releases = key+1, releases
-			choice, flight := pick(t, known, start, wanted)
-			flight.End(start, backend.Answered)
+			choice, attempt := pick(t, known, start, wanted)
+			attempt.End(start, backend.Answered)
 			got[choice.Instance] = true
 		}
 		return got
@@ -130,10 +130,10 @@
 			for range 30 {
 				wanted := query()
 				wanted.Releases, wanted.OwnTokens = tt.trial, 2000
-				choice, flight := pick(t, known, now, wanted)
+				choice, attempt := pick(t, known, now, wanted)
 				now = now.Add(choice.Predicted + 2*time.Second)
-				flight.ObserveBytes(now)
-				flight.End(now, backend.Answered)
+				attempt.ObserveBytes(now)
+				attempt.End(now, backend.Answered)
 			}
 			other := query()
 			other.Releases = backend.Releases{Excluded: []ident.Release{"v2"}}
@@ -150,8 +150,8 @@
 	wanted := query()
 	b.ReportAllocs()
 	for b.Loop() {
-		_, flight, _ := known.Pick(start, wanted)
-		flight.End(start, backend.Answered)
+		_, attempt, _ := known.Pick(start, wanted)
+		attempt.End(start, backend.Answered)
 	}
 }
 
@@ -159,8 +159,8 @@
 	known := registry(twoReleases()...)
 	wanted := query()
 	allocs := testing.AllocsPerRun(200, func() {
-		_, flight, _ := known.Pick(start, wanted)
-		flight.End(start, backend.Answered)
+		_, attempt, _ := known.Pick(start, wanted)
+		attempt.End(start, backend.Answered)
 	})
 	is.New(t).True(allocs <= 1)
 }
--- a/internal/backend/removed.go
+++ b/internal/backend/removed.go
@@ -27,26 +27,26 @@
 const maxRemoved = 4096
 
 // add remembers a back end that is gone.
-func (f removedBackends) add(removedAt time.Time, known *state) {
-	f[known.record.Instance] = removedBackend{record: known.record, advertised: known.advertisedState, removedAt: removedAt}
+func (r removedBackends) add(removedAt time.Time, known *state) {
+	r[known.record.Instance] = removedBackend{record: known.record, advertised: known.advertisedState, removedAt: removedAt}
 }
 
 // addUnlisted returns the words of a back end that others know and whose row was not read here yet,
 // nil if there is no room.
-func (f removedBackends) addUnlisted(now time.Time, instance ident.Incarnation) *advertisedState {
-	if len(f) >= maxRemoved {
+func (r removedBackends) addUnlisted(now time.Time, instance ident.Incarnation) *advertisedState {
+	if len(r) >= maxRemoved {
 		return nil
 	}
 	added := removedBackend{record: Record{Instance: instance}, advertised: &advertisedState{}, removedAt: now}
-	f[instance] = added
+	r[instance] = added
 	return added.advertised
 }
 
 // expire drops those that are gone for long.
-func (f removedBackends) expire(now time.Time) {
-	for instance, known := range f {
+func (r removedBackends) expire(now time.Time) {
+	for instance, known := range r {
 		if now.Sub(known.removedAt) > removedTTL {
-			delete(f, instance)
+			delete(r, instance)
 		}
 	}
 }
--- a/internal/backend/removed_test.go
+++ b/internal/backend/removed_test.go
@@ -37,9 +37,9 @@
 func TestDrainedIncarnationGetsNoWorkAgain(t *testing.T) {
 	none := []backend.Record{}
 	for _, tt := range []struct {
-		name string
-		told [][]backend.Record
-		work bool
+		name  string
+		lists [][]backend.Record
+		work  bool
 	}{
 		{"an older write after it", [][]backend.Record{{recordAt(2, true, 1)}, {recordAt(3, false, 1)}}, false},
 		{"and two older ones", [][]backend.Record{{recordAt(2, true, 1)}, {recordAt(3, false, 1)}, {recordAt(4, false, 1)}}, false},
@@ -50,7 +50,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			known := registry(engine("a", 1))
-			_, _, found := known.Pick(applyLists(known, tt.told...), query())
+			_, _, found := known.Pick(applyLists(known, tt.lists...), query())
 			is.Equal(found, tt.work)
 		})
 	}
--- a/internal/backend/roundtrips.go
+++ b/internal/backend/roundtrips.go
@@ -66,10 +66,10 @@
 }
 
 // ObserveConnect takes in how long the opening of a connection for the attempt took.
-func (f *Attempt) ObserveConnect(took time.Duration) {
-	f.registry.mutex.Lock()
-	defer f.registry.mutex.Unlock()
-	f.registry.roundTrips.observe(f.target.record.Zone, took)
+func (a *Attempt) ObserveConnect(took time.Duration) {
+	a.registry.mutex.Lock()
+	defer a.registry.mutex.Unlock()
+	a.registry.roundTrips.observe(a.target.record.Zone, took)
 }
 
 // RoundTrips returns the round trips to zones as they were measured.
--- a/internal/backend/skipreason.go
+++ b/internal/backend/skipreason.go
@@ -21,22 +21,22 @@
 }
 
 // add takes in a back end, with what the attempt would have cost there.
-func (p *skipCounts) add(reason SkipReason, cost float64) {
+func (s *skipCounts) add(reason SkipReason, cost float64) {
 	if reason == SkipBackoff {
-		p.backoff++
+		s.backoff++
 	} else {
-		p.draining++
+		s.draining++
 	}
-	if p.cheapestReason == SkipNone || cost < p.cheapestCost {
-		p.cheapestReason, p.cheapestCost = reason, cost
+	if s.cheapestReason == SkipNone || cost < s.cheapestCost {
+		s.cheapestReason, s.cheapestCost = reason, cost
 	}
 }
 
 // ifCheaper returns why the attempt did not go to a back end that would have cost less than the one
 // that was chosen.
-func (p *skipCounts) ifCheaper(chosen float64) SkipReason {
-	if p.cheapestCost < chosen {
-		return p.cheapestReason
+func (s *skipCounts) ifCheaper(chosen float64) SkipReason {
+	if s.cheapestCost < chosen {
+		return s.cheapestReason
 	}
 	return SkipNone
 }
--- a/internal/backend/stale_test.go
+++ b/internal/backend/stale_test.go
@@ -20,11 +20,11 @@
 		return &backend.Query{Service: "s", Model: model, HomeKey: 42, SharedTokens: 200, OwnTokens: 100}
 	}
 	tests := []struct {
-		name    string
-		query   *backend.Query
-		newer   int
-		named   int
-		without []string
+		name      string
+		query     *backend.Query
+		newer     int
+		published int
+		without   []string
 		// newest says that an engine with the newest weights is chosen.
 		newest bool
 	}{
@@ -46,8 +46,8 @@
 			}
 			known := backend.NewRegistry(backend.Config{Zone: "z", Disabled: disabled})
 			known.ApplyList(start, records)
-			home, flight := pick(t, known, start, tt.query)
-			flight.End(start, backend.Answered)
+			home, attempt := pick(t, known, start, tt.query)
+			attempt.End(start, backend.Answered)
 			newer := 0
 			for _, record := range records {
 				if record.Instance != home.Instance && newer < tt.newer {
@@ -55,8 +55,8 @@
 					newer++
 				}
 			}
-			if tt.named > 0 {
-				tt.query.Expiries = []backend.Expiry{{Version: tt.named, At: start.Add(time.Minute)}}
+			if tt.published > 0 {
+				tt.query.Expiries = []backend.Expiry{{Version: tt.published, At: start.Add(time.Minute)}}
 			}
 			choice, _ := pick(t, known, start, tt.query)
 			is.Equal(choice.Version == 2, tt.newest)
@@ -82,10 +82,10 @@
 			known := registry(engine("a", 1))
 			now := start
 			for range 20 {
-				choice, flight := pick(t, known, now, query())
+				choice, attempt := pick(t, known, now, query())
 				now = now.Add(choice.Predicted + tt.late)
-				flight.ObserveBytes(now)
-				flight.End(now, backend.Answered)
+				attempt.ObserveBytes(now)
+				attempt.End(now, backend.Answered)
 			}
 			headroom := known.Headroom(now, "s")
 			is.True(headroom >= tt.least)
--- a/internal/backend/state.go
+++ b/internal/backend/state.go
@@ -132,9 +132,9 @@
 // read.
 func (s *state) waitingTokens() int {
 	waiting := 0
-	for flight := range s.attempts {
-		if !flight.firstByteReceived {
-			waiting += flight.tokens
+	for attempt := range s.attempts {
+		if !attempt.firstByteReceived {
+			waiting += attempt.tokens
 		}
 	}
 	return waiting
@@ -149,12 +149,12 @@
 // silence returns for how long the back end owes a byte.
 func (s *state) silence(now time.Time) time.Duration {
 	longest := time.Duration(0)
-	for flight := range s.attempts {
-		since := flight.expectedAt
+	for attempt := range s.attempts {
+		since := attempt.expectedAt
 		if s.lastByteAt.After(since) {
 			since = s.lastByteAt
 		}
-		if !flight.firstByteReceived {
+		if !attempt.firstByteReceived {
 			longest = max(longest, now.Sub(since))
 		}
 	}
--- a/internal/backend/stateupdate.go
+++ b/internal/backend/stateupdate.go
@@ -27,8 +27,8 @@
 }
 
 // valid reports whether the news may be taken in: what another router tells may be anything.
-func (n *StateUpdate) valid() bool {
-	return n.Sequence < maxLimitSequence && n.Age >= 0 && n.Age <= limitTTL && n.Rate >= 0 && n.Rate <= maxLimit
+func (u *StateUpdate) valid() bool {
+	return u.Sequence < maxLimitSequence && u.Age >= 0 && u.Age <= limitTTL && u.Rate >= 0 && u.Rate <= maxLimit
 }
 
 // AppliedUpdate is a piece of news with what it changed.
@@ -112,11 +112,11 @@
 
 // stateUpdate returns what others are told, and whether there is anything. That a back end leaves they
 // read in the list as well, unless it was the back end itself that said so.
-func (w *advertisedState) stateUpdate(now time.Time, instance ident.Incarnation) (update StateUpdate, found bool) {
-	update = StateUpdate{Instance: instance, Draining: w.drain.advertised()}
-	if w.limit.sequence > 0 && now.Sub(w.limit.confirmedAt) <= limitTTL {
-		update.Sequence, update.Limited, update.Rate = w.limit.sequence, w.limit.limited, w.limit.rate
-		update.Age = max(now.Sub(w.limit.confirmedAt), 0)
+func (s *advertisedState) stateUpdate(now time.Time, instance ident.Incarnation) (update StateUpdate, found bool) {
+	update = StateUpdate{Instance: instance, Draining: s.drain.advertised()}
+	if s.limit.sequence > 0 && now.Sub(s.limit.confirmedAt) <= limitTTL {
+		update.Sequence, update.Limited, update.Rate = s.limit.sequence, s.limit.limited, s.limit.rate
+		update.Age = max(now.Sub(s.limit.confirmedAt), 0)
 	}
 	return update, update.Draining || update.Sequence > 0
 }
