--- a/internal/backend/advertised.go
+++ b/internal/backend/advertised.go
@@ -7,23 +7,24 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// Advertised is what one answer of a back end says of that back end, whichever call it answers.
+// Advertised is what one answer of a back end, to any call, states about itself.
 type Advertised struct {
-	// Limit is nil if nothing is said of a limit.
+	// Limit is nil if the answer states nothing about a limit.
 	Limit AdvertisedLimit
-	// Draining says that the back end is about to end and wants no new work.
+	// Draining is whether the back end is about to end and accepts no new work.
 	Draining bool
-	// Backoff is for how long the back end wants nothing from this router; 0 if it did not ask.
+	// Backoff is how long this router must send nothing; 0 if the back end did not ask for it.
 	Backoff time.Duration
 }
 
-// AdvertisedFunc takes in what the answer to a call that was sent at a time says of its back end.
-type AdvertisedFunc func(instance ident.Incarnation, sentAt time.Time, said Advertised, by Source)
+// AdvertisedFunc receives what the answer to a call sent at sentAt advertises about its back
+// end.
+type AdvertisedFunc func(instance ident.Incarnation, sentAt time.Time, advertised Advertised, by Source)
 
-// Source is where a word of a back end came from.
+// Source is where advertised state came from.
 type Source string
 
-// The sources of words.
+// The sources of advertised state.
 const (
 	SourceAnswer Source = "answer"
 	SourceReport Source = "report"
@@ -32,30 +33,30 @@
 	SourceList   Source = "list"
 )
 
-// advertisedState are what one life of a back end said of itself, by whichever way it was heard. They
-// outlast its row, and end with that life.
+// advertisedState is what one incarnation of a back end advertised, from any source. It
+// outlasts the listing of the back end, and ends with the incarnation.
 //
-// No source goes before another: each word has an order of its own, in which it does not matter
-// when a source is heard. That a back end leaves only ever begins. Of limits the one with the
-// highest sequence holds, of rests the one that ends last. So a row that is written late, an
-// answer that was overtaken or a router that knows less takes nothing back.
+// Sources need no priority, as the order in which they are applied does not matter: a drain
+// only begins, the limit with the highest sequence applies, and the back-off that ends last. So
+// a late write of the list, a reordered answer or an update from a peer that has received less
+// reverts nothing.
 type advertisedState struct {
 	limit   limit
 	drain   drain
 	backoff backoff
 }
 
-// drain is that a back end is about to end; the zero value means that it isn't.
+// drain is whether a back end is about to end; the zero value means that it is not.
 type drain struct {
-	// since is when this router first heard so, from by.
+	// since is when this router first learned of the drain, from by.
 	since time.Time
 	by    Source
 }
 
-// active reports whether the back end leaves.
+// active reports whether the back end is draining.
 func (d *drain) active() bool { return !d.since.IsZero() }
 
-// begin takes in that the back end leaves, and reports whether that is news.
+// begin records a drain, and reports whether it is new.
 func (d *drain) begin(now time.Time, by Source) bool {
 	if d.active() {
 		return false
@@ -64,24 +65,26 @@
 	return true
 }
 
-// advertised reports whether the back end said so itself, to this router or to another one.
+// advertised reports whether the back end stated the drain itself, to this router or a peer.
 func (d *drain) advertised() bool { return d.active() && d.by != SourceList }
 
-// AdvertisedChange is what an answer of a back end changed in what is believed of it.
+// AdvertisedChange is what an answer changed in the state of its back end.
 type AdvertisedChange struct {
 	// Limit is the change of its limit, if LimitChanged.
 	Limit        LimitChange
 	LimitChanged bool
-	// DrainBegan says that it was not known to leave before.
+	// DrainBegan is whether the back end was not known to be draining before.
 	DrainBegan bool
-	// Backoff is for how long it wants nothing from this router from now on; 0 if it did not ask.
+	// Backoff is how long this router must send nothing from now on; 0 if the back end did not
+	// ask for it.
 	Backoff time.Duration
 }
 
-// ConcernsPeers reports whether other routers are to be told.
+// ConcernsPeers reports whether peers must be notified of the change.
 func (c *AdvertisedChange) ConcernsPeers() bool { return c.LimitChanged || c.DrainBegan }
 
-// ObserveAdvertised takes in what an answer says of its back end; the call was sent at a time.
+// ObserveAdvertised applies what the answer to a call sent at sentAt advertises about its back
+// end.
 func (r *Registry) ObserveAdvertised(now time.Time, instance ident.Incarnation, sentAt time.Time, advertised Advertised, by Source) AdvertisedChange {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -101,7 +104,8 @@
 	return change
 }
 
-// advertisedStateOf returns the words of a life, nil if it is not known; the caller holds the mutex.
+// advertisedStateOf returns the advertised state of an incarnation, nil if it is unknown; the
+// caller holds the mutex.
 func (r *Registry) advertisedStateOf(instance ident.Incarnation) *advertisedState {
 	if known := r.byID[instance]; known != nil {
 		return known.advertisedState
@@ -112,8 +116,8 @@
 	return nil
 }
 
-// UnavailableCounts returns the numbers of the back ends in the list that leave, and of those that want
-// nothing from this router now.
+// UnavailableCounts returns the numbers of listed back ends that are draining, and that are
+// backing off.
 func (r *Registry) UnavailableCounts(now time.Time) (draining, backingOff int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/advertised_test.go
+++ b/internal/backend/advertised_test.go
@@ -22,67 +22,67 @@
 
 var modelQuery = Query{Service: "s", Model: "m", SpreadKey: 1}
 
-// Once a back end said that it leaves nothing takes that back but its next life, whichever source
-// is heard in whichever order.
+// Once a back end advertised a drain, only its next incarnation gets work, whatever other
+// sources report in any order.
 func TestOnlyNewIncarnationEndsDrain(t *testing.T) {
 	at := time.Unix(1000, 0)
 	advertiseDrain := func(r *Registry) { r.ObserveAdvertised(at, "e@1", at, Advertised{Draining: true}, SourceAnswer) }
 	tests := []struct {
 		name string
-		// course is what happens after the list named the first life, up to two seconds later.
+		// course is what happens in the two seconds after the first list.
 		course func(r *Registry)
 		chosen ident.Incarnation
 	}{
 		{"an answer", advertiseDrain, ""},
 		{"a report", func(r *Registry) { r.ObserveAdvertised(at, "e@1", at, Advertised{Draining: true}, SourceReport) }, ""},
-		{"another router", func(r *Registry) { r.ApplyUpdates(at, []StateUpdate{{Instance: "e@1", Draining: true}}) }, ""},
-		{"a row", func(r *Registry) {
+		{"a peer", func(r *Registry) { r.ApplyUpdates(at, []StateUpdate{{Instance: "e@1", Draining: true}}) }, ""},
+		{"the list", func(r *Registry) {
 			records := listOf(2, "e@1")
 			records[0].Draining = true
 			r.ApplyList(at.Add(time.Second), records)
 		}, ""},
-		{"and its row is written anew", func(r *Registry) {
+		{"and its entry is written again", func(r *Registry) {
 			advertiseDrain(r)
 			r.ApplyList(at.Add(time.Second), listOf(9, "e@1"))
 		}, ""},
-		{"and its row is written late", func(r *Registry) {
+		{"and its entry is written late", func(r *Registry) {
 			advertiseDrain(r)
 			r.ApplyList(at.Add(time.Second), listOf(0, "e@1"))
 		}, ""},
-		{"and its row goes and comes back", func(r *Registry) {
+		{"and it is unlisted and listed again", func(r *Registry) {
 			advertiseDrain(r)
 			r.ApplyList(at.Add(time.Second), nil)
 			r.ApplyList(at.Add(2*time.Second), listOf(9, "e@1"))
 		}, ""},
-		{"after its row went, which comes back", func(r *Registry) {
+		{"while it is unlisted, and it is listed again", func(r *Registry) {
 			r.ApplyList(at.Add(time.Second), nil)
 			advertiseDrain(r)
 			r.ApplyList(at.Add(2*time.Second), listOf(9, "e@1"))
 		}, ""},
-		{"told before its row was read", func(r *Registry) {
+		{"reported before it was listed", func(r *Registry) {
 			r.ApplyList(at.Add(time.Second), nil)
 			r.ApplyUpdates(at.Add(time.Second), []StateUpdate{{Instance: "f@1", Draining: true}})
 			r.ApplyList(at.Add(2*time.Second), listOf(9, "f@1"))
 		}, ""},
-		{"and the store comes back from an older copy", func(r *Registry) {
+		{"and the store is restored from an older copy", func(r *Registry) {
 			advertiseDrain(r)
 			r.StoreRestored(at.Add(time.Second))
 			r.ApplyList(at.Add(time.Second), nil)
 			r.ApplyList(at.Add(2*time.Second), listOf(1, "e@1"))
 		}, ""},
-		{"and an answer that was overtaken does not say so", func(r *Registry) {
+		{"and a reordered answer omits it", func(r *Registry) {
 			advertiseDrain(r)
 			r.ObserveAdvertised(at.Add(time.Second), "e@1", at.Add(-time.Second), Advertised{}, SourceAnswer)
 		}, ""},
-		{"and a router does not know", func(r *Registry) {
+		{"and a peer's update omits it", func(r *Registry) {
 			advertiseDrain(r)
 			r.ApplyUpdates(at.Add(time.Second), []StateUpdate{{Instance: "e@1", Sequence: 1, Limited: true, Rate: 100}})
 		}, ""},
-		{"and its next life begins", func(r *Registry) {
+		{"and its next incarnation begins", func(r *Registry) {
 			advertiseDrain(r)
 			r.ApplyList(at.Add(time.Second), listOf(2, "e@2"))
 		}, "e@2"},
-		{"and words of the former life come late", func(r *Registry) {
+		{"and updates of the former incarnation come late", func(r *Registry) {
 			r.ApplyList(at.Add(time.Second), listOf(2, "e@2"))
 			advertiseDrain(r)
 			r.ApplyUpdates(at.Add(time.Second), []StateUpdate{{Instance: "e@1", Draining: true}})
@@ -104,7 +104,7 @@
 	}
 }
 
-// What a list that is passed on says of a back end includes what that said itself.
+// A list that is sent on includes the drains that back ends advertised.
 func TestMarkDraining(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
@@ -117,8 +117,8 @@
 	is.True(!records[1].Draining)
 }
 
-// Where all leave, what comes soon after the first word is still served there, and what comes
-// later is refused.
+// If all back ends are draining, attempts are placed there for a moment after the drains began,
+// and refused later.
 func TestLastDrainingBackendsServeBriefly(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
@@ -126,12 +126,12 @@
 	r.ApplyList(at, listOf(1, "e", "f"))
 	r.ObserveAdvertised(at, "e", at, Advertised{Draining: true}, SourceAnswer)
 	choice, _, _ := r.Pick(at, &modelQuery)
-	is.Equal(choice.Instance, ident.Incarnation("f")) // it stays
+	is.Equal(choice.Instance, ident.Incarnation("f")) // the only one that is not draining
 	r.ObserveAdvertised(at, "f", at, Advertised{Draining: true}, SourceAnswer)
 	_, attempt, found := r.Pick(at.Add(900*time.Millisecond), &modelQuery)
 	is.True(found)
 	is.True(!attempt.MustWithdraw(at.Add(900 * time.Millisecond)))
-	is.True(attempt.MustWithdraw(at.Add(time.Second))) // its connection took too long to open
+	is.True(attempt.MustWithdraw(at.Add(time.Second))) // the connection setup took too long
 	_, _, found = r.Pick(at.Add(time.Second), &modelQuery)
 	is.True(!found)
 	is.Equal(r.Availability(at.Add(time.Second), &modelQuery), AllDraining{})
@@ -140,7 +140,7 @@
 	is.Equal(choice.Instance, ident.Incarnation("g"))
 }
 
-// What other routers tell of lives that nobody lists takes bounded memory.
+// State updates of peers about unlisted back ends take bounded memory.
 func TestStateUpdatesOfUnlistedBackendsAreBounded(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -7,7 +7,7 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// Attempt is one attempt under way. Its methods are safe for concurrent use.
+// Attempt is one attempt in flight. Its methods are safe for concurrent use.
 type Attempt struct {
 	registry *Registry
 	target   *state
@@ -17,20 +17,19 @@
 	version    int
 	expectedAt time.Time
 	startedAt  time.Time
-	// sentAt is set if the answer tells how fast the engine reads: no other attempt
-	// of this router waits there, and the engine is the prompt's home.
+	// sentAt is set if the first byte shows the prefill rate: no other attempt of this router
+	// waits there, and the engine is the prompt's home.
 	sentAt            time.Time
 	firstByteReceived bool
-	// trial says that the back end is one of a few of a release that is being tried: how
-	// fast it answers tells nothing of the service's other back ends.
+	// trial marks a back end of a release on trial, whose speed is no evidence about the
+	// service's other back ends.
 	trial bool
-	// drainServesUntil bounds an attempt that was placed at a back end which leaves; it is zero for
-	// others.
+	// drainServesUntil bounds an attempt placed at a draining back end; it is zero for others.
 	drainServesUntil time.Time
 }
 
-// MustWithdraw reports whether the back end wants no new work any more, so that the attempt is not
-// to leave.
+// MustWithdraw reports whether the attempt must not be sent any more, since the back end is
+// draining or backing off.
 func (a *Attempt) MustWithdraw(now time.Time) bool {
 	a.registry.mutex.Lock()
 	defer a.registry.mutex.Unlock()
@@ -38,7 +37,7 @@
 	return draining || a.target.backoff.active(now)
 }
 
-// ObserveBytes takes in that bytes of the attempt's answer came.
+// ObserveBytes records that bytes of the attempt's answer were received.
 func (a *Attempt) ObserveBytes(now time.Time) {
 	a.registry.mutex.Lock()
 	defer a.registry.mutex.Unlock()
@@ -52,8 +51,9 @@
 	a.registry.observeReachable(a.target)
 }
 
-// observeFirstByte takes in what the first byte tells of the whole service. A release that is being
-// tried and answers late would have requests refused that other back ends could serve.
+// observeFirstByte applies the time of the first byte to the estimates of the service. A
+// release on trial does not count: if it were late, requests that other back ends could serve
+// would be refused.
 func (a *Attempt) observeFirstByte(now time.Time) {
 	if a.trial {
 		return
@@ -65,15 +65,15 @@
 	}
 }
 
-// PeerBusy reports whether another router lately found that the back end answers and
-// that requests wait there.
+// PeerBusy reports whether a peer recently found that the back end answers and that requests
+// wait there.
 func (a *Attempt) PeerBusy(now time.Time) bool {
 	a.registry.mutex.Lock()
 	defer a.registry.mutex.Unlock()
 	return a.target.peerQueue.waiting > 0 && a.target.peerQueue.fresh(now) && !a.target.peerSilent(now)
 }
 
-// End takes in the end of the attempt; it is called exactly once.
+// End records the outcome of the attempt; it must be called exactly once.
 func (a *Attempt) End(now time.Time, outcome Outcome) {
 	a.registry.mutex.Lock()
 	defer a.registry.mutex.Unlock()
@@ -119,8 +119,7 @@
 	}
 }
 
-// observeRefusal takes in a refusal. A back end that said for how long it wants nothing is taken at its
-// word; one that did not rests for a time of this router's own.
+// observeRefusal pauses a back end that refused, unless it advertised a back-off of its own.
 func (s *state) observeRefusal(now time.Time) {
 	if s.backoff.active(now) {
 		s.pause = 0
--- a/internal/backend/availability.go
+++ b/internal/backend/availability.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Availability says when a back end may take an attempt that none can take now: AvailableSoon, AvailableAfter or
-// AllDraining.
+// Availability is when a back end may take an attempt that none can take now: AvailableSoon,
+// AvailableAfter or AllDraining.
 type Availability interface{ availability() }
 
-// AvailableSoon says that one may be back at any moment, or that none is known.
+// AvailableSoon means that one may be available at any moment, or that none is known.
 type AvailableSoon struct{}
 
-// AvailableAfter says that nothing is to be sent to any of them before a time.
+// AvailableAfter means that none of them gets an attempt before At.
 type AvailableAfter struct {
 	At time.Time
-	// Backoff says that the first of them wants rest until then.
+	// Backoff is whether At is the end of a back-off.
 	Backoff bool
 }
 
-// AllDraining says that all that are left leave.
+// AllDraining means that all remaining back ends are draining.
 type AllDraining struct{}
 
 func (AvailableSoon) availability()  {}
 func (AvailableAfter) availability() {}
 func (AllDraining) availability()    {}
 
-// Availability tells when one of the back ends of a query may take it.
+// Availability returns when one of the back ends of a query may be available.
 func (r *Registry) Availability(now time.Time, query *Query) Availability {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -38,7 +38,7 @@
 			continue
 		}
 		suitable++
-		// One that just rests after a failure or a refusal is worth a short wait.
+		// Pauses after a failure or a refusal are short enough to wait for.
 		after := known.availableAfter(now)
 		if after.At.IsZero() {
 			return AvailableSoon{}
@@ -57,8 +57,8 @@
 	}
 }
 
-// availableAfter returns when the back end may get an attempt again, the zero value if nothing but the
-// pauses of this router's own, or attempts that it awaits, keep it from that.
+// availableAfter returns the end of the back end's used-up limit or back-off, the zero value if
+// it has neither; pauses set by this router don't count.
 func (s *state) availableAfter(now time.Time) AvailableAfter {
 	var after AvailableAfter
 	if s.limit.usedUp(now) {
--- a/internal/backend/backoff.go
+++ b/internal/backend/backoff.go
@@ -7,32 +7,31 @@
 )
 
 const (
-	// maxBackoffCalls bounds the reports and orders that a back end gets from this router while it
-	// wants nothing: new weights need a report and an order, and have a deadline.
+	// maxBackoffCalls bounds the reports and load orders that a back end gets from this router
+	// during a back-off: new weights need one of each, and have a deadline.
 	maxBackoffCalls = 2
-	// firstReopenLimit is the number of attempts that may await their answers after a rest. Each answer
-	// doubles it, up to lastReopenLimit, from which there is no bound.
+	// firstReopenLimit is the number of attempts that may await answers after a back-off. Each
+	// answer doubles it; above lastReopenLimit there is no bound.
 	firstReopenLimit = 1
 	lastReopenLimit  = 32
-	// reopenPeriod bounds the time for which there is such a bound, as answers may be slow.
+	// reopenPeriod is how long that limit applies at most, as answers may be slow.
 	reopenPeriod = 2 * time.Second
-	// recentBackoffPeriod is how long after its rest a back end may well refuse again.
+	// recentBackoffPeriod is how long after its back-off a back end may well refuse again.
 	recentBackoffPeriod = 5 * time.Second
 )
 
-// backoff is the time for which a back end wants nothing from this router; the zero value means that
-// it never asked. Other routers are not told: it goes on serving them.
+// backoff is the time for which a back end asked this router to send nothing; the zero value
+// means that it never asked. Peers are not notified, as it still serves them.
 type backoff struct {
 	until time.Time
-	// calls counts the reports and orders since it was asked for.
+	// calls counts the reports and load orders since the back-off began.
 	calls int
-	// reopenLimit is the number of attempts that may await their answers once it is over, so that not
-	// all that was held back comes at that moment; 0 means that there is no bound.
+	// reopenLimit bounds the attempts that await answers after the back-off, so that held
+	// requests are not all sent at once; 0 means no bound.
 	reopenLimit int
 }
 
-// asked takes in that the back end wants nothing for a time. Of several such times the one that
-// ends last holds.
+// extend begins a back-off or extends the current one; it never shortens it.
 func (b *backoff) extend(now time.Time, duration time.Duration) {
 	until := now.Add(duration)
 	if !until.After(b.until) {
@@ -44,18 +43,18 @@
 	b.until, b.reopenLimit = until, firstReopenLimit
 }
 
-// active reports whether the back end wants nothing now.
+// active reports whether the back end is backing off now.
 func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// reopening reports whether the rest was over lately, and the back end is tried with a few attempts.
+// reopening reports whether the back-off ended recently and the back end gets few attempts.
 func (b *backoff) reopening(now time.Time) bool {
 	return b.reopenLimit > 0 && !b.active(now) && now.Before(b.until.Add(reopenPeriod))
 }
 
-// recent reports whether the back end asked for rest lately.
+// recent reports whether the back end is backing off, or recently was.
 func (b *backoff) recent(now time.Time) bool { return now.Before(b.until.Add(recentBackoffPeriod)) }
 
-// answered takes in an answer to an attempt that began at a time.
+// observeAnswer raises the limit if the answer is to an attempt that began after the back-off.
 func (b *backoff) observeAnswer(startedAt time.Time) {
 	if b.reopenLimit == 0 || startedAt.Before(b.until) {
 		return
@@ -65,7 +64,7 @@
 	}
 }
 
-// backoffAllows reports whether the back end may get one more attempt as far as its rest goes.
+// backoffAllows reports whether the back-off allows one more attempt.
 func (s *state) backoffAllows(now time.Time) bool {
 	if s.backoff.active(now) {
 		return false
@@ -82,7 +81,7 @@
 	return awaited < s.backoff.reopenLimit
 }
 
-// BackingOff reports whether a back end wants nothing from this router.
+// BackingOff reports whether a back end asked this router to send nothing now.
 func (r *Registry) BackingOff(now time.Time, instance ident.Incarnation) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -90,8 +89,8 @@
 	return known != nil && known.backoff.active(now)
 }
 
-// AllowCall reports whether a back end may be sent a report or an order now, and counts it if the
-// back end rests.
+// AllowCall reports whether a back end may be sent a report or a load order now, and counts it
+// during a back-off.
 func (r *Registry) AllowCall(now time.Time, instance ident.Incarnation) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/backoff_test.go
+++ b/internal/backend/backoff_test.go
@@ -9,7 +9,7 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// resting returns a registry that knows one back end, which asked for a rest at a time.
+// backingOffRegistry returns a registry with one back end that asked for a back-off at a time.
 func backingOffRegistry(at time.Time, duration time.Duration) *Registry {
 	r := NewRegistry(Config{})
 	r.ApplyList(at, listOf(1, "e@1"))
@@ -21,7 +21,7 @@
 	r.ObserveAdvertised(at, "e@1", at, Advertised{Backoff: duration}, SourceAnswer)
 }
 
-// The longest rest holds, for that life and whatever becomes of its row.
+// The longest back-off applies, for its incarnation only, whatever the list shows.
 func TestEndOfBackoff(t *testing.T) {
 	at := time.Unix(1000, 0)
 	tests := []struct {
@@ -39,15 +39,15 @@
 		{"another answer later", 3 * time.Second, func(r *Registry) {
 			r.ObserveAdvertised(at.Add(time.Second), "e@1", at, Advertised{Limit: Unlimited{}}, SourceAnswer)
 		}, 3 * time.Second},
-		{"its row is written anew", 3 * time.Second, func(r *Registry) { r.ApplyList(at.Add(time.Second), listOf(2, "e@1")) }, 3 * time.Second},
-		{"its row goes and comes back", 3 * time.Second, func(r *Registry) {
+		{"its entry is written again", 3 * time.Second, func(r *Registry) { r.ApplyList(at.Add(time.Second), listOf(2, "e@1")) }, 3 * time.Second},
+		{"it is unlisted and listed again", 3 * time.Second, func(r *Registry) {
 			r.ApplyList(at.Add(time.Second), nil)
 			r.ApplyList(at.Add(2*time.Second), listOf(2, "e@1"))
 		}, 3 * time.Second},
-		{"another router's word", 3 * time.Second, func(r *Registry) {
+		{"a peer's state update", 3 * time.Second, func(r *Registry) {
 			r.ApplyUpdates(at.Add(time.Second), []StateUpdate{{Instance: "e@1", Sequence: 1, Limited: true, Rate: 100}})
 		}, 3 * time.Second},
-		{"its next life begins", time.Hour, func(r *Registry) { r.ApplyList(at.Add(time.Second), listOf(2, "e@2")) }, time.Second},
+		{"its next incarnation begins", time.Hour, func(r *Registry) { r.ApplyList(at.Add(time.Second), listOf(2, "e@2")) }, time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// A back end that is told what to do by its own word is neither paused nor marked as failing.
+// A back end that advertised a back-off is neither paused nor counted as failing.
 func TestBackoffIsNoFailure(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
@@ -84,7 +84,8 @@
 	is.True(!at.Before(known.pausedUntil))
 }
 
-// After a rest attempts come as answers do: one, then two, four and so on, and all after a time.
+// After a back-off the number of attempts grows with answers, 1, 2, 4 and so on, and is
+// unbounded after a time.
 func TestFewAttemptsAfterBackoff(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
@@ -116,7 +117,7 @@
 	is.Equal(len(place()), 2*lastReopenLimit)
 }
 
-// An attempt that was placed before is not sent once the back end wants rest.
+// An attempt that was placed before is not sent once the back end asks for a back-off.
 func TestBackoffWithdrawsAttempt(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
@@ -129,7 +130,7 @@
 	is.True(!attempt.MustWithdraw(at.Add(time.Second)))
 }
 
-// Two reports or orders may go to a back end that rests, in each rest.
+// Two reports or load orders may go to a back end in each back-off.
 func TestCallsDuringBackoffAreBounded(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
@@ -150,7 +151,7 @@
 	is.Equal(allowed(at.Add(2*time.Second)), maxBackoffCalls)
 }
 
-// Of back ends at rest, and of those whose limits are used up, the first that is free counts.
+// Of back-offs and used-up limits the first one to end counts.
 func TestAvailabilityDuringBackoff(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
@@ -166,7 +167,6 @@
 	is.Equal(r.Availability(at, &modelQuery), AvailableAfter{At: at.Add(time.Second), Backoff: true})
 }
 
-// Without the mechanism words are passed over.
 func TestAdvertisedStateIsIgnoredWhenDisabled(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
@@ -180,7 +180,7 @@
 	is.True(found)
 }
 
-// A choice tells that it went elsewhere, if a back end that rests would have been faster.
+// A choice reports that a faster back end was skipped, and why.
 func TestChoiceReportsSkippedFasterBackend(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
@@ -202,8 +202,8 @@
 	is.Equal(choice.DrainingSkips, 1)
 }
 
-// Where no repeat is to spare, back ends that asked for rest lately are passed over as long as there
-// are others.
+// When no retry is left, back ends that recently backed off are skipped as long as there are
+// others.
 func TestAvoidRecentBackoff(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -10,8 +10,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing/rendezvous"
 )
 
-// Pick chooses the back end with the least expected time for an attempt and
-// counts the attempt against it. It returns false if no back end may be used.
+// Pick chooses the back end with the lowest cost for an attempt and counts the attempt against
+// it. It returns false if no back end is eligible.
 func (r *Registry) Pick(now time.Time, query *Query) (Choice, *Attempt, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -24,7 +24,7 @@
 		best, compared = r.cheapest(now, &relaxed, home, allowed)
 	}
 	if best == nil && compared.skips.draining > 0 {
-		// What comes soon after the first word may still go to back ends that leave.
+		// Draining back ends may serve for DrainServeTime if there is no other one.
 		draining := *query
 		draining.drainServeTime = r.config.DrainServeTime
 		best, compared = r.cheapest(now, &draining, home, allowed)
@@ -85,8 +85,8 @@
 	return selectBackends(allowed, &query.Releases)
 }
 
-// selectBackends returns those back ends of one release that may be used. Back ends that leave
-// the service don't count, so that as many others are used in their place.
+// selectBackends returns those back ends of one release that may be used. Draining ones don't
+// count towards MaxBackends: others replace them.
 func selectBackends(allowed []*state, releases *Releases) []*state {
 	var candidates []ident.Incarnation
 	for _, known := range allowed {
@@ -98,19 +98,20 @@
 	return slices.DeleteFunc(allowed, func(known *state) bool { return !slices.Contains(used, known.record.Instance) })
 }
 
-// comparison counts the back ends that a choice was made among.
+// comparison counts the back ends compared for one choice.
 type comparison struct {
-	// eligible may be used, limited of them have a limit. limitSkips could be but for that.
+	// eligible may be used; limited of them have a limit. limitSkips could be used if their
+	// limits were not used up.
 	eligible, limited, limitSkips int
-	// skips are those that said that they want nothing.
+	// skips counts those that are draining or backing off.
 	skips skipCounts
-	// fasterSkip is why the choice did not fall on one of those.
+	// fasterSkip is why a cheaper back end was skipped, if one was.
 	fasterSkip SkipReason
 }
 
-// cheapest returns the back end of the least cost, or nil, and the numbers of
-// those that may be used. Among equals the query's own order decides, so that
-// they share the work and routers agree on who stands in for a home.
+// cheapest returns the back end of the lowest cost, or nil, and the counts of those compared.
+// SpreadKey breaks ties, which spreads work and lets routers agree on the replacement of a
+// home.
 func (r *Registry) cheapest(now time.Time, query *Query, home *state, allowed []*state) (best *state, counts comparison) {
 	bestCost := math.Inf(1)
 	var bestScore uint64
@@ -160,14 +161,13 @@
 	return predicted
 }
 
-// idleDivisor is the part of the usual time of a request without a model, as a divisor, that is
-// taken as its time at an idle back end. The usual time is only guessed, and answers that
-// are faster than this are not told apart: applications answer in a third to nine tenths
-// of it, and one that takes three times as long as before has to be seen.
+// idleDivisor divides the expected time of a request without a model to get its time at an idle
+// back end. The expected time is a rough guess; with a large divisor an application that became
+// several times slower still counts as late.
 const idleDivisor = 8
 
-// predictUncached returns the expected time to the first byte of the answer of a back end that
-// is idle and has nothing of the prompt cached.
+// predictUncached returns the expected time to the first byte at an idle back end with nothing
+// of the prompt cached.
 func (r *Registry) predictUncached(query *Query) time.Duration {
 	if query.Model == "" {
 		return query.Expected / idleDivisor
@@ -175,8 +175,8 @@
 	return r.prefillRate(query.Service).estimate(query.SharedTokens + query.OwnTokens)
 }
 
-// queued returns the time for which the prompts of this router's other attempts keep
-// an engine busy; it is 0 for back ends that run no model.
+// queued returns how long the prompts of this router's other attempts keep an engine busy; 0
+// for back ends that run no model.
 func (r *Registry) queued(candidate *state, query *Query) time.Duration {
 	if query.Model == "" {
 		return 0
@@ -184,7 +184,7 @@
 	return r.prefillRate(query.Service).estimate(candidate.waitingTokens())
 }
 
-// prefillRate returns what is learned of the reading rate of a service's engines.
+// prefillRate returns the estimated prefill rate of a service's engines.
 func (r *Registry) prefillRate(service ident.Service) *prefillRate {
 	rate := r.prefillRates[service]
 	if rate == nil {
@@ -195,8 +195,7 @@
 	return rate
 }
 
-// recentLateness returns by how much answers of a back end lately came later than
-// predicted.
+// recentLateness returns how much later than predicted recent answers of a back end came.
 func (r *Registry) recentLateness(now time.Time, known *state) time.Duration {
 	if !r.config.Disabled.On(mechanism.LatePatience) {
 		return 0
@@ -204,14 +203,14 @@
 	return known.latenessAt(now)
 }
 
-// congestion returns by how much answers of a service lately came late on the mean, in
-// units of fullCongestionLateness. It is the mean of answers and not of back ends: of most of a
-// large fleet's a router has heard nothing lately.
+// congestion returns the mean lateness of a service's recent answers, in units of
+// fullCongestionLateness. It is the mean over answers, not back ends: a router of a large fleet
+// has no recent answer from most of them.
 func (r *Registry) congestion(now time.Time, service ident.Service) float64 {
 	return r.lateness(service).at(now).Seconds() / fullCongestionLateness.Seconds()
 }
 
-// lateness returns by how much answers of a service lately came later than predicted.
+// lateness returns the lateness of a service's recent answers.
 func (r *Registry) lateness(service ident.Service) *serviceLateness {
 	known := r.serviceLateness[service]
 	if known == nil {
@@ -221,8 +220,7 @@
 	return known
 }
 
-// cost returns the expected time, in seconds, with the risks of the back end
-// added to it.
+// cost returns the expected time in seconds, plus penalties for the risks of the back end.
 func (r *Registry) cost(now time.Time, candidate *state, query *Query, home *state) float64 {
 	predicted := r.predict(candidate, query, home)
 	cost := (predicted + candidate.latenessAt(now) + candidate.peerQueue.wait(now)).Seconds()
@@ -237,7 +235,7 @@
 		cost += failurePenalty.Seconds()
 	}
 	candidate.decay(now)
-	// One failure in few attempts says less than many in a row.
+	// The 2 damps the failure rate of a back end with few attempts.
 	cost += candidate.failed / (candidate.tried + 2) * failurePenalty.Seconds()
 	silentAfter := r.config.SilentAfter + silenceLatenessFactor*r.recentLateness(now, candidate)
 	if candidate.peerSilent(now) || candidate.silence(now) > silentAfter {
--- a/internal/backend/config.go
+++ b/internal/backend/config.go
@@ -9,27 +9,27 @@
 	"github.com/fieldpond/fieldpond/internal/region"
 )
 
-// Config holds the constants of the choice. Zero fields take the defaults.
+// Config holds the parameters of the choice. Zero fields take the defaults.
 type Config struct {
-	// Zone is where this router is.
+	// Zone is the zone of this router.
 	Zone ident.Zone
-	// Regions tells which zones lie in one region. Default: all do.
+	// Regions maps zones to regions. Default: one region.
 	Regions region.Map
-	// ZoneHop is the price of a back end in another zone of the same region. Default: 3ms.
+	// ZoneHop is the cost of a back end in another zone of the same region. Default: 3ms.
 	ZoneHop time.Duration
-	// RegionHop is the price of a back end in another region until a round trip there
-	// was measured, which is the price from then on. Default: 40ms.
+	// RegionHop is the cost of a back end in another region until a round trip to its zone was
+	// measured. Default: 40ms.
 	RegionHop time.Duration
-	// PrefillPerToken is the time an engine is taken to need for one token of a
-	// prompt until its service was seen to need another. Default: 26µs.
+	// PrefillPerToken is the assumed prefill time of one token until the rate of the service
+	// was observed. Default: 26µs.
 	PrefillPerToken time.Duration
 	// Disabled are the mechanisms that are switched off. Default: none.
 	Disabled mechanism.Disabled
 	// SilentAfter is how long a back end with open attempts may be silent,
 	// beyond what was predicted, before it gets no new work. Default: 500ms.
 	SilentAfter time.Duration
-	// DrainServeTime is how long a back end that says that it leaves may get an attempt that no
-	// other one can take, counted from when this router first heard so. Default: 1s.
+	// DrainServeTime is how long a draining back end may get attempts that no other one can
+	// take, from when this router first learned of the drain. Default: 1s.
 	DrainServeTime time.Duration
 }
 
@@ -38,54 +38,52 @@
 	defaultRegionHop       = 40 * time.Millisecond
 	defaultPrefillPerToken = 26 * time.Microsecond
 	defaultSilentAfter     = 500 * time.Millisecond
-	// Back ends that leave serve for two seconds after they said so.
+	// Back ends serve for two seconds after they advertise a drain.
 	defaultDrainServeTime = time.Second
-	// spillFactor is the price of a shared part at an engine that is not the home
-	// of its prompt, in times that it takes to read it there: it may have to be
-	// fetched or read again.
+	// spillFactor is the cost of a shared part at an engine other than the prompt's home, in
+	// units of its prefill time: it may have to be fetched or prefilled again.
 	spillFactor = 1.6
-	// farSpillFactor is that price in another region than the home's: what was kept of
-	// the part takes five times as long from there as from another zone.
+	// farSpillFactor is that cost in another region than the home's, from where fetching takes
+	// longer.
 	farSpillFactor = 3.2
 	// fullCongestionLateness is the mean lateness of a service's answers at which its
 	// congestion is 1.
 	fullCongestionLateness = 100 * time.Millisecond
-	// failureHalfLife is how fast a failure is forgotten.
+	// failureHalfLife is the half-life of the recent attempts and failures of a back end.
 	failureHalfLife = 2 * time.Second
-	// failurePenalty is the price of a back end all of whose attempts fail.
+	// failurePenalty is the cost of a back end all of whose attempts fail.
 	failurePenalty = 3 * time.Second
-	// firstFailurePause and maxFailurePause bound how long a back end rests after a failure
-	// to reach it; the pause doubles with each one in a row.
+	// firstFailurePause and maxFailurePause bound the pause of a back end that could not be
+	// reached; it doubles with each failure in a row.
 	firstFailurePause = 250 * time.Millisecond
 	maxFailurePause   = 2 * time.Second
-	// firstRefusalPause and maxRefusalPause bound how long a back end that was full gets
-	// no new work; the pause doubles with each refusal in a row.
+	// firstRefusalPause and maxRefusalPause bound the pause of a back end that was full; it
+	// doubles with each refusal in a row.
 	firstRefusalPause = 60 * time.Millisecond
 	maxRefusalPause   = 800 * time.Millisecond
-	// firstEngineRefusalPause is the first pause of an engine that runs models: it
-	// mostly refuses because it takes new weights, which is soon known but not
-	// soon over.
+	// firstEngineRefusalPause is the first pause of an engine that runs models: it mostly
+	// refuses because it loads new weights, which takes longer.
 	firstEngineRefusalPause = 250 * time.Millisecond
-	// silenceLatenessFactor times the usual lateness of a back end may pass before its silence
-	// is a bad sign.
+	// silenceLatenessFactor times the recent lateness of a back end may pass before its silence
+	// counts.
 	silenceLatenessFactor = 3
 	// beginWaitFactor times the predicted wait may pass until a request begins.
 	beginWaitFactor = 2
 	// costGrain is the difference in cost below which back ends count as equal.
 	costGrain = 2 * time.Millisecond
-	// uncertainVersionPenalty is the price of weights that may have expired.
+	// uncertainVersionPenalty is the cost of weights that may have expired.
 	uncertainVersionPenalty = 5 * time.Second
-	// latenessWeight is the part of a new observation in the mean excess, and
-	// latenessHalfLife how fast the mean is forgotten.
+	// latenessWeight is the weight of a new observation in the mean lateness, and
+	// latenessHalfLife the half-life of the mean.
 	latenessWeight   = 0.3
 	latenessHalfLife = time.Second
-	// assumedVersionTTL is how long an assumed version stands: the list lags by less.
+	// assumedVersionTTL is how long an assumed version counts: the instance list lags by less.
 	assumedVersionTTL = 2 * time.Second
-	// defaultLoadingTime is how long a back end gets no work after it was said to take
-	// new weights, if no time was told, unless it is known to have them before.
+	// defaultLoadingTime is how long a back end that loads new weights gets no work, if no time
+	// was given, unless it is known to have them earlier.
 	defaultLoadingTime = 700 * time.Millisecond
-	// wrongVersionPause is how long a back end whose version was not as believed
-	// rests, unless the list tells a newer one before.
+	// wrongVersionPause is how long a back end whose version was not as expected is paused,
+	// unless the list shows a newer one earlier.
 	wrongVersionPause = 200 * time.Millisecond
 )
 
--- a/internal/backend/distance_test.go
+++ b/internal/backend/distance_test.go
@@ -38,15 +38,15 @@
 	return known
 }
 
-// A request goes to the nearest back end that may take it, and over the border of the
-// region only when nobody in it may.
+// A request goes to the nearest eligible back end, and to another region only if none in its
+// own is eligible.
 func TestPickPrefersNearestEligibleBackend(t *testing.T) {
 	request := &backend.Query{Service: "s", Expected: 50 * time.Millisecond}
 	tests := []struct {
 		name string
-		// refused are the zones whose back ends refused lately.
+		// refused are the zones whose back ends recently refused.
 		refused []ident.Zone
-		// inFlight is the number of requests of this router that each back end works on.
+		// inFlight is the number of requests of this router in flight at each back end.
 		inFlight int
 		want     []ident.Zone
 	}{
@@ -86,8 +86,8 @@
 	}
 }
 
-// Some requests under way in the own region don't drive one over its border: the way there
-// and back takes longer than they put it off.
+// Some requests in flight in the own region delay a new one less than the way to another
+// region.
 func TestFewOpenRequestsStayInRegion(t *testing.T) {
 	is := is.New(t)
 	known := regional("a1", application("a1"), application("b1"))
@@ -98,7 +98,7 @@
 	}
 }
 
-// The price of a way over a border is the round trip that was measured.
+// The cost of another region is the measured round trip.
 func TestRoundTripMeasurement(t *testing.T) {
 	tests := []struct {
 		name string
@@ -106,11 +106,11 @@
 		want time.Duration
 	}{
 		{"never", nil, 0},
-		{"an open connection was used", []time.Duration{0}, 0},
+		{"an open connection was reused", []time.Duration{0}, 0},
 		{"once", []time.Duration{70 * time.Millisecond}, 70 * time.Millisecond},
-		{"the least counts", []time.Duration{90 * time.Millisecond, 70 * time.Millisecond}, 70 * time.Millisecond},
-		{"a longer one is believed by and by", []time.Duration{20 * time.Millisecond, 90 * time.Millisecond}, 21 * time.Millisecond},
-		{"a loss on the way", []time.Duration{70 * time.Millisecond, time.Second}, 70 * time.Millisecond},
+		{"the least one applies", []time.Duration{90 * time.Millisecond, 70 * time.Millisecond}, 70 * time.Millisecond},
+		{"a longer one raises the estimate gradually", []time.Duration{20 * time.Millisecond, 90 * time.Millisecond}, 21 * time.Millisecond},
+		{"packet loss", []time.Duration{70 * time.Millisecond, time.Second}, 70 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -125,7 +125,6 @@
 	}
 }
 
-// Of two other regions the nearer one is chosen.
 func TestPickPrefersNearerRegion(t *testing.T) {
 	for _, far := range []ident.Zone{"b1", "c1"} {
 		t.Run(string(far), func(t *testing.T) {
@@ -153,7 +152,7 @@
 	}
 }
 
-// fleet returns engines of the three regions, of each zone so many.
+// fleet returns engines of the three regions, counts of each zone.
 func fleet(counts map[ident.Zone]int) []backend.Record {
 	var records []backend.Record
 	for _, zone := range []ident.Zone{"a1", "a2", "b1", "b2", "c1", "c2"} {
@@ -164,11 +163,12 @@
 	return records
 }
 
-// homes returns the home that a router chooses for each of many prompts, by their keys.
+// homes returns the zone of the home that a router chooses for each of many prompts, by their
+// keys.
 func homes(known *backend.Registry, prompts uint64) map[uint64]ident.Zone {
 	chosen := make(map[uint64]ident.Zone)
 	for key := uint64(1); key <= prompts; key++ {
-		// A long part brings the request home from any place.
+		// With a long shared part the home is chosen from any zone.
 		wanted := &backend.Query{Service: "s", Model: model, HomeKey: key * 0x9e3779b97f4a7c15, SharedTokens: 60_000, OwnTokens: 1}
 		choice, attempt, found := known.Pick(start, wanted)
 		if found && choice.Home {
@@ -200,8 +200,8 @@
 	}
 }
 
-// Who stands in for a home that is silent or gone is in its region, where the store
-// that keeps its prompts is.
+// The replacement of a silent or removed home is in its region, where the store that keeps its
+// prompts is.
 func TestHomeFallbackStaysInRegion(t *testing.T) {
 	whole := fleet(map[ident.Zone]int{"a1": 5, "a2": 5, "b1": 5, "b2": 5, "c1": 5, "c2": 5})
 	// Each region loses two engines of ten.
@@ -236,7 +236,7 @@
 	}
 }
 
-// A region all of whose engines are silent keeps its prompts' homes elsewhere meanwhile.
+// Prompts whose home is in a region with only silent engines get homes elsewhere.
 func TestSilentRegionHasNoHomes(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 3, "b1": 3, "c1": 3})
@@ -247,8 +247,8 @@
 	}
 }
 
-// In a fleet of one region homes are those of the engines' own ranking, with or without
-// a name for the region.
+// In a fleet of one region homes follow the ranking of the engines, whether or not the region
+// has a name.
 func TestSingleRegionKeepsEngineRanking(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 4, "a2": 4})
@@ -263,8 +263,8 @@
 	is.Equal(len(homes(named, manyPrompts)), manyPrompts)
 }
 
-// A short shared part is read anew near by rather than sent to a home in another region; a
-// long one is worth the way.
+// A short shared part is prefilled again nearby rather than sent to a home in another region; a
+// long one is sent there.
 func TestOnlyLongPromptsCrossRegionsToTheirHome(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -289,7 +289,7 @@
 }
 
 // Prompts with one region key have their homes in one region, at several of its engines;
-// those with others are spread over all.
+// different keys spread over all regions.
 func TestRegionKeySelectsRegionOfHomes(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 3, "a2": 3, "b1": 3, "b2": 3, "c1": 3, "c2": 3})
--- a/internal/backend/gone.go
+++ b/internal/backend/gone.go
@@ -7,15 +7,12 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// goneTTL is how long a back end gets no work after another one was found at its address.
-// A life that ended never returns, and the list drops it after three heartbeats, within 4s;
-// the bound keeps a teller that is wrong from shutting a back end out for good. While
-// each router had to find out by itself, 42 engines that restarted at once cost 3,473
-// refused attempts of the repeat budget, and with it 1,677 requests (one day with 83
-// routers); told, one attempt an engine is refused.
+// goneTTL is how long a back end gets no work after another one was found at its address. An
+// incarnation that ended never returns and is unlisted within this time; the bound keeps a
+// faulty peer from excluding a back end permanently.
 const goneTTL = 4 * time.Second
 
-// PeerGone takes in that other routers found other back ends at the addresses of some.
+// PeerGone records that peers found other back ends at the addresses of these.
 func (r *Registry) PeerGone(now time.Time, instances []ident.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -26,7 +23,7 @@
 	}
 }
 
-// ObserveGone takes in that this router found another back end at the address of one.
+// ObserveGone records that this router found another back end at the address of one.
 func (r *Registry) ObserveGone(now time.Time, instance ident.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -43,8 +40,8 @@
 	known.goneUntil = now.Add(goneTTL)
 }
 
-// NewlyGone returns the back ends that this router found gone since the last call, for
-// the other routers.
+// NewlyGone returns the back ends that this router found gone since the last call, to notify
+// peers.
 func (r *Registry) NewlyGone() []ident.Incarnation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -53,5 +50,5 @@
 	return gone
 }
 
-// gone reports whether another back end was lately found at the address.
+// gone reports whether another back end was recently found at the address.
 func (s *state) gone(now time.Time) bool { return now.Before(s.goneUntil) }
--- a/internal/backend/gone_test.go
+++ b/internal/backend/gone_test.go
@@ -10,16 +10,16 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// A back end at whose address another one was found gets no work for a time, and its
-// prompts have another home.
+// A back end at whose address another one was found gets no work for a time, and its prompts
+// have another home.
 func TestGoneBackendGetsNoWork(t *testing.T) {
 	tests := []struct {
 		name string
 		find func(known *backend.Registry, home ident.Incarnation)
-		// after is the time between the finding and the choice.
+		// after is the time between the observation and the choice.
 		after time.Duration
 		same  bool
-		// notified is what the other routers are notified.
+		// notified is whether peers are to be notified.
 		notified bool
 	}{
 		{name: "by a request", notified: true, find: func(known *backend.Registry, _ ident.Incarnation) {
@@ -34,10 +34,10 @@
 			attempt.End(start, backend.Misdirected)
 			known.ObserveGone(start, home)
 		}},
-		{name: "by another router", find: func(known *backend.Registry, home ident.Incarnation) {
+		{name: "by a peer", find: func(known *backend.Registry, home ident.Incarnation) {
 			known.PeerGone(start, []ident.Incarnation{home})
 		}},
-		{name: "by another router before this one", find: func(known *backend.Registry, home ident.Incarnation) {
+		{name: "by a peer before this router", find: func(known *backend.Registry, home ident.Incarnation) {
 			known.PeerGone(start, []ident.Incarnation{home})
 			known.ObserveGone(start, home)
 		}},
@@ -63,7 +63,7 @@
 				want = []ident.Incarnation{home.Instance}
 			}
 			is.Equal(known.NewlyGone(), want)
-			is.Equal(len(known.NewlyGone()), 0) // told once
+			is.Equal(len(known.NewlyGone()), 0) // returned once
 		})
 	}
 }
--- a/internal/backend/home.go
+++ b/internal/backend/home.go
@@ -10,9 +10,9 @@
 	"github.com/fieldpond/fieldpond/internal/routing/rendezvous"
 )
 
-// home returns the back end that ranks first for the shared part of the prompt among
-// those allowed in its region, whether it is usable now or not. One that was told silent
-// or gone is passed over: as all routers are told so, they agree on the next one.
+// home returns the back end that ranks first for the shared part of the prompt among those
+// allowed in its region, whether it is usable now or not. One that was reported silent or gone
+// is skipped: all routers receive these reports, and so agree on the next one.
 func (r *Registry) home(now time.Time, query *Query, allowed []*state) *state {
 	if query.HomeKey == 0 || !r.config.Disabled.On(mechanism.HomeEngines) {
 		return nil
@@ -34,11 +34,10 @@
 	return firstRanked(query, allowed, notDraining)
 }
 
-// homeRegion returns the region of the home of a prompt, the same at every router.
-// Regions get prompts in proportion to their back ends, silent ones included. A prompt
-// keeps its region while the shares do, whichever back ends come and go, so that whoever
-// stands in for its home fetches what was kept of it within the region. Regions that
-// cannot be reached from here have no share.
+// homeRegion returns the region of the home of a prompt, the same at every router. Regions get
+// prompts in proportion to their back ends, silent ones included. A prompt keeps its region
+// while these shares do, so that the replacement of its home fetches cached parts within the
+// region. Regions that are unreachable from here have no share.
 func (r *Registry) homeRegion(now time.Time, query *Query, allowed []*state) ident.Region {
 	counts := make(map[ident.Region]int)
 	for _, known := range allowed {
@@ -58,8 +57,8 @@
 	return best
 }
 
-// weightedDraw turns a score, which is evenly spread over 64 bits, into a draw that is
-// the least of several in proportion to the weights.
+// weightedDraw turns a score, evenly distributed over 64 bits, into a draw that is the least of
+// several in proportion to the weights.
 func weightedDraw(score uint64, weight int) float64 {
 	part := (float64(score>>11) + 0.5) / (1 << 53)
 	return -math.Log(part) / float64(weight)
--- a/internal/backend/lateness_test.go
+++ b/internal/backend/lateness_test.go
@@ -11,13 +11,14 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// A router of a large fleet hears a few answers a second, of a few of many engines. It
-// notices by them that the whole service is late.
+// A router of a large fleet gets a few answers a second, each from one of many engines. Late
+// ones among them must show that the whole service is late.
 func TestFewLateAnswersShowCongestion(t *testing.T) {
 	const engines = 90
 	tests := []struct {
 		name string
-		// answers came late by a time, each some time after the one before.
+		// answers is the number of answers, each late by a time and some time after the
+		// previous one.
 		answers int
 		by      time.Duration
 		apart   time.Duration
@@ -54,7 +55,7 @@
 	}
 }
 
-// What other routers saw waiting at an engine counts as a wait there.
+// Requests that peers reported waiting at an engine count as a wait there.
 func TestPeerQueueCountsAsWait(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
--- a/internal/backend/latenotification_test.go
+++ b/internal/backend/latenotification_test.go
@@ -1,6 +1,4 @@
-// Notices between routers are datagrams. A router that stood still reads those of the
-// meantime all at once, and one that went a longer way comes after newer ones. No run
-// showed this one: it was found by reading.
+// Notifications between routers are datagrams, which may arrive late and out of order.
 package backend_test
 
 import (
@@ -10,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// A notice of older weights that comes late does not take back which ones an engine takes:
-// requests would be sent for the older ones, and be turned away.
+// A late notification of older weights must not replace the version that an engine is loading:
+// requests sent for the older version would be refused.
 func TestLateNotificationOfOlderWeightsIsIgnored(t *testing.T) {
 	const load = 700 * time.Millisecond
 	is := is.New(t)
@@ -19,12 +17,12 @@
 	known.MarkLoading(start, "a", model, 3, load)
 	known.MarkLoading(start.Add(100*time.Millisecond), "a", model, 2, load)
 	_, _, found := known.Pick(start.Add(650*time.Millisecond), query())
-	is.True(!found) // it takes weights 3
+	is.True(!found) // it is loading version 3
 	choice, _ := pick(t, known, start.Add(load), query())
 	is.Equal(choice.Version, 3)
 }
 
-// One that is known to have the newer weights stays in use.
+// An engine known to have the newer weights stays in use.
 func TestLateNotificationOfLoadedWeightsIsIgnored(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
--- a/internal/backend/limit.go
+++ b/internal/backend/limit.go
@@ -7,22 +7,22 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// AdvertisedLimit is what an answer of a back end says of a limit of its own: LimitedTo,
-// Unlimited or LimitNotAdvertised.
+// AdvertisedLimit is what an answer of a back end states about its limit: LimitedTo, Unlimited
+// or LimitNotAdvertised.
 type AdvertisedLimit interface{ advertisedLimit() }
 
-// LimitedTo names a limit.
+// LimitedTo advertises a limit.
 type LimitedTo struct {
-	// Rate is the number of requests a second that the back end takes from all routers
-	// together. One that takes none is tried at minLimit all the same.
+	// Rate is the number of requests a second that the back end accepts from all routers
+	// together. It is raised to minLimit.
 	Rate float64
 }
 
-// Unlimited says that the back end has no limit now.
+// Unlimited advertises that there is no limit.
 type Unlimited struct{}
 
-// LimitNotAdvertised says nothing: the answer is not that of the back end, or names a limit that
-// cannot be read. What was told before holds on.
+// LimitNotAdvertised leaves the limit as it is: the answer is not that of the back end, or its
+// limit cannot be parsed.
 type LimitNotAdvertised struct{}
 
 func (LimitedTo) advertisedLimit()          {}
@@ -30,48 +30,42 @@
 func (LimitNotAdvertised) advertisedLimit() {}
 
 const (
-	// minLimit is the number of requests a second that a back end is tried with which takes
-	// fewer, or none: only an answer tells that its need is over. It is a twelfth of what may
-	// reach a back end beyond its limit (five requests in 4 s).
+	// minLimit is the least rate, in requests a second, at which a limited back end is tried:
+	// only an answer can show that its limit has risen.
 	minLimit = 0.1
 	// maxLimit bounds a limit. No back end comes near it, and sums of it stay exact.
 	maxLimit = 1e6
-	// limitTolerance is the part by which a named limit must differ to count as another one, so
-	// that one that is worked out anew for each answer is not told to all routers each time.
+	// limitTolerance is the relative difference from which a limit counts as changed, so that
+	// one that is recomputed for each answer is not sent to all peers each time.
 	limitTolerance = 0.1
-	// limitTTL is how long a limit is believed that no answer confirms, here or at a router
-	// that tells of it. While there is demand an answer comes at least each 10 s (minLimit);
-	// a router that meanwhile can neither be granted a request nor hears of one must not shun
-	// the back end for ever.
+	// limitTTL is how long a limit applies that no answer confirms, here or at a peer. Without
+	// it a router that gets neither grants nor updates would avoid the back end for ever.
 	limitTTL = time.Minute
-	// raiseFactor and raiseStep raise a limit with each answer that no longer names one, and
-	// raiseEnd ends it. One answer without a limit may be one that a busy back end left it
-	// out of: if all routers took it as the end, what waited would come at once. A limit of
-	// 1.3 a second ends with the fourth such answer, 1.1 s after the first on the mean.
+	// raiseFactor and raiseStep raise a limit with each answer that no longer advertises one,
+	// and raiseEnd ends it. A busy back end may omit its limit from one answer; if that ended
+	// the limit at all routers, all waiting requests would be sent at once.
 	raiseFactor, raiseStep = 2, 2
 	raiseEnd               = 32
-	// maxLimitSequence bounds what other routers may tell.
+	// maxLimitSequence bounds the sequences accepted from peers.
 	maxLimitSequence = 1 << 53
 )
 
-// limit is what is believed of a back end's limit; the zero value means that none was ever
-// named.
+// limit is the known limit of a back end; the zero value means that none was ever advertised.
 type limit struct {
-	// limited says that there is one, of rate requests a second.
+	// limited is whether there is one, of rate requests a second.
 	limited bool
 	rate    float64
-	// sequence orders what routers tell of one life of a back end: the highest is the newest.
-	sequence uint64
-	// since is when this was learnt, lastByteAt when it was last confirmed.
+	// sequence orders the limits of one incarnation among routers: the highest is the newest.
+	sequence               uint64
 	changedAt, confirmedAt time.Time
-	// usedUpUntil ends the time for which no request will be granted to this router.
+	// usedUpUntil is the time before which this router gets no grant.
 	usedUpUntil time.Time
 }
 
-// inForce reports whether the back end gets only what is granted.
+// inForce reports whether the back end gets only requests that were granted.
 func (l *limit) inForce(now time.Time) bool { return l.limited && now.Sub(l.confirmedAt) <= limitTTL }
 
-// limitSkips reports whether nothing more is granted for now.
+// usedUp reports whether no request is granted for now.
 func (l *limit) usedUp(now time.Time) bool { return l.inForce(now) && now.Before(l.usedUpUntil) }
 
 // tighter reports whether a limit allows less than another one.
@@ -79,7 +73,7 @@
 	return l.limited && (!other.limited || l.rate < other.rate)
 }
 
-// similar reports whether two limits differ by too little to tell.
+// similar reports whether two limits differ by too little to count as a change.
 func (l *limit) similar(other *limit) bool {
 	if !l.limited || !other.limited {
 		return l.limited == other.limited
@@ -87,18 +81,18 @@
 	return math.Abs(l.rate-other.rate) <= limitTolerance*other.rate
 }
 
-// LimitChange is a change of what is believed of a back end's limit.
+// LimitChange is a change of the known limit of a back end.
 type LimitChange struct {
 	Limited bool
-	// Rate and Before are requests a second; 0 where there is no limit.
+	// Rate and PreviousRate are in requests a second; 0 means no limit.
 	Rate, PreviousRate float64
 }
 
-// observe takes in what an answer says of the limit; the call was sent at a time. It reports
-// whether that changes what was believed.
+// observe applies the limit advertised in the answer to a call sent at sentAt, and reports
+// whether it changed.
 //
-// A lower limit counts at once. A higher one, or none, counts only if the call was sent after
-// the one in force was learnt: answers on several connections overtake one another.
+// A lower limit applies at once. A higher one, or none, applies only if the call was sent after
+// the current one was received: answers on several connections may be reordered.
 func (l *limit) observe(now, sentAt time.Time, advertised AdvertisedLimit) (LimitChange, bool) {
 	before := *l
 	next, known := before.next(now, advertised)
@@ -116,7 +110,7 @@
 	return LimitChange{Limited: next.limited, Rate: next.rate, PreviousRate: before.rate}, true
 }
 
-// after returns the limit that an answer leaves, and whether it says anything of one.
+// next returns the limit after an answer, and whether the answer advertised anything about it.
 func (l *limit) next(now time.Time, advertised AdvertisedLimit) (limit, bool) {
 	next := limit{changedAt: now, confirmedAt: now}
 	switch advertised := advertised.(type) {
@@ -132,7 +126,7 @@
 	return next, true
 }
 
-// LimitedInstances returns the back ends that have a limit.
+// LimitedInstances returns the back ends with a limit in force.
 func (r *Registry) LimitedInstances(now time.Time) []ident.Incarnation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -145,7 +139,7 @@
 	return limited
 }
 
-// ConfirmLimit takes in that other routers still keep to a back end's limit.
+// ConfirmLimit records that peers still apply the limit of a back end.
 func (r *Registry) ConfirmLimit(now time.Time, instance ident.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -154,7 +148,7 @@
 	}
 }
 
-// ObserveLimitUsedUp takes in that a back end with a limit gets no request of this router until a
+// ObserveLimitUsedUp records that this router gets no grant for a limited back end until a
 // time.
 func (r *Registry) ObserveLimitUsedUp(instance ident.Incarnation, until time.Time) {
 	r.mutex.Lock()
--- a/internal/backend/limit_test.go
+++ b/internal/backend/limit_test.go
@@ -24,20 +24,20 @@
 		changed bool
 		rate    float64
 	}{
-		{"nothing is told", nil, answer{0, nil}, false, 0},
-		{"there is none", nil, answer{0, Unlimited{}}, false, 0},
-		{"the first", nil, answer{0, LimitedTo{Rate: 2}}, true, 2},
+		{"nothing is advertised", nil, answer{0, nil}, false, 0},
+		{"no limit", nil, answer{0, Unlimited{}}, false, 0},
+		{"the first limit", nil, answer{0, LimitedTo{Rate: 2}}, true, 2},
 		{"the same again", []answer{{0, LimitedTo{Rate: 2}}}, answer{1, LimitedTo{Rate: 2}}, false, 2},
-		{"one that can't be read", []answer{{0, LimitedTo{Rate: 2}}}, answer{5, LimitNotAdvertised{}}, false, 2},
-		{"a lower one in an answer that was overtaken", []answer{{3, LimitedTo{Rate: 2}}}, answer{0, LimitedTo{Rate: 1}}, true, 1},
-		{"a higher one in an answer that was overtaken", []answer{{3, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 2}}, false, 1},
+		{"one that cannot be parsed", []answer{{0, LimitedTo{Rate: 2}}}, answer{5, LimitNotAdvertised{}}, false, 2},
+		{"a lower one in a reordered answer", []answer{{3, LimitedTo{Rate: 2}}}, answer{0, LimitedTo{Rate: 1}}, true, 1},
+		{"a higher one in a reordered answer", []answer{{3, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 2}}, false, 1},
 		{"a higher one afterwards", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, LimitedTo{Rate: 2}}, true, 2},
-		{"none in an answer that was overtaken", []answer{{3, LimitedTo{Rate: 1}}}, answer{0, Unlimited{}}, false, 1},
+		{"none in a reordered answer", []answer{{3, LimitedTo{Rate: 1}}}, answer{0, Unlimited{}}, false, 1},
 		{"none afterwards", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, Unlimited{}}, true, 4},
 		{"none after a high one", []answer{{0, LimitedTo{Rate: 20}}}, answer{2, Unlimited{}}, true, 0},
-		{"a little more", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, LimitedTo{Rate: 1.05}}, false, 1},
-		{"one of nothing", []answer{{0, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 0}}, true, minLimit},
-		{"one that nothing reaches", nil, answer{0, LimitedTo{Rate: 1e308}}, true, maxLimit},
+		{"a slightly higher one", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, LimitedTo{Rate: 1.05}}, false, 1},
+		{"a limit of zero", []answer{{0, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 0}}, true, minLimit},
+		{"above the maximum", nil, answer{0, LimitedTo{Rate: 1e308}}, true, maxLimit},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 	is.Equal(len(r.LimitedInstances(at)), 0)
 }
 
-// limitedRegistry returns a registry with one back end that has named a limit.
+// limitedRegistry returns a registry with one back end that advertised a limit.
 func limitedRegistry(at time.Time, rate float64) *Registry {
 	r := NewRegistry(Config{})
 	r.ApplyList(at, []Record{{Instance: "e", Service: "s", Models: map[ident.Model]int{"m": 1}}})
@@ -81,8 +81,8 @@
 	return r
 }
 
-// A back end that names no limit any more is free after a few answers, and one that leaves its
-// limit out of one answer is not.
+// The limit of a back end that advertises none any more ends after a few answers, not with the
+// first one.
 func TestLimitEndsAfterSeveralAnswersWithoutOne(t *testing.T) {
 	tests := []struct {
 		rate    float64
@@ -123,12 +123,12 @@
 	}{
 		{"nothing", func(*Registry, time.Time) {}, false},
 		{"an answer", func(r *Registry, at time.Time) { observeLimit(r, at, "e", at, LimitedTo{Rate: 2}) }, true},
-		{"an answer that can't be read", func(r *Registry, at time.Time) { observeLimit(r, at, "e", at, LimitNotAdvertised{}) }, false},
-		{"a claim at another router", func(r *Registry, at time.Time) { r.ConfirmLimit(at, "e") }, true},
-		{"news", func(r *Registry, at time.Time) {
+		{"an answer that cannot be parsed", func(r *Registry, at time.Time) { observeLimit(r, at, "e", at, LimitNotAdvertised{}) }, false},
+		{"a reservation at a peer", func(r *Registry, at time.Time) { r.ConfirmLimit(at, "e") }, true},
+		{"a state update", func(r *Registry, at time.Time) {
 			r.ApplyUpdates(at, []StateUpdate{{Instance: "e", Sequence: 1, Limited: true, Rate: 2}})
 		}, true},
-		{"old news", func(r *Registry, at time.Time) {
+		{"an old state update", func(r *Registry, at time.Time) {
 			r.ApplyUpdates(at, []StateUpdate{{Instance: "e", Sequence: 1, Limited: true, Rate: 2, Age: 40 * time.Second}})
 		}, false},
 	}
@@ -159,10 +159,10 @@
 		{"as new and higher", StateUpdate{Sequence: 1, Limited: true, Rate: 3}, false, 2},
 		{"as new, none", StateUpdate{Sequence: 1}, false, 2},
 		{"not a number", StateUpdate{Sequence: 2, Limited: true, Rate: math.NaN()}, false, 2},
-		{"less than nothing", StateUpdate{Sequence: 2, Limited: true, Rate: -1}, false, 2},
-		{"without end", StateUpdate{Sequence: 2, Limited: true, Rate: math.Inf(1)}, false, 2},
+		{"negative", StateUpdate{Sequence: 2, Limited: true, Rate: -1}, false, 2},
+		{"infinite", StateUpdate{Sequence: 2, Limited: true, Rate: math.Inf(1)}, false, 2},
 		{"from the future", StateUpdate{Sequence: 2, Limited: true, Rate: 1, Age: -time.Second}, false, 2},
-		{"a sequence that leaves no room", StateUpdate{Sequence: math.MaxUint64, Limited: true, Rate: 1}, false, 2},
+		{"a sequence above the maximum", StateUpdate{Sequence: math.MaxUint64, Limited: true, Rate: 1}, false, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -209,7 +209,8 @@
 	is.True(!choice.AllLimited)
 }
 
-// A back end that rests after a refusal is worth a short wait, though all others are used up.
+// A back end that is paused after a refusal is worth a short wait, though the limits of all
+// others are used up.
 func TestPausedBackendMayBeAvailableSoon(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -228,7 +229,7 @@
 	is.Equal(r.Availability(now, &query), AvailableSoon{})
 }
 
-// observeLimit takes in what an answer to an attempt that was sent at a time says of a limit.
+// observeLimit applies the limit that the answer to a call sent at sentAt advertises.
 func observeLimit(r *Registry, now time.Time, instance ident.Incarnation, sentAt time.Time, advertised AdvertisedLimit) (LimitChange, bool) {
 	change := r.ObserveAdvertised(now, instance, sentAt, Advertised{Limit: advertised}, SourceAnswer)
 	return change.Limit, change.LimitChanged
--- a/internal/backend/listoutage_test.go
+++ b/internal/backend/listoutage_test.go
@@ -10,8 +10,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// countUsable returns 1 if an engine may get work, else 0. The others are those of the
-// tests of this file.
+// countUsable returns 1 if an engine may get work, else 0, with the other engines of this file
+// excluded.
 func countUsable(known *backend.Registry, name ident.Incarnation) int {
 	wanted := query()
 	for _, other := range []ident.Incarnation{"a", "b"} {
@@ -25,14 +25,14 @@
 	return 0
 }
 
-// Entries that lapsed while the list could not be read have two seconds after its
-// return to come back; then, and at any other time, a missing one is gone.
+// Entries that expired while the list could not be read have two seconds to return after the
+// outage; later, and at any other time, a missing one is gone.
 func TestRecordsMissingAfterListOutageHaveGracePeriod(t *testing.T) {
 	both := []backend.Record{engine("a", 1), engine("b", 1)}
 	one := both[:1]
 	type read struct {
 		at   time.Duration
-		list []backend.Record // nil: the list still holds
+		list []backend.Record // nil: the list is confirmed
 	}
 	tests := []struct {
 		name  string
@@ -43,11 +43,11 @@
 		{"no outage", []read{{time.Second, one}}, 1, 1},
 		{"just after an outage", []read{{6 * time.Second, one}}, 2, 0},
 		{"still missing", []read{{6 * time.Second, one}, {7 * time.Second, nil}}, 2, 0},
-		{"back again", []read{{6 * time.Second, one}, {7 * time.Second, both}, {9 * time.Second, nil}}, 2, 0},
-		{"gone by the same list", []read{{6 * time.Second, one}, {8 * time.Second, nil}}, 1, 1},
-		{"gone by a newer list", []read{{6 * time.Second, one}, {8 * time.Second, one}}, 1, 1},
+		{"listed again", []read{{6 * time.Second, one}, {7 * time.Second, both}, {9 * time.Second, nil}}, 2, 0},
+		{"gone, same list", []read{{6 * time.Second, one}, {8 * time.Second, nil}}, 1, 1},
+		{"gone, newer list", []read{{6 * time.Second, one}, {8 * time.Second, one}}, 1, 1},
 		{"removed long after", []read{{6 * time.Second, both}, {8 * time.Second, one}}, 1, 1},
-		{"an older read says nothing", []read{{6 * time.Second, one}, {5 * time.Second, nil}}, 2, 0},
+		{"an older read is ignored", []read{{6 * time.Second, one}, {5 * time.Second, nil}}, 2, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/backend/peerreports_test.go
+++ b/internal/backend/peerreports_test.go
@@ -10,16 +10,16 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// What another router told of the home of a prompt moves work elsewhere, for a short
-// time, unless this router knows better.
+// Reports of a peer about the home of a prompt divert work for a short time, unless this router
+// has newer evidence.
 func TestPeerReportsAboutHome(t *testing.T) {
 	tests := []struct {
 		name   string
 		report func(known *backend.Registry, home ident.Incarnation)
-		// after is the time between the telling and the choice.
+		// after is the time between the report and the choice.
 		after time.Duration
-		// same says that the choice stays where the prompt was at home, home that it is
-		// a home: that of a silent engine passes to the next one.
+		// same is whether the same back end is chosen, home whether the chosen one is a home:
+		// that of a silent engine passes to the next one.
 		same, home bool
 	}{
 		{"nothing", func(*backend.Registry, ident.Incarnation) {}, 0, true, true},
@@ -29,11 +29,11 @@
 		{"silent, some time ago", func(known *backend.Registry, home ident.Incarnation) {
 			known.PeerSilent(start, []ident.Incarnation{home})
 		}, backend.PeerSilentFor, true, true},
-		{"silent, and answering since", func(known *backend.Registry, home ident.Incarnation) {
+		{"silent, answering later", func(known *backend.Registry, home ident.Incarnation) {
 			known.PeerSilent(start, []ident.Incarnation{home})
 			known.PeerAnswering([]ident.Incarnation{home})
 		}, 0, true, true},
-		{"silent, but heard here since", func(known *backend.Registry, home ident.Incarnation) {
+		{"silent, but answered this router later", func(known *backend.Registry, home ident.Incarnation) {
 			_, attempt, _ := known.Pick(start, query())
 			known.PeerSilent(start, []ident.Incarnation{home})
 			attempt.ObserveBytes(start.Add(time.Millisecond))
@@ -51,7 +51,7 @@
 			known.PeerQueue(start, home, 16)
 			known.PeerQueue(start, home, 0)
 		}, 0, true, true},
-		{"no possible queue", func(known *backend.Registry, home ident.Incarnation) { known.PeerQueue(start, home, -5) }, 0, true, true},
+		{"an invalid queue", func(known *backend.Registry, home ident.Incarnation) { known.PeerQueue(start, home, -5) }, 0, true, true},
 		{"an old queue", func(known *backend.Registry, home ident.Incarnation) {
 			known.PeerQueue(start, home, 1<<30)
 		}, 1001 * time.Millisecond, true, true},
@@ -69,7 +69,7 @@
 	}
 }
 
-// A teller that is wrong about all engines shuts none out.
+// A peer that wrongly reports all engines excludes none.
 func TestAllEnginesReportedSilentAreStillUsed(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1))
@@ -81,8 +81,8 @@
 	is.True(choice.Home)
 }
 
-// Routers agree on the next home of a prompt whose home was told silent, and it takes
-// its prompts back when it answers.
+// Routers agree on the next home of a prompt whose home was reported silent, and the home gets
+// its prompts again when it answers.
 func TestRoutersAgreeOnNextHomeOfSilentEngine(t *testing.T) {
 	is := is.New(t)
 	first, second := registry(engine("a", 1), engine("b", 1), engine("c", 1)), registry(engine("c", 1), engine("a", 1), engine("b", 1))
--- a/internal/backend/prefillrate.go
+++ b/internal/backend/prefillrate.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// prefillRate learns how fast engines read prompts, from the times to the first byte
-// of answers: a low quantile of the time per token, since whatever else delays an
-// answer (other routers' requests, a part that was not kept) only adds to it.
+// prefillRate estimates how fast engines prefill prompts, from the times to the first byte of
+// answers. It tracks a low quantile of the time per token, since other delays (other routers'
+// requests, cache misses) only add to it.
 //
-// The estimate moves by a fixed ratio with each observation, down further than up,
-// so that it settles where one in five observations is faster. It stays within a
-// factor of maxPrefillRatio of its prior.
+// Each observation moves the estimate by a fixed ratio, further down than up, so that it
+// settles at prefillQuantile. It stays within a factor of maxPrefillRatio of its prior.
 type prefillRate struct {
 	prior, perToken time.Duration
 }
 
 const (
-	// prefillQuantile is the part of observations that are faster than the estimate.
+	// prefillQuantile is the share of observations that are faster than the estimate.
 	prefillQuantile = 0.2
 	// prefillStep is the most by which one observation moves the estimate, as a
 	// natural logarithm.
 	prefillStep = 0.1
 	// maxPrefillRatio is the largest ratio of the estimate and its prior, either way.
 	maxPrefillRatio = 8
-	// minPrefillTokens is the length of the shortest prompt, in tokens, that is looked
-	// at: with short ones the time does not come from reading.
+	// minPrefillTokens is the length in tokens of the shortest prompt that is observed: the
+	// time of shorter ones is not mainly prefill.
 	minPrefillTokens = 1000
-	// prefillOverhead is the part of the time to the first byte that is no reading:
-	// ways, and the first step of the engine.
+	// prefillOverhead is the part of the time to the first byte that is not prefill: the
+	// network, and the first step of the engine.
 	prefillOverhead = 15 * time.Millisecond
 )
 
@@ -36,8 +35,7 @@
 	return prefillRate{prior: prior, perToken: prior}
 }
 
-// observe takes in the time to the first byte of a prompt of which tokens had to
-// be read.
+// observe records the time to the first byte of a prompt of which tokens had to be prefilled.
 func (r *prefillRate) observe(tokens int, took time.Duration) {
 	if tokens < minPrefillTokens || took <= prefillOverhead {
 		return
@@ -51,5 +49,5 @@
 	r.perToken = min(max(moved, r.prior/maxPrefillRatio), r.prior*maxPrefillRatio)
 }
 
-// estimate returns the time to read so many tokens.
+// estimate returns the time to prefill this many tokens.
 func (r *prefillRate) estimate(tokens int) time.Duration { return time.Duration(tokens) * r.perToken }
--- a/internal/backend/prefillrate_test.go
+++ b/internal/backend/prefillrate_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Whatever the prior, the estimate comes near the true rate although three answers
-// in four are delayed by something else.
+// Whatever the prior, the estimate converges to the true rate although three answers in four
+// are delayed by something else.
 func TestPrefillRateConverges(t *testing.T) {
 	const prior = 26 * time.Microsecond
 	tests := []struct {
@@ -51,7 +51,7 @@
 		most   time.Duration
 	}{
 		{"a short prompt", 999, time.Second, 50, prior, prior},
-		{"an answer faster than its way", 5000, prefillOverhead, 50, prior, prior},
+		{"an answer within the overhead", 5000, prefillOverhead, 50, prior, prior},
 		{"one answer", 5000, time.Hour, 1, prior, prior * 103 / 100},
 		{"very slow answers", 5000, time.Hour, 5000, prior * maxPrefillRatio, prior * maxPrefillRatio},
 		{"very fast answers", 5000, prefillOverhead + 1, 5000, prior / maxPrefillRatio, prior / maxPrefillRatio},
--- a/internal/backend/reachability.go
+++ b/internal/backend/reachability.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// minUnreachableBackends is the number of back ends of another region that must have failed, with
-	// no answer of any in between, for the whole region to be taken for lost: one or two
-	// are lost in any fleet.
+	// minUnreachableBackends is the number of back ends of another region that must have
+	// failed, with no answer of any in between, for the region to count as unreachable: one or
+	// two fail in any fleet.
 	minUnreachableBackends = 3
-	// firstUnreachablePause and maxUnreachablePause bound how long a lost region is passed over until it is
-	// tried again; the time doubles with each failure in a row. Without this each request
-	// with a home there waits out the opening of a connection (300 ms) first.
+	// firstUnreachablePause and maxUnreachablePause bound how long an unreachable region is
+	// skipped until it is tried again; the pause doubles with each failure in a row. Without it
+	// each request with a home there would first wait for a connection timeout.
 	firstUnreachablePause = time.Second
 	maxUnreachablePause   = 4 * time.Second
 )
 
-// reachability is what is known of whether another region can be reached from here.
+// reachability is whether another region can be reached from here.
 type reachability struct {
-	// failing are the back ends that failed since one answered last.
+	// failing are the back ends that failed since one last answered.
 	failing map[ident.Incarnation]struct{}
-	// unreachableUntil ends the time for which the region is passed over, pause is its length.
+	// unreachableUntil ends the time for which the region is skipped, of length pause.
 	unreachableUntil time.Time
 	pause            time.Duration
 }
 
-// regionUnreachable reports whether a back end is in a region that cannot be reached now.
+// regionUnreachable reports whether the region of a back end is unreachable now.
 func (r *Registry) regionUnreachable(now time.Time, known *state) bool {
 	entry := r.reachability[r.config.Regions.Of(known.record.Zone)]
 	return entry != nil && now.Before(entry.unreachableUntil)
 }
 
-// observeReachable takes in that a back end answered.
+// observeReachable records that a back end answered.
 func (r *Registry) observeReachable(known *state) {
 	delete(r.reachability, r.config.Regions.Of(known.record.Zone))
 }
 
-// observeUnreachable takes in that a back end was not reached, or was silent.
+// observeUnreachable records that a back end could not be reached, or was silent.
 func (r *Registry) observeUnreachable(now time.Time, known *state) {
 	if r.config.Regions.Same(r.config.Zone, known.record.Zone) {
 		return
@@ -58,7 +58,7 @@
 	entry.unreachableUntil = now.Add(entry.pause)
 }
 
-// UnreachableRegions returns the regions that cannot be reached now, by their names.
+// UnreachableRegions returns the regions that are unreachable now, sorted by name.
 func (r *Registry) UnreachableRegions(now time.Time) []ident.Region {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/reachability_test.go
+++ b/internal/backend/reachability_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// failAttempts lets an attempt at each of some back ends of a zone end so.
+// failAttempts ends attempts at a number of back ends of a zone with an outcome.
 func failAttempts(t *testing.T, known *backend.Registry, now time.Time, zone ident.Zone, count int, outcome backend.Outcome) {
 	t.Helper()
 	failed := 0
@@ -34,7 +34,7 @@
 	}
 }
 
-// zonesAt returns how many of many prompts a router sends to each zone.
+// zonesAt returns how many of 100 prompts a router sends to each zone.
 func zonesAt(known *backend.Registry, now time.Time) map[ident.Zone]int {
 	sent := make(map[ident.Zone]int)
 	for key := uint64(1); key <= 100; key++ {
@@ -82,7 +82,7 @@
 		{"three were unreachable some time ago", func(known *backend.Registry) {
 			failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 		}, 1100 * time.Millisecond, false},
-		{"three were, and one is again", func(known *backend.Registry) {
+		{"three were some time ago, and one is now", func(known *backend.Registry) {
 			failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 			failAttempts(t, known, start.Add(1100*time.Millisecond), "b2", 1, backend.Unreachable)
 		}, 1900 * time.Millisecond, true},
@@ -100,7 +100,7 @@
 	}
 }
 
-// Routers of a region that lost another one agree on the homes of its prompts meanwhile.
+// Routers for which the same region is unreachable agree on the homes of its prompts.
 func TestRoutersAgreeOnHomesWithoutUnreachableRegion(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 8, "b1": 8, "c1": 8})
@@ -113,7 +113,7 @@
 	is.Equal(homes(other, manyPrompts), found)
 }
 
-// Where all else is lost too, a request is still sent to a region that does not answer.
+// If no other region has back ends, a request is still sent to an unreachable one.
 func TestUnreachableRegionIsUsedAsLastResort(t *testing.T) {
 	is := is.New(t)
 	var records []backend.Record
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -11,27 +11,27 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// Registry believes the newest list of back ends and chooses among them.
+// Registry tracks the back ends of the newest instance list and chooses among them.
 type Registry struct {
 	config Config
 
-	mutex        sync.Mutex
-	services     map[ident.Service][]*state
-	prefillRates map[ident.Service]*prefillRate
-	// serviceLateness are those of the answers of whole services.
+	mutex           sync.Mutex
+	services        map[ident.Service][]*state
+	prefillRates    map[ident.Service]*prefillRate
 	serviceLateness map[ident.Service]*serviceLateness
 	byID            map[ident.Incarnation]*state
 	removed         removedBackends
 	listedAt        time.Time
 	listOutage      listOutage
-	// newlyGone are the back ends that this router found gone and has not told yet.
+	// newlyGone are the back ends that this router found gone and has not returned from
+	// NewlyGone yet.
 	newlyGone  []ident.Incarnation
 	roundTrips roundTrips
-	// reachability are those of other regions with back ends that failed lately.
+	// reachability is that of other regions with recent failures.
 	reachability map[ident.Region]*reachability
 }
 
-// NewRegistry returns a registry that knows no back end.
+// NewRegistry returns a registry without back ends.
 func NewRegistry(config Config) *Registry {
 	return &Registry{
 		config:          config.withDefaults(),
@@ -45,14 +45,14 @@
 	}
 }
 
-// ListedAt returns the time of the newest list taken in; zero means none.
+// ListedAt returns the time of the newest list that was applied; zero means none.
 func (r *Registry) ListedAt() time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.listedAt
 }
 
-// Records returns the newest list, ordered by instance.
+// Records returns the newest list, ordered by instance. Draining includes advertised drains.
 func (r *Registry) Records() []Record {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -80,7 +80,7 @@
 	Record Record
 }
 
-// ChangeKind says what became of a back end.
+// ChangeKind is what changed about a back end.
 type ChangeKind string
 
 // The kinds of change.
@@ -91,8 +91,8 @@
 	Reloaded   ChangeKind = "reloaded"
 )
 
-// ApplyList takes in a whole list as it was at a time; an older list than the
-// newest one is ignored. It returns what changed.
+// ApplyList applies a whole list as of a time and returns what changed. Lists older than the
+// newest one are ignored.
 func (r *Registry) ApplyList(listedAt time.Time, records []Record) []Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -129,15 +129,15 @@
 	return changes
 }
 
-// StoreRestored takes in that the store of the list came back from an older copy.
+// StoreRestored records that the store of the instance list was restored from an older copy.
 func (r *Registry) StoreRestored(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.listOutage.observeRestore(now)
 }
 
-// ConfirmList takes in that the newest list still held at a time. It returns what
-// changed: back ends that did not come back after an outage.
+// ConfirmList records that the newest list was still current at a time. It returns what
+// changed: back ends that did not return after an outage.
 func (r *Registry) ConfirmList(listedAt time.Time) []Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -152,7 +152,7 @@
 	return r.dropMissing()
 }
 
-// dropMissing drops the back ends that the list lacks.
+// dropMissing removes the back ends that the list lacks.
 func (r *Registry) dropMissing() []Change {
 	var changes []Change
 	for instance, known := range r.byID {
@@ -168,7 +168,7 @@
 	return changes
 }
 
-// applyRecord takes in one record of a list as it was at a time, and tells what changed, if anything.
+// applyRecord applies one record of a list as of a time and returns what changed, if anything.
 func (r *Registry) applyRecord(listedAt time.Time, record Record) (*state, ChangeKind) {
 	known := r.byID[record.Instance]
 	if known == nil {
@@ -197,8 +197,8 @@
 	return known, change
 }
 
-// newState returns the state of a back end that the last list did not hold. One that was known
-// before goes on with what it said then.
+// newState returns the state of a back end that the last list lacked. One that was removed
+// before keeps its advertised state.
 func (r *Registry) newState(record Record) *state {
 	advertised := &advertisedState{}
 	if earlier, gone := r.removed[record.Instance]; gone {
@@ -209,9 +209,8 @@
 	return &state{record: record, advertisedState: advertised, attempts: make(map[*Attempt]struct{})}
 }
 
-// newestVersions returns the versions that a list tells, but for those of which newer
-// ones were seen before: a back end never goes back within one life, and the list
-// lags.
+// newestVersions returns the listed versions, raised to those observed earlier: the list lags,
+// and an incarnation never goes back to older weights.
 func newestVersions(earlier, listed map[ident.Model]int) map[ident.Model]int {
 	newest := maps.Clone(listed)
 	for model, version := range listed {
@@ -220,8 +219,8 @@
 	return newest
 }
 
-// ObserveVersion takes in that a back end was seen at a version of a model's
-// weights, by an answer or a report newer than the list.
+// ObserveVersion records the version of a model's weights that an answer or a report newer than
+// the list showed.
 func (r *Registry) ObserveVersion(instance ident.Incarnation, model ident.Model, version int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -236,9 +235,8 @@
 	known.pausedUntil = time.Time{}
 }
 
-// AssumeVersion takes a back end to have a version of a model's weights until
-// the list must have told it. It decides where attempts go and is no fact:
-// Records does not tell it.
+// AssumeVersion assumes that a back end has a version of a model's weights until the list must
+// show it. It affects where attempts go, but not Records.
 func (r *Registry) AssumeVersion(now time.Time, instance ident.Incarnation, model ident.Model, version int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -248,10 +246,10 @@
 	}
 }
 
-// MarkLoading takes in that a back end is about to take a version of a model's
-// weights. It gets no work of that model for the time that this takes, 0 meaning that
-// it was not told, and is then taken to have the version, until the list must have
-// told it. Versions only rise: a notice of an older one than was told before is late.
+// MarkLoading records that a back end is about to load a version of a model's weights. It gets
+// no work of that model for the duration, 0 meaning unknown, and is then assumed to have the
+// version until the list must show it. Versions only rise: a call with an older one than before
+// comes from a late notification and is ignored.
 func (r *Registry) MarkLoading(now time.Time, instance ident.Incarnation, model ident.Model, version int, duration time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -263,7 +261,7 @@
 	known.loadingUntil = now.Add(cmp.Or(duration, defaultLoadingTime))
 }
 
-// CancelLoading takes back that a back end is about to take a version.
+// CancelLoading reverts MarkLoading of that version.
 func (r *Registry) CancelLoading(instance ident.Incarnation, model ident.Model, version int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -273,12 +271,12 @@
 	}
 }
 
-// PeerSilentFor is how long an engine that another router found silent counts as such
-// here, unless it is told again or answers this router.
+// PeerSilentFor is how long an engine that a peer reported silent counts as such here, unless
+// it is reported again or answers this router.
 const PeerSilentFor = 1200 * time.Millisecond
 
-// PeerSilent takes in that another router gets no answer from back ends. They are
-// dearer for a short time, so that a teller that is wrong shuts none out.
+// PeerSilent records that a peer gets no answer from back ends. They cost more for a short
+// time, so that a faulty peer cannot exclude any.
 func (r *Registry) PeerSilent(now time.Time, instances []ident.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -294,7 +292,7 @@
 	}
 }
 
-// PeerAnswering takes in that back ends answer another router again.
+// PeerAnswering records that back ends answer a peer again.
 func (r *Registry) PeerAnswering(instances []ident.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -305,8 +303,7 @@
 	}
 }
 
-// PeerQueue takes in that a number of requests wait at a back end, as another router
-// found.
+// PeerQueue records the number of requests that a peer found waiting at a back end.
 func (r *Registry) PeerQueue(now time.Time, instance ident.Incarnation, waiting int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -315,7 +312,7 @@
 	}
 }
 
-// DrainingOrUnlisted reports whether a back end drains or is not listed.
+// DrainingOrUnlisted reports whether a back end is draining or is not listed.
 func (r *Registry) DrainingOrUnlisted(instance ident.Incarnation) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -323,7 +320,8 @@
 	return known == nil || known.missing || known.drain.active()
 }
 
-// InFlightBefore reports whether an attempt is under way at a back end that began before a time.
+// InFlightBefore reports whether an attempt that began before a time is in flight at a back
+// end.
 func (r *Registry) InFlightBefore(instance ident.Incarnation, before time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -339,7 +337,7 @@
 	return false
 }
 
-// InFlight returns the number of attempts under way at all back ends.
+// InFlight returns the number of attempts in flight at all back ends.
 func (r *Registry) InFlight() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/registry_test.go
+++ b/internal/backend/registry_test.go
@@ -96,7 +96,7 @@
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	wanted := query()
-	wanted.OwnTokens = 10_000 // 260ms of reading
+	wanted.OwnTokens = 10_000 // 260ms of prefill
 	wanted.Expiries = []backend.Expiry{{Version: 2, At: start.Add(400 * time.Millisecond)}}
 	_, _, found := known.Pick(start, wanted)
 	is.True(!found)
@@ -122,7 +122,7 @@
 	known.ObserveVersion("a", model, 3)
 	choice, _ := pick(t, known, start, query())
 	is.Equal(choice.Version, 3)
-	known.ObserveVersion("a", model, 2) // older news changes nothing
+	known.ObserveVersion("a", model, 2) // an older version is ignored
 	choice, _ = pick(t, known, start, query())
 	is.Equal(choice.Version, 3)
 }
@@ -151,7 +151,7 @@
 			is.Equal(next.Instance != first.Instance, c.away)
 			other.End(start, backend.Answered)
 			later, _ := pick(t, known, start.Add(time.Minute), query())
-			is.Equal(later.Instance, first.Instance) // nothing is held against it for ever
+			is.Equal(later.Instance, first.Instance) // the effect of the outcome expires
 		})
 	}
 }
@@ -166,7 +166,7 @@
 	other.End(later, backend.Answered)
 	attempt.ObserveBytes(later)
 	attempt.End(later, backend.Answered)
-	// The lateness is forgotten too.
+	// The lateness decays too.
 	again, _ := pick(t, known, later.Add(time.Minute), query())
 	is.Equal(again.Instance, home.Instance)
 }
@@ -209,8 +209,8 @@
 	attempt.End(start, backend.Broken)
 }
 
-// What is only assumed of a back end decides where attempts go, but is not told
-// to those who change its weights: they would leave it behind for ever.
+// An assumed version affects where attempts go but is not in Records: those who update weights
+// would otherwise never update this back end.
 func TestAssumedVersionIsNotInRecords(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 4))
@@ -219,7 +219,7 @@
 	is.Equal(choice.Version, 5)
 	is.Equal(known.Records()[0].Models[model], 4)
 	later, _ := pick(t, known, start.Add(time.Minute), query())
-	is.Equal(later.Version, 4) // the list would have told it by then
+	is.Equal(later.Version, 4) // the list would show it by then
 }
 
 func TestRefusalDropsAssumedVersion(t *testing.T) {
@@ -232,9 +232,8 @@
 	is.Equal(choice.Version, 4)
 }
 
-// Where back ends cost the same, prompts spread over them: an engine that is
-// first in the list is no better than another, and each prompt has its own order
-// in which the engines stand in for its home.
+// Back ends of equal cost share the work: the order of the list does not matter, and each
+// prompt has its own order of replacements for its home.
 func TestEqualBackendsShareWork(t *testing.T) {
 	is := is.New(t)
 	const engines, prompts = 20, 400
@@ -256,13 +255,14 @@
 	}
 	for instance, count := range chosen {
 		if count > 3*prompts/engines {
-			t.Errorf("%s stands in for %d of %d prompts", instance, count, prompts)
+			t.Errorf("%s replaces the home of %d of %d prompts", instance, count, prompts)
 		}
 	}
 	is.Equal(len(chosen), engines)
 }
 
-// The list lags behind what answers prove; a back end never goes back.
+// The list lags behind the versions that answers show, and an incarnation never goes back to
+// older weights.
 func TestListDoesNotLowerObservedVersion(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
@@ -290,19 +290,19 @@
 	}{
 		{"at once", nothing, 0, 0},
 		{"half a second later", nothing, 500 * time.Millisecond, 0},
-		{"when it usually has them", nothing, 800 * time.Millisecond, 2},
-		{"when the list would have told it", nothing, time.Minute, 1},
+		{"after the default loading time", nothing, 800 * time.Millisecond, 2},
+		{"when the list would show it", nothing, time.Minute, 1},
 		{"once it has them", func(known *backend.Registry) { known.ObserveVersion("a", model, 2) }, 0, 2},
-		{"once that was taken back", func(known *backend.Registry) { known.CancelLoading("a", model, 2) }, 0, 1},
-		{"once an older notice was taken back", func(known *backend.Registry) { known.CancelLoading("a", model, 1) }, 0, 0},
+		{"once that was cancelled", func(known *backend.Registry) { known.CancelLoading("a", model, 2) }, 0, 1},
+		{"once an older version was cancelled", func(known *backend.Registry) { known.CancelLoading("a", model, 1) }, 0, 0},
 		{"for another model", func(known *backend.Registry) { known.MarkLoading(start, "a", "other", 2, 0) }, 0, 1},
-		{"while it takes longer, as was told", func(known *backend.Registry) {
+		{"within a longer loading time", func(known *backend.Registry) {
 			known.MarkLoading(start, "a", model, 2, 1400*time.Millisecond)
 		}, 1300 * time.Millisecond, 0},
-		{"after the longer time that was told", func(known *backend.Registry) {
+		{"after a longer loading time", func(known *backend.Registry) {
 			known.MarkLoading(start, "a", model, 2, 1400*time.Millisecond)
 		}, 1500 * time.Millisecond, 2},
-		{"after it proved not to have them", func(known *backend.Registry) {
+		{"after it refused the version", func(known *backend.Registry) {
 			_, attempt, _ := known.Pick(start.Add(time.Second), query())
 			attempt.End(start.Add(time.Second), backend.WrongVersion)
 		}, 1300 * time.Millisecond, 1},
@@ -319,15 +319,15 @@
 	}
 }
 
-// The congestion of a service is the mean over its back ends of how late they lately
-// answered, also of those that answer in time.
+// The congestion of a service is the mean lateness of its recent answers, including those in
+// time.
 func TestCongestionIsMeanLateness(t *testing.T) {
 	tests := []struct {
 		name        string
 		late        []time.Duration
 		least, most float64
 	}{
-		{"calm", []time.Duration{0, 0, 0, 0}, 0, 0},
+		{"in time", []time.Duration{0, 0, 0, 0}, 0, 0},
 		{"one late", []time.Duration{800 * time.Millisecond, 0, 0, 0}, 0.4, 0.7},
 		{"all late", []time.Duration{time.Second, time.Second, time.Second, time.Second}, 2.5, 4},
 	}
@@ -344,7 +344,7 @@
 				attempt.ObserveBytes(start.Add(choice.Predicted + by))
 				attempt.End(start.Add(choice.Predicted+by), backend.Answered)
 			}
-			// One observation counts three tenths, and half of that a second later.
+			// The weight of an answer halves in a second.
 			choice, _ := pick(t, known, start.Add(time.Second), query())
 			is.True(choice.Congestion >= tt.least)
 			is.True(choice.Congestion <= tt.most)
@@ -359,7 +359,7 @@
 		left   time.Duration
 		want   bool
 	}{
-		{"calm", backend.Choice{Queued: time.Second}, time.Second, false},
+		{"not congested", backend.Choice{Queued: time.Second}, time.Second, false},
 		{"a long prompt", backend.Choice{Predicted: time.Second, Congestion: 2}, time.Second, false},
 		{"one engine late", backend.Choice{Queued: time.Second, Lateness: time.Second, Congestion: 0.6}, time.Second, false},
 		{"a short wait", backend.Choice{Queued: 50 * time.Millisecond, Lateness: 50 * time.Millisecond, Congestion: 2}, 4 * time.Second, false},
@@ -375,7 +375,7 @@
 	}
 }
 
-// What a prompt waits for is what was sent before it, not its own length.
+// The wait of a prompt is the work sent before it, without its own prefill.
 func TestWaitExcludesOwnPrompt(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
@@ -390,7 +390,7 @@
 	is.True(third.Wait() < second.Wait())
 }
 
-// The wait that is predicted follows what engines are seen to need.
+// Predictions follow the observed prefill rate of the engines.
 func TestPredictionsFollowPrefillRate(t *testing.T) {
 	tests := []struct {
 		name string
--- a/internal/backend/releases_choice_test.go
+++ b/internal/backend/releases_choice_test.go
@@ -18,7 +18,7 @@
 	return record
 }
 
-// twoReleases are four engines of a release beside four of its successor.
+// twoReleases returns four engines of a release and four of its successor.
 func twoReleases() []backend.Record {
 	var records []backend.Record
 	for index := range 4 {
@@ -28,8 +28,8 @@
 	return records
 }
 
-// Whatever the prompt's home is, and however busy or bad the allowed back ends are, no
-// attempt goes to a release that is not allowed.
+// No attempt goes to a release that is not allowed, whatever the home of the prompt and the
+// load or failures of the allowed back ends.
 func TestOnlyAllowedReleasesAreChosen(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -58,7 +58,7 @@
 				is.True(!tt.releases.Restricted() || tt.releases.Allows(choice.Release))
 				is.Equal(choice.Releases, tt.releases)
 				if key%3 == 0 {
-					attempt.End(start, backend.Broken) // the rest carry ever more
+					attempt.End(start, backend.Broken) // the rest stay in flight
 				}
 			}
 			is.Equal(got, tt.want)
@@ -66,7 +66,8 @@
 	}
 }
 
-// The home of a prompt is one of the allowed back ends, so that its parts are kept there.
+// The home of a prompt is one of the allowed back ends, so that its shared part is cached
+// there.
 func TestHomeIsAnAllowedBackend(t *testing.T) {
 	is := is.New(t)
 	known := registry(twoReleases()...)
@@ -97,7 +98,7 @@
 	first := chosen(registry(twoReleases()...))
 	is.Equal(len(first), 2)
 	is.Equal(chosen(registry(twoReleases()...)), first) // routers agree
-	// One that leaves is replaced by another.
+	// A draining back end is replaced by another one.
 	records := twoReleases()
 	for index := range records {
 		if first[records[index].Instance] {
@@ -110,8 +111,8 @@
 	is.True(fmt.Sprint(second) != fmt.Sprint(first))
 }
 
-// What a release on trial does late says nothing of the others' load, and nothing of how
-// fast they read.
+// Late answers of a release on trial affect neither the congestion nor the prefill rate of the
+// service.
 func TestLateTrialDoesNotCongestService(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -144,7 +145,7 @@
 	}
 }
 
-// A service that is not being moved pays nothing for the choice among releases.
+// A service without a rollout has no cost from the choice among releases.
 func BenchmarkPickOfAnyRelease(b *testing.B) {
 	known := registry(twoReleases()...)
 	wanted := query()
--- a/internal/backend/removed.go
+++ b/internal/backend/removed.go
@@ -6,33 +6,31 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// removedTTL is how long a back end is remembered whose row is gone. The store carries
-// writes out some seconds late, and removes a row that nobody writes after about 4s more.
+// removedTTL is how long a back end is remembered that is no longer listed. The store may apply
+// writes some seconds late, and removes an entry some seconds after its last write.
 const removedTTL = time.Minute
 
-// removedBackend is what was known of a back end whose row is gone. The row of one that lives comes
-// back if its writes were late, and a late write brings that of one that has ended back for
-// a while: neither is a new life.
+// removedBackend is the known state of a back end that is no longer listed. A late write may
+// list it again, whether it is live or has ended: neither is a new incarnation.
 type removedBackend struct {
-	record Record
-	// advertised are what it said of itself.
+	record     Record
 	advertised *advertisedState
 	removedAt  time.Time
 }
 
-// removedBackends are the back ends that are gone, by life.
+// removedBackends are the back ends that are no longer listed.
 type removedBackends map[ident.Incarnation]removedBackend
 
-// maxRemoved bounds the back ends that are remembered, whatever other routers tell of.
+// maxRemoved bounds the back ends that are remembered, whatever peers report.
 const maxRemoved = 4096
 
-// add remembers a back end that is gone.
+// add remembers a back end that is no longer listed.
 func (r removedBackends) add(removedAt time.Time, known *state) {
 	r[known.record.Instance] = removedBackend{record: known.record, advertised: known.advertisedState, removedAt: removedAt}
 }
 
-// addUnlisted returns the words of a back end that others know and whose row was not read here yet,
-// nil if there is no room.
+// addUnlisted returns the advertised state of a back end that peers reported and that was not
+// listed here yet, nil if there is no room.
 func (r removedBackends) addUnlisted(now time.Time, instance ident.Incarnation) *advertisedState {
 	if len(r) >= maxRemoved {
 		return nil
@@ -42,7 +40,7 @@
 	return added.advertised
 }
 
-// expire drops those that are gone for long.
+// expire drops those that were removed more than removedTTL ago.
 func (r removedBackends) expire(now time.Time) {
 	for instance, known := range r {
 		if now.Sub(known.removedAt) > removedTTL {
@@ -51,15 +49,15 @@
 	}
 }
 
-// mergeRecord returns a record as it must be, given an earlier one of the same life: a back end
-// never goes back to older weights, while a row may be written late.
+// mergeRecord returns a record corrected by an earlier one of the same incarnation: a back end
+// never goes back to older weights, while an entry may be written late.
 func mergeRecord(earlier *Record, record Record) Record {
 	record.Models = newestVersions(earlier.Models, record.Models)
 	return record
 }
 
-// MarkDraining marks those records as draining whose back ends were known to leave. It is
-// for lists that are passed on: whoever starts later can't know.
+// MarkDraining marks the records of back ends known to be draining. It is for lists sent to
+// other routers: those that start later cannot have received the advertised drains.
 func (r *Registry) MarkDraining(records []Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/removed_test.go
+++ b/internal/backend/removed_test.go
@@ -1,11 +1,6 @@
-// The store may carry out a write of an engine seconds late, after newer ones: the row then
-// tells an older state, or is there again though it was removed.
-//
-// Evidence: in two plays with six in ten writes late, rows of engines were removed and came
-// back 14 and 10 times at each router within 25 s, 0.4 to 2.6 s later; some of them only for
-// the three heartbeats after which the store removes a row that nobody writes. Those that
-// come back were taken for new engines: one that had drained would get work, and one that
-// had loaded new weights was expected to have those of its row.
+// A delayed write of the store may list an older state of an engine, or list it again after its
+// removal. If such an entry counted as a new engine, a drained one would get work, and one with
+// new weights would be expected to have those of the entry.
 package backend_test
 
 import (
@@ -18,7 +13,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// lists are lists of engines, read one second apart.
+// applyLists applies lists of engines, read one second apart, and returns the time of the last
+// one.
 func applyLists(known *backend.Registry, lists ...[]backend.Record) time.Time {
 	now := start
 	for _, records := range lists {
@@ -41,11 +37,11 @@
 		lists [][]backend.Record
 		work  bool
 	}{
-		{"an older write after it", [][]backend.Record{{recordAt(2, true, 1)}, {recordAt(3, false, 1)}}, false},
-		{"and two older ones", [][]backend.Record{{recordAt(2, true, 1)}, {recordAt(3, false, 1)}, {recordAt(4, false, 1)}}, false},
-		{"an older one after its row was removed", [][]backend.Record{{recordAt(2, true, 1)}, none, {recordAt(4, false, 1)}}, false},
+		{"an older write after the drain", [][]backend.Record{{recordAt(2, true, 1)}, {recordAt(3, false, 1)}}, false},
+		{"two older writes after the drain", [][]backend.Record{{recordAt(2, true, 1)}, {recordAt(3, false, 1)}, {recordAt(4, false, 1)}}, false},
+		{"an older write after its removal", [][]backend.Record{{recordAt(2, true, 1)}, none, {recordAt(4, false, 1)}}, false},
 		{"removed twice", [][]backend.Record{{recordAt(2, true, 1)}, none, {recordAt(4, false, 1)}, none, {recordAt(6, false, 1)}}, false},
-		{"one that did not drain comes back", [][]backend.Record{none, {recordAt(4, false, 1)}}, true},
+		{"one that did not drain is listed again", [][]backend.Record{none, {recordAt(4, false, 1)}}, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -73,7 +69,7 @@
 	is.Equal(choice.Version, 3)
 }
 
-// What is remembered of those that are gone is bounded.
+// The memory of removed back ends is bounded.
 func TestRemovedBackendsExpire(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 3))
--- a/internal/backend/roundtrips.go
+++ b/internal/backend/roundtrips.go
@@ -7,7 +7,7 @@
 	"github.com/fieldpond/fieldpond/internal/region"
 )
 
-// hopCost returns the price of the way to a back end.
+// hopCost returns the cost of the network distance to a back end.
 func (r *Registry) hopCost(candidate *state) time.Duration {
 	switch r.config.Regions.Between(r.config.Zone, candidate.record.Zone) {
 	case region.SameZone:
@@ -19,8 +19,8 @@
 	}
 }
 
-// spillFactor returns the price of a shared part at an engine that is not the home of its
-// prompt, in times that it takes to read it there.
+// spillFactor returns the cost of a shared part at an engine that is not the prompt's home, in
+// units of its prefill time.
 func (r *Registry) spillFactor(candidate, home *state) float64 {
 	if home == nil || r.config.Regions.Same(candidate.record.Zone, home.record.Zone) {
 		return spillFactor
@@ -28,23 +28,21 @@
 	return farSpillFactor
 }
 
-// roundTrips are the round trips to other zones, as the openings of connections took them. An
-// opening is one round trip and the work of the back end, so that the least of the last
-// ones is closest to the truth.
+// roundTrips are the round-trip times to other zones, taken from connection setups. A setup is
+// one round trip plus work of the back end, so the least of the recent ones is the best
+// estimate.
 type roundTrips map[ident.Zone]time.Duration
 
 const (
-	// roundTripDrift is the part by which a round trip is taken to have become longer with
-	// each opening that took longer, as a divisor: one that has doubled is believed
-	// after 14 openings.
+	// roundTripDrift bounds, as a divisor, by how much one longer setup raises an estimate.
 	roundTripDrift = 20
-	// minRoundTrip and maxRoundTrip bound a round trip that is believed: shorter ones are those
-	// of one region, and an opening that took longer is a loss on the way.
+	// minRoundTrip and maxRoundTrip bound an estimate: shorter round trips are those within one
+	// region, and longer setups include packet loss.
 	minRoundTrip = time.Millisecond
 	maxRoundTrip = 400 * time.Millisecond
 )
 
-// observe takes in how long the opening of a connection to a zone took.
+// observe records how long a connection setup to a zone took.
 func (t roundTrips) observe(zone ident.Zone, took time.Duration) {
 	if took <= 0 || took > maxRoundTrip {
 		return
@@ -57,7 +55,7 @@
 	t[zone] = took
 }
 
-// estimate returns the round trip to a zone, or the prior of one that was not measured.
+// estimate returns the round trip to a zone, or prior if none was measured.
 func (t roundTrips) estimate(zone ident.Zone, prior time.Duration) time.Duration {
 	if known, found := t[zone]; found {
 		return known
@@ -65,14 +63,14 @@
 	return prior
 }
 
-// ObserveConnect takes in how long the opening of a connection for the attempt took.
+// ObserveConnect records how long the connection setup for the attempt took.
 func (a *Attempt) ObserveConnect(took time.Duration) {
 	a.registry.mutex.Lock()
 	defer a.registry.mutex.Unlock()
 	a.registry.roundTrips.observe(a.target.record.Zone, took)
 }
 
-// RoundTrips returns the round trips to zones as they were measured.
+// RoundTrips returns the measured round trips to zones.
 func (r *Registry) RoundTrips() map[ident.Zone]time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/skipreason.go
+++ b/internal/backend/skipreason.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// SkipReason is why a back end that said something of itself got no attempt.
+// SkipReason is why a back end that is draining or backing off got no attempt.
 type SkipReason string
 
 // The reasons.
@@ -12,15 +12,15 @@
 	SkipDraining SkipReason = "leaving"
 )
 
-// skipCounts counts the back ends that an attempt did not go to as they said that they want rest
-// or leave, and keeps the least cost of those.
+// skipCounts counts the back ends skipped for an attempt since they are draining or backing
+// off, and holds the reason and cost of the cheapest.
 type skipCounts struct {
 	backoff, draining int
 	cheapestReason    SkipReason
 	cheapestCost      float64
 }
 
-// add takes in a back end, with what the attempt would have cost there.
+// add counts a back end, with what the attempt would have cost there.
 func (s *skipCounts) add(reason SkipReason, cost float64) {
 	if reason == SkipBackoff {
 		s.backoff++
@@ -32,8 +32,7 @@
 	}
 }
 
-// ifCheaper returns why the attempt did not go to a back end that would have cost less than the one
-// that was chosen.
+// ifCheaper returns why a back end cheaper than the chosen one was skipped, if one was.
 func (s *skipCounts) ifCheaper(chosen float64) SkipReason {
 	if s.cheapestCost < chosen {
 		return s.cheapestReason
@@ -41,7 +40,7 @@
 	return SkipNone
 }
 
-// skipReason returns why the back end gets nothing, as far as it said so itself.
+// skipReason returns why the back end is skipped, if it is draining or backing off.
 func (s *state) skipReason(now time.Time) SkipReason {
 	switch {
 	case s.drain.active():
--- a/internal/backend/stale.go
+++ b/internal/backend/stale.go
@@ -7,21 +7,16 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// maxStaleCost is the price of older weights in the choice while nearly all engines
-// have the newest: short prompts leave for those, and long ones, whose shared part would
-// have to be read anew, mostly stay. Small twins of three sites, mean worth of eight
-// days: 0.602 without, 0.607 at 25 ms, 0.614 at 75 ms, 0.611 at 200 ms.
+// maxStaleCost is the cost of older weights when nearly all engines have the newest: short
+// prompts move to those, and long ones, whose shared part would have to be prefilled again,
+// mostly stay.
 const maxStaleCost = 75 * time.Millisecond
 
-// saturatedCongestion is the congestion (a mean lateness of 210 ms) at which engines are chosen by
-// load alone, and not emptied before they load: every engine is needed then. Worth of a
-// day of high load with 140 engines, one play each: 0.603 without emptying and this
-// price, 0.587 with the bound at 3.5, 0.592 at 2.1, 0.610 at 1.4; a fleet over three
-// regions, whose distances count as lateness, gains nothing at 0.7 (0.505, as without),
-// 0.538 at 2.1 and 0.561 without a bound.
+// saturatedCongestion is the congestion at which engines are chosen by load alone, and not
+// quiesced before they load weights: every engine is needed then.
 const saturatedCongestion = 2.1
 
-// newest returns the newest version that was named of the model, 0 if none was.
+// newest returns the newest published version of the model, 0 if there is none.
 func (q *Query) newest() int {
 	if len(q.Expiries) == 0 {
 		return 0
@@ -29,9 +24,8 @@
 	return q.Expiries[len(q.Expiries)-1].Version
 }
 
-// staleCost returns the price of an engine with older weights than the newest. It
-// grows with the part of the engines that have the newest, so that the first of them
-// are not flooded.
+// staleCost returns the cost of an engine with older weights than the newest. It grows with the
+// share of engines that have the newest, so that the first of them are not flooded.
 func (r *Registry) staleCost(now time.Time, query *Query) time.Duration {
 	newest := query.newest()
 	if newest == 0 || !r.config.Disabled.On(mechanism.NewerWeights) {
@@ -54,8 +48,8 @@
 	return time.Duration(cost * float64(time.Second))
 }
 
-// Headroom returns how calm a service is: 1 while its answers come as predicted, down to 0
-// when each of its engines is needed.
+// Headroom returns 1 while a service's answers come as predicted, down to 0 when it is
+// saturated.
 func (r *Registry) Headroom(now time.Time, service ident.Service) float64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/stale_test.go
+++ b/internal/backend/stale_test.go
@@ -12,8 +12,8 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// Short prompts leave engines with replaced weights for those with the newest, the more
-// readily the more engines have those; long shared parts stay at home.
+// Short prompts move from engines with older weights to those with the newest if enough engines
+// have those; long shared parts stay at their home.
 func TestNewerWeightsArePreferred(t *testing.T) {
 	const engines = 10
 	short := func() *backend.Query {
@@ -25,14 +25,14 @@
 		newer     int
 		published int
 		without   []string
-		// newest says that an engine with the newest weights is chosen.
+		// newest is whether an engine with the newest weights is chosen.
 		newest bool
 	}{
 		{"a short prompt, most have them", short(), engines - 1, 2, nil, true},
 		{"a short prompt, half have them", short(), engines / 2, 2, nil, true},
 		{"a short prompt, none has them", short(), 0, 2, nil, false},
 		{"a long shared part", query(), engines - 1, 2, nil, false},
-		{"no version was named", short(), engines - 1, 0, nil, false},
+		{"no version was published", short(), engines - 1, 0, nil, false},
 		{"switched off", short(), engines - 1, 2, []string{string(mechanism.NewerWeights)}, false},
 	}
 	for _, tt := range tests {
@@ -65,7 +65,7 @@
 	}
 }
 
-// A service whose answers come late is not calm: there engines are chosen by load.
+// The headroom of a service falls as its answers come later than predicted.
 func TestHeadroom(t *testing.T) {
 	tests := []struct {
 		name        string
--- a/internal/backend/state.go
+++ b/internal/backend/state.go
@@ -7,58 +7,56 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// state is what is believed of one back end.
+// state is what is known of one back end.
 type state struct {
 	record Record
 	*advertisedState
-	// missing says that the newest list lacks the back end, which may come back.
+	// missing is whether the newest list lacks the back end, which may return.
 	missing bool
-	// attempts are the attempts under way.
-	attempts map[*Attempt]struct{}
-	// lastByteAt is when a byte of any attempt last came.
+	// attempts are those in flight.
+	attempts   map[*Attempt]struct{}
 	lastByteAt time.Time
-	// pausedUntil ends the rest after a failure or a refusal; pause is the
-	// length of the last one after a failure.
+	// pausedUntil ends the pause after a failure or a refusal; pause is the length of the last
+	// one, which the next one in a row doubles.
 	pausedUntil time.Time
 	pause       time.Duration
-	// peerSilentFrom and peerSilentUntil bound the time for which other routers told that
-	// the back end does not answer.
+	// peerSilentFrom and peerSilentUntil bound the time for which peers reported that the back
+	// end does not answer.
 	peerSilentFrom, peerSilentUntil time.Time
-	// goneUntil ends the time for which another back end was found at the address.
+	// goneUntil ends the time for which the back end counts as gone, as another one was found
+	// at its address.
 	goneUntil time.Time
-	// peerQueue is the queue that another router saw there.
 	peerQueue peerQueue
 	// tried and failed count recent attempts, halved every failureHalfLife.
 	tried, failed float64
 	decayedAt     time.Time
-	// lateness shows the load that other routers make.
+	// lateness shows the load from other routers.
 	lateness lateness
-	// assumed is a version of a model's weights that the back end is taken to
-	// have until assumedUntil, ahead of the list.
+	// assumed is a version of a model's weights that the back end is assumed to have until
+	// assumedUntil, ahead of the list.
 	assumed      int
 	assumedModel ident.Model
 	assumedUntil time.Time
-	// loading is the version of a model's weights that the back end is taking; it
-	// is thought to refuse work of that model until loadingUntil, and to have the
-	// version from then on.
+	// loading is the version of a model's weights that the back end is loading. It is expected
+	// to refuse work of that model until loadingUntil, and to have the version from then on.
 	loading      int
 	loadingModel ident.Model
 	loadingUntil time.Time
 }
 
-// loadingWeights reports whether the back end refuses work of a model because it
-// takes new weights.
+// loadingWeights reports whether the back end refuses work of a model since it is loading new
+// weights.
 func (s *state) loadingWeights(now time.Time, model ident.Model) bool {
 	return model == s.loadingModel && now.Before(s.loadingUntil) && s.record.Models[model] < s.loading
 }
 
-// loadingNewer reports whether the back end was told to take newer weights of a model than a
-// version, and the list need not have told them yet.
+// loadingNewer reports whether the back end is loading newer weights of a model than a version,
+// or may have them without the list showing it yet.
 func (s *state) loadingNewer(now time.Time, model ident.Model, version int) bool {
 	return model == s.loadingModel && version < s.loading && now.Before(s.loadingUntil.Add(assumedVersionTTL))
 }
 
-// version returns the version of a model's weights that an attempt is meant for.
+// version returns the version of a model's weights that the back end is expected to have.
 func (s *state) version(now time.Time, model ident.Model) int {
 	version := s.record.Models[model]
 	if model == s.assumedModel && now.Before(s.assumedUntil) {
@@ -71,8 +69,7 @@
 	return version
 }
 
-// latenessAt returns by how much answers lately came later than predicted, as far as it
-// is not forgotten.
+// latenessAt returns how much later than predicted recent answers came, decayed to now.
 func (s *state) latenessAt(now time.Time) time.Duration { return s.lateness.at(now) }
 
 // eligible reports whether the back end may get the attempt.
@@ -83,7 +80,8 @@
 	return s.backoffAllows(now) && !s.limit.usedUp(now) && !now.Before(s.pausedUntil) && s.suitable(now, query)
 }
 
-// suitable reports whether the back end could take the attempt, its limit, rest and pauses aside.
+// suitable reports whether the back end could take the attempt, ignoring its limit, back-off
+// and pauses.
 func (s *state) suitable(now time.Time, query *Query) bool {
 	if !s.serves(now, query) || query.excludes(s.record.Instance) || s.gone(now) {
 		return false
@@ -95,14 +93,14 @@
 	return holds && !s.loadingWeights(now, query.Model)
 }
 
-// serves reports whether the back end does not leave, or may take an attempt for which there is
-// no other one.
+// serves reports whether the back end is not draining, or may take an attempt that no other one
+// can.
 func (s *state) serves(now time.Time, query *Query) bool {
 	return !s.drain.active() || (s.drain.advertised() && now.Before(s.drain.since.Add(query.drainServeTime)))
 }
 
-// versionRisk says whether the attempt may begin on the back end's weights
-// before they expire, given the time it is expected to wait.
+// versionRisk returns whether the attempt may begin on the back end's weights before they
+// expire, given its predicted wait.
 func (s *state) versionRisk(now time.Time, query *Query, predicted time.Duration) versionRisk {
 	version := s.version(now, query.Model)
 	for _, expiry := range query.Expiries {
@@ -128,8 +126,7 @@
 	versionExpired
 )
 
-// waitingTokens returns the tokens of this router's attempts that are still to be
-// read.
+// waitingTokens returns the tokens of this router's attempts that are still to be prefilled.
 func (s *state) waitingTokens() int {
 	waiting := 0
 	for attempt := range s.attempts {
@@ -140,13 +137,13 @@
 	return waiting
 }
 
-// peerSilent reports whether the back end does not answer other routers, nor this one
-// since it was told so first.
+// peerSilent reports whether the back end does not answer peers, nor this router since a peer
+// first reported so.
 func (s *state) peerSilent(now time.Time) bool {
 	return now.Before(s.peerSilentUntil) && !s.lastByteAt.After(s.peerSilentFrom)
 }
 
-// silence returns for how long the back end owes a byte.
+// silence returns for how long a byte from the back end has been overdue.
 func (s *state) silence(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for attempt := range s.attempts {
--- a/internal/backend/stateupdate.go
+++ b/internal/backend/stateupdate.go
@@ -11,33 +11,33 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// StateUpdate is what one router tells others of what one life of a back end said of itself. A rest is
-// asked of one router, and is not told.
+// StateUpdate is what routers send each other about one incarnation of a back end. Back-offs
+// are not sent, as each concerns one router.
 type StateUpdate struct {
 	Instance ident.Incarnation `cbor:"1,keyasint"`
-	// Sequence orders what is told of limits; 0 says nothing of them.
+	// Sequence orders limits; 0 means that the update has none.
 	Sequence uint64  `cbor:"2,keyasint"`
 	Limited  bool    `cbor:"3,keyasint,omitempty"`
 	Rate     float64 `cbor:"4,keyasint,omitempty"`
 	// Age is the time since an answer last confirmed the limit.
 	Age time.Duration `cbor:"5,keyasint,omitempty"`
-	// Draining says that the back end is about to end. False says nothing: the teller may not
-	// know, or be of a build that does not tell.
+	// Draining is whether the back end advertised a drain. False means unknown: the sender may
+	// not have received it, or be of an older build.
 	Draining bool `cbor:"6,keyasint,omitempty"`
 }
 
-// valid reports whether the news may be taken in: what another router tells may be anything.
+// valid reports whether the update may be applied: a peer may send anything.
 func (u *StateUpdate) valid() bool {
 	return u.Sequence < maxLimitSequence && u.Age >= 0 && u.Age <= limitTTL && u.Rate >= 0 && u.Rate <= maxLimit
 }
 
-// AppliedUpdate is a piece of news with what it changed.
+// AppliedUpdate is a state update with what it changed.
 type AppliedUpdate struct {
 	StateUpdate
 	LimitChanged, DrainBegan bool
 }
 
-// ApplyUpdates takes in what other routers know of back ends, and returns what that changes.
+// ApplyUpdates applies state updates of peers and returns those that changed anything.
 func (r *Registry) ApplyUpdates(now time.Time, updates []StateUpdate) []AppliedUpdate {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,8 +63,8 @@
 	return applied
 }
 
-// takes takes in one piece of news, and reports whether it changes anything. The highest
-// sequence counts; of two that are alike, as two routers saw changes at once, the tighter
+// merge applies the limit of an update and reports whether that changes anything. The highest
+// sequence wins; at equal sequences, when two routers observed changes at once, the tighter
 // limit does.
 func (l *limit) merge(now time.Time, update *StateUpdate) bool {
 	next := limit{limited: update.Limited, sequence: update.Sequence, changedAt: now, confirmedAt: now.Add(-update.Age)}
@@ -84,8 +84,8 @@
 	return true
 }
 
-// StateUpdates returns what is known of back ends that others are told, ordered by back end: limits,
-// those that ended among them, and which back ends said that they leave.
+// StateUpdates returns the updates for peers, ordered by back end: limits, ended ones among
+// them, and advertised drains.
 func (r *Registry) StateUpdates(now time.Time) []StateUpdate {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -99,7 +99,7 @@
 	return updates
 }
 
-// StateUpdateOf returns what others are told of one back end, if there is anything.
+// StateUpdateOf returns the update for peers about one back end, if there is any.
 func (r *Registry) StateUpdateOf(now time.Time, instance ident.Incarnation) (StateUpdate, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -110,8 +110,8 @@
 	return known.stateUpdate(now, instance)
 }
 
-// stateUpdate returns what others are told, and whether there is anything. That a back end leaves they
-// read in the list as well, unless it was the back end itself that said so.
+// stateUpdate returns the update for peers, if there is any. It omits drains known only from
+// the instance list, which peers read themselves.
 func (s *advertisedState) stateUpdate(now time.Time, instance ident.Incarnation) (update StateUpdate, found bool) {
 	update = StateUpdate{Instance: instance, Draining: s.drain.advertised()}
 	if s.limit.sequence > 0 && now.Sub(s.limit.confirmedAt) <= limitTTL {
@@ -121,7 +121,7 @@
 	return update, update.Draining || update.Sequence > 0
 }
 
-// UpdatesDigest names what is known of back ends, ages aside; it is 0 if that is nothing.
+// UpdatesDigest hashes updates without their ages; it is 0 if there are none.
 func UpdatesDigest(updates []StateUpdate) uint64 {
 	if len(updates) == 0 {
 		return 0
@@ -132,7 +132,7 @@
 		if update.Draining {
 			line += "leaving\n"
 		}
-		// A hash takes in everything.
+		// Writing to a hash never fails.
 		_, _ = sum.Write([]byte(line))
 	}
 	return max(sum.Sum64(), 1)
--- a/internal/endpoint/bench_test.go
+++ b/internal/endpoint/bench_test.go
@@ -22,7 +22,7 @@
 	return registry
 }
 
-// BenchmarkDue looks for the reports to be read, every 50 ms of virtual time.
+// BenchmarkDue selects the engines to poll every 50 ms of virtual time.
 func BenchmarkDue(b *testing.B) {
 	for _, count := range []int{12, 100, 860} {
 		b.Run(fmt.Sprint("engines=", count), func(b *testing.B) {
--- a/internal/endpoint/draining.go
+++ b/internal/endpoint/draining.go
@@ -6,13 +6,13 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// drainingTTL is how long a sign of leaving outlives a lack of reports that
-// confirm it. A new incarnation ends it at once.
+// drainingTTL is how long a sign of draining outlasts a lack of reports that confirm it. A new
+// incarnation ends it at once.
 const drainingTTL = 2 * time.Minute
 
-// ObserveDraining takes in a sign that the engine is leaving: its own refusal, the
-// machine list, or another router's word. An incarnation other than the
-// engine's known one makes the sign void; an empty one always counts.
+// ObserveDraining records a sign that the engine is draining: its own refusal, the machine
+// list, or the report of another router. A sign for an incarnation other than the known one is
+// ignored; one without an incarnation always counts.
 func (r *Registry) ObserveDraining(now time.Time, engine ident.Engine, incarnation ident.Incarnation) []Change {
 	known := r.findForChange(engine)
 	if known == nil {
@@ -24,9 +24,9 @@
 	return known.markDraining(now, engine)
 }
 
-// ApplyMachineList takes in a machine list: for each engine on it, whether its machine is
-// leaving. The list speaks of machines, whatever life the engine on one is in,
-// and it lags: it takes back its own word only, never another sign.
+// ApplyMachineList applies, for each engine on a machine list, whether its machine is draining.
+// The list is of machines, whatever incarnation runs on one, and it lags: it reverts only its
+// own earlier state, never another sign.
 func (r *Registry) ApplyMachineList(now time.Time, draining map[ident.Engine]bool) []Change {
 	var changes []Change
 	for _, known := range r.order {
--- a/internal/endpoint/poller.go
+++ b/internal/endpoint/poller.go
@@ -10,12 +10,12 @@
 	"github.com/fieldpond/fieldpond/internal/ring"
 )
 
-// PollResult is what came of one Question.
+// PollResult is the result of one PollRequest.
 type PollResult struct {
 	Engine  ident.Engine
 	Address string
 	Report  protocol.LoadReport
-	// Err is not nil when no report could be read.
+	// Err is not nil if no report could be read.
 	Err error
 }
 
@@ -24,9 +24,9 @@
 	Load(ctx context.Context, address string) (protocol.LoadReport, error)
 }
 
-// Poller reads load reports with a fixed number of goroutines. Questions and
-// answers pass through bounded rings: a question that finds its ring full is
-// dropped and will fall due again; an answer replaces older ones.
+// Poller reads load reports with a fixed number of goroutines. Requests and results pass
+// through bounded rings: a request that finds its ring full is dropped and becomes due again; a
+// result replaces older ones.
 type Poller struct {
 	reader   LoadReader
 	timeout  time.Duration
@@ -35,8 +35,8 @@
 	workers  sync.WaitGroup
 }
 
-// NewPoller returns a poller whose reads each take at most timeout. The rings
-// hold at most capacity items.
+// NewPoller returns a poller whose reads each take at most timeout, and whose rings hold at
+// most capacity items.
 func NewPoller(reader LoadReader, timeout time.Duration, capacity int) *Poller {
 	return &Poller{
 		reader:   reader,
@@ -46,7 +46,7 @@
 	}
 }
 
-// Start runs so many workers until ctx ends.
+// Start runs this many workers until ctx ends.
 func (p *Poller) Start(ctx context.Context, workers int) {
 	for range workers {
 		p.workers.Go(func() { p.work(ctx) })
@@ -56,14 +56,14 @@
 // Wait returns when every worker has ended.
 func (p *Poller) Wait() { p.workers.Wait() }
 
-// Enqueue queues questions.
+// Enqueue queues requests for the workers, and drops those that find no room.
 func (p *Poller) Enqueue(requests []PollRequest) {
 	for _, request := range requests {
 		p.requests.Push(request)
 	}
 }
 
-// Results returns the ring of answers.
+// Results returns the ring of results.
 func (p *Poller) Results() *ring.Ring[PollResult] { return p.results }
 
 // Rings returns the counters of both rings.
--- a/internal/endpoint/registry.go
+++ b/internal/endpoint/registry.go
@@ -1,9 +1,8 @@
-// Package endpoint keeps what one router knows of the engines of the fleet
-// file: which process life (incarnation) each is in, whether it is alive or
-// leaving, what it has loaded, and how long its queue is by now.
+// Package endpoint tracks the engines of the fleet file: the incarnation of each, whether it is
+// alive or draining, what it has loaded, and the current length of its queue.
 //
-// Registry is a state machine without I/O: inputs are events and a time.
-// Poller is the shell that reads load reports from the engines.
+// Registry is a state machine without I/O: its inputs are events and a time. Poller reads the
+// load reports of the engines.
 package endpoint
 
 import (
@@ -17,62 +16,62 @@
 	"github.com/fieldpond/fieldpond/internal/routing/load"
 )
 
-// failuresUntilDead is the number of consecutive failed reports after which an
-// engine is believed dead. One lost report must not empty a cache belief.
+// failuresUntilDead is the number of consecutive failed reports after which an engine counts as
+// dead. One lost report must not discard what is known of its cache.
 const failuresUntilDead = 3
 
-// maxRetired is the number of past incarnations whose late answers are
-// recognised, so that they cannot pass for a new life.
+// maxRetired is the number of past incarnations that are remembered, so that their late answers
+// do not count as new incarnations.
 const maxRetired = 8
 
-// viewMaxAge is how long a whole view of the endpoints is used again. Loads
-// age by at most this much less than they should, which is far below the lag of
-// the reports, and a node with hundreds of engines need not go through them
-// all for each decision.
+// viewMaxAge is how long a view of the endpoints is reused, so that a node with hundreds of
+// engines need not visit all of them for each decision. Loads are off by at most this age, far
+// less than the lag of the reports.
 const viewMaxAge = 5 * time.Millisecond
 
-// Target is an engine as the fleet file states it.
+// Target is an engine as listed in the fleet file.
 type Target struct {
 	Engine  ident.Engine
 	Address string
 	Zone    ident.Zone
-	// Draining is true when the file takes the engine out of service.
+	// Draining is whether the file takes the engine out of service.
 	Draining bool
 	// PrefillPerToken is assumed until the engine has reported its own.
 	PrefillPerToken time.Duration
 }
 
-// ChangeKind names what changed about an engine.
+// ChangeKind is what changed about an engine.
 type ChangeKind int
 
 const (
-	// ChangeIncarnation means the engine is in a new life, with an empty cache.
+	// ChangeIncarnation means that the engine has a new incarnation, with an empty cache.
 	ChangeIncarnation ChangeKind = iota
-	// ChangeRevived means an engine believed dead answers again in the same life.
+	// ChangeRevived means that an engine that counted as dead answers again in the same
+	// incarnation.
 	ChangeRevived
-	// ChangeDead means the engine is believed dead.
+	// ChangeDead means that the engine counts as dead.
 	ChangeDead
-	// ChangeDraining means the first sign that the engine is leaving.
+	// ChangeDraining is the first sign that the engine is draining.
 	ChangeDraining
-	// ChangeLoaded means the set of loaded model versions changed.
+	// ChangeLoaded means that the set of loaded model versions changed.
 	ChangeLoaded
-	// ChangeRemoved means the engine is no longer in the fleet file.
+	// ChangeRemoved means that the engine is no longer in the fleet file.
 	ChangeRemoved
 )
 
-// Change is one change of state, for beliefs, logs and gossip.
+// Change is one change of the state of an engine.
 type Change struct {
 	Kind        ChangeKind
 	Engine      ident.Engine
 	Incarnation ident.Incarnation
 }
 
-// Registry is the state machine. It is used by one goroutine.
+// Registry tracks the state of engines. It is used by one goroutine.
 type Registry struct {
 	engines map[ident.Engine]*state
 	order   []*state
-	// view is the result of Endpoints, worked out anew once viewMaxAge has
-	// gone by; entries marked stale are worked out on the next call.
+	// view is the result of Endpoints, rebuilt when it is older than viewMaxAge; entries with
+	// viewStale set are rebuilt on the next call.
 	view       []framework.Endpoint
 	viewAt     time.Time
 	generation uint64
@@ -84,8 +83,8 @@
 	viewStale   bool
 	incarnation ident.Incarnation
 	retired     []ident.Incarnation
-	// retiredReports counts reports of past incarnations since the last of the
-	// present one.
+	// retiredReports counts reports of past incarnations since the last one of the current
+	// incarnation.
 	retiredReports int
 	reported       bool
 	alive          bool
@@ -94,7 +93,7 @@
 	listedDraining bool
 	role           string
 	loaded         []framework.LoadedModel
-	// queue estimates the engine's queue; a new life starts with a new one.
+	// queue estimates the engine's queue; each incarnation starts with a new one.
 	queue         *load.Tracker
 	limit         int
 	lastCandidate time.Time
@@ -104,13 +103,13 @@
 // AttemptKey identifies one attempt of one request.
 type AttemptKey = load.AttemptKey
 
-// NewRegistry returns a registry that knows no engine.
+// NewRegistry returns a registry without engines.
 func NewRegistry() *Registry {
 	return &Registry{engines: make(map[ident.Engine]*state)}
 }
 
-// Configure takes over the engines of a fleet file. What is known of engines
-// that stay at the same address is kept.
+// Configure applies the engines of a fleet file. The state of engines that keep their address
+// is kept.
 func (r *Registry) Configure(targets []Target) []Change {
 	var changes []Change
 	next := make(map[ident.Engine]*state, len(targets))
@@ -143,7 +142,8 @@
 // changed. It is zero before the first Configure.
 func (r *Registry) Generation() uint64 { return r.generation }
 
-// findForChange returns the state of an engine that is about to change, or nil.
+// findForChange returns the state of an engine that is about to change, or nil, and marks its
+// view as stale.
 func (r *Registry) findForChange(engine ident.Engine) *state {
 	known := r.engines[engine]
 	if known != nil {
@@ -152,7 +152,7 @@
 	return known
 }
 
-// ObserveReport takes in a load report that arrived at now.
+// ObserveReport records a load report that arrived at now.
 func (r *Registry) ObserveReport(now time.Time, engine ident.Engine, report protocol.LoadReport) []Change {
 	known := r.findForChange(engine)
 	if known == nil {
@@ -177,7 +177,7 @@
 	return changes
 }
 
-// ObserveReportFailure takes in that a report could not be read.
+// ObserveReportFailure records that a report could not be read.
 func (r *Registry) ObserveReportFailure(engine ident.Engine) []Change {
 	known := r.findForChange(engine)
 	if known == nil {
@@ -190,8 +190,8 @@
 	return known.markDead(engine)
 }
 
-// ObserveUnreachable takes in that a connection to the engine was refused or reset
-// before a byte was exchanged. It is believed dead until its next report.
+// ObserveUnreachable records that a connection to the engine was refused or reset before a byte
+// was exchanged. The engine counts as dead until its next report.
 func (r *Registry) ObserveUnreachable(engine ident.Engine) []Change {
 	known := r.findForChange(engine)
 	if known == nil {
@@ -200,8 +200,7 @@
 	return known.markDead(engine)
 }
 
-// ObserveIncarnation takes in the incarnation that an answer or a refusal of the
-// engine carried.
+// ObserveIncarnation records the incarnation that an answer or a refusal of the engine carried.
 func (r *Registry) ObserveIncarnation(engine ident.Engine, incarnation ident.Incarnation) []Change {
 	known := r.findForChange(engine)
 	if known == nil || incarnation == "" || slices.Contains(known.retired, incarnation) {
@@ -210,7 +209,7 @@
 	return known.markAlive(engine, incarnation)
 }
 
-// Dead reports whether the engine answered once and is believed dead now.
+// Dead reports whether the engine answered once and counts as dead now.
 func (r *Registry) Dead(engine ident.Engine) bool {
 	known := r.engines[engine]
 	return known != nil && known.incarnation != "" && !known.alive
@@ -223,7 +222,7 @@
 	}
 }
 
-// Sent takes in that an attempt with so many tokens to prefill left for the engine.
+// Sent records that an attempt with this many tokens to prefill was sent to the engine.
 func (r *Registry) Sent(now time.Time, engine ident.Engine, key AttemptKey, prefillTokens int) {
 	known := r.findForChange(engine)
 	if known == nil {
@@ -232,22 +231,22 @@
 	known.queue.Dispatched(now, key, float64(prefillTokens))
 }
 
-// FirstToken takes in that the engine has prefilled the attempt's prompt.
+// FirstToken records that the engine has prefilled the attempt's prompt.
 func (r *Registry) FirstToken(now time.Time, engine ident.Engine, key AttemptKey) {
 	if known := r.findForChange(engine); known != nil {
 		known.queue.FirstToken(now, key)
 	}
 }
 
-// Ended takes in that an attempt is over, however it ended.
+// Ended records the end of an attempt, whatever its outcome.
 func (r *Registry) Ended(now time.Time, engine ident.Engine, key AttemptKey) {
 	if known := r.findForChange(engine); known != nil {
 		known.queue.Finished(now, key)
 	}
 }
 
-// HasAddress reports whether the fleet file in force has the engine at this address.
-// What is heard from another one tells nothing about the engine.
+// HasAddress reports whether the current fleet file has the engine at this address. Answers
+// from any other address are no evidence about the engine.
 func (r *Registry) HasAddress(engine ident.Engine, address string) bool {
 	known := r.engines[engine]
 	return known != nil && known.target.Address == address
@@ -261,10 +260,9 @@
 	return ""
 }
 
-// AwaitingReports reports whether no fleet file has come yet, or an engine in one of
-// the zones has neither reported yet nor failed to often enough to count as
-// dead. A router that has just started holds requests until it knows, instead of
-// refusing them.
+// AwaitingReports reports whether there was no fleet file yet, or an engine in one of the zones
+// has neither reported nor failed to often enough to count as dead. A router that has just
+// started holds requests until then, instead of refusing them.
 func (r *Registry) AwaitingReports(zones map[ident.Zone]bool) bool {
 	if r.generation == 0 {
 		return true
@@ -285,8 +283,8 @@
 	return 0
 }
 
-// Endpoints returns what is known of every engine at the given time, sorted by
-// name. The slice is reused by the next call.
+// Endpoints returns the state of every engine at the given time, sorted by name. The slice is
+// reused by the next call.
 func (r *Registry) Endpoints(now time.Time) []framework.Endpoint {
 	rebuild := len(r.view) != len(r.order) || now.Sub(r.viewAt) > viewMaxAge || now.Before(r.viewAt)
 	if rebuild {
@@ -323,7 +321,7 @@
 	return []Change{{ChangeIncarnation, engine, incarnation}}
 }
 
-// retire remembers the incarnation that has just been replaced.
+// retire remembers the incarnation that is being replaced.
 func (s *state) retire() {
 	if s.incarnation == "" {
 		return
@@ -334,9 +332,9 @@
 	}
 }
 
-// retiredIsCurrent counts a report of a past incarnation, and reports whether there
-// were so many in a row that it is the present one after all: two lives were
-// heard of in the wrong order. Without this the engine would be lost for good.
+// retiredIsCurrent counts a report of a past incarnation, and reports whether there were so
+// many in a row that it is the current one: two incarnations were observed in the wrong order.
+// Without this the engine would be lost permanently.
 func (s *state) retiredIsCurrent() bool {
 	s.retiredReports++
 	if s.retiredReports < failuresUntilDead {
--- a/internal/endpoint/registry_test.go
+++ b/internal/endpoint/registry_test.go
@@ -15,7 +15,7 @@
 // report returns a report of one running request and 1000 queued tokens.
 func report(incarnation string) protocol.LoadReport {
 	return protocol.LoadReport{
-		Incarnation: ident.Incarnation("life-" + incarnation), Running: 1, MaxRunning: 4,
+		Incarnation: ident.Incarnation("incarnation-" + incarnation), Running: 1, MaxRunning: 4,
 		QueuedPrefillTokens: 1000, PrefillMicrosPerToken: 100,
 		Loaded: []protocol.LoadedModel{{Model: "m", Version: "v1"}},
 	}
@@ -41,37 +41,37 @@
 
 func TestEngineStateTransitions(t *testing.T) {
 	type step struct {
-		name    string
-		do      func(r *Registry) []Change
-		want    []ChangeKind
-		alive   bool
-		leaving bool
+		name     string
+		do       func(r *Registry) []Change
+		want     []ChangeKind
+		alive    bool
+		draining bool
 	}
 	steps := []step{
 		{"first report", func(r *Registry) []Change { return r.ObserveReport(start, "e", report("1")) },
 			[]ChangeKind{ChangeIncarnation, ChangeLoaded}, true, false},
-		{"one lost report is no death", func(r *Registry) []Change { return r.ObserveReportFailure("e") },
+		{"one lost report", func(r *Registry) []Change { return r.ObserveReportFailure("e") },
 			[]ChangeKind{}, true, false},
-		{"second", func(r *Registry) []Change { return r.ObserveReportFailure("e") }, []ChangeKind{}, true, false},
-		{"third is", func(r *Registry) []Change { return r.ObserveReportFailure("e") }, []ChangeKind{ChangeDead}, false, false},
-		{"back in the same life", func(r *Registry) []Change { return r.ObserveReport(start, "e", report("1")) },
+		{"second lost report", func(r *Registry) []Change { return r.ObserveReportFailure("e") }, []ChangeKind{}, true, false},
+		{"third lost report", func(r *Registry) []Change { return r.ObserveReportFailure("e") }, []ChangeKind{ChangeDead}, false, false},
+		{"alive again in the same incarnation", func(r *Registry) []Change { return r.ObserveReport(start, "e", report("1")) },
 			[]ChangeKind{ChangeRevived}, true, false},
 		{"connection refused", func(r *Registry) []Change { return r.ObserveUnreachable("e") },
 			[]ChangeKind{ChangeDead}, false, false},
-		{"a refusal shows a new life, nothing reported yet", func(r *Registry) []Change { return r.ObserveIncarnation("e", "life-2") },
+		{"a refusal shows a new incarnation without a report", func(r *Registry) []Change { return r.ObserveIncarnation("e", "incarnation-2") },
 			[]ChangeKind{ChangeIncarnation}, false, false},
 		{"its first report", func(r *Registry) []Change { return r.ObserveReport(start, "e", report("2")) },
 			[]ChangeKind{ChangeLoaded}, true, false},
-		{"a late answer of the old life", func(r *Registry) []Change { return r.ObserveIncarnation("e", "life-1") },
+		{"a late answer of the old incarnation", func(r *Registry) []Change { return r.ObserveIncarnation("e", "incarnation-1") },
 			[]ChangeKind{}, true, false},
-		{"a late report of the old life", func(r *Registry) []Change { return r.ObserveReport(start, "e", report("1")) },
+		{"a late report of the old incarnation", func(r *Registry) []Change { return r.ObserveReport(start, "e", report("1")) },
 			[]ChangeKind{}, true, false},
-		{"a leaving sign of the old life is void", func(r *Registry) []Change { return r.ObserveDraining(start, "e", "life-1") },
+		{"a drain sign of the old incarnation", func(r *Registry) []Change { return r.ObserveDraining(start, "e", "incarnation-1") },
 			[]ChangeKind{}, true, false},
-		{"a leaving sign", func(r *Registry) []Change { return r.ObserveDraining(start, "e", "life-2") },
+		{"a drain sign", func(r *Registry) []Change { return r.ObserveDraining(start, "e", "incarnation-2") },
 			[]ChangeKind{ChangeDraining}, true, true},
-		{"repeated", func(r *Registry) []Change { return r.ObserveDraining(start, "e", "") }, []ChangeKind{}, true, true},
-		{"the next life is not leaving", func(r *Registry) []Change { return r.ObserveReport(start, "e", report("3")) },
+		{"a repeated drain sign", func(r *Registry) []Change { return r.ObserveDraining(start, "e", "") }, []ChangeKind{}, true, true},
+		{"the next incarnation is not draining", func(r *Registry) []Change { return r.ObserveReport(start, "e", report("3")) },
 			[]ChangeKind{ChangeIncarnation, ChangeLoaded}, true, false},
 	}
 	registry := newTestRegistry("e")
@@ -81,7 +81,7 @@
 			is.Equal(kinds(step.do(registry)), step.want)
 			endpoint := registry.Endpoints(start)[0]
 			is.Equal(endpoint.Alive, step.alive)
-			is.Equal(endpoint.Leaving, step.leaving)
+			is.Equal(endpoint.Leaving, step.draining)
 		})
 	}
 }
@@ -97,7 +97,7 @@
 
 	load := registry.Endpoints(start.Add(10 * time.Millisecond))[0].Load
 	is.Equal(load.ReportAge, 60*time.Millisecond)
-	is.Equal(load.QueuedPrefillTokens, 1000.0-600+300) // 60 ms at 100 us a token are done
+	is.Equal(load.QueuedPrefillTokens, 1000.0-600+300) // 60 ms at 100 us a token
 	is.Equal(load.Running, 2)
 
 	registry.FirstToken(start.Add(5*time.Millisecond), "e", AttemptKey{Request: "new", Attempt: 1})
@@ -113,7 +113,7 @@
 	registry := newTestRegistry("e")
 	registry.ObserveReport(start, "e", report("1"))
 	registry.Sent(start, "e", AttemptKey{Request: "r", Attempt: 1}, 300)
-	registry.ObserveIncarnation("e", "life-2")
+	registry.ObserveIncarnation("e", "incarnation-2")
 	is.Equal(registry.InFlight("e"), 0)
 	registry.Ended(start, "e", AttemptKey{Request: "r", Attempt: 1})
 	is.Equal(registry.InFlight("e"), 0)
@@ -160,7 +160,7 @@
 		poll(round, 1)
 	}
 	for round := 7; round < 10; round++ {
-		registry.MarkCandidate(start.Add(time.Duration(round)*time.Minute), "e") // in use: it goes first
+		registry.MarkCandidate(start.Add(time.Duration(round)*time.Minute), "e") // in use: polled first
 		poll(round, 2)
 	}
 	is.Equal(polled, []ident.Engine{"a", "b", "c", "d", "e", "a", "b", "e", "c", "e", "d", "e", "a"})
--- a/internal/endpoint/schedule.go
+++ b/internal/endpoint/schedule.go
@@ -11,27 +11,26 @@
 // candidate for a request.
 const candidateTTL = 30 * time.Second
 
-// idleFactor is how much more rarely an engine is asked that is not in use.
+// idleFactor is how many times less often an engine that is not in use is polled.
 const idleFactor = 8
 
-// PollRequest asks the shell to read one engine's load report.
+// PollRequest requests a read of one engine's load report.
 type PollRequest struct {
 	Engine  ident.Engine
 	Address string
 }
 
-// MarkCandidate takes in that the engine was a candidate for a request, so that
-// its report is worth refreshing.
+// MarkCandidate records that the engine was a candidate for a request, so that its report is
+// worth refreshing.
 func (r *Registry) MarkCandidate(now time.Time, engine ident.Engine) {
 	if known := r.engines[engine]; known != nil {
 		known.lastCandidate = now
 	}
 }
 
-// Due returns at most budget engines whose reports are to be read now: those
-// in use once an interval, the others idleFactor times more rarely, the one
-// asked longest ago first. The budget bounds what a node spends on reports
-// however many engines the fleet has.
+// Due returns at most budget engines whose reports are to be read now: those in use once an
+// interval, the others idleFactor times less often, the least recently polled first. The budget
+// bounds the cost of reports to a node, however many engines the fleet has.
 func (r *Registry) Due(now time.Time, interval time.Duration, budget int) []PollRequest {
 	best := make([]dueEngine, 0, max(0, budget)+1)
 	for _, known := range r.order {
@@ -68,7 +67,7 @@
 	return idleFactor * interval
 }
 
-// before orders engines in use before idle ones, then by when they were asked.
+// before orders engines in use before idle ones, then by when they were last polled.
 func (d dueEngine) before(other dueEngine) bool {
 	if d.inUse != other.inUse {
 		return d.inUse
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -1,8 +1,8 @@
-// Package health finds out which engines answer and at which requests wait, on behalf
-// of routers that send each of them too little to notice by themselves.
+// Package health detects which engines answer and where requests wait, for routers that send
+// each engine too few requests to detect it themselves.
 //
-// Tracker is a state machine without I/O or clock: its inputs are the engines to
-// watch, what came of the checks, and a time.
+// Tracker is a state machine without I/O or clock: its inputs are the engines to watch, the
+// results of the checks, and a time.
 package health
 
 import (
@@ -14,11 +14,9 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Config sets a Tracker. Zero fields take the defaults.
+// Config configures a Tracker. Zero fields take the defaults.
 type Config struct {
-	// Interval is the time between two checks of an engine that answers. Default:
-	// 400ms, in which a router of a large fleet sends an engine no request; reports
-	// are some hundred ms old in any case.
+	// Interval is the time between two checks of an engine that answers. Default: 400ms.
 	Interval time.Duration
 	// Retry is the time between two checks of an engine that did not answer the
 	// last one. Default: 100ms.
@@ -31,27 +29,27 @@
 	// silentAfterMisses is the number of checks in a row without an answer after which an
 	// engine counts as silent: one may be a lost packet.
 	silentAfterMisses = 2
-	// overdueAfter is how long a check may be under way before it is a sign of silence.
+	// overdueAfter is how long a check may be in progress before it is a sign of silence.
 	overdueAfter = 100 * time.Millisecond
-	// maxSuspectDivisor is the part of the engines, as a divisor, of which more may not show
-	// signs of silence: that rather says that this router is cut off or was frozen.
+	// maxSuspectDivisor is the share of engines, as a divisor, of which more may not show signs
+	// of silence: that rather means that this router is cut off or was frozen.
 	maxSuspectDivisor = 2
 )
 
-// engine is one engine that is watched.
+// engine is one watched engine.
 type engine struct {
 	record         backend.Record
 	misses         int
 	checking       bool
 	checkStartedAt time.Time
 	checkAt        time.Time
-	// waiting is the number of requests that waited there at the last check, told
-	// the number in the last notice.
+	// waiting is the number of requests waiting there at the last check, notified the number
+	// last returned by QueueUpdates.
 	waiting, notified int
 }
 
-// Tracker decides which engines are to be checked and which count as silent. It is
-// not safe for concurrent use.
+// Tracker decides which engines to check and which count as silent. It is not safe for
+// concurrent use.
 type Tracker struct {
 	cfg     Config
 	engines map[ident.Incarnation]*engine
@@ -64,8 +62,8 @@
 	return &Tracker{cfg: cfg, engines: make(map[ident.Incarnation]*engine)}
 }
 
-// Watch replaces the engines to be watched. New ones are checked within an interval,
-// spread over it by their place in the list.
+// Watch replaces the watched engines. New ones are checked within an interval, spread over it
+// by their place in the list.
 func (t *Tracker) Watch(now time.Time, records []backend.Record) {
 	engines := make(map[ident.Incarnation]*engine, len(records))
 	for index, record := range records {
@@ -80,8 +78,8 @@
 	t.engines = engines
 }
 
-// Due returns the engines to check now. Each check ends with Answered,
-// Missed or Postponed.
+// Due returns the engines to check now. Each check ends with ObserveAnswer, ObserveMiss or
+// Postpone.
 func (t *Tracker) Due(now time.Time) []backend.Record {
 	var due []backend.Record
 	for _, known := range t.engines {
@@ -94,7 +92,7 @@
 	return due
 }
 
-// ObserveAnswer takes in that an engine answered a check, and how many requests wait there.
+// ObserveAnswer records that an engine answered a check, and how many requests wait there.
 func (t *Tracker) ObserveAnswer(now time.Time, instance ident.Incarnation, waiting int) {
 	known := t.engines[instance]
 	if known == nil {
@@ -104,8 +102,8 @@
 	known.checkAt = now.Add(t.cfg.Interval)
 }
 
-// Postpone takes in that an engine which wants nothing now was not checked. That says neither
-// that it is silent nor that it is not.
+// Postpone records that an engine that is backing off was not checked, which is no evidence
+// either way.
 func (t *Tracker) Postpone(now time.Time, instance ident.Incarnation) {
 	known := t.engines[instance]
 	if known == nil {
@@ -115,7 +113,7 @@
 	known.checkAt = now.Add(t.cfg.Interval)
 }
 
-// ObserveMiss takes in that an engine did not answer a check.
+// ObserveMiss records that an engine did not answer a check.
 func (t *Tracker) ObserveMiss(now time.Time, instance ident.Incarnation) {
 	known := t.engines[instance]
 	if known == nil {
@@ -129,8 +127,8 @@
 	}
 }
 
-// QueueUpdates returns the engines at which requests wait, and those at which none does any
-// more since the last call, by instance.
+// QueueUpdates returns the engines at which requests wait, and those at which none has since
+// the last call, ordered by instance.
 func (t *Tracker) QueueUpdates() []Queue {
 	var queues []Queue
 	for instance, known := range t.engines {
@@ -144,8 +142,8 @@
 	return queues
 }
 
-// Silent returns the engines that count as silent, by instance. It returns none if so
-// many show signs of silence that this router itself is in doubt.
+// Silent returns the engines that count as silent, ordered by instance. It returns none if so
+// many show signs of silence that this router itself may be at fault.
 func (t *Tracker) Silent(now time.Time) []ident.Incarnation {
 	var silent []ident.Incarnation
 	suspects := 0
@@ -164,16 +162,15 @@
 	return silent
 }
 
-// Queue is the number of requests that wait at an engine. It is an array of two on
-// the wire.
+// Queue is the number of requests waiting at an engine. It is an array of two on the wire.
 type Queue struct {
 	_        struct{} `cbor:",toarray"`
 	Instance ident.Incarnation
 	Waiting  int
 }
 
-// Notification tells other routers what becomes of engines. It makes engines dearer for a short
-// time, and keeps work from those that are gone.
+// Notification reports the state of engines to other routers. Silence and queues make engines
+// more costly for a short time; gone ones get no work.
 type Notification struct {
 	// Silent engines do not answer, Answering ones do again.
 	Silent    []ident.Incarnation `cbor:"1,keyasint,omitempty"`
@@ -183,8 +180,8 @@
 	Gone []ident.Incarnation `cbor:"4,keyasint,omitempty"`
 }
 
-// NewNotification returns the notice of what changed from one set of silent engines to
-// another: those that are silent are told again each time, others once.
+// NewNotification returns the notification of the change from one set of silent engines to
+// another: silent ones are sent each time, those that answer again once.
 func NewNotification(before, silent []ident.Incarnation) Notification {
 	notification := Notification{Silent: silent}
 	for _, instance := range before {
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -31,8 +31,8 @@
 // timeout is how long a check of an engine that does not answer takes.
 const timeout = 300 * time.Millisecond
 
-// simulateChecks checks engines for a time; answers says whether an engine answers at a time
-// after the start. It returns the time at which each engine was first silent.
+// simulateChecks checks engines for a time; answers returns whether an engine answers at a time
+// after the start. It returns the time after the start at which each engine was first silent.
 func simulateChecks(tracked *health.Tracker, last time.Duration, answers func(index int, after time.Duration) bool) map[ident.Incarnation]time.Duration {
 	first := make(map[ident.Incarnation]time.Duration)
 	missedAt := make(map[ident.Incarnation]time.Duration)
@@ -127,8 +127,7 @@
 	is.Equal(len(tracked.QueueUpdates()), 0)
 }
 
-// A check that is postponed says neither that the engine is silent nor that it is not, and is due
-// again.
+// A postponed check is no evidence of silence, and is due again.
 func TestPostponedCheckIsNoEvidence(t *testing.T) {
 	is := is.New(t)
 	tracked := tracker()
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -1,5 +1,5 @@
-// Package region tells which zones lie in one region, as the settings of a router name
-// them. It holds no figure: what the way between two places costs is learned elsewhere.
+// Package region maps zones to regions, as configured. The cost of the way between two zones is
+// measured elsewhere.
 package region
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Map tells the region of each zone. The zero Map is that of a fleet in one region. It
-// never changes, and is safe for concurrent use.
+// Map maps zones to regions. The zero Map is that of a fleet in one region. It is immutable and
+// safe for concurrent use.
 type Map struct {
 	zones map[ident.Zone]ident.Region
 }
@@ -17,14 +17,14 @@
 // NewMap returns the map of these zones.
 func NewMap(zones map[ident.Zone]ident.Region) Map { return Map{zones: maps.Clone(zones)} }
 
-// Of returns the region of a zone. All zones that are not named lie in one region,
-// which has no name.
+// Of returns the region of a zone. All zones that are not in the map lie in one region without
+// a name.
 func (m Map) Of(zone ident.Zone) ident.Region { return m.zones[zone] }
 
 // Same reports whether two zones lie in one region.
 func (m Map) Same(a, b ident.Zone) bool { return a == b || m.Of(a) == m.Of(b) }
 
-// HasMultiple reports whether the zones that are named lie in more than one region.
+// HasMultiple reports whether the zones in the map lie in more than one region.
 func (m Map) HasMultiple() bool {
 	var first ident.Region
 	known := false
@@ -37,7 +37,7 @@
 	return false
 }
 
-// Distance is how far apart two places are, in steps of what a way between them costs.
+// Distance is how far apart two zones are, in classes of network cost.
 type Distance uint8
 
 // The distances, from the nearest.
