--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -10,8 +10,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing/rendezvous"
 )
 
-// Pick chooses the back end with the least expected time for an attempt and
-// counts the attempt against it. It returns false if no back end may be used.
+// Pick chooses the back end with the lowest cost for an attempt and counts the attempt against
+// it. It returns false if no back end is eligible.
 func (r *Registry) Pick(now time.Time, query *Query) (Choice, *Attempt, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -19,44 +19,44 @@
 	home := r.home(now, query, allowed)
 	best, compared := r.cheapest(now, query, home, allowed)
 	if best == nil && query.AvoidRecentBackoff {
-		all := *query
-		all.AvoidRecentBackoff = false
-		best, compared = r.cheapest(now, &all, home, allowed)
+		relaxed := *query
+		relaxed.AvoidRecentBackoff = false
+		best, compared = r.cheapest(now, &relaxed, home, allowed)
 	}
-	if best == nil && compared.passedOver.leaving > 0 {
-		// What comes soon after the first word may still go to back ends that leave.
-		last := *query
-		last.leavingServes = r.config.DrainServeTime
-		best, compared = r.cheapest(now, &last, home, allowed)
+	if best == nil && compared.skips.draining > 0 {
+		// Draining back ends may serve for DrainServeTime if there is no other one.
+		draining := *query
+		draining.drainServeTime = r.config.DrainServeTime
+		best, compared = r.cheapest(now, &draining, home, allowed)
 	}
 	if best == nil {
 		return Choice{}, nil, false
 	}
 	predicted, queued := r.predict(best, query, home), r.queued(best, query)
-	flight := &Attempt{
-		registry: r, target: best, dueAt: now.Add(predicted), begunAt: now,
+	attempt := &Attempt{
+		registry: r, target: best, expectedAt: now.Add(predicted), startedAt: now,
 		model: query.Model, version: best.version(now, query.Model),
 	}
-	flight.trial = query.Releases.MaxBackends > 0
-	if best.leaving.begun() {
-		flight.servesUntil = best.leaving.since.Add(r.config.DrainServeTime)
+	attempt.trial = query.Releases.MaxBackends > 0
+	if best.drain.active() {
+		attempt.drainServesUntil = best.drain.since.Add(r.config.DrainServeTime)
 	}
-	flight.tokens = query.OwnTokens
+	attempt.tokens = query.OwnTokens
 	if best != home {
-		flight.tokens += query.SharedTokens
+		attempt.tokens += query.SharedTokens
 	} else if best.waitingTokens() == 0 {
-		flight.sentAt = now
+		attempt.sentAt = now
 	}
-	best.flights[flight] = struct{}{}
+	best.attempts[attempt] = struct{}{}
 	choice := Choice{
-		Record: best.record, Version: flight.version, Home: best == home,
-		Predicted: predicted, Queued: queued, Lateness: r.usualLateness(now, best),
-		PeerQueueWait: best.told.wait(now), Congestion: r.congestion(now, query.Service), Candidates: compared.eligible,
-		PredictedUncached: r.uncached(query), Releases: query.Releases,
+		Record: best.record, Version: attempt.version, Home: best == home,
+		Predicted: predicted, Queued: queued, Lateness: r.recentLateness(now, best),
+		PeerQueueWait: best.peerQueue.wait(now), Congestion: r.congestion(now, query.Service), Candidates: compared.eligible,
+		PredictedUncached: r.predictUncached(query), Releases: query.Releases,
 		Distance:      r.config.Regions.Between(r.config.Zone, best.record.Zone),
-		RecentBackoff: best.rest.doubted(now) && compared.eligible > 1,
-		BackoffSkips:  compared.passedOver.resting, DrainingSkips: compared.passedOver.leaving, FasterSkip: compared.instead,
-		LimitSkips: compared.usedUp, AllLimited: compared.limited == compared.eligible,
+		RecentBackoff: best.backoff.recent(now) && compared.eligible > 1,
+		BackoffSkips:  compared.skips.backoff, DrainingSkips: compared.skips.draining, FasterSkip: compared.fasterSkip,
+		LimitSkips: compared.limitSkips, AllLimited: compared.limited == compared.eligible,
 	}
 	if best.limit.inForce(now) {
 		choice.Limit = Limit{Rate: best.limit.rate, Sequence: best.limit.sequence}
@@ -64,7 +64,7 @@
 	if home != nil {
 		choice.HomeZone = home.record.Zone
 	}
-	return choice, flight, true
+	return choice, attempt, true
 }
 
 // allowed returns the back ends of the service whose releases the query allows.
@@ -82,52 +82,53 @@
 	if query.Releases.MaxBackends <= 0 {
 		return allowed
 	}
-	return narrowed(allowed, &query.Releases)
+	return selectBackends(allowed, &query.Releases)
 }
 
-// narrowed returns those back ends of one release that may be used. Back ends that leave
-// the service don't count, so that as many others are used in their place.
-func narrowed(allowed []*state, releases *Releases) []*state {
-	var staying []ident.Incarnation
+// selectBackends returns those back ends of one release that may be used. Draining ones don't
+// count towards MaxBackends: others replace them.
+func selectBackends(allowed []*state, releases *Releases) []*state {
+	var candidates []ident.Incarnation
 	for _, known := range allowed {
-		if !known.leaving.begun() {
-			staying = append(staying, known.record.Instance)
+		if !known.drain.active() {
+			candidates = append(candidates, known.record.Instance)
 		}
 	}
-	used := releases.Select(staying)
+	used := releases.Select(candidates)
 	return slices.DeleteFunc(allowed, func(known *state) bool { return !slices.Contains(used, known.record.Instance) })
 }
 
-// compared counts the back ends that a choice was made among.
-type compared struct {
-	// eligible may be used, limited of them have a limit. usedUp could be but for that.
-	eligible, limited, usedUp int
-	// passedOver are those that said that they want nothing.
-	passedOver passedOver
-	// instead is why the choice did not fall on one of those.
-	instead SkipReason
+// comparison counts the back ends compared for one choice.
+type comparison struct {
+	// eligible may be used; limited of them have a limit. limitSkips could be used if their
+	// limits were not used up.
+	eligible, limited, limitSkips int
+	// skips counts those that are draining or backing off.
+	skips skipCounts
+	// fasterSkip is why a cheaper back end was skipped, if one was.
+	fasterSkip SkipReason
 }
 
-// cheapest returns the back end of the least cost, or nil, and the numbers of
-// those that may be used. Among equals the query's own order decides, so that
-// they share the work and routers agree on who stands in for a home.
-func (r *Registry) cheapest(now time.Time, query *Query, home *state, allowed []*state) (best *state, counts compared) {
+// cheapest returns the back end of the lowest cost, or nil, and the counts of those compared.
+// SpreadKey breaks ties, which spreads work and lets routers agree on the replacement of a
+// home.
+func (r *Registry) cheapest(now time.Time, query *Query, home *state, allowed []*state) (best *state, counts comparison) {
 	bestCost := math.Inf(1)
 	var bestScore uint64
-	stale := r.stalePrice(now, query)
+	staleCost := r.staleCost(now, query)
 	for _, candidate := range allowed {
 		if !candidate.eligible(now, query) {
 			if candidate.limit.usedUp(now) {
-				counts.usedUp++
+				counts.limitSkips++
 			}
-			if why := candidate.passedOver(now); why != SkipNone {
-				counts.passedOver.add(why, r.cost(now, candidate, query, home))
+			if reason := candidate.skipReason(now); reason != SkipNone {
+				counts.skips.add(reason, r.cost(now, candidate, query, home))
 			}
 			continue
 		}
 		cost := r.cost(now, candidate, query, home)
-		if stale > 0 && candidate.stale(now, query) {
-			cost += stale.Seconds()
+		if staleCost > 0 && candidate.stale(now, query) {
+			cost += staleCost.Seconds()
 		}
 		if math.IsInf(cost, 1) {
 			continue
@@ -142,105 +143,102 @@
 			best, bestCost, bestScore = candidate, cost, score
 		}
 	}
-	counts.instead = counts.passedOver.instead(bestCost * costGrain.Seconds())
+	counts.fasterSkip = counts.skips.ifCheaper(bestCost * costGrain.Seconds())
 	return best, counts
 }
 
 // predict returns the expected time to the first byte of the answer.
 func (r *Registry) predict(candidate *state, query *Query, home *state) time.Duration {
 	if query.Model == "" {
-		ahead := float64(len(candidate.flights)) / float64(max(candidate.record.Slots, 1))
+		ahead := float64(len(candidate.attempts)) / float64(max(candidate.record.Slots, 1))
 		return query.Expected + time.Duration(ahead*float64(query.Expected))
 	}
-	learned := r.reading(query.Service)
-	predicted := learned.of(candidate.waitingTokens() + query.OwnTokens)
+	rate := r.prefillRate(query.Service)
+	predicted := rate.estimate(candidate.waitingTokens() + query.OwnTokens)
 	if candidate != home {
-		predicted += time.Duration(r.spillPrice(candidate, home) * float64(learned.of(query.SharedTokens)))
+		predicted += time.Duration(r.spillFactor(candidate, home) * float64(rate.estimate(query.SharedTokens)))
 	}
 	return predicted
 }
 
-// fastest is the part of the usual time of a request without a model, as a divisor, that is
-// taken as its time at an idle back end. The usual time is only guessed, and answers that
-// are faster than this are not told apart: applications answer in a third to nine tenths
-// of it, and one that takes three times as long as before has to be seen.
-const fastest = 8
+// idleDivisor divides the expected time of a request without a model to get its time at an idle
+// back end. The expected time is a rough guess; with a large divisor an application that became
+// several times slower still counts as late.
+const idleDivisor = 8
 
-// uncached returns the expected time to the first byte of the answer of a back end that
-// is idle and has nothing of the prompt cached.
-func (r *Registry) uncached(query *Query) time.Duration {
+// predictUncached returns the expected time to the first byte at an idle back end with nothing
+// of the prompt cached.
+func (r *Registry) predictUncached(query *Query) time.Duration {
 	if query.Model == "" {
-		return query.Expected / fastest
+		return query.Expected / idleDivisor
 	}
-	return r.reading(query.Service).of(query.SharedTokens + query.OwnTokens)
+	return r.prefillRate(query.Service).estimate(query.SharedTokens + query.OwnTokens)
 }
 
-// queued returns the time for which the prompts of this router's other attempts keep
-// an engine busy; it is 0 for back ends that run no model.
+// queued returns how long the prompts of this router's other attempts keep an engine busy; 0
+// for back ends that run no model.
 func (r *Registry) queued(candidate *state, query *Query) time.Duration {
 	if query.Model == "" {
 		return 0
 	}
-	return r.reading(query.Service).of(candidate.waitingTokens())
+	return r.prefillRate(query.Service).estimate(candidate.waitingTokens())
 }
 
-// reading returns what is learned of the reading rate of a service's engines.
-func (r *Registry) reading(service ident.Service) *reading {
-	learned := r.readings[service]
-	if learned == nil {
-		fresh := newReading(r.config.PrefillPerToken)
-		learned = &fresh
-		r.readings[service] = learned
+// prefillRate returns the estimated prefill rate of a service's engines.
+func (r *Registry) prefillRate(service ident.Service) *prefillRate {
+	rate := r.prefillRates[service]
+	if rate == nil {
+		fresh := newPrefillRate(r.config.PrefillPerToken)
+		rate = &fresh
+		r.prefillRates[service] = rate
 	}
-	return learned
+	return rate
 }
 
-// usualLateness returns by how much answers of a back end lately came later than
-// predicted.
-func (r *Registry) usualLateness(now time.Time, known *state) time.Duration {
+// recentLateness returns how much later than predicted recent answers of a back end came.
+func (r *Registry) recentLateness(now time.Time, known *state) time.Duration {
 	if !r.config.Disabled.On(mechanism.LatePatience) {
 		return 0
 	}
-	return known.excessAt(now)
+	return known.latenessAt(now)
 }
 
-// congestion returns by how much answers of a service lately came late on the mean, in
-// units of congestedAt. It is the mean of answers and not of back ends: of most of a
-// large fleet's a router has heard nothing lately.
+// congestion returns the mean lateness of a service's recent answers, in units of
+// fullCongestionLateness. It is the mean over answers, not back ends: a router of a large fleet
+// has no recent answer from most of them.
 func (r *Registry) congestion(now time.Time, service ident.Service) float64 {
-	return r.lateness(service).at(now).Seconds() / congestedAt.Seconds()
+	return r.lateness(service).at(now).Seconds() / fullCongestionLateness.Seconds()
 }
 
-// lateness returns by how much answers of a service lately came later than predicted.
+// lateness returns the lateness of a service's recent answers.
 func (r *Registry) lateness(service ident.Service) *serviceLateness {
-	known := r.latenesses[service]
+	known := r.serviceLateness[service]
 	if known == nil {
 		known = &serviceLateness{}
-		r.latenesses[service] = known
+		r.serviceLateness[service] = known
 	}
 	return known
 }
 
-// cost returns the expected time, in seconds, with the risks of the back end
-// added to it.
+// cost returns the expected time in seconds, plus penalties for the risks of the back end.
 func (r *Registry) cost(now time.Time, candidate *state, query *Query, home *state) float64 {
 	predicted := r.predict(candidate, query, home)
-	cost := (predicted + candidate.excessAt(now) + candidate.told.wait(now)).Seconds()
+	cost := (predicted + candidate.latenessAt(now) + candidate.peerQueue.wait(now)).Seconds()
 	switch candidate.versionRisk(now, query, predicted) {
 	case versionExpired:
 		return math.Inf(1)
 	case versionUncertain:
-		cost += uncertainPenalty.Seconds()
+		cost += uncertainVersionPenalty.Seconds()
 	}
-	cost += r.hop(candidate).Seconds()
-	if r.lost(now, candidate) {
+	cost += r.hopCost(candidate).Seconds()
+	if r.regionUnreachable(now, candidate) {
 		cost += failurePenalty.Seconds()
 	}
 	candidate.decay(now)
-	// One failure in few attempts says less than many in a row.
+	// The 2 damps the failure rate of a back end with few attempts.
 	cost += candidate.failed / (candidate.tried + 2) * failurePenalty.Seconds()
-	silentAfter := r.config.SilentAfter + lateFactor*r.usualLateness(now, candidate)
-	if candidate.toldSilent(now) || candidate.silence(now) > silentAfter {
+	silentAfter := r.config.SilentAfter + silenceLatenessFactor*r.recentLateness(now, candidate)
+	if candidate.peerSilent(now) || candidate.silence(now) > silentAfter {
 		cost += failurePenalty.Seconds()
 	}
 	return cost
--- a/internal/backend/distance_test.go
+++ b/internal/backend/distance_test.go
@@ -38,17 +38,17 @@
 	return known
 }
 
-// A request goes to the nearest back end that may take it, and over the border of the
-// region only when nobody in it may.
-func TestTheNearestBackEndThatMayTakeItIsChosen(t *testing.T) {
+// A request goes to the nearest eligible back end, and to another region only if none in its
+// own is eligible.
+func TestPickPrefersNearestEligibleBackend(t *testing.T) {
 	request := &backend.Query{Service: "s", Expected: 50 * time.Millisecond}
 	tests := []struct {
 		name string
-		// full are the zones whose back ends refused lately.
-		full []ident.Zone
-		// open is the number of requests of this router that each back end works on.
-		open int
-		want []ident.Zone
+		// refused are the zones whose back ends recently refused.
+		refused []ident.Zone
+		// inFlight is the number of requests of this router in flight at each back end.
+		inFlight int
+		want     []ident.Zone
 	}{
 		{"all free", nil, 0, []ident.Zone{"a1"}},
 		{"a request in each", nil, 1, []ident.Zone{"a1"}},
@@ -63,18 +63,18 @@
 				records = append(records, application(zone))
 			}
 			known := regional("a1", records...)
-			for range tt.open * len(records) {
+			for range tt.inFlight * len(records) {
 				pick(t, known, start, request)
 			}
-			for _, zone := range tt.full {
+			for _, zone := range tt.refused {
 				only := *request
 				for _, record := range records {
 					if record.Zone != zone {
 						only.Excluded = append(only.Excluded, record.Instance)
 					}
 				}
-				_, flight := pick(t, known, start, &only)
-				flight.End(start, backend.Refused)
+				_, attempt := pick(t, known, start, &only)
+				attempt.End(start, backend.Refused)
 			}
 			choice, _ := pick(t, known, start.Add(time.Millisecond), request)
 			found := false
@@ -86,9 +86,9 @@
 	}
 }
 
-// Some requests under way in the own region don't drive one over its border: the way there
-// and back takes longer than they put it off.
-func TestAFewOpenRequestsDoNotDriveOverABorder(t *testing.T) {
+// Some requests in flight in the own region delay a new one less than the way to another
+// region.
+func TestFewOpenRequestsStayInRegion(t *testing.T) {
 	is := is.New(t)
 	known := regional("a1", application("a1"), application("b1"))
 	request := &backend.Query{Service: "s", Expected: 50 * time.Millisecond}
@@ -98,35 +98,34 @@
 	}
 }
 
-// The price of a way over a border is the round trip that was measured.
-func TestTheWayToAnotherRegionIsMeasured(t *testing.T) {
+// The cost of another region is the measured round trip.
+func TestRoundTripMeasurement(t *testing.T) {
 	tests := []struct {
 		name string
 		took []time.Duration
 		want time.Duration
 	}{
 		{"never", nil, 0},
-		{"an open connection was used", []time.Duration{0}, 0},
+		{"an open connection was reused", []time.Duration{0}, 0},
 		{"once", []time.Duration{70 * time.Millisecond}, 70 * time.Millisecond},
-		{"the least counts", []time.Duration{90 * time.Millisecond, 70 * time.Millisecond}, 70 * time.Millisecond},
-		{"a longer one is believed by and by", []time.Duration{20 * time.Millisecond, 90 * time.Millisecond}, 21 * time.Millisecond},
-		{"a loss on the way", []time.Duration{70 * time.Millisecond, time.Second}, 70 * time.Millisecond},
+		{"the least one applies", []time.Duration{90 * time.Millisecond, 70 * time.Millisecond}, 70 * time.Millisecond},
+		{"a longer one raises the estimate gradually", []time.Duration{20 * time.Millisecond, 90 * time.Millisecond}, 21 * time.Millisecond},
+		{"packet loss", []time.Duration{70 * time.Millisecond, time.Second}, 70 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			known := regional("a1", application("b1"))
-			_, flight := pick(t, known, start, &backend.Query{Service: "s"})
+			_, attempt := pick(t, known, start, &backend.Query{Service: "s"})
 			for _, took := range tt.took {
-				flight.ObserveConnect(took)
+				attempt.ObserveConnect(took)
 			}
 			is.Equal(known.RoundTrips()["b1"], tt.want)
 		})
 	}
 }
 
-// Of two other regions the nearer one is chosen.
-func TestTheNearerOfTwoRegionsIsChosen(t *testing.T) {
+func TestPickPrefersNearerRegion(t *testing.T) {
 	for _, far := range []ident.Zone{"b1", "c1"} {
 		t.Run(string(far), func(t *testing.T) {
 			is := is.New(t)
@@ -139,13 +138,13 @@
 						only.Excluded = append(only.Excluded, ident.Incarnation("app-"+other))
 					}
 				}
-				_, flight := pick(t, known, start, only)
+				_, attempt := pick(t, known, start, only)
 				took := 40 * time.Millisecond
 				if zone == far {
 					took = 80 * time.Millisecond
 				}
-				flight.ObserveConnect(took)
-				flight.End(start, backend.Answered)
+				attempt.ObserveConnect(took)
+				attempt.End(start, backend.Answered)
 			}
 			choice, _ := pick(t, known, start, &backend.Query{Service: "s"})
 			is.True(choice.Zone != far)
@@ -153,7 +152,7 @@
 	}
 }
 
-// fleet returns engines of the three regions, of each zone so many.
+// fleet returns engines of the three regions, counts of each zone.
 func fleet(counts map[ident.Zone]int) []backend.Record {
 	var records []backend.Record
 	for _, zone := range []ident.Zone{"a1", "a2", "b1", "b2", "c1", "c2"} {
@@ -164,18 +163,19 @@
 	return records
 }
 
-// homes returns the home that a router chooses for each of many prompts, by their keys.
+// homes returns the zone of the home that a router chooses for each of many prompts, by their
+// keys.
 func homes(known *backend.Registry, prompts uint64) map[uint64]ident.Zone {
 	chosen := make(map[uint64]ident.Zone)
 	for key := uint64(1); key <= prompts; key++ {
-		// A long part brings the request home from any place.
+		// With a long shared part the home is chosen from any zone.
 		wanted := &backend.Query{Service: "s", Model: model, HomeKey: key * 0x9e3779b97f4a7c15, SharedTokens: 60_000, OwnTokens: 1}
-		choice, flight, found := known.Pick(start, wanted)
+		choice, attempt, found := known.Pick(start, wanted)
 		if found && choice.Home {
 			chosen[key] = choice.Zone
 		}
 		if found {
-			flight.End(start, backend.Answered)
+			attempt.End(start, backend.Answered)
 		}
 	}
 	return chosen
@@ -184,7 +184,7 @@
 const manyPrompts = 600
 
 // Routers of all regions agree on the homes of prompts, and each region has its share.
-func TestHomesAreSharedByAllRegions(t *testing.T) {
+func TestRoutersOfAllRegionsAgreeOnHomes(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 2, "a2": 4, "b1": 6, "b2": 6, "c1": 12})
 	first := homes(regional("a1", records...), manyPrompts)
@@ -194,15 +194,15 @@
 	for _, zone := range first {
 		shares[regions.Of(zone)]++
 	}
-	for place, want := range map[ident.Region]int{"a": 120, "b": 240, "c": 240} {
-		is.True(shares[place] > want*3/4) // the share of its engines
-		is.True(shares[place] < want*5/4)
+	for name, want := range map[ident.Region]int{"a": 120, "b": 240, "c": 240} {
+		is.True(shares[name] > want*3/4) // the share of its engines
+		is.True(shares[name] < want*5/4)
 	}
 }
 
-// Who stands in for a home that is silent or gone is in its region, where the store
-// that keeps its prompts is.
-func TestWhoStandsInForAHomeIsInItsRegion(t *testing.T) {
+// The replacement of a silent or removed home is in its region, where the store that keeps its
+// prompts is.
+func TestHomeFallbackStaysInRegion(t *testing.T) {
 	whole := fleet(map[ident.Zone]int{"a1": 5, "a2": 5, "b1": 5, "b2": 5, "c1": 5, "c2": 5})
 	// Each region loses two engines of ten.
 	var left []backend.Record
@@ -236,8 +236,8 @@
 	}
 }
 
-// A region all of whose engines are silent keeps its prompts' homes elsewhere meanwhile.
-func TestARegionThatIsSilentIsPassedOver(t *testing.T) {
+// Prompts whose home is in a region with only silent engines get homes elsewhere.
+func TestSilentRegionHasNoHomes(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 3, "b1": 3, "c1": 3})
 	known := regional("a1", records...)
@@ -247,9 +247,9 @@
 	}
 }
 
-// In a fleet of one region homes are those of the engines' own ranking, with or without
-// a name for the region.
-func TestOneRegionChangesNoHome(t *testing.T) {
+// In a fleet of one region homes follow the ranking of the engines, whether or not the region
+// has a name.
+func TestSingleRegionKeepsEngineRanking(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 4, "a2": 4})
 	named := regional("a1", records...)
@@ -263,9 +263,9 @@
 	is.Equal(len(homes(named, manyPrompts)), manyPrompts)
 }
 
-// A short shared part is read anew near by rather than sent to a home in another region; a
-// long one is worth the way.
-func TestALongPartIsWorthTheWayToItsHome(t *testing.T) {
+// A short shared part is prefilled again nearby rather than sent to a home in another region; a
+// long one is sent there.
+func TestOnlyLongPromptsCrossRegionsToTheirHome(t *testing.T) {
 	tests := []struct {
 		name   string
 		shared int
@@ -289,11 +289,11 @@
 }
 
 // Prompts with one region key have their homes in one region, at several of its engines;
-// those with others are spread over all.
-func TestARegionKeyDrawsTheRegionOfHomes(t *testing.T) {
+// different keys spread over all regions.
+func TestRegionKeySelectsRegionOfHomes(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 3, "a2": 3, "b1": 3, "b2": 3, "c1": 3, "c2": 3})
-	places := map[ident.Region]bool{}
+	seen := map[ident.Region]bool{}
 	for family := uint64(1); family <= 12; family++ {
 		engines, regionsOfFamily := map[ident.Incarnation]bool{}, map[ident.Region]bool{}
 		known := regional("a1", records...)
@@ -302,17 +302,17 @@
 				Service: "s", Model: model, HomeKey: key * 0x9e3779b97f4a7c15, RegionKey: family * 0x9e3779b97f4a7c15,
 				SharedTokens: 60_000, OwnTokens: 1,
 			}
-			choice, flight := pick(t, known, start, wanted)
+			choice, attempt := pick(t, known, start, wanted)
 			is.True(choice.Home)
-			flight.End(start, backend.Answered)
+			attempt.End(start, backend.Answered)
 			engines[choice.Instance] = true
 			regionsOfFamily[regions.Of(choice.Zone)] = true
 		}
 		is.Equal(len(regionsOfFamily), 1)
 		is.True(len(engines) >= 4) // of six
-		for place := range regionsOfFamily {
-			places[place] = true
+		for name := range regionsOfFamily {
+			seen[name] = true
 		}
 	}
-	is.Equal(len(places), 3)
+	is.Equal(len(seen), 3)
 }
--- a/internal/backend/lateness_test.go
+++ b/internal/backend/lateness_test.go
@@ -11,13 +11,14 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// A router of a large fleet hears a few answers a second, of a few of many engines. It
-// notices by them that the whole service is late.
-func TestARouterOfALargeFleetNoticesCongestion(t *testing.T) {
+// A router of a large fleet gets a few answers a second, each from one of many engines. Late
+// ones among them must show that the whole service is late.
+func TestFewLateAnswersShowCongestion(t *testing.T) {
 	const engines = 90
 	tests := []struct {
 		name string
-		// answers came late by a time, each some time after the one before.
+		// answers is the number of answers, each late by a time and some time after the
+		// previous one.
 		answers int
 		by      time.Duration
 		apart   time.Duration
@@ -42,10 +43,10 @@
 			for key := range uint64(tt.answers) {
 				wanted := query()
 				wanted.HomeKey, wanted.SpreadKey = key+1, key+1
-				choice, flight := pick(t, known, now, wanted)
+				choice, attempt := pick(t, known, now, wanted)
 				now = now.Add(tt.apart)
-				flight.ObserveBytes(now.Add(choice.Predicted - tt.apart + tt.by))
-				flight.End(now, backend.Answered)
+				attempt.ObserveBytes(now.Add(choice.Predicted - tt.apart + tt.by))
+				attempt.End(now, backend.Answered)
 			}
 			choice, _ := pick(t, known, now.Add(tt.by+tt.after), query())
 			t.Log(choice.Congestion)
@@ -54,12 +55,12 @@
 	}
 }
 
-// What other routers saw waiting at an engine counts as a wait there.
-func TestToldQueuesCountAsAWait(t *testing.T) {
+// Requests that peers reported waiting at an engine count as a wait there.
+func TestPeerQueueCountsAsWait(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
-	before, flight := pick(t, known, start, query())
-	flight.End(start, backend.Answered)
+	before, attempt := pick(t, known, start, query())
+	attempt.End(start, backend.Answered)
 	known.PeerQueue(start, "a", 10)
 	choice, _ := pick(t, known, start, query())
 	is.Equal(choice.Wait()-before.Wait(), 500*time.Millisecond)
--- a/internal/backend/limit_test.go
+++ b/internal/backend/limit_test.go
@@ -11,11 +11,11 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-func TestWhatAnswersTellOfLimits(t *testing.T) {
+func TestLimitsAdvertisedInAnswers(t *testing.T) {
 	at := time.Unix(1000, 0)
 	type answer struct {
-		sent time.Duration
-		told AdvertisedLimit
+		sent       time.Duration
+		advertised AdvertisedLimit
 	}
 	tests := []struct {
 		name    string
@@ -24,34 +24,34 @@
 		changed bool
 		rate    float64
 	}{
-		{"nothing is told", nil, answer{0, nil}, false, 0},
-		{"there is none", nil, answer{0, Unlimited{}}, false, 0},
-		{"the first", nil, answer{0, LimitedTo{Rate: 2}}, true, 2},
+		{"nothing is advertised", nil, answer{0, nil}, false, 0},
+		{"no limit", nil, answer{0, Unlimited{}}, false, 0},
+		{"the first limit", nil, answer{0, LimitedTo{Rate: 2}}, true, 2},
 		{"the same again", []answer{{0, LimitedTo{Rate: 2}}}, answer{1, LimitedTo{Rate: 2}}, false, 2},
-		{"one that can't be read", []answer{{0, LimitedTo{Rate: 2}}}, answer{5, LimitNotAdvertised{}}, false, 2},
-		{"a lower one in an answer that was overtaken", []answer{{3, LimitedTo{Rate: 2}}}, answer{0, LimitedTo{Rate: 1}}, true, 1},
-		{"a higher one in an answer that was overtaken", []answer{{3, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 2}}, false, 1},
+		{"one that cannot be parsed", []answer{{0, LimitedTo{Rate: 2}}}, answer{5, LimitNotAdvertised{}}, false, 2},
+		{"a lower one in a reordered answer", []answer{{3, LimitedTo{Rate: 2}}}, answer{0, LimitedTo{Rate: 1}}, true, 1},
+		{"a higher one in a reordered answer", []answer{{3, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 2}}, false, 1},
 		{"a higher one afterwards", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, LimitedTo{Rate: 2}}, true, 2},
-		{"none in an answer that was overtaken", []answer{{3, LimitedTo{Rate: 1}}}, answer{0, Unlimited{}}, false, 1},
+		{"none in a reordered answer", []answer{{3, LimitedTo{Rate: 1}}}, answer{0, Unlimited{}}, false, 1},
 		{"none afterwards", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, Unlimited{}}, true, 4},
 		{"none after a high one", []answer{{0, LimitedTo{Rate: 20}}}, answer{2, Unlimited{}}, true, 0},
-		{"a little more", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, LimitedTo{Rate: 1.05}}, false, 1},
-		{"one of nothing", []answer{{0, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 0}}, true, leastLimit},
-		{"one that nothing reaches", nil, answer{0, LimitedTo{Rate: 1e308}}, true, mostLimit},
+		{"a slightly higher one", []answer{{0, LimitedTo{Rate: 1}}}, answer{2, LimitedTo{Rate: 1.05}}, false, 1},
+		{"a limit of zero", []answer{{0, LimitedTo{Rate: 1}}}, answer{0, LimitedTo{Rate: 0}}, true, minLimit},
+		{"above the maximum", nil, answer{0, LimitedTo{Rate: 1e308}}, true, maxLimit},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			r := NewRegistry(Config{})
 			r.ApplyList(at, []Record{{Instance: "e", Service: "s"}})
-			take := func(step int, given answer) (LimitChange, bool) {
+			observe := func(step int, given answer) (LimitChange, bool) {
 				now := at.Add(time.Duration(step) * time.Second)
-				return takeLimit(r, now, "e", at.Add(given.sent*time.Second), given.told)
+				return observeLimit(r, now, "e", at.Add(given.sent*time.Second), given.advertised)
 			}
 			for step, given := range tt.before {
-				take(step+1, given)
+				observe(step+1, given)
 			}
-			change, changed := take(len(tt.before)+1, tt.last)
+			change, changed := observe(len(tt.before)+1, tt.last)
 			is.Equal(changed, tt.changed)
 			is.Equal(r.byID["e"].limit.rate, tt.rate)
 			if changed {
@@ -61,29 +61,29 @@
 	}
 }
 
-func TestANextLifeHasNoLimitBefore(t *testing.T) {
+func TestNextIncarnationHasNoLimit(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
 	r := NewRegistry(Config{})
 	r.ApplyList(at, []Record{{Instance: "e@1", Service: "s"}})
-	_, changed := takeLimit(r, at, "e@1", at, LimitedTo{Rate: 1})
+	_, changed := observeLimit(r, at, "e@1", at, LimitedTo{Rate: 1})
 	is.True(changed)
 	is.Equal(len(r.LimitedInstances(at)), 1)
 	r.ApplyList(at.Add(time.Second), []Record{{Instance: "e@2", Service: "s"}})
 	is.Equal(len(r.LimitedInstances(at)), 0)
 }
 
-// limited returns a registry with one back end that has named a limit.
-func limited(at time.Time, rate float64) *Registry {
+// limitedRegistry returns a registry with one back end that advertised a limit.
+func limitedRegistry(at time.Time, rate float64) *Registry {
 	r := NewRegistry(Config{})
 	r.ApplyList(at, []Record{{Instance: "e", Service: "s", Models: map[ident.Model]int{"m": 1}}})
-	takeLimit(r, at, "e", at, LimitedTo{Rate: rate})
+	observeLimit(r, at, "e", at, LimitedTo{Rate: rate})
 	return r
 }
 
-// A back end that names no limit any more is free after a few answers, and one that leaves its
-// limit out of one answer is not.
-func TestALimitEndsOverAFewAnswers(t *testing.T) {
+// The limit of a back end that advertises none any more ends after a few answers, not with the
+// first one.
+func TestLimitEndsAfterSeveralAnswersWithoutOne(t *testing.T) {
 	tests := []struct {
 		rate    float64
 		answers int
@@ -92,11 +92,11 @@
 		t.Run(fmt.Sprint(tt.rate), func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
-			r := limited(now, tt.rate)
+			r := limitedRegistry(now, tt.rate)
 			for answer := range tt.answers {
 				is.Equal(len(r.LimitedInstances(now)), 1)
 				now = now.Add(time.Second)
-				change, changed := takeLimit(r, now, "e", now, Unlimited{})
+				change, changed := observeLimit(r, now, "e", now, Unlimited{})
 				is.True(changed)
 				is.Equal(change.Limited, answer < tt.answers-1)
 			}
@@ -105,30 +105,30 @@
 	}
 }
 
-func TestALimitThatIsLeftOutOnceIsBackAtOnce(t *testing.T) {
+func TestLimitOmittedOnceIsRestored(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	r := limited(now, 1.3)
-	takeLimit(r, now.Add(time.Second), "e", now.Add(time.Second), Unlimited{})
-	change, changed := takeLimit(r, now.Add(2*time.Second), "e", now, LimitedTo{Rate: 1.3})
+	r := limitedRegistry(now, 1.3)
+	observeLimit(r, now.Add(time.Second), "e", now.Add(time.Second), Unlimited{})
+	change, changed := observeLimit(r, now.Add(2*time.Second), "e", now, LimitedTo{Rate: 1.3})
 	is.True(changed)
 	is.Equal(change, LimitChange{Limited: true, Rate: 1.3, PreviousRate: 4.6})
 }
 
-func TestALimitThatNothingConfirmsIsForgotten(t *testing.T) {
+func TestUnconfirmedLimitExpires(t *testing.T) {
 	tests := []struct {
 		name    string
 		confirm func(r *Registry, at time.Time)
 		kept    bool
 	}{
 		{"nothing", func(*Registry, time.Time) {}, false},
-		{"an answer", func(r *Registry, at time.Time) { takeLimit(r, at, "e", at, LimitedTo{Rate: 2}) }, true},
-		{"an answer that can't be read", func(r *Registry, at time.Time) { takeLimit(r, at, "e", at, LimitNotAdvertised{}) }, false},
-		{"a claim at another router", func(r *Registry, at time.Time) { r.ConfirmLimit(at, "e") }, true},
-		{"news", func(r *Registry, at time.Time) {
+		{"an answer", func(r *Registry, at time.Time) { observeLimit(r, at, "e", at, LimitedTo{Rate: 2}) }, true},
+		{"an answer that cannot be parsed", func(r *Registry, at time.Time) { observeLimit(r, at, "e", at, LimitNotAdvertised{}) }, false},
+		{"a reservation at a peer", func(r *Registry, at time.Time) { r.ConfirmLimit(at, "e") }, true},
+		{"a state update", func(r *Registry, at time.Time) {
 			r.ApplyUpdates(at, []StateUpdate{{Instance: "e", Sequence: 1, Limited: true, Rate: 2}})
 		}, true},
-		{"old news", func(r *Registry, at time.Time) {
+		{"an old state update", func(r *Registry, at time.Time) {
 			r.ApplyUpdates(at, []StateUpdate{{Instance: "e", Sequence: 1, Limited: true, Rate: 2, Age: 40 * time.Second}})
 		}, false},
 	}
@@ -136,18 +136,18 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			at := time.Unix(1000, 0)
-			r := limited(at, 2)
-			is.Equal(len(r.LimitedInstances(at.Add(limitKept))), 1)
+			r := limitedRegistry(at, 2)
+			is.Equal(len(r.LimitedInstances(at.Add(limitTTL))), 1)
 			tt.confirm(r, at.Add(40*time.Second))
-			is.Equal(len(r.LimitedInstances(at.Add(limitKept+time.Second))) == 1, tt.kept)
+			is.Equal(len(r.LimitedInstances(at.Add(limitTTL+time.Second))) == 1, tt.kept)
 		})
 	}
 }
 
-func TestNewsOfLimits(t *testing.T) {
+func TestStateUpdatesOfLimits(t *testing.T) {
 	tests := []struct {
 		name    string
-		told    StateUpdate
+		update  StateUpdate
 		changed bool
 		rate    float64
 	}{
@@ -159,38 +159,38 @@
 		{"as new and higher", StateUpdate{Sequence: 1, Limited: true, Rate: 3}, false, 2},
 		{"as new, none", StateUpdate{Sequence: 1}, false, 2},
 		{"not a number", StateUpdate{Sequence: 2, Limited: true, Rate: math.NaN()}, false, 2},
-		{"less than nothing", StateUpdate{Sequence: 2, Limited: true, Rate: -1}, false, 2},
-		{"without end", StateUpdate{Sequence: 2, Limited: true, Rate: math.Inf(1)}, false, 2},
+		{"negative", StateUpdate{Sequence: 2, Limited: true, Rate: -1}, false, 2},
+		{"infinite", StateUpdate{Sequence: 2, Limited: true, Rate: math.Inf(1)}, false, 2},
 		{"from the future", StateUpdate{Sequence: 2, Limited: true, Rate: 1, Age: -time.Second}, false, 2},
-		{"a sequence that leaves no room", StateUpdate{Sequence: math.MaxUint64, Limited: true, Rate: 1}, false, 2},
+		{"a sequence above the maximum", StateUpdate{Sequence: math.MaxUint64, Limited: true, Rate: 1}, false, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			at := time.Unix(1000, 0)
-			r := limited(at, 2)
-			tt.told.Instance = "e"
-			is.Equal(len(r.ApplyUpdates(at, []StateUpdate{tt.told})) == 1, tt.changed)
+			r := limitedRegistry(at, 2)
+			tt.update.Instance = "e"
+			is.Equal(len(r.ApplyUpdates(at, []StateUpdate{tt.update})) == 1, tt.changed)
 			is.Equal(r.byID["e"].limit.rate, tt.rate)
 		})
 	}
 }
 
-func TestNewsOfUnknownBackEndsArePassedOver(t *testing.T) {
-	r := limited(time.Unix(1000, 0), 2)
+func TestStateUpdateOfUnknownBackendIsIgnored(t *testing.T) {
+	r := limitedRegistry(time.Unix(1000, 0), 2)
 	is.New(t).Equal(r.ApplyUpdates(time.Unix(1000, 0), []StateUpdate{{Instance: "other", Sequence: 1, Limited: true, Rate: 1}}), nil)
 }
 
-func TestABackEndWhoseLimitIsUsedUpIsPassedOver(t *testing.T) {
+func TestBackendWithUsedUpLimitIsSkipped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	r := limited(now, 2)
+	r := limitedRegistry(now, 2)
 	query := Query{Service: "s", Model: "m", SpreadKey: 1}
-	choice, flight, found := r.Pick(now, &query)
+	choice, attempt, found := r.Pick(now, &query)
 	is.True(found)
 	is.Equal(choice.Limit, Limit{Rate: 2, Sequence: 1})
 	is.True(choice.AllLimited)
-	flight.End(now, Abandoned)
+	attempt.End(now, Abandoned)
 	until := now.Add(300 * time.Millisecond)
 	r.ObserveLimitUsedUp("e", until)
 	_, _, found = r.Pick(now, &query)
@@ -209,27 +209,28 @@
 	is.True(!choice.AllLimited)
 }
 
-// A back end that rests after a refusal is worth a short wait, though all others are used up.
-func TestABackEndThatRestsIsLeft(t *testing.T) {
+// A back end that is paused after a refusal is worth a short wait, though the limits of all
+// others are used up.
+func TestPausedBackendMayBeAvailableSoon(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	r := limited(now, 2)
+	r := limitedRegistry(now, 2)
 	r.ApplyList(now.Add(time.Millisecond), []Record{
 		{Instance: "e", Service: "s", Models: map[ident.Model]int{"m": 1}}, {Instance: "f", Service: "s", Models: map[ident.Model]int{"m": 1}},
 	})
 	r.ObserveLimitUsedUp("e", now.Add(time.Second))
 	query := Query{Service: "s", Model: "m", SpreadKey: 1}
-	choice, flight, found := r.Pick(now, &query)
+	choice, attempt, found := r.Pick(now, &query)
 	is.True(found)
 	is.Equal(choice.Instance, ident.Incarnation("f"))
-	flight.End(now, Refused)
+	attempt.End(now, Refused)
 	_, _, found = r.Pick(now, &query)
 	is.True(!found)
 	is.Equal(r.Availability(now, &query), AvailableSoon{})
 }
 
-// takeLimit takes in what an answer to an attempt that was sent at a time says of a limit.
-func takeLimit(r *Registry, now time.Time, instance ident.Incarnation, sentAt time.Time, told AdvertisedLimit) (LimitChange, bool) {
-	heard := r.ObserveAdvertised(now, instance, sentAt, Advertised{Limit: told}, SourceAnswer)
-	return heard.Limit, heard.LimitChanged
+// observeLimit applies the limit that the answer to a call sent at sentAt advertises.
+func observeLimit(r *Registry, now time.Time, instance ident.Incarnation, sentAt time.Time, advertised AdvertisedLimit) (LimitChange, bool) {
+	change := r.ObserveAdvertised(now, instance, sentAt, Advertised{Limit: advertised}, SourceAnswer)
+	return change.Limit, change.LimitChanged
 }
--- a/internal/backend/reach_test.go
+++ b/internal/backend/reachability_test.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// fail lets an attempt at each of some back ends of a zone end so.
-func fail(t *testing.T, known *backend.Registry, now time.Time, zone ident.Zone, count int, outcome backend.Outcome) {
+// failAttempts ends attempts at a number of back ends of a zone with an outcome.
+func failAttempts(t *testing.T, known *backend.Registry, now time.Time, zone ident.Zone, count int, outcome backend.Outcome) {
 	t.Helper()
 	failed := 0
 	for _, record := range known.Records() {
@@ -25,73 +25,73 @@
 				only.Excluded = append(only.Excluded, other.Instance)
 			}
 		}
-		_, flight, found := known.Pick(now, only)
+		_, attempt, found := known.Pick(now, only)
 		if !found {
 			continue
 		}
 		failed++
-		flight.End(now, outcome)
+		attempt.End(now, outcome)
 	}
 }
 
-// zonesAt returns how many of many prompts a router sends to each zone.
+// zonesAt returns how many of 100 prompts a router sends to each zone.
 func zonesAt(known *backend.Registry, now time.Time) map[ident.Zone]int {
 	sent := make(map[ident.Zone]int)
 	for key := uint64(1); key <= 100; key++ {
 		wanted := query()
 		wanted.HomeKey = key * 0x9e3779b97f4a7c15
 		wanted.SharedTokens = 60_000
-		choice, flight, found := known.Pick(now, wanted)
+		choice, attempt, found := known.Pick(now, wanted)
 		if found {
 			sent[choice.Zone]++
-			flight.End(now, backend.Abandoned)
+			attempt.End(now, backend.Abandoned)
 		}
 	}
 	return sent
 }
 
 // A region of whose engines several fail, and none answers, gets no work for a while.
-func TestARegionThatDoesNotAnswerIsPassedOver(t *testing.T) {
+func TestUnreachableRegionIsSkipped(t *testing.T) {
 	tests := []struct {
-		name string
-		see  func(known *backend.Registry)
+		name    string
+		observe func(known *backend.Registry)
 		// after is the time from the last failure to the choice.
 		after time.Duration
 		avoid bool
 	}{
 		{"two are unreachable", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 2, backend.Unreachable)
+			failAttempts(t, known, start, "b1", 2, backend.Unreachable)
 		}, 0, false},
 		{"three are unreachable", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Unreachable)
+			failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 		}, 0, true},
 		{"three are silent", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Silent)
+			failAttempts(t, known, start, "b1", 3, backend.Silent)
 		}, 0, true},
 		{"three refuse", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Refused)
+			failAttempts(t, known, start, "b1", 3, backend.Refused)
 		}, 0, false},
 		{"three are unreachable in the own region", func(known *backend.Registry) {
-			fail(t, known, start, "a1", 3, backend.Unreachable)
+			failAttempts(t, known, start, "a1", 3, backend.Unreachable)
 		}, 0, false},
 		{"one answers in between", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 2, backend.Unreachable)
-			fail(t, known, start, "b2", 1, backend.Answered)
-			fail(t, known, start, "b2", 2, backend.Unreachable)
+			failAttempts(t, known, start, "b1", 2, backend.Unreachable)
+			failAttempts(t, known, start, "b2", 1, backend.Answered)
+			failAttempts(t, known, start, "b2", 2, backend.Unreachable)
 		}, 0, false},
 		{"three were unreachable some time ago", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Unreachable)
+			failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 		}, 1100 * time.Millisecond, false},
-		{"three were, and one is again", func(known *backend.Registry) {
-			fail(t, known, start, "b1", 3, backend.Unreachable)
-			fail(t, known, start.Add(1100*time.Millisecond), "b2", 1, backend.Unreachable)
+		{"three were some time ago, and one is now", func(known *backend.Registry) {
+			failAttempts(t, known, start, "b1", 3, backend.Unreachable)
+			failAttempts(t, known, start.Add(1100*time.Millisecond), "b2", 1, backend.Unreachable)
 		}, 1900 * time.Millisecond, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			known := regional("a1", fleet(map[ident.Zone]int{"a1": 8, "b1": 4, "b2": 4, "c1": 8})...)
-			tt.see(known)
+			tt.observe(known)
 			sent := zonesAt(known, start.Add(tt.after))
 			is.Equal(sent["b1"]+sent["b2"] == 0, tt.avoid)
 			is.True(sent["a1"] > 10)
@@ -100,28 +100,28 @@
 	}
 }
 
-// Routers of a region that lost another one agree on the homes of its prompts meanwhile.
-func TestRoutersThatLostARegionAgreeOnHomes(t *testing.T) {
+// Routers for which the same region is unreachable agree on the homes of its prompts.
+func TestRoutersAgreeOnHomesWithoutUnreachableRegion(t *testing.T) {
 	is := is.New(t)
 	records := fleet(map[ident.Zone]int{"a1": 8, "b1": 8, "c1": 8})
 	one, other := regional("a1", records...), regional("a2", records...)
 	for _, known := range []*backend.Registry{one, other} {
-		fail(t, known, start, "b1", 3, backend.Unreachable)
+		failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 	}
 	found := homes(one, manyPrompts)
 	is.Equal(len(found), manyPrompts)
 	is.Equal(homes(other, manyPrompts), found)
 }
 
-// Where all else is lost too, a request is still sent to a region that does not answer.
-func TestARegionThatDoesNotAnswerIsBetterThanNone(t *testing.T) {
+// If no other region has back ends, a request is still sent to an unreachable one.
+func TestUnreachableRegionIsUsedAsLastResort(t *testing.T) {
 	is := is.New(t)
 	var records []backend.Record
 	for number := range 6 {
 		records = append(records, engineIn("b1", ident.Incarnation(fmt.Sprint("b-", number))))
 	}
 	known := regional("a1", records...)
-	fail(t, known, start, "b1", 3, backend.Unreachable)
+	failAttempts(t, known, start, "b1", 3, backend.Unreachable)
 	_, _, found := known.Pick(start, query())
 	is.True(found)
 }
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -11,55 +11,55 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// Registry believes the newest list of back ends and chooses among them.
+// Registry tracks the back ends of the newest instance list and chooses among them.
 type Registry struct {
 	config Config
 
-	mutex    sync.Mutex
-	services map[ident.Service][]*state
-	readings map[ident.Service]*reading
-	// latenesses are those of the answers of whole services.
-	latenesses map[ident.Service]*serviceLateness
-	byID       map[ident.Incarnation]*state
-	formers    formers
-	listedAt   time.Time
-	lapses     lapses
-	// newlyGone are the back ends that this router found gone and has not told yet.
-	newlyGone []ident.Incarnation
-	trips     trips
-	// reaches are those of other regions with back ends that failed lately.
-	reaches map[ident.Region]*reach
+	mutex           sync.Mutex
+	services        map[ident.Service][]*state
+	prefillRates    map[ident.Service]*prefillRate
+	serviceLateness map[ident.Service]*serviceLateness
+	byID            map[ident.Incarnation]*state
+	removed         removedBackends
+	listedAt        time.Time
+	listOutage      listOutage
+	// newlyGone are the back ends that this router found gone and has not returned from
+	// NewlyGone yet.
+	newlyGone  []ident.Incarnation
+	roundTrips roundTrips
+	// reachability is that of other regions with recent failures.
+	reachability map[ident.Region]*reachability
 }
 
-// NewRegistry returns a registry that knows no back end.
+// NewRegistry returns a registry without back ends.
 func NewRegistry(config Config) *Registry {
 	return &Registry{
-		config:     config.withDefaults(),
-		services:   make(map[ident.Service][]*state),
-		readings:   make(map[ident.Service]*reading),
-		latenesses: make(map[ident.Service]*serviceLateness),
-		byID:       make(map[ident.Incarnation]*state),
-		formers:    make(formers),
-		trips:      make(trips),
-		reaches:    make(map[ident.Region]*reach),
+		config:          config.withDefaults(),
+		services:        make(map[ident.Service][]*state),
+		prefillRates:    make(map[ident.Service]*prefillRate),
+		serviceLateness: make(map[ident.Service]*serviceLateness),
+		byID:            make(map[ident.Incarnation]*state),
+		removed:         make(removedBackends),
+		roundTrips:      make(roundTrips),
+		reachability:    make(map[ident.Region]*reachability),
 	}
 }
 
-// ListedAt returns the time of the newest list taken in; zero means none.
+// ListedAt returns the time of the newest list that was applied; zero means none.
 func (r *Registry) ListedAt() time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.listedAt
 }
 
-// Records returns the newest list, ordered by instance.
+// Records returns the newest list, ordered by instance. Draining includes advertised drains.
 func (r *Registry) Records() []Record {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	records := make([]Record, 0, len(r.byID))
 	for _, known := range r.byID {
 		record := known.record
-		record.Draining = known.leaving.begun()
+		record.Draining = known.drain.active()
 		records = append(records, record)
 	}
 	slices.SortFunc(records, func(a, b Record) int {
@@ -80,32 +80,32 @@
 	Record Record
 }
 
-// ChangeKind says what became of a back end.
+// ChangeKind is what changed about a back end.
 type ChangeKind string
 
 // The kinds of change.
 const (
-	Appeared ChangeKind = "appeared"
-	Drained  ChangeKind = "draining"
-	Gone     ChangeKind = "gone"
-	Reloaded ChangeKind = "reloaded"
+	Appeared   ChangeKind = "appeared"
+	DrainBegan ChangeKind = "draining"
+	Gone       ChangeKind = "gone"
+	Reloaded   ChangeKind = "reloaded"
 )
 
-// ApplyList takes in a whole list as it was at a time; an older list than the
-// newest one is ignored. It returns what changed.
+// ApplyList applies a whole list as of a time and returns what changed. Lists older than the
+// newest one are ignored.
 func (r *Registry) ApplyList(listedAt time.Time, records []Record) []Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if listedAt.Before(r.listedAt) {
 		return nil
 	}
-	r.lapses.read(r.listedAt, listedAt)
+	r.listOutage.observeRead(r.listedAt, listedAt)
 	r.listedAt = listedAt
 	var changes []Change
 	listed := make(map[ident.Incarnation]*state, len(records))
 	services := make(map[ident.Service][]*state)
 	for _, record := range records {
-		known, change := r.listed(listedAt, record)
+		known, change := r.applyRecord(listedAt, record)
 		if change != "" {
 			changes = append(changes, Change{Kind: change, Record: record})
 		}
@@ -115,44 +115,44 @@
 	for instance, known := range r.byID {
 		switch {
 		case listed[instance] != nil:
-		case r.lapses.mayReturn(listedAt) && r.config.Disabled.On(mechanism.LapseGrace):
+		case r.listOutage.mayReturn(listedAt) && r.config.Disabled.On(mechanism.LapseGrace):
 			known.missing = true
 			listed[instance] = known
 			services[known.record.Service] = append(services[known.record.Service], known)
 		default:
-			r.formers.add(listedAt, known)
+			r.removed.add(listedAt, known)
 			changes = append(changes, Change{Kind: Gone, Record: known.record})
 		}
 	}
-	r.formers.forget(listedAt)
+	r.removed.expire(listedAt)
 	r.byID, r.services = listed, services
 	return changes
 }
 
-// StoreRestored takes in that the store of the list came back from an older copy.
+// StoreRestored records that the store of the instance list was restored from an older copy.
 func (r *Registry) StoreRestored(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lapses.cameBack(now)
+	r.listOutage.observeRestore(now)
 }
 
-// ConfirmList takes in that the newest list still held at a time. It returns what
-// changed: back ends that did not come back after an outage.
+// ConfirmList records that the newest list was still current at a time. It returns what
+// changed: back ends that did not return after an outage.
 func (r *Registry) ConfirmList(listedAt time.Time) []Change {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !listedAt.After(r.listedAt) {
 		return nil
 	}
-	r.lapses.read(r.listedAt, listedAt)
+	r.listOutage.observeRead(r.listedAt, listedAt)
 	r.listedAt = listedAt
-	if r.lapses.mayReturn(listedAt) {
+	if r.listOutage.mayReturn(listedAt) {
 		return nil
 	}
 	return r.dropMissing()
 }
 
-// dropMissing drops the back ends that the list lacks.
+// dropMissing removes the back ends that the list lacks.
 func (r *Registry) dropMissing() []Change {
 	var changes []Change
 	for instance, known := range r.byID {
@@ -160,7 +160,7 @@
 			continue
 		}
 		delete(r.byID, instance)
-		r.formers.add(r.listedAt, known)
+		r.removed.add(r.listedAt, known)
 		service := known.record.Service
 		r.services[service] = slices.DeleteFunc(r.services[service], func(other *state) bool { return other == known })
 		changes = append(changes, Change{Kind: Gone, Record: known.record})
@@ -168,13 +168,13 @@
 	return changes
 }
 
-// listed takes in one record of a list as it was at a time, and tells what changed, if anything.
-func (r *Registry) listed(listedAt time.Time, record Record) (*state, ChangeKind) {
+// applyRecord applies one record of a list as of a time and returns what changed, if anything.
+func (r *Registry) applyRecord(listedAt time.Time, record Record) (*state, ChangeKind) {
 	known := r.byID[record.Instance]
 	if known == nil {
-		known = r.appeared(record)
+		known = r.newState(record)
 		if record.Draining {
-			known.leaving.begins(listedAt, SourceList)
+			known.drain.begin(listedAt, SourceList)
 		}
 		return known, Appeared
 	}
@@ -183,45 +183,44 @@
 		return known, ""
 	}
 	var change ChangeKind
-	record = settled(&known.record, record)
+	record = mergeRecord(&known.record, record)
 	for model, version := range record.Models {
 		if known.record.Models[model] != version {
 			change = Reloaded
 			known.pausedUntil = time.Time{}
 		}
 	}
-	if record.Draining && known.leaving.begins(listedAt, SourceList) {
-		change = Drained
+	if record.Draining && known.drain.begin(listedAt, SourceList) {
+		change = DrainBegan
 	}
 	known.record = record
 	return known, change
 }
 
-// appeared returns the state of a back end that the last list did not hold. One that was known
-// before goes on with what it said then.
-func (r *Registry) appeared(record Record) *state {
-	said := &words{}
-	if earlier, gone := r.formers[record.Instance]; gone {
-		delete(r.formers, record.Instance)
-		record = settled(&earlier.record, record)
-		said = earlier.words
+// newState returns the state of a back end that the last list lacked. One that was removed
+// before keeps its advertised state.
+func (r *Registry) newState(record Record) *state {
+	advertised := &advertisedState{}
+	if earlier, gone := r.removed[record.Instance]; gone {
+		delete(r.removed, record.Instance)
+		record = mergeRecord(&earlier.record, record)
+		advertised = earlier.advertised
 	}
-	return &state{record: record, words: said, flights: make(map[*Attempt]struct{})}
+	return &state{record: record, advertisedState: advertised, attempts: make(map[*Attempt]struct{})}
 }
 
-// newestOf returns the versions that a list tells, but for those of which newer
-// ones were seen before: a back end never goes back within one life, and the list
-// lags.
-func newestOf(seen, told map[ident.Model]int) map[ident.Model]int {
-	newest := maps.Clone(told)
-	for model, version := range told {
-		newest[model] = max(version, seen[model])
+// newestVersions returns the listed versions, raised to those observed earlier: the list lags,
+// and an incarnation never goes back to older weights.
+func newestVersions(earlier, listed map[ident.Model]int) map[ident.Model]int {
+	newest := maps.Clone(listed)
+	for model, version := range listed {
+		newest[model] = max(version, earlier[model])
 	}
 	return newest
 }
 
-// ObserveVersion takes in that a back end was seen at a version of a model's
-// weights, by an answer or a report newer than the list.
+// ObserveVersion records the version of a model's weights that an answer or a report newer than
+// the list showed.
 func (r *Registry) ObserveVersion(instance ident.Incarnation, model ident.Model, version int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -236,34 +235,33 @@
 	known.pausedUntil = time.Time{}
 }
 
-// AssumeVersion takes a back end to have a version of a model's weights until
-// the list must have told it. It decides where attempts go and is no fact:
-// Records does not tell it.
+// AssumeVersion assumes that a back end has a version of a model's weights until the list must
+// show it. It affects where attempts go, but not Records.
 func (r *Registry) AssumeVersion(now time.Time, instance ident.Incarnation, model ident.Model, version int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if known := r.byID[instance]; known != nil {
 		known.assumed, known.assumedModel = version, model
-		known.assumedUntil = now.Add(assumedFor)
+		known.assumedUntil = now.Add(assumedVersionTTL)
 	}
 }
 
-// MarkLoading takes in that a back end is about to take a version of a model's
-// weights. It gets no work of that model for the time that this takes, 0 meaning that
-// it was not told, and is then taken to have the version, until the list must have
-// told it. Versions only rise: a notice of an older one than was told before is late.
-func (r *Registry) MarkLoading(now time.Time, instance ident.Incarnation, model ident.Model, version int, takes time.Duration) {
+// MarkLoading records that a back end is about to load a version of a model's weights. It gets
+// no work of that model for the duration, 0 meaning unknown, and is then assumed to have the
+// version until the list must show it. Versions only rise: a call with an older one than before
+// comes from a late notification and is ignored.
+func (r *Registry) MarkLoading(now time.Time, instance ident.Incarnation, model ident.Model, version int, duration time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.byID[instance]
-	if known == nil || known.takesNewer(now, model, version) {
+	if known == nil || known.loadingNewer(now, model, version) {
 		return
 	}
 	known.loading, known.loadingModel = version, model
-	known.loadingUntil = now.Add(cmp.Or(takes, loadingFor))
+	known.loadingUntil = now.Add(cmp.Or(duration, defaultLoadingTime))
 }
 
-// CancelLoading takes back that a back end is about to take a version.
+// CancelLoading reverts MarkLoading of that version.
 func (r *Registry) CancelLoading(instance ident.Incarnation, model ident.Model, version int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -273,12 +271,12 @@
 	}
 }
 
-// PeerSilentFor is how long an engine that another router found silent counts as such
-// here, unless it is told again or answers this router.
+// PeerSilentFor is how long an engine that a peer reported silent counts as such here, unless
+// it is reported again or answers this router.
 const PeerSilentFor = 1200 * time.Millisecond
 
-// PeerSilent takes in that another router gets no answer from back ends. They are
-// dearer for a short time, so that a teller that is wrong shuts none out.
+// PeerSilent records that a peer gets no answer from back ends. They cost more for a short
+// time, so that a faulty peer cannot exclude any.
 func (r *Registry) PeerSilent(now time.Time, instances []ident.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -287,43 +285,43 @@
 		if known == nil {
 			continue
 		}
-		if !now.Before(known.silentUntil) {
-			known.silentFrom = now
+		if !now.Before(known.peerSilentUntil) {
+			known.peerSilentFrom = now
 		}
-		known.silentUntil = now.Add(PeerSilentFor)
+		known.peerSilentUntil = now.Add(PeerSilentFor)
 	}
 }
 
-// PeerAnswering takes in that back ends answer another router again.
+// PeerAnswering records that back ends answer a peer again.
 func (r *Registry) PeerAnswering(instances []ident.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, instance := range instances {
 		if known := r.byID[instance]; known != nil {
-			known.silentUntil = time.Time{}
+			known.peerSilentUntil = time.Time{}
 		}
 	}
 }
 
-// PeerQueue takes in that a number of requests wait at a back end, as another router
-// found.
+// PeerQueue records the number of requests that a peer found waiting at a back end.
 func (r *Registry) PeerQueue(now time.Time, instance ident.Incarnation, waiting int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if known := r.byID[instance]; known != nil {
-		known.told = queue{waiting: min(max(waiting, 0), maxQueue), at: now}
+		known.peerQueue = peerQueue{waiting: min(max(waiting, 0), maxPeerQueue), at: now}
 	}
 }
 
-// DrainingOrUnlisted reports whether a back end drains or is not listed.
+// DrainingOrUnlisted reports whether a back end is draining or is not listed.
 func (r *Registry) DrainingOrUnlisted(instance ident.Incarnation) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.byID[instance]
-	return known == nil || known.missing || known.leaving.begun()
+	return known == nil || known.missing || known.drain.active()
 }
 
-// InFlightBefore reports whether an attempt is under way at a back end that began before a time.
+// InFlightBefore reports whether an attempt that began before a time is in flight at a back
+// end.
 func (r *Registry) InFlightBefore(instance ident.Incarnation, before time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -331,21 +329,21 @@
 	if known == nil {
 		return false
 	}
-	for flight := range known.flights {
-		if flight.begunAt.Before(before) {
+	for attempt := range known.attempts {
+		if attempt.startedAt.Before(before) {
 			return true
 		}
 	}
 	return false
 }
 
-// InFlight returns the number of attempts under way at all back ends.
+// InFlight returns the number of attempts in flight at all back ends.
 func (r *Registry) InFlight() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	count := 0
 	for _, known := range r.byID {
-		count += len(known.flights)
+		count += len(known.attempts)
 	}
 	return count
 }
--- a/internal/backend/registry_test.go
+++ b/internal/backend/registry_test.go
@@ -34,14 +34,14 @@
 
 func pick(t *testing.T, known *backend.Registry, now time.Time, wanted *backend.Query) (backend.Choice, *backend.Attempt) {
 	t.Helper()
-	choice, flight, found := known.Pick(now, wanted)
+	choice, attempt, found := known.Pick(now, wanted)
 	if !found {
 		t.Fatal("no back end was chosen")
 	}
-	return choice, flight
+	return choice, attempt
 }
 
-func TestRoutersAgreeOnTheHomeOfAPrompt(t *testing.T) {
+func TestRoutersAgreeOnHome(t *testing.T) {
 	is := is.New(t)
 	one := registry(engine("a", 1), engine("b", 1), engine("c", 1))
 	other := registry(engine("c", 1), engine("a", 1), engine("b", 1))
@@ -51,7 +51,7 @@
 	is.True(first.Home)
 }
 
-func TestALoadedHomeIsPassedBy(t *testing.T) {
+func TestLoadedHomeIsSkipped(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1))
 	home, _ := pick(t, known, start, query())
@@ -62,7 +62,7 @@
 	is.True(next.Instance != home.Instance)
 }
 
-func TestWhoGetsNoWork(t *testing.T) {
+func TestIneligibleBackends(t *testing.T) {
 	draining := engine("a", 1)
 	draining.Draining = true
 	otherModel := engine("a", 1)
@@ -92,11 +92,11 @@
 	}
 }
 
-func TestWeightsExpireByWhenTheRequestIsExpectedToBegin(t *testing.T) {
+func TestWeightsExpireBeforeExpectedStart(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	wanted := query()
-	wanted.OwnTokens = 10_000 // 260ms of reading
+	wanted.OwnTokens = 10_000 // 260ms of prefill
 	wanted.Expiries = []backend.Expiry{{Version: 2, At: start.Add(400 * time.Millisecond)}}
 	_, _, found := known.Pick(start, wanted)
 	is.True(!found)
@@ -104,7 +104,7 @@
 	is.True(found)
 }
 
-func TestUncertainWeightsAreALastResort(t *testing.T) {
+func TestUncertainWeightsAreLastResort(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1), engine("c", 2))
 	wanted := query()
@@ -116,18 +116,18 @@
 	is.Equal(choice.Version, 1)
 }
 
-func TestAVersionSeenCountsAtOnce(t *testing.T) {
+func TestObservedVersionAppliesAtOnce(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	known.ObserveVersion("a", model, 3)
 	choice, _ := pick(t, known, start, query())
 	is.Equal(choice.Version, 3)
-	known.ObserveVersion("a", model, 2) // older news changes nothing
+	known.ObserveVersion("a", model, 2) // an older version is ignored
 	choice, _ = pick(t, known, start, query())
 	is.Equal(choice.Version, 3)
 }
 
-func TestOutcomesKeepWorkAway(t *testing.T) {
+func TestFailedOutcomesDivertWork(t *testing.T) {
 	cases := []struct {
 		outcome backend.Outcome
 		away    bool
@@ -145,33 +145,33 @@
 		t.Run(c.outcome.String(), func(t *testing.T) {
 			is := is.New(t)
 			known := registry(engine("a", 1), engine("b", 1))
-			first, flight := pick(t, known, start, query())
-			flight.End(start, c.outcome)
+			first, attempt := pick(t, known, start, query())
+			attempt.End(start, c.outcome)
 			next, other := pick(t, known, start, query())
 			is.Equal(next.Instance != first.Instance, c.away)
 			other.End(start, backend.Answered)
 			later, _ := pick(t, known, start.Add(time.Minute), query())
-			is.Equal(later.Instance, first.Instance) // nothing is held against it for ever
+			is.Equal(later.Instance, first.Instance) // the effect of the outcome expires
 		})
 	}
 }
 
-func TestASilentBackEndGetsNoNewWork(t *testing.T) {
+func TestSilentBackendGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1))
-	home, flight := pick(t, known, start, query())
+	home, attempt := pick(t, known, start, query())
 	later := start.Add(2 * time.Second)
 	next, other := pick(t, known, later, query())
 	is.True(next.Instance != home.Instance)
 	other.End(later, backend.Answered)
-	flight.ObserveBytes(later)
-	flight.End(later, backend.Answered)
-	// The lateness is forgotten too.
+	attempt.ObserveBytes(later)
+	attempt.End(later, backend.Answered)
+	// The lateness decays too.
 	again, _ := pick(t, known, later.Add(time.Minute), query())
 	is.Equal(again.Instance, home.Instance)
 }
 
-func TestAnOlderListChangesNothing(t *testing.T) {
+func TestOlderListIsIgnored(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	is.Equal(len(known.ApplyList(start.Add(-time.Second), nil)), 0)
@@ -183,7 +183,7 @@
 	pick(t, known, start, query())
 }
 
-func TestChangesOfTheListAreTold(t *testing.T) {
+func TestApplyListReturnsChanges(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1), engine("b", 1))
 	reloaded := engine("a", 2)
@@ -198,20 +198,20 @@
 	})
 }
 
-func TestAnEndAfterTheBackEndIsGoneDoesNoHarm(t *testing.T) {
+func TestAttemptMayEndAfterBackendIsGone(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
-	_, flight := pick(t, known, start, query())
+	_, attempt := pick(t, known, start, query())
 	is.Equal(known.InFlight(), 1)
 	known.ApplyList(start.Add(time.Second), nil)
 	is.Equal(known.InFlight(), 0)
-	flight.ObserveBytes(start)
-	flight.End(start, backend.Broken)
+	attempt.ObserveBytes(start)
+	attempt.End(start, backend.Broken)
 }
 
-// What is only assumed of a back end decides where attempts go, but is not told
-// to those who change its weights: they would leave it behind for ever.
-func TestAnAssumedVersionIsNoFact(t *testing.T) {
+// An assumed version affects where attempts go but is not in Records: those who update weights
+// would otherwise never update this back end.
+func TestAssumedVersionIsNotInRecords(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 4))
 	known.AssumeVersion(start, "a", model, 5)
@@ -219,23 +219,22 @@
 	is.Equal(choice.Version, 5)
 	is.Equal(known.Records()[0].Models[model], 4)
 	later, _ := pick(t, known, start.Add(time.Minute), query())
-	is.Equal(later.Version, 4) // the list would have told it by then
+	is.Equal(later.Version, 4) // the list would show it by then
 }
 
-func TestAWrongAssumptionIsDropped(t *testing.T) {
+func TestRefusalDropsAssumedVersion(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 4))
 	known.AssumeVersion(start, "a", model, 5)
-	_, flight := pick(t, known, start, query())
-	flight.End(start, backend.WrongVersion)
+	_, attempt := pick(t, known, start, query())
+	attempt.End(start, backend.WrongVersion)
 	choice, _ := pick(t, known, start.Add(time.Second), query())
 	is.Equal(choice.Version, 4)
 }
 
-// Where back ends cost the same, prompts spread over them: an engine that is
-// first in the list is no better than another, and each prompt has its own order
-// in which the engines stand in for its home.
-func TestEqualBackEndsShareTheWork(t *testing.T) {
+// Back ends of equal cost share the work: the order of the list does not matter, and each
+// prompt has its own order of replacements for its home.
+func TestEqualBackendsShareWork(t *testing.T) {
 	is := is.New(t)
 	const engines, prompts = 20, 400
 	var records []backend.Record
@@ -246,8 +245,8 @@
 	for key := range uint64(prompts) {
 		wanted := query()
 		wanted.HomeKey, wanted.SpreadKey = key+1, key+1
-		home, flight := pick(t, registry(records...), start, wanted)
-		flight.End(start, backend.Answered)
+		home, attempt := pick(t, registry(records...), start, wanted)
+		attempt.End(start, backend.Answered)
 		wanted.Excluded = []ident.Incarnation{home.Instance}
 		second, _ := pick(t, registry(records...), start, wanted)
 		again, _ := pick(t, registry(records...), start, wanted)
@@ -256,14 +255,15 @@
 	}
 	for instance, count := range chosen {
 		if count > 3*prompts/engines {
-			t.Errorf("%s stands in for %d of %d prompts", instance, count, prompts)
+			t.Errorf("%s replaces the home of %d of %d prompts", instance, count, prompts)
 		}
 	}
 	is.Equal(len(chosen), engines)
 }
 
-// The list lags behind what answers prove; a back end never goes back.
-func TestTheListDoesNotTakeBackAVersionThatWasSeen(t *testing.T) {
+// The list lags behind the versions that answers show, and an incarnation never goes back to
+// older weights.
+func TestListDoesNotLowerObservedVersion(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	known.ObserveVersion("a", model, 3)
@@ -279,7 +279,7 @@
 	is.Equal(choice.Version, 4)
 }
 
-func TestABackEndThatTakesWeightsGetsNoWork(t *testing.T) {
+func TestLoadingBackendGetsNoWork(t *testing.T) {
 	nothing := func(*backend.Registry) {}
 	tests := []struct {
 		name  string
@@ -290,21 +290,21 @@
 	}{
 		{"at once", nothing, 0, 0},
 		{"half a second later", nothing, 500 * time.Millisecond, 0},
-		{"when it usually has them", nothing, 800 * time.Millisecond, 2},
-		{"when the list would have told it", nothing, time.Minute, 1},
+		{"after the default loading time", nothing, 800 * time.Millisecond, 2},
+		{"when the list would show it", nothing, time.Minute, 1},
 		{"once it has them", func(known *backend.Registry) { known.ObserveVersion("a", model, 2) }, 0, 2},
-		{"once that was taken back", func(known *backend.Registry) { known.CancelLoading("a", model, 2) }, 0, 1},
-		{"once an older notice was taken back", func(known *backend.Registry) { known.CancelLoading("a", model, 1) }, 0, 0},
+		{"once that was cancelled", func(known *backend.Registry) { known.CancelLoading("a", model, 2) }, 0, 1},
+		{"once an older version was cancelled", func(known *backend.Registry) { known.CancelLoading("a", model, 1) }, 0, 0},
 		{"for another model", func(known *backend.Registry) { known.MarkLoading(start, "a", "other", 2, 0) }, 0, 1},
-		{"while it takes longer, as was told", func(known *backend.Registry) {
+		{"within a longer loading time", func(known *backend.Registry) {
 			known.MarkLoading(start, "a", model, 2, 1400*time.Millisecond)
 		}, 1300 * time.Millisecond, 0},
-		{"after the longer time that was told", func(known *backend.Registry) {
+		{"after a longer loading time", func(known *backend.Registry) {
 			known.MarkLoading(start, "a", model, 2, 1400*time.Millisecond)
 		}, 1500 * time.Millisecond, 2},
-		{"after it proved not to have them", func(known *backend.Registry) {
-			_, flight, _ := known.Pick(start.Add(time.Second), query())
-			flight.End(start.Add(time.Second), backend.WrongVersion)
+		{"after it refused the version", func(known *backend.Registry) {
+			_, attempt, _ := known.Pick(start.Add(time.Second), query())
+			attempt.End(start.Add(time.Second), backend.WrongVersion)
 		}, 1300 * time.Millisecond, 1},
 	}
 	for _, tt := range tests {
@@ -319,15 +319,15 @@
 	}
 }
 
-// The congestion of a service is the mean over its back ends of how late they lately
-// answered, also of those that answer in time.
-func TestCongestionIsTheMeanLateness(t *testing.T) {
+// The congestion of a service is the mean lateness of its recent answers, including those in
+// time.
+func TestCongestionIsMeanLateness(t *testing.T) {
 	tests := []struct {
 		name        string
 		late        []time.Duration
 		least, most float64
 	}{
-		{"calm", []time.Duration{0, 0, 0, 0}, 0, 0},
+		{"in time", []time.Duration{0, 0, 0, 0}, 0, 0},
 		{"one late", []time.Duration{800 * time.Millisecond, 0, 0, 0}, 0.4, 0.7},
 		{"all late", []time.Duration{time.Second, time.Second, time.Second, time.Second}, 2.5, 4},
 	}
@@ -339,12 +339,12 @@
 			for _, by := range tt.late {
 				wanted := query()
 				wanted.Excluded = tried
-				choice, flight := pick(t, known, start, wanted)
+				choice, attempt := pick(t, known, start, wanted)
 				tried = append(tried, choice.Instance)
-				flight.ObserveBytes(start.Add(choice.Predicted + by))
-				flight.End(start.Add(choice.Predicted+by), backend.Answered)
+				attempt.ObserveBytes(start.Add(choice.Predicted + by))
+				attempt.End(start.Add(choice.Predicted+by), backend.Answered)
 			}
-			// One observation counts three tenths, and half of that a second later.
+			// The weight of an answer halves in a second.
 			choice, _ := pick(t, known, start.Add(time.Second), query())
 			is.True(choice.Congestion >= tt.least)
 			is.True(choice.Congestion <= tt.most)
@@ -352,14 +352,14 @@
 	}
 }
 
-func TestWhoIsRefusedUnderOverload(t *testing.T) {
+func TestOverloaded(t *testing.T) {
 	tests := []struct {
 		name   string
 		choice backend.Choice
 		left   time.Duration
 		want   bool
 	}{
-		{"calm", backend.Choice{Queued: time.Second}, time.Second, false},
+		{"not congested", backend.Choice{Queued: time.Second}, time.Second, false},
 		{"a long prompt", backend.Choice{Predicted: time.Second, Congestion: 2}, time.Second, false},
 		{"one engine late", backend.Choice{Queued: time.Second, Lateness: time.Second, Congestion: 0.6}, time.Second, false},
 		{"a short wait", backend.Choice{Queued: 50 * time.Millisecond, Lateness: 50 * time.Millisecond, Congestion: 2}, 4 * time.Second, false},
@@ -375,23 +375,23 @@
 	}
 }
 
-// What a prompt waits for is what was sent before it, not its own length.
-func TestAPromptDoesNotWaitForItself(t *testing.T) {
+// The wait of a prompt is the work sent before it, without its own prefill.
+func TestWaitExcludesOwnPrompt(t *testing.T) {
 	is := is.New(t)
 	known := registry(engine("a", 1))
 	long := query()
 	long.OwnTokens = 40_000
-	first, flight := pick(t, known, start, long)
+	first, attempt := pick(t, known, start, long)
 	is.Equal(first.Wait(), time.Duration(0))
 	second, _ := pick(t, known, start, query())
 	is.Equal(second.Wait(), 40_000*26*time.Microsecond) // the prior
-	flight.ObserveBytes(start.Add(time.Second))
+	attempt.ObserveBytes(start.Add(time.Second))
 	third, _ := pick(t, known, start.Add(time.Second), query())
 	is.True(third.Wait() < second.Wait())
 }
 
-// The wait that is predicted follows what engines are seen to need.
-func TestPredictionsFollowTheReadingRate(t *testing.T) {
+// Predictions follow the observed prefill rate of the engines.
+func TestPredictionsFollowPrefillRate(t *testing.T) {
 	tests := []struct {
 		name string
 		rate time.Duration
@@ -405,10 +405,10 @@
 			wanted.OwnTokens = 4000
 			for range 60 {
 				now = now.Add(5 * time.Second)
-				_, flight := pick(t, known, now, wanted)
+				_, attempt := pick(t, known, now, wanted)
 				answered := now.Add(15*time.Millisecond + 4000*tt.rate)
-				flight.ObserveBytes(answered)
-				flight.End(answered, backend.Answered)
+				attempt.ObserveBytes(answered)
+				attempt.End(answered, backend.Answered)
 			}
 			choice, _ := pick(t, known, now.Add(5*time.Second), wanted)
 			is.True(choice.Predicted > 4000*tt.rate*8/10)
--- a/internal/backend/releases_choice_test.go
+++ b/internal/backend/releases_choice_test.go
@@ -11,25 +11,25 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// released returns an engine of a release.
-func released(name ident.Incarnation, release ident.Release) backend.Record {
+// engineOfRelease returns an engine of a release.
+func engineOfRelease(name ident.Incarnation, release ident.Release) backend.Record {
 	record := engine(name, 1)
 	record.Release = release
 	return record
 }
 
-// twoReleases are four engines of a release beside four of its successor.
+// twoReleases returns four engines of a release and four of its successor.
 func twoReleases() []backend.Record {
 	var records []backend.Record
 	for index := range 4 {
 		records = append(records,
-			released(ident.Incarnation(fmt.Sprint("old-", index)), "v1"), released(ident.Incarnation(fmt.Sprint("new-", index)), "v2"))
+			engineOfRelease(ident.Incarnation(fmt.Sprint("old-", index)), "v1"), engineOfRelease(ident.Incarnation(fmt.Sprint("new-", index)), "v2"))
 	}
 	return records
 }
 
-// Whatever the prompt's home is, and however busy or bad the allowed back ends are, no
-// attempt goes to a release that is not allowed.
+// No attempt goes to a release that is not allowed, whatever the home of the prompt and the
+// load or failures of the allowed back ends.
 func TestOnlyAllowedReleasesAreChosen(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -50,7 +50,7 @@
 			for key := range uint64(200) {
 				wanted := query()
 				wanted.HomeKey, wanted.SpreadKey, wanted.Releases = key+1, key+1, tt.releases
-				choice, flight, found := known.Pick(start, wanted)
+				choice, attempt, found := known.Pick(start, wanted)
 				if !found {
 					continue
 				}
@@ -58,7 +58,7 @@
 				is.True(!tt.releases.Restricted() || tt.releases.Allows(choice.Release))
 				is.Equal(choice.Releases, tt.releases)
 				if key%3 == 0 {
-					flight.End(start, backend.Broken) // the rest carry ever more
+					attempt.End(start, backend.Broken) // the rest stay in flight
 				}
 			}
 			is.Equal(got, tt.want)
@@ -66,21 +66,22 @@
 	}
 }
 
-// The home of a prompt is one of the allowed back ends, so that its parts are kept there.
-func TestAPromptHasItsHomeAmongTheAllowed(t *testing.T) {
+// The home of a prompt is one of the allowed back ends, so that its shared part is cached
+// there.
+func TestHomeIsAnAllowedBackend(t *testing.T) {
 	is := is.New(t)
 	known := registry(twoReleases()...)
 	for key := range uint64(50) {
 		wanted := query()
 		wanted.HomeKey, wanted.Releases = key+1, backend.Releases{Only: "v2"}
-		choice, flight := pick(t, known, start, wanted)
+		choice, attempt := pick(t, known, start, wanted)
 		is.True(choice.Home)
 		is.Equal(choice.HomeZone, ident.Zone("z"))
-		flight.End(start, backend.Answered)
+		attempt.End(start, backend.Answered)
 	}
 }
 
-func TestFewBackEndsOfARelease(t *testing.T) {
+func TestMaxBackendsOfRelease(t *testing.T) {
 	is := is.New(t)
 	releases := backend.Releases{Only: "v2", MaxBackends: 2, Seed: 7}
 	chosen := func(known *backend.Registry) map[ident.Incarnation]bool {
@@ -88,8 +89,8 @@
 		for key := range uint64(100) {
 			wanted := query()
 			wanted.HomeKey, wanted.Releases = key+1, releases
-			choice, flight := pick(t, known, start, wanted)
-			flight.End(start, backend.Answered)
+			choice, attempt := pick(t, known, start, wanted)
+			attempt.End(start, backend.Answered)
 			got[choice.Instance] = true
 		}
 		return got
@@ -97,7 +98,7 @@
 	first := chosen(registry(twoReleases()...))
 	is.Equal(len(first), 2)
 	is.Equal(chosen(registry(twoReleases()...)), first) // routers agree
-	// One that leaves is replaced by another.
+	// A draining back end is replaced by another one.
 	records := twoReleases()
 	for index := range records {
 		if first[records[index].Instance] {
@@ -110,9 +111,9 @@
 	is.True(fmt.Sprint(second) != fmt.Sprint(first))
 }
 
-// What a release on trial does late says nothing of the others' load, and nothing of how
-// fast they read.
-func TestATrialThatIsLateCongestsNoOther(t *testing.T) {
+// Late answers of a release on trial affect neither the congestion nor the prefill rate of the
+// service.
+func TestLateTrialDoesNotCongestService(t *testing.T) {
 	tests := []struct {
 		name   string
 		trial  backend.Releases
@@ -125,42 +126,42 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			known := registry(twoReleases()...)
-			fresh, _ := pick(t, known, start, query())
+			before, _ := pick(t, known, start, query())
 			now := start
 			for range 30 {
 				wanted := query()
 				wanted.Releases, wanted.OwnTokens = tt.trial, 2000
-				choice, flight := pick(t, known, now, wanted)
+				choice, attempt := pick(t, known, now, wanted)
 				now = now.Add(choice.Predicted + 2*time.Second)
-				flight.ObserveBytes(now)
-				flight.End(now, backend.Answered)
+				attempt.ObserveBytes(now)
+				attempt.End(now, backend.Answered)
 			}
 			other := query()
 			other.Releases = backend.Releases{Excluded: []ident.Release{"v2"}}
 			choice, _ := pick(t, known, now, other)
 			is.Equal(choice.Congestion > 0, tt.counts)
-			is.Equal(choice.PredictedUncached > fresh.PredictedUncached, tt.counts)
+			is.Equal(choice.PredictedUncached > before.PredictedUncached, tt.counts)
 		})
 	}
 }
 
-// A service that is not being moved pays nothing for the choice among releases.
+// A service without a rollout has no cost from the choice among releases.
 func BenchmarkPickOfAnyRelease(b *testing.B) {
 	known := registry(twoReleases()...)
 	wanted := query()
 	b.ReportAllocs()
 	for b.Loop() {
-		_, flight, _ := known.Pick(start, wanted)
-		flight.End(start, backend.Answered)
+		_, attempt, _ := known.Pick(start, wanted)
+		attempt.End(start, backend.Answered)
 	}
 }
 
-func TestAChoiceOfAnyReleaseAllocatesOnlyItsFlight(t *testing.T) {
+func TestPickAllocatesOnlyItsAttempt(t *testing.T) {
 	known := registry(twoReleases()...)
 	wanted := query()
 	allocs := testing.AllocsPerRun(200, func() {
-		_, flight, _ := known.Pick(start, wanted)
-		flight.End(start, backend.Answered)
+		_, attempt, _ := known.Pick(start, wanted)
+		attempt.End(start, backend.Answered)
 	})
 	is.New(t).True(allocs <= 1)
 }
--- a/internal/backend/stale_test.go
+++ b/internal/backend/stale_test.go
@@ -12,42 +12,42 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// Short prompts leave engines with replaced weights for those with the newest, the more
-// readily the more engines have those; long shared parts stay at home.
+// Short prompts move from engines with older weights to those with the newest if enough engines
+// have those; long shared parts stay at their home.
 func TestNewerWeightsArePreferred(t *testing.T) {
 	const engines = 10
 	short := func() *backend.Query {
 		return &backend.Query{Service: "s", Model: model, HomeKey: 42, SharedTokens: 200, OwnTokens: 100}
 	}
 	tests := []struct {
-		name    string
-		query   *backend.Query
-		newer   int
-		named   int
-		without []string
-		// newest says that an engine with the newest weights is chosen.
+		name      string
+		query     *backend.Query
+		newer     int
+		published int
+		without   []string
+		// newest is whether an engine with the newest weights is chosen.
 		newest bool
 	}{
 		{"a short prompt, most have them", short(), engines - 1, 2, nil, true},
 		{"a short prompt, half have them", short(), engines / 2, 2, nil, true},
 		{"a short prompt, none has them", short(), 0, 2, nil, false},
 		{"a long shared part", query(), engines - 1, 2, nil, false},
-		{"no version was named", short(), engines - 1, 0, nil, false},
+		{"no version was published", short(), engines - 1, 0, nil, false},
 		{"switched off", short(), engines - 1, 2, []string{string(mechanism.NewerWeights)}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			off, fault := mechanism.Without(tt.without)
+			disabled, fault := mechanism.Without(tt.without)
 			is.True(fault == nil)
 			var records []backend.Record
 			for index := range engines {
 				records = append(records, engine(ident.Incarnation(fmt.Sprintf("i-%d", index)), 1))
 			}
-			known := backend.NewRegistry(backend.Config{Zone: "z", Disabled: off})
+			known := backend.NewRegistry(backend.Config{Zone: "z", Disabled: disabled})
 			known.ApplyList(start, records)
-			home, flight := pick(t, known, start, tt.query)
-			flight.End(start, backend.Answered)
+			home, attempt := pick(t, known, start, tt.query)
+			attempt.End(start, backend.Answered)
 			newer := 0
 			for _, record := range records {
 				if record.Instance != home.Instance && newer < tt.newer {
@@ -55,8 +55,8 @@
 					newer++
 				}
 			}
-			if tt.named > 0 {
-				tt.query.Expiries = []backend.Expiry{{Version: tt.named, At: start.Add(time.Minute)}}
+			if tt.published > 0 {
+				tt.query.Expiries = []backend.Expiry{{Version: tt.published, At: start.Add(time.Minute)}}
 			}
 			choice, _ := pick(t, known, start, tt.query)
 			is.Equal(choice.Version == 2, tt.newest)
@@ -65,8 +65,8 @@
 	}
 }
 
-// A service whose answers come late is not calm: there engines are chosen by load.
-func TestCalm(t *testing.T) {
+// The headroom of a service falls as its answers come later than predicted.
+func TestHeadroom(t *testing.T) {
 	tests := []struct {
 		name        string
 		late        time.Duration
@@ -82,14 +82,14 @@
 			known := registry(engine("a", 1))
 			now := start
 			for range 20 {
-				choice, flight := pick(t, known, now, query())
+				choice, attempt := pick(t, known, now, query())
 				now = now.Add(choice.Predicted + tt.late)
-				flight.ObserveBytes(now)
-				flight.End(now, backend.Answered)
+				attempt.ObserveBytes(now)
+				attempt.End(now, backend.Answered)
 			}
-			calm := known.Headroom(now, "s")
-			is.True(calm >= tt.least)
-			is.True(calm <= tt.most)
+			headroom := known.Headroom(now, "s")
+			is.True(headroom >= tt.least)
+			is.True(headroom <= tt.most)
 		})
 	}
 }
--- a/internal/endpoint/poller.go
+++ b/internal/endpoint/poller.go
@@ -10,12 +10,12 @@
 	"github.com/fieldpond/fieldpond/internal/ring"
 )
 
-// PollResult is what came of one Question.
+// PollResult is the result of one PollRequest.
 type PollResult struct {
 	Engine  ident.Engine
 	Address string
 	Report  protocol.LoadReport
-	// Err is not nil when no report could be read.
+	// Err is not nil if no report could be read.
 	Err error
 }
 
@@ -24,29 +24,29 @@
 	Load(ctx context.Context, address string) (protocol.LoadReport, error)
 }
 
-// Poller reads load reports with a fixed number of goroutines. Questions and
-// answers pass through bounded rings: a question that finds its ring full is
-// dropped and will fall due again; an answer replaces older ones.
+// Poller reads load reports with a fixed number of goroutines. Requests and results pass
+// through bounded rings: a request that finds its ring full is dropped and becomes due again; a
+// result replaces older ones.
 type Poller struct {
-	reader    LoadReader
-	timeout   time.Duration
-	questions *ring.Ring[PollRequest]
-	answers   *ring.Ring[PollResult]
-	workers   sync.WaitGroup
+	reader   LoadReader
+	timeout  time.Duration
+	requests *ring.Ring[PollRequest]
+	results  *ring.Ring[PollResult]
+	workers  sync.WaitGroup
 }
 
-// NewPoller returns a poller whose reads each take at most timeout. The rings
-// hold at most capacity items.
+// NewPoller returns a poller whose reads each take at most timeout, and whose rings hold at
+// most capacity items.
 func NewPoller(reader LoadReader, timeout time.Duration, capacity int) *Poller {
 	return &Poller{
-		reader:    reader,
-		timeout:   timeout,
-		questions: ring.New[PollRequest]("load-questions", capacity, ring.RefuseNew),
-		answers:   ring.New[PollResult]("load-answers", capacity, ring.DropOldest),
+		reader:   reader,
+		timeout:  timeout,
+		requests: ring.New[PollRequest]("load-questions", capacity, ring.RefuseNew),
+		results:  ring.New[PollResult]("load-answers", capacity, ring.DropOldest),
 	}
 }
 
-// Start runs so many workers until ctx ends.
+// Start runs this many workers until ctx ends.
 func (p *Poller) Start(ctx context.Context, workers int) {
 	for range workers {
 		p.workers.Go(func() { p.work(ctx) })
@@ -56,19 +56,19 @@
 // Wait returns when every worker has ended.
 func (p *Poller) Wait() { p.workers.Wait() }
 
-// Enqueue queues questions.
-func (p *Poller) Enqueue(questions []PollRequest) {
-	for _, question := range questions {
-		p.questions.Push(question)
+// Enqueue queues requests for the workers, and drops those that find no room.
+func (p *Poller) Enqueue(requests []PollRequest) {
+	for _, request := range requests {
+		p.requests.Push(request)
 	}
 }
 
-// Results returns the ring of answers.
-func (p *Poller) Results() *ring.Ring[PollResult] { return p.answers }
+// Results returns the ring of results.
+func (p *Poller) Results() *ring.Ring[PollResult] { return p.results }
 
 // Rings returns the counters of both rings.
 func (p *Poller) Rings() []func() ring.Counters {
-	return []func() ring.Counters{p.questions.Counters, p.answers.Counters}
+	return []func() ring.Counters{p.requests.Counters, p.results.Counters}
 }
 
 func (p *Poller) work(ctx context.Context) {
@@ -76,20 +76,20 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.questions.Ready():
+		case <-p.requests.Ready():
 		}
-		for question, ok := p.questions.Pop(); ok; question, ok = p.questions.Pop() {
-			p.read(ctx, question)
+		for request, ok := p.requests.Pop(); ok; request, ok = p.requests.Pop() {
+			p.read(ctx, request)
 		}
 	}
 }
 
-func (p *Poller) read(ctx context.Context, question PollRequest) {
+func (p *Poller) read(ctx context.Context, request PollRequest) {
 	bounded, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	report, err := p.reader.Load(bounded, question.Address)
+	report, err := p.reader.Load(bounded, request.Address)
 	if ctx.Err() != nil {
 		return
 	}
-	p.answers.Push(PollResult{Engine: question.Engine, Address: question.Address, Report: report, Err: err})
+	p.results.Push(PollResult{Engine: request.Engine, Address: request.Address, Report: report, Err: err})
 }
--- a/internal/endpoint/schedule.go
+++ b/internal/endpoint/schedule.go
@@ -7,36 +7,35 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// candidateMemory is how long an engine counts as in use after it was last a
+// candidateTTL is how long an engine counts as in use after it was last a
 // candidate for a request.
-const candidateMemory = 30 * time.Second
+const candidateTTL = 30 * time.Second
 
-// idleFactor is how much more rarely an engine is asked that is not in use.
+// idleFactor is how many times less often an engine that is not in use is polled.
 const idleFactor = 8
 
-// PollRequest asks the shell to read one engine's load report.
+// PollRequest requests a read of one engine's load report.
 type PollRequest struct {
 	Engine  ident.Engine
 	Address string
 }
 
-// MarkCandidate takes in that the engine was a candidate for a request, so that
-// its report is worth refreshing.
+// MarkCandidate records that the engine was a candidate for a request, so that its report is
+// worth refreshing.
 func (r *Registry) MarkCandidate(now time.Time, engine ident.Engine) {
 	if known := r.engines[engine]; known != nil {
 		known.lastCandidate = now
 	}
 }
 
-// Due returns at most budget engines whose reports are to be read now: those
-// in use once an interval, the others idleFactor times more rarely, the one
-// asked longest ago first. The budget bounds what a node spends on reports
-// however many engines the fleet has.
+// Due returns at most budget engines whose reports are to be read now: those in use once an
+// interval, the others idleFactor times less often, the least recently polled first. The budget
+// bounds the cost of reports to a node, however many engines the fleet has.
 func (r *Registry) Due(now time.Time, interval time.Duration, budget int) []PollRequest {
 	best := make([]dueEngine, 0, max(0, budget)+1)
 	for _, known := range r.order {
 		candidate := dueEngine{known: known, inUse: known.inUse(now)}
-		if now.Sub(known.lastAsked) < candidate.interval(interval) {
+		if now.Sub(known.lastPolled) < candidate.interval(interval) {
 			continue
 		}
 		position := len(best)
@@ -47,12 +46,12 @@
 			best = slices.Insert(best, position, candidate)[:min(len(best)+1, budget)]
 		}
 	}
-	questions := make([]PollRequest, 0, len(best))
+	requests := make([]PollRequest, 0, len(best))
 	for _, chosen := range best {
-		chosen.known.lastAsked = now
-		questions = append(questions, PollRequest{chosen.known.target.Engine, chosen.known.target.Address})
+		chosen.known.lastPolled = now
+		requests = append(requests, PollRequest{chosen.known.target.Engine, chosen.known.target.Address})
 	}
-	return questions
+	return requests
 }
 
 // dueEngine is an engine whose report may be read now.
@@ -68,14 +67,14 @@
 	return idleFactor * interval
 }
 
-// before orders engines in use before idle ones, then by when they were asked.
+// before orders engines in use before idle ones, then by when they were last polled.
 func (d dueEngine) before(other dueEngine) bool {
 	if d.inUse != other.inUse {
 		return d.inUse
 	}
-	return d.known.lastAsked.Before(other.known.lastAsked)
+	return d.known.lastPolled.Before(other.known.lastPolled)
 }
 
 func (s *state) inUse(now time.Time) bool {
-	return !s.reported || now.Sub(s.lastCandidate) < candidateMemory
+	return !s.reported || now.Sub(s.lastCandidate) < candidateTTL
 }
