--- a/internal/dispatch/application.go
+++ b/internal/dispatch/application.go
@@ -18,9 +18,9 @@
 	Service  ident.Service
 	Class    ident.Class
 	Priority int
-	// Zones is the set of places the tenant's data may be in.
+	// Zones are the zones the tenant's data may be in.
 	Zones map[ident.Zone]bool
-	// Repeatable is the route's, from the fleet file.
+	// Repeatable is set by the route, in the fleet file.
 	Repeatable bool
 	// IdempotencyKey is required unless Repeatable.
 	IdempotencyKey         string
@@ -42,33 +42,33 @@
 
 // ApplicationPlacer admits a request and chooses an application for its next attempt.
 type ApplicationPlacer interface {
-	// PlaceApplication blocks until an application is chosen or the hold time
-	// ran out; errors are *fault.Fault.
+	// PlaceApplication blocks until an application is chosen or the job's
+	// deadline for placement passes; errors are *fault.Fault.
 	PlaceApplication(ctx context.Context, job *ApplicationJob) (ApplicationPlacement, error)
 }
 
-// Answer is the whole answer of an application.
+// Answer is the complete answer of an application.
 type Answer struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint"`
 	Body        []byte `cbor:"3,keyasint"`
-	// Zone is where the application that answered is.
+	// Zone is the zone of the application that answered.
 	Zone ident.Zone `cbor:"4,keyasint"`
-	// Repeated says that the answer is that of an earlier sending.
+	// Repeated is true if the answer is that of an earlier request under the key.
 	Repeated bool `cbor:"-"`
 }
 
-// AnswerStore retains the answers of claimed requests where any router of the
-// zone can read them. Errors are *fault.Fault.
+// AnswerStore retains the answers of claimed requests for all routers of a
+// zone. Errors are *fault.Fault.
 type AnswerStore interface {
 	// Save stores an answer in a zone and returns its key.
 	Save(ctx context.Context, zone ident.Zone, claimID string, answer Answer) (string, error)
-	// Load reads an answer, and whether it exists.
+	// Load returns an answer, and whether it exists.
 	Load(ctx context.Context, zone ident.Zone, key string) (Answer, bool, error)
 }
 
-// RunApplication runs one application request and returns its whole answer, or
-// a *fault.Fault that says what ran.
+// RunApplication runs one application request and returns its complete answer, or
+// a *fault.Fault that states whether it ran.
 func (d *Dispatcher) RunApplication(ctx context.Context, job *ApplicationJob) (Answer, error) {
 	if job.Repeatable {
 		answer, err := d.newApplicationRun(job).run(ctx)
@@ -80,7 +80,7 @@
 	return d.runClaimed(ctx, job)
 }
 
-// applicationRun is one application request on its way through its attempts.
+// applicationRun is the state of one application request across its attempts.
 type applicationRun struct {
 	dispatcher *Dispatcher
 	job        ApplicationJob
@@ -99,7 +99,7 @@
 	return run
 }
 
-// run makes attempts until one answers, and ends the chart.
+// run makes attempts until one is answered or none is left, and ends the chart.
 func (r *applicationRun) run(ctx context.Context) (Answer, *fault.Fault) {
 	answer, err := r.runAttempts(ctx)
 	if err == nil {
@@ -144,9 +144,8 @@
 	}
 }
 
-// mayRetry reports whether one more attempt is allowed. A request that is not
-// repeatable never gets another one after an attempt whose fate is not an
-// explicit refusal.
+// mayRetry reports whether one more attempt is allowed. A request that may not
+// run twice gets one only after attempts that did not execute it.
 func (r *applicationRun) mayRetry(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || r.attempts >= r.dispatcher.config.MaxAttempts {
 		return false
@@ -213,7 +212,7 @@
 	}
 }
 
-// resultOf tells beliefs and limits how a call ended.
+// resultOf returns the Result of a call that ended with err.
 func resultOf(err error) Result {
 	if err == nil {
 		return Result{Outcome: OutcomeAnswered}
--- a/internal/dispatch/application_test.go
+++ b/internal/dispatch/application_test.go
@@ -18,14 +18,14 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// fakeTable is a Claimer and an AnswerStore that several routers share.
+// fakeTable is a Claimer and AnswerStore shared by several routers.
 type fakeTable struct {
 	mutex   sync.Mutex
 	records map[claim.Key]claim.Record
 	answers map[string]Answer
 	down    bool
 	loads   int
-	// lostFinishes counts the coming outcomes that are recorded without an answer.
+	// lostFinishes is the number of outcomes still to be recorded but reported as failed.
 	lostFinishes int
 }
 
@@ -79,8 +79,8 @@
 	return answer, found, nil
 }
 
-// fakeApplications runs requests at addresses "a" and "b"; the script says, call
-// by call, how one ends: "ok", "lost" (executed, answer lost), "refused", "unreachable".
+// fakeApplications runs requests at addresses "a" and "b"; the script lists how
+// each call ends: "ok", "lost" (executed, answer lost), "refused", "unreachable".
 type fakeApplications struct {
 	mutex    sync.Mutex
 	script   []string
@@ -137,7 +137,7 @@
 	return &ApplicationJob{ID: "r", Tenant: "graz", Service: "bay", IdempotencyKey: "k", Method: "POST", Path: "/book", Body: []byte("bay 7"), Zones: map[ident.Zone]bool{"z": true}}
 }
 
-// bookingCase is one script, and what the callers must be told in the end.
+// bookingCase is one script with the result that the callers must get.
 type bookingCase struct {
 	script   []string
 	executed int
@@ -145,7 +145,7 @@
 	ran      fault.Ran
 }
 
-// sendMany sends one booking ten times at once, in turn to the routers.
+// sendMany sends one booking ten times concurrently, spread over the routers.
 func (c bookingCase) sendMany(t *testing.T, routers []*Dispatcher) {
 	is := is.NewRelaxed(t)
 	var group sync.WaitGroup
@@ -155,7 +155,7 @@
 			switch {
 			case err == nil:
 				is.Equal(answer.Status, c.status)
-			case fault.Is(err, fault.AlreadyClaimed): // the other router's run goes on
+			case fault.Is(err, fault.AlreadyClaimed): // the other router's run is active
 				is.Equal(fault.From(err).Ran, fault.RanUnknown)
 			default:
 				is.Equal(fault.From(err).Ran, c.ran)
@@ -165,7 +165,7 @@
 	group.Wait()
 }
 
-// repeat sends the booking again after it is settled.
+// repeat sends the booking again after its outcome was recorded.
 func (c bookingCase) repeat(t *testing.T, router *Dispatcher) {
 	is := is.New(t)
 	answer, err := router.RunApplication(t.Context(), booking())
@@ -179,8 +179,8 @@
 	is.True(answer.Repeated)
 }
 
-// Many sendings at two routers: at most one runs, and each caller is told the
-// same answer or the truth. The judge is the application's own count.
+// Of many concurrent requests under one key at two routers, at most one may run,
+// by the application's own count, and all callers must get its true result.
 func TestClaimedRequestRunsAtMostOnce(t *testing.T) {
 	cases := map[string]bookingCase{
 		"answered":               {[]string{"ok"}, 1, http.StatusCreated, fault.RanYes},
@@ -212,8 +212,8 @@
 	}
 }
 
-// A refusal is true of the sendings that waited for it, and of no later one:
-// once the key is free again, another router may run the request.
+// A refusal must not be replayed to later requests: once the key is free again,
+// another router may run the request.
 func TestRefusalIsNotReplayedAfterKeyIsFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -221,12 +221,12 @@
 		table.lostFinishes = 1
 		_, err := routers[0].RunApplication(t.Context(), booking())
 		is.Equal(fault.From(err).Ran, fault.RanNo)
-		synctest.Wait() // the key is free, and the first router does not know yet
+		synctest.Wait() // the key is free, not yet confirmed to the first router
 		_, err = routers[1].RunApplication(t.Context(), booking())
 		is.NoErr(err)
-		synctest.Wait() // an answer goes out before the table knows of it
+		synctest.Wait() // an answer is returned before it is recorded
 		answer, err := routers[0].RunApplication(t.Context(), booking())
-		is.NoErr(err) // in place of the old "not run"
+		is.NoErr(err) // not the earlier refusal
 		is.True(answer.Repeated)
 		for _, router := range routers {
 			router.Close()
@@ -286,7 +286,7 @@
 	}
 }
 
-// An answer whose zone the tenant may no longer use is not read from there.
+// An answer must not be read from a zone that the tenant may no longer use.
 func TestRetainedAnswerStaysInPermittedZones(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/dispatch/chart.go
+++ b/internal/dispatch/chart.go
@@ -25,7 +25,7 @@
 )
 
 // Chart is one instance of the request chart. It counts and reports events
-// that the chart does not take; they do not change the request's answer.
+// that are not valid in its state; they do not change the request's answer.
 type Chart interface {
 	Fire(event Event)
 }
--- a/internal/dispatch/claimed.go
+++ b/internal/dispatch/claimed.go
@@ -12,11 +12,11 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// maxRecordAttempts bounds the tries to record the outcome of a claim.
+// maxRecordAttempts bounds the attempts to record the outcome of a claim.
 const maxRecordAttempts = 4
 
-// DigestOf returns the digest of a request under an idempotency key: fields
-// are length-prefixed, so two different requests never hash the same bytes.
+// DigestOf returns the digest of a request under an idempotency key. Fields
+// are length-prefixed, so that different requests never hash the same bytes.
 func DigestOf(method, path, rawQuery string, body []byte) claim.Digest {
 	digest := sha256.New()
 	for _, field := range [][]byte{[]byte(method), []byte(path), []byte(rawQuery), body} {
@@ -28,9 +28,9 @@
 	return claim.Digest(hex.EncodeToString(digest.Sum(nil)))
 }
 
-// runClaimed runs a request that may not be repeated, or attaches to the run
-// that goes on, or to the answer that is known, under the same key. The run
-// goes on when the caller leaves, since its outcome must be recorded.
+// runClaimed runs a request that may run at most once, or returns the result of
+// the active or finished run under the same key. The run continues after its
+// caller left, since its outcome must be recorded.
 func (d *Dispatcher) runClaimed(ctx context.Context, job *ApplicationJob) (Answer, error) {
 	if job.IdempotencyKey == "" {
 		return Answer{}, fault.New(fault.MissingIdempotencyKey, "the route is not repeatable and no key was sent")
@@ -49,7 +49,7 @@
 	select {
 	case <-run.done:
 	case <-ctx.Done():
-		return Answer{}, fault.New(fault.AlreadyClaimed, "the request goes on under its key, its caller left").
+		return Answer{}, fault.New(fault.AlreadyClaimed, "the caller left; the request continues under its idempotency key").
 			WithRan(fault.RanUnknown).WithRetryAfter(d.config.RetryAfter)
 	}
 	if run.failure != nil {
@@ -57,18 +57,18 @@
 	}
 	answer := run.answer
 	if !job.Zones[answer.Zone] {
-		return Answer{}, fault.New(fault.AlreadyClaimed, "the request ran, and its answer is in a place the tenant may no longer use").WithRan(fault.RanYes)
+		return Answer{}, fault.New(fault.AlreadyClaimed, "the request ran, and its answer is in a zone the tenant may no longer use").WithRan(fault.RanYes)
 	}
 	answer.Repeated = answer.Repeated || !first
 	return answer, nil
 }
 
-// claimAndRun claims the key, runs the request at most once, gives the answer
-// to everyone who waits, and then records the outcome.
+// claimAndRun claims the key, runs the request at most once, publishes the
+// answer to all waiting callers, and then records the outcome.
 func (d *Dispatcher) claimAndRun(ctx context.Context, key claim.Key, run *claimedRun, job *ApplicationJob) {
 	application := d.newApplicationRun(job)
-	// Admission to the claim; the queue for an application comes after it, so
-	// that a repeat learns what became of the first sending however full it is.
+	// The request is admitted before it is queued for an application, so that a
+	// retry gets the outcome of the first request however long that queue is.
 	application.chart.Fire(EventAdmitted)
 	runContext, stop := context.WithTimeout(ctx, d.runTimeout(job))
 	defer stop()
@@ -94,8 +94,8 @@
 	application.chart.Fire(EventClaimWon)
 	answer, failure := application.run(runContext)
 	if failure != nil {
-		// It is true of those who wait, and of no later sending: recording it
-		// frees the key, maybe long before this router learns that it did.
+		// The failure is valid for waiting callers only: recording it frees the
+		// key, maybe long before the record is confirmed to this router.
 		d.runs.forget(key, run)
 	}
 	d.runs.publish(run, answer, failure)
@@ -103,21 +103,21 @@
 	d.runs.retain(key, run)
 }
 
-// runTimeout bounds a claimed run, whose caller may have left.
+// runTimeout returns the bound of a claimed run, whose caller may have left.
 func (d *Dispatcher) runTimeout(job *ApplicationJob) time.Duration {
 	hold := max(0, time.Until(job.HoldUntil))
 	return hold + d.config.ApplicationTimeout + d.config.RecordTimeout
 }
 
-// answerFromClaim turns another call's claim into what its repeat is told.
+// answerFromClaim returns the answer to a request whose key another one has claimed.
 func (d *Dispatcher) answerFromClaim(ctx context.Context, job *ApplicationJob, record claim.Record) (Answer, *fault.Fault) {
 	switch record.State {
 	case claim.StateRan:
 		return d.retainedAnswer(ctx, job, record)
 	case claim.StateUnknown:
-		return Answer{}, fault.New(fault.OutcomeUnknown, "the application's answer to the first sending was lost").WithRan(fault.RanUnknown)
+		return Answer{}, fault.New(fault.OutcomeUnknown, "the application's answer to the first request was lost").WithRan(fault.RanUnknown)
 	default:
-		return Answer{}, d.withRetryAfter(fault.New(fault.AlreadyClaimed, "the first sending goes on, or its router was lost").WithRan(fault.RanUnknown))
+		return Answer{}, d.withRetryAfter(fault.New(fault.AlreadyClaimed, "the first request is still running, or its router was lost").WithRan(fault.RanUnknown))
 	}
 }
 
@@ -139,8 +139,8 @@
 	return Answer{}, fault.New(fault.AlreadyClaimed, "the request ran with status %d, and its answer is no longer retained", record.Status).WithRan(fault.RanYes)
 }
 
-// recordOutcome writes the outcome of a claimed run. If it fails, the claim stays
-// claimed for ever: a repeat is then told that the outcome is unknown.
+// recordOutcome writes the outcome of a claimed run. If that fails, the key stays
+// claimed forever, and retries get an unknown outcome.
 func (d *Dispatcher) recordOutcome(ctx context.Context, key claim.Key, claimID string, answer Answer, failure *fault.Fault) {
 	ctx, stop := context.WithTimeout(ctx, d.config.RecordTimeout)
 	defer stop()
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -21,29 +21,29 @@
 	StartTimeout time.Duration
 	// StallTimeout bounds the wait between two accepted events. Default: 10s.
 	StallTimeout time.Duration
-	// MaxIdleResumes bounds the resumes in a row that bring no event. Default: 3.
+	// MaxIdleResumes bounds consecutive resumes that bring no event. Default: 3.
 	MaxIdleResumes int
-	// ResumeDelay is waited before each resume after the first. Default: 50ms.
+	// ResumeDelay is the delay before each resume after the first. Default: 50ms.
 	ResumeDelay time.Duration
-	// ResumeTimeout bounds the wait for the answer to a resume call, and the one
-	// for the first event after it. Default: 2s.
+	// ResumeTimeout bounds the wait for the answer to a resume call, and then for
+	// its first event. Default: 2s.
 	ResumeTimeout time.Duration
 	// MaxAttempts bounds the attempts of one request. Default: 6.
 	MaxAttempts int
-	// ContinueTimeout bounds the wait for an engine that continues a broken
-	// answer. Default: 5s.
+	// ContinueTimeout is the least time allowed for the placement of an attempt
+	// that continues a broken answer. Default: 5s.
 	ContinueTimeout time.Duration
-	// ResumeGrace is how long a generation whose caller left runs on, so that
-	// the caller can resume it. Default: 15s.
+	// ResumeGrace is how long a generation continues after its caller left, so
+	// that the caller can resume it. Default: 15s.
 	ResumeGrace time.Duration
 	// ApplicationTimeout bounds one application call. Default: 30s.
 	ApplicationTimeout time.Duration
 	// RecordTimeout bounds the recording of a claimed outcome. Default: 20s.
 	RecordTimeout time.Duration
-	// RetryAfter is told to callers when nothing better is known. Default: 1s.
+	// RetryAfter is sent to callers if the fault has none of its own. Default: 1s.
 	RetryAfter time.Duration
 	// MaxRetainedAnswers and MaxRetainedBytes bound the answers kept in memory for
-	// repeats under an idempotency key. Defaults: 1024 and 16 MiB.
+	// retries under an idempotency key. Defaults: 1024 and 16 MiB.
 	MaxRetainedAnswers, MaxRetainedBytes int
 }
 
@@ -81,7 +81,7 @@
 	return c
 }
 
-// Dependencies are what a Dispatcher works with. All are required, except
+// Dependencies are the collaborators of a Dispatcher. All are required, except
 // that Claimer, Applications, ApplicationPlacer and Answers are needed only
 // for application requests, and that Quarantine may be nil.
 type Dependencies struct {
@@ -93,11 +93,10 @@
 	ApplicationPlacer ApplicationPlacer
 	Claimer           claim.Claimer
 	Answers           AnswerStore
-	// Quarantine keeps model requests from engines under which these crash.
-	Quarantine Quarantine
+	Quarantine        Quarantine
 }
 
-// Counters counts what dispatch dropped, resumed and retried.
+// Counters counts dropped events, resumes, retries and retained answers.
 type Counters struct {
 	Crossed, Late, Repeated, Gaps              atomic.Uint64
 	Stalls, Resumes, Attempts, Retries         atomic.Uint64
@@ -130,9 +129,9 @@
 	}
 }
 
-// Close drops the pending cancels, so that another router may still resume
+// Close drops the pending cancels, so that another router can still resume
 // those streams, and waits until every claimed outcome is recorded and every
-// cancel is sent.
+// started cancel is sent.
 func (d *Dispatcher) Close() {
 	d.mutex.Lock()
 	d.closed = true
@@ -144,8 +143,8 @@
 	d.work.Wait()
 }
 
-// withRetryAfter returns a copy of the fault that says when to come back,
-// unless the request itself is at fault.
+// withRetryAfter returns a copy of the fault with a Retry-After, unless the
+// request itself is at fault.
 func (d *Dispatcher) withRetryAfter(err error) *fault.Fault {
 	failure := *fault.From(err)
 	status := failure.Kind.Status()
@@ -156,8 +155,8 @@
 	return &failure
 }
 
-// cancelStream cancels a stream at its engine, at once or after a grace in which
-// the caller may resume it.
+// cancelStream cancels a stream at its engine, at once or after a grace period
+// during which the caller may resume it.
 func (d *Dispatcher) cancelStream(address string, stream ident.Stream, grace time.Duration) {
 	if stream == "" {
 		return
@@ -182,13 +181,13 @@
 	})
 }
 
-// startCancel sends one cancel; the caller holds the mutex.
+// startCancel sends one cancel in the background; the caller holds the mutex.
 func (d *Dispatcher) startCancel(address string, stream ident.Stream) {
 	d.Counters.Cancelled.Add(1)
 	d.work.Go(func() {
 		ctx, stop := context.WithTimeout(context.Background(), d.config.StartTimeout)
 		defer stop()
-		// A lost cancel only costs the engine the rest of a bounded generation.
+		// If the cancel is lost, the engine only finishes a bounded generation.
 		_ = d.Engines.Cancel(ctx, address, stream)
 	})
 }
--- a/internal/dispatch/fake_test.go
+++ b/internal/dispatch/fake_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// answerChunks is the number of chunks of every answer of a fakeEngine.
+// answerChunks is the number of chunks in every answer of fakeEngines.
 const answerChunks = 5
 
 func chunkText(number int) string { return fmt.Sprintf("t%d ", number) }
@@ -31,13 +31,13 @@
 	return text.String()
 }
 
-// damage changes one connection at the event with sequence number at.
+// damage is a fault of one connection at the event with the sequence number.
 type damage struct {
 	kind     string
 	sequence uint64
 }
 
-// fakeEngines is a fleet of engines at addresses "a", "b", ...; damage strikes
+// fakeEngines is a fleet of engines at addresses "a", "b", ...; damage affects
 // the first connection only, unless always is set.
 type fakeEngines struct {
 	mutex        sync.Mutex
@@ -49,7 +49,7 @@
 	generated    []protocol.GenerateRequest
 	cancelled    []ident.Stream
 	refuse       map[string]error
-	// frozen is the address of an engine that takes connections and says nothing.
+	// frozen is the address of an engine that accepts connections and sends nothing.
 	frozen string
 }
 
@@ -212,7 +212,7 @@
 func (s *fakeStream) Close() { s.once.Do(func() { close(s.closed) }) }
 
 // fakePlacer offers engines in order, unless excluded; "a" serves the last of
-// the permitted versions, any other the first.
+// the permitted versions, all others the first.
 type fakePlacer struct {
 	engines  *fakeEngines
 	offered  []ident.Engine
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// fixture is a Dispatcher over fakes.
+// fixture is a Dispatcher with fake dependencies.
 type fixture struct {
 	*Dispatcher
 	engines *fakeEngines
--- a/internal/dispatch/generation.go
+++ b/internal/dispatch/generation.go
@@ -14,7 +14,7 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-// generation is one model request on its way through its attempts.
+// generation is the state of one model request across its attempts.
 type generation struct {
 	dispatcher *Dispatcher
 	job        Job
@@ -28,17 +28,17 @@
 	emitted  strings.Builder
 	tokens   int
 	usage    protocol.Usage
-	// subject tells the request apart from others, onTrial says that it is quarantined, and a
-	// trial was granted.
+	// subject identifies the request to the quarantine; onTrial is true while it is
+	// quarantined and has the grant of a trial.
 	subject *quarantine.Subject
 	onTrial bool
-	// reincarnated holds engines that told a new incarnation once already.
+	// reincarnated holds the engines that reported a new incarnation once already.
 	reincarnated map[ident.Engine]bool
 }
 
-// Run runs one model request and gives its answer to the sink, in order. It
-// returns the proven end, or a *fault.Fault that says what ran. The job is not
-// changed. When ctx ends, the caller is taken to be gone.
+// Run runs one model request and sends its answer to the sink, in order. It
+// returns the proven end, or a *fault.Fault that states whether it ran. The job is
+// not changed. The end of ctx means that the caller is gone.
 func (d *Dispatcher) Run(ctx context.Context, job *Job, sink Sink) (Completion, error) {
 	g := &generation{
 		dispatcher: d, job: *job, sink: sink, chart: d.NewChart(true), subject: subjectOf(job), reincarnated: map[ident.Engine]bool{},
@@ -58,7 +58,7 @@
 	return Completion{}, g.finalFault(err)
 }
 
-// finalFault makes the final fault of the request.
+// finalFault ends the chart and returns the final fault of the request.
 func (g *generation) finalFault(err error) *fault.Fault {
 	ran := g.ledger.Ran()
 	if errors.Is(err, errCallerGone) {
@@ -66,7 +66,7 @@
 		return fault.Wrap(err, fault.StreamBroken, "the caller left before the end of the answer").WithRan(ran)
 	}
 	if g.emitted.Len() > 0 {
-		err = fault.Wrap(err, fault.StreamBroken, "the answer broke off and no way to go on was found")
+		err = fault.Wrap(err, fault.StreamBroken, "the answer broke off and could not be continued")
 	}
 	final := g.dispatcher.withRetryAfter(err).WithRan(ran)
 	if ran == fault.RanYes && g.started {
@@ -118,7 +118,7 @@
 	return placement, nil
 }
 
-// prepareRetry readies the job for one more attempt, or returns the fault that
+// prepareRetry prepares the job for one more attempt, or returns the fault that
 // ends the request.
 func (g *generation) prepareRetry(placement Placement, cause error) error {
 	if g.attempts >= g.dispatcher.config.MaxAttempts {
@@ -128,13 +128,13 @@
 		return asBadRequest(cause)
 	}
 	if g.tokens > 0 && g.tokens >= g.job.MaxTokens {
-		// Only the end is missing, and nobody can prove it any more.
+		// Only the end event is missing, and no other engine can supply it.
 		return cause
 	}
 	sameEngine := g.exclude(placement, refusalOf(cause))
-	// The budget bounds the load that retries add. Going on with an answer adds
-	// less than the repeat that the caller would be told to make, and a refusal
-	// that names a new life cost its engine nothing.
+	// The budget bounds the load that retries add. Continuing an answer adds less
+	// than the caller's own retry would, and a refusal that reports a new
+	// incarnation cost its engine nothing.
 	if !g.started && !sameEngine && !g.dispatcher.Budget.Allow(g.job.Service) {
 		g.dispatcher.Counters.BudgetRefused.Add(1)
 		return cause
@@ -156,9 +156,8 @@
 	return nil
 }
 
-// exclude bars the engine for the rest of the request, unless it just told
-// that it lives a new life: then it may be tried once more, and exclude
-// returns true.
+// exclude excludes the engine from further attempts, unless it has just reported
+// a new incarnation: it may then be tried once more, and exclude returns true.
 func (g *generation) exclude(placement Placement, refusal *protocol.Refusal) (sameEngine bool) {
 	newIncarnation := refusal != nil && refusal.Incarnation != "" && refusal.Incarnation != placement.Incarnation
 	if newIncarnation && !g.reincarnated[placement.Engine] {
@@ -249,7 +248,7 @@
 	}
 }
 
-// startFailed settles an attempt whose generate call failed.
+// startFailed records the end of an attempt whose generate call failed.
 func (a *attempt) startFailed(ctx context.Context, err error) error {
 	g := a.generation
 	failure := fault.From(err)
@@ -268,12 +267,12 @@
 	}
 	if ctx.Err() != nil {
 		a.result.Outcome = OutcomeAbandoned
-		return errors.Wrap(errCallerGone, "while an engine was asked")
+		return errors.Wrap(errCallerGone, "while waiting for an engine's answer")
 	}
 	return failure
 }
 
-// onEvent takes one accepted event.
+// onEvent records an accepted event and passes its text to the sink.
 func (a *attempt) onEvent(event *protocol.StreamEvent) error {
 	g := a.generation
 	a.onStarted()
@@ -302,14 +301,14 @@
 	return g.sink.Chunk(Chunk{Text: text, Position: a.position()})
 }
 
-// reportStart hands the engine's own count to whoever placed the attempt.
+// reportStart passes the engine's own token counts to the placer.
 func (a *attempt) reportStart(event *protocol.StreamEvent) {
 	if a.placement.Started != nil && event.Usage != nil {
 		a.placement.Started(event.Incarnation, *event.Usage)
 	}
 }
 
-// reportFirstToken tells whoever placed the attempt that its prefill is done.
+// reportFirstToken notifies the placer that the prefill is done.
 func (a *attempt) reportFirstToken() {
 	if a.placement.FirstToken != nil {
 		a.placement.FirstToken()
@@ -354,8 +353,8 @@
 	}
 }
 
-// abandon settles an attempt that will not be read further and cancels its
-// generation. If the caller left and can resume, it runs on for a grace.
+// abandon records the end of an attempt that is not read any further and cancels
+// its generation, after a grace period if the caller left and can resume.
 func (a *attempt) abandon(err error) {
 	grace := time.Duration(0)
 	if errors.Is(err, errCallerGone) {
--- a/internal/dispatch/generation_test.go
+++ b/internal/dispatch/generation_test.go
@@ -13,8 +13,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Every kind of damage at every event of the stream: the caller gets the whole
-// answer, in order, exactly once.
+// Whatever damage hits whichever event, the caller gets the complete answer, in
+// order, exactly once.
 func TestAnswerIsCompleteAfterAnyStreamFailure(t *testing.T) {
 	kinds := []string{"none", "cut", "gone", "stall", "frozen", "lost", "swap", "repeat", "crossed request", "late attempt", "crossed incarnation", "crossed stream", "engine error"}
 	for _, kind := range kinds {
@@ -42,8 +42,8 @@
 	}
 }
 
-// If no way is left, the caller is told so and never gets an end; what ran is
-// told truly; text given is a prefix of the answer.
+// An answer that cannot be continued must end with a fault that states truly what
+// ran, never with an end event, and its text must be a prefix of the answer.
 func TestUnrecoverableAnswerReturnsFault(t *testing.T) {
 	cases := map[string]struct {
 		damage damage
@@ -78,15 +78,15 @@
 				is.Equal(fault.From(err).Ran, c.ran)
 				is.True(fault.From(err).RetryAfter > 0)
 				is.Equal(sink.text.String(), wholeAnswer()[:sink.text.Len()])
-				is.True(time.Since(began) < 20*time.Second) // virtual: a stall is given up soon
+				is.True(time.Since(began) < 20*time.Second) // virtual time: the stall timeouts hold
 				is.Equal(r.chart.ends, 1)
 			})
 		})
 	}
 }
 
-// A budget that is used up stops neither an answer that has begun nor the
-// second try at an engine that named its new life.
+// An exhausted budget stops neither an answer that has begun nor the second
+// attempt at an engine that reported its new incarnation.
 func TestContinuationAndNewIncarnationNeedNoRetryBudget(t *testing.T) {
 	cases := map[string]struct {
 		damage damage
@@ -94,7 +94,7 @@
 	}{
 		"broken after text":  {damage{"engine error", 3}, nil},
 		"broken before text": {damage{"gone", 1}, nil},
-		"new life":           {damage{}, refusal(protocol.RefusalMismatch, "a1")},
+		"new incarnation":    {damage{}, refusal(protocol.RefusalMismatch, "a1")},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -109,7 +109,7 @@
 				_, err := r.Run(t.Context(), testJob(), &sink)
 				r.Close()
 				if c.refuse != nil {
-					// The fake refuses for ever; the one free try was made.
+					// The fake always refuses; the one free retry was made.
 					is.True(fault.Is(err, fault.BackendRefused))
 					is.Equal(len(r.engines.generated), 2)
 					return
@@ -121,7 +121,7 @@
 	}
 }
 
-// Only resumes that bring nothing count against their bound.
+// Only resumes that bring no event count against MaxIdleResumes.
 func TestResumesThatBringEventsAreNotBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -144,11 +144,11 @@
 		kind fault.Kind
 		ran  fault.Ran
 	}{
-		"full, then taken":   {refusal(protocol.RefusalFull, "a0"), nil, "", ""},
-		"leaving, unreach":   {refusal(protocol.RefusalLeaving, "a0"), unreachable, fault.NoPermittedEngine, fault.RanNo},
-		"refused, then lost": {refusal(protocol.RefusalFull, "a0"), lost, fault.NoPermittedEngine, fault.RanUnknown},
-		"not understood":     {refusal(protocol.RefusalBadRequest, "a0"), nil, fault.BadRequest, fault.RanNo},
-		"lost, then refused": {lost, refusal(protocol.RefusalFull, "b0"), fault.NoPermittedEngine, fault.RanUnknown},
+		"full, then accepted":   {refusal(protocol.RefusalFull, "a0"), nil, "", ""},
+		"draining, unreachable": {refusal(protocol.RefusalLeaving, "a0"), unreachable, fault.NoPermittedEngine, fault.RanNo},
+		"refused, then lost":    {refusal(protocol.RefusalFull, "a0"), lost, fault.NoPermittedEngine, fault.RanUnknown},
+		"bad request":           {refusal(protocol.RefusalBadRequest, "a0"), nil, fault.BadRequest, fault.RanNo},
+		"lost, then refused":    {lost, refusal(protocol.RefusalFull, "b0"), fault.NoPermittedEngine, fault.RanUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -206,7 +206,7 @@
 	is.True(fault.Is(err, fault.StreamBroken))
 	is.Equal(fault.From(err).Ran, fault.RanYes)
 	is.Equal(sink.text.String(), given)
-	is.Equal(r.Counters.Resumes.Load(), uint64(1)) // an explicit refusal is not tried again
+	is.Equal(r.Counters.Resumes.Load(), uint64(1)) // an explicit refusal is not retried
 }
 
 func TestStalledStreamIsCancelledWhenCallerLeaves(t *testing.T) {
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -9,23 +9,24 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-// Quarantine keeps model requests from engines under which these crash. Its methods are safe for
+// Quarantine withholds model requests that crash engines. Its methods are safe for
 // concurrent use.
 type Quarantine interface {
 	// Judge returns why a request may not be sent, nil if it may.
 	Judge(now time.Time, request *quarantine.Subject) *quarantine.Verdict
-	// Try asks for the grant of a trial that is due, and waits for it for a short time.
+	// Try requests the grant of a trial that is due, waits a short time for it, and
+	// reports whether it was granted.
 	Try(ctx context.Context, request *quarantine.Subject) bool
-	// Answered takes in a whole answer, Broke an attempt that broke off at an engine, Left one
-	// whose caller left while the engine may be at work, Unreached one that did not leave.
+	// Answered observes a complete answer, Broke an attempt that broke off at an engine, Left
+	// one whose caller left while the engine may still run it, Unreached one that was not sent.
 	Answered(now time.Time, request *quarantine.Subject)
 	Broke(now time.Time, request *quarantine.Subject, at Placement)
 	Left(now time.Time, request *quarantine.Subject, at Placement)
 	Unreached(now time.Time, at Placement)
 }
 
-// subjectOf names what a job asks for, whichever try of its caller it is. What an earlier attempt
-// has emitted is not part of it.
+// subjectOf identifies a job's request, equal for all retries of its caller. It excludes the text
+// emitted by earlier attempts.
 func subjectOf(job *Job) *quarantine.Subject {
 	return &quarantine.Subject{Identity: quarantine.Identity{
 		Tenant: job.Tenant, Method: string(job.Service), Host: string(job.Model),
@@ -33,8 +34,8 @@
 	}}
 }
 
-// checkQuarantine returns the fault of a request that may not be sent on, nil if it may. It is asked
-// before an engine is looked for and again once one was found.
+// checkQuarantine returns the fault of a quarantined request, nil if it may be sent. It is called
+// before an engine is chosen and again afterwards.
 func (g *generation) checkQuarantine(ctx context.Context) error {
 	guard := g.dispatcher.Quarantine
 	if guard == nil || g.onTrial {
@@ -54,8 +55,8 @@
 	return fault.New(fault.Quarantined, "%s", verdict).WithRetryAfter(verdict.RetryAfter)
 }
 
-// reportToQuarantine tells the quarantine what an attempt says of its request. A trial ends with the first
-// attempt that an engine may have taken.
+// reportToQuarantine reports the attempt's outcome to the quarantine. A trial ends with the first
+// attempt that may have reached an engine.
 func (a *attempt) reportToQuarantine(now time.Time) {
 	g := a.generation
 	guard := g.dispatcher.Quarantine
@@ -73,6 +74,6 @@
 	case OutcomeUnreachable:
 		guard.Unreached(now, a.placement)
 	case OutcomeRefused:
-		// The engine lives and has not run it.
+		// The engine is alive and has not run the request.
 	}
 }
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-// fakeQuarantine gives verdicts in turn; the last one is repeated.
+// fakeQuarantine returns its verdicts in order; the last one is repeated.
 type fakeQuarantine struct {
 	verdicts                                 []*quarantine.Verdict
 	checks                                   int
@@ -43,7 +43,7 @@
 func (f *fakeQuarantine) Unreached(time.Time, Placement) { f.unreachable++ }
 
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
-	held := &quarantine.Verdict{RetryAfter: time.Minute}
+	quarantined := &quarantine.Verdict{RetryAfter: time.Minute}
 	due := &quarantine.Verdict{RetryAfter: time.Minute, TrialDue: true}
 	crashed := damage{"gone", 0}
 	tests := []struct {
@@ -58,12 +58,12 @@
 		broke    int
 	}{
 		{"free", []*quarantine.Verdict{nil}, false, damage{}, 1, "", "", 1, 0},
-		{"held", []*quarantine.Verdict{held}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
-		{"held while an engine was looked for", []*quarantine.Verdict{nil, held}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
-		{"held after it broke off", []*quarantine.Verdict{nil, nil, held}, false, crashed, 1, fault.BackendLost, fault.RanUnknown, 0, 1},
+		{"quarantined", []*quarantine.Verdict{quarantined}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
+		{"quarantined during placement", []*quarantine.Verdict{nil, quarantined}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
+		{"quarantined after it broke off", []*quarantine.Verdict{nil, nil, quarantined}, false, crashed, 1, fault.BackendLost, fault.RanUnknown, 0, 1},
 		{"a trial that is not granted", []*quarantine.Verdict{due}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
 		{"a trial that is answered", []*quarantine.Verdict{due}, true, damage{}, 1, "", "", 1, 0},
-		{"a trial is one attempt", []*quarantine.Verdict{due, held}, true, crashed, 1, fault.BackendLost, fault.RanUnknown, 0, 1},
+		{"a trial is one attempt", []*quarantine.Verdict{due, quarantined}, true, crashed, 1, fault.BackendLost, fault.RanUnknown, 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -8,7 +8,7 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// claimedRun is one run under an idempotency key. Answer and failure are
+// claimedRun is one run under an idempotency key. answer and failure are
 // written once, before done is closed.
 type claimedRun struct {
 	digest  claim.Digest
@@ -17,9 +17,9 @@
 	failure *fault.Fault
 }
 
-// runRegistry holds the claimed runs that go on in this process, and the last
-// answers, within bounds. It saves store traffic and joins repeats; the claim
-// in the table alone decides who may run.
+// runRegistry holds the active claimed runs of this process and a bounded number
+// of recent answers. It saves store traffic and joins retries to the active run;
+// only the claim in the table decides who may run.
 type runRegistry struct {
 	mutex      sync.Mutex
 	runs       map[claim.Key]*claimedRun
@@ -39,7 +39,7 @@
 	return &runRegistry{runs: map[claim.Key]*claimedRun{}, retained: list.New(), maxAnswers: maxAnswers, maxBytes: maxBytes}
 }
 
-// join returns the run under the key, and whether the caller has to run it.
+// join returns the run under the key, and whether the caller must execute it.
 func (r *runRegistry) join(key claim.Key, digest claim.Digest) (run *claimedRun, first bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -51,15 +51,15 @@
 	return run, true
 }
 
-// publish gives the outcome to everyone who waits.
+// publish sets the outcome and wakes all waiting callers.
 func (r *runRegistry) publish(run *claimedRun, answer Answer, failure *fault.Fault) {
 	run.answer = answer
 	run.failure = failure
 	close(run.done)
 }
 
-// retain retains an answered run and forgets any other; the next repeat of
-// those asks the table.
+// retain keeps an answered run and forgets a failed one, whose next retry reads
+// the table.
 func (r *runRegistry) retain(key claim.Key, run *claimedRun) {
 	if run.failure != nil {
 		r.forget(key, run)
--- a/internal/dispatch/resume.go
+++ b/internal/dispatch/resume.go
@@ -9,16 +9,16 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// ResumeJob is a stream that a caller resumes, maybe at another router than
-// the one it began at. Nothing but the position is known of the request.
+// ResumeJob is a stream that a caller resumes, maybe at another router. Only the
+// position of the request is known.
 type ResumeJob struct {
 	Position Position
-	// Address is the engine's, looked up after the tenant's places were checked.
+	// Address is the engine's, looked up after the tenant's zones were checked.
 	Address string
 }
 
-// Resume gives the rest of a stream to the sink. The engine must still live
-// the same life: text and prompt of the request are not known here, so the
+// Resume sends the rest of a stream to the sink. The engine must be the same
+// incarnation: the prompt and text of the request are not known here, so the
 // generation cannot be continued elsewhere, and regenerating it would give the
 // caller a second answer after a part of the first.
 func (d *Dispatcher) Resume(ctx context.Context, job ResumeJob, sink Sink) (Completion, error) {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The generation may still wait for its first token.
+	// The engine may not have generated its first token yet.
 	reader.idleResumes = 0
 	return reader.run(ctx, stream)
 }
--- a/internal/dispatch/sequencer.go
+++ b/internal/dispatch/sequencer.go
@@ -5,7 +5,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// CheckResult is what a Sequencer says of one event.
+// CheckResult is the result of Sequencer.Check for one event.
 type CheckResult string
 
 const (
@@ -15,15 +15,15 @@
 	Misrouted CheckResult = "crossed"
 	// StaleAttempt belongs to another attempt of the same request.
 	StaleAttempt CheckResult = "late"
-	// Duplicate was accepted before, or comes after the end.
+	// Duplicate was accepted before, or follows the end.
 	Duplicate CheckResult = "repeated"
-	// Gap shows that the next event was lost or overtaken; the stream must be
+	// Gap means that the next event was lost or reordered; the stream must be
 	// resumed from Next.
 	Gap CheckResult = "gap"
 )
 
 // Sequencer accepts exactly the events of one stream, each once, in order. It
-// learns the stream, and the incarnation if none was expected, from the first
+// adopts the stream, and the incarnation if none was expected, from the first
 // event that carries the request and the attempt.
 type Sequencer struct {
 	request     ident.Request
@@ -34,12 +34,12 @@
 	ended       bool
 }
 
-// NewSequencer returns a Sequencer for a generation about to start.
+// NewSequencer returns a Sequencer for a generation that has not started.
 func NewSequencer(request ident.Request, attempt ident.Attempt, incarnation ident.Incarnation) *Sequencer {
 	return &Sequencer{request: request, attempt: attempt, incarnation: incarnation}
 }
 
-// NewResumedSequencer returns a Sequencer that goes on at a position.
+// NewResumedSequencer returns a Sequencer that continues at a position.
 func NewResumedSequencer(position Position) *Sequencer {
 	return &Sequencer{
 		request:     position.Request,
@@ -50,7 +50,7 @@
 	}
 }
 
-// Check judges one event and, if it is accepted, moves on.
+// Check classifies an event and advances if it is accepted.
 func (s *Sequencer) Check(event *protocol.StreamEvent) CheckResult {
 	if event.RequestID != s.request {
 		return Misrouted
@@ -66,7 +66,7 @@
 	return s.checkOrder(event)
 }
 
-// matchesStream reports whether incarnation and stream match what is known of them.
+// matchesStream reports whether the event's incarnation and stream are the expected ones.
 func (s *Sequencer) matchesStream(event *protocol.StreamEvent) bool {
 	if event.Incarnation == "" || event.Stream == "" {
 		return false
@@ -89,17 +89,17 @@
 	return Accepted
 }
 
-// Next returns the sequence number of the next event wanted.
+// Next returns the sequence number of the next event.
 func (s *Sequencer) Next() uint64 { return s.next }
 
 // Ended reports whether the end or error event was accepted.
 func (s *Sequencer) Ended() bool { return s.ended }
 
-// StreamKnown reports whether the stream is known, so that it can be resumed.
+// StreamKnown reports whether the stream is known and can thus be resumed.
 func (s *Sequencer) StreamKnown() bool { return s.stream != "" }
 
 // Stream returns the stream, or "" before the first event.
 func (s *Sequencer) Stream() ident.Stream { return s.stream }
 
-// Incarnation returns the incarnation, or "" if it is not known yet.
+// Incarnation returns the engine's incarnation, or "" if it is not known yet.
 func (s *Sequencer) Incarnation() ident.Incarnation { return s.incarnation }
--- a/internal/dispatch/sequencer_test.go
+++ b/internal/dispatch/sequencer_test.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Whatever mix of events arrives, those accepted are exactly the sequence
-// numbers 0, 1, 2, ... of one stream of the request, the attempt and one life.
+// Whatever mix of events arrives, those accepted must have the sequence numbers
+// 0, 1, 2, ... of one stream of the request, attempt and incarnation.
 func TestSequencerAcceptsOneStreamInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sequencer := NewSequencer("r", 1, "i")
@@ -33,10 +33,10 @@
 		for index, event := range accepted {
 			first := accepted[0]
 			if event.Sequence != uint64(index) || event.RequestID != "r" || event.Attempt != 1 || event.Incarnation != "i" || event.Stream != first.Stream {
-				t.Fatalf("accepted %+v at place %d", event, index)
+				t.Fatalf("accepted %+v at index %d", event, index)
 			}
 			if event.Kind == protocol.EventEnd && index != len(accepted)-1 {
-				t.Fatal("accepted something after the end")
+				t.Fatal("accepted an event after the end")
 			}
 		}
 	})
@@ -49,7 +49,7 @@
 		open    int
 		want    fault.Ran
 	}{
-		{"nothing left", nil, 0, fault.RanNo},
+		{"nothing sent", nil, 0, fault.RanNo},
 		{"still open", nil, 1, fault.RanUnknown},
 		{"refused", []fault.Ran{fault.RanNo}, 0, fault.RanNo},
 		{"refused twice", []fault.Ran{fault.RanNo, fault.RanNo}, 0, fault.RanNo},
@@ -57,7 +57,7 @@
 		{"lost", []fault.Ran{fault.RanUnknown}, 0, fault.RanUnknown},
 		{"lost, then refused", []fault.Ran{fault.RanUnknown, fault.RanNo}, 0, fault.RanUnknown},
 		{"ran, then refused", []fault.Ran{fault.RanYes, fault.RanNo}, 0, fault.RanYes},
-		{"not told", []fault.Ran{""}, 0, fault.RanUnknown},
+		{"not reported", []fault.Ran{""}, 0, fault.RanUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/dispatch/streamreader.go
+++ b/internal/dispatch/streamreader.go
@@ -14,27 +14,27 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// errCallerGone says that the caller left or was too slow; it is never sent.
+// errCallerGone means that the caller left or was too slow; it is never sent.
 var errCallerGone = errors.New("caller gone")
 
-// streamReader reads one stream of one incarnation to its end, resuming it as needed.
+// streamReader reads one stream of one engine incarnation to its end, resuming it as needed.
 type streamReader struct {
 	dispatcher *Dispatcher
 	address    string
 	sequencer  *Sequencer
 	// firstTimeout bounds the wait for the first chunk.
 	firstTimeout time.Duration
-	// onEvent takes each accepted event; its error means that the caller is gone.
+	// onEvent receives each accepted event; its error means that the caller is gone.
 	onEvent func(event *protocol.StreamEvent) error
 	// onBroken is called when the stream breaks, once for every connection.
 	onBroken func()
 	chunks   int
-	// idleResumes counts the resumes in a row that brought no event.
+	// idleResumes counts consecutive resumes that brought no event.
 	idleResumes int
 }
 
 // run returns the end event. Its error is errCallerGone, or a *fault.Fault if
-// the stream cannot be read further on this incarnation.
+// the stream cannot be resumed on this incarnation.
 func (f *streamReader) run(ctx context.Context, stream engine.EventStream) (*protocol.StreamEvent, error) {
 	for {
 		end, err := f.consume(ctx, stream)
@@ -56,7 +56,7 @@
 	}
 }
 
-// consume reads until the end event (returned), a break, a gap or a stall.
+// consume reads one connection until the end event (returned), a break, a gap or a stall.
 func (f *streamReader) consume(ctx context.Context, stream engine.EventStream) (*protocol.StreamEvent, error) {
 	var stalled atomic.Bool
 	timer := time.AfterFunc(f.eventTimeout(), func() {
@@ -93,10 +93,10 @@
 	}
 }
 
-// deliver handles one accepted event.
+// deliver passes an accepted event to onEvent, and returns it if it ends the stream.
 func (f *streamReader) deliver(event *protocol.StreamEvent) (*protocol.StreamEvent, error) {
 	if event.Kind == protocol.EventError {
-		return nil, fault.New(fault.BackendLost, "the engine gave up the stream").WithRan(fault.RanYes)
+		return nil, fault.New(fault.BackendLost, "the engine aborted the stream").WithRan(fault.RanYes)
 	}
 	if event.Kind == protocol.EventChunk {
 		f.chunks++
@@ -110,8 +110,8 @@
 	return nil, nil
 }
 
-// eventTimeout bounds the wait for the next event. After a resume it is short: what
-// the engine has already made comes at once.
+// eventTimeout returns the bound of the wait for the next event. It is short after
+// a resume, since the engine sends at once what it has already generated.
 func (f *streamReader) eventTimeout() time.Duration {
 	if f.idleResumes > 0 {
 		return f.dispatcher.config.ResumeTimeout
@@ -122,8 +122,8 @@
 	return f.dispatcher.config.StallTimeout
 }
 
-// streamFault turns the error of an open stream into a fault. EOF without an
-// end event is a break like any other.
+// streamFault converts the error of an open stream to a fault. EOF without an
+// end event is a broken stream too.
 func streamFault(err error) error {
 	if errors.Is(err, io.EOF) {
 		return fault.New(fault.BackendLost, "the stream closed without its end event").WithRan(fault.RanUnknown)
@@ -131,8 +131,8 @@
 	return fault.From(err)
 }
 
-// resume resumes the stream, with a bounded number of tries in a row that
-// bring no event. Its fault says that the incarnation is gone for this stream.
+// resume reopens the stream at its next event. It returns a fault if the engine
+// refuses, or after MaxIdleResumes resumes that brought no event.
 func (f *streamReader) resume(ctx context.Context) (engine.EventStream, error) {
 	for {
 		if f.idleResumes >= f.dispatcher.config.MaxIdleResumes {
@@ -162,8 +162,8 @@
 	}
 }
 
-// cancellingStream bounds the opening of a stream by limit; the stream itself lives as long
-// as ctx or until it is closed.
+// openStream opens a stream within limit; the stream then stays open until ctx ends
+// or it is closed.
 func (d *Dispatcher) openStream(ctx context.Context, limit time.Duration, call func(context.Context) (engine.EventStream, error)) (engine.EventStream, error) {
 	streamContext, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(limit, cancel)
@@ -181,7 +181,7 @@
 	return &cancellingStream{EventStream: stream, cancel: cancel}, nil
 }
 
-// cancellingStream frees its context when it is closed.
+// cancellingStream cancels its context when it is closed.
 type cancellingStream struct {
 	engine.EventStream
 	cancel context.CancelFunc
@@ -213,15 +213,15 @@
 	return nil
 }
 
-// isBadRequest reports whether a back end refused the request itself, as all
-// others of its kind will.
+// isBadRequest reports whether a back end refused the request as invalid, as
+// every other one would.
 func isBadRequest(err error) bool {
 	refusal := refusalOf(err)
 	return refusal != nil && refusal.Kind == protocol.RefusalBadRequest
 }
 
-// asBadRequest tells the caller that its request, not the back end, is at fault.
+// asBadRequest returns a fault that blames the request, not the back end.
 func asBadRequest(err error) *fault.Fault {
-	return fault.Wrap(err, fault.BadRequest, "the back end cannot take the request").
-		WithRemedy("shorten the prompt or max_tokens, or correct the body; the back end's limits bind")
+	return fault.Wrap(err, fault.BadRequest, "the back end rejected the request as invalid").
+		WithRemedy("shorten the prompt, reduce max_tokens or correct the body; the limits are those of the back end")
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -87,7 +87,7 @@
 }
 
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
-	held := &quarantine.Verdict{RetryAfter: time.Minute}
+	quarantined := &quarantine.Verdict{RetryAfter: time.Minute}
 	due := &quarantine.Verdict{RetryAfter: time.Minute, TrialDue: true}
 	tests := []struct {
 		name     string
@@ -103,15 +103,15 @@
 	}{
 		{"free", "safe", []*quarantine.Verdict{nil}, false, []answer{genuine(200, "x")}, 1, "", "", 0, 1},
 		{"a failure is no success", "unsafe", []*quarantine.Verdict{nil}, false, []answer{genuine(500, "x")}, 1, "", "", 0, 0},
-		{"held", "safe", []*quarantine.Verdict{held}, false, []answer{genuine(200, "x")}, 0, fault.Quarantined, fault.RanNo, 0, 0},
-		{"held while a place was looked for", "safe", []*quarantine.Verdict{nil, held}, false, []answer{genuine(200, "x")}, 0, fault.Quarantined, fault.RanNo, 0, 0},
-		{"held after it broke off", "safe", []*quarantine.Verdict{nil, nil, held}, false, []answer{failing(true)}, 1, fault.BackendLost, fault.RanUnknown, 1, 0},
+		{"held", "safe", []*quarantine.Verdict{quarantined}, false, []answer{genuine(200, "x")}, 0, fault.Quarantined, fault.RanNo, 0, 0},
+		{"held while a place was looked for", "safe", []*quarantine.Verdict{nil, quarantined}, false, []answer{genuine(200, "x")}, 0, fault.Quarantined, fault.RanNo, 0, 0},
+		{"held after it broke off", "safe", []*quarantine.Verdict{nil, nil, quarantined}, false, []answer{failing(true)}, 1, fault.BackendLost, fault.RanUnknown, 1, 0},
 		{"a trial that is not granted", "safe", []*quarantine.Verdict{due}, false, []answer{genuine(200, "x")}, 0, fault.Quarantined, fault.RanNo, 0, 0},
 		{"a trial that is answered", "safe", []*quarantine.Verdict{due}, true, []answer{genuine(200, "x")}, 1, "", "", 0, 1},
-		{"a trial is one attempt", "safe", []*quarantine.Verdict{due, held}, true, []answer{failing(true)}, 1, fault.BackendLost, fault.RanUnknown, 1, 0},
-		{"a trial that a back end refused is over", "safe", []*quarantine.Verdict{due, held}, true, []answer{refusing(forward.NotExecuted), genuine(200, "x")}, 1, fault.Quarantined, fault.RanNo, 0, 0},
-		{"a trial that another instance refused is over", "safe", []*quarantine.Verdict{due, held}, true, []answer{refusing(forward.OtherInstance), genuine(200, "x")}, 1, fault.Quarantined, fault.RanNo, 0, 0},
-		{"a trial that did not leave goes on", "safe", []*quarantine.Verdict{due, held}, true, []answer{failing(false), genuine(200, "x")}, 2, "", "", 0, 1},
+		{"a trial is one attempt", "safe", []*quarantine.Verdict{due, quarantined}, true, []answer{failing(true)}, 1, fault.BackendLost, fault.RanUnknown, 1, 0},
+		{"a trial that a back end refused is over", "safe", []*quarantine.Verdict{due, quarantined}, true, []answer{refusing(forward.NotExecuted), genuine(200, "x")}, 1, fault.Quarantined, fault.RanNo, 0, 0},
+		{"a trial that another instance refused is over", "safe", []*quarantine.Verdict{due, quarantined}, true, []answer{refusing(forward.OtherInstance), genuine(200, "x")}, 1, fault.Quarantined, fault.RanNo, 0, 0},
+		{"a trial that did not leave goes on", "safe", []*quarantine.Verdict{due, quarantined}, true, []answer{failing(false), genuine(200, "x")}, 2, "", "", 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/resume/token.go
+++ b/internal/resume/token.go
@@ -1,6 +1,6 @@
-// Package resume seals the place in a stream that a caller has reached into an
-// opaque token, the SSE event id. Any router with the cluster key can open it
-// and resume the stream with no memory of the request.
+// Package resume seals a caller's position in a stream into an opaque token,
+// the SSE event id. Any router with the cluster key can open it and resume the
+// stream without state of the request.
 package resume
 
 import (
@@ -24,29 +24,29 @@
 const (
 	// formatVersion is the first byte of every token.
 	formatVersion = 1
-	// saltBytes is the size of the salt that each Sealer draws once.
+	// saltBytes is the size of the random salt of each Sealer.
 	saltBytes = 16
 	// counterBytes is the size of the counter that makes nonces unique.
 	counterBytes = 8
 	// keyBytes is the size of an AES-256 key.
 	keyBytes = 32
-	// headerBytes is what stands in a token before the sealed part.
+	// headerBytes is the size of a token's unencrypted header: version, salt, counter.
 	headerBytes = 1 + saltBytes + counterBytes
-	// MaxTokenLength bounds the tokens that are looked at.
+	// MaxTokenLength is the longest token that Open decodes.
 	MaxTokenLength = 1024
-	// MinClusterKeyBytes is the shortest cluster key taken.
+	// MinClusterKeyBytes is the shortest cluster key accepted.
 	MinClusterKeyBytes = 16
 	// keyPurpose separates the token key from other uses of the cluster key.
 	keyPurpose = "fieldpond resume token v1"
 )
 
-// Token is what a router must know to resume a stream.
+// Token is the state that a router needs to resume a stream.
 type Token struct {
 	Tenant  ident.Tenant
 	Service ident.Service
-	// Node is the router that gave the event out; it may have a cancel pending.
+	// Node is the router that sent the event; it may have a cancel pending.
 	Node ident.Node
-	// Chat says that the caller asked for chat completions, not completions.
+	// Chat is true for chat completions, false for completions.
 	Chat bool
 	// Created is the Unix time of the request, repeated in every chunk.
 	Created  int64
@@ -76,8 +76,8 @@
 // Sealer seals and opens tokens. It is safe for concurrent use.
 //
 // Every Sealer derives its own key from the cluster key and a random salt,
-// which stands in the token, and counts its nonces, so that no nonce is ever
-// used twice under one key.
+// which the token carries, and counts its nonces, so that no nonce is used
+// twice under one key.
 type Sealer struct {
 	clusterKey []byte
 	salt       [saltBytes]byte
@@ -85,14 +85,14 @@
 	counter    atomic.Uint64
 }
 
-// NewSealer returns a Sealer under the cluster key.
+// NewSealer returns a Sealer with keys derived from the cluster key.
 func NewSealer(clusterKey []byte) (*Sealer, error) {
 	if len(clusterKey) < MinClusterKeyBytes {
 		return nil, fault.New(fault.InvalidSettings, "the cluster key has %d bytes, it needs at least %d", len(clusterKey), MinClusterKeyBytes)
 	}
 	sealer := &Sealer{clusterKey: append([]byte(nil), clusterKey...)}
 	if _, err := rand.Read(sealer.salt[:]); err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "drawing a salt")
+		return nil, fault.Wrap(err, fault.Internal, "generating a salt")
 	}
 	aead, err := sealer.deriveAEAD(sealer.salt[:])
 	if err != nil {
@@ -109,11 +109,11 @@
 	}
 	block, err := aes.NewCipher(key)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "making the token cipher")
+		return nil, fault.Wrap(err, fault.Internal, "creating the token cipher")
 	}
 	aead, err := cipher.NewGCM(block)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "making the token cipher")
+		return nil, fault.Wrap(err, fault.Internal, "creating the token cipher")
 	}
 	return aead, nil
 }
@@ -145,12 +145,12 @@
 	return padded
 }
 
-// Open checks and opens a token for a tenant. Every failure is the same
-// *fault.Fault of kind InvalidToken, so that nothing is learnt from it.
+// Open authenticates and decrypts a token for a tenant. Every failure is the same
+// *fault.Fault of kind InvalidToken, so that it reveals nothing about the cause.
 func (s *Sealer) Open(text string, tenant ident.Tenant) (Token, error) {
 	wire, opened := s.open(text)
 	if !opened || wire.Tenant != tenant {
-		return Token{}, fault.New(fault.InvalidToken, "the resume token is not one of this cluster for this tenant")
+		return Token{}, fault.New(fault.InvalidToken, "the resume token is not valid for this cluster and tenant")
 	}
 	return Token{
 		Tenant: wire.Tenant, Service: wire.Service, Node: wire.Node, Chat: wire.Chat, Created: wire.Created,
@@ -164,7 +164,7 @@
 }
 
 func (s *Sealer) open(text string) (wire sealed, opened bool) {
-	// The decoder skips line breaks; a token has exactly one spelling.
+	// The decoder skips line breaks; a token has exactly one encoding.
 	if len(text) > MaxTokenLength || strings.ContainsAny(text, "\r\n") {
 		return wire, false
 	}
--- a/internal/resume/token_test.go
+++ b/internal/resume/token_test.go
@@ -62,7 +62,7 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	// The fuzzing processes must agree on the one genuine token, so its salt is fixed.
+	// The fuzzing processes must agree on the one valid token, so its salt is fixed.
 	sealer := newSealer(f, testKey)
 	sealer.salt = [saltBytes]byte{}
 	aead, err := sealer.deriveAEAD(sealer.salt[:])
