--- a/internal/forward/acks.go
+++ b/internal/forward/acks.go
@@ -3,14 +3,13 @@
 import "time"
 
 const (
-	// ackTimeoutDivisor is the part of a route's target within which the machine of a back end
-	// has to acknowledge bytes: what is found silent then can still be answered in
-	// time by another one. Machines acknowledge within a round trip, however busy
-	// their back end is.
+	// ackTimeoutDivisor divides a route's target into the ack timeout, so that another
+	// back end can still answer in time. Kernels acknowledge within a round trip, however
+	// busy the back end is.
 	ackTimeoutDivisor = 2
-	// minAckTimeout leaves time for a lost packet to be sent again, after 200 ms at least.
+	// minAckTimeout exceeds the least TCP retransmission timeout, 200 ms.
 	minAckTimeout = 250 * time.Millisecond
-	// maxAckTimeout bounds it for routes with a long target or none.
+	// maxAckTimeout applies to routes with a long target or none.
 	maxAckTimeout = time.Second
 )
 
--- a/internal/forward/advertised.go
+++ b/internal/forward/advertised.go
@@ -6,13 +6,13 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// BackendNews takes news of back ends to other routers. Its methods are safe for concurrent use.
+// BackendNews sends state updates of back ends to other routers. Its methods are safe for concurrent use.
 type BackendNews interface {
-	// Changed takes in that this router has learnt something of a back end that concerns all.
+	// Changed reports a back end whose advertised state has changed for all routers.
 	Changed(instance ident.Incarnation)
 }
 
-// applyAdvertised takes in what an answer says of its back end.
+// applyAdvertised applies what an answer advertises about its back end.
 func (a *attempt) applyAdvertised(reply *Reply) {
 	change := a.forwarder.Backends.TakeSaid(clock.Now(), a.choice.Instance, a.sentAt, reply.Said, backend.ByAnswer)
 	if change.LimitChanged {
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -16,41 +16,41 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// maxBufferedBytes is the largest answer that is read whole before any of it
-// is passed on.
+// maxBufferedBytes is the largest answer that is buffered whole before it is passed on.
 const maxBufferedBytes = 256 << 10
 
-// bufferedReply is an answer of a back end, read whole.
+// bufferedReply is a complete answer of a back end.
 type bufferedReply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// attempt is one sending of a request.
+// attempt is one attempt of a request at a back end.
 type attempt struct {
 	*run
 	choice backend.Choice
 	flight *backend.Flight
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// idleTimer ends the attempt if no byte of the answer comes in time.
+	// idleTimer ends the attempt if no byte of the answer arrives in time; nil means
+	// that only the deadline does.
 	idleTimer *time.Timer
-	// busyDeadline ends the patience with a back end that is known to be busy.
+	// busyDeadline is until when the first byte of a busy back end is awaited.
 	busyDeadline time.Time
-	// sentAt is when the request was sent, firstByteAt when the first byte of the answer was
-	// there; it is zero before.
+	// sentAt is when the request was sent, firstByteAt when the first byte of the answer
+	// arrived, zero until then.
 	sentAt, firstByteAt time.Time
-	// status is that of the answer, 0 before its head came.
+	// status is that of the answer, 0 before its head arrived.
 	status int
-	// invalid says that the back end gave an answer that may not be passed on.
+	// invalid is true if the answer may not be passed on.
 	invalid bool
-	// releaseRun is the attempt as the guard of releases counts it.
+	// releaseRun identifies the attempt to Releases.
 	releaseRun canary.Run
 }
 
-// attempt sends the request to the chosen back end. It returns true if the
-// final answer was given, else what the attempt came to.
+// attempt sends the request to the chosen back end. It returns true if the final
+// answer was passed on, else the failure.
 func (r *run) attempt(ctx context.Context, choice backend.Choice, flight *backend.Flight) (done bool, failed *failure) {
 	outgoing := r.newAttempt(&choice)
 	outgoing.Withdrawn = func() bool { return flight.Withdrawn(clock.Sync()) }
@@ -74,8 +74,8 @@
 	return failed == nil, current.conclude(failed)
 }
 
-// onIdle gives the attempt up for another one, if there is a repeat left in
-// the budget; else the answer is awaited to the end of the request's time.
+// onIdle cancels the attempt for a retry if the budget grants one; otherwise the
+// answer is awaited until the request's deadline.
 func (a *attempt) onIdle() {
 	now := clock.Now()
 	if now.Before(a.busyDeadline) && a.flight.ToldBusy(now) {
@@ -87,7 +87,8 @@
 	}
 }
 
-// conclude settles the attempt with the registry and the run.
+// conclude records the end of the attempt in the run, the registry, Releases and
+// the quarantine.
 func (a *attempt) conclude(failed *failure) *failure {
 	outcome := backend.Answered
 	if failed != nil {
@@ -121,7 +122,7 @@
 	return failed
 }
 
-// interruptionOutcome tells apart why an exchange broke off.
+// interruptionOutcome returns the outcome of a broken exchange by the cause of its cancellation.
 func (a *attempt) interruptionOutcome(outcome backend.Outcome) backend.Outcome {
 	switch cause := context.Cause(a.ctx); {
 	case cause == nil:
@@ -134,26 +135,25 @@
 }
 
 const (
-	// firstByteTenths of the target, in tenths, are waited for the first byte of
-	// an answer before another back end is tried. Streams are awaited longer:
-	// to give one up throws away what its engine has read of a long prompt.
+	// firstByteTenths is the wait for the first byte of an answer, in tenths of the
+	// route's target. It is longer for streams: cancelling one discards the engine's
+	// work on a long prompt.
 	firstByteTenths       = 7
 	streamFirstByteTenths = 15
-	// busyFactor times the patience is waited for a back end that is known to be busy:
-	// another attempt would have all of the prompt read once more when engines have
-	// least time for it.
+	// busyFactor multiplies the wait for a back end that is known to be busy: a retry
+	// would add another prefill of the prompt while engines are loaded.
 	busyFactor = 2
-	// busyPollInterval is the time between two looks whether a back end is still busy.
+	// busyPollInterval is the time between checks whether a back end is still busy.
 	busyPollInterval = 100 * time.Millisecond
-	// predictionFactor times the predicted wait, and the usual lateness of the back
-	// end, is waited besides.
+	// predictionFactor multiplies the predicted wait, and a stream's usual lateness,
+	// in the first-byte timeout.
 	predictionFactor = 3
 )
 
 // firstByteTimeout returns how long the first byte of an answer is awaited before the
-// request is sent elsewhere; 0 means until its time is over.
+// request is sent elsewhere; 0 means until the request's deadline.
 func (r *run) firstByteTimeout(choice *backend.Choice) time.Duration {
-	// A release on trial has other back ends beside it that were not compared.
+	// Besides a release on trial there are back ends that were not compared.
 	alone := choice.Candidates < 2 && choice.Releases.Among == 0
 	if !r.route.Repeatable() || r.executions+1 >= r.route.MaxAttempts || alone {
 		return 0
@@ -164,8 +164,8 @@
 	return max(r.route.Target*firstByteTenths/10, predictionFactor*choice.Predicted)
 }
 
-// receive reads the answer of a back end. It returns nil if the final answer was
-// passed on to the client.
+// receive reads the answer of a back end. It returns nil if it was passed on as the
+// final answer.
 func (a *attempt) receive(reply *Reply) *failure {
 	defer func() { _ = reply.Body.Close() }()
 	if a.idleTimer != nil && a.route.Kind != catalog.Streaming {
@@ -186,7 +186,7 @@
 		return a.refused(reply, backend.WrongVersion)
 	case Unsound:
 		a.invalid = true
-		return &failure{ran: fault.RanUnknown, outcome: backend.Broken, cause: errors.Errorf("unsound answer with status %d", reply.Status)}
+		return &failure{ran: fault.RanUnknown, outcome: backend.Broken, cause: errors.Errorf("invalid answer with status %d", reply.Status)}
 	}
 	if a.route.Kind == catalog.Streaming && reply.Status == http.StatusOK {
 		return a.stream(reply)
@@ -194,7 +194,7 @@
 	return a.buffer(reply)
 }
 
-// refused reads past the body of a refusal, so that the connection is kept.
+// refused discards the body of a refusal, so that the connection can be reused.
 func (a *attempt) refused(reply *Reply, outcome backend.Outcome) *failure {
 	_, _ = io.Copy(io.Discard, io.LimitReader(reply.Body, maxBufferedBytes))
 	return &failure{
@@ -203,10 +203,10 @@
 	}
 }
 
-// assumeNewestVersion takes a back end that refused because of its version to have
-// the newest one that was named: the list tells versions late. It reports
-// whether that is newer than what was believed. An attempt names the version it
-// is meant for, so that a wrong guess costs one more refusal.
+// assumeNewestVersion assumes that a back end that refused because of its version has
+// the newest published one, since the instance list lags behind. It reports whether
+// that is newer than the attempt's. Attempts carry their version, so that a wrong
+// guess only costs one more refusal.
 func (a *attempt) assumeNewestVersion() bool {
 	if a.request.Prompt == nil {
 		return false
@@ -220,8 +220,8 @@
 	return true
 }
 
-// buffer reads a whole answer before any of it is passed on, so that an answer
-// that breaks off can be replaced by another attempt's.
+// buffer reads an answer whole before passing it on, so that one that breaks off
+// can be replaced by another attempt's.
 func (a *attempt) buffer(reply *Reply) *failure {
 	if a.headSent {
 		return &failure{ran: fault.RanYes, outcome: backend.Failed, cause: errors.Errorf("the continued stream was answered with status %d", reply.Status)}
@@ -242,7 +242,7 @@
 	return nil
 }
 
-// sendBuffered gives the client an answer that was read whole.
+// sendBuffered sends a buffered answer to the client.
 func (r *run) sendBuffered(reply *bufferedReply) {
 	r.headSent = true
 	r.sink.Head(reply.status, reply.header, int64(len(reply.body)))
@@ -250,7 +250,7 @@
 	r.recordStep(StepAnswered, func(step *Step) { step.Status, step.Cause = reply.status, err })
 }
 
-// long passes on an answer that is too long to be read whole first.
+// sendUnbuffered passes on an answer that is too long to be buffered.
 func (a *attempt) sendUnbuffered(reply *Reply, beginning *bufferedReply) *failure {
 	a.headSent = true
 	a.sink.Head(reply.Status, reply.Header, reply.Length)
@@ -275,13 +275,13 @@
 	}
 }
 
-// notSent reports whether a failed exchange ended before a byte of the request left.
+// notSent reports whether a failed exchange ended before any byte of the request was sent.
 func notSent(err error) bool {
 	var failed *exchange.Error
 	return errors.As(err, &failed) && !failed.Sent
 }
 
-// classifySendError reads what a failed exchange proves.
+// classifySendError returns what a failed exchange proves.
 func classifySendError(err error) (ran fault.Ran, outcome backend.Outcome) {
 	switch {
 	case !notSent(err):
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -8,12 +8,11 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// backoffJitter is the time over which clients come back that wait for the end of one rest, so
-// that the back end does not meet all of them at once.
+// backoffJitter spreads the retries of clients that wait for the end of the same back-off.
 const backoffJitter = 250 * time.Millisecond
 
-// hopeless returns the fault of a request that no back end can take within the time for which it
-// may wait; nil if one may.
+// unavailableFault returns the fault of a request that no back end can take before waitUntil, nil
+// if one may.
 func (r *run) unavailableFault(now, waitUntil time.Time) *fault.Fault {
 	if r.executionUnknown {
 		return nil
@@ -29,7 +28,7 @@
 			kind = fault.NoPermittedEngine
 		}
 		return fault.New(
-			kind, "all back ends that could take the request want rest, or name limits that are used up, for %v",
+			kind, "all back ends that could take the request are in back-off or have used up their limits for %v",
 			outlook.At.Sub(now).Round(time.Millisecond),
 		).WithRetryAfter(r.retryAfter(now))
 	case backend.AllLeave:
@@ -38,8 +37,8 @@
 	return nil
 }
 
-// retryAfter returns when the client of a refused request is to come back: soon, or when the first
-// back end is free if none is before, those that refused this request among them.
+// retryAfter returns the Retry-After of a refused request: the default or, if longer, the time until
+// the first back end is available, including those that refused this request.
 func (r *run) retryAfter(now time.Time) time.Duration {
 	query := r.query()
 	query.Excluded = nil
--- a/internal/forward/backendlimit.go
+++ b/internal/forward/backendlimit.go
@@ -11,30 +11,27 @@
 	"github.com/fieldpond/fieldpond/internal/quota"
 )
 
-// BackendLimits keeps back ends within the limits that they name, over all routers. Its
+// BackendLimits enforces the rate limits that back ends advertise, across all routers. Its
 // methods are safe for concurrent use.
 type BackendLimits interface {
-	// Take asks for the grant of one request to a back end, and waits for the verdict until
-	// ctx ends. Preferred requests come before others.
+	// Take requests the grant of one request to a back end, and waits for the result until
+	// ctx ends. Preferred requests are granted before others.
 	Take(ctx context.Context, choice *backend.Choice, preferred bool) quota.Verdict
-	// Return gives back a grant whose request did not reach the back end.
+	// Return releases a grant whose request did not reach the back end.
 	Return(to ident.Incarnation, grant quota.Grant)
 }
 
 const (
-	// limitWaitDivisor is the part of a route's target time, as a divisor, for which the grant of a
-	// request to a back end is awaited, and minLimitWait the least time: a way to another
-	// zone of the region and back takes 3 ms, one to another region 40 ms.
+	// limitWaitDivisor divides a route's target into the wait for a back end's grant.
 	limitWaitDivisor = 8
-	minLimitWait     = 60 * time.Millisecond
-	// maxLimitDenials bounds the back ends with limits that one placement claims from: where all
-	// have one, a request that would be granted nowhere is not to go round all of them.
+	// minLimitWait is the least wait, longer than a round trip to another region.
+	minLimitWait = 60 * time.Millisecond
+	// maxLimitDenials bounds the back ends with limits that one placement tries.
 	maxLimitDenials = 8
-	// unconfirmedSkip is how long a back end is passed over for which no router granted or
-	// denied a request: a pool that lost its leader has another one within a few hellos.
+	// unconfirmedSkip is how long a back end is skipped for which no router granted or
+	// denied a request; a pool that lost its leader elects another one by then.
 	unconfirmedSkip = 250 * time.Millisecond
-	// maxLimitSkip bounds the time for which a denial is kept to, as limits rise and pools
-	// grow meanwhile.
+	// maxLimitSkip bounds how long a denial is obeyed, as limits and pools may grow.
 	maxLimitSkip = 2 * time.Second
 )
 
@@ -44,18 +41,17 @@
 	grant quota.Grant
 }
 
-// acquireBackendGrant reports whether the request may be sent to the back end that was chosen for it.
-// Each sending is charged: attempts, repeats, streams that are continued, trials of releases
-// and of requests that were held. Reports, orders and reads of caches take no place there and
-// are not.
+// acquireBackendGrant reports whether the request may be sent to the chosen back end. Every
+// attempt is charged: retries, continued streams and trials too. Reports, orders and reads of
+// caches are not, since they use no slot.
 func (r *run) acquireBackendGrant(ctx context.Context, choice *backend.Choice) bool {
 	if choice.Limit.Rate <= 0 || r.forwarder.Limits == nil {
 		return true
 	}
 	bounded, cancel := context.WithTimeout(ctx, max(r.route.Target/limitWaitDivisor, minLimitWait))
 	defer cancel()
-	// What a back end holds of the prompt is worth most there. Where all have limits, a prompt
-	// that nothing of is held anywhere is worth as much at each.
+	// A request is preferred at the home of its prompt, which may have it cached, or, if it has
+	// none and all back ends are limited, at any back end.
 	preferred := choice.Home || (choice.HomeZone == "" && choice.AllLimited)
 	switch verdict := r.forwarder.Limits.Take(bounded, choice, preferred).(type) {
 	case quota.Granted:
@@ -71,14 +67,14 @@
 	return false
 }
 
-// skipBackend has the back end passed over for a time.
+// skipBackend skips the back end for a time, at most maxLimitSkip.
 func (r *run) skipBackend(choice *backend.Choice, after time.Duration) {
 	after = min(after, maxLimitSkip)
 	r.forwarder.Backends.LimitUsedUp(choice.Instance, clock.Now().Add(after))
 	r.recordStep(StepLimitDenied, func(step *Step) { step.Choice, step.After = *choice, after })
 }
 
-// releaseBackendGrant gives back the grant of a request that did not reach its back end.
+// releaseBackendGrant releases the grant of a request that did not reach its back end.
 func (r *run) releaseBackendGrant() {
 	if r.backendGrant != nil {
 		r.forwarder.Limits.Return(r.backendGrant.to, r.backendGrant.grant)
@@ -86,7 +82,7 @@
 	}
 }
 
-// limitsExhaustedFault is the fault of a request that many back ends were claimed for in vain.
+// limitsExhaustedFault returns the fault of a request that too many limited back ends denied.
 func (r *run) limitsExhaustedFault(now time.Time) *fault.Fault {
 	if refusal := r.unavailableFault(now, now); refusal != nil {
 		return refusal
--- a/internal/forward/charge.go
+++ b/internal/forward/charge.go
@@ -7,16 +7,15 @@
 	"github.com/fieldpond/fieldpond/internal/quota"
 )
 
-// Quotas keeps tenants within their limits. Its methods are safe for concurrent use.
+// Quotas enforces the rate limits of tenants. Its methods are safe for concurrent use.
 type Quotas interface {
-	// Take asks for the grant of a claim, and waits for the verdict for a short time.
+	// Take requests a grant, and waits a short time for the result.
 	Take(ctx context.Context, claim quota.Claim) quota.Verdict
-	// Return gives back a grant whose request did not run.
+	// Return releases a grant whose request did not run.
 	Return(grant quota.Grant)
 }
 
-// charge counts the request against the limit of its tenant. Its fault says why it may
-// not run.
+// charge acquires a grant of the tenant's limit. It returns a fault if the request may not run.
 func (r *run) charge(ctx context.Context) *fault.Fault {
 	if r.tenant == nil || !r.tenant.Limit.Limited() || r.forwarder.Quotas == nil {
 		return nil
@@ -31,7 +30,7 @@
 		return nil
 	case quota.Denied:
 		return fault.New(
-			fault.RateLimited, "tenant %s has used its limit of %.0f a second; %.0f more are free in %v",
+			fault.RateLimited, "tenant %s has used up its limit of %.0f a second; %.0f more are available in %v",
 			claim.Subject, claim.Limit.Rate, claim.Amount, verdict.After,
 		).WithRetryAfter(verdict.After)
 	default:
@@ -39,7 +38,7 @@
 	}
 }
 
-// chargeRetry counts a further attempt, if a back end may have run the last one, and
+// chargeRetry charges a further attempt, if a back end may have run the last one, and
 // reports whether it may be sent.
 func (r *run) chargeRetry(ctx context.Context) bool {
 	if r.grant != nil {
@@ -52,7 +51,7 @@
 	return refusal == nil
 }
 
-// releaseGrant gives back the grant of an attempt that no back end ran.
+// releaseGrant releases the grant of a request that no back end ran.
 func (r *run) releaseGrant() {
 	if r.grant != nil {
 		r.forwarder.Quotas.Return(*r.grant)
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -17,7 +17,7 @@
 	errEventTruncated = errors.New("the stream ended partway through an event")
 )
 
-// eventReader reads a stream of events as whole, unchanged blocks of bytes.
+// eventReader reads a stream of events as complete, unchanged blocks of bytes.
 type eventReader struct {
 	source *bufio.Reader
 	block  []byte
@@ -31,12 +31,12 @@
 // are valid until the next call of next.
 type event struct {
 	raw []byte
-	// id is the number in the event's id line; hasID is false without one.
+	// id is the number in the event's id line; hasID is false if there is none.
 	id    int64
 	hasID bool
 }
 
-// next returns the next whole event. It returns io.EOF only if the stream
+// next returns the next complete event. It returns io.EOF only if the stream
 // ended between two events.
 func (r *eventReader) next() (event, error) {
 	r.block = r.block[:0]
