--- a/internal/dispatch/application_test.go
+++ b/internal/dispatch/application_test.go
@@ -44,7 +44,7 @@
 	}
 	record = claim.Record{ClaimID: ident.NewUnique(), State: claim.StateClaimed, Digest: digest}
 	f.records[key] = record
-	return claim.Grant{Mine: true, Record: record}, nil
+	return claim.Grant{Acquired: true, Record: record}, nil
 }
 
 func (f *fakeTable) Finish(_ context.Context, key claim.Key, claimID string, outcome claim.Outcome) error {
@@ -176,7 +176,7 @@
 	}
 	is.NoErr(err)
 	is.Equal(string(answer.Body), "done bay 7")
-	is.True(answer.Repeated)
+	is.True(answer.Replayed)
 }
 
 // Of many concurrent requests under one key at two routers, at most one may run,
@@ -227,7 +227,7 @@
 		synctest.Wait() // an answer is returned before it is recorded
 		answer, err := routers[0].RunApplication(t.Context(), booking())
 		is.NoErr(err) // not the earlier refusal
-		is.True(answer.Repeated)
+		is.True(answer.Replayed)
 		for _, router := range routers {
 			router.Close()
 		}
@@ -312,7 +312,7 @@
 		is := is.New(t)
 		routers, applications, _ := newRouters(1, "lost", "ok", "lost", "lost")
 		job := booking()
-		job.Repeatable, job.IdempotencyKey = true, ""
+		job.Retryable, job.IdempotencyKey = true, ""
 		answer, err := routers[0].RunApplication(t.Context(), job)
 		is.NoErr(err)
 		is.Equal(answer.Status, http.StatusCreated)
--- a/internal/dispatch/generation.go
+++ b/internal/dispatch/generation.go
@@ -143,8 +143,8 @@
 	if !g.started {
 		return nil
 	}
-	if deadline := time.Now().Add(g.dispatcher.config.ContinueTimeout); deadline.After(g.job.HoldUntil) {
-		g.job.HoldUntil = deadline
+	if deadline := time.Now().Add(g.dispatcher.config.ContinueTimeout); deadline.After(g.job.PlacementDeadline) {
+		g.job.PlacementDeadline = deadline
 	}
 	if g.emitted.Len() == 0 {
 		g.dispatcher.Counters.Regenerated.Add(1)
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -12,17 +12,17 @@
 // Quarantine withholds model requests that crash engines. Its methods are safe for
 // concurrent use.
 type Quarantine interface {
-	// Judge returns why a request may not be sent, nil if it may.
-	Judge(now time.Time, request *quarantine.Subject) *quarantine.Verdict
-	// Try requests the grant of a trial that is due, waits a short time for it, and
+	// Check returns why a request may not be sent, nil if it may.
+	Check(now time.Time, request *quarantine.Subject) *quarantine.Decision
+	// AcquireTrial requests the grant of a trial that is due, waits a short time for it, and
 	// reports whether it was granted.
-	Try(ctx context.Context, request *quarantine.Subject) bool
-	// Answered observes a complete answer, Broke an attempt that broke off at an engine, Left
+	AcquireTrial(ctx context.Context, request *quarantine.Subject) bool
+	// ObserveAnswered observes a complete answer, Broke an attempt that broke off at an engine, Left
 	// one whose caller left while the engine may still run it, Unreached one that was not sent.
-	Answered(now time.Time, request *quarantine.Subject)
-	Broke(now time.Time, request *quarantine.Subject, at Placement)
-	Left(now time.Time, request *quarantine.Subject, at Placement)
-	Unreached(now time.Time, at Placement)
+	ObserveAnswered(now time.Time, request *quarantine.Subject)
+	ObserveBroken(now time.Time, request *quarantine.Subject, at Placement)
+	ObserveAbandoned(now time.Time, request *quarantine.Subject, at Placement)
+	ObserveUnreachable(now time.Time, at Placement)
 }
 
 // subjectOf identifies a job's request, equal for all retries of its caller. It excludes the text
@@ -41,11 +41,11 @@
 	if guard == nil || g.onTrial {
 		return nil
 	}
-	verdict := guard.Judge(time.Now(), g.subject)
+	verdict := guard.Check(time.Now(), g.subject)
 	if verdict == nil {
 		return nil
 	}
-	if verdict.TrialDue && guard.Try(ctx, g.subject) {
+	if verdict.TrialDue && guard.AcquireTrial(ctx, g.subject) {
 		g.onTrial = true
 		return nil
 	}
@@ -66,13 +66,13 @@
 	g.onTrial = g.onTrial && a.result.Outcome == OutcomeUnreachable
 	switch a.result.Outcome {
 	case OutcomeAnswered:
-		guard.Answered(now, g.subject)
+		guard.ObserveAnswered(now, g.subject)
 	case OutcomeBroken:
-		guard.Broke(now, g.subject, a.placement)
+		guard.ObserveBroken(now, g.subject, a.placement)
 	case OutcomeAbandoned:
-		guard.Left(now, g.subject, a.placement)
+		guard.ObserveAbandoned(now, g.subject, a.placement)
 	case OutcomeUnreachable:
-		guard.Unreached(now, a.placement)
+		guard.ObserveUnreachable(now, a.placement)
 	case OutcomeRefused:
 		// The engine is alive and has not run the request.
 	}
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -13,42 +13,42 @@
 
 // fakeQuarantine returns its verdicts in order; the last one is repeated.
 type fakeQuarantine struct {
-	verdicts                                 []*quarantine.Verdict
+	verdicts                                 []*quarantine.Decision
 	checks                                   int
 	granted                                  bool
 	answered, broken, abandoned, unreachable int
 	subjects                                 map[quarantine.Fingerprint]bool
 }
 
-// Judge implements Quarantine.
-func (f *fakeQuarantine) Judge(_ time.Time, request *quarantine.Subject) *quarantine.Verdict {
+// Check implements Quarantine.
+func (f *fakeQuarantine) Check(_ time.Time, request *quarantine.Subject) *quarantine.Decision {
 	f.checks++
 	f.subjects[request.Fingerprint()] = true
 	return f.verdicts[min(f.checks, len(f.verdicts))-1]
 }
 
-// Try implements Quarantine.
-func (f *fakeQuarantine) Try(context.Context, *quarantine.Subject) bool { return f.granted }
+// AcquireTrial implements Quarantine.
+func (f *fakeQuarantine) AcquireTrial(context.Context, *quarantine.Subject) bool { return f.granted }
 
-// Answered implements Quarantine.
-func (f *fakeQuarantine) Answered(time.Time, *quarantine.Subject) { f.answered++ }
+// ObserveAnswered implements Quarantine.
+func (f *fakeQuarantine) ObserveAnswered(time.Time, *quarantine.Subject) { f.answered++ }
 
-// Broke implements Quarantine.
-func (f *fakeQuarantine) Broke(time.Time, *quarantine.Subject, Placement) { f.broken++ }
+// ObserveBroken implements Quarantine.
+func (f *fakeQuarantine) ObserveBroken(time.Time, *quarantine.Subject, Placement) { f.broken++ }
 
-// Left implements Quarantine.
-func (f *fakeQuarantine) Left(time.Time, *quarantine.Subject, Placement) { f.abandoned++ }
+// ObserveAbandoned implements Quarantine.
+func (f *fakeQuarantine) ObserveAbandoned(time.Time, *quarantine.Subject, Placement) { f.abandoned++ }
 
-// Unreached implements Quarantine.
-func (f *fakeQuarantine) Unreached(time.Time, Placement) { f.unreachable++ }
+// ObserveUnreachable implements Quarantine.
+func (f *fakeQuarantine) ObserveUnreachable(time.Time, Placement) { f.unreachable++ }
 
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
-	quarantined := &quarantine.Verdict{RetryAfter: time.Minute}
-	due := &quarantine.Verdict{RetryAfter: time.Minute, TrialDue: true}
+	quarantined := &quarantine.Decision{RetryAfter: time.Minute}
+	due := &quarantine.Decision{RetryAfter: time.Minute, TrialDue: true}
 	crashed := damage{"gone", 0}
 	tests := []struct {
 		name     string
-		verdicts []*quarantine.Verdict
+		verdicts []*quarantine.Decision
 		granted  bool
 		damage   damage
 		sends    int
@@ -57,13 +57,13 @@
 		answered int
 		broke    int
 	}{
-		{"free", []*quarantine.Verdict{nil}, false, damage{}, 1, "", "", 1, 0},
-		{"quarantined", []*quarantine.Verdict{quarantined}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
-		{"quarantined during placement", []*quarantine.Verdict{nil, quarantined}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
-		{"quarantined after it broke off", []*quarantine.Verdict{nil, nil, quarantined}, false, crashed, 1, fault.BackendLost, fault.RanUnknown, 0, 1},
-		{"a trial that is not granted", []*quarantine.Verdict{due}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
-		{"a trial that is answered", []*quarantine.Verdict{due}, true, damage{}, 1, "", "", 1, 0},
-		{"a trial is one attempt", []*quarantine.Verdict{due, quarantined}, true, crashed, 1, fault.BackendLost, fault.RanUnknown, 0, 1},
+		{"free", []*quarantine.Decision{nil}, false, damage{}, 1, "", "", 1, 0},
+		{"quarantined", []*quarantine.Decision{quarantined}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
+		{"quarantined during placement", []*quarantine.Decision{nil, quarantined}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
+		{"quarantined after it broke off", []*quarantine.Decision{nil, nil, quarantined}, false, crashed, 1, fault.BackendLost, fault.RanUnknown, 0, 1},
+		{"a trial that is not granted", []*quarantine.Decision{due}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
+		{"a trial that is answered", []*quarantine.Decision{due}, true, damage{}, 1, "", "", 1, 0},
+		{"a trial is one attempt", []*quarantine.Decision{due, quarantined}, true, crashed, 1, fault.BackendLost, fault.RanUnknown, 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/dispatch/streamreader.go
+++ b/internal/dispatch/streamreader.go
@@ -196,11 +196,11 @@
 func (d *Dispatcher) countDropped(result CheckResult) {
 	switch result {
 	case Misrouted:
-		d.Counters.Crossed.Add(1)
+		d.Counters.Misrouted.Add(1)
 	case StaleAttempt:
-		d.Counters.Late.Add(1)
+		d.Counters.StaleAttempt.Add(1)
 	case Duplicate:
-		d.Counters.Repeated.Add(1)
+		d.Counters.Duplicate.Add(1)
 	}
 }
 
--- a/internal/forward/advertised_test.go
+++ b/internal/forward/advertised_test.go
@@ -22,19 +22,19 @@
 	notified []ident.Incarnation
 }
 
-// Changed implements forward.BackendNews.
-func (f *fakeNotifier) Changed(instance ident.Incarnation) {
+// Notify implements forward.BackendNotifier.
+func (f *fakeNotifier) Notify(instance ident.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.notified = append(f.notified, instance)
 }
 
 // saying has an answer say something of its back end.
-func advertising(advertised backend.Said, given answer) answer {
+func advertising(advertised backend.Advertised, given answer) answer {
 	return func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 		reply, err := given(ctx, attempt)
 		if reply != nil {
-			reply.Said = advertised
+			reply.Advertised = advertised
 		}
 		return reply, err
 	}
@@ -42,7 +42,7 @@
 
 // What answers say of their back ends is heard at each kind of answer.
 func TestAdvertisementOfEachAnswerIsApplied(t *testing.T) {
-	advertised := backend.Said{Limit: backend.LimitedTo{Rate: 3}, Leaving: true, Rest: time.Minute}
+	advertised := backend.Advertised{Limit: backend.LimitedTo{Rate: 3}, Draining: true, Backoff: time.Minute}
 	tests := []struct {
 		name  string
 		route string
@@ -52,7 +52,7 @@
 		{"a failure", "safe", genuine(500, "no")},
 		{"a refusal", "unsafe", refusing(forward.NotExecuted)},
 		{"another version", "unsafe", refusing(forward.OtherVersion)},
-		{"one that may not be passed on", "safe", refusing(forward.Unsound)},
+		{"one that may not be passed on", "safe", refusing(forward.InvalidAnswer)},
 		{"the head of a stream", "stream", genuine(200, "id: 1\ndata: a\n\n")},
 		{"a stream that breaks off", "stream", breaking("id: 1\ndata: a\n\n")},
 	}
@@ -62,13 +62,13 @@
 				is := is.New(t)
 				b := newBench(advertising(advertised, tt.given), genuine(200, "ok"))
 				notifier := &fakeNotifier{}
-				b.forwarder.News = notifier
+				b.forwarder.Notifier = notifier
 				b.forward(t, request(tt.route))
 				first := b.caller.sent()[0].Target.Instance
 				is.Equal(notifier.notified[0], first)
-				is.True(slices.Contains(b.backends.Limited(time.Now()), first))
-				is.True(b.backends.Leaving(first))
-				_, backingOff := b.backends.Wishes(time.Now())
+				is.True(slices.Contains(b.backends.LimitedInstances(time.Now()), first))
+				is.True(b.backends.DrainingOrUnlisted(first))
+				_, backingOff := b.backends.UnavailableCounts(time.Now())
 				is.True(backingOff >= 1)
 			})
 		})
@@ -84,7 +84,7 @@
 		late := func(_ context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 			is.True(!attempt.Withdrawn())
 			now := time.Now()
-			b.backends.TakeSaid(now, attempt.Target.Instance, now, backend.Said{Leaving: true}, backend.ByAnswer)
+			b.backends.ObserveAdvertised(now, attempt.Target.Instance, now, backend.Advertised{Draining: true}, backend.SourceAnswer)
 			is.True(attempt.Withdrawn())
 			return nil, &exchange.Error{Cause: exchange.ErrWithdrawn}
 		}
@@ -95,7 +95,7 @@
 		is.Equal(len(sent), 2)
 		is.True(sent[0].Target.Instance != sent[1].Target.Instance)
 		for _, step := range b.steps {
-			is.True(step.Kind != forward.StepRepeatGranted)
+			is.True(step.Kind != forward.StepRetryGranted)
 		}
 	})
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -30,7 +30,7 @@
 type attempt struct {
 	*run
 	choice backend.Choice
-	flight *backend.Flight
+	flight *backend.Attempt
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	// idleTimer ends the attempt if no byte of the answer arrives in time; nil means
@@ -51,9 +51,9 @@
 
 // attempt sends the request to the chosen back end. It returns true if the final
 // answer was passed on, else the failure.
-func (r *run) attempt(ctx context.Context, choice backend.Choice, flight *backend.Flight) (done bool, failed *failure) {
+func (r *run) attempt(ctx context.Context, choice backend.Choice, flight *backend.Attempt) (done bool, failed *failure) {
 	outgoing := r.newAttempt(&choice)
-	outgoing.Withdrawn = func() bool { return flight.Withdrawn(clock.Sync()) }
+	outgoing.Withdrawn = func() bool { return flight.MustWithdraw(clock.Sync()) }
 	attemptContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	current := &attempt{run: r, choice: choice, flight: flight, ctx: attemptContext, cancel: cancel, sentAt: clock.Now()}
@@ -78,7 +78,7 @@
 // answer is awaited until the request's deadline.
 func (a *attempt) onIdle() {
 	now := clock.Now()
-	if now.Before(a.busyDeadline) && a.flight.ToldBusy(now) {
+	if now.Before(a.busyDeadline) && a.flight.PeerBusy(now) {
 		a.idleTimer.Reset(busyPollInterval)
 		return
 	}
@@ -107,7 +107,7 @@
 			a.executionUnknown = true
 		}
 	}
-	a.flight.Ended(clock.Now(), outcome)
+	a.flight.End(clock.Now(), outcome)
 	a.reportSample(outcome)
 	a.reportToQuarantine(clock.Now(), outcome)
 	a.recordStep(StepAttemptEnded, func(step *Step) {
@@ -154,12 +154,12 @@
 // request is sent elsewhere; 0 means until the request's deadline.
 func (r *run) firstByteTimeout(choice *backend.Choice) time.Duration {
 	// Besides a release on trial there are back ends that were not compared.
-	alone := choice.Candidates < 2 && choice.Releases.Among == 0
+	alone := choice.Candidates < 2 && choice.Releases.MaxBackends == 0
 	if !r.route.Repeatable() || r.executions+1 >= r.route.MaxAttempts || alone {
 		return 0
 	}
 	if r.route.Kind == catalog.Streaming {
-		return r.route.Target*streamFirstByteTenths/10 + predictionFactor*(choice.Predicted+choice.Late)
+		return r.route.Target*streamFirstByteTenths/10 + predictionFactor*(choice.Predicted+choice.Lateness)
 	}
 	return max(r.route.Target*firstByteTenths/10, predictionFactor*choice.Predicted)
 }
@@ -172,19 +172,19 @@
 		a.idleTimer.Stop()
 	}
 	a.status = reply.Status
-	a.flight.Connected(reply.Opening)
+	a.flight.ObserveConnect(reply.ConnectTime)
 	if reply.Version > 0 && a.request.Prompt != nil {
-		a.forwarder.Backends.VersionSeen(a.choice.Instance, a.request.Prompt.Model, reply.Version)
+		a.forwarder.Backends.ObserveVersion(a.choice.Instance, a.request.Prompt.Model, reply.Version)
 	}
 	a.applyAdvertised(reply)
-	switch reply.Verdict {
+	switch reply.Execution {
 	case NotExecuted:
 		return a.refused(reply, backend.Refused)
 	case OtherInstance:
 		return a.refused(reply, backend.Misdirected)
 	case OtherVersion:
 		return a.refused(reply, backend.WrongVersion)
-	case Unsound:
+	case InvalidAnswer:
 		a.invalid = true
 		return &failure{ran: fault.RanUnknown, outcome: backend.Broken, cause: errors.Errorf("invalid answer with status %d", reply.Status)}
 	}
--- a/internal/forward/backendlimit.go
+++ b/internal/forward/backendlimit.go
@@ -14,11 +14,11 @@
 // BackendLimits enforces the rate limits that back ends advertise, across all routers. Its
 // methods are safe for concurrent use.
 type BackendLimits interface {
-	// Take requests the grant of one request to a back end, and waits for the result until
+	// Acquire requests the grant of one request to a back end, and waits for the result until
 	// ctx ends. Preferred requests are granted before others.
-	Take(ctx context.Context, choice *backend.Choice, preferred bool) quota.Verdict
-	// Return releases a grant whose request did not reach the back end.
-	Return(to ident.Incarnation, grant quota.Grant)
+	Acquire(ctx context.Context, choice *backend.Choice, preferred bool) quota.Result
+	// Release releases a grant whose request did not reach the back end.
+	Release(to ident.Incarnation, grant quota.Grant)
 }
 
 const (
@@ -53,12 +53,12 @@
 	// A request is preferred at the home of its prompt, which may have it cached, or, if it has
 	// none and all back ends are limited, at any back end.
 	preferred := choice.Home || (choice.HomeZone == "" && choice.AllLimited)
-	switch verdict := r.forwarder.Limits.Take(bounded, choice, preferred).(type) {
+	switch verdict := r.forwarder.Limits.Acquire(bounded, choice, preferred).(type) {
 	case quota.Granted:
 		r.backendGrant = &backendGrant{to: choice.Instance, grant: verdict.Grant}
 		return true
 	case quota.Denied:
-		r.skipBackend(choice, verdict.After)
+		r.skipBackend(choice, verdict.RetryAfter)
 	default:
 		if ctx.Err() == nil {
 			r.skipBackend(choice, unconfirmedSkip)
@@ -70,14 +70,14 @@
 // skipBackend skips the back end for a time, at most maxLimitSkip.
 func (r *run) skipBackend(choice *backend.Choice, after time.Duration) {
 	after = min(after, maxLimitSkip)
-	r.forwarder.Backends.LimitUsedUp(choice.Instance, clock.Now().Add(after))
-	r.recordStep(StepLimitDenied, func(step *Step) { step.Choice, step.After = *choice, after })
+	r.forwarder.Backends.ObserveLimitUsedUp(choice.Instance, clock.Now().Add(after))
+	r.recordStep(StepLimitDenied, func(step *Step) { step.Choice, step.SkippedFor = *choice, after })
 }
 
 // releaseBackendGrant releases the grant of a request that did not reach its back end.
 func (r *run) releaseBackendGrant() {
 	if r.backendGrant != nil {
-		r.forwarder.Limits.Return(r.backendGrant.to, r.backendGrant.grant)
+		r.forwarder.Limits.Release(r.backendGrant.to, r.backendGrant.grant)
 		r.backendGrant = nil
 	}
 }
--- a/internal/forward/charge.go
+++ b/internal/forward/charge.go
@@ -9,10 +9,10 @@
 
 // Quotas enforces the rate limits of tenants. Its methods are safe for concurrent use.
 type Quotas interface {
-	// Take requests a grant, and waits a short time for the result.
-	Take(ctx context.Context, claim quota.Claim) quota.Verdict
-	// Return releases a grant whose request did not run.
-	Return(grant quota.Grant)
+	// Acquire requests a grant, and waits a short time for the result.
+	Acquire(ctx context.Context, claim quota.Reservation) quota.Result
+	// Release releases a grant whose request did not run.
+	Release(grant quota.Grant)
 }
 
 // charge acquires a grant of the tenant's limit. It returns a fault if the request may not run.
@@ -20,19 +20,19 @@
 	if r.tenant == nil || !r.tenant.Limit.Limited() || r.forwarder.Quotas == nil {
 		return nil
 	}
-	claim := quota.Claim{
+	claim := quota.Reservation{
 		Subject: quota.Subject(r.tenant.Name), Limit: r.tenant.Limit, Version: r.view.Snapshot.Version,
 		Amount: r.tenant.Amount(r.request.Tokens),
 	}
-	switch verdict := r.forwarder.Quotas.Take(ctx, claim).(type) {
+	switch verdict := r.forwarder.Quotas.Acquire(ctx, claim).(type) {
 	case quota.Granted:
 		r.grant = &verdict.Grant
 		return nil
 	case quota.Denied:
 		return fault.New(
 			fault.RateLimited, "tenant %s has used up its limit of %.0f a second; %.0f more are available in %v",
-			claim.Subject, claim.Limit.Rate, claim.Amount, verdict.After,
-		).WithRetryAfter(verdict.After)
+			claim.Subject, claim.Limit.Rate, claim.Amount, verdict.RetryAfter,
+		).WithRetryAfter(verdict.RetryAfter)
 	default:
 		return r.forwarder.notReady("no other router confirmed that the tenant is within its limit")
 	}
@@ -54,7 +54,7 @@
 // releaseGrant releases the grant of a request that no back end ran.
 func (r *run) releaseGrant() {
 	if r.grant != nil {
-		r.forwarder.Quotas.Return(*r.grant)
+		r.forwarder.Quotas.Release(*r.grant)
 		r.grant = nil
 	}
 }
--- a/internal/forward/clientgone.go
+++ b/internal/forward/clientgone.go
@@ -17,12 +17,12 @@
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		return true
 	}
-	return r.request.Left != nil && r.request.Left()
+	return r.request.ClientGone != nil && r.request.ClientGone()
 }
 
 // abandonAttempt drops an attempt that was placed but not sent. It declines the placement, so that
 // no grant of a release on trial is used up.
-func (r *run) abandonAttempt(choice *backend.Choice, flight *backend.Flight) {
+func (r *run) abandonAttempt(choice *backend.Choice, flight *backend.Attempt) {
 	r.declinePlacement(clock.Now(), choice, flight)
 	r.releaseGrant()
 	r.abortClient(errClientGone)
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -20,7 +20,7 @@
 
 // place chooses the back end for the next attempt. If none may be used it
 // waits a short while, and refuses the request then.
-func (r *run) place(ctx context.Context) (backend.Choice, *backend.Flight, *fault.Fault) {
+func (r *run) place(ctx context.Context) (backend.Choice, *backend.Attempt, *fault.Fault) {
 	waitUntil := clock.Now().Add(r.route.Target / placeWaitDivisor)
 	r.limitDenials, r.avoidBackedOff = 0, false
 	for {
@@ -54,12 +54,12 @@
 	switch {
 	case !r.stillAllowed(choice):
 		return false, nil
-	case r.shouldShed(choice, now) && choice.Releases.Among > 0:
+	case r.shouldShed(choice, now) && choice.Releases.MaxBackends > 0:
 		// It was the best of a release on trial; the next look is at the others.
 		return false, nil
 	case r.shouldShed(choice, now):
 		return false, r.overloadedFault(choice, now)
-	case choice.Doubted && !r.avoidBackedOff && !r.forwarder.hasSpareRetries(r.service):
+	case choice.RecentBackoff && !r.avoidBackedOff && !r.forwarder.hasSpareRetries(r.service):
 		// A refusal there would cost a request that another back end can serve.
 		r.avoidBackedOff = true
 		return false, nil
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -74,7 +74,7 @@
 
 // prepare fixes the time of the request.
 func (r *run) prepare(now time.Time) {
-	timeout := r.request.Wait
+	timeout := r.request.ClientTimeout
 	if timeout <= 0 {
 		timeout = defaultClientTimeout
 	}
@@ -85,7 +85,7 @@
 	if r.deadline.Before(now) {
 		r.deadline = now
 	}
-	r.lastEventID = r.request.LastEvent
+	r.lastEventID = r.request.LastEventID
 	if number, err := strconv.ParseInt(r.lastEventID, 10, 64); err == nil {
 		r.lastEventNumber, r.hasLastEvent = number, true
 	}
@@ -141,7 +141,7 @@
 }
 
 // nextBackend chooses the back end for the next attempt, if the request may be sent.
-func (r *run) nextBackend(ctx context.Context) (backend.Choice, *backend.Flight, *fault.Fault) {
+func (r *run) nextBackend(ctx context.Context) (backend.Choice, *backend.Attempt, *fault.Fault) {
 	if refusal := r.checkQuarantine(ctx, clock.Now()); refusal != nil {
 		return backend.Choice{}, nil, refusal
 	}
@@ -256,7 +256,7 @@
 // shouldShed reports whether the request is refused rather than sent to the best
 // back end there is.
 func (r *run) shouldShed(choice *backend.Choice, now time.Time) bool {
-	return r.attempts == 0 && r.request.Prompt != nil && r.forwarder.config.Off.On(mechanism.EarlyRefusal) &&
+	return r.attempts == 0 && r.request.Prompt != nil && r.forwarder.config.Disabled.On(mechanism.EarlyRefusal) &&
 		choice.Overloaded(r.deadline.Sub(now))
 }
 
@@ -298,16 +298,16 @@
 func (r *run) query() backend.Query {
 	query := backend.Query{
 		Service: r.service, Excluded: r.excluded, Expected: r.route.Target / expectedWorkDivisor,
-		SpreadKey: xxhash.Sum64String(string(r.request.ID)), AvoidDoubted: r.avoidBackedOff,
+		SpreadKey: xxhash.Sum64String(string(r.request.ID)), AvoidRecentBackoff: r.avoidBackedOff,
 	}
 	prompt := r.request.Prompt
 	if prompt == nil {
 		return query
 	}
 	query.Model = prompt.Model
-	for _, naming := range r.forwarder.Holder.View().Models[prompt.Model].Named {
+	for _, naming := range r.forwarder.Holder.View().Models[prompt.Model].Publications {
 		query.Expiries = append(query.Expiries, backend.Expiry{
-			Version: naming.Version, At: naming.SeenAt.Add(r.forwarder.config.VersionGrace), Uncertain: naming.Met,
+			Version: naming.Version, At: naming.SeenAt.Add(r.forwarder.config.VersionGrace), Uncertain: naming.SeenAtStart,
 		})
 	}
 	query.SharedTokens, query.OwnTokens = prompt.tokenCounts()
@@ -329,7 +329,7 @@
 func (r *run) newAttempt(choice *backend.Choice) *Attempt {
 	attempt := &Attempt{
 		Request: r.request, Target: choice.Record, Version: choice.Version,
-		Remaining: clock.Until(r.deadline), LastEvent: r.lastEventID, AckWithin: r.ackTimeout(),
+		Remaining: clock.Until(r.deadline), LastEventID: r.lastEventID, AckTimeout: r.ackTimeout(),
 	}
 	if r.tenant != nil {
 		attempt.Tenant = r.tenant.Name
@@ -350,14 +350,14 @@
 func (r *run) setCacheStores(attempt *Attempt, homeZone ident.Zone) {
 	key, shared := r.homeKey()
 	store := r.view.Snapshot.CacheStore(r.forwarder.config.Regions, homeZone, key)
-	if store == nil || !r.forwarder.config.Off.On(mechanism.CacheStore) {
+	if store == nil || !r.forwarder.config.Disabled.On(mechanism.CacheStore) {
 		return
 	}
 	attempt.FetchFrom = store.CacheStore
 	if !shared {
 		return
 	}
-	if !r.request.Prompt.mostlyShared() && r.forwarder.config.Off.On(mechanism.SharedSaves) {
+	if !r.request.Prompt.mostlyShared() && r.forwarder.config.Disabled.On(mechanism.SharedSaves) {
 		return
 	}
 	parts := r.request.Prompt.Parts
