--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -41,18 +41,18 @@
 	if guard == nil || g.onTrial {
 		return nil
 	}
-	verdict := guard.Check(time.Now(), g.subject)
-	if verdict == nil {
+	decision := guard.Check(time.Now(), g.subject)
+	if decision == nil {
 		return nil
 	}
-	if verdict.TrialDue && guard.AcquireTrial(ctx, g.subject) {
+	if decision.TrialDue && guard.AcquireTrial(ctx, g.subject) {
 		g.onTrial = true
 		return nil
 	}
 	if g.ledger.Ran() != fault.RanNo {
-		return fault.New(fault.BackendLost, "%s", verdict)
+		return fault.New(fault.BackendLost, "%s", decision)
 	}
-	return fault.New(fault.Quarantined, "%s", verdict).WithRetryAfter(verdict.RetryAfter)
+	return fault.New(fault.Quarantined, "%s", decision).WithRetryAfter(decision.RetryAfter)
 }
 
 // reportToQuarantine reports the attempt's outcome to the quarantine. A trial ends with the first
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -13,7 +13,7 @@
 
 // fakeQuarantine returns its verdicts in order; the last one is repeated.
 type fakeQuarantine struct {
-	verdicts                                 []*quarantine.Decision
+	decisions                                []*quarantine.Decision
 	checks                                   int
 	granted                                  bool
 	answered, broken, abandoned, unreachable int
@@ -24,7 +24,7 @@
 func (f *fakeQuarantine) Check(_ time.Time, request *quarantine.Subject) *quarantine.Decision {
 	f.checks++
 	f.subjects[request.Fingerprint()] = true
-	return f.verdicts[min(f.checks, len(f.verdicts))-1]
+	return f.decisions[min(f.checks, len(f.decisions))-1]
 }
 
 // AcquireTrial implements Quarantine.
@@ -47,15 +47,15 @@
 	due := &quarantine.Decision{RetryAfter: time.Minute, TrialDue: true}
 	crashed := damage{"gone", 0}
 	tests := []struct {
-		name     string
-		verdicts []*quarantine.Decision
-		granted  bool
-		damage   damage
-		sends    int
-		kind     fault.Kind
-		ran      fault.Ran
-		answered int
-		broke    int
+		name      string
+		decisions []*quarantine.Decision
+		granted   bool
+		damage    damage
+		sends     int
+		kind      fault.Kind
+		ran       fault.Ran
+		answered  int
+		broke     int
 	}{
 		{"free", []*quarantine.Decision{nil}, false, damage{}, 1, "", "", 1, 0},
 		{"quarantined", []*quarantine.Decision{quarantined}, false, damage{}, 0, fault.Quarantined, fault.RanNo, 0, 0},
@@ -68,7 +68,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			guard := &fakeQuarantine{verdicts: tt.verdicts, granted: tt.granted, subjects: map[quarantine.Fingerprint]bool{}}
+			guard := &fakeQuarantine{decisions: tt.decisions, granted: tt.granted, subjects: map[quarantine.Fingerprint]bool{}}
 			r := newFixture(tt.damage, "a", "b", "c")
 			r.Quarantine = guard
 			_, err := r.Run(t.Context(), testJob(), &textSink{})
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -29,10 +29,10 @@
 // attempt is one attempt of a request at a back end.
 type attempt struct {
 	*run
-	choice backend.Choice
-	flight *backend.Attempt
-	ctx    context.Context
-	cancel context.CancelCauseFunc
+	choice         backend.Choice
+	backendAttempt *backend.Attempt
+	ctx            context.Context
+	cancel         context.CancelCauseFunc
 	// idleTimer ends the attempt if no byte of the answer arrives in time; nil means
 	// that only the deadline does.
 	idleTimer *time.Timer
@@ -51,12 +51,12 @@
 
 // attempt sends the request to the chosen back end. It returns true if the final
 // answer was passed on, else the failure.
-func (r *run) attempt(ctx context.Context, choice backend.Choice, flight *backend.Attempt) (done bool, failed *failure) {
+func (r *run) attempt(ctx context.Context, choice backend.Choice, backendAttempt *backend.Attempt) (done bool, failed *failure) {
 	outgoing := r.newAttempt(&choice)
-	outgoing.Withdrawn = func() bool { return flight.MustWithdraw(clock.Sync()) }
+	outgoing.Withdrawn = func() bool { return backendAttempt.MustWithdraw(clock.Sync()) }
 	attemptContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	current := &attempt{run: r, choice: choice, flight: flight, ctx: attemptContext, cancel: cancel, sentAt: clock.Now()}
+	current := &attempt{run: r, choice: choice, backendAttempt: backendAttempt, ctx: attemptContext, cancel: cancel, sentAt: clock.Now()}
 	current.countForRelease()
 	r.recordStep(StepSent, func(step *Step) { step.Choice = choice })
 	if timeout := r.firstByteTimeout(&choice); timeout > 0 {
@@ -78,7 +78,7 @@
 // answer is awaited until the request's deadline.
 func (a *attempt) onIdle() {
 	now := clock.Now()
-	if now.Before(a.busyDeadline) && a.flight.PeerBusy(now) {
+	if now.Before(a.busyDeadline) && a.backendAttempt.PeerBusy(now) {
 		a.idleTimer.Reset(busyPollInterval)
 		return
 	}
@@ -107,7 +107,7 @@
 			a.executionUnknown = true
 		}
 	}
-	a.flight.End(clock.Now(), outcome)
+	a.backendAttempt.End(clock.Now(), outcome)
 	a.reportSample(outcome)
 	a.reportToQuarantine(clock.Now(), outcome)
 	a.recordStep(StepAttemptEnded, func(step *Step) {
@@ -172,7 +172,7 @@
 		a.idleTimer.Stop()
 	}
 	a.status = reply.Status
-	a.flight.ObserveConnect(reply.ConnectTime)
+	a.backendAttempt.ObserveConnect(reply.ConnectTime)
 	if reply.Version > 0 && a.request.Prompt != nil {
 		a.forwarder.Backends.ObserveVersion(a.choice.Instance, a.request.Prompt.Model, reply.Version)
 	}
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -18,18 +18,18 @@
 		return nil
 	}
 	query := r.query()
-	switch outlook := r.forwarder.Backends.Availability(now, &query).(type) {
+	switch availability := r.forwarder.Backends.Availability(now, &query).(type) {
 	case backend.AvailableAfter:
-		if outlook.At.Before(waitUntil) {
+		if availability.At.Before(waitUntil) {
 			return nil
 		}
 		kind := fault.Overloaded
-		if outlook.Backoff {
+		if availability.Backoff {
 			kind = fault.NoPermittedEngine
 		}
 		return fault.New(
 			kind, "all back ends that could take the request are in back-off or have used up their limits for %v",
-			outlook.At.Sub(now).Round(time.Millisecond),
+			availability.At.Sub(now).Round(time.Millisecond),
 		).WithRetryAfter(r.retryAfter(now))
 	case backend.AllDraining:
 		return r.noBackendFault()
@@ -42,12 +42,12 @@
 func (r *run) retryAfter(now time.Time) time.Duration {
 	query := r.query()
 	query.Excluded = nil
-	outlook, held := r.forwarder.Backends.Availability(now, &query).(backend.AvailableAfter)
-	if !held {
+	availability, unavailable := r.forwarder.Backends.Availability(now, &query).(backend.AvailableAfter)
+	if !unavailable {
 		return r.forwarder.config.RetryAfter
 	}
-	after := outlook.At.Sub(now)
-	if outlook.Backoff {
+	after := availability.At.Sub(now)
+	if availability.Backoff {
 		after += rand.N(backoffJitter)
 	}
 	return max(after, r.forwarder.config.RetryAfter)
--- a/internal/forward/backendlimit.go
+++ b/internal/forward/backendlimit.go
@@ -53,12 +53,12 @@
 	// A request is preferred at the home of its prompt, which may have it cached, or, if it has
 	// none and all back ends are limited, at any back end.
 	preferred := choice.Home || (choice.HomeZone == "" && choice.AllLimited)
-	switch verdict := r.forwarder.Limits.Acquire(bounded, choice, preferred).(type) {
+	switch result := r.forwarder.Limits.Acquire(bounded, choice, preferred).(type) {
 	case quota.Granted:
-		r.backendGrant = &backendGrant{to: choice.Instance, grant: verdict.Grant}
+		r.backendGrant = &backendGrant{to: choice.Instance, grant: result.Grant}
 		return true
 	case quota.Denied:
-		r.skipBackend(choice, verdict.RetryAfter)
+		r.skipBackend(choice, result.RetryAfter)
 	default:
 		if ctx.Err() == nil {
 			r.skipBackend(choice, unconfirmedSkip)
--- a/internal/forward/backendlimit_test.go
+++ b/internal/forward/backendlimit_test.go
@@ -21,8 +21,8 @@
 // fakeLimits gives a verdict on each claim.
 type fakeLimits struct {
 	mu sync.Mutex
-	// verdict decides on the claim with a number, from 1 on.
-	verdict   func(claim int, to ident.Incarnation) quota.Result
+	// result decides on the claim with a number, from 1 on.
+	result    func(claim int, to ident.Incarnation) quota.Result
 	requested []ident.Incarnation
 	released  []ident.Incarnation
 }
@@ -32,7 +32,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.requested = append(f.requested, choice.Instance)
-	return f.verdict(len(f.requested), choice.Instance)
+	return f.result(len(f.requested), choice.Instance)
 }
 
 // Release implements forward.BackendLimits.
@@ -43,8 +43,8 @@
 }
 
 // always gives one verdict.
-func always(verdict quota.Result) func(int, ident.Incarnation) quota.Result {
-	return func(int, ident.Incarnation) quota.Result { return verdict }
+func always(result quota.Result) func(int, ident.Incarnation) quota.Result {
+	return func(int, ident.Incarnation) quota.Result { return result }
 }
 
 // advertiseLimits has back ends name a limit.
@@ -59,33 +59,33 @@
 func TestEachAttemptAcquiresABackendGrant(t *testing.T) {
 	granted := always(grant(1))
 	tests := []struct {
-		name    string
-		answers []answer
-		route   string
-		left    bool
-		// sent, claims and returned count attempts, claims and grants given back.
-		sent, claims, returned int
+		name       string
+		answers    []answer
+		route      string
+		clientGone bool
+		// sent, acquired and released count attempts, acquired and grants given back.
+		sent, acquired, released int
 	}{
-		{name: "an attempt", answers: []answer{genuine(200, "ok")}, route: "safe", sent: 1, claims: 1},
-		{name: "one that never left", answers: []answer{failing(false), genuine(200, "ok")}, route: "safe", sent: 2, claims: 2, returned: 1},
-		{name: "one that broke off, and its repeat", answers: []answer{failing(true), genuine(200, "ok")}, route: "safe", sent: 2, claims: 2},
-		{name: "one that was refused there", answers: []answer{refusing(forward.NotExecuted), genuine(200, "ok")}, route: "unsafe", sent: 2, claims: 2},
-		{name: "a stream that is continued", answers: []answer{breaking("id: 1\ndata: a\n\n"), genuine(200, "id: 2\ndata: b\n\n")}, route: "resumable", sent: 2, claims: 2},
-		{name: "a client that left", answers: []answer{genuine(200, "ok")}, route: "safe", left: true, sent: 0, claims: 1, returned: 1},
+		{name: "an attempt", answers: []answer{genuine(200, "ok")}, route: "safe", sent: 1, acquired: 1},
+		{name: "one that never left", answers: []answer{failing(false), genuine(200, "ok")}, route: "safe", sent: 2, acquired: 2, released: 1},
+		{name: "one that broke off, and its repeat", answers: []answer{failing(true), genuine(200, "ok")}, route: "safe", sent: 2, acquired: 2},
+		{name: "one that was refused there", answers: []answer{refusing(forward.NotExecuted), genuine(200, "ok")}, route: "unsafe", sent: 2, acquired: 2},
+		{name: "a stream that is continued", answers: []answer{breaking("id: 1\ndata: a\n\n"), genuine(200, "id: 2\ndata: b\n\n")}, route: "resumable", sent: 2, acquired: 2},
+		{name: "a client that left", answers: []answer{genuine(200, "ok")}, route: "safe", clientGone: true, sent: 0, acquired: 1, released: 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				b := newBench(tt.answers...)
-				limits := &fakeLimits{verdict: granted}
+				limits := &fakeLimits{result: granted}
 				b.advertiseLimits(limits, "a", "b", "c")
 				req := request(tt.route)
-				req.ClientGone = func() bool { return tt.left }
+				req.ClientGone = func() bool { return tt.clientGone }
 				b.forward(t, req)
 				is.Equal(len(b.caller.sent()), tt.sent)
-				is.Equal(len(limits.requested), tt.claims)
-				is.Equal(len(limits.released), tt.returned)
+				is.Equal(len(limits.requested), tt.acquired)
+				is.Equal(len(limits.released), tt.released)
 			})
 		})
 	}
@@ -93,15 +93,15 @@
 
 func TestRequestGoesElsewhereWhenALimitIsUsedUp(t *testing.T) {
 	tests := []struct {
-		name    string
-		verdict quota.Result
+		name   string
+		result quota.Result
 	}{{"denied", quota.Denied{RetryAfter: time.Second}}, {"not confirmed", quota.Unconfirmed{}}}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				b := newBench(genuine(200, "ok"))
-				limits := &fakeLimits{verdict: always(tt.verdict)}
+				limits := &fakeLimits{result: always(tt.result)}
 				b.advertiseLimits(limits, "a", "b")
 				begun := time.Now()
 				for range 5 {
@@ -135,8 +135,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				b := newBench(genuine(200, "ok"))
-				limits := &fakeLimits{verdict: func(claim int, _ ident.Incarnation) quota.Result {
-					if claim > 3 {
+				limits := &fakeLimits{result: func(number int, _ ident.Incarnation) quota.Result {
+					if number > 3 {
 						return grant(9)
 					}
 					return quota.Denied{RetryAfter: tt.after}
@@ -163,7 +163,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newBench(genuine(200, "ok"))
-		limits := &fakeLimits{verdict: func(int, ident.Incarnation) quota.Result {
+		limits := &fakeLimits{result: func(int, ident.Incarnation) quota.Result {
 			time.Sleep(5 * time.Second) // a key may be acted upon for 4 s
 			return grant(1)
 		}}
--- a/internal/forward/charge.go
+++ b/internal/forward/charge.go
@@ -20,19 +20,19 @@
 	if r.tenant == nil || !r.tenant.Limit.Limited() || r.forwarder.Quotas == nil {
 		return nil
 	}
-	claim := quota.Reservation{
+	reservation := quota.Reservation{
 		Subject: quota.Subject(r.tenant.Name), Limit: r.tenant.Limit, Version: r.view.Snapshot.Version,
 		Amount: r.tenant.Amount(r.request.Tokens),
 	}
-	switch verdict := r.forwarder.Quotas.Acquire(ctx, claim).(type) {
+	switch result := r.forwarder.Quotas.Acquire(ctx, reservation).(type) {
 	case quota.Granted:
-		r.grant = &verdict.Grant
+		r.grant = &result.Grant
 		return nil
 	case quota.Denied:
 		return fault.New(
 			fault.RateLimited, "tenant %s has used up its limit of %.0f a second; %.0f more are available in %v",
-			claim.Subject, claim.Limit.Rate, claim.Amount, verdict.RetryAfter,
-		).WithRetryAfter(verdict.RetryAfter)
+			reservation.Subject, reservation.Limit.Rate, reservation.Amount, result.RetryAfter,
+		).WithRetryAfter(result.RetryAfter)
 	default:
 		return r.forwarder.notReady("no other router confirmed that the tenant is within its limit")
 	}
--- a/internal/forward/charge_test.go
+++ b/internal/forward/charge_test.go
@@ -17,15 +17,15 @@
 
 // fakeQuotas gives verdicts in turn; the last one is repeated.
 type fakeQuotas struct {
-	verdicts []quota.Result
+	results  []quota.Result
 	requests []quota.Reservation
 	released []quota.Grant
 }
 
 // Acquire implements forward.Quotas.
-func (q *fakeQuotas) Acquire(_ context.Context, claim quota.Reservation) quota.Result {
-	q.requests = append(q.requests, claim)
-	return q.verdicts[min(len(q.requests), len(q.verdicts))-1]
+func (q *fakeQuotas) Acquire(_ context.Context, reservation quota.Reservation) quota.Result {
+	q.requests = append(q.requests, reservation)
+	return q.results[min(len(q.requests), len(q.results))-1]
 }
 
 // Release implements forward.Quotas.
@@ -45,37 +45,37 @@
 	denied := quota.Denied{RetryAfter: 700 * time.Millisecond}
 	const none = fault.Kind("")
 	tests := []struct {
-		name     string
-		route    string
-		answers  []answer
-		verdicts []quota.Result
-		// sent and claims count attempts and claims, returned the grants given back.
-		sent, claims, returned int
-		kind                   fault.Kind
-		ran                    fault.Ran
+		name    string
+		route   string
+		answers []answer
+		results []quota.Result
+		// sent and acquired count attempts and acquired, released the grants given back.
+		sent, acquired, released int
+		kind                     fault.Kind
+		ran                      fault.Ran
 	}{
-		{name: "granted and run", route: "safe", answers: []answer{genuine(200, "ok")}, verdicts: []quota.Result{grant(1)}, sent: 1, claims: 1},
-		{name: "denied", route: "safe", answers: []answer{genuine(200, "ok")}, verdicts: []quota.Result{denied}, claims: 1, kind: fault.RateLimited, ran: fault.RanNo},
-		{name: "not confirmed", route: "safe", answers: []answer{genuine(200, "ok")}, verdicts: []quota.Result{quota.Unconfirmed{}}, claims: 1, kind: fault.NotReady, ran: fault.RanNo},
+		{name: "granted and run", route: "safe", answers: []answer{genuine(200, "ok")}, results: []quota.Result{grant(1)}, sent: 1, acquired: 1},
+		{name: "denied", route: "safe", answers: []answer{genuine(200, "ok")}, results: []quota.Result{denied}, acquired: 1, kind: fault.RateLimited, ran: fault.RanNo},
+		{name: "not confirmed", route: "safe", answers: []answer{genuine(200, "ok")}, results: []quota.Result{quota.Unconfirmed{}}, acquired: 1, kind: fault.NotReady, ran: fault.RanNo},
 		{
-			name: "refused and sent elsewhere under the same grant", route: "unsafe", claims: 1, sent: 2,
-			answers: []answer{refusing(forward.NotExecuted), genuine(200, "ok")}, verdicts: []quota.Result{grant(1)},
+			name: "refused and sent elsewhere under the same grant", route: "unsafe", acquired: 1, sent: 2,
+			answers: []answer{refusing(forward.NotExecuted), genuine(200, "ok")}, results: []quota.Result{grant(1)},
 		},
 		{
-			name: "refused by all", route: "unsafe", claims: 1, sent: 3, returned: 1,
-			answers: []answer{refusing(forward.NotExecuted)}, verdicts: []quota.Result{grant(1)}, kind: fault.NoPermittedEngine, ran: fault.RanNo,
+			name: "refused by all", route: "unsafe", acquired: 1, sent: 3, released: 1,
+			answers: []answer{refusing(forward.NotExecuted)}, results: []quota.Result{grant(1)}, kind: fault.NoPermittedEngine, ran: fault.RanNo,
 		},
 		{
-			name: "lost and repeated under another grant", route: "safe", claims: 2, sent: 2,
-			answers: []answer{failing(true), genuine(200, "ok")}, verdicts: []quota.Result{grant(1), grant(2)},
+			name: "lost and repeated under another grant", route: "safe", acquired: 2, sent: 2,
+			answers: []answer{failing(true), genuine(200, "ok")}, results: []quota.Result{grant(1), grant(2)},
 		},
 		{
-			name: "lost, and the repeat is denied", route: "safe", claims: 2, sent: 1,
-			answers: []answer{failing(true), genuine(200, "ok")}, verdicts: []quota.Result{grant(1), denied}, kind: fault.BackendLost, ran: fault.RanUnknown,
+			name: "lost, and the repeat is denied", route: "safe", acquired: 2, sent: 1,
+			answers: []answer{failing(true), genuine(200, "ok")}, results: []quota.Result{grant(1), denied}, kind: fault.BackendLost, ran: fault.RanUnknown,
 		},
 		{
-			name: "lost and not repeated", route: "unsafe", claims: 1, sent: 1,
-			answers: []answer{failing(true)}, verdicts: []quota.Result{grant(1)}, kind: fault.OutcomeUnknown, ran: fault.RanUnknown,
+			name: "lost and not repeated", route: "unsafe", acquired: 1, sent: 1,
+			answers: []answer{failing(true)}, results: []quota.Result{grant(1)}, kind: fault.OutcomeUnknown, ran: fault.RanUnknown,
 		},
 	}
 	for _, tt := range tests {
@@ -83,15 +83,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				b := newBench(tt.answers...)
-				quotas := &fakeQuotas{verdicts: tt.verdicts}
+				quotas := &fakeQuotas{results: tt.results}
 				b.forwarder.Quotas = quotas
 				b.limit(quota.Limit{Rate: 1000, Burst: 500})
 				wanted := request(tt.route)
 				wanted.Tokens = 70
 				sink := b.forward(t, wanted)
 				is.Equal(len(b.caller.sent()), tt.sent)
-				is.Equal(len(quotas.requests), tt.claims)
-				is.Equal(len(quotas.released), tt.returned)
+				is.Equal(len(quotas.requests), tt.acquired)
+				is.Equal(len(quotas.released), tt.released)
 				is.Equal(quotas.requests[0], quota.Reservation{
 					Subject: "tenant", Limit: quota.Limit{Rate: 1000, Burst: 500}, Version: configuration.Version + 1, Amount: 70,
 				})
@@ -123,7 +123,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBench(genuine(200, "ok"))
-			quotas := &fakeQuotas{verdicts: []quota.Result{quota.Denied{}}}
+			quotas := &fakeQuotas{results: []quota.Result{quota.Denied{}}}
 			b.forwarder.Quotas = quotas
 			b.limit(tt.limit)
 			is.Equal(b.forward(t, request(tt.route)).status, 200)
@@ -137,7 +137,7 @@
 		is := is.New(t)
 		b := newBench(genuine(200, "ok"))
 		b.backends.ApplyList(time.Now(), []backend.Record{})
-		quotas := &fakeQuotas{verdicts: []quota.Result{grant(7)}}
+		quotas := &fakeQuotas{results: []quota.Result{grant(7)}}
 		b.forwarder.Quotas = quotas
 		b.limit(quota.Limit{Rate: 1000, Burst: 500})
 		is.Equal(b.forward(t, request("safe")).refusal.Kind, fault.NoPermittedEngine)
--- a/internal/forward/clientgone.go
+++ b/internal/forward/clientgone.go
@@ -22,8 +22,8 @@
 
 // abandonAttempt drops an attempt that was placed but not sent. It declines the placement, so that
 // no grant of a release on trial is used up.
-func (r *run) abandonAttempt(choice *backend.Choice, flight *backend.Attempt) {
-	r.declinePlacement(clock.Now(), choice, flight)
+func (r *run) abandonAttempt(choice *backend.Choice, backendAttempt *backend.Attempt) {
+	r.declinePlacement(clock.Now(), choice, backendAttempt)
 	r.releaseGrant()
 	r.abortClient(errClientGone)
 }
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -51,11 +51,11 @@
 
 var errReset = errors.New("connection reset")
 
-func reply(verdict forward.Execution, status int, body io.Reader) answer {
+func reply(execution forward.Execution, status int, body io.Reader) answer {
 	return func(context.Context, *forward.Attempt) (*forward.Reply, error) {
 		return &forward.Reply{
 			Status: status, Header: http.Header{"Seal": {fmt.Sprint(status)}}, Length: -1,
-			Body: io.NopCloser(body), Execution: verdict,
+			Body: io.NopCloser(body), Execution: execution,
 		}, nil
 	}
 }
@@ -66,9 +66,9 @@
 	}
 }
 
-func refusing(verdict forward.Execution) answer {
+func refusing(execution forward.Execution) answer {
 	return func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
-		return reply(verdict, http.StatusServiceUnavailable, strings.NewReader("no"))(ctx, attempt)
+		return reply(execution, http.StatusServiceUnavailable, strings.NewReader("no"))(ctx, attempt)
 	}
 }
 
@@ -206,12 +206,12 @@
 func (b *bench) lateEngines(by time.Duration) {
 	now := time.Now()
 	for key := range uint64(60) {
-		choice, flight, found := b.backends.Pick(now, &backend.Query{Service: "s", Model: "m", HomeKey: key, OwnTokens: 1})
+		choice, backendAttempt, found := b.backends.Pick(now, &backend.Query{Service: "s", Model: "m", HomeKey: key, OwnTokens: 1})
 		if !found {
 			continue
 		}
-		flight.ObserveBytes(now.Add(choice.Predicted + by))
-		flight.End(now, backend.Answered)
+		backendAttempt.ObserveBytes(now.Add(choice.Predicted + by))
+		backendAttempt.End(now, backend.Answered)
 	}
 }
 
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -28,12 +28,12 @@
 		if refusal := r.confirmKey(now); refusal != nil {
 			return backend.Choice{}, nil, refusal
 		}
-		if choice, flight, found := r.pick(now); found {
+		if choice, backendAttempt, found := r.pick(now); found {
 			accepted, refusal := r.acceptChoice(ctx, now, &choice)
 			if accepted {
-				return choice, flight, nil
+				return choice, backendAttempt, nil
 			}
-			r.declinePlacement(now, &choice, flight)
+			r.declinePlacement(now, &choice, backendAttempt)
 			if refusal != nil {
 				return backend.Choice{}, nil, refusal
 			}
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -47,18 +47,18 @@
 	if r.forwarder.Quarantine == nil || r.onTrial {
 		return nil
 	}
-	verdict := r.forwarder.Quarantine.Check(now, r.subject())
-	if verdict == nil {
+	decision := r.forwarder.Quarantine.Check(now, r.subject())
+	if decision == nil {
 		return nil
 	}
-	if verdict.TrialDue && r.forwarder.Quarantine.AcquireTrial(ctx, r.subject()) {
+	if decision.TrialDue && r.forwarder.Quarantine.AcquireTrial(ctx, r.subject()) {
 		r.onTrial = true
 		return nil
 	}
 	if r.executionUnknown {
-		return fault.New(fault.BackendLost, "%s", verdict).WithRan(fault.RanUnknown)
+		return fault.New(fault.BackendLost, "%s", decision).WithRan(fault.RanUnknown)
 	}
-	return fault.New(fault.Quarantined, "%s", verdict).WithRetryAfter(verdict.RetryAfter)
+	return fault.New(fault.Quarantined, "%s", decision).WithRetryAfter(decision.RetryAfter)
 }
 
 // reportToQuarantine tells the quarantine what an attempt says of its request.
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -16,7 +16,7 @@
 
 // fakeQuarantine gives verdicts in turn; the last one is repeated.
 type fakeQuarantine struct {
-	verdicts  []*quarantine.Decision
+	decisions []*quarantine.Decision
 	checks    int
 	granted   bool
 	answered  int
@@ -29,7 +29,7 @@
 // Check implements forward.Quarantine.
 func (f *fakeQuarantine) Check(time.Time, *quarantine.Subject) *quarantine.Decision {
 	f.checks++
-	return f.verdicts[min(f.checks, len(f.verdicts))-1]
+	return f.decisions[min(f.checks, len(f.decisions))-1]
 }
 
 // AcquireTrial implements forward.Quarantine.
@@ -73,7 +73,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				b := newBench(tt.answers...)
-				guard := &fakeQuarantine{verdicts: []*quarantine.Decision{nil}}
+				guard := &fakeQuarantine{decisions: []*quarantine.Decision{nil}}
 				b.forwarder.Quarantine = guard
 				wanted := request("safe")
 				wanted.ClientTimeout = tt.wait
@@ -90,16 +90,16 @@
 	quarantined := &quarantine.Decision{RetryAfter: time.Minute}
 	due := &quarantine.Decision{RetryAfter: time.Minute, TrialDue: true}
 	tests := []struct {
-		name     string
-		route    string
-		verdicts []*quarantine.Decision
-		granted  bool
-		answers  []answer
-		sends    int
-		kind     fault.Kind
-		ran      fault.Ran
-		broke    int
-		answered int
+		name      string
+		route     string
+		decisions []*quarantine.Decision
+		granted   bool
+		answers   []answer
+		sends     int
+		kind      fault.Kind
+		ran       fault.Ran
+		broke     int
+		answered  int
 	}{
 		{"free", "safe", []*quarantine.Decision{nil}, false, []answer{genuine(200, "x")}, 1, "", "", 0, 1},
 		{"a failure is no success", "unsafe", []*quarantine.Decision{nil}, false, []answer{genuine(500, "x")}, 1, "", "", 0, 0},
@@ -118,7 +118,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				b := newBench(tt.answers...)
-				guard := &fakeQuarantine{verdicts: tt.verdicts, granted: tt.granted}
+				guard := &fakeQuarantine{decisions: tt.decisions, granted: tt.granted}
 				b.forwarder.Quarantine = guard
 				sink := b.forward(t, request(tt.route))
 				is.Equal(len(b.caller.sent()), tt.sends)
--- a/internal/forward/releases.go
+++ b/internal/forward/releases.go
@@ -34,17 +34,17 @@
 		return r.forwarder.Backends.Pick(now, &query)
 	}
 	query.Releases = r.chooseReleases(now)
-	choice, flight, found := r.forwarder.Backends.Pick(now, &query)
+	choice, backendAttempt, found := r.forwarder.Backends.Pick(now, &query)
 	if found || query.Releases.Only == "" {
-		return choice, flight, found
+		return choice, backendAttempt, found
 	}
 	r.forwarder.Releases.Declined(r.service)
 	query.Releases = r.chooseReleases(now)
-	choice, flight, found = r.forwarder.Backends.Pick(now, &query)
+	choice, backendAttempt, found = r.forwarder.Backends.Pick(now, &query)
 	if !found && query.Releases.Only != "" {
 		r.forwarder.Releases.Declined(r.service)
 	}
-	return choice, flight, found
+	return choice, backendAttempt, found
 }
 
 // stillAllowed reports whether the attempt may still go to its back end. An order or a verdict may
@@ -55,8 +55,8 @@
 }
 
 // declinePlacement gives up an attempt that was placed and is not sent.
-func (r *run) declinePlacement(now time.Time, choice *backend.Choice, flight *backend.Attempt) {
-	flight.End(now, backend.Abandoned)
+func (r *run) declinePlacement(now time.Time, choice *backend.Choice, backendAttempt *backend.Attempt) {
+	backendAttempt.End(now, backend.Abandoned)
 	r.releaseBackendGrant()
 	if choice.Releases.Only != "" {
 		r.forwarder.Releases.Declined(r.service)
@@ -80,7 +80,7 @@
 // recordReceived takes in that bytes of the answer came.
 func (a *attempt) recordReceived() {
 	now := clock.Now()
-	a.flight.ObserveBytes(now)
+	a.backendAttempt.ObserveBytes(now)
 	if a.firstByteAt.IsZero() {
 		a.firstByteAt = now
 	}
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -100,18 +100,18 @@
 		return
 	}
 	for {
-		choice, flight, refusal := r.nextBackend(timed)
+		choice, backendAttempt, refusal := r.nextBackend(timed)
 		if refusal != nil {
 			r.releaseGrant()
 			r.finish(ctx, refusal)
 			return
 		}
 		if r.clientGone(timed) {
-			r.abandonAttempt(&choice, flight)
+			r.abandonAttempt(&choice, backendAttempt)
 			return
 		}
 		r.attempts++
-		done, failure := r.attempt(timed, choice, flight)
+		done, failure := r.attempt(timed, choice, backendAttempt)
 		if done {
 			return
 		}
@@ -145,9 +145,9 @@
 	if refusal := r.checkQuarantine(ctx, clock.Now()); refusal != nil {
 		return backend.Choice{}, nil, refusal
 	}
-	choice, flight, refusal := r.place(ctx)
+	choice, backendAttempt, refusal := r.place(ctx)
 	if refusal != nil {
-		return choice, flight, refusal
+		return choice, backendAttempt, refusal
 	}
 	now := clock.Sync()
 	// The process may have stood still while the request waited for a grant.
@@ -156,10 +156,10 @@
 		refusal = r.checkQuarantine(ctx, now)
 	}
 	if refusal != nil {
-		r.declinePlacement(now, &choice, flight)
+		r.declinePlacement(now, &choice, backendAttempt)
 		return backend.Choice{}, nil, refusal
 	}
-	return choice, flight, nil
+	return choice, backendAttempt, nil
 }
 
 // failure is what an attempt came to that gave no final answer.
@@ -305,9 +305,9 @@
 		return query
 	}
 	query.Model = prompt.Model
-	for _, naming := range r.forwarder.Holder.View().Models[prompt.Model].Publications {
+	for _, publication := range r.forwarder.Holder.View().Models[prompt.Model].Publications {
 		query.Expiries = append(query.Expiries, backend.Expiry{
-			Version: naming.Version, At: naming.SeenAt.Add(r.forwarder.config.VersionGrace), Uncertain: naming.SeenAtStart,
+			Version: publication.Version, At: publication.SeenAt.Add(r.forwarder.config.VersionGrace), Uncertain: publication.SeenAtStart,
 		})
 	}
 	query.SharedTokens, query.OwnTokens = prompt.tokenCounts()
