--- a/internal/dispatch/application.go
+++ b/internal/dispatch/application.go
@@ -145,7 +145,7 @@
 }
 
 // mayRetry reports whether one more attempt is allowed. A request that may not
-// run twice gets one only after attempts that did not execute it.
+// run twice gets one only after attempts that provably did not execute it.
 func (r *applicationRun) mayRetry(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || r.attempts >= r.dispatcher.config.MaxAttempts {
 		return false
--- a/internal/dispatch/generation.go
+++ b/internal/dispatch/generation.go
@@ -32,8 +32,8 @@
 	// quarantined and has the grant of a trial.
 	subject *quarantine.Subject
 	onTrial bool
-	// reincarnated holds the engines that reported a new incarnation once already.
-	reincarnated map[ident.Engine]bool
+	// newIncarnations holds the engines that reported a new incarnation once already.
+	newIncarnations map[ident.Engine]bool
 }
 
 // Run runs one model request and sends its answer to the sink, in order. It
@@ -41,7 +41,7 @@
 // not changed. The end of ctx means that the caller is gone.
 func (d *Dispatcher) Run(ctx context.Context, job *Job, sink Sink) (Completion, error) {
 	g := &generation{
-		dispatcher: d, job: *job, sink: sink, chart: d.NewChart(true), subject: subjectOf(job), reincarnated: map[ident.Engine]bool{},
+		dispatcher: d, job: *job, sink: sink, chart: d.NewChart(true), subject: subjectOf(job), newIncarnations: map[ident.Engine]bool{},
 	}
 	g.job.Excluded = map[ident.Engine]bool{}
 	for engineName := range job.Excluded {
@@ -131,11 +131,11 @@
 		// Only the end event is missing, and no other engine can supply it.
 		return cause
 	}
-	sameEngine := g.exclude(placement, refusalOf(cause))
+	reusable := g.exclude(placement, refusalOf(cause))
 	// The budget bounds the load that retries add. Continuing an answer adds less
 	// than the caller's own retry would, and a refusal that reports a new
 	// incarnation cost its engine nothing.
-	if !g.started && !sameEngine && !g.dispatcher.Budget.Allow(g.job.Service) {
+	if !g.started && !reusable && !g.dispatcher.Budget.Allow(g.job.Service) {
 		g.dispatcher.Counters.BudgetRefused.Add(1)
 		return cause
 	}
@@ -158,10 +158,10 @@
 
 // exclude excludes the engine from further attempts, unless it has just reported
 // a new incarnation: it may then be tried once more, and exclude returns true.
-func (g *generation) exclude(placement Placement, refusal *protocol.Refusal) (sameEngine bool) {
+func (g *generation) exclude(placement Placement, refusal *protocol.Refusal) (reusable bool) {
 	newIncarnation := refusal != nil && refusal.Incarnation != "" && refusal.Incarnation != placement.Incarnation
-	if newIncarnation && !g.reincarnated[placement.Engine] {
-		g.reincarnated[placement.Engine] = true
+	if newIncarnation && !g.newIncarnations[placement.Engine] {
+		g.newIncarnations[placement.Engine] = true
 		return true
 	}
 	g.job.Excluded[placement.Engine] = true
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-// fakeQuarantine returns its verdicts in order; the last one is repeated.
+// fakeQuarantine returns its decisions in order; the last one is repeated.
 type fakeQuarantine struct {
 	decisions                                []*quarantine.Decision
 	checks                                   int
--- a/internal/forward/advertised_test.go
+++ b/internal/forward/advertised_test.go
@@ -60,7 +60,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(advertising(advertised, tt.given), genuine(200, "ok"))
+				b := newFixture(advertising(advertised, tt.given), genuine(200, "ok"))
 				notifier := &fakeNotifier{}
 				b.forwarder.Notifier = notifier
 				b.forward(t, request(tt.route))
@@ -80,7 +80,7 @@
 func TestAttemptIsWithdrawnBeforeItIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var b *bench
+		var b *fixture
 		late := func(_ context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 			is.True(!attempt.Withdrawn())
 			now := time.Now()
@@ -88,7 +88,7 @@
 			is.True(attempt.Withdrawn())
 			return nil, &exchange.Error{Cause: exchange.ErrWithdrawn}
 		}
-		b = newBench(late, genuine(200, "ok"))
+		b = newFixture(late, genuine(200, "ok"))
 		sink := b.forward(t, request("unsafe"))
 		is.Equal(sink.status, 200)
 		sent := b.caller.sent()
--- a/internal/forward/backendlimit_test.go
+++ b/internal/forward/backendlimit_test.go
@@ -48,7 +48,7 @@
 }
 
 // advertiseLimits has back ends name a limit.
-func (b *bench) advertiseLimits(limits *fakeLimits, instances ...ident.Incarnation) {
+func (b *fixture) advertiseLimits(limits *fakeLimits, instances ...ident.Incarnation) {
 	b.forwarder.Limits = limits
 	for _, instance := range instances {
 		b.backends.ObserveAdvertised(time.Now(), instance, time.Now(), backend.Advertised{Limit: backend.LimitedTo{Rate: 1}}, backend.SourceAnswer)
@@ -77,7 +77,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(tt.answers...)
+				b := newFixture(tt.answers...)
 				limits := &fakeLimits{result: granted}
 				b.advertiseLimits(limits, "a", "b", "c")
 				req := request(tt.route)
@@ -100,7 +100,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "ok"))
+				b := newFixture(genuine(200, "ok"))
 				limits := &fakeLimits{result: always(tt.result)}
 				b.advertiseLimits(limits, "a", "b")
 				begun := time.Now()
@@ -134,7 +134,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "ok"))
+				b := newFixture(genuine(200, "ok"))
 				limits := &fakeLimits{result: func(number int, _ ident.Incarnation) quota.Result {
 					if number > 3 {
 						return grant(9)
@@ -162,7 +162,7 @@
 func TestRequestThatWaitedTooLongForAGrantIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(genuine(200, "ok"))
+		b := newFixture(genuine(200, "ok"))
 		limits := &fakeLimits{result: func(int, ident.Incarnation) quota.Result {
 			time.Sleep(5 * time.Second) // longer than Freshness.Keyed
 			return grant(1)
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -19,7 +19,7 @@
 		granted int
 		slack   int
 	}{
-		{"one", 1, benchSlack / 2, benchSlack},
+		{"one", 1, fixtureSlack / 2, fixtureSlack},
 		{"seven", 7, 5, 1},
 		{"seventy-nine", 79, 4, 0},
 		{"no part of it yet", 0, 4, 0},
@@ -28,7 +28,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const requests = 20
-				b := newBench(refusing(forward.NotExecuted))
+				b := newFixture(refusing(forward.NotExecuted))
 				b.routers = tt.routers
 				for range requests {
 					b.relist()
@@ -46,7 +46,7 @@
 func TestRetryDecisionsAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(refusing(forward.NotExecuted))
+		b := newFixture(refusing(forward.NotExecuted))
 		b.routers = 7
 		for range 10 {
 			b.relist()
@@ -65,7 +65,7 @@
 			}
 			is.Equal(step.Retry.Service, ident.Service("s"))
 			is.Equal(step.Retry.Sharers, 8)
-			is.Equal(step.Retry.Slack, float64(benchSlack)/8)
+			is.Equal(step.Retry.Slack, float64(fixtureSlack)/8)
 			is.True(step.Retry.Requests >= 1 && step.Retry.Requests <= 10)
 		}
 		is.Equal(granted, len(b.caller.sent())-10)
--- a/internal/forward/busy_test.go
+++ b/internal/forward/busy_test.go
@@ -33,7 +33,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(hanging(""), genuine(200, "id: 1\n\n"))
+				b := newFixture(hanging(""), genuine(200, "id: 1\n\n"))
 				startedAt := time.Now()
 				reported := make(chan struct{})
 				go func() {
--- a/internal/forward/charge_test.go
+++ b/internal/forward/charge_test.go
@@ -34,7 +34,7 @@
 func grant(id uint64) quota.Result { return quota.Granted{Grant: quota.Grant{ID: id}} }
 
 // limit sets the limit of the tenant with the key "key".
-func (b *bench) limit(limit quota.Limit) {
+func (b *fixture) limit(limit quota.Limit) {
 	limited := configuration
 	limited.Version++
 	limited.Keys = map[string]*catalog.Tenant{"key": {Name: "tenant", Limit: limit, CountsTokens: true, PlainTokens: 200}}
@@ -82,7 +82,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(tt.answers...)
+				b := newFixture(tt.answers...)
 				quotas := &fakeQuotas{results: tt.results}
 				b.forwarder.Quotas = quotas
 				b.limit(quota.Limit{Rate: 1000, Burst: 500})
@@ -122,7 +122,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(genuine(200, "ok"))
+			b := newFixture(genuine(200, "ok"))
 			quotas := &fakeQuotas{results: []quota.Result{quota.Denied{}}}
 			b.forwarder.Quotas = quotas
 			b.limit(tt.limit)
@@ -135,7 +135,7 @@
 func TestRequestWithoutBackendReleasesItsGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(genuine(200, "ok"))
+		b := newFixture(genuine(200, "ok"))
 		b.backends.ApplyList(time.Now(), []backend.Record{})
 		quotas := &fakeQuotas{results: []quota.Result{grant(7)}}
 		b.forwarder.Quotas = quotas
--- a/internal/forward/clientgone_test.go
+++ b/internal/forward/clientgone_test.go
@@ -20,21 +20,21 @@
 	tests := []struct {
 		name string
 		// prepare makes the client leave; cancel ends the context of its request.
-		prepare func(b *bench, wanted *forward.Request, cancel context.CancelFunc)
+		prepare func(b *fixture, wanted *forward.Request, cancel context.CancelFunc)
 		sent    int
 	}{
-		{"before it was read", func(_ *bench, wanted *forward.Request, _ context.CancelFunc) {
+		{"before it was read", func(_ *fixture, wanted *forward.Request, _ context.CancelFunc) {
 			wanted.ClientGone = func() bool { return true }
 		}, 0},
-		{"before its attempt", func(_ *bench, _ *forward.Request, cancel context.CancelFunc) { cancel() }, 0},
-		{"while it waited for a place", func(b *bench, _ *forward.Request, cancel context.CancelFunc) {
+		{"before its attempt", func(_ *fixture, _ *forward.Request, cancel context.CancelFunc) { cancel() }, 0},
+		{"while it waited for a place", func(b *fixture, _ *forward.Request, cancel context.CancelFunc) {
 			b.backends.ApplyList(time.Now(), nil)
 			time.AfterFunc(20*time.Millisecond, func() {
 				cancel()
 				b.relist()
 			})
 		}, 0},
-		{"between two attempts", func(b *bench, wanted *forward.Request, _ context.CancelFunc) {
+		{"between two attempts", func(b *fixture, wanted *forward.Request, _ context.CancelFunc) {
 			wanted.ClientGone = func() bool { return len(b.caller.sent()) > 0 }
 		}, 1},
 	}
@@ -42,7 +42,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(failed)
+				b := newFixture(failed)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				wanted := request("safe")
@@ -60,17 +60,17 @@
 	}
 }
 
-// stuckSink fails to write any answer.
-type stuckSink struct{ fakeSink }
+// failingSink fails to write any answer.
+type failingSink struct{ fakeSink }
 
 // Write implements forward.Sink.
-func (s *stuckSink) Write([]byte) error { return errReset }
+func (s *failingSink) Write([]byte) error { return errReset }
 
 // A failed write to the client must not cause another attempt.
 func TestFailedWriteToClientIsNotRetried(t *testing.T) {
 	is := is.New(t)
-	b := newBench(genuine(200, "id: 0\ndata: x\n\n"))
-	sink := &stuckSink{}
+	b := newFixture(genuine(200, "id: 0\ndata: x\n\n"))
+	sink := &failingSink{}
 	b.forwarder.Forward(t.Context(), request("resumable"), sink)
 	is.Equal(len(b.caller.sent()), 1)
 	is.True(sink.aborted)
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -148,8 +148,8 @@
 	s.at = time.Now()
 }
 
-// bench is a Forwarder with fake dependencies.
-type bench struct {
+// fixture is a Forwarder with fake dependencies.
+type fixture struct {
 	caller    *fakeCaller
 	holder    *catalog.Holder
 	backends  *backend.Registry
@@ -181,8 +181,8 @@
 	},
 }
 
-func newBench(answers ...answer) *bench {
-	b := &bench{routers: 1, caches: promptcache.NewIndex(), caller: &fakeCaller{answers: answers}, holder: &catalog.Holder{}, backends: backend.NewRegistry(backend.Config{Zone: "z"})}
+func newFixture(answers ...answer) *fixture {
+	b := &fixture{routers: 1, caches: promptcache.NewIndex(), caller: &fakeCaller{answers: answers}, holder: &catalog.Holder{}, backends: backend.NewRegistry(backend.Config{Zone: "z"})}
 	b.holder.Adopt(catalog.NewSnapshot(configuration), time.Now())
 	var records []backend.Record
 	for _, name := range []ident.Incarnation{"a", "b", "c"} {
@@ -194,7 +194,7 @@
 	b.forwarder = forward.New(forward.Config{
 		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second},
 		Retries:   admission.WindowConfig{Window: 10 * time.Second, Share: 0.2},
-		Slack:     benchSlack,
+		Slack:     fixtureSlack,
 	}, forward.Dependencies{
 		Holder: b.holder, Backends: b.backends, Caller: b.caller, Record: b.record, Routers: func() int { return b.routers }, Sharers: func() int { return b.routers }, Caches: b.caches,
 	})
@@ -203,7 +203,7 @@
 
 // lateEngines has the registry observe answers of all engines that arrive later
 // than predicted.
-func (b *bench) lateEngines(by time.Duration) {
+func (b *fixture) lateEngines(by time.Duration) {
 	now := time.Now()
 	for key := range uint64(60) {
 		choice, backendAttempt, found := b.backends.Pick(now, &backend.Query{Service: "s", Model: "m", HomeKey: key, OwnTokens: 1})
@@ -215,11 +215,11 @@
 	}
 }
 
-// benchSlack is the retry slack of all routers of a bench together.
-const benchSlack = 10
+// fixtureSlack is the retry slack of all routers of a fixture together.
+const fixtureSlack = 10
 
 // relist replaces the listed back ends by new ones, which have refused nothing yet.
-func (b *bench) relist() {
+func (b *fixture) relist() {
 	b.lists++
 	var records []backend.Record
 	for index := range 3 {
@@ -231,7 +231,7 @@
 	b.backends.ApplyList(time.Now(), records)
 }
 
-func (b *bench) record(step forward.Step) {
+func (b *fixture) record(step forward.Step) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.steps = append(b.steps, step)
@@ -245,7 +245,7 @@
 }
 
 // forward runs a request to its end.
-func (b *bench) forward(t *testing.T, wanted *forward.Request) *fakeSink {
+func (b *fixture) forward(t *testing.T, wanted *forward.Request) *fakeSink {
 	t.Helper()
 	sink := &fakeSink{}
 	b.forwarder.Forward(t.Context(), wanted, sink)
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -22,24 +22,24 @@
 func TestRequestIsRefusedBeforeAnyAttempt(t *testing.T) {
 	cases := []struct {
 		name    string
-		change  func(b *bench, wanted *forward.Request)
+		change  func(b *fixture, wanted *forward.Request)
 		age     time.Duration
 		kind    fault.Kind
 		returns bool
 	}{
-		{"no route", func(_ *bench, wanted *forward.Request) { wanted.Path = "/none/" }, 0, fault.UnknownRoute, false},
-		{"no route in an old configuration", func(_ *bench, wanted *forward.Request) { wanted.Path = "/none/" }, 2 * time.Second, fault.NotReady, true},
-		{"unknown key", func(_ *bench, wanted *forward.Request) { wanted.Key = "x" }, 0, fault.Unauthorized, false},
-		{"no key", func(_ *bench, wanted *forward.Request) { wanted.Key = "" }, 0, fault.Unauthorized, false},
-		{"unknown key in an old configuration", func(_ *bench, wanted *forward.Request) { wanted.Key = "x" }, 2 * time.Second, fault.NotReady, true},
-		{"a known key that may have been revoked", func(*bench, *forward.Request) {}, 5 * time.Second, fault.NotReady, true},
-		{"no back end", func(b *bench, _ *forward.Request) { b.backends.ApplyList(time.Now(), nil) }, 0, fault.NoPermittedEngine, true},
+		{"no route", func(_ *fixture, wanted *forward.Request) { wanted.Path = "/none/" }, 0, fault.UnknownRoute, false},
+		{"no route in an old configuration", func(_ *fixture, wanted *forward.Request) { wanted.Path = "/none/" }, 2 * time.Second, fault.NotReady, true},
+		{"unknown key", func(_ *fixture, wanted *forward.Request) { wanted.Key = "x" }, 0, fault.Unauthorized, false},
+		{"no key", func(_ *fixture, wanted *forward.Request) { wanted.Key = "" }, 0, fault.Unauthorized, false},
+		{"unknown key in an old configuration", func(_ *fixture, wanted *forward.Request) { wanted.Key = "x" }, 2 * time.Second, fault.NotReady, true},
+		{"a known key that may have been revoked", func(*fixture, *forward.Request) {}, 5 * time.Second, fault.NotReady, true},
+		{"no back end", func(b *fixture, _ *forward.Request) { b.backends.ApplyList(time.Now(), nil) }, 0, fault.NoPermittedEngine, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "ok"))
+				b := newFixture(genuine(200, "ok"))
 				time.Sleep(c.age)
 				wanted := request("safe")
 				c.change(b, wanted)
@@ -69,7 +69,7 @@
 func TestPublicRouteNeedsNoConfirmedKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(genuine(200, "ok"))
+		b := newFixture(genuine(200, "ok"))
 		time.Sleep(time.Minute)
 		wanted := request("public")
 		wanted.Key = ""
@@ -82,8 +82,8 @@
 func TestKeyIsConfirmedBeforeEachAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var b *bench
-		b = newBench(func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+		var b *fixture
+		b = newFixture(func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 			without := configuration
 			without.Version++
 			without.Keys = map[string]*catalog.Tenant{}
@@ -128,7 +128,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(c.answers...)
+				b := newFixture(c.answers...)
 				wanted := request(c.route)
 				sink := b.forward(t, wanted)
 				is.Equal(len(b.caller.sent()), c.sends)
@@ -152,7 +152,7 @@
 func TestNoBackendGetsARequestTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(refusing(forward.NotExecuted))
+		b := newFixture(refusing(forward.NotExecuted))
 		b.forward(t, request("safe"))
 		tried := map[ident.Incarnation]bool{}
 		for _, attempt := range b.caller.sent() {
@@ -178,7 +178,7 @@
 		t.Run(c.route, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(hanging(""), genuine(200, "id: 1\n\n"))
+				b := newFixture(hanging(""), genuine(200, "id: 1\n\n"))
 				begun := time.Now()
 				sink := b.forward(t, request(c.route))
 				is.Equal(sink.status, c.status)
@@ -196,7 +196,7 @@
 func TestAttemptContinuesWhileNoRetryIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+		b := newFixture(func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 			time.Sleep(time.Second)
 			if ctx.Err() != nil {
 				return hanging("")(ctx, attempt)
@@ -211,7 +211,7 @@
 }
 
 // exhaustRetries uses up the retries of the service.
-func exhaustRetries(t *testing.T, b *bench) {
+func exhaustRetries(t *testing.T, b *fixture) {
 	t.Helper()
 	answers := b.caller.answers
 	b.caller.answers = []answer{refusing(forward.NotExecuted)}
@@ -227,7 +227,7 @@
 func TestRetriesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(refusing(forward.NotExecuted))
+		b := newFixture(refusing(forward.NotExecuted))
 		const requests = 50
 		for number := range requests {
 			wanted := request("unsafe")
@@ -249,7 +249,7 @@
 func TestAttemptEndsWhenClientLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(hanging(""))
+		b := newFixture(hanging(""))
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(50*time.Millisecond, leave)
 		sink := &fakeSink{}
@@ -266,7 +266,7 @@
 func TestAttemptFields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(genuine(200, "id: 1\n\n"))
+		b := newFixture(genuine(200, "id: 1\n\n"))
 		prompt := &forward.Prompt{Model: "m", Parts: []forward.Part{{ID: "x", Tokens: 10}, {ID: "y", Tokens: 20}, {ID: "z", Tokens: 5}}}
 		send := func(key string, wait time.Duration) forward.Attempt {
 			wanted := request("resumable")
@@ -309,7 +309,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "id: 1\n\n"))
+				b := newFixture(genuine(200, "id: 1\n\n"))
 				b.caches.Replace(time.Now(), cacheStore, &promptcache.Listing{Epoch: 1, Held: tt.held})
 				for _, want := range tt.want {
 					wanted := request("resumable")
@@ -338,7 +338,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "id: 1\n\n"))
+				b := newFixture(genuine(200, "id: 1\n\n"))
 				b.lateEngines(150 * time.Millisecond)
 				wanted := request("resumable")
 				wanted.ClientTimeout = tt.wait
@@ -370,7 +370,7 @@
 		t.Run(strconv.Itoa(tt.waiting), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "id: 1\n\n"))
+				b := newFixture(genuine(200, "id: 1\n\n"))
 				b.lateEngines(150 * time.Millisecond)
 				for _, name := range []ident.Incarnation{"a", "b", "c"} {
 					b.backends.PeerQueue(time.Now(), name, tt.waiting)
@@ -404,7 +404,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "id: 1\n\n"))
+				b := newFixture(genuine(200, "id: 1\n\n"))
 				b.caches.Replace(time.Now(), cacheStore, &promptcache.Listing{Epoch: 1})
 				wanted := request("resumable")
 				wanted.Prompt = &forward.Prompt{Model: "m", Parts: []forward.Part{{ID: "y", Tokens: tt.shared}, {ID: "z", Tokens: tt.own}}}
@@ -420,7 +420,7 @@
 func TestBackendIsRetriedUnderItsNewVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(refusing(forward.OtherVersion), genuine(200, one))
+		b := newFixture(refusing(forward.OtherVersion), genuine(200, one))
 		b.holder.Published("m", catalog.Publication{Version: 5, SeenAt: time.Now()})
 		wanted := request("stream")
 		wanted.Prompt = &forward.Prompt{Model: "m", Parts: []forward.Part{{ID: "x", Tokens: 10}, {ID: "y", Tokens: 20}}}
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -21,7 +21,7 @@
 // a short time before it returns a fault.
 func (r *run) place(ctx context.Context) (backend.Choice, *backend.Attempt, *fault.Fault) {
 	waitUntil := clock.Now().Add(r.route.Target / placeWaitDivisor)
-	r.limitDenials, r.avoidBackedOff = 0, false
+	r.limitDenials, r.avoidRecentBackoff = 0, false
 	for {
 		now := clock.Sync()
 		if refusal := r.confirmKey(now); refusal != nil {
@@ -58,9 +58,9 @@
 		return false, nil
 	case r.shouldShed(choice, now):
 		return false, r.overloadedFault(choice, now)
-	case choice.RecentBackoff && !r.avoidBackedOff && !r.forwarder.hasSpareRetries(r.service):
+	case choice.RecentBackoff && !r.avoidRecentBackoff && !r.forwarder.hasSpareRetries(r.service):
 		// A refusal there would cost a request that another back end can serve.
-		r.avoidBackedOff = true
+		r.avoidRecentBackoff = true
 		return false, nil
 	case r.acquireBackendGrant(ctx, choice):
 		return true, nil
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -72,7 +72,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(tt.answers...)
+				b := newFixture(tt.answers...)
 				guard := &fakeQuarantine{decisions: []*quarantine.Decision{nil}}
 				b.forwarder.Quarantine = guard
 				wanted := request("safe")
@@ -117,7 +117,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(tt.answers...)
+				b := newFixture(tt.answers...)
 				guard := &fakeQuarantine{decisions: tt.decisions, granted: tt.granted}
 				b.forwarder.Quarantine = guard
 				sink := b.forward(t, request(tt.route))
--- a/internal/forward/region_test.go
+++ b/internal/forward/region_test.go
@@ -25,7 +25,7 @@
 	for _, tt := range tests {
 		t.Run(tt.key, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(genuine(http.StatusOK, "done"))
+			b := newFixture(genuine(http.StatusOK, "done"))
 			b.backends = backend.NewRegistry(backend.Config{Zone: "a1", Regions: regions})
 			b.forwarder.Backends = b.backends
 			var records []backend.Record
--- a/internal/forward/releases_test.go
+++ b/internal/forward/releases_test.go
@@ -69,10 +69,10 @@
 	f.samples = append(f.samples, sample)
 }
 
-// newReleaseBench returns a bench with three engines of an old release and, if target is
+// newReleaseFixture returns a fixture with three engines of an old release and, if target is
 // set, one of a new one.
-func newReleaseBench(releases *fakeReleases, target bool, answers ...answer) *bench {
-	b := newBench(answers...)
+func newReleaseFixture(releases *fakeReleases, target bool, answers ...answer) *fixture {
+	b := newFixture(answers...)
 	records := b.backends.Records()
 	for index := range records {
 		records[index].Release = "v1"
@@ -84,7 +84,7 @@
 	}
 	b.backends.ApplyList(time.Now(), records)
 	b.forwarder = forward.New(forward.Config{
-		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second}, Slack: benchSlack,
+		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second}, Slack: fixtureSlack,
 		Retries: admission.WindowConfig{Window: 10 * time.Second, Share: 0.2},
 	}, forward.Dependencies{
 		Holder: b.holder, Backends: b.backends, Caller: b.caller, Record: b.record, Routers: func() int { return 1 }, Sharers: func() int { return 1 },
@@ -133,7 +133,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			releases := &fakeReleases{first: tt.first, later: tt.later}
-			b := newReleaseBench(releases, tt.target, tt.answers...)
+			b := newReleaseFixture(releases, tt.target, tt.answers...)
 			sink := b.forward(t, request("safe"))
 			is.Equal(sink.status, tt.status)
 			is.Equal(releases.sent, tt.sent)
@@ -148,7 +148,7 @@
 func TestClientThatLeftUsesNoReleaseGrant(t *testing.T) {
 	is := is.New(t)
 	releases := &fakeReleases{first: onlyNew, later: notNew}
-	b := newReleaseBench(releases, true, genuine(200, "ok"))
+	b := newReleaseFixture(releases, true, genuine(200, "ok"))
 	wanted := request("safe")
 	wanted.ClientGone = func() bool { return true }
 	b.forward(t, wanted)
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		releases := &fakeReleases{first: onlyNew, later: notNew}
-		b := newReleaseBench(releases, true, genuine(200, "id: 1\n\n"))
+		b := newReleaseFixture(releases, true, genuine(200, "id: 1\n\n"))
 		b.lateEngines(150 * time.Millisecond)
 		b.backends.PeerQueue(time.Now(), "new", 2000)
 		wanted := request("resumable")
@@ -181,7 +181,7 @@
 	is := is.New(t)
 	forbidden := backend.Releases{Excluded: []ident.Release{"v1", "v2"}}
 	releases := &fakeReleases{first: forbidden, later: forbidden}
-	b := newReleaseBench(releases, true, genuine(200, "ok"))
+	b := newReleaseFixture(releases, true, genuine(200, "ok"))
 	sink := b.forward(t, request("unsafe"))
 	is.True(sink.refusal != nil)
 	is.Equal(len(releases.sent), 0)
@@ -224,7 +224,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			releases := &fakeReleases{first: onlyNew, later: notNew}
-			b := newReleaseBench(releases, true, tt.answer, genuine(200, "ok"))
+			b := newReleaseFixture(releases, true, tt.answer, genuine(200, "ok"))
 			b.forward(t, request(tt.route))
 			sample := releases.samples[0]
 			is.Equal(sample.Route, tt.route)
@@ -241,7 +241,7 @@
 func TestElapsedTimeOfStreamEndsAtFirstEvent(t *testing.T) {
 	is := is.New(t)
 	releases := &fakeReleases{first: onlyNew, later: notNew}
-	b := newReleaseBench(releases, true, genuine(200, "id: 0\ndata: x\n\n"))
+	b := newReleaseFixture(releases, true, genuine(200, "id: 0\ndata: x\n\n"))
 	wanted := request("stream")
 	wanted.Prompt = &forward.Prompt{Model: "m", Parts: []forward.Part{{ID: "a", Tokens: 6000}, {ID: "b", Tokens: 1000}}}
 	b.forward(t, wanted)
@@ -255,7 +255,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		releases := &fakeReleases{first: onlyNew, later: notNew, revoked: "v2"}
-		b := newReleaseBench(releases, true, genuine(200, "x"))
+		b := newReleaseFixture(releases, true, genuine(200, "x"))
 		is.True(b.forward(t, request("safe")).refusal == nil)
 		is.Equal(releases.sent, []ident.Release{"v1"})
 		is.Equal(releases.declined, 1)
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -115,9 +115,9 @@
 	Genuine Execution = iota + 1
 	// NotExecuted proves that the back end did not and will not run the request.
 	NotExecuted
-	// OtherInstance proves that it did not run: another back end has the address.
+	// OtherInstance proves the same as NotExecuted: another back end has the address.
 	OtherInstance
-	// OtherVersion proves that it did not run: the weights have another version.
+	// OtherVersion proves the same as NotExecuted: the weights have another version.
 	OtherVersion
 	// InvalidAnswer may not be passed on; the request may have run.
 	InvalidAnswer
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -54,8 +54,8 @@
 	// backendGrant allows the next attempt at one back end, if that has a limit; it is nil
 	// once the request may have reached it.
 	backendGrant *backendGrant
-	// avoidBackedOff keeps the current attempt from back ends that have recently backed off.
-	avoidBackedOff bool
+	// avoidRecentBackoff keeps the current attempt from back ends that have recently backed off.
+	avoidRecentBackoff bool
 	// limitDenials counts the limited back ends that granted the current attempt nothing.
 	limitDenials int
 	// quarantineSubject identifies the request to the quarantine, see subject.
@@ -296,7 +296,7 @@
 func (r *run) query() backend.Query {
 	query := backend.Query{
 		Service: r.service, Excluded: r.excluded, Expected: r.route.Target / expectedWorkDivisor,
-		SpreadKey: xxhash.Sum64String(string(r.request.ID)), AvoidRecentBackoff: r.avoidBackedOff,
+		SpreadKey: xxhash.Sum64String(string(r.request.ID)), AvoidRecentBackoff: r.avoidRecentBackoff,
 	}
 	prompt := r.request.Prompt
 	if prompt == nil {
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -15,9 +15,9 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// newStartingBench returns a bench whose Forwarder has no configuration yet.
-func newStartingBench(off mechanism.Disabled) *bench {
-	b := newBench(genuine(200, "ok"))
+// newStartingFixture returns a fixture whose Forwarder has no configuration yet.
+func newStartingFixture(off mechanism.Disabled) *fixture {
+	b := newFixture(genuine(200, "ok"))
 	b.holder = &catalog.Holder{}
 	b.forwarder = forward.New(forward.Config{
 		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second}, Disabled: off,
@@ -48,7 +48,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newStartingBench(mechanism.Disabled{})
+				b := newStartingFixture(mechanism.Disabled{})
 				known := time.AfterFunc(tt.knownAfter, func() {
 					b.holder.Adopt(catalog.NewSnapshot(configuration), time.Now())
 				})
@@ -71,7 +71,7 @@
 func TestClientThatLeavesStopsWaitingForConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newStartingBench(mechanism.Disabled{})
+		b := newStartingFixture(mechanism.Disabled{})
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		begun := time.Now()
@@ -86,7 +86,7 @@
 		is := is.New(t)
 		off, err := mechanism.Without([]string{string(mechanism.StartHold)})
 		is.NoErr(err)
-		b := newStartingBench(off)
+		b := newStartingFixture(off)
 		begun := time.Now()
 		sink := b.forward(t, request("safe"))
 		is.Equal(sink.refusal.Kind, fault.NotReady)
@@ -97,7 +97,7 @@
 func TestRequestsWaitingForConfigurationAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newStartingBench(mechanism.Disabled{})
+		b := newStartingFixture(mechanism.Disabled{})
 		for range 200 {
 			go b.forwarder.Forward(t.Context(), request("safe"), &fakeSink{})
 		}
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -43,7 +43,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(c.answers...)
+				b := newFixture(c.answers...)
 				sink := b.forward(t, request(c.route))
 				is.Equal(sink.body.String(), c.body)
 				is.Equal(sink.aborted, !c.whole)
@@ -66,7 +66,7 @@
 			reply.Header.Set("Seal", "other")
 			return reply, err
 		}
-		b := newBench(breaking(one), other)
+		b := newFixture(breaking(one), other)
 		sink := b.forward(t, request("resumable"))
 		is.Equal(sink.body.String(), one+two)
 		is.Equal(sink.header.Get("Seal"), "200")
@@ -76,7 +76,7 @@
 func TestClientResumesAfterItsLastEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(genuine(200, two+three))
+		b := newFixture(genuine(200, two+three))
 		wanted := request("resumable")
 		wanted.LastEventID = "2"
 		sink := b.forward(t, wanted)
@@ -88,7 +88,7 @@
 func TestStreamEndsAtRouteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(hanging(one))
+		b := newFixture(hanging(one))
 		begun := time.Now()
 		sink := b.forward(t, request("stream"))
 		is.True(sink.aborted)
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -20,7 +20,7 @@
 		is := is.New(t)
 		asleep := time.Duration(0)
 		defer clock.Replace(func() time.Duration { return asleep })()
-		b := newBench(genuine(200, "x"))
+		b := newFixture(genuine(200, "x"))
 		is.True(b.forward(t, request("safe")).refusal == nil)
 		asleep = 5 * time.Second // longer than Freshness.Keyed
 		wanted := request("safe")
@@ -48,7 +48,7 @@
 				is := is.New(t)
 				asleep := time.Duration(0)
 				defer clock.Replace(func() time.Duration { return asleep })()
-				b := newBench(genuine(200, "x"))
+				b := newFixture(genuine(200, "x"))
 				asleep = 2 * time.Second
 				begun := time.Now()
 				if tt.confirmed {
