--- a/internal/dispatch/application.go
+++ b/internal/dispatch/application.go
@@ -18,11 +18,11 @@
 	Service  ident.Service
 	Class    ident.Class
 	Priority int
-	// Zones is the set of places the tenant's data may be in.
+	// Zones are the zones the tenant's data may be in.
 	Zones map[ident.Zone]bool
-	// Retryable is the route's, from the fleet file.
+	// Retryable is set by the route, in the fleet file.
 	Retryable bool
-	// IdempotencyKey is required unless Repeatable.
+	// IdempotencyKey is required unless Retryable.
 	IdempotencyKey         string
 	Method, Path, RawQuery string
 	ContentType            string
@@ -42,33 +42,33 @@
 
 // ApplicationPlacer admits a request and chooses an application for its next attempt.
 type ApplicationPlacer interface {
-	// PlaceApplication blocks until an application is chosen or the hold time
-	// ran out; errors are *fault.Fault.
+	// PlaceApplication blocks until an application is chosen or the job's
+	// deadline for placement passes; errors are *fault.Fault.
 	PlaceApplication(ctx context.Context, job *ApplicationJob) (ApplicationPlacement, error)
 }
 
-// Answer is the whole answer of an application.
+// Answer is the complete answer of an application.
 type Answer struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint"`
 	Body        []byte `cbor:"3,keyasint"`
-	// Zone is where the application that answered is.
+	// Zone is the zone of the application that answered.
 	Zone ident.Zone `cbor:"4,keyasint"`
-	// Replayed says that the answer is that of an earlier sending.
+	// Replayed is true if the answer is that of an earlier request under the key.
 	Replayed bool `cbor:"-"`
 }
 
-// AnswerStore retains the answers of claimed requests where any router of the
-// zone can read them. Errors are *fault.Fault.
+// AnswerStore retains the answers of claimed requests for all routers of a
+// zone. Errors are *fault.Fault.
 type AnswerStore interface {
 	// Save stores an answer in a zone and returns its key.
 	Save(ctx context.Context, zone ident.Zone, claimID string, answer Answer) (string, error)
-	// Load reads an answer, and whether it exists.
+	// Load returns an answer, and whether it exists.
 	Load(ctx context.Context, zone ident.Zone, key string) (Answer, bool, error)
 }
 
-// RunApplication runs one application request and returns its whole answer, or
-// a *fault.Fault that says what ran.
+// RunApplication runs one application request and returns its complete answer, or
+// a *fault.Fault that states whether it ran.
 func (d *Dispatcher) RunApplication(ctx context.Context, job *ApplicationJob) (Answer, error) {
 	if job.Retryable {
 		answer, err := d.newApplicationRun(job).run(ctx)
@@ -80,7 +80,7 @@
 	return d.runClaimed(ctx, job)
 }
 
-// applicationRun is one application request on its way through its attempts.
+// applicationRun is the state of one application request across its attempts.
 type applicationRun struct {
 	dispatcher *Dispatcher
 	job        ApplicationJob
@@ -99,9 +99,9 @@
 	return run
 }
 
-// run makes attempts until one answers, and ends the chart.
+// run makes attempts until one is answered or none is left, and ends the chart.
 func (r *applicationRun) run(ctx context.Context) (Answer, *fault.Fault) {
-	answer, err := r.attemptAll(ctx)
+	answer, err := r.runAttempts(ctx)
 	if err == nil {
 		r.chart.Fire(EventCompleted)
 		r.dispatcher.Budget.Success(r.job.Service)
@@ -120,7 +120,7 @@
 	return Answer{}, final
 }
 
-func (r *applicationRun) attemptAll(ctx context.Context) (Answer, error) {
+func (r *applicationRun) runAttempts(ctx context.Context) (Answer, error) {
 	for {
 		placement, err := r.dispatcher.ApplicationPlacer.PlaceApplication(ctx, &r.job)
 		if err != nil {
@@ -134,7 +134,7 @@
 		if err == nil {
 			return answer, nil
 		}
-		if misunderstood(err) {
+		if isBadRequest(err) {
 			return Answer{}, asBadRequest(err)
 		}
 		if !r.mayRetry(ctx, err) {
@@ -144,9 +144,8 @@
 	}
 }
 
-// mayRetry reports whether one more attempt is allowed. A request that is not
-// repeatable never gets another one after an attempt whose fate is not an
-// explicit refusal.
+// mayRetry reports whether one more attempt is allowed. A request that may not
+// run twice gets one only after attempts that provably did not execute it.
 func (r *applicationRun) mayRetry(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || r.attempts >= r.dispatcher.config.MaxAttempts {
 		return false
@@ -163,7 +162,7 @@
 }
 
 func (r *applicationRun) attempt(ctx context.Context, placement ApplicationPlacement) (Answer, error) {
-	r.ledger.Left()
+	r.ledger.RecordSent()
 	r.chart.Fire(EventAttemptSent)
 	r.dispatcher.Counters.Attempts.Add(1)
 	sentAt := time.Now()
@@ -180,7 +179,7 @@
 		placement.Release(result)
 	}
 	if err == nil {
-		r.ledger.Executed()
+		r.ledger.RecordExecuted()
 		return Answer{
 			Status:      response.Status,
 			ContentType: response.Header.Get("Content-Type"),
@@ -189,7 +188,7 @@
 		}, nil
 	}
 	failure := fault.From(err)
-	r.ledger.Settle(failure.Ran)
+	r.ledger.RecordEnded(failure.Ran)
 	if failure.Ran == fault.RanNo {
 		r.chart.Fire(EventAttemptRefused)
 	} else {
@@ -213,7 +212,7 @@
 	}
 }
 
-// resultOf tells beliefs and limits how a call ended.
+// resultOf returns the Result of a call that ended with err.
 func resultOf(err error) Result {
 	if err == nil {
 		return Result{Outcome: OutcomeAnswered}
--- a/internal/dispatch/generation.go
+++ b/internal/dispatch/generation.go
@@ -14,7 +14,7 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-// generation is one model request on its way through its attempts.
+// generation is the state of one model request across its attempts.
 type generation struct {
 	dispatcher *Dispatcher
 	job        Job
@@ -28,20 +28,20 @@
 	emitted  strings.Builder
 	tokens   int
 	usage    protocol.Usage
-	// subject tells the request apart from others, onTrial says that it is quarantined, and a
-	// trial was granted.
+	// subject identifies the request to the quarantine; onTrial is true while it is
+	// quarantined and has the grant of a trial.
 	subject *quarantine.Subject
 	onTrial bool
-	// relearned holds engines that told a new incarnation once already.
-	relearned map[ident.Engine]bool
+	// newIncarnations holds the engines that reported a new incarnation once already.
+	newIncarnations map[ident.Engine]bool
 }
 
-// Run runs one model request and gives its answer to the sink, in order. It
-// returns the proven end, or a *fault.Fault that says what ran. The job is not
-// changed. When ctx ends, the caller is taken to be gone.
+// Run runs one model request and sends its answer to the sink, in order. It
+// returns the proven end, or a *fault.Fault that states whether it ran. The job is
+// not changed. The end of ctx means that the caller is gone.
 func (d *Dispatcher) Run(ctx context.Context, job *Job, sink Sink) (Completion, error) {
 	g := &generation{
-		dispatcher: d, job: *job, sink: sink, chart: d.NewChart(true), subject: subjectOf(job), relearned: map[ident.Engine]bool{},
+		dispatcher: d, job: *job, sink: sink, chart: d.NewChart(true), subject: subjectOf(job), newIncarnations: map[ident.Engine]bool{},
 	}
 	g.job.Excluded = map[ident.Engine]bool{}
 	for engineName := range job.Excluded {
@@ -55,18 +55,18 @@
 		d.Budget.Success(job.Service)
 		return completion, nil
 	}
-	return Completion{}, g.fail(err)
+	return Completion{}, g.finalFault(err)
 }
 
-// fail makes the final fault of the request.
-func (g *generation) fail(err error) *fault.Fault {
+// finalFault ends the chart and returns the final fault of the request.
+func (g *generation) finalFault(err error) *fault.Fault {
 	ran := g.ledger.Ran()
 	if errors.Is(err, errCallerGone) {
 		g.chart.Fire(EventCallerGone)
 		return fault.Wrap(err, fault.StreamBroken, "the caller left before the end of the answer").WithRan(ran)
 	}
 	if g.emitted.Len() > 0 {
-		err = fault.Wrap(err, fault.StreamBroken, "the answer broke off and no way to go on was found")
+		err = fault.Wrap(err, fault.StreamBroken, "the answer broke off and could not be continued")
 	}
 	final := g.dispatcher.withRetryAfter(err).WithRan(ran)
 	if ran == fault.RanYes && g.started {
@@ -99,7 +99,7 @@
 
 // place chooses the engine for the next attempt, if the request may be sent.
 func (g *generation) place(ctx context.Context) (Placement, error) {
-	if err := g.quarantined(ctx); err != nil {
+	if err := g.checkQuarantine(ctx); err != nil {
 		return Placement{}, err
 	}
 	placement, err := g.dispatcher.Placer.Place(ctx, &g.job)
@@ -109,7 +109,7 @@
 	if err != nil {
 		return Placement{}, err
 	}
-	if err := g.quarantined(ctx); err != nil {
+	if err := g.checkQuarantine(ctx); err != nil {
 		if placement.Release != nil {
 			placement.Release(Result{Outcome: OutcomeAbandoned})
 		}
@@ -118,24 +118,24 @@
 	return placement, nil
 }
 
-// prepareRetry readies the job for one more attempt, or returns the fault that
+// prepareRetry prepares the job for one more attempt, or returns the fault that
 // ends the request.
 func (g *generation) prepareRetry(placement Placement, cause error) error {
 	if g.attempts >= g.dispatcher.config.MaxAttempts {
 		return cause
 	}
-	if misunderstood(cause) {
+	if isBadRequest(cause) {
 		return asBadRequest(cause)
 	}
 	if g.tokens > 0 && g.tokens >= g.job.MaxTokens {
-		// Only the end is missing, and nobody can prove it any more.
+		// Only the end event is missing, and no other engine can supply it.
 		return cause
 	}
-	relearned := g.exclude(placement, refusalOf(cause))
-	// The budget bounds the load that retries add. Going on with an answer adds
-	// less than the repeat that the caller would be told to make, and a refusal
-	// that names a new life cost its engine nothing.
-	if !g.started && !relearned && !g.dispatcher.Budget.Allow(g.job.Service) {
+	reusable := g.exclude(placement, refusalOf(cause))
+	// The budget bounds the load that retries add. Continuing an answer adds less
+	// than the caller's own retry would, and a refusal that reports a new
+	// incarnation cost its engine nothing.
+	if !g.started && !reusable && !g.dispatcher.Budget.Allow(g.job.Service) {
 		g.dispatcher.Counters.BudgetRefused.Add(1)
 		return cause
 	}
@@ -143,8 +143,8 @@
 	if !g.started {
 		return nil
 	}
-	if hold := time.Now().Add(g.dispatcher.config.ContinueHold); hold.After(g.job.PlacementDeadline) {
-		g.job.PlacementDeadline = hold
+	if deadline := time.Now().Add(g.dispatcher.config.ContinueTimeout); deadline.After(g.job.PlacementDeadline) {
+		g.job.PlacementDeadline = deadline
 	}
 	if g.emitted.Len() == 0 {
 		g.dispatcher.Counters.Regenerated.Add(1)
@@ -156,13 +156,12 @@
 	return nil
 }
 
-// exclude bars the engine for the rest of the request, unless it just told
-// that it lives a new life: then it may be tried once more, and exclude
-// returns true.
-func (g *generation) exclude(placement Placement, refusal *protocol.Refusal) (relearned bool) {
-	newLife := refusal != nil && refusal.Incarnation != "" && refusal.Incarnation != placement.Incarnation
-	if newLife && !g.relearned[placement.Engine] {
-		g.relearned[placement.Engine] = true
+// exclude excludes the engine from further attempts, unless it has just reported
+// a new incarnation: it may then be tried once more, and exclude returns true.
+func (g *generation) exclude(placement Placement, refusal *protocol.Refusal) (reusable bool) {
+	newIncarnation := refusal != nil && refusal.Incarnation != "" && refusal.Incarnation != placement.Incarnation
+	if newIncarnation && !g.newIncarnations[placement.Engine] {
+		g.newIncarnations[placement.Engine] = true
 		return true
 	}
 	g.job.Excluded[placement.Engine] = true
@@ -185,7 +184,7 @@
 			placement.Release(run.result)
 		}()
 	}
-	defer func() { run.judged(time.Now()) }()
+	defer func() { run.reportToQuarantine(time.Now()) }()
 	return run.run(ctx)
 }
 
@@ -201,27 +200,27 @@
 
 func (a *attempt) run(ctx context.Context) (Completion, error) {
 	g := a.generation
-	g.ledger.Left()
+	g.ledger.RecordSent()
 	g.chart.Fire(EventAttemptSent)
 	g.dispatcher.Counters.Attempts.Add(1)
-	stream, err := g.dispatcher.open(ctx, g.dispatcher.config.StartTimeout, func(ctx context.Context) (engine.EventStream, error) {
+	stream, err := g.dispatcher.openStream(ctx, g.dispatcher.config.StartTimeout, func(ctx context.Context) (engine.EventStream, error) {
 		return g.dispatcher.Engines.Generate(ctx, a.placement.Address, a.request())
 	})
 	if err != nil {
-		return Completion{}, a.notStarted(ctx, err)
+		return Completion{}, a.startFailed(ctx, err)
 	}
-	reader := &flow{
+	reader := &streamReader{
 		dispatcher:   g.dispatcher,
 		address:      a.placement.Address,
 		sequencer:    a.sequencer,
 		firstTimeout: g.job.FirstTokenTimeout,
-		accept:       a.accept,
-		broken:       a.onBroken,
+		onEvent:      a.onEvent,
+		onBroken:     a.onBroken,
 	}
 	end, err := reader.run(ctx, stream)
 	a.result.Incarnation = a.sequencer.Incarnation()
 	if err != nil {
-		a.giveUp(err)
+		a.abandon(err)
 		return Completion{}, err
 	}
 	a.result.Outcome = OutcomeAnswered
@@ -249,11 +248,11 @@
 	}
 }
 
-// notStarted settles an attempt whose generate call failed.
-func (a *attempt) notStarted(ctx context.Context, err error) error {
+// startFailed records the end of an attempt whose generate call failed.
+func (a *attempt) startFailed(ctx context.Context, err error) error {
 	g := a.generation
 	failure := fault.From(err)
-	g.ledger.Settle(failure.Ran)
+	g.ledger.RecordEnded(failure.Ran)
 	if refusal := refusalOf(err); refusal != nil {
 		a.result.Outcome = OutcomeRefused
 		a.result.Refusal = refusal.Kind
@@ -268,13 +267,13 @@
 	}
 	if ctx.Err() != nil {
 		a.result.Outcome = OutcomeAbandoned
-		return errors.Wrap(errCallerGone, "while an engine was asked")
+		return errors.Wrap(errCallerGone, "while waiting for an engine's answer")
 	}
 	return failure
 }
 
-// accept takes one accepted event.
-func (a *attempt) accept(event *protocol.StreamEvent) error {
+// onEvent records an accepted event and passes its text to the sink.
+func (a *attempt) onEvent(event *protocol.StreamEvent) error {
 	g := a.generation
 	a.onStarted()
 	if event.Usage != nil && event.Kind == protocol.EventStart && g.usage.PromptTokens == 0 {
@@ -302,14 +301,14 @@
 	return g.sink.Chunk(Chunk{Text: text, Position: a.position()})
 }
 
-// reportStart hands the engine's own count to whoever placed the attempt.
+// reportStart passes the engine's own token counts to the placer.
 func (a *attempt) reportStart(event *protocol.StreamEvent) {
 	if a.placement.Started != nil && event.Usage != nil {
 		a.placement.Started(event.Incarnation, *event.Usage)
 	}
 }
 
-// reportFirstToken tells whoever placed the attempt that its prefill is done.
+// reportFirstToken notifies the placer that the prefill is done.
 func (a *attempt) reportFirstToken() {
 	if a.placement.FirstToken != nil {
 		a.placement.FirstToken()
@@ -319,7 +318,7 @@
 // onStarted records that the engine executes the request.
 func (a *attempt) onStarted() {
 	g := a.generation
-	g.ledger.Executed()
+	g.ledger.RecordExecuted()
 	if !g.started {
 		g.started = true
 		g.chart.Fire(EventStreamStarted)
@@ -354,9 +353,9 @@
 	}
 }
 
-// giveUp settles an attempt that will not be read further and cancels its
-// generation. If the caller left and can resume, it runs on for a grace.
-func (a *attempt) giveUp(err error) {
+// abandon records the end of an attempt that is not read any further and cancels
+// its generation, after a grace period if the caller left and can resume.
+func (a *attempt) abandon(err error) {
 	grace := time.Duration(0)
 	if errors.Is(err, errCallerGone) {
 		a.result.Outcome = OutcomeAbandoned
@@ -369,5 +368,5 @@
 	if refusal := refusalOf(err); refusal != nil && refusal.Incarnation != "" {
 		a.result.Incarnation = refusal.Incarnation
 	}
-	a.generation.dispatcher.abandon(a.placement.Address, a.sequencer.Stream(), grace)
+	a.generation.dispatcher.cancelStream(a.placement.Address, a.sequencer.Stream(), grace)
 }
--- a/internal/dispatch/generation_test.go
+++ b/internal/dispatch/generation_test.go
@@ -13,15 +13,15 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Every kind of damage at every event of the stream: the caller gets the whole
-// answer, in order, exactly once.
-func TestAnswerIsWholeWhateverBreaksWhereverItBreaks(t *testing.T) {
+// Whatever damage hits whichever event, the caller gets the complete answer, in
+// order, exactly once.
+func TestAnswerIsCompleteAfterAnyStreamFailure(t *testing.T) {
 	kinds := []string{"none", "cut", "gone", "stall", "frozen", "lost", "swap", "repeat", "crossed request", "late attempt", "crossed incarnation", "crossed stream", "engine error"}
 	for _, kind := range kinds {
 		for at := uint64(0); at <= answerChunks+1; at++ {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r := newRig(damage{kind, at}, "a", "b")
+				r := newFixture(damage{kind, at}, "a", "b")
 				var sink textSink
 				completion, err := r.Run(t.Context(), testJob(), &sink)
 				r.Close()
@@ -42,9 +42,9 @@
 	}
 }
 
-// If no way is left, the caller is told so and never gets an end; what ran is
-// told truly; text given is a prefix of the answer.
-func TestBrokenAnswerNeverEndsAsWhole(t *testing.T) {
+// An answer that cannot be continued must end with a fault that states truly what
+// ran, never with an end event, and its text must be a prefix of the answer.
+func TestUnrecoverableAnswerReturnsFault(t *testing.T) {
 	cases := map[string]struct {
 		damage damage
 		budget int
@@ -65,7 +65,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r := newRig(c.damage, "a")
+				r := newFixture(c.damage, "a")
 				r.engines.always = true
 				r.Budget = &fakeBudget{retries: c.budget}
 				job := testJob()
@@ -78,29 +78,29 @@
 				is.Equal(fault.From(err).Ran, c.ran)
 				is.True(fault.From(err).RetryAfter > 0)
 				is.Equal(sink.text.String(), wholeAnswer()[:sink.text.Len()])
-				is.True(time.Since(began) < 20*time.Second) // virtual: a stall is given up soon
+				is.True(time.Since(began) < 20*time.Second) // virtual time: the stall timeouts hold
 				is.Equal(r.chart.ends, 1)
 			})
 		})
 	}
 }
 
-// A budget that is used up stops neither an answer that has begun nor the
-// second try at an engine that named its new life.
-func TestRetriesThatAddNoLoadNeedNoBudget(t *testing.T) {
+// An exhausted budget stops neither an answer that has begun nor the second
+// attempt at an engine that reported its new incarnation.
+func TestContinuationAndNewIncarnationNeedNoRetryBudget(t *testing.T) {
 	cases := map[string]struct {
 		damage damage
 		refuse error
 	}{
 		"broken after text":  {damage{"engine error", 3}, nil},
 		"broken before text": {damage{"gone", 1}, nil},
-		"new life":           {damage{}, refusal(protocol.RefusalMismatch, "a1")},
+		"new incarnation":    {damage{}, refusal(protocol.RefusalMismatch, "a1")},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				r := newRig(c.damage, "a", "b")
+				r := newFixture(c.damage, "a", "b")
 				r.Budget = &fakeBudget{}
 				if c.refuse != nil {
 					r.engines.refuse = map[string]error{"a": c.refuse}
@@ -109,7 +109,7 @@
 				_, err := r.Run(t.Context(), testJob(), &sink)
 				r.Close()
 				if c.refuse != nil {
-					// The fake refuses for ever; the one free try was made.
+					// The fake always refuses; the one free retry was made.
 					is.True(fault.Is(err, fault.BackendRefused))
 					is.Equal(len(r.engines.generated), 2)
 					return
@@ -121,11 +121,11 @@
 	}
 }
 
-// Only resumes that bring nothing count against their bound.
-func TestAnswerIsWholeWhenEveryConnectionBreaksAfterOneEvent(t *testing.T) {
+// Only resumes that bring no event count against MaxIdleResumes.
+func TestResumesThatBringEventsAreNotBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(damage{kind: "one event a connection"}, "a")
+		r := newFixture(damage{kind: "one event a connection"}, "a")
 		r.engines.always = true
 		var sink textSink
 		_, err := r.Run(t.Context(), testJob(), &sink)
@@ -136,7 +136,7 @@
 	})
 }
 
-func TestRefusedBeforeExecutionGoesElsewhereOrIsTrulyNotRun(t *testing.T) {
+func TestRefusedRequestIsRetriedOrReportedNotRun(t *testing.T) {
 	unreachable := fault.New(fault.BackendLost, "no byte left")
 	lost := fault.New(fault.BackendLost, "broke").WithRan(fault.RanUnknown)
 	cases := map[string]struct {
@@ -144,16 +144,16 @@
 		kind fault.Kind
 		ran  fault.Ran
 	}{
-		"full, then taken":   {refusal(protocol.RefusalFull, "a0"), nil, "", ""},
-		"leaving, unreach":   {refusal(protocol.RefusalLeaving, "a0"), unreachable, fault.NoPermittedEngine, fault.RanNo},
-		"refused, then lost": {refusal(protocol.RefusalFull, "a0"), lost, fault.NoPermittedEngine, fault.RanUnknown},
-		"not understood":     {refusal(protocol.RefusalBadRequest, "a0"), nil, fault.BadRequest, fault.RanNo},
-		"lost, then refused": {lost, refusal(protocol.RefusalFull, "b0"), fault.NoPermittedEngine, fault.RanUnknown},
+		"full, then accepted":   {refusal(protocol.RefusalFull, "a0"), nil, "", ""},
+		"draining, unreachable": {refusal(protocol.RefusalLeaving, "a0"), unreachable, fault.NoPermittedEngine, fault.RanNo},
+		"refused, then lost":    {refusal(protocol.RefusalFull, "a0"), lost, fault.NoPermittedEngine, fault.RanUnknown},
+		"bad request":           {refusal(protocol.RefusalBadRequest, "a0"), nil, fault.BadRequest, fault.RanNo},
+		"lost, then refused":    {lost, refusal(protocol.RefusalFull, "b0"), fault.NoPermittedEngine, fault.RanUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(damage{}, "a", "b")
+			r := newFixture(damage{}, "a", "b")
 			r.engines.refuse = map[string]error{"a": c.a, "b": c.b}
 			var sink textSink
 			_, err := r.Run(t.Context(), testJob(), &sink)
@@ -170,11 +170,11 @@
 	}
 }
 
-func TestCallerGoneLeavesTheStreamResumableForAGrace(t *testing.T) {
+func TestAbandonedStreamIsResumableDuringGrace(t *testing.T) {
 	for _, resumed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(damage{}, "a")
+			r := newFixture(damage{}, "a")
 			sink := textSink{failAt: 4}
 			_, err := r.Run(t.Context(), testJob(), &sink)
 			is.True(fault.Is(err, fault.StreamBroken))
@@ -194,25 +194,25 @@
 	}
 }
 
-func TestResumeOnAnotherLifeIsBrokenNotInvented(t *testing.T) {
+func TestResumeOnNewIncarnationFails(t *testing.T) {
 	is := is.New(t)
-	r := newRig(damage{}, "a")
+	r := newFixture(damage{}, "a")
 	sink := textSink{failAt: 4}
 	_, _ = r.Run(t.Context(), testJob(), &sink)
-	r.engines.lives["a"]++
+	r.engines.incarnations["a"]++
 	given := sink.text.String()
 	_, err := r.Resume(t.Context(), ResumeJob{Position: sink.last, Address: "a"}, &sink)
 	r.Close()
 	is.True(fault.Is(err, fault.StreamBroken))
 	is.Equal(fault.From(err).Ran, fault.RanYes)
 	is.Equal(sink.text.String(), given)
-	is.Equal(r.Counters.Resumes.Load(), uint64(1)) // an explicit refusal is not tried again
+	is.Equal(r.Counters.Resumes.Load(), uint64(1)) // an explicit refusal is not retried
 }
 
-func TestCallerLeavingWhileStreamStallsIsCancelled(t *testing.T) {
+func TestStalledStreamIsCancelledWhenCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(damage{"stall", 2}, "a")
+		r := newFixture(damage{"stall", 2}, "a")
 		ctx, leave := context.WithTimeout(t.Context(), time.Second)
 		defer leave()
 		job := testJob()
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -9,23 +9,25 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-// Quarantine keeps model requests from engines under which these crash. Its methods are safe for
+// Quarantine withholds model requests that crash engines. Its methods are safe for
 // concurrent use.
 type Quarantine interface {
 	// Check returns why a request may not be sent, nil if it may.
 	Check(now time.Time, request *quarantine.Subject) *quarantine.Decision
-	// AcquireTrial asks for the grant of a trial that is due, and waits for it for a short time.
+	// AcquireTrial requests the grant of a trial that is due, waits a short time for it, and
+	// reports whether it was granted.
 	AcquireTrial(ctx context.Context, request *quarantine.Subject) bool
-	// ObserveAnswered takes in a whole answer, Broke an attempt that broke off at an engine, Left one
-	// whose caller left while the engine may be at work, Unreached one that did not leave.
+	// ObserveAnswered records a complete answer.
 	ObserveAnswered(now time.Time, request *quarantine.Subject)
+	// ObserveBroken records an attempt that broke off at an engine, ObserveAbandoned one whose
+	// caller left while the engine may still run it, ObserveUnreachable one that was not sent.
 	ObserveBroken(now time.Time, request *quarantine.Subject, at Placement)
 	ObserveAbandoned(now time.Time, request *quarantine.Subject, at Placement)
 	ObserveUnreachable(now time.Time, at Placement)
 }
 
-// subjectOf names what a job asks for, whichever try of its caller it is. What an earlier attempt
-// has emitted is not part of it.
+// subjectOf identifies a job's request, equal for all retries of its caller. It excludes the text
+// emitted by earlier attempts.
 func subjectOf(job *Job) *quarantine.Subject {
 	return &quarantine.Subject{Identity: quarantine.Identity{
 		Tenant: job.Tenant, Method: string(job.Service), Host: string(job.Model),
@@ -33,30 +35,30 @@
 	}}
 }
 
-// quarantined returns the fault of a request that may not be sent on, nil if it may. It is asked
-// before an engine is looked for and again once one was found.
-func (g *generation) quarantined(ctx context.Context) error {
+// checkQuarantine returns the fault of a quarantined request, nil if it may be sent. It is called
+// before an engine is chosen and again afterwards.
+func (g *generation) checkQuarantine(ctx context.Context) error {
 	guard := g.dispatcher.Quarantine
 	if guard == nil || g.onTrial {
 		return nil
 	}
-	verdict := guard.Check(time.Now(), g.subject)
-	if verdict == nil {
+	decision := guard.Check(time.Now(), g.subject)
+	if decision == nil {
 		return nil
 	}
-	if verdict.TrialDue && guard.AcquireTrial(ctx, g.subject) {
+	if decision.TrialDue && guard.AcquireTrial(ctx, g.subject) {
 		g.onTrial = true
 		return nil
 	}
 	if g.ledger.Ran() != fault.RanNo {
-		return fault.New(fault.BackendLost, "%s", verdict)
+		return fault.New(fault.BackendLost, "%s", decision)
 	}
-	return fault.New(fault.Quarantined, "%s", verdict).WithRetryAfter(verdict.RetryAfter)
+	return fault.New(fault.Quarantined, "%s", decision).WithRetryAfter(decision.RetryAfter)
 }
 
-// judged tells the quarantine what an attempt says of its request. A trial ends with the first
-// attempt that an engine may have taken.
-func (a *attempt) judged(now time.Time) {
+// reportToQuarantine reports the attempt's outcome to the quarantine. A trial ends with the first
+// attempt that may have reached an engine.
+func (a *attempt) reportToQuarantine(now time.Time) {
 	g := a.generation
 	guard := g.dispatcher.Quarantine
 	if guard == nil {
@@ -73,6 +75,6 @@
 	case OutcomeUnreachable:
 		guard.ObserveUnreachable(now, a.placement)
 	case OutcomeRefused:
-		// The engine lives and has not run it.
+		// The engine is alive and has not run the request.
 	}
 }
--- a/internal/dispatch/sequencer.go
+++ b/internal/dispatch/sequencer.go
@@ -5,25 +5,25 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Verdict is what a Sequencer says of one event.
-type Verdict string
+// CheckResult is the result of Sequencer.Check for one event.
+type CheckResult string
 
 const (
 	// Accepted is the next event of the stream being read.
-	Accepted Verdict = "accepted"
-	// Crossed belongs to another request, incarnation or stream.
-	Crossed Verdict = "crossed"
-	// Late belongs to another attempt of the same request.
-	Late Verdict = "late"
-	// Repeated was accepted before, or comes after the end.
-	Repeated Verdict = "repeated"
-	// Gap shows that the next event was lost or overtaken; the stream must be
+	Accepted CheckResult = "accepted"
+	// Misrouted belongs to another request, incarnation or stream.
+	Misrouted CheckResult = "crossed"
+	// StaleAttempt belongs to another attempt of the same request.
+	StaleAttempt CheckResult = "late"
+	// Duplicate was accepted before, or follows the end.
+	Duplicate CheckResult = "repeated"
+	// Gap means that the next event was lost or reordered; the stream must be
 	// resumed from Next.
-	Gap Verdict = "gap"
+	Gap CheckResult = "gap"
 )
 
 // Sequencer accepts exactly the events of one stream, each once, in order. It
-// learns the stream, and the incarnation if none was expected, from the first
+// adopts the stream, and the incarnation if none was expected, from the first
 // event that carries the request and the attempt.
 type Sequencer struct {
 	request     ident.Request
@@ -34,13 +34,13 @@
 	ended       bool
 }
 
-// NewSequencer returns a Sequencer for a generation about to start.
+// NewSequencer returns a Sequencer for a generation that has not started.
 func NewSequencer(request ident.Request, attempt ident.Attempt, incarnation ident.Incarnation) *Sequencer {
 	return &Sequencer{request: request, attempt: attempt, incarnation: incarnation}
 }
 
-// ResumeSequencer returns a Sequencer that goes on at a position.
-func ResumeSequencer(position Position) *Sequencer {
+// NewResumedSequencer returns a Sequencer that continues at a position.
+func NewResumedSequencer(position Position) *Sequencer {
 	return &Sequencer{
 		request:     position.Request,
 		attempt:     position.Attempt,
@@ -50,24 +50,24 @@
 	}
 }
 
-// Check judges one event and, if it is accepted, moves on.
-func (s *Sequencer) Check(event *protocol.StreamEvent) Verdict {
+// Check classifies an event and advances if it is accepted.
+func (s *Sequencer) Check(event *protocol.StreamEvent) CheckResult {
 	if event.RequestID != s.request {
-		return Crossed
+		return Misrouted
 	}
 	if event.Attempt != s.attempt {
-		return Late
+		return StaleAttempt
 	}
-	if !s.belongs(event) {
-		return Crossed
+	if !s.matchesStream(event) {
+		return Misrouted
 	}
 	s.incarnation = event.Incarnation
 	s.stream = event.Stream
-	return s.order(event)
+	return s.checkOrder(event)
 }
 
-// belongs reports whether incarnation and stream match what is known of them.
-func (s *Sequencer) belongs(event *protocol.StreamEvent) bool {
+// matchesStream reports whether the event's incarnation and stream are the expected ones.
+func (s *Sequencer) matchesStream(event *protocol.StreamEvent) bool {
 	if event.Incarnation == "" || event.Stream == "" {
 		return false
 	}
@@ -77,9 +77,9 @@
 	return s.stream == "" || event.Stream == s.stream
 }
 
-func (s *Sequencer) order(event *protocol.StreamEvent) Verdict {
+func (s *Sequencer) checkOrder(event *protocol.StreamEvent) CheckResult {
 	if s.ended || event.Sequence < s.next {
-		return Repeated
+		return Duplicate
 	}
 	if event.Sequence > s.next {
 		return Gap
@@ -89,17 +89,17 @@
 	return Accepted
 }
 
-// Next returns the sequence number of the next event wanted.
+// Next returns the sequence number of the next event.
 func (s *Sequencer) Next() uint64 { return s.next }
 
 // Ended reports whether the end or error event was accepted.
 func (s *Sequencer) Ended() bool { return s.ended }
 
-// Bound reports whether the stream is known, so that it can be resumed.
-func (s *Sequencer) Bound() bool { return s.stream != "" }
+// StreamKnown reports whether the stream is known and can thus be resumed.
+func (s *Sequencer) StreamKnown() bool { return s.stream != "" }
 
 // Stream returns the stream, or "" before the first event.
 func (s *Sequencer) Stream() ident.Stream { return s.stream }
 
-// Incarnation returns the incarnation, or "" if it is not known yet.
+// Incarnation returns the engine's incarnation, or "" if it is not known yet.
 func (s *Sequencer) Incarnation() ident.Incarnation { return s.incarnation }
--- a/internal/forward/words_test.go
+++ b/internal/forward/advertised_test.go
@@ -16,33 +16,33 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// fakeNews takes down which back ends others would be told of.
-type fakeNews struct {
-	mu      sync.Mutex
-	changed []ident.Incarnation
+// fakeNotifier records the back ends that others would be notified about.
+type fakeNotifier struct {
+	mu       sync.Mutex
+	notified []ident.Incarnation
 }
 
 // Notify implements forward.BackendNotifier.
-func (f *fakeNews) Notify(instance ident.Incarnation) {
+func (f *fakeNotifier) Notify(instance ident.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.changed = append(f.changed, instance)
+	f.notified = append(f.notified, instance)
 }
 
-// saying has an answer say something of its back end.
-func saying(said backend.Advertised, given answer) answer {
+// advertising adds an advertisement to an answer.
+func advertising(advertised backend.Advertised, given answer) answer {
 	return func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 		reply, err := given(ctx, attempt)
 		if reply != nil {
-			reply.Advertised = said
+			reply.Advertised = advertised
 		}
 		return reply, err
 	}
 }
 
-// What answers say of their back ends is heard at each kind of answer.
-func TestEachAnswerIsHeard(t *testing.T) {
-	said := backend.Advertised{Limit: backend.LimitedTo{Rate: 3}, Draining: true, Backoff: time.Minute}
+// The advertisement of every kind of answer must be applied.
+func TestAdvertisementOfEachAnswerIsApplied(t *testing.T) {
+	advertised := backend.Advertised{Limit: backend.LimitedTo{Rate: 3}, Draining: true, Backoff: time.Minute}
 	tests := []struct {
 		name  string
 		route string
@@ -52,7 +52,7 @@
 		{"a failure", "safe", genuine(500, "no")},
 		{"a refusal", "unsafe", refusing(forward.NotExecuted)},
 		{"another version", "unsafe", refusing(forward.OtherVersion)},
-		{"one that may not be passed on", "safe", refusing(forward.InvalidAnswer)},
+		{"an invalid answer", "safe", refusing(forward.InvalidAnswer)},
 		{"the head of a stream", "stream", genuine(200, "id: 1\ndata: a\n\n")},
 		{"a stream that breaks off", "stream", breaking("id: 1\ndata: a\n\n")},
 	}
@@ -60,27 +60,27 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(saying(said, tt.given), genuine(200, "ok"))
-				news := &fakeNews{}
-				b.forwarder.Notifier = news
+				b := newFixture(advertising(advertised, tt.given), genuine(200, "ok"))
+				notifier := &fakeNotifier{}
+				b.forwarder.Notifier = notifier
 				b.forward(t, request(tt.route))
 				first := b.caller.sent()[0].Target.Instance
-				is.Equal(news.changed[0], first)
+				is.Equal(notifier.notified[0], first)
 				is.True(slices.Contains(b.backends.LimitedInstances(time.Now()), first))
 				is.True(b.backends.DrainingOrUnlisted(first))
-				_, resting := b.backends.UnavailableCounts(time.Now())
-				is.True(resting >= 1)
+				_, backingOff := b.backends.UnavailableCounts(time.Now())
+				is.True(backingOff >= 1)
 			})
 		})
 	}
 }
 
-// An attempt that was placed before its back end said that it leaves, and whose connection was
-// open only later, goes elsewhere without a repeat of the budget.
-func TestAnAttemptIsWithdrawnRightBeforeItLeaves(t *testing.T) {
+// An attempt whose back end starts draining between placement and sending must go elsewhere
+// without spending a retry of the budget.
+func TestAttemptIsWithdrawnBeforeItIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var b *bench
+		var b *fixture
 		late := func(_ context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 			is.True(!attempt.Withdrawn())
 			now := time.Now()
@@ -88,7 +88,7 @@
 			is.True(attempt.Withdrawn())
 			return nil, &exchange.Error{Cause: exchange.ErrWithdrawn}
 		}
-		b = newBench(late, genuine(200, "ok"))
+		b = newFixture(late, genuine(200, "ok"))
 		sink := b.forward(t, request("unsafe"))
 		is.Equal(sink.status, 200)
 		sent := b.caller.sent()
--- a/internal/forward/budget_test.go
+++ b/internal/forward/budget_test.go
@@ -10,16 +10,16 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// The slack of the repeat budget is that of the whole system: however many
-// routers there are, what they grant together stays under it.
-func TestRoutersShareTheSlackOfTheRepeatBudget(t *testing.T) {
+// The retry slack is system-wide: all routers together must not grant more,
+// however many there are.
+func TestRoutersShareTheRetrySlack(t *testing.T) {
 	tests := []struct {
 		name    string
 		routers int
 		granted int
 		slack   int
 	}{
-		{"one", 1, benchSlack / 2, benchSlack},
+		{"one", 1, fixtureSlack / 2, fixtureSlack},
 		{"seven", 7, 5, 1},
 		{"seventy-nine", 79, 4, 0},
 		{"no part of it yet", 0, 4, 0},
@@ -28,25 +28,25 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const requests = 20
-				b := newBench(refusing(forward.NotExecuted))
+				b := newFixture(refusing(forward.NotExecuted))
 				b.routers = tt.routers
 				for range requests {
 					b.relist()
 					b.forward(t, request("safe"))
 				}
-				repeats := len(b.caller.sent()) - requests
-				is.New(t).True(repeats >= min(tt.granted, requests/2))
-				is.New(t).True(repeats <= requests/5+tt.slack)
+				retries := len(b.caller.sent()) - requests
+				is.New(t).True(retries >= min(tt.granted, requests/2))
+				is.New(t).True(retries <= requests/5+tt.slack)
 			})
 		})
 	}
 }
 
-// What a repeat was granted or denied on is told, so that logs show whose share was used.
-func TestDecisionsOnRepeatsAreTold(t *testing.T) {
+// Steps must record on which state a retry was granted or denied, for the logs.
+func TestRetryDecisionsAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(refusing(forward.NotExecuted))
+		b := newFixture(refusing(forward.NotExecuted))
 		b.routers = 7
 		for range 10 {
 			b.relist()
@@ -65,7 +65,7 @@
 			}
 			is.Equal(step.Retry.Service, ident.Service("s"))
 			is.Equal(step.Retry.Sharers, 8)
-			is.Equal(step.Retry.Slack, float64(benchSlack)/8)
+			is.Equal(step.Retry.Slack, float64(fixtureSlack)/8)
 			is.True(step.Retry.Requests >= 1 && step.Retry.Requests <= 10)
 		}
 		is.Equal(granted, len(b.caller.sent())-10)
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -13,11 +13,11 @@
 const maxEventBytes = 1 << 20
 
 var (
-	errEventTooLarge = errors.New("an event of the stream is too large")
-	errEventCut      = errors.New("the stream ended partway through an event")
+	errEventTooLarge  = errors.New("an event of the stream is too large")
+	errEventTruncated = errors.New("the stream ended partway through an event")
 )
 
-// eventReader reads a stream of events as whole, unchanged blocks of bytes.
+// eventReader reads a stream of events as complete, unchanged blocks of bytes.
 type eventReader struct {
 	source *bufio.Reader
 	block  []byte
@@ -31,12 +31,12 @@
 // are valid until the next call of next.
 type event struct {
 	raw []byte
-	// id is the number in the event's id line; hasID is false without one.
+	// id is the number in the event's id line; hasID is false if there is none.
 	id    int64
 	hasID bool
 }
 
-// next returns the next whole event. It returns io.EOF only if the stream
+// next returns the next complete event. It returns io.EOF only if the stream
 // ended between two events.
 func (r *eventReader) next() (event, error) {
 	r.block = r.block[:0]
@@ -51,7 +51,7 @@
 			continue
 		}
 		if err == io.EOF && len(r.block) > 0 {
-			return event{}, errEventCut
+			return event{}, errEventTruncated
 		}
 		if err != nil {
 			return event{}, err
--- a/internal/forward/fake_test.go
+++ b/internal/forward/fake_test.go
@@ -24,10 +24,10 @@
 	"github.com/fieldpond/fieldpond/internal/promptcache"
 )
 
-// answer is what the fake caller does with one attempt.
+// answer is the result of fakeCaller for one attempt.
 type answer func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error)
 
-// fakeCaller answers attempts in turn; the last answer is repeated.
+// fakeCaller returns its answers in order; the last one is repeated.
 type fakeCaller struct {
 	mutex    sync.Mutex
 	answers  []answer
@@ -51,11 +51,11 @@
 
 var errReset = errors.New("connection reset")
 
-func reply(verdict forward.Execution, status int, body io.Reader) answer {
+func reply(execution forward.Execution, status int, body io.Reader) answer {
 	return func(context.Context, *forward.Attempt) (*forward.Reply, error) {
 		return &forward.Reply{
 			Status: status, Header: http.Header{"Seal": {fmt.Sprint(status)}}, Length: -1,
-			Body: io.NopCloser(body), Execution: verdict,
+			Body: io.NopCloser(body), Execution: execution,
 		}, nil
 	}
 }
@@ -66,13 +66,13 @@
 	}
 }
 
-func refusing(verdict forward.Execution) answer {
+func refusing(execution forward.Execution) answer {
 	return func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
-		return reply(verdict, http.StatusServiceUnavailable, strings.NewReader("no"))(ctx, attempt)
+		return reply(execution, http.StatusServiceUnavailable, strings.NewReader("no"))(ctx, attempt)
 	}
 }
 
-// breaking gives the body and then breaks off.
+// breaking sends the body and then breaks off.
 func breaking(body string) answer {
 	return func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 		broken := io.MultiReader(strings.NewReader(body), failingReader{})
@@ -91,7 +91,7 @@
 	}
 }
 
-// hanging gives the body and then nothing until it is given up.
+// hanging sends the body and then nothing until the attempt is cancelled.
 func hanging(body string) answer {
 	return func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 		if body == "" {
@@ -103,7 +103,7 @@
 	}
 }
 
-// waitingReader waits until its attempt is given up.
+// waitingReader blocks until its attempt is cancelled.
 type waitingReader struct{ ctx context.Context }
 
 // Read implements io.Reader.
@@ -112,7 +112,7 @@
 	return 0, context.Cause(r.ctx)
 }
 
-// fakeSink takes the final answer.
+// fakeSink records the final answer.
 type fakeSink struct {
 	status  int
 	header  http.Header
@@ -148,21 +148,21 @@
 	s.at = time.Now()
 }
 
-// bench is a forwarder over fakes.
-type bench struct {
+// fixture is a Forwarder with fake dependencies.
+type fixture struct {
 	caller    *fakeCaller
 	holder    *catalog.Holder
 	backends  *backend.Registry
 	caches    *promptcache.Index
 	forwarder *forward.Forwarder
 	steps     []forward.Step
-	// routers is the number of routers that the forwarder is told, lists the
+	// routers is the number of routers reported to the Forwarder, lists the
 	// number of lists made by relist.
 	routers, lists int
 	mutex          sync.Mutex
 }
 
-// cacheStore is the store of kept prompt caches of the configuration.
+// cacheStore is the prompt cache store of the configuration.
 var cacheStore = netip.MustParseAddrPort("10.9.9.9:1")
 
 var configuration = catalog.Content{
@@ -181,8 +181,8 @@
 	},
 }
 
-func newBench(answers ...answer) *bench {
-	b := &bench{routers: 1, caches: promptcache.NewIndex(), caller: &fakeCaller{answers: answers}, holder: &catalog.Holder{}, backends: backend.NewRegistry(backend.Config{Zone: "z"})}
+func newFixture(answers ...answer) *fixture {
+	b := &fixture{routers: 1, caches: promptcache.NewIndex(), caller: &fakeCaller{answers: answers}, holder: &catalog.Holder{}, backends: backend.NewRegistry(backend.Config{Zone: "z"})}
 	b.holder.Adopt(catalog.NewSnapshot(configuration), time.Now())
 	var records []backend.Record
 	for _, name := range []ident.Incarnation{"a", "b", "c"} {
@@ -194,32 +194,32 @@
 	b.forwarder = forward.New(forward.Config{
 		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second},
 		Retries:   admission.WindowConfig{Window: 10 * time.Second, Share: 0.2},
-		Slack:     benchSlack,
+		Slack:     fixtureSlack,
 	}, forward.Dependencies{
 		Holder: b.holder, Backends: b.backends, Caller: b.caller, Record: b.record, Routers: func() int { return b.routers }, Sharers: func() int { return b.routers }, Caches: b.caches,
 	})
 	return b
 }
 
-// lateEngines lets the registry see answers of all engines that come later than
-// predicted.
-func (b *bench) lateEngines(by time.Duration) {
+// lateEngines has the registry observe answers of all engines that arrive later
+// than predicted.
+func (b *fixture) lateEngines(by time.Duration) {
 	now := time.Now()
 	for key := range uint64(60) {
-		choice, flight, found := b.backends.Pick(now, &backend.Query{Service: "s", Model: "m", HomeKey: key, OwnTokens: 1})
+		choice, backendAttempt, found := b.backends.Pick(now, &backend.Query{Service: "s", Model: "m", HomeKey: key, OwnTokens: 1})
 		if !found {
 			continue
 		}
-		flight.ObserveBytes(now.Add(choice.Predicted + by))
-		flight.End(now, backend.Answered)
+		backendAttempt.ObserveBytes(now.Add(choice.Predicted + by))
+		backendAttempt.End(now, backend.Answered)
 	}
 }
 
-// benchSlack is granted to all routers of a bench together.
-const benchSlack = 10
+// fixtureSlack is the retry slack of all routers of a fixture together.
+const fixtureSlack = 10
 
-// relist lists other back ends than those that rest after refusals.
-func (b *bench) relist() {
+// relist replaces the listed back ends by new ones, which have refused nothing yet.
+func (b *fixture) relist() {
 	b.lists++
 	var records []backend.Record
 	for index := range 3 {
@@ -231,7 +231,7 @@
 	b.backends.ApplyList(time.Now(), records)
 }
 
-func (b *bench) record(step forward.Step) {
+func (b *fixture) record(step forward.Step) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.steps = append(b.steps, step)
@@ -245,7 +245,7 @@
 }
 
 // forward runs a request to its end.
-func (b *bench) forward(t *testing.T, wanted *forward.Request) *fakeSink {
+func (b *fixture) forward(t *testing.T, wanted *forward.Request) *fakeSink {
 	t.Helper()
 	sink := &fakeSink{}
 	b.forwarder.Forward(t.Context(), wanted, sink)
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -19,27 +19,27 @@
 	"github.com/fieldpond/fieldpond/internal/promptcache"
 )
 
-func TestRequestsThatAreRefusedUnsent(t *testing.T) {
+func TestRequestIsRefusedBeforeAnyAttempt(t *testing.T) {
 	cases := []struct {
 		name    string
-		change  func(b *bench, wanted *forward.Request)
+		change  func(b *fixture, wanted *forward.Request)
 		age     time.Duration
 		kind    fault.Kind
 		returns bool
 	}{
-		{"no route", func(_ *bench, wanted *forward.Request) { wanted.Path = "/none/" }, 0, fault.UnknownRoute, false},
-		{"no route, as far as an old configuration tells", func(_ *bench, wanted *forward.Request) { wanted.Path = "/none/" }, 2 * time.Second, fault.NotReady, true},
-		{"unknown key", func(_ *bench, wanted *forward.Request) { wanted.Key = "x" }, 0, fault.Unauthorized, false},
-		{"no key", func(_ *bench, wanted *forward.Request) { wanted.Key = "" }, 0, fault.Unauthorized, false},
-		{"unknown key, as far as an old configuration tells", func(_ *bench, wanted *forward.Request) { wanted.Key = "x" }, 2 * time.Second, fault.NotReady, true},
-		{"a known key that may have been revoked", func(*bench, *forward.Request) {}, 5 * time.Second, fault.NotReady, true},
-		{"no back end", func(b *bench, _ *forward.Request) { b.backends.ApplyList(time.Now(), nil) }, 0, fault.NoPermittedEngine, true},
+		{"no route", func(_ *fixture, wanted *forward.Request) { wanted.Path = "/none/" }, 0, fault.UnknownRoute, false},
+		{"no route in an old configuration", func(_ *fixture, wanted *forward.Request) { wanted.Path = "/none/" }, 2 * time.Second, fault.NotReady, true},
+		{"unknown key", func(_ *fixture, wanted *forward.Request) { wanted.Key = "x" }, 0, fault.Unauthorized, false},
+		{"no key", func(_ *fixture, wanted *forward.Request) { wanted.Key = "" }, 0, fault.Unauthorized, false},
+		{"unknown key in an old configuration", func(_ *fixture, wanted *forward.Request) { wanted.Key = "x" }, 2 * time.Second, fault.NotReady, true},
+		{"a known key that may have been revoked", func(*fixture, *forward.Request) {}, 5 * time.Second, fault.NotReady, true},
+		{"no back end", func(b *fixture, _ *forward.Request) { b.backends.ApplyList(time.Now(), nil) }, 0, fault.NoPermittedEngine, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "ok"))
+				b := newFixture(genuine(200, "ok"))
 				time.Sleep(c.age)
 				wanted := request("safe")
 				c.change(b, wanted)
@@ -49,13 +49,13 @@
 				is.Equal(sink.refusal.Ran, fault.RanNo)
 				is.Equal(sink.refusal.RetryAfter > 0, c.returns)
 				is.Equal(len(b.caller.sent()), 0)
-				is.True(sink.at.Sub(wanted.ReceivedAt) <= 100*time.Millisecond) // given up at once
+				is.True(sink.at.Sub(wanted.ReceivedAt) <= 100*time.Millisecond) // refused at once
 			})
 		})
 	}
 }
 
-func TestNothingIsKnownBeforeTheFirstConfiguration(t *testing.T) {
+func TestRequestWithoutConfigurationIsRefused(t *testing.T) {
 	is := is.New(t)
 	forwarder := forward.New(forward.Config{}, forward.Dependencies{
 		Holder: &catalog.Holder{}, Backends: backend.NewRegistry(backend.Config{}),
@@ -66,10 +66,10 @@
 	is.Equal(sink.refusal.Kind, fault.NotReady)
 }
 
-func TestPublicRoutesNeedNoFreshKey(t *testing.T) {
+func TestPublicRouteNeedsNoConfirmedKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(genuine(200, "ok"))
+		b := newFixture(genuine(200, "ok"))
 		time.Sleep(time.Minute)
 		wanted := request("public")
 		wanted.Key = ""
@@ -78,12 +78,12 @@
 	})
 }
 
-// A key that is taken away while its request waits is not used any more.
-func TestAKeyIsConfirmedBeforeEachAttempt(t *testing.T) {
+// A key that is revoked while its request waits must not be used any more.
+func TestKeyIsConfirmedBeforeEachAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var b *bench
-		b = newBench(func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+		var b *fixture
+		b = newFixture(func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 			without := configuration
 			without.Version++
 			without.Keys = map[string]*catalog.Tenant{}
@@ -96,13 +96,13 @@
 	})
 }
 
-func TestWhatBecomesOfAttempts(t *testing.T) {
+func TestFinalAnswerOfAttempts(t *testing.T) {
 	cases := []struct {
 		name    string
 		route   string
 		answers []answer
 		sends   int
-		// status is that of the final answer; kind that of a refusal.
+		// status is that of the final answer, kind that of a refusal.
 		status int
 		kind   fault.Kind
 		ran    fault.Ran
@@ -110,15 +110,15 @@
 		{"answered", "unsafe", []answer{genuine(200, "ok")}, 1, 200, "", ""},
 		{"a failure of the back end is passed on", "unsafe", []answer{genuine(500, "no")}, 1, 500, "", ""},
 		{"a client's mistake is passed on", "safe", []answer{genuine(409, "no")}, 1, 409, "", ""},
-		{"a safe request is tried elsewhere after a failure", "safe", []answer{genuine(500, "no"), genuine(200, "ok")}, 2, 200, "", ""},
+		{"a safe request is retried after a failure", "safe", []answer{genuine(500, "no"), genuine(200, "ok")}, 2, 200, "", ""},
 		{"both fail", "safe", []answer{genuine(500, "no"), genuine(501, "no")}, 2, 501, "", ""},
 		{"an unsafe request never runs twice", "unsafe", []answer{failing(true), genuine(200, "ok")}, 1, 0, fault.OutcomeUnknown, fault.RanUnknown},
 		{"an unsafe answer that breaks off", "unsafe", []answer{breaking("half")}, 1, 0, fault.OutcomeUnknown, fault.RanUnknown},
-		{"an unsafe answer that is unsound", "unsafe", []answer{refusing(forward.InvalidAnswer)}, 1, 0, fault.OutcomeUnknown, fault.RanUnknown},
-		{"an unsafe request that did not leave", "unsafe", []answer{failing(false), genuine(200, "ok")}, 2, 200, "", ""},
+		{"an unsafe answer that is invalid", "unsafe", []answer{refusing(forward.InvalidAnswer)}, 1, 0, fault.OutcomeUnknown, fault.RanUnknown},
+		{"an unsafe request that was not sent", "unsafe", []answer{failing(false), genuine(200, "ok")}, 2, 200, "", ""},
 		{"an unsafe request that was refused", "unsafe", []answer{refusing(forward.NotExecuted), genuine(200, "ok")}, 2, 200, "", ""},
 		{"another instance has the address", "unsafe", []answer{refusing(forward.OtherInstance), genuine(200, "ok")}, 2, 200, "", ""},
-		{"the weights are others", "unsafe", []answer{refusing(forward.OtherVersion), genuine(200, "ok")}, 2, 200, "", ""},
+		{"the weights have another version", "unsafe", []answer{refusing(forward.OtherVersion), genuine(200, "ok")}, 2, 200, "", ""},
 		{"all refuse", "unsafe", []answer{refusing(forward.NotExecuted)}, 3, 0, fault.NoPermittedEngine, fault.RanNo},
 		{"a safe answer that breaks off", "safe", []answer{breaking("half"), genuine(200, "ok")}, 2, 200, "", ""},
 		{"a safe request runs on two back ends at most", "safe", []answer{failing(true)}, 2, 0, fault.BackendLost, fault.RanUnknown},
@@ -128,7 +128,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(c.answers...)
+				b := newFixture(c.answers...)
 				wanted := request(c.route)
 				sink := b.forward(t, wanted)
 				is.Equal(len(b.caller.sent()), c.sends)
@@ -149,10 +149,10 @@
 	}
 }
 
-func TestNoBackEndGetsARequestTwice(t *testing.T) {
+func TestNoBackendGetsARequestTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(refusing(forward.NotExecuted))
+		b := newFixture(refusing(forward.NotExecuted))
 		b.forward(t, request("safe"))
 		tried := map[ident.Incarnation]bool{}
 		for _, attempt := range b.caller.sent() {
@@ -162,7 +162,7 @@
 	})
 }
 
-func TestAMuteBackEndIsGivenUpForAnother(t *testing.T) {
+func TestSilentBackendIsReplacedByAnother(t *testing.T) {
 	cases := []struct {
 		route  string
 		sends  int
@@ -178,7 +178,7 @@
 		t.Run(c.route, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(hanging(""), genuine(200, "id: 1\n\n"))
+				b := newFixture(hanging(""), genuine(200, "id: 1\n\n"))
 				begun := time.Now()
 				sink := b.forward(t, request(c.route))
 				is.Equal(sink.status, c.status)
@@ -192,42 +192,42 @@
 	}
 }
 
-// An attempt is not cut off for a repeat that the budget does not grant.
-func TestAnAttemptIsKeptWhileNoRepeatIsLeft(t *testing.T) {
+// An attempt must not be cancelled for a retry that the budget does not grant.
+func TestAttemptContinuesWhileNoRetryIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
+		b := newFixture(func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 			time.Sleep(time.Second)
 			if ctx.Err() != nil {
 				return hanging("")(ctx, attempt)
 			}
 			return genuine(200, "ok")(ctx, attempt)
 		})
-		exhaust(t, b)
+		exhaustRetries(t, b)
 		sink := b.forward(t, request("safe"))
 		is.Equal(sink.status, 200)
 		is.Equal(len(b.caller.sent()), 1)
 	})
 }
 
-// exhaust uses up the repeats of the service.
-func exhaust(t *testing.T, b *bench) {
+// exhaustRetries uses up the retries of the service.
+func exhaustRetries(t *testing.T, b *fixture) {
 	t.Helper()
-	kept := b.caller.answers
+	answers := b.caller.answers
 	b.caller.answers = []answer{refusing(forward.NotExecuted)}
 	for range 10 {
 		b.forward(t, request("unsafe"))
 		time.Sleep(500 * time.Millisecond)
 		b.holder.Adopt(b.holder.View().Snapshot, time.Now())
 	}
-	b.caller.answers = kept
+	b.caller.answers = answers
 	b.caller.attempts = nil
 }
 
-func TestRepeatsStayInTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(refusing(forward.NotExecuted))
+		b := newFixture(refusing(forward.NotExecuted))
 		const requests = 50
 		for number := range requests {
 			wanted := request("unsafe")
@@ -235,21 +235,21 @@
 			b.forward(t, wanted)
 		}
 		sends := map[ident.Request]int{}
-		repeats := 0
+		retries := 0
 		for _, attempt := range b.caller.sent() {
 			if sends[attempt.Request.ID]++; sends[attempt.Request.ID] > 1 {
-				repeats++
+				retries++
 			}
 		}
-		is.True(repeats <= requests/5+5)
-		is.True(repeats > 0)
+		is.True(retries <= requests/5+5)
+		is.True(retries > 0)
 	})
 }
 
-func TestAClientThatLeftEndsTheAttempt(t *testing.T) {
+func TestAttemptEndsWhenClientLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(hanging(""))
+		b := newFixture(hanging(""))
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(50*time.Millisecond, leave)
 		sink := &fakeSink{}
@@ -263,10 +263,10 @@
 	})
 }
 
-func TestWhatAnAttemptCarries(t *testing.T) {
+func TestAttemptFields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(genuine(200, "id: 1\n\n"))
+		b := newFixture(genuine(200, "id: 1\n\n"))
 		prompt := &forward.Prompt{Model: "m", Parts: []forward.Part{{ID: "x", Tokens: 10}, {ID: "y", Tokens: 20}, {ID: "z", Tokens: 5}}}
 		send := func(key string, wait time.Duration) forward.Attempt {
 			wanted := request("resumable")
@@ -283,7 +283,7 @@
 		is.Equal(first.Tenant, ident.Tenant("tenant"))
 		is.Equal(first.Priority, 3)
 		second := send("key", time.Hour)
-		is.Equal(second.Remaining, 9*time.Second) // the route's own time binds
+		is.Equal(second.Remaining, 9*time.Second) // the route's timeout
 		is.Equal(second.SaveTo, netip.AddrPort{}) // saved by the first
 		is.Equal(second.Target.Instance, first.Target.Instance)
 		walled := send("walled", time.Second)
@@ -292,8 +292,8 @@
 	})
 }
 
-// Once a router knows what the store of prompt caches holds, it has just the
-// missing parts saved, each once.
+// Once the contents of the prompt cache store are known, only missing parts are
+// saved, each once.
 func TestOnlyMissingPartsAreSaved(t *testing.T) {
 	part := promptcache.Part{Salt: "v2", ID: "y"}
 	tests := []struct {
@@ -309,7 +309,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "id: 1\n\n"))
+				b := newFixture(genuine(200, "id: 1\n\n"))
 				b.caches.Replace(time.Now(), cacheStore, &promptcache.Listing{Epoch: 1, Held: tt.held})
 				for _, want := range tt.want {
 					wanted := request("resumable")
@@ -323,9 +323,9 @@
 	}
 }
 
-// While all engines answer late, a prompt with little time is refused at once,
-// before any engine has it, with when to come back; others are still sent.
-func TestOverloadRefusesWhatWouldWaitTooLong(t *testing.T) {
+// While all engines answer late, a prompt with little time is refused unsent with
+// a Retry-After; others are still sent.
+func TestOverloadRefusesRequestsWithLittleTime(t *testing.T) {
 	tests := []struct {
 		name string
 		wait time.Duration
@@ -338,7 +338,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "id: 1\n\n"))
+				b := newFixture(genuine(200, "id: 1\n\n"))
 				b.lateEngines(150 * time.Millisecond)
 				wanted := request("resumable")
 				wanted.ClientTimeout = tt.wait
@@ -357,8 +357,8 @@
 	}
 }
 
-// Who is refused under overload is told to come back when an engine would be free.
-func TestOverloadTellsWhenAnEngineIsFree(t *testing.T) {
+// The Retry-After under overload must be the time until an engine is free.
+func TestOverloadRefusalReportsWhenAnEngineIsFree(t *testing.T) {
 	tests := []struct {
 		waiting     int
 		least, most time.Duration
@@ -370,7 +370,7 @@
 		t.Run(strconv.Itoa(tt.waiting), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "id: 1\n\n"))
+				b := newFixture(genuine(200, "id: 1\n\n"))
 				b.lateEngines(150 * time.Millisecond)
 				for _, name := range []ident.Incarnation{"a", "b", "c"} {
 					b.backends.PeerQueue(time.Now(), name, tt.waiting)
@@ -387,9 +387,9 @@
 	}
 }
 
-// A save keeps the whole prompt. One that is mostly of its own would drive out
-// more shared parts than it keeps.
-func TestPromptsOfMostlyOwnTokensAreNotSaved(t *testing.T) {
+// A save stores the whole prompt; a mostly unshared one would evict more shared
+// tokens than it adds.
+func TestPromptsOfMostlyUnsharedTokensAreNotSaved(t *testing.T) {
 	tests := []struct {
 		name        string
 		shared, own int
@@ -397,14 +397,14 @@
 	}{
 		{"mostly shared", 20, 19, cacheStore},
 		{"even", 20, 20, cacheStore},
-		{"mostly own", 20, 21, netip.AddrPort{}},
-		{"nothing of its own", 20, 0, cacheStore},
+		{"mostly unshared", 20, 21, netip.AddrPort{}},
+		{"nothing unshared", 20, 0, cacheStore},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(genuine(200, "id: 1\n\n"))
+				b := newFixture(genuine(200, "id: 1\n\n"))
 				b.caches.Replace(time.Now(), cacheStore, &promptcache.Listing{Epoch: 1})
 				wanted := request("resumable")
 				wanted.Prompt = &forward.Prompt{Model: "m", Parts: []forward.Part{{ID: "y", Tokens: tt.shared}, {ID: "z", Tokens: tt.own}}}
@@ -416,12 +416,11 @@
 	}
 }
 
-// A back end that has taken newer weights than the list tells is asked again
-// under those.
-func TestABackEndIsAskedAgainUnderItsNewWeights(t *testing.T) {
+// A back end with newer weights than listed must be retried under those.
+func TestBackendIsRetriedUnderItsNewVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(refusing(forward.OtherVersion), genuine(200, one))
+		b := newFixture(refusing(forward.OtherVersion), genuine(200, one))
 		b.holder.Published("m", catalog.Publication{Version: 5, SeenAt: time.Now()})
 		wanted := request("stream")
 		wanted.Prompt = &forward.Prompt{Model: "m", Parts: []forward.Part{{ID: "x", Tokens: 10}, {ID: "y", Tokens: 20}}}
--- a/internal/forward/recent.go
+++ b/internal/forward/recent.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// recentFor is how long after its last use a prompt part is taken to be
-	// kept in the store of prompt caches.
+	// recentFor is how long after its last use a prompt part is assumed to be
+	// in the prompt cache store.
 	recentFor = 10 * time.Second
-	// recentMost bounds the parts remembered.
-	recentMost = 8192
+	// maxRecentParts bounds the parts tracked.
+	maxRecentParts = 8192
 )
 
-// recentPrompts remembers which shared prompt parts this router has lately had
-// saved, so that each is saved to the store of prompt caches once and not by
-// every request. It is safe for concurrent use.
+// recentPrompts tracks the shared prompt parts that this router has recently had
+// saved, so that not every request saves them to the prompt cache store again.
+// It is safe for concurrent use.
 type recentPrompts struct {
 	mutex  sync.Mutex
 	usedAt map[promptcache.Part]time.Time
@@ -27,26 +27,26 @@
 	return &recentPrompts{usedAt: make(map[promptcache.Part]time.Time)}
 }
 
-// use notes a use of the part and reports whether it was used lately before.
+// use records a use of the part and reports whether it had been used recently.
 func (p *recentPrompts) use(now time.Time, part promptcache.Part) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	usedAt, known := p.usedAt[part]
-	if !known && len(p.usedAt) >= recentMost {
+	if !known && len(p.usedAt) >= maxRecentParts {
 		p.forget(now)
 	}
 	p.usedAt[part] = now
 	return known && now.Sub(usedAt) < recentFor
 }
 
-// forget drops the parts that were not used lately, or all if none is old.
+// forget drops the parts that were not used recently, or all if that frees no space.
 func (p *recentPrompts) forget(now time.Time) {
 	for part, usedAt := range p.usedAt {
 		if now.Sub(usedAt) >= recentFor {
 			delete(p.usedAt, part)
 		}
 	}
-	if len(p.usedAt) >= recentMost {
+	if len(p.usedAt) >= maxRecentParts {
 		clear(p.usedAt)
 	}
 }
--- a/internal/forward/region_test.go
+++ b/internal/forward/region_test.go
@@ -14,9 +14,9 @@
 	"github.com/fieldpond/fieldpond/internal/region"
 )
 
-// What the prompts of an isolated tenant begin with is kept in one region; prompts of all
-// others that begin alike are spread over the regions.
-func TestPromptsOfAnIsolatedTenantLieInOneRegion(t *testing.T) {
+// An isolated tenant's prompts with the same first part must stay in one region; those of
+// other tenants are spread over the regions.
+func TestPromptsOfIsolatedTenantStayInOneRegion(t *testing.T) {
 	regions := region.NewMap(map[ident.Zone]ident.Region{"a1": "a", "b1": "b", "c1": "c"})
 	tests := []struct {
 		key     string
@@ -25,7 +25,7 @@
 	for _, tt := range tests {
 		t.Run(tt.key, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(genuine(http.StatusOK, "done"))
+			b := newFixture(genuine(http.StatusOK, "done"))
 			b.backends = backend.NewRegistry(backend.Config{Zone: "a1", Regions: regions})
 			b.forwarder.Backends = b.backends
 			var records []backend.Record
--- a/internal/forward/releases.go
+++ b/internal/forward/releases.go
@@ -10,107 +10,104 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Releases guards services that are moved to another release. Its methods are safe for
+// Releases guards rollouts of services to another release. Its methods are safe for
 // concurrent use.
 type Releases interface {
 	// Choose returns the releases that an attempt may go to.
 	Choose(now time.Time, ask canary.Ask) backend.Releases
-	// StillAllowed reports whether an attempt that was allowed to go to some releases may still go to
-	// one of them.
+	// StillAllowed reports whether an attempt that was allowed to go to some releases may
+	// still go to one of them.
 	StillAllowed(service ident.Service, allowed *backend.Releases, release ident.Release) bool
-	// Declined takes back a choice that named the only release allowed, since nothing was
-	// sent there.
+	// Declined cancels a choice that allowed only one release, since no attempt was sent there.
 	Declined(service ident.Service)
-	// Sent counts an attempt that leaves for a back end, and Ended what came of it.
+	// Sent counts an attempt about to be sent to a back end, Ended records its sample.
 	Sent(now time.Time, service ident.Service, to backend.Record) canary.Run
 	Ended(now time.Time, run canary.Run, sample canary.Sample)
 }
 
-// pick chooses the back end for the next attempt among the releases that are allowed. If
-// no back end of the release that it is meant to try can take it, it goes to the others.
+// pick chooses the back end for the next attempt among the allowed releases. If no back
+// end of a release on trial can take it, pick tries the others.
 func (r *run) pick(now time.Time) (backend.Choice, *backend.Attempt, bool) {
 	query := r.query()
 	if r.forwarder.Releases == nil {
 		return r.forwarder.Backends.Pick(now, &query)
 	}
-	query.Releases = r.releases(now)
-	choice, flight, found := r.forwarder.Backends.Pick(now, &query)
+	query.Releases = r.chooseReleases(now)
+	choice, backendAttempt, found := r.forwarder.Backends.Pick(now, &query)
 	if found || query.Releases.Only == "" {
-		return choice, flight, found
+		return choice, backendAttempt, found
 	}
 	r.forwarder.Releases.Declined(r.service)
-	query.Releases = r.releases(now)
-	choice, flight, found = r.forwarder.Backends.Pick(now, &query)
+	query.Releases = r.chooseReleases(now)
+	choice, backendAttempt, found = r.forwarder.Backends.Pick(now, &query)
 	if !found && query.Releases.Only != "" {
 		r.forwarder.Releases.Declined(r.service)
 	}
-	return choice, flight, found
+	return choice, backendAttempt, found
 }
 
-// stands reports whether the attempt may still go to its back end. An order or a verdict may
-// have become known, with the back ends of a new release, after it was asked where the attempt
-// may go: it would be placed at a release that nothing has proved.
-func (r *run) stands(choice *backend.Choice) bool {
+// stillAllowed reports whether the attempt may still go to its back end: an order or a decision,
+// and the back ends of a new, untested release, may have become known since Choose.
+func (r *run) stillAllowed(choice *backend.Choice) bool {
 	return r.forwarder.Releases == nil || r.forwarder.Releases.StillAllowed(r.service, &choice.Releases, choice.Release)
 }
 
-// decline gives up an attempt that was placed and is not sent.
-func (r *run) decline(now time.Time, choice *backend.Choice, flight *backend.Attempt) {
-	flight.End(now, backend.Abandoned)
-	r.returnPermit()
+// declinePlacement cancels an attempt that was placed and is not sent.
+func (r *run) declinePlacement(now time.Time, choice *backend.Choice, backendAttempt *backend.Attempt) {
+	backendAttempt.End(now, backend.Abandoned)
+	r.releaseBackendGrant()
 	if choice.Releases.Only != "" {
 		r.forwarder.Releases.Declined(r.service)
 	}
 }
 
-// releases asks where the next attempt may go. Only the first question counts the request.
-func (r *run) releases(now time.Time) backend.Releases {
-	ask := canary.Ask{Service: r.service, Route: r.route.Name, First: !r.asked, Excluded: len(r.excluded)}
-	r.asked = true
+// chooseReleases returns the releases for the next attempt. Only the first call counts the request.
+func (r *run) chooseReleases(now time.Time) backend.Releases {
+	ask := canary.Ask{Service: r.service, Route: r.route.Name, First: !r.counted, Excluded: len(r.excluded)}
+	r.counted = true
 	return r.forwarder.Releases.Choose(now, ask)
 }
 
-// count counts the attempt for the release of its back end.
-func (a *attempt) count() {
+// countForRelease counts the attempt for the release of its back end.
+func (a *attempt) countForRelease() {
 	if a.forwarder.Releases != nil {
-		a.counted = a.forwarder.Releases.Sent(a.sentAt, a.service, a.choice.Record)
+		a.releaseRun = a.forwarder.Releases.Sent(a.sentAt, a.service, a.choice.Record)
 	}
 }
 
-// heard takes in that bytes of the answer came.
-func (a *attempt) heard() {
+// recordReceived records that bytes of the answer arrived.
+func (a *attempt) recordReceived() {
 	now := clock.Now()
-	a.flight.ObserveBytes(now)
-	if a.heardAt.IsZero() {
-		a.heardAt = now
+	a.backendAttempt.ObserveBytes(now)
+	if a.firstByteAt.IsZero() {
+		a.firstByteAt = now
 	}
 }
 
-// settle tells what the attempt says of the release of its back end.
-func (a *attempt) settle(outcome backend.Outcome) {
+// reportSample reports the result of the attempt to Releases.
+func (a *attempt) reportSample(outcome backend.Outcome) {
 	if a.forwarder.Releases == nil {
 		return
 	}
 	now := clock.Now()
 	sample := canary.Sample{
-		Route: a.route.Name, Outcome: a.sampled(outcome), Elapsed: now.Sub(a.sentAt), Predicted: a.choice.PredictedUncached,
+		Route: a.route.Name, Outcome: a.sampleOutcome(outcome), Elapsed: now.Sub(a.sentAt), Predicted: a.choice.PredictedUncached,
 	}
-	if !a.heardAt.IsZero() {
-		sample.Elapsed = a.heardAt.Sub(a.sentAt)
+	if !a.firstByteAt.IsZero() {
+		sample.Elapsed = a.firstByteAt.Sub(a.sentAt)
 	}
-	a.forwarder.Releases.Ended(now, a.counted, sample)
+	a.forwarder.Releases.Ended(now, a.releaseRun, sample)
 }
 
-// sampled returns what an outcome says of a release. An attempt from which nothing came
-// in time counts as an answer that took at least as long: a release that answers too late
-// for its callers would otherwise leave no trace of that.
-func (a *attempt) sampled(outcome backend.Outcome) canary.Outcome {
+// sampleOutcome converts an outcome to that of a release's sample. An attempt without any bytes
+// in time counts as an answer that took as long, so that a release that answers too late is noticed.
+func (a *attempt) sampleOutcome(outcome backend.Outcome) canary.Outcome {
 	switch {
-	case outcome == backend.Failed, a.unsound:
+	case outcome == backend.Failed, a.invalid:
 		return canary.Failed
-	case outcome == backend.Answered, outcome == backend.Silent && a.heardAt.IsZero():
+	case outcome == backend.Answered, outcome == backend.Silent && a.firstByteAt.IsZero():
 		return canary.Answered
-	case outcome == backend.Abandoned && a.heardAt.IsZero() && context.Cause(a.ctx) == errTimeUp:
+	case outcome == backend.Abandoned && a.firstByteAt.IsZero() && context.Cause(a.ctx) == errDeadline:
 		return canary.Answered
 	default:
 		return canary.NoAnswer
--- a/internal/forward/releases_test.go
+++ b/internal/forward/releases_test.go
@@ -18,17 +18,17 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// fakeReleases allows first asks one release, and later ones all but that.
+// fakeReleases returns first for the first choice of a request, later for further ones.
 type fakeReleases struct {
 	mutex sync.Mutex
 	first backend.Releases
 	later backend.Releases
 	asks  []canary.Ask
-	// withdrawn is a release that attempts may not go to any more once they were placed.
-	withdrawn ident.Release
-	declined  int
-	sent      []ident.Release
-	samples   []canary.Sample
+	// revoked is a release that is no longer allowed after the placement.
+	revoked  ident.Release
+	declined int
+	sent     []ident.Release
+	samples  []canary.Sample
 }
 
 // Choose implements forward.Releases.
@@ -44,7 +44,7 @@
 
 // StillAllowed implements forward.Releases.
 func (f *fakeReleases) StillAllowed(_ ident.Service, _ *backend.Releases, release ident.Release) bool {
-	return f.withdrawn == "" || release != f.withdrawn
+	return f.revoked == "" || release != f.revoked
 }
 
 // Declined implements forward.Releases.
@@ -69,10 +69,10 @@
 	f.samples = append(f.samples, sample)
 }
 
-// newReleaseBench returns a bench with three engines of an old release and, unless none is
-// to be there, one of a new one.
-func newReleaseBench(releases *fakeReleases, target bool, answers ...answer) *bench {
-	b := newBench(answers...)
+// newReleaseFixture returns a fixture with three engines of an old release and, if target is
+// set, one of a new one.
+func newReleaseFixture(releases *fakeReleases, target bool, answers ...answer) *fixture {
+	b := newFixture(answers...)
 	records := b.backends.Records()
 	for index := range records {
 		records[index].Release = "v1"
@@ -84,7 +84,7 @@
 	}
 	b.backends.ApplyList(time.Now(), records)
 	b.forwarder = forward.New(forward.Config{
-		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second}, Slack: benchSlack,
+		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second}, Slack: fixtureSlack,
 		Retries: admission.WindowConfig{Window: 10 * time.Second, Share: 0.2},
 	}, forward.Dependencies{
 		Holder: b.holder, Backends: b.backends, Caller: b.caller, Record: b.record, Routers: func() int { return 1 }, Sharers: func() int { return 1 },
@@ -98,9 +98,9 @@
 	notNew  = backend.Releases{Excluded: []ident.Release{"v2"}}
 )
 
-// Each attempt goes where it may go: the first to the release that it is to try, a repeat
-// by the rule of repeats, and one that finds no back end of the target to the others.
-func TestAttemptsKeepToTheReleases(t *testing.T) {
+// The first attempt goes to the target release, or to others if that has no back end; a retry
+// goes where the rule for retries allows.
+func TestAttemptsGoOnlyToAllowedReleases(t *testing.T) {
 	tests := []struct {
 		name         string
 		target       bool
@@ -116,12 +116,12 @@
 			[]ident.Release{"v2"}, []canary.Ask{{Service: "s", Route: "safe", First: true}}, 0, 200,
 		},
 		{
-			"the target fails, and the repeat goes elsewhere", true, onlyNew, notNew,
+			"the target fails, and the retry goes elsewhere", true, onlyNew, notNew,
 			[]answer{genuine(500, "no"), genuine(200, "ok")}, []ident.Release{"v2", "v1"},
 			[]canary.Ask{{Service: "s", Route: "safe", First: true}, {Service: "s", Route: "safe", Excluded: 1}}, 0, 200,
 		},
 		{
-			"no back end of the target is there", false, onlyNew, notNew, []answer{genuine(200, "ok")},
+			"the target has no back end", false, onlyNew, notNew, []answer{genuine(200, "ok")},
 			[]ident.Release{"v1"}, []canary.Ask{{Service: "s", Route: "safe", First: true}, {Service: "s", Route: "safe"}}, 1, 200,
 		},
 		{
@@ -133,22 +133,22 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			releases := &fakeReleases{first: tt.first, later: tt.later}
-			b := newReleaseBench(releases, tt.target, tt.answers...)
+			b := newReleaseFixture(releases, tt.target, tt.answers...)
 			sink := b.forward(t, request("safe"))
 			is.Equal(sink.status, tt.status)
 			is.Equal(releases.sent, tt.sent)
 			is.Equal(releases.asks, tt.asks)
 			is.Equal(releases.declined, tt.declined)
-			is.Equal(len(releases.samples), len(tt.sent)) // whatever was sent is told to have ended
+			is.Equal(len(releases.samples), len(tt.sent)) // one sample per attempt
 		})
 	}
 }
 
-// A choice of the target is taken back if the client left before anything was sent.
-func TestAClientThatLeftTakesNoGrant(t *testing.T) {
+// A choice of the target must be declined if the client left before anything was sent.
+func TestClientThatLeftUsesNoReleaseGrant(t *testing.T) {
 	is := is.New(t)
 	releases := &fakeReleases{first: onlyNew, later: notNew}
-	b := newReleaseBench(releases, true, genuine(200, "ok"))
+	b := newReleaseFixture(releases, true, genuine(200, "ok"))
 	wanted := request("safe")
 	wanted.ClientGone = func() bool { return true }
 	b.forward(t, wanted)
@@ -157,12 +157,12 @@
 	is.Equal(releases.declined, 1)
 }
 
-// A request that would wait too long at a release on trial goes to the others.
-func TestAnOverloadedTargetRefusesNothing(t *testing.T) {
+// A request that would wait too long at a release on trial must go to the others.
+func TestRequestAvoidsOverloadedRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		releases := &fakeReleases{first: onlyNew, later: notNew}
-		b := newReleaseBench(releases, true, genuine(200, "id: 1\n\n"))
+		b := newReleaseFixture(releases, true, genuine(200, "id: 1\n\n"))
 		b.lateEngines(150 * time.Millisecond)
 		b.backends.PeerQueue(time.Now(), "new", 2000)
 		wanted := request("resumable")
@@ -176,12 +176,12 @@
 	})
 }
 
-// Rather is a request refused than sent to a release that it may not go to.
+// A request must be refused rather than sent to a forbidden release.
 func TestNoAttemptGoesToAForbiddenRelease(t *testing.T) {
 	is := is.New(t)
 	forbidden := backend.Releases{Excluded: []ident.Release{"v1", "v2"}}
 	releases := &fakeReleases{first: forbidden, later: forbidden}
-	b := newReleaseBench(releases, true, genuine(200, "ok"))
+	b := newReleaseFixture(releases, true, genuine(200, "ok"))
 	sink := b.forward(t, request("unsafe"))
 	is.True(sink.refusal != nil)
 	is.Equal(len(releases.sent), 0)
@@ -195,8 +195,8 @@
 	is.True(len(releases.asks) > 1)
 }
 
-// What an attempt says of its release. The route's target is 300ms, its patience 210ms.
-func TestWhatIsToldOfAnAttempt(t *testing.T) {
+// Samples must reflect the outcome and time of attempts. The first-byte timeout is 210ms.
+func TestReleaseSampleOfAttempt(t *testing.T) {
 	slow := func(wait time.Duration) answer {
 		return func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 			time.Sleep(wait)
@@ -210,38 +210,38 @@
 		outcome canary.Outcome
 		least   time.Duration
 	}{
-		{"a whole answer", "safe", genuine(200, "ok"), canary.Answered, 0},
-		{"a late one", "unsafe", slow(60 * time.Millisecond), canary.Answered, 60 * time.Millisecond},
-		{"an answer that is the client's fault", "safe", genuine(404, "no"), canary.Answered, 0},
-		{"a failed one", "safe", genuine(500, "no"), canary.Failed, 0},
-		{"one that may not be passed on", "safe", reply(forward.InvalidAnswer, 503, strings.NewReader("no")), canary.Failed, 0},
-		{"one that broke off", "safe", breaking("part"), canary.NoAnswer, 0},
+		{"a complete answer", "safe", genuine(200, "ok"), canary.Answered, 0},
+		{"a late answer", "unsafe", slow(60 * time.Millisecond), canary.Answered, 60 * time.Millisecond},
+		{"a client error", "safe", genuine(404, "no"), canary.Answered, 0},
+		{"a failed answer", "safe", genuine(500, "no"), canary.Failed, 0},
+		{"an invalid answer", "safe", reply(forward.InvalidAnswer, 503, strings.NewReader("no")), canary.Failed, 0},
+		{"an answer that broke off", "safe", breaking("part"), canary.NoAnswer, 0},
 		{"a refusal", "safe", refusing(forward.NotExecuted), canary.NoAnswer, 0},
-		{"none in time", "safe", hanging(""), canary.Answered, 200 * time.Millisecond},
-		{"none before the connection broke", "safe", failing(true), canary.NoAnswer, 0},
+		{"no answer in time", "safe", hanging(""), canary.Answered, 200 * time.Millisecond},
+		{"no answer before the connection broke", "safe", failing(true), canary.NoAnswer, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			releases := &fakeReleases{first: onlyNew, later: notNew}
-			b := newReleaseBench(releases, true, tt.answer, genuine(200, "ok"))
+			b := newReleaseFixture(releases, true, tt.answer, genuine(200, "ok"))
 			b.forward(t, request(tt.route))
 			sample := releases.samples[0]
 			is.Equal(sample.Route, tt.route)
 			is.Equal(sample.Outcome, tt.outcome)
 			is.True(sample.Elapsed >= tt.least)
 			is.True(sample.Elapsed < 2*time.Second)
-			is.True(sample.Predicted > 0) // a request without a model has its usual time
+			is.True(sample.Predicted > 0) // also for requests without a model
 		})
 	}
 }
 
-// The time of a stream is that to its first event, and the one predicted counts the whole
-// prompt: the back end of a new release has nothing of it.
-func TestTheTimeOfAStreamIsThatToItsFirstEvent(t *testing.T) {
+// The time of a stream ends at its first event; the predicted time must count the whole prompt,
+// since a new release's back end has nothing of it cached.
+func TestElapsedTimeOfStreamEndsAtFirstEvent(t *testing.T) {
 	is := is.New(t)
 	releases := &fakeReleases{first: onlyNew, later: notNew}
-	b := newReleaseBench(releases, true, genuine(200, "id: 0\ndata: x\n\n"))
+	b := newReleaseFixture(releases, true, genuine(200, "id: 0\ndata: x\n\n"))
 	wanted := request("stream")
 	wanted.Prompt = &forward.Prompt{Model: "m", Parts: []forward.Part{{ID: "a", Tokens: 6000}, {ID: "b", Tokens: 1000}}}
 	b.forward(t, wanted)
@@ -250,12 +250,12 @@
 	is.True(releases.samples[0].Predicted >= 7000*20*time.Microsecond)
 }
 
-// An order may become known between the question where an attempt may go and its placing.
-func TestAnAttemptKeepsToWhatBecameKnownMeanwhile(t *testing.T) {
+// An order may become known between the choice of releases and the placement.
+func TestAttemptAvoidsReleaseRevokedDuringPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		releases := &fakeReleases{first: onlyNew, later: notNew, withdrawn: "v2"}
-		b := newReleaseBench(releases, true, genuine(200, "x"))
+		releases := &fakeReleases{first: onlyNew, later: notNew, revoked: "v2"}
+		b := newReleaseFixture(releases, true, genuine(200, "x"))
 		is.True(b.forward(t, request("safe")).refusal == nil)
 		is.Equal(releases.sent, []ident.Release{"v1"})
 		is.Equal(releases.declined, 1)
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -15,9 +15,9 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-// startingBench is a bench whose forwarder knows no configuration yet.
-func startingBench(off mechanism.Disabled) *bench {
-	b := newBench(genuine(200, "ok"))
+// newStartingFixture returns a fixture whose Forwarder has no configuration yet.
+func newStartingFixture(off mechanism.Disabled) *fixture {
+	b := newFixture(genuine(200, "ok"))
 	b.holder = &catalog.Holder{}
 	b.forwarder = forward.New(forward.Config{
 		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second}, Disabled: off,
@@ -28,11 +28,11 @@
 	return b
 }
 
-func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
+func TestRequestsWaitForFirstConfiguration(t *testing.T) {
 	tests := []struct {
 		name string
-		// knownAfter is when the configuration is known, arrivesAfter when the request
-		// comes, both from the start of the router.
+		// knownAfter is when the configuration arrives, arrivesAfter when the request
+		// does, both from the start of the router.
 		knownAfter, arrivesAfter time.Duration
 		wait                     time.Duration
 		served                   bool
@@ -40,15 +40,15 @@
 	}{
 		{name: "known soon", knownAfter: 300 * time.Millisecond, wait: 5 * time.Second, served: true, within: 320 * time.Millisecond},
 		{name: "known too late", knownAfter: time.Second, wait: 5 * time.Second, within: 520 * time.Millisecond},
-		{name: "a client with little time", knownAfter: 300 * time.Millisecond, wait: 800 * time.Millisecond, within: 220 * time.Millisecond},
-		{name: "a client that names no time", knownAfter: 300 * time.Millisecond, served: true, within: 320 * time.Millisecond},
-		{name: "the router is cut off", knownAfter: time.Hour, arrivesAfter: 2 * time.Second, wait: 5 * time.Second, within: 20 * time.Millisecond},
+		{name: "a client with a short timeout", knownAfter: 300 * time.Millisecond, wait: 800 * time.Millisecond, within: 220 * time.Millisecond},
+		{name: "a client without a timeout", knownAfter: 300 * time.Millisecond, served: true, within: 320 * time.Millisecond},
+		{name: "the startup period has ended", knownAfter: time.Hour, arrivesAfter: 2 * time.Second, wait: 5 * time.Second, within: 20 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := startingBench(mechanism.Disabled{})
+				b := newStartingFixture(mechanism.Disabled{})
 				known := time.AfterFunc(tt.knownAfter, func() {
 					b.holder.Adopt(catalog.NewSnapshot(configuration), time.Now())
 				})
@@ -68,10 +68,10 @@
 	}
 }
 
-func TestAClientThatLeavesDoesNotWaitForTheStart(t *testing.T) {
+func TestClientThatLeavesStopsWaitingForConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := startingBench(mechanism.Disabled{})
+		b := newStartingFixture(mechanism.Disabled{})
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		begun := time.Now()
@@ -86,7 +86,7 @@
 		is := is.New(t)
 		off, err := mechanism.Without([]string{string(mechanism.StartHold)})
 		is.NoErr(err)
-		b := startingBench(off)
+		b := newStartingFixture(off)
 		begun := time.Now()
 		sink := b.forward(t, request("safe"))
 		is.Equal(sink.refusal.Kind, fault.NotReady)
@@ -94,10 +94,10 @@
 	})
 }
 
-func TestNoMoreThanSomeRequestsWaitForTheStart(t *testing.T) {
+func TestRequestsWaitingForConfigurationAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := startingBench(mechanism.Disabled{})
+		b := newStartingFixture(mechanism.Disabled{})
 		for range 200 {
 			go b.forwarder.Forward(t.Context(), request("safe"), &fakeSink{})
 		}
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -17,7 +17,7 @@
 	three = "id: 3\ndata: c\n\n"
 )
 
-func TestStreamsAreWholeAndInOrder(t *testing.T) {
+func TestStreamsAreCompleteAndInOrder(t *testing.T) {
 	cases := []struct {
 		name    string
 		route   string
@@ -28,22 +28,22 @@
 		// after is the event that the second attempt continues after.
 		after string
 	}{
-		{"passed on as they are", "stream", []answer{genuine(200, one+two)}, one + two, true, 1, ""},
-		{"an end partway through an event is no end", "stream", []answer{genuine(200, one+"id: 2\ndata")}, one, false, 1, ""},
+		{"passed on unchanged", "stream", []answer{genuine(200, one+two)}, one + two, true, 1, ""},
+		{"ended partway through an event", "stream", []answer{genuine(200, one+"id: 2\ndata")}, one, false, 1, ""},
 		{"a break", "stream", []answer{breaking(one)}, one, false, 1, ""},
 		{"continued elsewhere", "resumable", []answer{breaking(one + "id: 2\nda"), genuine(200, two+three)}, one + two + three, true, 2, "1"},
-		{"events that were passed on are not again", "resumable", []answer{breaking(one + two), genuine(200, one+two+three)}, one + two + three, true, 2, "2"},
-		{"a missing event is no continuation", "resumable", []answer{breaking(one), genuine(200, three)}, one, false, 2, "1"},
+		{"events are not passed on twice", "resumable", []answer{breaking(one + two), genuine(200, one+two+three)}, one + two + three, true, 2, "2"},
+		{"continued with a missing event", "resumable", []answer{breaking(one), genuine(200, three)}, one, false, 2, "1"},
 		{"a refused continuation", "resumable", []answer{breaking(one), genuine(500, "no")}, one, false, 2, "1"},
 		{"broken again", "resumable", []answer{breaking(one), breaking(two)}, one + two, false, 2, "1"},
-		{"anew when nothing was passed on", "resumable", []answer{breaking(""), genuine(200, one+two)}, one + two, true, 2, ""},
+		{"restarted when nothing was passed on", "resumable", []answer{breaking(""), genuine(200, one+two)}, one + two, true, 2, ""},
 		{"stalled", "resumable", []answer{hanging(one), genuine(200, two)}, one + two, true, 2, "1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench(c.answers...)
+				b := newFixture(c.answers...)
 				sink := b.forward(t, request(c.route))
 				is.Equal(sink.body.String(), c.body)
 				is.Equal(sink.aborted, !c.whole)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestTheHeadOfTheFirstAnswerStays(t *testing.T) {
+func TestContinuedStreamKeepsFirstHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		other := func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
@@ -66,17 +66,17 @@
 			reply.Header.Set("Seal", "other")
 			return reply, err
 		}
-		b := newBench(breaking(one), other)
+		b := newFixture(breaking(one), other)
 		sink := b.forward(t, request("resumable"))
 		is.Equal(sink.body.String(), one+two)
 		is.Equal(sink.header.Get("Seal"), "200")
 	})
 }
 
-func TestAClientResumesAfterItsLastEvent(t *testing.T) {
+func TestClientResumesAfterItsLastEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(genuine(200, two+three))
+		b := newFixture(genuine(200, two+three))
 		wanted := request("resumable")
 		wanted.LastEventID = "2"
 		sink := b.forward(t, wanted)
@@ -85,10 +85,10 @@
 	})
 }
 
-func TestAStreamEndsWithItsRoutesTime(t *testing.T) {
+func TestStreamEndsAtRouteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench(hanging(one))
+		b := newFixture(hanging(one))
 		begun := time.Now()
 		sink := b.forward(t, request("stream"))
 		is.True(sink.aborted)
--- a/internal/resume/token.go
+++ b/internal/resume/token.go
@@ -1,6 +1,6 @@
-// Package resume seals the place in a stream that a caller has reached into an
-// opaque token, the SSE event id. Any router with the cluster key can open it
-// and resume the stream with no memory of the request.
+// Package resume seals a caller's position in a stream into an opaque token,
+// the SSE event id. Any router with the cluster key can open it and resume the
+// stream without state of the request.
 package resume
 
 import (
@@ -24,29 +24,29 @@
 const (
 	// formatVersion is the first byte of every token.
 	formatVersion = 1
-	// saltBytes is the size of the salt that each Sealer draws once.
+	// saltBytes is the size of the random salt of each Sealer.
 	saltBytes = 16
 	// counterBytes is the size of the counter that makes nonces unique.
 	counterBytes = 8
 	// keyBytes is the size of an AES-256 key.
 	keyBytes = 32
-	// headBytes is what stands in a token before the sealed part.
-	headBytes = 1 + saltBytes + counterBytes
-	// MaxTokenLength bounds the tokens that are looked at.
+	// headerBytes is the size of a token's unencrypted header: version, salt, counter.
+	headerBytes = 1 + saltBytes + counterBytes
+	// MaxTokenLength is the longest token that Open decodes.
 	MaxTokenLength = 1024
-	// MinClusterKeyBytes is the shortest cluster key taken.
+	// MinClusterKeyBytes is the shortest cluster key accepted.
 	MinClusterKeyBytes = 16
 	// keyPurpose separates the token key from other uses of the cluster key.
 	keyPurpose = "fieldpond resume token v1"
 )
 
-// Token is what a router must know to resume a stream.
+// Token is the state that a router needs to resume a stream.
 type Token struct {
 	Tenant  ident.Tenant
 	Service ident.Service
-	// Node is the router that gave the event out; it may have a cancel pending.
+	// Node is the router that sent the event; it may have a cancel pending.
 	Node ident.Node
-	// Chat says that the caller asked for chat completions, not completions.
+	// Chat is true for chat completions, false for completions.
 	Chat bool
 	// Created is the Unix time of the request, repeated in every chunk.
 	Created  int64
@@ -76,8 +76,8 @@
 // Sealer seals and opens tokens. It is safe for concurrent use.
 //
 // Every Sealer derives its own key from the cluster key and a random salt,
-// which stands in the token, and counts its nonces, so that no nonce is ever
-// used twice under one key.
+// which the token carries, and counts its nonces, so that no nonce is used
+// twice under one key.
 type Sealer struct {
 	clusterKey []byte
 	salt       [saltBytes]byte
@@ -85,16 +85,16 @@
 	counter    atomic.Uint64
 }
 
-// NewSealer returns a Sealer under the cluster key.
+// NewSealer returns a Sealer with keys derived from the cluster key.
 func NewSealer(clusterKey []byte) (*Sealer, error) {
 	if len(clusterKey) < MinClusterKeyBytes {
 		return nil, fault.New(fault.InvalidSettings, "the cluster key has %d bytes, it needs at least %d", len(clusterKey), MinClusterKeyBytes)
 	}
 	sealer := &Sealer{clusterKey: append([]byte(nil), clusterKey...)}
 	if _, err := rand.Read(sealer.salt[:]); err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "drawing a salt")
+		return nil, fault.Wrap(err, fault.Internal, "generating a salt")
 	}
-	aead, err := sealer.derive(sealer.salt[:])
+	aead, err := sealer.deriveAEAD(sealer.salt[:])
 	if err != nil {
 		return nil, err
 	}
@@ -102,18 +102,18 @@
 	return sealer, nil
 }
 
-func (s *Sealer) derive(salt []byte) (cipher.AEAD, error) {
+func (s *Sealer) deriveAEAD(salt []byte) (cipher.AEAD, error) {
 	key, err := hkdf.Key(sha256.New, s.clusterKey, salt, keyPurpose, keyBytes)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "deriving the token key")
 	}
 	block, err := aes.NewCipher(key)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "making the token cipher")
+		return nil, fault.Wrap(err, fault.Internal, "creating the token cipher")
 	}
 	aead, err := cipher.NewGCM(block)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "making the token cipher")
+		return nil, fault.Wrap(err, fault.Internal, "creating the token cipher")
 	}
 	return aead, nil
 }
@@ -131,26 +131,26 @@
 	if err != nil {
 		return "", fault.Wrap(err, fault.Internal, "encoding a resume token")
 	}
-	head := make([]byte, 0, headBytes+len(plain)+s.aead.Overhead())
-	head = append(head, formatVersion)
-	head = append(head, s.salt[:]...)
-	head = binary.BigEndian.AppendUint64(head, s.counter.Add(1))
-	return base64.RawURLEncoding.EncodeToString(s.aead.Seal(head, nonce(s.aead, head), plain, head)), nil
+	header := make([]byte, 0, headerBytes+len(plain)+s.aead.Overhead())
+	header = append(header, formatVersion)
+	header = append(header, s.salt[:]...)
+	header = binary.BigEndian.AppendUint64(header, s.counter.Add(1))
+	return base64.RawURLEncoding.EncodeToString(s.aead.Seal(header, nonce(s.aead, header), plain, header)), nil
 }
 
 // nonce returns the nonce of a token: its counter, padded with zeros in front.
-func nonce(aead cipher.AEAD, head []byte) []byte {
+func nonce(aead cipher.AEAD, header []byte) []byte {
 	padded := make([]byte, aead.NonceSize())
-	copy(padded[len(padded)-counterBytes:], head[headBytes-counterBytes:headBytes])
+	copy(padded[len(padded)-counterBytes:], header[headerBytes-counterBytes:headerBytes])
 	return padded
 }
 
-// Open checks and opens a token for a tenant. Every failure is the same
-// *fault.Fault of kind InvalidToken, so that nothing is learnt from it.
+// Open authenticates and decrypts a token for a tenant. Every failure is the same
+// *fault.Fault of kind InvalidToken, so that it reveals nothing about the cause.
 func (s *Sealer) Open(text string, tenant ident.Tenant) (Token, error) {
 	wire, opened := s.open(text)
 	if !opened || wire.Tenant != tenant {
-		return Token{}, fault.New(fault.InvalidToken, "the resume token is not one of this cluster for this tenant")
+		return Token{}, fault.New(fault.InvalidToken, "the resume token is not valid for this cluster and tenant")
 	}
 	return Token{
 		Tenant: wire.Tenant, Service: wire.Service, Node: wire.Node, Chat: wire.Chat, Created: wire.Created,
@@ -164,20 +164,20 @@
 }
 
 func (s *Sealer) open(text string) (wire sealed, opened bool) {
-	// The decoder skips line breaks; a token has exactly one spelling.
+	// The decoder skips line breaks; a token has exactly one encoding.
 	if len(text) > MaxTokenLength || strings.ContainsAny(text, "\r\n") {
 		return wire, false
 	}
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(text)
-	if err != nil || len(raw) < headBytes || raw[0] != formatVersion {
+	if err != nil || len(raw) < headerBytes || raw[0] != formatVersion {
 		return wire, false
 	}
-	head := raw[:headBytes]
-	aead, err := s.derive(head[1 : 1+saltBytes])
+	header := raw[:headerBytes]
+	aead, err := s.deriveAEAD(header[1 : 1+saltBytes])
 	if err != nil {
 		return wire, false
 	}
-	plain, err := aead.Open(nil, nonce(aead, head), raw[headBytes:], head)
+	plain, err := aead.Open(nil, nonce(aead, header), raw[headerBytes:], header)
 	if err != nil {
 		return wire, false
 	}
