--- a/internal/node/caches_test.go
+++ b/internal/node/caches_test.go
@@ -16,31 +16,31 @@
 
 // fakeCaches is one store of prompt caches that holds a part and may be dark.
 type fakeCaches struct {
-	lists, changes int
-	lost, dark     bool
+	lists, changes    int
+	lost, unreachable bool
 }
 
-var keptPart = promptcache.Change{Part: promptcache.Part{Salt: "v1", ID: "p"}, Tokens: 100}
+var storedPart = promptcache.Change{Part: promptcache.Part{Salt: "v1", ID: "p"}, Tokens: 100}
 
 // List implements CacheReader.
 func (c *fakeCaches) List(context.Context, netip.AddrPort) (*promptcache.Listing, error) {
 	c.lists++
-	if c.dark {
+	if c.unreachable {
 		return nil, errors.New("dark")
 	}
-	return &promptcache.Listing{Epoch: 1, Next: 1, Held: []promptcache.Change{keptPart}}, nil
+	return &promptcache.Listing{Epoch: 1, Next: 1, Held: []promptcache.Change{storedPart}}, nil
 }
 
 // Changes implements CacheReader.
 func (c *fakeCaches) Changes(context.Context, netip.AddrPort, uint64) (*promptcache.Changes, error) {
 	c.changes++
-	if c.dark {
+	if c.unreachable {
 		return nil, errors.New("dark")
 	}
 	return &promptcache.Changes{Epoch: 1, Next: 1, Lost: c.lost}, nil
 }
 
-func TestStoresOfCachesAreFollowed(t *testing.T) {
+func TestCacheFollowerReadsStores(t *testing.T) {
 	store := netip.MustParseAddrPort("10.0.0.1:1")
 	snapshot := catalog.NewSnapshot(catalog.Content{
 		Version: 1, Services: []catalog.Service{{Name: "kept", CacheStore: store}},
@@ -55,7 +55,7 @@
 		{name: "listed once, then followed", lists: 1, changes: 9, want: promptcache.Held},
 		{name: "listed anew after a gap", reader: fakeCaches{lost: true}, lists: 5, changes: 5, want: promptcache.Unknown},
 		{name: "read by another router of the zone", follows: true, want: promptcache.Unknown},
-		{name: "dark", reader: fakeCaches{dark: true}, lists: 10, want: promptcache.Unknown},
+		{name: "dark", reader: fakeCaches{unreachable: true}, lists: 10, want: promptcache.Unknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 				follower.run(ctx)
 				is.Equal(tt.reader.lists, tt.lists)
 				is.Equal(tt.reader.changes, tt.changes)
-				is.Equal(index.Holds(time.Now(), store, keptPart.Part, 100), tt.want)
+				is.Equal(index.Holds(time.Now(), store, storedPart.Part, 100), tt.want)
 			})
 		})
 	}
--- a/internal/node/epoch.go
+++ b/internal/node/epoch.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// rejoinLook is the time between two looks at whether the store came back from an older
+	// rejoinCheckInterval is the time between two looks at whether the store came back from an older
 	// copy, which may lack this router's row.
-	rejoinLook = 250 * time.Millisecond
-	// rejoinedWithin is how long after that all routers have their rows again that reach the
+	rejoinCheckInterval = 250 * time.Millisecond
+	// rejoinWindow is how long after that all routers have their rows again that reach the
 	// store: they hear of it with a pull, and count each other once more. Until then the
 	// number of routers is not taken for smaller.
-	rejoinedWithin = 15 * time.Second
+	rejoinWindow = 15 * time.Second
 )
 
 // epochCount is the count of a port, or that of a store which never comes back from an older
 // copy if there is none.
 type epochCount struct{ port Epochs }
 
-// counts reports whether there is a port.
-func (e epochCount) counts() bool { return e.port != nil }
+// enabled reports whether there is a port.
+func (e epochCount) enabled() bool { return e.port != nil }
 
 // Epoch returns the newest epoch.
 func (e epochCount) Epoch() uint64 {
@@ -51,35 +51,35 @@
 	}
 }
 
-// noteEpoch takes in that the store may have come back from an older copy, as an answer to
+// observeEpoch takes in that the store may have come back from an older copy, as an answer to
 // this router or a peer shows. It is called before what was read is taken in.
-func (f *follower) noteEpoch() {
+func (f *follower) observeEpoch() {
 	epoch := max(f.epochs.Epoch(), f.peersEpoch.Load())
 	for seen := f.seenEpoch.Load(); epoch > seen; seen = f.seenEpoch.Load() {
 		if f.seenEpoch.CompareAndSwap(seen, epoch) {
 			now := clock.Now()
 			log.WithFields(log.Fields{"epoch": epoch}).Info("store_epoch_seen")
-			f.replica.cameBack(now)
+			f.replica.storeRestored(now)
 			f.replica.backends.CameBack(now)
 		}
 	}
 }
 
-// takeEpoch takes in what a peer tells of the store's epochs.
-func (f *follower) takeEpoch(update *upstream.Update) {
+// applyPeerEpoch takes in what a peer tells of the store's epochs.
+func (f *follower) applyPeerEpoch(update *upstream.Update) {
 	if update.FirstEra > 0 {
 		f.epochs.Begin(update.FirstEra - 1)
 	}
 	for known := f.peersEpoch.Load(); update.Epoch > known; known = f.peersEpoch.Load() {
 		f.peersEpoch.CompareAndSwap(known, update.Epoch)
 	}
-	f.noteEpoch()
+	f.observeEpoch()
 }
 
 // keepRow writes this router's row again when the store came back without it, until ctx ends.
 func (f *follower) keepRow(ctx context.Context) {
-	wait.Every(ctx, rejoinLook, func() {
-		f.noteEpoch()
+	wait.Every(ctx, rejoinCheckInterval, func() {
+		f.observeEpoch()
 		if !f.chain.joined() || f.roster.current(f.seenEpoch.Load()) {
 			return
 		}
@@ -89,17 +89,17 @@
 			log.WithFields(log.Fields{"cause": err.Error()}).Warn("router_row_not_written_again")
 			return
 		}
-		f.noteEpoch()
+		f.observeEpoch()
 		f.replica.rejoined(self)
-		f.takeRoster(askedAt, self, peers, routers)
+		f.applyRouters(askedAt, self, peers, routers)
 		log.WithFields(log.Fields{"revision": self.Revision, "peers": len(peers), "routers": routers}).Info("rejoined")
 	})
 }
 
-// takeRoster takes in this router's row and those of the others.
-func (f *follower) takeRoster(askedAt time.Time, self upstream.Peer, peers []upstream.Peer, routers int) {
-	f.audience.know(peers)
-	f.replica.counted(askedAt, routers)
+// applyRouters takes in this router's row and those of the others.
+func (f *follower) applyRouters(askedAt time.Time, self upstream.Peer, peers []upstream.Peer, routers int) {
+	f.audience.set(peers)
+	f.replica.observeRouterCount(askedAt, routers)
 	if f.joined != nil {
 		f.joined(self, peers)
 	}
--- a/internal/node/epoch_test.go
+++ b/internal/node/epoch_test.go
@@ -15,11 +15,11 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// cameBack is a Source whose store came back from an older copy: it tells no history of before.
-type cameBack struct{ *fakeStore }
+// storeRestored is a Source whose store came back from an older copy: it tells no history of before.
+type restoredStore struct{ *fakeStore }
 
 // Configurations implements Source.
-func (c cameBack) Configurations(ctx context.Context, after, until uint64) ([]Reading, error) {
+func (c restoredStore) Configurations(ctx context.Context, after, until uint64) ([]Reading, error) {
 	if after != 0 && store.Epoch(after) != store.Epoch(until) {
 		return nil, ErrHistoryGone
 	}
@@ -27,7 +27,7 @@
 }
 
 // What the row of the configuration shows after the store came back from an older copy.
-func TestTheConfigurationAfterTheStoreCameBack(t *testing.T) {
+func TestConfigurationAfterStoreRestore(t *testing.T) {
 	tests := []struct {
 		name string
 		// version and body are those of the row then.
@@ -49,7 +49,7 @@
 				fake := newFakeStore()
 				fake.reading.Revision, fake.reading.Body, fake.snapshot.Version = 40, []byte("held"), 5
 				f := newFollower(fake)
-				f.source = cameBack{fake}
+				f.source = restoredStore{fake}
 				is.NoErr(f.readConfiguration(t.Context()))
 				is.Equal(f.replica.holder.View().Snapshot.Version, uint64(5))
 				time.Sleep(time.Minute)
@@ -65,14 +65,14 @@
 	}
 }
 
-// countedEpochs is a count of returns that a test sets. It implements Epochs.
-type countedEpochs struct{ epoch atomic.Uint64 }
+// fakeEpochs is a count of returns that a test sets. It implements Epochs.
+type fakeEpochs struct{ epoch atomic.Uint64 }
 
-func (c *countedEpochs) Epoch() uint64         { return c.epoch.Load() }
-func (c *countedEpochs) First() (uint64, bool) { return 3, true }
-func (c *countedEpochs) Begin(uint64)          {}
+func (c *fakeEpochs) Epoch() uint64         { return c.epoch.Load() }
+func (c *fakeEpochs) First() (uint64, bool) { return 3, true }
+func (c *fakeEpochs) Begin(uint64)          {}
 
-func TestARouterWritesItsRowAgainOnlyIfItIsLost(t *testing.T) {
+func TestRouterRewritesRowOnlyIfLost(t *testing.T) {
 	tests := []struct {
 		name string
 		lost bool
@@ -81,7 +81,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			table := &epochTable{fakeStore: newFakeStore()}
-			r := &roster{table: table, timeout: time.Second, node: "n", zone: "z", life: "1", epochs: epochCount{&countedEpochs{}}}
+			r := &roster{table: table, timeout: time.Second, node: "n", zone: "z", life: "1", epochs: epochCount{&fakeEpochs{}}}
 			self, _, _, err := r.join(t.Context())
 			is.NoErr(err)
 			is.True(r.current(0))
@@ -131,41 +131,41 @@
 
 // Rows of routers may be missing for a while: bounds that are divided by their number must not
 // grow meanwhile.
-func TestRoutersAreNotTakenForFewerRightAfterTheStoreCameBack(t *testing.T) {
+func TestRouterCountDoesNotShrinkAfterStoreRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFollower(newFakeStore())
-		counted := &countedEpochs{}
+		counted := &fakeEpochs{}
 		f.epochs = epochCount{counted}
-		f.replica.counted(time.Now(), 7)
+		f.replica.observeRouterCount(time.Now(), 7)
 		time.Sleep(time.Second)
 		counted.epoch.Store(1)
-		f.noteEpoch()
-		f.replica.counted(time.Now(), 2)
+		f.observeEpoch()
+		f.replica.observeRouterCount(time.Now(), 2)
 		is.Equal(f.replica.Routers(), 7)
 		time.Sleep(time.Second)
-		f.replica.counted(time.Now(), 9)
+		f.replica.observeRouterCount(time.Now(), 9)
 		is.Equal(f.replica.Routers(), 9)
-		time.Sleep(rejoinedWithin)
-		f.replica.counted(time.Now(), 6)
+		time.Sleep(rejoinWindow)
+		f.replica.observeRouterCount(time.Now(), 6)
 		is.Equal(f.replica.Routers(), 6)
 	})
 }
 
 // A router that reads nothing of the store itself hears of its return from a peer.
-func TestAPeerTellsThatTheStoreCameBack(t *testing.T) {
+func TestPeerReportsStoreRestore(t *testing.T) {
 	is := is.New(t)
 	f := newFollower(newFakeStore())
-	f.takeEpoch(&upstream.Update{Epoch: 2})
+	f.applyPeerEpoch(&upstream.Update{Epoch: 2})
 	is.Equal(f.seenEpoch.Load(), uint64(2))
-	f.takeEpoch(&upstream.Update{}) // of an older build, or one that has not heard of it
+	f.applyPeerEpoch(&upstream.Update{}) // of an older build, or one that has not heard of it
 	is.Equal(f.seenEpoch.Load(), uint64(2))
-	is.True(!f.knowsReturns(&upstream.Update{Epoch: 1}))
-	is.True(f.knowsReturns(&upstream.Update{Epoch: 2})) // this router knows of no era itself
-	f.epochs = epochCount{&countedEpochs{}}
-	is.True(!f.knowsReturns(&upstream.Update{Epoch: 2}))
-	is.True(f.knowsReturns(&upstream.Update{Epoch: 2, FirstEra: 4}))
-	f.replica.epochs = epochCount{&countedEpochs{}}
-	told := f.replica.Update(time.Now(), &upstream.Pull{From: upstream.Peer{Node: ident.Node("m")}})
-	is.Equal(told.FirstEra, uint64(4))
+	is.True(!f.epochsCurrent(&upstream.Update{Epoch: 1}))
+	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2})) // this router knows of no era itself
+	f.epochs = epochCount{&fakeEpochs{}}
+	is.True(!f.epochsCurrent(&upstream.Update{Epoch: 2}))
+	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2, FirstEra: 4}))
+	f.replica.epochs = epochCount{&fakeEpochs{}}
+	update := f.replica.Update(time.Now(), &upstream.Pull{From: upstream.Peer{Node: ident.Node("m")}})
+	is.Equal(update.FirstEra, uint64(4))
 }
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -44,13 +44,13 @@
 	pulled, watchResult func(result string)
 	// startedAt is when this router began to follow.
 	startedAt time.Time
-	// looked is true after the first read of the configuration.
-	looked atomic.Bool
-	// rowsKnownAt is up to when the rows were last known here by this router's own questions.
-	rowsKnownAt time.Time
-	// recalledAt is when the watch last read the naming rows, notRecalled whether that failed.
-	recalledAt  time.Time
-	notRecalled atomic.Bool
+	// configurationSeen is true after the first read of the configuration.
+	configurationSeen atomic.Bool
+	// rowsReadAt is up to when the rows were last known here by this router's own questions.
+	rowsReadAt time.Time
+	// rowsLoadedAt is when the watch last read the naming rows, rowsLoadFailed whether that failed.
+	rowsLoadedAt   time.Time
+	rowsLoadFailed atomic.Bool
 	// epochs counts the returns of the store from an older copy; peersEpoch is the newest one
 	// that a peer told, seenEpoch the newest of which this router took notice.
 	epochs                epochCount
@@ -79,18 +79,18 @@
 // dependency logs when reads begin to fail and when they work again.
 type dependency struct {
 	name string
-	// count is called each time the dependency is lost.
-	count func(name string)
-	lost  bool
+	// onLost is called each time the dependency is lost.
+	onLost func(name string)
+	lost   bool
 	// lostAt is when the first read in a row failed.
 	lostAt time.Time
 }
 
-func (d *dependency) saw(err error) {
+func (d *dependency) observe(err error) {
 	switch {
 	case err != nil && !d.lost:
 		d.lost, d.lostAt = true, clock.Now()
-		d.count(d.name)
+		d.onLost(d.name)
 		log.WithFields(log.Fields{"dependency": d.name, "cause": err.Error()}).Warn("dependency_lost")
 	case err == nil && d.lost:
 		d.lost = false
@@ -100,7 +100,7 @@
 
 // followConfiguration reads the configuration from the store until ctx ends.
 func (f *follower) followConfiguration(ctx context.Context) {
-	seen := &dependency{name: "configuration", count: f.lost}
+	dep := &dependency{name: "configuration", onLost: f.lost}
 	due := func(now time.Time) time.Duration {
 		confirmedAt := f.startedAt
 		if view := f.replica.holder.View(); view.Snapshot != nil {
@@ -111,7 +111,7 @@
 	f.poll(ctx, f.config.ConfigurationInterval, due, func() error {
 		err := f.readConfiguration(ctx)
 		if ctx.Err() == nil {
-			seen.saw(err)
+			dep.observe(err)
 		}
 		return err
 	})
@@ -123,15 +123,15 @@
 	defer cancel()
 	reading, err := f.source.Configuration(bounded)
 	if err != nil {
-		f.rowsUnanswered(askedAt)
+		f.rowsReadFailed(askedAt)
 		return err
 	}
-	f.noteEpoch()
+	f.observeEpoch()
 	f.guard.Load(ctx, askedAt.Sub(f.replica.holder.View().ConfirmedAt))
-	f.readNamings(ctx, askedAt, &reading)
+	f.observePublications(ctx, askedAt, &reading)
 	// When the answer is read says nothing, as the process may have stood still meanwhile.
-	f.rowsKnownAt = askedAt
-	f.replica.rowsRead(askedAt, &reading)
+	f.rowsReadAt = askedAt
+	f.replica.recordRead(askedAt, &reading)
 	rollouts := f.orders(askedAt, f.replica.holder.View().ConfirmedAt, &reading)
 	err = f.takeReading(ctx, askedAt, &reading, rollouts)
 	if err == nil {
@@ -171,38 +171,38 @@
 		log.WithFields(log.Fields{"cause": err.Error()}).Warn("rollout_states_not_read")
 		return
 	}
-	f.replica.takeStates(askedAt, states)
+	f.replica.applyStates(askedAt, states)
 }
 
-// readNamings takes in the versions of weights that are named. One that is
+// observePublications takes in the versions of weights that are named. One that is
 // there at the first look may have been named long before, and one that is there after a time in
 // which the rows were not known at any moment since then.
-func (f *follower) readNamings(ctx context.Context, askedAt time.Time, reading *Reading) {
-	looked := f.looked.Swap(true)
+func (f *follower) observePublications(ctx context.Context, askedAt time.Time, reading *Reading) {
+	seen := f.configurationSeen.Swap(true)
 	// The answer may be read long after it was given, by a process that was paused.
-	since, known := f.unaskedSince(askedAt), true
-	if !looked {
-		since, known = unseenSince(f.recallAll(ctx, askedAt, reading), askedAt, reading.StoreTime)
+	since, known := f.rowsUnknownSince(askedAt), true
+	if !seen {
+		since, known = unmarkedSince(f.loadAllPublications(ctx, askedAt, reading), askedAt, reading.StoreTime)
 	}
 	for model, version := range reading.Models {
-		f.noteOutdated(model, version)
-		naming := catalog.Naming{Version: version, SeenAt: since, Met: !known}
-		if !f.replica.holder.Named(model, naming) {
+		f.logOutdatedVersion(model, version)
+		publication := catalog.Naming{Version: version, SeenAt: since, Met: !known}
+		if !f.replica.holder.Named(model, publication) {
 			continue
 		}
 		age := askedAt.Sub(since)
 		log.WithFields(log.Fields{
-			"model": model, "version": version, "met": naming.Met, "age_ms": age.Milliseconds(),
+			"model": model, "version": version, "met": publication.Met, "age_ms": age.Milliseconds(),
 		}).Info("version_named")
 		if known {
-			f.namings.keep(ctx, model, version, namingRow{FirstSeen: max(reading.StoreTime-age, 0)})
+			f.namings.save(ctx, model, version, namingRow{FirstSeen: max(reading.StoreTime-age, 0)})
 		}
 	}
 }
 
-// noteOutdated logs, once for each content, that a row names an older version than is
+// logOutdatedVersion logs, once for each content, that a row names an older version than is
 // known: an older write was carried out after a newer one.
-func (f *follower) noteOutdated(model ident.Model, version int) {
+func (f *follower) logOutdatedVersion(model ident.Model, version int) {
 	known := f.replica.holder.View().Models[model].Version
 	if version >= known {
 		delete(f.outdated, model)
@@ -218,37 +218,37 @@
 	log.WithFields(log.Fields{"model": model, "version": version, "known": known}).Warn("version_row_outdated")
 }
 
-// recallAll takes in what other routers kept of the versions of all models, and returns the
+// loadAllPublications takes in what other routers kept of the versions of all models, and returns the
 // store's time up to which they kept all, 0 if nothing tells it. If the rows of one model are
 // not read, the next read of the configuration looks for them again, as nothing else tells
 // then how old a version is that was named while all routers were away.
-func (f *follower) recallAll(ctx context.Context, askedAt time.Time, reading *Reading) (marked time.Duration) {
+func (f *follower) loadAllPublications(ctx context.Context, askedAt time.Time, reading *Reading) (marked time.Duration) {
 	for model := range reading.Models {
-		found, err := f.recallNamings(ctx, askedAt, reading.StoreTime, model)
+		stored, err := f.loadPublications(ctx, askedAt, reading.StoreTime, model)
 		if err != nil {
 			log.WithFields(log.Fields{"model": model, "cause": err.Error()}).Warn("namings_not_found")
-			f.looked.Store(false)
+			f.configurationSeen.Store(false)
 			continue
 		}
-		marked = max(marked, found.marked)
+		marked = max(marked, stored.markedTo)
 	}
 	return marked
 }
 
-// recallNamings takes in what other routers kept of the versions of a model.
-func (f *follower) recallNamings(ctx context.Context, askedAt time.Time, storeTime time.Duration, model ident.Model) (kept, error) {
-	found, err := f.namings.find(ctx, model, storeTime, askedAt)
+// loadPublications takes in what other routers kept of the versions of a model.
+func (f *follower) loadPublications(ctx context.Context, askedAt time.Time, storeTime time.Duration, model ident.Model) (storedPublications, error) {
+	stored, err := f.namings.load(ctx, model, storeTime, askedAt)
 	if err != nil {
-		return kept{}, err
+		return storedPublications{}, err
 	}
-	f.takeKept(model, &found)
-	f.replica.watchedUpTo(watched{revision: found.watched, storeTime: found.marked}, false)
-	return found, nil
+	f.applyStored(model, &stored)
+	f.replica.advanceWatch(watchPosition{revision: stored.completeTo, storeTime: stored.markedTo}, false)
+	return stored, nil
 }
 
 // followBackends reads the list of back ends from the store until ctx ends.
 func (f *follower) followBackends(ctx context.Context) {
-	seen := &dependency{name: "backends", count: f.lost}
+	dep := &dependency{name: "backends", onLost: f.lost}
 	due := func(now time.Time) time.Duration {
 		return f.due(f.config.BackendInterval) - f.replica.listAge(now, f.startedAt)
 	}
@@ -258,15 +258,15 @@
 		defer cancel()
 		records, err := f.source.Backends(bounded)
 		if ctx.Err() == nil {
-			seen.saw(err)
+			dep.observe(err)
 		}
 		if err != nil {
 			return err
 		}
-		f.noteEpoch()
+		f.observeEpoch()
 		records = slices.Clone(records)
 		f.replica.backends.KeepDraining(records)
-		f.replica.takeList(f.replica.node, askedAt, wholeList(records))
+		f.replica.applyList(f.replica.node, askedAt, fullList(records))
 		return nil
 	})
 }
@@ -278,17 +278,17 @@
 	return due
 }
 
-// settledOrigin is how long a router that is not the first of all reads the store itself
+// minOwnOriginTime is how long a router that is not the first of all reads the store itself
 // before it takes over what the first does once for all. Where peers come and go, many read
 // for less: each would make calls for nothing.
-const settledOrigin = 2 * time.Second
+const minOwnOriginTime = 2 * time.Second
 
 // readsForOthers reports whether this router does what is done once for all: it is the first
 // of all, or no peer supplies it for a while. A first router that is cut off from the store
 // alone still answers pulls, so that nobody else becomes the first one; without this nobody
 // counted the routers that joined then, nor asked a second time for changes of the store.
 func (f *follower) readsForOthers() bool {
-	return f.chain.reads() || f.replica.ownOriginFor() >= settledOrigin
+	return f.chain.reads() || f.replica.ownOriginFor() >= minOwnOriginTime
 }
 
 // contends reports whether this router is to hold the lease of weights if nobody else does.
@@ -297,23 +297,23 @@
 func (f *follower) contends() bool { return f.chain.leadsRegion() || f.readsForOthers() }
 
 const (
-	// startPatience is how long a starting router waits for its peers to supply it
+	// startPeerWait is how long a starting router waits for its peers to supply it
 	// before it reads the store itself: some hops of a few ms each, and a late row.
-	startPatience = 200 * time.Millisecond
+	startPeerWait = 200 * time.Millisecond
 	// startStagger is the span over which routers that nobody supplied then begin
 	// to read, so that the first of them can supply the others.
 	startStagger = 400 * time.Millisecond
-	// startPause is the time between two looks at what a starting router has.
-	startPause = 10 * time.Millisecond
+	// startCheckInterval is the time between two looks at what a starting router has.
+	startCheckInterval = 10 * time.Millisecond
 )
 
 // awaitPeers lets peers supply a starting router, and reports whether ctx is still
 // open. The first router of all does not wait.
 func (f *follower) awaitPeers(ctx context.Context) bool {
 	part := xxhash.Sum64String(string(f.replica.node)) % uint64(startStagger)
-	readAt := f.startedAt.Add(startPatience + time.Duration(part))
-	for clock.Now().Before(readAt) && !f.chain.reads() && !f.replica.knows() {
-		if !wait.For(ctx, startPause) {
+	readAt := f.startedAt.Add(startPeerWait + time.Duration(part))
+	for clock.Now().Before(readAt) && !f.chain.reads() && !f.replica.initialized() {
+		if !wait.For(ctx, startCheckInterval) {
 			return false
 		}
 	}
@@ -325,7 +325,7 @@
 // longer each time.
 func (f *follower) poll(ctx context.Context, interval time.Duration, due func(now time.Time) time.Duration, read func() error) {
 	pause := time.Duration(0)
-	if !f.awaitPeers(ctx) || (f.replica.knows() && !f.chain.reads() && !rest(ctx, 0, due)) {
+	if !f.awaitPeers(ctx) || (f.replica.initialized() && !f.chain.reads() && !waitUntilDue(ctx, 0, due)) {
 		return
 	}
 	for ctx.Err() == nil {
@@ -335,11 +335,11 @@
 		} else {
 			pause = f.retryPause(pause, interval)
 		}
-		least := pause
+		minWait := pause
 		if pause == 0 {
-			least = interval - clock.Since(begun)
+			minWait = interval - clock.Since(begun)
 		}
-		if !rest(ctx, least, due) {
+		if !waitUntilDue(ctx, minWait, due) {
 			return
 		}
 	}
@@ -356,8 +356,8 @@
 
 // rest waits for a time at least, and then until a read is due; it reports
 // whether ctx is still open. What a peer supplies puts the read off.
-func rest(ctx context.Context, least time.Duration, due func(now time.Time) time.Duration) bool {
-	left := least
+func waitUntilDue(ctx context.Context, minWait time.Duration, due func(now time.Time) time.Duration) bool {
+	left := minWait
 	for {
 		if !wait.For(ctx, max(left, time.Millisecond)) {
 			return false
--- a/internal/node/follower_test.go
+++ b/internal/node/follower_test.go
@@ -35,14 +35,14 @@
 	decoded  int
 	snapshot catalog.Content
 	// history holds the namings in order, but for those up to the forgotten revision.
-	history   []fakeNaming
+	history   []fakePublication
 	forgotten uint64
 	// changed is closed at the next change.
 	changed chan struct{}
 }
 
-// fakeNaming is a change of the store that named a version.
-type fakeNaming struct {
+// fakePublication is a change of the store that named a version.
+type fakePublication struct {
 	NamedWeights
 	revision uint64
 }
@@ -91,15 +91,15 @@
 // now returns the store's own time; 0 would say that it tells none.
 func (s *fakeStore) now() time.Duration { return time.Since(s.started) + time.Millisecond }
 
-// name has the operator name versions of the model, one right after the other: only the
+// publish has the operator name versions of the model, one right after the other: only the
 // last one stands in the row when it is read.
-func (s *fakeStore) name(versions ...int) {
+func (s *fakeStore) publish(versions ...int) {
 	s.change(func() {
 		close(s.changed)
 		s.changed = make(chan struct{})
 		for _, version := range versions {
 			s.version++
-			s.history = append(s.history, fakeNaming{NamedWeights{Model: model, Version: version}, s.version})
+			s.history = append(s.history, fakePublication{NamedWeights{Model: model, Version: version}, s.version})
 			s.reading.Models = map[ident.Model]int{model: version}
 		}
 	})
@@ -147,9 +147,9 @@
 		return Changes{}, nil, ErrHistoryGone
 	}
 	changes := Changes{StoreRevision: s.version, StoreTime: s.now()}
-	for _, named := range s.history {
-		if named.revision > after {
-			changes.Named = append(changes.Named, named.NamedWeights)
+	for _, publication := range s.history {
+		if publication.revision > after {
+			changes.Named = append(changes.Named, publication.NamedWeights)
 		}
 	}
 	return changes, s.changed, nil
@@ -259,7 +259,7 @@
 }
 
 // A slow answer confirms the configuration only as of when it was asked for.
-func TestASlowStoreDoesNotMakeOldNewsLookNew(t *testing.T) {
+func TestSlowAnswerCountsFromRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
@@ -273,7 +273,7 @@
 	})
 }
 
-func TestAStoreThatIsDownIsAskedAgainSoon(t *testing.T) {
+func TestUnavailableStoreIsRetriedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
@@ -292,7 +292,7 @@
 }
 
 // Losing the store is no reason to drop back ends.
-func TestBackEndsOutliveTheStore(t *testing.T) {
+func TestBackEndsAreKeptDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
@@ -308,7 +308,7 @@
 
 // A router that starts after a version was named learns from the others how
 // long ago that was.
-func TestTheAgeOfAVersionOutlivesARouter(t *testing.T) {
+func TestVersionAgeOutlivesRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
@@ -323,15 +323,15 @@
 		second := newFollower(store)
 		go second.followConfiguration(t.Context())
 		time.Sleep(10 * time.Millisecond)
-		named := second.replica.holder.View().Models[model]
-		is.Equal(named.Version, 2)
-		is.True(!named.Named[0].Met)
-		is.True(time.Since(named.Named[0].SeenAt) >= 5*time.Second)
-		is.True(time.Since(named.Named[0].SeenAt) <= 7*time.Second)
+		published := second.replica.holder.View().Models[model]
+		is.Equal(published.Version, 2)
+		is.True(!published.Named[0].Met)
+		is.True(time.Since(published.Named[0].SeenAt) >= 5*time.Second)
+		is.True(time.Since(published.Named[0].SeenAt) <= 7*time.Second)
 	})
 }
 
-func TestAVersionThatNobodySawBeingNamedIsUncertain(t *testing.T) {
+func TestVersionSeenAtStartHasUnknownAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
--- a/internal/node/laterow_test.go
+++ b/internal/node/laterow_test.go
@@ -12,23 +12,23 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// echoTable carries a write out again, behind the back of the one that wrote.
-type echoTable struct {
+// lateWriteTable carries a write out again, behind the back of the one that wrote.
+type lateWriteTable struct {
 	store.Table
-	after func()
+	afterCommit func()
 }
 
 // Commit implements store.Table.
-func (e *echoTable) Commit(ctx context.Context, transaction protocol.Transaction) (protocol.TransactionResult, error) {
+func (e *lateWriteTable) Commit(ctx context.Context, transaction protocol.Transaction) (protocol.TransactionResult, error) {
 	result, err := e.Table.Commit(ctx, transaction)
-	if after := e.after; after != nil {
-		e.after = nil
+	if after := e.afterCommit; after != nil {
+		e.afterCommit = nil
 		after()
 	}
 	return result, err
 }
 
-func TestARowThatItsOwnLifeWroteLateGoes(t *testing.T) {
+func TestLateWriteOfOwnRowIsRemoved(t *testing.T) {
 	tests := []struct {
 		name, life string
 		left       int
@@ -40,11 +40,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			table := newFakeStore()
-			value, err := cbor.Marshal(routerRow{Life: tt.life})
+			value, err := cbor.Marshal(routerRow{Incarnation: tt.life})
 			is.NoErr(err)
-			late := &echoTable{Table: table}
+			late := &lateWriteTable{Table: table}
 			first := &roster{table: late, timeout: time.Second, node: "n", zone: "z", life: "1"}
-			late.after = func() {
+			late.afterCommit = func() {
 				_, err := table.Commit(t.Context(), protocol.Transaction{Writes: []protocol.Write{{Key: first.key(), Value: value}}})
 				is.NoErr(err)
 			}
--- a/internal/node/latewrites_test.go
+++ b/internal/node/latewrites_test.go
@@ -33,8 +33,8 @@
 	*fakeStore
 	written []Reading
 	// failure, if set, is the answer to questions about what the row held, which are counted.
-	failure error
-	asked   int
+	failure  error
+	requests int
 	// forgotten is the revision up to which that is not kept.
 	forgotten uint64
 	// others is by how much writes of other rows raised the revision since the last one.
@@ -56,8 +56,8 @@
 	})
 }
 
-// pass has others write rows, and the store forget all that was written before.
-func (s *lateStore) pass(writes uint64) {
+// advance has others write rows, and the store forget all that was written before.
+func (s *lateStore) advance(writes uint64) {
 	s.change(func() {
 		s.others += writes
 		s.forgotten = s.reading.Revision + s.others
@@ -77,7 +77,7 @@
 func (s *lateStore) Configurations(_ context.Context, after, until uint64) ([]Reading, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.asked++
+	s.requests++
 	if s.failure != nil {
 		return nil, s.failure
 	}
@@ -93,11 +93,11 @@
 	return between, nil
 }
 
-// questions returns how often the store was asked what the row held.
-func (s *lateStore) questions() int {
+// historyRequests returns how often the store was asked what the row held.
+func (s *lateStore) historyRequests() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.asked
+	return s.requests
 }
 
 // Decode implements Source.
@@ -119,7 +119,7 @@
 // started returns a router that follows the configuration and has seen the list once.
 func (s *lateStore) started(t *testing.T) *follower {
 	reader := s.router()
-	reader.replica.takeList("n", time.Now(), wholeList(nil))
+	reader.replica.applyList("n", time.Now(), fullList(nil))
 	go reader.followConfiguration(t.Context())
 	time.Sleep(10 * time.Millisecond)
 	return reader
@@ -134,30 +134,30 @@
 
 func ageAt(router *follower) time.Duration { return router.replica.holder.View().Age(time.Now()) }
 
-// directly pulls from one router.
-type directly struct{ from *follower }
+// directPuller pulls from one router.
+type directPuller struct{ from *follower }
 
 // Pull implements puller.
-func (d directly) Pull(_ context.Context, _ upstream.Peer, pull *upstream.Pull) (*upstream.Update, time.Time, error) {
+func (d directPuller) Pull(_ context.Context, _ upstream.Peer, pull *upstream.Pull) (*upstream.Update, time.Time, error) {
 	return d.from.replica.Update(time.Now(), pull), time.Now(), nil
 }
 
 // pullFrom lets a router pull once from another.
 func pullFrom(t *testing.T, puller, from *follower) {
 	t.Helper()
-	puller.client = directly{from: from}
+	puller.client = directPuller{from: from}
 	puller.pull(t.Context(), upstream.Peer{}, 0)
 }
 
 // warnings returns the events that were warned of so far, in a synctest bubble.
 func warnings(t *testing.T) func() []string {
 	t.Helper()
-	kept := memory.New()
-	log.SetHandler(kept)
+	handler := memory.New()
+	log.SetHandler(handler)
 	t.Cleanup(func() { log.SetHandler(log.HandlerFunc(func(*log.Entry) error { return nil })) })
 	return func() (events []string) {
 		synctest.Wait()
-		for _, entry := range kept.Entries {
+		for _, entry := range handler.Entries {
 			if entry.Level == log.WarnLevel {
 				events = append(events, entry.Message)
 			}
@@ -166,22 +166,22 @@
 	}
 }
 
-const interval = 600 * time.Millisecond
+const configurationInterval = 600 * time.Millisecond
 
-func TestALateWriteOfAnOlderConfigurationChangesNothing(t *testing.T) {
+func TestLateWriteOfOlderConfigurationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		warned := warnings(t)
 		store := newLateStore()
 		store.write(10)
 		reader := store.started(t)
-		before := store.questions()
+		before := store.historyRequests()
 		store.write(9)
 		time.Sleep(time.Minute)
 		is.Equal(versionAt(reader), uint64(10))
-		is.True(ageAt(reader) <= interval) // what the row held since tells that 10 is the newest
+		is.True(ageAt(reader) <= configurationInterval) // what the row held since tells that 10 is the newest
 		is.Equal(warned(), []string{"configuration_row_outdated"})
-		is.Equal(store.questions()-before, 1) // what is known is not asked again
+		is.Equal(store.historyRequests()-before, 1) // what is known is not asked again
 
 		started := store.router()
 		pullFrom(t, started, reader)
@@ -189,13 +189,13 @@
 	})
 }
 
-func TestAConfigurationThatStoodForAnInstant(t *testing.T) {
-	t.Run("is adopted", testInstantIsAdopted)
+func TestOverwrittenConfiguration(t *testing.T) {
+	t.Run("is adopted", testOverwrittenIsAdopted)
 	t.Run("is suspected when it is forgotten", testForgottenIsSuspected)
-	t.Run("is asked for until it is told", testAskedUntilTold)
+	t.Run("is asked for until it is told", testRequestedUntilAnswered)
 }
 
-func testInstantIsAdopted(t *testing.T) {
+func testOverwrittenIsAdopted(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		last uint64
@@ -212,11 +212,11 @@
 				store.write(10)
 				reader := store.started(t)
 				store.write(12, tt.last)
-				time.Sleep(interval)
+				time.Sleep(configurationInterval)
 				is.Equal(versionAt(reader), uint64(12))
 				time.Sleep(time.Minute)
 				is.Equal(versionAt(reader), uint64(12))
-				is.True(ageAt(reader) <= interval)
+				is.True(ageAt(reader) <= configurationInterval)
 				is.Equal(warned(), []string{"configuration_row_outdated"})
 			})
 		})
@@ -224,25 +224,25 @@
 }
 
 // The store keeps its changes for some seconds, and configurations change less often.
-func TestALateWriteIsSeenThroughHoweverOldTheLastOneIs(t *testing.T) {
+func TestLateWriteIsDetectedAfterLongInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newLateStore()
 		store.write(10)
 		reader := store.started(t)
 		time.Sleep(time.Minute)
-		store.pass(1000)
-		time.Sleep(interval)
+		store.advance(1000)
+		time.Sleep(configurationInterval)
 		store.write(12, 10)
-		time.Sleep(interval)
+		time.Sleep(configurationInterval)
 		is.Equal(versionAt(reader), uint64(12))
-		is.True(ageAt(reader) <= interval)
+		is.True(ageAt(reader) <= configurationInterval)
 		time.Sleep(time.Minute)
-		store.pass(1000)
-		time.Sleep(interval)
+		store.advance(1000)
+		time.Sleep(configurationInterval)
 		store.write(12) // the operator writes it once more
 		time.Sleep(time.Minute)
-		is.True(ageAt(reader) <= interval)
+		is.True(ageAt(reader) <= configurationInterval)
 	})
 }
 
@@ -260,24 +260,24 @@
 				store := newLateStore()
 				store.write(10)
 				reader := store.started(t)
-				before := store.questions()
+				before := store.historyRequests()
 				store.fail(ErrHistoryGone)
 				store.write(12, tt.last)
 				time.Sleep(time.Minute)
 				is.Equal(versionAt(reader), uint64(10))
 				is.True(ageAt(reader) > 59*time.Second)
 				is.Equal(warned(), []string{"configuration_row_outdated"})
-				is.Equal(store.questions()-before, 1) // what is forgotten is not asked again
+				is.Equal(store.historyRequests()-before, 1) // what is forgotten is not asked again
 				store.write(13)
-				time.Sleep(interval)
+				time.Sleep(configurationInterval)
 				is.Equal(versionAt(reader), uint64(13)) // a newer one ends it
-				is.True(ageAt(reader) <= interval)
+				is.True(ageAt(reader) <= configurationInterval)
 			})
 		})
 	}
 }
 
-func testAskedUntilTold(t *testing.T) {
+func testRequestedUntilAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newLateStore()
@@ -291,12 +291,12 @@
 		store.fail(nil)
 		time.Sleep(time.Second)
 		is.Equal(versionAt(reader), uint64(12))
-		is.True(ageAt(reader) <= interval)
+		is.True(ageAt(reader) <= configurationInterval)
 	})
 }
 
 // A router that starts after the late write finds the older configuration in the row.
-func TestARouterThatMetTheOlderConfigurationLearnsTheNewestFromPeers(t *testing.T) {
+func TestRouterWithOlderConfigurationGetsNewestFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newLateStore()
@@ -309,7 +309,7 @@
 		store.fail(ErrHistoryGone)
 		store.change(func() { store.down = false })
 		started := store.router()
-		started.replica.takeList("n", time.Now(), wholeList(nil))
+		started.replica.applyList("n", time.Now(), fullList(nil))
 		is.NoErr(started.readConfiguration(t.Context()))
 		is.Equal(versionAt(started), uint64(9)) // what the row held is forgotten
 		store.fail(nil)
@@ -330,7 +330,7 @@
 
 // A router that starts without peers finds the older configuration in the row. The newest
 // one was written there a few seconds before at most: a late write is no later.
-func TestARouterThatStartsAloneFindsTheNewestConfiguration(t *testing.T) {
+func TestLoneStartFindsNewestConfiguration(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		// others is how far the other writes of the store raised the revision before, and
@@ -355,18 +355,18 @@
 				store.forgotten = newest - min(tt.kept, newest)
 				reader := store.started(t)
 				is.Equal(versionAt(reader), tt.version)
-				is.Equal(store.questions(), tt.questions)
+				is.Equal(store.historyRequests(), tt.questions)
 				time.Sleep(10 * time.Second)
 				is.Equal(versionAt(reader), tt.version)
-				is.True(ageAt(reader) <= interval)
-				is.Equal(store.questions(), tt.questions) // a start looks back once
+				is.True(ageAt(reader) <= configurationInterval)
+				is.Equal(store.historyRequests(), tt.questions) // a start looks back once
 			})
 		})
 	}
 }
 
 // A store that does not answer the question keeps no router from starting.
-func TestARouterThatStartsAloneDoesNotWaitForTheNewestConfiguration(t *testing.T) {
+func TestLoneStartDoesNotWaitForHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newLateStore()
@@ -375,14 +375,14 @@
 		reader := store.started(t)
 		is.Equal(versionAt(reader), uint64(9))
 		store.fail(nil)
-		time.Sleep(interval)
+		time.Sleep(configurationInterval)
 		is.Equal(versionAt(reader), uint64(12))
 	})
 }
 
 // A router that starts after a late write of an engine learns from the others that the
 // engine drains.
-func TestARouterThatStartsLearnsThatABackEndDrains(t *testing.T) {
+func TestStartingRouterGetsDrainingFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newLateStore()
--- a/internal/node/watches.go
+++ b/internal/node/monitors.go
@@ -12,14 +12,14 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// regionInterval is the time between two looks at which regions are lost; it is shorter
+// regionCheckInterval is the time between two looks at which regions are lost; it is shorter
 // than a region is passed over.
-const regionInterval = 500 * time.Millisecond
+const regionCheckInterval = 500 * time.Millisecond
 
 // watchRegions logs which regions are lost, whenever that changes, until ctx ends.
 func (n *Node) watchRegions(ctx context.Context) {
 	var before []ident.Region
-	wait.Every(ctx, regionInterval, func() {
+	wait.Every(ctx, regionCheckInterval, func() {
 		lost := n.backends.Lost(clock.Now())
 		if !slices.Equal(lost, before) {
 			log.WithFields(log.Fields{"lost": lost, "before": before}).Warn("regions_lost")
--- a/internal/node/notices.go
+++ b/internal/node/notifier.go
@@ -59,60 +59,60 @@
 	Report  *canary.Report  `cbor:"5,keyasint,omitempty"`
 	// Quarantine tells of requests under which back ends crashed.
 	Quarantine []quarantine.Told `cbor:"7,keyasint,omitempty"`
-	// News tells what back ends said of themselves, Limit is about grants of requests to them.
-	News  []backend.News `cbor:"8,keyasint,omitempty"`
-	Limit *limitMessage  `cbor:"9,keyasint,omitempty"`
+	// Updates tells what back ends said of themselves, Limit is about grants of requests to them.
+	Updates []backend.News `cbor:"8,keyasint,omitempty"`
+	Limit   *limitMessage  `cbor:"9,keyasint,omitempty"`
 	// Scope says to whom the receiver passes the notice on.
 	Scope scope `cbor:"6,keyasint,omitempty"`
 }
 
 // listenNotices opens the socket for notices at an address.
-func listenNotices(addr netip.AddrPort, backends *backend.Registry, told *audience) (*notices, error) {
+func listenNotices(addr netip.AddrPort, backends *backend.Registry, peers *audience) (*notices, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for notices")
 	}
-	return &notices{socket: socket, backends: backends, audience: told}, nil
+	return &notices{socket: socket, backends: backends, audience: peers}, nil
 }
 
 // Announce implements rollout.Announcer.
-func (n *notices) Announce(notice rollout.Notice) {
-	n.take(&notice)
-	for _, part := range splitNotice(notice) {
+func (n *notices) Announce(notification rollout.Notice) {
+	n.applyRollout(&notification)
+	for _, part := range splitRollout(notification) {
 		// It is told once only, so that it goes by two relays where there are some.
 		n.send(datagram{Rollout: &part})
-		n.carry(datagram{Rollout: &part}, n.audience.again())
+		n.sendAll(datagram{Rollout: &part}, n.audience.toNextRelays())
 	}
 }
 
 // tellHealth tells all routers, this one included, what checks of engines found.
-func (n *notices) tellHealth(notice health.Notice) {
-	n.takeHealth(&notice)
-	for _, part := range splitHealth(notice) {
+func (n *notices) tellHealth(notification health.Notice) {
+	n.applyHealth(&notification)
+	for _, part := range splitHealth(notification) {
 		n.send(datagram{Health: &part})
 	}
 }
 
 // tellQuarantine tells all other routers of requests under which back ends crashed.
-func (n *notices) tellQuarantine(told []quarantine.Told) { n.send(datagram{Quarantine: told}) }
+func (n *notices) tellQuarantine(evidence []quarantine.Told) { n.send(datagram{Quarantine: evidence}) }
 
 // tellNews tells all other routers what back ends said of themselves.
-func (n *notices) tellNews(news []backend.News) {
-	for part := range slices.Chunk(news, newsPart) {
-		n.send(datagram{News: part})
+func (n *notices) tellNews(updates []backend.News) {
+	for part := range slices.Chunk(updates, newsPart) {
+		n.send(datagram{Updates: part})
 	}
 }
 
 // send sends a datagram to all other routers.
-func (n *notices) send(told datagram) { n.carry(told, n.audience.tell()) }
+func (n *notices) send(packet datagram) { n.sendAll(packet, n.audience.toAll()) }
 
 // carry sends a datagram as the messages say.
-func (n *notices) carry(told datagram, messages []message) {
+func (n *notices) sendAll(packet datagram, messages []message) {
 	var encoded [toRegion + 1][]byte
 	for _, message := range messages {
 		if encoded[message.scope] == nil {
-			told.Scope = message.scope
-			data, err := cbor.Marshal(told)
+			packet.Scope = message.scope
+			data, err := cbor.Marshal(packet)
 			if err != nil {
 				log.WithFields(log.Fields{"cause": err.Error()}).Warn("notice_not_sent")
 				return
@@ -130,8 +130,8 @@
 }
 
 // sendTo sends a datagram to one router.
-func (n *notices) sendTo(to netip.AddrPort, told datagram) {
-	encoded, err := cbor.Marshal(told)
+func (n *notices) sendTo(to netip.AddrPort, packet datagram) {
+	encoded, err := cbor.Marshal(packet)
 	if err != nil {
 		log.WithFields(log.Fields{"cause": err.Error()}).Warn("notice_not_sent")
 		return
@@ -141,41 +141,41 @@
 }
 
 // splitHealth returns notices that fit into a datagram each.
-func splitHealth(notice health.Notice) []health.Notice {
+func splitHealth(notification health.Notice) []health.Notice {
 	var parts []health.Notice
-	for len(notice.Silent)+len(notice.Answering)+len(notice.Queues)+len(notice.Gone) > 0 {
+	for len(notification.Silent)+len(notification.Answering)+len(notification.Queues)+len(notification.Gone) > 0 {
 		var part health.Notice
 		room := noticeEngines
-		part.Silent, notice.Silent, room = splitOff(notice.Silent, room)
-		part.Answering, notice.Answering, room = splitOff(notice.Answering, room)
-		part.Queues, notice.Queues, room = splitOff(notice.Queues, room)
-		part.Gone, notice.Gone, _ = splitOff(notice.Gone, room)
+		part.Silent, notification.Silent, room = splitOff(notification.Silent, room)
+		part.Answering, notification.Answering, room = splitOff(notification.Answering, room)
+		part.Queues, notification.Queues, room = splitOff(notification.Queues, room)
+		part.Gone, notification.Gone, _ = splitOff(notification.Gone, room)
 		parts = append(parts, part)
 	}
 	return parts
 }
 
-// splitNotice returns notices that fit into a datagram each.
-func splitNotice(notice rollout.Notice) []rollout.Notice {
+// splitRollout returns notices that fit into a datagram each.
+func splitRollout(notification rollout.Notice) []rollout.Notice {
 	var parts []rollout.Notice
-	for len(notice.Loading)+len(notice.Loaded)+len(notice.Unsettled)+len(notice.Emptying) > 0 {
+	for len(notification.Loading)+len(notification.Loaded)+len(notification.Unsettled)+len(notification.Emptying) > 0 {
 		part := rollout.Notice{
-			Model: notice.Model, Version: notice.Version, LoadTime: notice.LoadTime, EmptyTime: notice.EmptyTime,
+			Model: notification.Model, Version: notification.Version, LoadTime: notification.LoadTime, EmptyTime: notification.EmptyTime,
 		}
 		room := noticeEngines
-		part.Loading, notice.Loading, room = splitOff(notice.Loading, room)
-		part.Loaded, notice.Loaded, room = splitOff(notice.Loaded, room)
-		part.Unsettled, notice.Unsettled, room = splitOff(notice.Unsettled, room)
-		part.Emptying, notice.Emptying, _ = splitOff(notice.Emptying, room)
+		part.Loading, notification.Loading, room = splitOff(notification.Loading, room)
+		part.Loaded, notification.Loaded, room = splitOff(notification.Loaded, room)
+		part.Unsettled, notification.Unsettled, room = splitOff(notification.Unsettled, room)
+		part.Emptying, notification.Emptying, _ = splitOff(notification.Emptying, room)
 		parts = append(parts, part)
 	}
 	return parts
 }
 
 // splitOff takes what there is room for, and returns the room that is left.
-func splitOff[T any](told []T, room int) (taken, rest []T, left int) {
-	count := min(len(told), room)
-	return told[:count], told[count:], room - count
+func splitOff[T any](items []T, room int) (taken, rest []T, left int) {
+	count := min(len(items), room)
+	return items[:count], items[count:], room - count
 }
 
 // listen takes in notices until ctx ends.
@@ -197,67 +197,67 @@
 
 // receive takes in a datagram; one that cannot be read is no notice of a router.
 func (n *notices) receive(from netip.AddrPort, encoded []byte) {
-	var told datagram
-	if cbor.Unmarshal(encoded, &told) != nil {
+	var packet datagram
+	if cbor.Unmarshal(encoded, &packet) != nil {
 		return
 	}
 	// Only notices are passed on: permits, reports and messages about limits count by their
 	// sender, and would come from a router of the roster once this one has sent them.
-	n.carry(datagram{Rollout: told.Rollout, Health: told.Health, Quarantine: told.Quarantine, News: told.News}, n.audience.passOn(told.Scope))
-	if told.Rollout != nil {
-		n.take(told.Rollout)
+	n.sendAll(datagram{Rollout: packet.Rollout, Health: packet.Health, Quarantine: packet.Quarantine, Updates: packet.Updates}, n.audience.relay(packet.Scope))
+	if packet.Rollout != nil {
+		n.applyRollout(packet.Rollout)
 	}
-	if told.Health != nil {
-		n.takeHealth(told.Health)
+	if packet.Health != nil {
+		n.applyHealth(packet.Health)
 	}
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	// Routers that started together know each other a count of the routers later: what they
 	// could not tell is answered to who can tell them.
-	if lacks := n.guard.Take(clock.Now(), told.Quarantine); len(lacks) > 0 {
-		n.sendTo(from, datagram{Quarantine: lacks})
+	if missing := n.guard.Take(clock.Now(), packet.Quarantine); len(missing) > 0 {
+		n.sendTo(from, datagram{Quarantine: missing})
 	}
-	if told.Quota != nil && n.quotas != nil {
-		if msg := told.Quota.Message(); msg != nil {
+	if packet.Quota != nil && n.quotas != nil {
+		if msg := packet.Quota.Message(); msg != nil {
 			n.quotas.receive(from, msg)
 		}
 	}
-	n.news.told(told.News)
-	if n.limits != nil && told.Limit != nil {
-		n.limits.receive(from, told.Limit)
+	n.news.told(packet.Updates)
+	if n.limits != nil && packet.Limit != nil {
+		n.limits.receive(from, packet.Limit)
 	}
 	if n.canaries != nil {
-		n.canaries.receive(from, &told)
+		n.canaries.receive(from, &packet)
 	}
 }
 
-// takeHealth takes in which engines are silent and at which requests wait.
-func (n *notices) takeHealth(notice *health.Notice) {
+// applyHealth takes in which engines are silent and at which requests wait.
+func (n *notices) applyHealth(notification *health.Notice) {
 	now := clock.Now()
-	n.backends.ToldSilent(now, notice.Silent)
-	n.backends.ToldAnswering(notice.Answering)
-	n.backends.ToldGone(now, notice.Gone)
-	for _, queue := range notice.Queues {
+	n.backends.ToldSilent(now, notification.Silent)
+	n.backends.ToldAnswering(notification.Answering)
+	n.backends.ToldGone(now, notification.Gone)
+	for _, queue := range notification.Queues {
 		n.backends.ToldQueue(now, queue.Instance, queue.Waiting)
 	}
 }
 
 // take takes in a notice.
-func (n *notices) take(notice *rollout.Notice) {
+func (n *notices) applyRollout(notification *rollout.Notice) {
 	now := clock.Now()
-	for _, instance := range notice.Loading {
-		n.backends.Loading(now, instance, notice.Model, notice.Version, notice.LoadTime)
+	for _, instance := range notification.Loading {
+		n.backends.Loading(now, instance, notification.Model, notification.Version, notification.LoadTime)
 	}
-	for _, instance := range notice.Emptying {
-		n.backends.Loading(now, instance, notice.Model, notice.Version, notice.EmptyTime+notice.LoadTime)
+	for _, instance := range notification.Emptying {
+		n.backends.Loading(now, instance, notification.Model, notification.Version, notification.EmptyTime+notification.LoadTime)
 	}
-	for _, instance := range notice.Loaded {
-		n.backends.VersionSeen(instance, notice.Model, notice.Version)
+	for _, instance := range notification.Loaded {
+		n.backends.VersionSeen(instance, notification.Model, notification.Version)
 	}
-	for _, instance := range notice.Unsettled {
-		n.backends.NotLoading(instance, notice.Model, notice.Version)
+	for _, instance := range notification.Unsettled {
+		n.backends.NotLoading(instance, notification.Model, notification.Version)
 	}
 	log.WithFields(log.Fields{
-		"model": notice.Model, "version": notice.Version, "loading": notice.Loading, "loaded": notice.Loaded,
-		"unsettled": notice.Unsettled, "emptying": notice.Emptying,
+		"model": notification.Model, "version": notification.Version, "loading": notification.Loading, "loaded": notification.Loaded,
+		"unsettled": notification.Unsettled, "emptying": notification.Emptying,
 	}).Info("engines_change")
 }
--- a/internal/node/notices_test.go
+++ b/internal/node/notifier_test.go
@@ -19,7 +19,7 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-func TestNoticesReachTheOtherRouters(t *testing.T) {
+func TestNotificationsReachOtherRouters(t *testing.T) {
 	is := is.New(t)
 	listed := func() *backend.Registry {
 		known := backend.NewRegistry(backend.Config{})
@@ -44,11 +44,11 @@
 	holder := open(own, addr)
 	_, err := holder.socket.WriteToUDPAddrPort([]byte("no notice"), addr)
 	is.NoErr(err)
-	notice := rollout.Notice{Model: model, Version: 2}
+	notification := rollout.Notice{Model: model, Version: 2}
 	for _, record := range own.Records() {
-		notice.Loading = append(notice.Loading, record.Instance)
+		notification.Loading = append(notification.Loading, record.Instance)
 	}
-	holder.Announce(notice)
+	holder.Announce(notification)
 	query := &backend.Query{Service: "s", Model: model}
 	for _, known := range []*backend.Registry{own, other} {
 		eventually(t, func() bool {
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestWhatChecksFindReachesTheOtherRouters(t *testing.T) {
+func TestHealthNotificationsReachOtherRouters(t *testing.T) {
 	is := is.New(t)
 	listed := func() *backend.Registry {
 		known := backend.NewRegistry(backend.Config{})
@@ -89,9 +89,9 @@
 	is.NoErr(err)
 	go other.listen(t.Context())
 	addr := other.socket.LocalAddr().(interface{ AddrPort() netip.AddrPort }).AddrPort()
-	teller, err := listenNotices(netip.MustParseAddrPort("127.0.0.1:0"), listed(), audienceOf(addr))
+	sender, err := listenNotices(netip.MustParseAddrPort("127.0.0.1:0"), listed(), audienceOf(addr))
 	is.NoErr(err)
-	defer func() { _ = teller.socket.Close() }()
+	defer func() { _ = sender.socket.Close() }()
 	tests := []struct {
 		name   string
 		notice health.Notice
@@ -104,8 +104,8 @@
 		{"a back end that is gone", health.Notice{Gone: []ident.Incarnation{"a"}}, "b"},
 	}
 	for _, tt := range tests {
-		teller.tellHealth(tt.notice)
-		for _, known := range []*backend.Registry{teller.backends, other.backends} {
+		sender.tellHealth(tt.notice)
+		for _, known := range []*backend.Registry{sender.backends, other.backends} {
 			eventually(t, func() bool {
 				choice, flight, found := known.Pick(time.Now(), &backend.Query{Service: "s", Model: model})
 				if found {
@@ -123,15 +123,15 @@
 	for index, addr := range addrs {
 		peers = append(peers, upstream.Peer{Node: ident.Node(fmt.Sprint("n", index)), Addr: addr})
 	}
-	told := &audience{}
-	told.know(peers)
-	return told
+	targets := &audience{}
+	targets.set(peers)
+	return targets
 }
 
 // Engines that are emptied get no new work until they have had the time for that and
 // for their load.
 // What counts by its sender is not passed on: a stranger's permit would come from a router.
-func TestOnlyNoticesArePassedOn(t *testing.T) {
+func TestOnlyNotificationsAreRelayed(t *testing.T) {
 	is := is.New(t)
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	peer, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(local))
@@ -160,12 +160,12 @@
 	is.True(passed.Quota == nil)
 }
 
-func TestEmptiedEnginesGetNoNewWork(t *testing.T) {
+func TestQuiescingEnginesGetNoNewWork(t *testing.T) {
 	is := is.New(t)
 	known := backend.NewRegistry(backend.Config{})
 	known.Update(time.Now(), []backend.Record{{Instance: "a", Service: "s", Models: map[ident.Model]int{model: 1}}})
-	told := &notices{backends: known, audience: audienceOf()}
-	told.Announce(rollout.Notice{
+	sender := &notices{backends: known, audience: audienceOf()}
+	sender.Announce(rollout.Notice{
 		Model: model, Version: 2, Emptying: []ident.Incarnation{"a"}, EmptyTime: time.Minute, LoadTime: time.Hour,
 	})
 	tests := []struct {
@@ -195,34 +195,34 @@
 	t.Fatal("it never came true")
 }
 
-func TestALongNoticeIsSplit(t *testing.T) {
+func TestLongNotificationIsSplit(t *testing.T) {
 	is := is.New(t)
-	notice := rollout.Notice{Model: model, Version: 2, LoadTime: time.Second, EmptyTime: time.Millisecond}
+	notification := rollout.Notice{Model: model, Version: 2, LoadTime: time.Second, EmptyTime: time.Millisecond}
 	for index := range 95 {
-		notice.Loading = append(notice.Loading, ident.Incarnation(fmt.Sprint("l", index)))
+		notification.Loading = append(notification.Loading, ident.Incarnation(fmt.Sprint("l", index)))
 	}
 	for index := range 50 {
-		notice.Loaded = append(notice.Loaded, ident.Incarnation(fmt.Sprint("d", index)))
+		notification.Loaded = append(notification.Loaded, ident.Incarnation(fmt.Sprint("d", index)))
 	}
 	for index := range 45 {
-		notice.Unsettled = append(notice.Unsettled, ident.Incarnation(fmt.Sprint("u", index)))
+		notification.Unsettled = append(notification.Unsettled, ident.Incarnation(fmt.Sprint("u", index)))
 	}
 	for index := range 55 {
-		notice.Emptying = append(notice.Emptying, ident.Incarnation(fmt.Sprint("e", index)))
+		notification.Emptying = append(notification.Emptying, ident.Incarnation(fmt.Sprint("e", index)))
 	}
 	var joined rollout.Notice
-	for _, part := range splitNotice(notice) {
+	for _, part := range splitRollout(notification) {
 		is.True(len(part.Loading)+len(part.Loaded)+len(part.Unsettled)+len(part.Emptying) <= noticeEngines)
-		is.Equal(part.LoadTime, notice.LoadTime)
-		is.Equal(part.EmptyTime, notice.EmptyTime)
+		is.Equal(part.LoadTime, notification.LoadTime)
+		is.Equal(part.EmptyTime, notification.EmptyTime)
 		joined.Emptying = append(joined.Emptying, part.Emptying...)
 		joined.Unsettled = append(joined.Unsettled, part.Unsettled...)
 		joined.Loading = append(joined.Loading, part.Loading...)
 		joined.Loaded = append(joined.Loaded, part.Loaded...)
 	}
-	is.Equal(joined.Loading, notice.Loading)
-	is.Equal(joined.Loaded, notice.Loaded)
-	is.Equal(joined.Unsettled, notice.Unsettled)
-	is.Equal(joined.Emptying, notice.Emptying)
-	is.Equal(len(splitNotice(rollout.Notice{})), 0)
+	is.Equal(joined.Loading, notification.Loading)
+	is.Equal(joined.Loaded, notification.Loaded)
+	is.Equal(joined.Unsettled, notification.Unsettled)
+	is.Equal(joined.Emptying, notification.Emptying)
+	is.Equal(len(splitRollout(rollout.Notice{})), 0)
 }
--- a/internal/node/namingages_test.go
+++ b/internal/node/publicationages_test.go
@@ -18,9 +18,9 @@
 	known := backend.NewRegistry(backend.Config{})
 	known.Update(time.Now(), []backend.Record{{Instance: "e", Service: "s", Revision: 1, Models: map[ident.Model]int{model: version}}})
 	query := &backend.Query{Service: "s", Model: model}
-	for _, naming := range r.follower.replica.holder.View().Models[model].Named {
+	for _, publication := range r.follower.replica.holder.View().Models[model].Named {
 		query.Expiries = append(query.Expiries, backend.Expiry{
-			Version: naming.Version, At: naming.SeenAt.Add(grace), Uncertain: naming.Met,
+			Version: publication.Version, At: publication.SeenAt.Add(grace), Uncertain: publication.Met,
 		})
 	}
 	_, _, found := known.Pick(time.Now(), query)
@@ -30,22 +30,22 @@
 // A router starts, and its first read of the naming rows gets no answer: it meets the newest
 // version in the row of the operator. The naming rows, which it reads later, tell that
 // requests may not begin on older weights any more.
-func TestNamingRowsThatAreReadLateTellTheAgeOfAVersion(t *testing.T) {
+func TestLateReadOfPublicationRowsSetsVersionAge(t *testing.T) {
 	const grace = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
-		z.store.name(3)
+		z.store.publish(3)
 		time.Sleep(time.Second)
-		z.store.name(4)
+		z.store.publish(4)
 		time.Sleep(time.Second)
 		z.kill("a")
 		time.Sleep(4 * time.Second)
 		lists := &atomic.Int32{}
 		lists.Store(1)
-		z.namingTable = &refusingTable{fakeStore: z.store, noList: namingPrefix, failLists: lists}
+		z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
 		started := z.start(t.Context(), "b")
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(started.newest().Version, 4)
@@ -62,27 +62,27 @@
 // A router that starts alone is turned away when it asks for the naming rows, and meets the
 // version. A moment later its watch reads the rows: they tell how old the version is, and
 // requests may not begin on older weights for as long as if it were named just now.
-func TestAnAgeThatIsLearntLaterCounts(t *testing.T) {
+func TestVersionAgeIsFoundAfterRefusedRead(t *testing.T) {
 	for _, refusals := range []int32{0, 1} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			z := newNamedZone()
+			z := newPublishedZone()
 			z.start(t.Context(), "a")
 			time.Sleep(3 * time.Second)
-			z.store.name(3)
+			z.store.publish(3)
 			time.Sleep(time.Second)
 			z.kill("a")
 			time.Sleep(6 * time.Second)
 			lists := &atomic.Int32{}
 			lists.Store(refusals)
-			z.namingTable = &refusingTable{fakeStore: z.store, noList: namingPrefix, failLists: lists}
+			z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
 			started := z.start(t.Context(), "b")
 			time.Sleep(4 * time.Second)
-			naming := started.newest()
-			is.Equal(naming.Version, 3)
+			publication := started.newest()
+			is.Equal(publication.Version, 3)
 			is.True(lists.Load() < 0) // the rows were read
-			if age := time.Since(naming.SeenAt); naming.Met || age < 10*time.Second {
-				t.Errorf("with %d refusals the version, named 11 s ago, counts as %v old, met: %t", refusals, age, naming.Met)
+			if age := time.Since(publication.SeenAt); publication.Met || age < 10*time.Second {
+				t.Errorf("with %d refusals the version, named 11 s ago, counts as %v old, met: %t", refusals, age, publication.Met)
 			}
 		})
 	}
--- a/internal/node/namingfakes_test.go
+++ b/internal/node/publicationfakes_test.go
@@ -14,22 +14,22 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// newNamedZone returns a zone whose operator has named version 2 of the model.
-func newNamedZone() *zone {
+// newPublishedZone returns a zone whose operator has named version 2 of the model.
+func newPublishedZone() *zone {
 	z := newZone()
-	z.store.name(2)
+	z.store.publish(2)
 	return z
 }
 
 // otherModel is a second model, whose namings have rows of their own.
 const otherModel = ident.Model("b")
 
-// learnsAfterAFault has a version named and written over while the store is at fault for a
+// requireVersionAfterFault has a version named and written over while the store is at fault for a
 // second, as a source of the test's plays it, and fails unless it is known some time after.
-func learnsAfterAFault(t *testing.T, source func(*zoneRouter, *atomic.Bool) Source, after time.Duration) {
+func requireVersionAfterFault(t *testing.T, source func(*zoneRouter, *atomic.Bool) Source, after time.Duration) {
 	t.Helper()
 	is := is.New(t)
-	z := newNamedZone()
+	z := newPublishedZone()
 	fault := &atomic.Bool{}
 	z.guard = func(_ context.Context, running *zoneRouter) {
 		running.follower.source = source(running, fault)
@@ -37,15 +37,15 @@
 	first := z.start(t.Context(), "a")
 	time.Sleep(5 * time.Second)
 	fault.Store(true)
-	z.store.name(3, 2)
+	z.store.publish(3, 2)
 	time.Sleep(time.Second)
 	fault.Store(false)
 	time.Sleep(after)
 	is.Equal(first.newest().Version, 3)
 }
 
-// nameOf has the operator name versions of any model; the other rows stay.
-func (s *fakeStore) nameOf(named ident.Model, versions ...int) {
+// publishOf has the operator name versions of any model; the other rows stay.
+func (s *fakeStore) publishOf(published ident.Model, versions ...int) {
 	s.change(func() {
 		close(s.changed)
 		s.changed = make(chan struct{})
@@ -55,8 +55,8 @@
 		}
 		for _, version := range versions {
 			s.version++
-			s.history = append(s.history, fakeNaming{NamedWeights{Model: named, Version: version}, s.version})
-			models[named] = version
+			s.history = append(s.history, fakePublication{NamedWeights{Model: published, Version: version}, s.version})
+			models[published] = version
 		}
 		s.reading.Models = models
 	})
@@ -101,10 +101,10 @@
 	return t.refusingTable.Commit(ctx, tx)
 }
 
-// hastyAnswers answers each watch after 4 ms.
-type hastyAnswers struct{ *zoneRouter }
+// immediateAnswers answers each watch after 4 ms.
+type immediateAnswers struct{ *zoneRouter }
 
-func (h *hastyAnswers) Changes(ctx context.Context, after uint64, _ time.Duration) (Changes, error) {
+func (h *immediateAnswers) Changes(ctx context.Context, after uint64, _ time.Duration) (Changes, error) {
 	return h.zoneRouter.Changes(ctx, after, 4*time.Millisecond)
 }
 
@@ -121,13 +121,13 @@
 	return r.zoneRouter.Changes(ctx, after, hold)
 }
 
-// goneAtTimes refuses positions before the newest revision at times.
-type goneAtTimes struct {
+// intermittentHistory refuses positions before the newest revision at times.
+type intermittentHistory struct {
 	*zoneRouter
 	gone *atomic.Bool
 }
 
-func (g *goneAtTimes) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+func (g *intermittentHistory) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
 	changes, err := g.zoneRouter.Changes(ctx, after, hold)
 	if err == nil && g.gone.Load() && after < changes.StoreRevision {
 		return Changes{}, ErrHistoryGone
@@ -135,15 +135,15 @@
 	return changes, err
 }
 
-// deafForAWhile is a source whose watch leaves out, for a while, what was changed.
-type deafForAWhile struct {
+// lossyChanges is a source whose watch leaves out, for a while, what was changed.
+type lossyChanges struct {
 	*zoneRouter
-	deaf *atomic.Bool
+	dropping *atomic.Bool
 }
 
-func (d *deafForAWhile) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+func (d *lossyChanges) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
 	changes, err := d.zoneRouter.Changes(ctx, after, hold)
-	if err == nil && d.deaf.Load() {
+	if err == nil && d.dropping.Load() {
 		changes.Named = nil
 	}
 	return changes, err
@@ -164,16 +164,16 @@
 	return changes, err
 }
 
-// namedAmidRecheck is a source whose operator names version 3 right before the first question
+// publishBeforeRecheck is a source whose operator names version 3 right before the first question
 // that asks for what was told before.
-type namedAmidRecheck struct {
+type publishBeforeRecheck struct {
 	*zoneRouter
-	named *atomic.Bool
+	published *atomic.Bool
 }
 
-func (n *namedAmidRecheck) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	if hold == recheckHold && !n.named.Swap(true) {
-		n.zone.store.name(3, 2)
+func (n *publishBeforeRecheck) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+	if hold == recheckHold && !n.published.Swap(true) {
+		n.zone.store.publish(3, 2)
 	}
 	return n.zoneRouter.Changes(ctx, after, hold)
 }
--- a/internal/node/namingmark.go
+++ b/internal/node/publicationmark.go
@@ -16,13 +16,13 @@
 
 const (
 	// markKey is the end of the key of a model's mark, which lies among its naming rows so
-	// that one call reads both. It sorts before all versions, and so within maxNamings.
+	// that one call reads both. It sorts before all versions, and so within maxPublicationRows.
 	markKey = "-watched"
 	// markInterval is the time between two marks. A version that is named while all routers
 	// are away counts as older by up to that: a call in 2 s for the whole fleet.
 	markInterval = 2 * time.Second
-	// maxMarks bounds the marks that are written in one call: a store takes 100 rows.
-	maxMarks = 100
+	// maxMarksPerWrite bounds the marks that are written in one call: a store takes 100 rows.
+	maxMarksPerWrite = 100
 )
 
 // namingMark tells up to when every version of a model's weights that was named is kept. A
@@ -41,10 +41,10 @@
 	wait.Every(ctx, markInterval, func() {
 		// Time at which the store was not read does not count.
 		readAt := f.replica.lastRead().storeTime
-		if readAt == marked || !f.watches() || !f.readsForOthers() || !f.allKept() {
+		if readAt == marked || !f.watchesStore() || !f.readsForOthers() || !f.allPublicationsStored() {
 			return
 		}
-		if err := f.namings.mark(ctx, f.replica.holder.View().Models, readAt); err != nil {
+		if err := f.namings.writeMarks(ctx, f.replica.holder.View().Models, readAt); err != nil {
 			log.WithFields(log.Fields{"cause": err.Error()}).Warn("namings_not_marked")
 			return
 		}
@@ -52,23 +52,25 @@
 	})
 }
 
-// allKept reports whether there are rows of all versions that are known, as far as this router
+// allPublicationsStored reports whether there are rows of all versions that are known, as far as this router
 // knows: what a peer told may have been kept by nobody, if that ended, until the rows are read.
-func (f *follower) allKept() bool { return !f.notRecalled.Load() && !f.namings.writing() }
+func (f *follower) allPublicationsStored() bool {
+	return !f.rowsLoadFailed.Load() && !f.namings.hasPending()
+}
 
-// mark writes the marks of models, as many in one call as it may hold. A mark that is written
+// writeMarks writes the marks of models, as many in one call as it may hold. A mark that is written
 // late, over a newer one, only makes what is named after it count as older.
-func (n *namings) mark(ctx context.Context, models map[ident.Model]catalog.NamedVersion, storeTime time.Duration) error {
+func (n *namings) writeMarks(ctx context.Context, models map[ident.Model]catalog.NamedVersion, storeTime time.Duration) error {
 	value, err := cbor.Marshal(namingMark{StoreTime: storeTime})
 	if err != nil {
 		return err
 	}
 	var writes []protocol.Write
 	for model := range models {
-		writes = append(writes, protocol.Write{Key: namingPrefix + string(model) + "/" + markKey, Value: value})
+		writes = append(writes, protocol.Write{Key: publicationPrefix + string(model) + "/" + markKey, Value: value})
 	}
-	for some := range slices.Chunk(writes, maxMarks) {
-		if err := n.commit(ctx, some); err != nil {
+	for batch := range slices.Chunk(writes, maxMarksPerWrite) {
+		if err := n.commit(ctx, batch); err != nil {
 			return err
 		}
 	}
@@ -83,8 +85,8 @@
 	return err
 }
 
-// readMark returns the store's time that a mark tells, 0 if the row is none.
-func readMark(value []byte) time.Duration {
+// decodeMark returns the store's time that a mark tells, 0 if the row is none.
+func decodeMark(value []byte) time.Duration {
 	var mark namingMark
 	if err := cbor.Unmarshal(value, &mark); err != nil {
 		log.WithFields(log.Fields{"cause": err.Error()}).Warn("naming_mark_unreadable")
@@ -93,18 +95,18 @@
 	return mark.StoreTime
 }
 
-// writing reports whether rows of namings are not written yet: versions named before may
+// hasPending reports whether rows of namings are not written yet: versions named before may
 // then not be kept.
-func (n *namings) writing() bool {
+func (n *namings) hasPending() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.pending) > 0
 }
 
-// unseenSince returns since when a version may have been named that a router met at its first
+// unmarkedSince returns since when a version may have been named that a router met at its first
 // look, for which it asked at a time, and whether that is known. All versions were kept up to
 // the marked time; the store's own time is the one of the look.
-func unseenSince(marked time.Duration, askedAt time.Time, storeTime time.Duration) (since time.Time, known bool) {
+func unmarkedSince(marked time.Duration, askedAt time.Time, storeTime time.Duration) (since time.Time, known bool) {
 	// A mark of later than now was written before the store's time began anew.
 	if marked == 0 || storeTime < marked {
 		return askedAt, false
@@ -112,32 +114,32 @@
 	return askedAt.Add(marked - storeTime), true
 }
 
-// unaskedSince returns since when a version may have been named that this router finds in a
+// rowsUnknownSince returns since when a version may have been named that this router finds in a
 // row for which it asked at a time. That is then, if the rows were known shortly before, as they
 // are asked for all the time. Else it is when they were known last: a router that stood still, or
 // that was told by a peer which did, knows nothing of the time since. It is asked when the answer
 // is there, as a peer may tell what it knew while the question is open.
-func (f *follower) unaskedSince(askedAt time.Time) time.Time {
-	known := f.rowsKnownTo()
+func (f *follower) rowsUnknownSince(askedAt time.Time) time.Time {
+	known := f.rowsKnownUntil()
 	if known.IsZero() || askedAt.Sub(known) <= watchTolerance {
 		return askedAt
 	}
 	return known
 }
 
-// rowsKnownTo returns up to when this router, or a peer that told it, knew the rows.
-func (f *follower) rowsKnownTo() time.Time {
-	if confirmedAt := f.replica.holder.View().ConfirmedAt; confirmedAt.After(f.rowsKnownAt) {
+// rowsKnownUntil returns up to when this router, or a peer that told it, knew the rows.
+func (f *follower) rowsKnownUntil() time.Time {
+	if confirmedAt := f.replica.holder.View().ConfirmedAt; confirmedAt.After(f.rowsReadAt) {
 		return confirmedAt
 	}
-	return f.rowsKnownAt
+	return f.rowsReadAt
 }
 
-// rowsUnanswered takes in a question for the rows without an answer. While a store turns questions
+// rowsReadFailed takes in a question for the rows without an answer. While a store turns questions
 // away nothing is named, so that the rows are as they were; those that were not known shortly
 // before stay unknown.
-func (f *follower) rowsUnanswered(askedAt time.Time) {
-	if known := f.rowsKnownTo(); !known.IsZero() && askedAt.Sub(known) <= watchTolerance {
-		f.rowsKnownAt = askedAt
+func (f *follower) rowsReadFailed(askedAt time.Time) {
+	if known := f.rowsKnownUntil(); !known.IsZero() && askedAt.Sub(known) <= watchTolerance {
+		f.rowsReadAt = askedAt
 	}
 }
--- a/internal/node/namingmark_test.go
+++ b/internal/node/publicationmark_test.go
@@ -16,7 +16,7 @@
 	"github.com/matryer/is"
 )
 
-func TestAVersionThatIsNamedWhileAllAreAwayCountsFromThen(t *testing.T) {
+func TestVersionPublishedWhileAllRoutersAreDown(t *testing.T) {
 	tests := []struct {
 		name string
 		// named are the versions named while all are away.
@@ -29,7 +29,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				z := newNamedZone()
+				z := newPublishedZone()
 				z.start(t.Context(), "a")
 				time.Sleep(20 * time.Millisecond)
 				z.start(t.Context(), "b")
@@ -37,19 +37,19 @@
 				z.kill("a")
 				z.kill("b")
 				time.Sleep(500 * time.Millisecond)
-				namedAt := time.Now()
+				publishedAt := time.Now()
 				for _, version := range tt.named {
-					z.store.name(version)
+					z.store.publish(version)
 					time.Sleep(2 * time.Second)
 				}
 				time.Sleep(2 * time.Second)
 				started := z.start(t.Context(), "c")
 				time.Sleep(2 * time.Second)
-				naming := started.newest()
-				is.Equal(naming.Version, tt.named[len(tt.named)-1])
-				is.True(!naming.SeenAt.After(namedAt))
-				is.True(namedAt.Sub(naming.SeenAt) <= 4*time.Second)
-				is.True(!naming.Met)
+				publication := started.newest()
+				is.Equal(publication.Version, tt.named[len(tt.named)-1])
+				is.True(!publication.SeenAt.After(publishedAt))
+				is.True(publishedAt.Sub(publication.SeenAt) <= 4*time.Second)
+				is.True(!publication.Met)
 			})
 		})
 	}
--- a/internal/node/namingmarkclaim_test.go
+++ b/internal/node/publicationmarkpeer_test.go
@@ -12,33 +12,33 @@
 // The first router tells a version to the next one and dies before it keeps it; the next one
 // takes over, its one question for the kept rows is turned away, and all end soon after: the
 // mark must not claim the version.
-func TestAMarkDoesNotClaimAVersionThatOnlyAPeerTold(t *testing.T) {
-	for _, life := range []time.Duration{2200 * time.Millisecond, 3 * time.Second, 4 * time.Second, 6 * time.Second, 9 * time.Second} {
+func TestMarkExcludesVersionKnownOnlyFromPeer(t *testing.T) {
+	for _, uptime := range []time.Duration{2200 * time.Millisecond, 3 * time.Second, 4 * time.Second, 6 * time.Second, 9 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			z := newNamedZone()
-			z.namingTable = &refusingTable{fakeStore: z.store, noWrite: namingPrefix + string(model) + "/3"}
+			z := newPublishedZone()
+			z.namingTable = &refusingTable{fakeStore: z.store, noWrite: publicationPrefix + string(model) + "/3"}
 			z.start(t.Context(), "a")
 			time.Sleep(20 * time.Millisecond)
 			fail := &atomic.Int32{}
-			z.namingTable = &refusingTable{fakeStore: z.store, noList: namingPrefix, failLists: fail}
+			z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: fail}
 			z.start(t.Context(), "b")
 			time.Sleep(20 * time.Second)
-			namedAt := time.Now()
-			z.store.name(3)
+			publishedAt := time.Now()
+			z.store.publish(3)
 			time.Sleep(500 * time.Millisecond)
 			fail.Store(1)
 			z.kill("a")
-			time.Sleep(life)
+			time.Sleep(uptime)
 			z.kill("b")
 			z.namingTable = z.store
 			time.Sleep(500 * time.Millisecond)
 			started := z.start(t.Context(), "c")
 			time.Sleep(2 * time.Second)
-			naming := started.newest()
-			is.Equal(naming.Version, 3)
-			t.Logf("alone for %v: counts as named %v after it was", life, naming.SeenAt.Sub(namedAt))
-			is.True(!naming.SeenAt.After(namedAt.Add(watchTolerance)))
+			publication := started.newest()
+			is.Equal(publication.Version, 3)
+			t.Logf("alone for %v: counts as named %v after it was", uptime, publication.SeenAt.Sub(publishedAt))
+			is.True(!publication.SeenAt.After(publishedAt.Add(watchTolerance)))
 		})
 	}
 }
--- a/internal/node/namingpause_test.go
+++ b/internal/node/publicationpause_test.go
@@ -13,45 +13,45 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// pausedAfterNews is a source whose process stands still between an answer that tells
+// pausedSource is a source whose process stands still between an answer that tells
 // something new and the next step, as often as is left.
-type pausedAfterNews struct {
+type pausedSource struct {
 	*zoneRouter
 	left  *atomic.Int32
 	pause time.Duration
 	// loses says that the connection does not outlive the pause.
 	loses bool
-	// deaf says that changes are never told.
-	deaf bool
+	// refuseChanges says that changes are never told.
+	refuseChanges bool
 }
 
-func (p *pausedAfterNews) paused(ctx context.Context, news bool) bool {
-	if !news || p.left.Add(-1) < 0 {
+func (p *pausedSource) pauseOn(ctx context.Context, hasNews bool) bool {
+	if !hasNews || p.left.Add(-1) < 0 {
 		return false
 	}
 	wait.For(context.WithoutCancel(ctx), p.pause)
 	return true
 }
 
-func (p *pausedAfterNews) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	if p.deaf {
+func (p *pausedSource) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+	if p.refuseChanges {
 		return Changes{}, fault.New(fault.RateLimited, "refused")
 	}
 	changes, err := p.zoneRouter.Changes(ctx, after, hold)
-	if p.paused(ctx, err == nil && names(changes.Named, 3)) && p.loses {
+	if p.pauseOn(ctx, err == nil && containsVersion(changes.Named, 3)) && p.loses {
 		return Changes{}, fault.New(fault.StoreUnavailable, "no answer")
 	}
 	return changes, err
 }
 
-func (p *pausedAfterNews) Configuration(ctx context.Context) (Reading, error) {
+func (p *pausedSource) Configuration(ctx context.Context) (Reading, error) {
 	reading, err := p.zoneRouter.Configuration(ctx)
-	p.paused(ctx, p.deaf && reading.Models[model] == 3)
+	p.pauseOn(ctx, p.refuseChanges && reading.Models[model] == 3)
 	return reading, err
 }
 
-func names(named []NamedWeights, version int) bool {
-	for _, one := range named {
+func containsVersion(published []NamedWeights, version int) bool {
+	for _, one := range published {
 		if one.Version == version {
 			return true
 		}
@@ -61,24 +61,24 @@
 
 // The process is paused after the store has answered. A version counts from the moment at
 // which the store told it, not from the one at which the process went on.
-func TestAnAnswerThatIsReadLateMakesNoVersionYounger(t *testing.T) {
+func TestAnswerReadLateKeepsVersionAge(t *testing.T) {
 	const pause = 5 * time.Second
 	tests := []struct {
 		name   string
-		source pausedAfterNews
+		source pausedSource
 		named  []int
 		within time.Duration
 	}{
-		{"a change that was told", pausedAfterNews{pause: pause}, []int{3, 2}, 20 * time.Millisecond},
-		{"a change that was told for longer than a question may take", pausedAfterNews{pause: 2 * watchHold}, []int{3, 2}, 20 * time.Millisecond},
-		{"an answer that was lost meanwhile", pausedAfterNews{pause: 2 * watchHold, loses: true}, []int{3, 2}, watchTolerance},
-		{"a row", pausedAfterNews{pause: pause, deaf: true}, []int{3}, 700 * time.Millisecond},
+		{"a change that was told", pausedSource{pause: pause}, []int{3, 2}, 20 * time.Millisecond},
+		{"a change that was told for longer than a question may take", pausedSource{pause: 2 * watchHold}, []int{3, 2}, 20 * time.Millisecond},
+		{"an answer that was lost meanwhile", pausedSource{pause: 2 * watchHold, loses: true}, []int{3, 2}, watchTolerance},
+		{"a row", pausedSource{pause: pause, refuseChanges: true}, []int{3}, 700 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				z := newNamedZone()
+				z := newPublishedZone()
 				z.guard = func(_ context.Context, running *zoneRouter) {
 					source := tt.source
 					source.zoneRouter, source.left = running, &atomic.Int32{}
@@ -87,13 +87,13 @@
 				}
 				first := z.start(t.Context(), "a")
 				time.Sleep(15 * time.Second)
-				z.store.name(tt.named...)
-				namedAt := time.Now()
+				z.store.publish(tt.named...)
+				publishedAt := time.Now()
 				time.Sleep(tt.source.pause + 3*time.Second)
 				is.Equal(first.newest().Version, 3)
 				is.True(!first.newest().Met)
-				is.True(first.newest().SeenAt.Sub(namedAt) <= tt.within)
-				is.True(namedAt.Sub(first.newest().SeenAt) <= watchHold)
+				is.True(first.newest().SeenAt.Sub(publishedAt) <= tt.within)
+				is.True(publishedAt.Sub(first.newest().SeenAt) <= watchHold)
 			})
 		})
 	}
@@ -101,38 +101,38 @@
 
 // A router starts, its first read of the naming rows gets no answer, and it is paused before
 // it reads them again: what they tell is as old as it is.
-func TestNamingRowsThatAreReadAfterAPauseTellTheAge(t *testing.T) {
+func TestPublicationRowsReadAfterPauseKeepVersionAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
-		z.store.name(3)
-		namedAt := time.Now()
+		z.store.publish(3)
+		publishedAt := time.Now()
 		time.Sleep(time.Second)
 		z.kill("a")
 		lists := &atomic.Int32{}
 		lists.Store(1)
-		z.namingTable = &refusingTable{fakeStore: z.store, noList: namingPrefix, failLists: lists}
+		z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
 		z.guard = func(_ context.Context, running *zoneRouter) {
 			left := &atomic.Int32{}
 			left.Store(1)
-			running.follower.source = &pausedAfterNews{zoneRouter: running, left: left, pause: 5 * time.Second}
+			running.follower.source = &pausedSource{zoneRouter: running, left: left, pause: 5 * time.Second}
 		}
 		started := z.start(t.Context(), "b")
 		time.Sleep(10 * time.Second)
 		is.Equal(started.newest().Version, 3)
 		is.True(!started.newest().Met)
-		is.True(started.newest().SeenAt.Sub(namedAt).Abs() <= 20*time.Millisecond)
+		is.True(started.newest().SeenAt.Sub(publishedAt).Abs() <= 20*time.Millisecond)
 	})
 }
 
-func TestTheEarliestMomentOfAnAnswer(t *testing.T) {
+func TestEarliestAnswerTime(t *testing.T) {
 	start := time.Now()
-	read := storeMoment{storeTime: time.Minute, askedAt: start}
+	read := storeClock{storeTime: time.Minute, askedAt: start}
 	tests := []struct {
 		name      string
-		read      storeMoment
+		read      storeClock
 		askedAt   time.Duration
 		storeTime time.Duration
 		earliest  time.Duration
@@ -141,7 +141,7 @@
 		{"given before the read", read, -3 * time.Second, time.Minute - time.Second, -time.Second},
 		{"given before it was asked for, by a slow read", read, 5 * time.Second, time.Minute + 4*time.Second, 5 * time.Second},
 		{"a store whose clock is fast", read, time.Second, 2 * time.Minute, 9 * time.Second},
-		{"no read", storeMoment{}, time.Second, time.Minute, time.Second},
+		{"no read", storeClock{}, time.Second, time.Minute, time.Second},
 		{"no time of the store", read, time.Second, 0, time.Second},
 	}
 	for _, tt := range tests {
--- a/internal/node/namingstale_test.go
+++ b/internal/node/publicationstale_test.go
@@ -23,9 +23,9 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// scriptedRows is a source whose reads of the rows are played one by one; later ones go to the
+// scriptedReads is a source whose reads of the rows are played one by one; later ones go to the
 // store. Its watch is never answered.
-type scriptedRows struct {
+type scriptedReads struct {
 	*zoneRouter
 
 	mu    sync.Mutex
@@ -33,14 +33,14 @@
 }
 
 // script sets the next reads.
-func (s *scriptedRows) script(reads ...func() error) {
+func (s *scriptedReads) script(reads ...func() error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads = reads
 }
 
 // next returns the next read that is played, if there is one.
-func (s *scriptedRows) next() func() error {
+func (s *scriptedReads) next() func() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.reads) == 0 {
@@ -51,20 +51,20 @@
 	return read
 }
 
-func (s *scriptedRows) Configuration(ctx context.Context) (Reading, error) {
+func (s *scriptedReads) Configuration(ctx context.Context) (Reading, error) {
 	if err := s.next()(); err != nil {
 		return Reading{}, err
 	}
 	return s.zoneRouter.Configuration(ctx)
 }
 
-func (s *scriptedRows) Changes(context.Context, uint64, time.Duration) (Changes, error) {
+func (s *scriptedReads) Changes(context.Context, uint64, time.Duration) (Changes, error) {
 	return Changes{}, fault.New(fault.RateLimited, "refused")
 }
 
 // A version that is found in its row counts from when all rows were last known, whoever told that,
 // and whatever became of the questions since.
-func TestAVersionCountsFromWhenItsRowWasLastKnown(t *testing.T) {
+func TestVersionAgeCountsFromLastKnownRows(t *testing.T) {
 	const away = 8 * time.Second
 	answered := func() error { return nil }
 	unanswered := func() error { return fault.New(fault.StoreUnavailable, "no answer") }
@@ -72,39 +72,39 @@
 		name string
 		// reads are those of a router that starts after the others were away; told has it told
 		// by a peer what that knew before.
-		reads func(told func()) []func() error
+		reads func(applyStale func()) []func() error
 	}{
-		{"told while the rows are asked for", func(told func()) []func() error {
-			return []func() error{func() error { told(); return nil }}
+		{"told while the rows are asked for", func(applyStale func()) []func() error {
+			return []func() error{func() error { applyStale(); return nil }}
 		}},
-		{"told after a question without an answer", func(told func()) []func() error {
-			return []func() error{unanswered, func() error { told(); return nil }}
+		{"told after a question without an answer", func(applyStale func()) []func() error {
+			return []func() error{unanswered, func() error { applyStale(); return nil }}
 		}},
-		{"told before questions without an answer", func(told func()) []func() error {
-			return []func() error{func() error { told(); return unanswered() }, unanswered, unanswered, answered}
+		{"told before questions without an answer", func(applyStale func()) []func() error {
+			return []func() error{func() error { applyStale(); return unanswered() }, unanswered, unanswered, answered}
 		}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				z := newNamedZone()
+				z := newPublishedZone()
 				first := z.start(t.Context(), "a")
 				time.Sleep(10 * time.Second)
 				z.kill("a")
 				stale, knownAt := first.follower.replica.Update(time.Now(), &upstream.Pull{}), time.Now()
 				time.Sleep(500 * time.Millisecond)
-				z.store.name(3)
-				namedAt := time.Now()
+				z.store.publish(3)
+				publishedAt := time.Now()
 				time.Sleep(away)
 				z.guard = func(_ context.Context, running *zoneRouter) {
-					told := func() { is.NoErr(running.follower.take(stale, knownAt)) }
-					running.follower.source = &scriptedRows{zoneRouter: running, reads: tt.reads(told)}
+					applyStale := func() { is.NoErr(running.follower.apply(stale, knownAt)) }
+					running.follower.source = &scriptedReads{zoneRouter: running, reads: tt.reads(applyStale)}
 				}
 				started := z.start(t.Context(), "b")
 				time.Sleep(3 * time.Second)
 				is.Equal(started.newest().Version, 3)
-				is.True(started.newest().SeenAt.Sub(namedAt) <= 0) // no request begins on version 2 for too long
+				is.True(started.newest().SeenAt.Sub(publishedAt) <= 0) // no request begins on version 2 for too long
 				is.True(knownAt.Sub(started.newest().SeenAt) <= time.Second)
 			})
 		})
@@ -113,11 +113,11 @@
 
 // A router that stood still, and whose first question after that gets no answer, does not know what
 // was named meanwhile either.
-func TestAQuestionWithoutAnAnswerAfterAPauseKnowsNothing(t *testing.T) {
+func TestFailedReadAfterPauseLeavesRowsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
-		source := &scriptedRows{}
+		z := newPublishedZone()
+		source := &scriptedReads{}
 		z.guard = func(_ context.Context, running *zoneRouter) {
 			source.zoneRouter = running
 			running.follower.source = source
@@ -129,7 +129,7 @@
 			func() error {
 				// The process stands still right after this answer.
 				time.AfterFunc(time.Second, func() {
-					z.store.name(3)
+					z.store.publish(3)
 					now := time.Now()
 					namedAt.Store(&now)
 				})
--- a/internal/node/namingwatch.go
+++ b/internal/node/publicationwatch.go
@@ -18,16 +18,16 @@
 	// call. A connection that falls silent meanwhile is found by keep-alive probes. A fleet of
 	// 23 routers made 798 calls to the store in a day, with 2 s in place of this 830.
 	watchHold = 10 * time.Second
-	// leastHold keeps the questions apart that are held back for a shorter time.
-	leastHold = 200 * time.Millisecond
-	// recallInterval is the least time between two reads of the naming rows: they are read
+	// minWatchHold keeps the questions apart that are held back for a shorter time.
+	minWatchHold = 200 * time.Millisecond
+	// rowsLoadInterval is the least time between two reads of the naming rows: they are read
 	// when the watch begins, which may be often while peers come and go.
-	recallInterval = 10 * time.Second
+	rowsLoadInterval = 10 * time.Second
 	// maxWatchPause bounds the pause after a question that failed, which doubles each time.
 	maxWatchPause = time.Second
-	// leastPaused is by how much a question that ends late shows that the process was paused.
+	// minProcessPause is by how much a question that ends late shows that the process was paused.
 	// Timers that fire late on a busy machine are off by less.
-	leastPaused = time.Second
+	minProcessPause = time.Second
 	// watchPause is the time between two looks whether this router is to watch.
 	watchPause = 200 * time.Millisecond
 	// watchTolerance is the gap in the watch that does not make a version count as older: in
@@ -49,8 +49,8 @@
 // watchResults are the results of watches that were answered, by whether they told news.
 var watchResults = map[bool]string{true: watchNews, false: watchQuiet}
 
-// watched is up to where all namings are known.
-type watched struct {
+// watchPosition is up to where all namings are known.
+type watchPosition struct {
 	// revision is that of the store, 0 if it is not known.
 	revision uint64
 	// storeTime is the store's own time at which no naming was unknown, 0 if it is not known.
@@ -62,11 +62,11 @@
 // was held back comes at the moment of the change, and a store that answers nobody takes no
 // writes either, so that only the time counts during which nobody asked. A version that was
 // named while the store turned away this router alone counts as younger by that time.
-func (w watched) age(answeredAt, asked time.Duration) (age time.Duration, known bool) {
+func (w watchPosition) age(answeredAt, requestTime time.Duration) (age time.Duration, known bool) {
 	if w.storeTime == 0 || answeredAt == 0 {
 		return 0, false
 	}
-	return max(answeredAt-w.storeTime-asked-watchTolerance, 0), true
+	return max(answeredAt-w.storeTime-requestTime-watchTolerance, 0), true
 }
 
 // watchNamings takes in every version of weights that is named, in the order of the writes,
@@ -78,66 +78,66 @@
 // engines on older weights for good without the watch, and 0 of 48 with it.
 func (f *follower) watchNamings(ctx context.Context) {
 	for ctx.Err() == nil {
-		if f.watches() {
-			f.watchWhileReading(ctx)
+		if f.watchesStore() {
+			f.watchStore(ctx)
 			continue
 		}
 		wait.For(ctx, watchPause)
 	}
 }
 
-// watches reports whether this router watches the changes of the store: the one that reads
+// watchesStore reports whether this router watches the changes of the store: the one that reads
 // it for all does, and any that no peer supplies.
-func (f *follower) watches() bool {
-	return f.replica.knows() && (f.chain.reads() || f.replica.ownOrigin())
+func (f *follower) watchesStore() bool {
+	return f.replica.initialized() && (f.chain.reads() || f.replica.ownOrigin())
 }
 
-// watchWhileReading watches for as long as this router is to.
-func (f *follower) watchWhileReading(ctx context.Context) {
-	session := &namingSession{
-		follower: f, askingSince: clock.Now(), pause: watchPause, recheck: newRecheck(clock.Now(), f.replica.watchedTo().revision),
+// watchStore watches for as long as this router is to.
+func (f *follower) watchStore(ctx context.Context) {
+	session := &watchSession{
+		follower: f, pendingSince: clock.Now(), pause: watchPause, recheck: newRecheck(clock.Now(), f.replica.watchedUntil().revision),
 	}
-	for ctx.Err() == nil && f.watches() {
+	for ctx.Err() == nil && f.watchesStore() {
 		session.watch(ctx)
 	}
 }
 
-// namingSession is a time for which a router watches without a break.
-type namingSession struct {
+// watchSession is a time for which a router watches without a break.
+type watchSession struct {
 	*follower
-	// askingSince is when the question began that is not answered yet; one that failed is
+	// pendingSince is when the question began that is not answered yet; one that failed is
 	// asked again.
-	askingSince time.Time
+	pendingSince time.Time
 	// pause follows the next question that fails.
 	pause time.Duration
-	// recalled says that the rows of namings were read in this session.
-	recalled bool
-	recheck  recheck
+	// rowsLoaded says that the rows of namings were read in this session.
+	rowsLoaded bool
+	recheck    recheck
 }
 
 // watch asks once for the changes after what is known.
-func (s *namingSession) watch(ctx context.Context) {
-	from, hold, askedAt := s.replica.watchedTo(), s.recheck.hold(clock.Now()), clock.Now()
+func (s *watchSession) watch(ctx context.Context) {
+	from, hold, askedAt := s.replica.watchedUntil(), s.recheck.hold(clock.Now()), clock.Now()
 	changes, err := s.changes(ctx, from.revision, hold)
 	if err != nil {
-		s.failed(ctx, err, clock.Since(askedAt)-hold-s.config.ReadTimeout)
+		s.handleFailure(ctx, err, clock.Since(askedAt)-hold-s.config.ReadTimeout)
 		return
 	}
-	took, toldAt := clock.Since(askedAt), s.replica.toldAt(askedAt, changes.StoreTime)
-	news := s.takeChanges(ctx, from, toldAt, clock.Since(s.askingSince), &changes)
-	s.watchResult(watchResults[news])
-	if !s.recalled && clock.Since(s.recalledAt) >= recallInterval {
-		s.recalled = s.recall(ctx, toldAt, changes.StoreTime)
-		s.recalledAt = clock.Now()
-		s.notRecalled.Store(!s.recalled)
+	elapsed, changedAt := clock.Since(askedAt), s.replica.earliestAnswer(askedAt, changes.StoreTime)
+	hasNews := s.applyChanges(ctx, from, changedAt, clock.Since(s.pendingSince), &changes)
+	s.watchResult(watchResults[hasNews])
+	if !s.rowsLoaded && clock.Since(s.rowsLoadedAt) >= rowsLoadInterval {
+		s.rowsLoaded = s.loadRows(ctx, changedAt, changes.StoreTime)
+		s.rowsLoadedAt = clock.Now()
+		s.rowsLoadFailed.Store(!s.rowsLoaded)
 	}
-	s.recheck.answered(clock.Now(), took < hold)
-	s.checkAgain(ctx, changes.StoreRevision)
-	if !news && took < leastHold {
+	s.recheck.schedule(clock.Now(), elapsed < hold)
+	s.recheckChanges(ctx, changes.StoreRevision)
+	if !hasNews && elapsed < minWatchHold {
 		// The store does not hold its answers back.
-		wait.For(ctx, leastHold-took)
+		wait.For(ctx, minWatchHold-elapsed)
 	}
-	s.askingSince, s.pause = clock.Now(), watchPause
+	s.pendingSince, s.pause = clock.Now(), watchPause
 }
 
 // changes asks for the changes after a revision.
@@ -147,17 +147,17 @@
 	return f.source.Changes(bounded, after, hold)
 }
 
-// failed pauses after a question without an answer. Changes that the store has forgotten, or
+// handleFailure pauses after a question without an answer. Changes that the store has forgotten, or
 // that are too many, are passed over by the watch, but asked for again. late is by how much
 // the question took longer than it may.
-func (s *namingSession) failed(ctx context.Context, err error, late time.Duration) {
+func (s *watchSession) handleFailure(ctx context.Context, err error, late time.Duration) {
 	if ctx.Err() != nil {
 		return
 	}
-	if late > leastPaused {
+	if late > minProcessPause {
 		// The process was paused: the answer may have been given, and lost, long before, so
 		// that nobody asked since then as far as is known.
-		s.askingSince = clock.Now()
+		s.pendingSince = clock.Now()
 	}
 	if !errors.Is(err, ErrHistoryGone) {
 		s.watchResult(watchFailed)
@@ -166,71 +166,71 @@
 		return
 	}
 	s.watchResult(watchGone)
-	from, to := s.replica.passForgotten()
-	s.recalled, s.recheck.dueAt = false, clock.Now()
+	from, to := s.replica.skipForgotten()
+	s.rowsLoaded, s.recheck.dueAt = false, clock.Now()
 	log.WithFields(log.Fields{"from": from, "to": to, "cause": err.Error()}).Info("namings_forgotten")
 	wait.For(ctx, watchPause)
 }
 
-// takeChanges takes in what a watch told at a moment that began where all was known, and was
+// applyChanges takes in what a watch told at a moment that began where all was known, and was
 // asked for some time. It reports whether there was news.
-func (f *follower) takeChanges(ctx context.Context, from watched, toldAt time.Time, asked time.Duration, changes *Changes) bool {
+func (f *follower) applyChanges(ctx context.Context, from watchPosition, changedAt time.Time, requestTime time.Duration, changes *Changes) bool {
 	// A version counts as old as it may be, so that no request begins on older weights for
 	// longer than it may.
-	age, known := from.age(changes.StoreTime, asked)
-	news := f.takeNamed(ctx, from.revision, toldAt, age, known, changes)
-	f.replica.watchedUpTo(watched{revision: changes.StoreRevision, storeTime: changes.StoreTime}, news)
-	return news
+	age, known := from.age(changes.StoreTime, requestTime)
+	hasNews := f.applyPublished(ctx, from.revision, changedAt, age, known, changes)
+	f.replica.advanceWatch(watchPosition{revision: changes.StoreRevision, storeTime: changes.StoreTime}, hasNews)
+	return hasNews
 }
 
-// takeNamed takes in versions that were named after a revision, as long before they were told
+// applyPublished takes in versions that were named after a revision, as long before they were told
 // as age if that is known, and reports whether any is news.
-func (f *follower) takeNamed(
-	ctx context.Context, after uint64, toldAt time.Time, age time.Duration, known bool, changes *Changes,
+func (f *follower) applyPublished(
+	ctx context.Context, after uint64, changedAt time.Time, age time.Duration, known bool, changes *Changes,
 ) bool {
-	naming := catalog.Naming{SeenAt: toldAt.Add(-age), Met: !known}
-	row := namingRow{FirstSeen: changes.StoreTime - age, Watched: after, Met: naming.Met}
-	news := false
-	for _, named := range changes.Named {
-		naming.Version = named.Version
-		if !f.replica.holder.Named(named.Model, naming) {
+	publication := catalog.Naming{SeenAt: changedAt.Add(-age), Met: !known}
+	row := namingRow{FirstSeen: changes.StoreTime - age, CompleteTo: after, SeenAtStart: publication.Met}
+	hasNews := false
+	for _, published := range changes.Named {
+		publication.Version = published.Version
+		if !f.replica.holder.Named(published.Model, publication) {
 			continue
 		}
-		news = true
+		hasNews = true
 		log.WithFields(log.Fields{
-			"model": named.Model, "version": named.Version, "met": naming.Met, "age_ms": clock.Since(naming.SeenAt).Milliseconds(),
+			"model": published.Model, "version": published.Version, "met": publication.Met, "age_ms": clock.Since(publication.SeenAt).Milliseconds(),
 		}).Info("version_named")
-		f.namings.keep(ctx, named.Model, named.Version, row)
+		f.namings.save(ctx, published.Model, published.Version, row)
 	}
-	return news
+	return hasNews
 }
 
-// recall takes in the namings that other routers kept, keeps those known here of which there
+// loadRows takes in the namings that other routers kept, keeps those known here of which there
 // is no row, and reports whether the rows could be read: a router that watched before may
 // have ended before it kept what it saw, or this one may have been apart when it did.
 // storeTime is the store's time at the moment localTime here.
-func (f *follower) recall(ctx context.Context, localTime time.Time, storeTime time.Duration) bool {
+func (f *follower) loadRows(ctx context.Context, localTime time.Time, storeTime time.Duration) bool {
 	for model, known := range f.replica.holder.View().Models {
-		found, err := f.namings.find(ctx, model, storeTime, localTime)
+		stored, err := f.namings.load(ctx, model, storeTime, localTime)
 		if err != nil {
 			return false
 		}
-		f.takeKept(model, &found)
-		for _, naming := range found.lacks(known.Named) {
-			f.namings.keep(ctx, model, naming.Version, namingRow{
-				FirstSeen: storeTime - localTime.Sub(naming.SeenAt), Met: naming.Met,
+		f.applyStored(model, &stored)
+		for _, publication := range stored.missing(known.Named) {
+			f.namings.save(ctx, model, publication.Version, namingRow{
+				FirstSeen: storeTime - localTime.Sub(publication.SeenAt), SeenAtStart: publication.Met,
 			})
 		}
 	}
 	return true
 }
 
-// takeKept takes in what the rows of a model's versions tell.
-func (f *follower) takeKept(model ident.Model, found *kept) {
-	for _, naming := range found.namings {
-		if f.replica.holder.Named(model, naming) {
+// applyStored takes in what the rows of a model's versions tell.
+func (f *follower) applyStored(model ident.Model, stored *storedPublications) {
+	for _, publication := range stored.publications {
+		if f.replica.holder.Named(model, publication) {
 			log.WithFields(log.Fields{
-				"model": model, "version": naming.Version, "age_ms": clock.Since(naming.SeenAt).Milliseconds(),
+				"model": model, "version": publication.Version, "age_ms": clock.Since(publication.SeenAt).Milliseconds(),
 			}).Info("version_recalled")
 		}
 	}
--- a/internal/node/namingwatch_test.go
+++ b/internal/node/publicationwatch_test.go
@@ -22,14 +22,14 @@
 	return known.Named[len(known.Named)-1]
 }
 
-// lateTable is a table whose writes fail until a time.
-type lateTable struct {
+// unavailableTable is a table whose writes fail until a time.
+type unavailableTable struct {
 	*fakeStore
 	downUntil time.Time
 }
 
 // Commit implements store.Table.
-func (t *lateTable) Commit(ctx context.Context, transaction protocol.Transaction) (protocol.TransactionResult, error) {
+func (t *unavailableTable) Commit(ctx context.Context, transaction protocol.Transaction) (protocol.TransactionResult, error) {
 	if time.Now().Before(t.downUntil) {
 		return protocol.TransactionResult{}, fault.New(fault.StoreUnavailable, "down")
 	}
@@ -38,20 +38,20 @@
 
 // A write that the store answered late is carried out over a newer one before any router
 // has read the row.
-func TestEachNamingReachesAllRoutersThoughItsRowIsWrittenOver(t *testing.T) {
+func TestOverwrittenPublicationReachesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		routers := []*zoneRouter{z.start(t.Context(), "a"), z.start(t.Context(), "b"), z.start(t.Context(), "c")}
 		time.Sleep(3 * time.Second)
-		z.store.name(3, 2)
-		namedAt := time.Now()
+		z.store.publish(3, 2)
+		publishedAt := time.Now()
 		time.Sleep(200 * time.Millisecond)
 		for _, router := range routers {
-			naming := router.newest()
-			is.Equal(naming.Version, 3)
-			is.True(!naming.Met)
-			is.True(naming.SeenAt.Sub(namedAt).Abs() <= 20*time.Millisecond)
+			publication := router.newest()
+			is.Equal(publication.Version, 3)
+			is.True(!publication.Met)
+			is.True(publication.SeenAt.Sub(publishedAt).Abs() <= 20*time.Millisecond)
 		}
 		z.watches()
 		time.Sleep(10 * time.Second)
@@ -61,84 +61,84 @@
 }
 
 // The row of the operator tells an older version to routers that start later.
-func TestANamingOutlivesAllRouters(t *testing.T) {
+func TestPublicationOutlivesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
-		z.store.name(3, 2)
+		z.store.publish(3, 2)
 		time.Sleep(100 * time.Millisecond)
 		z.kill("a")
 		time.Sleep(time.Minute)
 		z.store.forget(z.store.revision())
 		started := z.start(t.Context(), "b")
 		time.Sleep(time.Second)
-		naming := started.newest()
-		is.Equal(naming.Version, 3)
-		is.True(!naming.Met)
-		is.True(time.Since(naming.SeenAt) >= time.Minute)
+		publication := started.newest()
+		is.Equal(publication.Version, 3)
+		is.True(!publication.Met)
+		is.True(time.Since(publication.SeenAt) >= time.Minute)
 	})
 }
 
 // A naming is kept although the store is away for longer than a few tries.
-func TestANamingIsKeptOnceTheStoreIsBack(t *testing.T) {
+func TestPublicationIsSavedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newFakeStore()
 		begun := time.Now()
-		table := &lateTable{fakeStore: store, downUntil: begun.Add(10 * time.Second)}
-		namings := &namings{table: table, timeout: time.Second}
-		namings.keep(t.Context(), model, 3, namingRow{FirstSeen: time.Second})
+		table := &unavailableTable{fakeStore: store, downUntil: begun.Add(10 * time.Second)}
+		publications := &namings{table: table, timeout: time.Second}
+		publications.save(t.Context(), model, 3, namingRow{FirstSeen: time.Second})
 		is.Equal(time.Since(begun), time.Duration(0)) // nobody waits for it
 		time.Sleep(13 * time.Second)
-		found, err := namings.find(t.Context(), model, 20*time.Second, time.Now())
+		stored, err := publications.load(t.Context(), model, 20*time.Second, time.Now())
 		is.NoErr(err)
-		is.Equal(len(found.namings), 1)
-		is.Equal(time.Since(found.namings[0].SeenAt), 19*time.Second)
+		is.Equal(len(stored.publications), 1)
+		is.Equal(time.Since(stored.publications[0].SeenAt), 19*time.Second)
 		synctest.Wait()
-		namings.mu.Lock()
-		defer namings.mu.Unlock()
-		is.Equal(len(namings.pending), 0)
+		publications.mu.Lock()
+		defer publications.mu.Unlock()
+		is.Equal(len(publications.pending), 0)
 	})
 }
 
 // The router that watches ends, and a version is named and written over before the next
 // one notices.
-func TestAWatcherThatTakesOverMissesNothing(t *testing.T) {
+func TestNewWatcherMissesNoPublication(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.start(t.Context(), "a")
 		time.Sleep(20 * time.Millisecond) // a is the first
 		second := z.start(t.Context(), "b")
 		time.Sleep(3 * time.Second)
 		z.kill("a")
 		time.Sleep(50 * time.Millisecond)
-		z.store.name(3, 2)
-		namedAt := time.Now()
+		z.store.publish(3, 2)
+		publishedAt := time.Now()
 		time.Sleep(3 * time.Second)
-		naming := second.newest()
-		is.Equal(naming.Version, 3)
+		publication := second.newest()
+		is.Equal(publication.Version, 3)
 		// It counts as old as it may be, but for the tolerance.
-		is.True(naming.SeenAt.Sub(namedAt) <= watchTolerance)
-		is.True(namedAt.Sub(naming.SeenAt) <= watchHold)
-		is.True(!naming.Met)
+		is.True(publication.SeenAt.Sub(publishedAt) <= watchTolerance)
+		is.True(publishedAt.Sub(publication.SeenAt) <= watchHold)
+		is.True(!publication.Met)
 	})
 }
 
 // A router saw a version, told others, and ended before it kept it; the others keep it.
-func TestTheNextWatcherKeepsWhatTheLastOneSaw(t *testing.T) {
+func TestNewWatcherSavesPublicationsOfFormerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
-		z.namingTable = &lateTable{fakeStore: z.store, downUntil: time.Now().Add(time.Hour)}
+		z := newPublishedZone()
+		z.namingTable = &unavailableTable{fakeStore: z.store, downUntil: time.Now().Add(time.Hour)}
 		z.start(t.Context(), "a")
 		z.namingTable = z.store
 		time.Sleep(20 * time.Millisecond) // a is the first
 		second := z.start(t.Context(), "b")
 		time.Sleep(3 * time.Second)
-		z.store.name(3, 2)
+		z.store.publish(3, 2)
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(second.newest().Version, 3)
 		seenAt := second.newest().SeenAt
@@ -154,16 +154,16 @@
 
 // The store has forgotten the changes after the last one that is known, but not those in
 // which a newer version was named and written over.
-func TestForgottenChangesAreSkippedOver(t *testing.T) {
+func TestForgottenChangesAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
-		z.store.name(1)
+		z.store.publish(1)
 		for range 1000 {
-			z.store.name(1) // other writes
+			z.store.publish(1) // other writes
 		}
 		z.store.forget(z.store.revision())
-		z.store.name(3, 2)
+		z.store.publish(3, 2)
 		started := z.start(t.Context(), "a")
 		time.Sleep(5 * time.Second)
 		is.Equal(started.newest().Version, 3)
@@ -174,7 +174,7 @@
 	})
 }
 
-func TestTheAgeOfWhatAWatchTells(t *testing.T) {
+func TestWatchPositionAge(t *testing.T) {
 	tests := []struct {
 		name                         string
 		knownAt, answeredAt, tookFor time.Duration
@@ -192,16 +192,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			age, known := watched{revision: 1, storeTime: tt.knownAt}.age(tt.answeredAt, tt.tookFor)
+			age, known := watchPosition{revision: 1, storeTime: tt.knownAt}.age(tt.answeredAt, tt.tookFor)
 			is.Equal(age, tt.age)
 			is.Equal(known, tt.known)
 		})
 	}
 }
 
-func TestNamingsOfWhichThereIsNoRow(t *testing.T) {
+func TestMissingPublicationRows(t *testing.T) {
 	is := is.New(t)
-	rows := kept{namings: []catalog.Naming{{Version: 2}, {Version: 4}}}
-	is.Equal(rows.lacks([]catalog.Naming{{Version: 2}, {Version: 3}}), []catalog.Naming{{Version: 3}})
-	is.Equal(len(rows.lacks(nil)), 0)
+	rows := storedPublications{publications: []catalog.Naming{{Version: 2}, {Version: 4}}}
+	is.Equal(rows.missing([]catalog.Naming{{Version: 2}, {Version: 3}}), []catalog.Naming{{Version: 3}})
+	is.Equal(len(rows.missing(nil)), 0)
 }
--- a/internal/node/pull.go
+++ b/internal/node/pull.go
@@ -81,14 +81,14 @@
 }
 
 const (
-	// joinPause is the time between two tries to write this router's row.
-	joinPause = 250 * time.Millisecond
-	// chainPause bounds the time between two looks at the chain.
-	chainPause = 500 * time.Millisecond
-	// countLook is the time between two looks at whether the routers are to be counted.
-	countLook = 500 * time.Millisecond
-	// leastPull is the least time between two pulls, whatever the peer answers.
-	leastPull = 20 * time.Millisecond
+	// joinRetryPause is the time between two tries to write this router's row.
+	joinRetryPause = 250 * time.Millisecond
+	// maxChainPause bounds the time between two looks at the chain.
+	maxChainPause = 500 * time.Millisecond
+	// countCheckInterval is the time between two looks at whether the routers are to be counted.
+	countCheckInterval = 500 * time.Millisecond
+	// minPullInterval is the least time between two pulls, whatever the peer answers.
+	minPullInterval = 20 * time.Millisecond
 )
 
 // followPeers joins the routers of the zone and pulls from the peers that the
@@ -110,9 +110,9 @@
 		case upstream.Peer:
 			begun := clock.Now()
 			confirmation = f.pull(ctx, next, confirmation)
-			wait.For(ctx, max(leastPull-clock.Since(begun), time.Millisecond))
+			wait.For(ctx, max(minPullInterval-clock.Since(begun), time.Millisecond))
 		case upstream.Store:
-			wait.For(ctx, min(max(clock.Until(next.RetryAt), leastPull), chainPause))
+			wait.For(ctx, min(max(clock.Until(next.RetryAt), minPullInterval), maxChainPause))
 		}
 	}
 }
@@ -135,19 +135,19 @@
 
 // join writes this router's row, and reports whether ctx is still open.
 func (f *follower) join(ctx context.Context) bool {
-	seen := &dependency{name: "router row", count: f.lost}
+	dep := &dependency{name: "router row", onLost: f.lost}
 	for ctx.Err() == nil {
 		askedAt := clock.Now()
 		self, peers, routers, err := f.roster.join(ctx)
-		seen.saw(err)
+		dep.observe(err)
 		if err == nil {
-			f.noteEpoch()
+			f.observeEpoch()
 			f.replica.joined(self)
-			f.takeRoster(askedAt, self, peers, routers)
+			f.applyRouters(askedAt, self, peers, routers)
 			log.WithFields(log.Fields{"revision": self.Revision, "peers": len(peers), "routers": routers}).Info("joined")
 			return true
 		}
-		wait.For(ctx, joinPause)
+		wait.For(ctx, joinRetryPause)
 	}
 	return false
 }
@@ -156,7 +156,7 @@
 // the first one of them that stays takes its place.
 func (f *follower) leave() {
 	f.chain.use(func(chain *upstream.Chain) { chain.Leave() })
-	f.replica.leave()
+	f.replica.advertiseShutdown()
 }
 
 func (f *follower) next(now time.Time) (next upstream.Source) {
@@ -169,11 +169,11 @@
 // its confirmation.
 func (f *follower) pull(ctx context.Context, peer upstream.Peer, confirmation uint64) uint64 {
 	pull := &upstream.Pull{Confirmation: confirmation}
-	pull.Configuration, pull.List = f.replica.holds()
+	pull.Configuration, pull.List = f.replica.copyVersions()
 	pull.Quarantine = f.guard.Digest()
 	pull.News = backend.NewsDigest(f.replica.backends.News(clock.Now()))
 	// What caches hold can wait until this router can serve.
-	if f.replica.knows() {
+	if f.replica.initialized() {
 		pull.Caches, pull.CacheHeld = true, f.replica.caches.Positions()
 	}
 	f.chain.use(func(chain *upstream.Chain) { pull.From = chain.Self() })
@@ -181,9 +181,9 @@
 	if ctx.Err() != nil {
 		return 0
 	}
-	result := f.judge(peer, update, err)
-	if f.wants(update, result) {
-		err = f.take(update, at)
+	result := f.evaluate(peer, update, err)
+	if f.shouldApply(update, result) {
+		err = f.apply(update, at)
 	}
 	f.pulled(resultName(result))
 	if err != nil {
@@ -202,14 +202,14 @@
 	return update.Confirmation
 }
 
-// wants reports whether an update is to be taken in. A router that knows nothing
+// shouldApply reports whether an update is to be taken in. A router that knows nothing
 // yet takes the state of any peer, and one that met an older configuration, as the store
 // wrote it late, any newer one; ages and versions guard what is believed.
-func (f *follower) wants(update *upstream.Update, result upstream.Result) bool {
+func (f *follower) shouldApply(update *upstream.Update, result upstream.Result) bool {
 	if _, fresh := result.(upstream.Fresh); fresh {
 		return true
 	}
-	return update != nil && update.Complete() && (!f.replica.knows() || f.replica.behind(&update.Configuration))
+	return update != nil && update.Complete() && (!f.replica.initialized() || f.replica.behind(&update.Configuration))
 }
 
 // resultName is the name of a result in metrics.
@@ -217,8 +217,8 @@
 	return strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", result), "upstream."))
 }
 
-// judge says what came of a pull.
-func (f *follower) judge(peer upstream.Peer, update *upstream.Update, err error) (result upstream.Result) {
+// evaluate says what came of a pull.
+func (f *follower) evaluate(peer upstream.Peer, update *upstream.Update, err error) (result upstream.Result) {
 	switch {
 	case err != nil:
 		return upstream.Failed{}
@@ -226,7 +226,7 @@
 		return upstream.Restarted{Revision: update.Revision}
 	case !update.Complete():
 		return upstream.Stale{}
-	case !f.knowsReturns(update):
+	case !f.epochsCurrent(update):
 		return upstream.Stale{}
 	}
 	age := max(update.Configuration.Age, update.List.Age)
@@ -234,22 +234,22 @@
 	return result
 }
 
-// knowsReturns reports whether a peer can know all that this router does of the store's returns
+// epochsCurrent reports whether a peer can know all that this router does of the store's returns
 // from older copies. One that does not may have confirmed what it holds by a version that was
 // given out again. Older builds never know, and those that only pull from them hear of none.
-func (f *follower) knowsReturns(update *upstream.Update) bool {
-	_, told := f.epochs.First()
-	return update.Epoch >= f.seenEpoch.Load() && (update.FirstEra > 0 || !told)
+func (f *follower) epochsCurrent(update *upstream.Update) bool {
+	_, known := f.epochs.First()
+	return update.Epoch >= f.seenEpoch.Load() && (update.FirstEra > 0 || !known)
 }
 
-// take takes in the state of a peer as of a time.
-func (f *follower) take(update *upstream.Update, at time.Time) error {
-	f.looked.Store(true)
-	f.takeEpoch(update)
+// apply takes in the state of a peer as of a time.
+func (f *follower) apply(update *upstream.Update, at time.Time) error {
+	f.configurationSeen.Store(true)
+	f.applyPeerEpoch(update)
 	// It comes first, so that a router that starts knows it before it serves.
 	f.guard.Take(at, update.Quarantine)
-	for _, naming := range update.Configuration.Namings {
-		f.takeNaming(&naming, at)
+	for _, publication := range update.Configuration.Namings {
+		f.applyPublication(&publication, at)
 	}
 	configuration := &update.Configuration
 	err := f.replica.takeConfiguration(
@@ -258,25 +258,25 @@
 	if err != nil {
 		return err
 	}
-	f.replica.takeList(update.Origin, at.Add(-update.List.Age), &update.List)
+	f.replica.applyList(update.Origin, at.Add(-update.List.Age), &update.List)
 	f.replica.caches.Take(at, update.Caches)
 	// The list of back ends comes first: a limit of one that is not listed is passed over.
 	f.replica.news.told(update.News)
-	if told := configuration.Watched; told != nil {
+	if position := configuration.Watched; position != nil {
 		// The namings up to this revision were taken in before it is.
-		f.replica.watchedUpTo(watched{revision: told.Revision, storeTime: told.StoreTime}, false)
+		f.replica.advanceWatch(watchPosition{revision: position.Revision, storeTime: position.StoreTime}, false)
 	}
 	if update.Routers > 0 {
-		f.replica.counted(at.Add(-update.RoutersAge), update.Routers)
+		f.replica.observeRouterCount(at.Add(-update.RoutersAge), update.Routers)
 	}
 	return nil
 }
 
-func (f *follower) takeNaming(told *upstream.Naming, at time.Time) {
-	naming := catalog.Naming{Version: told.Version, SeenAt: at.Add(-told.Age), Met: told.Met}
-	if f.replica.holder.Named(told.Model, naming) {
+func (f *follower) applyPublication(update *upstream.Naming, at time.Time) {
+	publication := catalog.Naming{Version: update.Version, SeenAt: at.Add(-update.Age), Met: update.Met}
+	if f.replica.holder.Named(update.Model, publication) {
 		log.WithFields(log.Fields{
-			"model": told.Model, "version": told.Version, "age_ms": told.Age.Milliseconds(), "met": told.Met,
+			"model": update.Model, "version": update.Version, "age_ms": update.Age.Milliseconds(), "met": update.Met,
 		}).Info("version_named")
 	}
 }
@@ -284,18 +284,18 @@
 // countRouters keeps the rows of the routers up to date while this router reads the
 // store for others or holds the lease, until ctx ends. Those that tell others what becomes of
 // engines, or pass that on, read them when their number is another one.
-func (f *follower) countRouters(ctx context.Context, holds func() bool) {
-	least := f.config.RosterInterval - countLook/2
+func (f *follower) countRouters(ctx context.Context, holdsLease func() bool) {
+	minAge := f.config.RosterInterval - countCheckInterval/2
 	triedAt := clock.Now()
-	wait.Every(ctx, countLook, func() {
+	wait.Every(ctx, countCheckInterval, func() {
 		now := clock.Now()
-		rested := now.Sub(triedAt) >= least
+		intervalOver := now.Sub(triedAt) >= minAge
 		// A router that takes over from one that died before its next count, and one whose
 		// count failed, must not wait for an interval of its own: the others take no part of
 		// the slack of repeats while their count is old.
-		due := f.readsForOthers() && (rested || f.replica.countAge(now) >= least)
+		due := f.readsForOthers() && (intervalOver || f.replica.routerCountAge(now) >= minAge)
 		changed := f.chain.relays() && f.replica.Routers() != f.audience.count()+1
-		if !due && !(rested && (holds() || changed)) {
+		if !due && !(intervalOver && (holdsLease() || changed)) {
 			return
 		}
 		triedAt = now
@@ -311,7 +311,7 @@
 		log.WithFields(log.Fields{"cause": err.Error()}).Warn("routers_not_counted")
 		return
 	}
-	f.noteEpoch()
-	f.replica.counted(readAt, routers)
-	f.audience.know(peers)
+	f.observeEpoch()
+	f.replica.observeRouterCount(readAt, routers)
+	f.audience.set(peers)
 }
--- a/internal/node/pull_test.go
+++ b/internal/node/pull_test.go
@@ -61,7 +61,7 @@
 
 // Routers that start together are supplied by the first of them, and so are those
 // that start again together, whose rows of former lives are still there.
-func TestAStartOfAllRoutersIsNoStorm(t *testing.T) {
+func TestSimultaneousStartDoesNotOverloadStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
@@ -91,7 +91,7 @@
 }
 
 // What one router reads of a store of prompt caches, all others of the zone learn.
-func TestWhatCachesHoldIsPulled(t *testing.T) {
+func TestCacheContentsArePulled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l")
@@ -121,7 +121,7 @@
 			z.kill(node)
 		}
 		z.start(t.Context(), "d")
-		time.Sleep(startPatience + startStagger + startPause)
+		time.Sleep(startPeerWait + startStagger + startCheckInterval)
 		z.adopted(t, 1)
 	})
 }
@@ -139,7 +139,7 @@
 	})
 }
 
-func TestNewsReachEveryRouterWhateverHappensToTheReader(t *testing.T) {
+func TestUpdatesReachAllRoutersAfterReaderFaults(t *testing.T) {
 	tests := []struct {
 		name string
 		hit  func(ctx context.Context, z *zone)
@@ -179,7 +179,7 @@
 }
 
 // A store that is down is not asked by every router at full pace.
-func TestAnOutageOfTheStoreIsNoStorm(t *testing.T) {
+func TestStoreOutageCausesNoRequestStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var nodes []ident.Node
@@ -200,7 +200,7 @@
 }
 
 // The age of a naming is the same at a router that pulled it.
-func TestNamingsTravelWithTheirAge(t *testing.T) {
+func TestPulledPublicationsKeepTheirAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b")
@@ -210,15 +210,15 @@
 		time.Sleep(5 * time.Second)
 		first := z.routers["a"].follower.replica.holder.View().Models[model].Named[0]
 		for _, node := range []ident.Node{"b", "c"} {
-			named := z.routers[node].follower.replica.holder.View().Models[model].Named[0]
-			is.Equal(named.Version, 2)
-			is.True(!named.SeenAt.After(first.SeenAt.Add(time.Second)))
+			publication := z.routers[node].follower.replica.holder.View().Models[model].Named[0]
+			is.Equal(publication.Version, 2)
+			is.True(!publication.SeenAt.After(first.SeenAt.Add(time.Second)))
 		}
 		is.True(!late.follower.replica.holder.View().Models[model].Named[0].Met)
 	})
 }
 
-func TestARouterLeavesItsOwnRowOnly(t *testing.T) {
+func TestRouterRemovesOnlyItsOwnRow(t *testing.T) {
 	is := is.New(t)
 	table := newFakeStore()
 	first := &roster{table: table, timeout: time.Second, node: "n", zone: "z", life: "1"}
--- a/internal/node/firstcut_test.go
+++ b/internal/node/readercutoff_test.go
@@ -20,27 +20,27 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// reachedTable is the store's table as a router reaches it, or not.
-type reachedTable struct {
+// reachableTable is the store's table as a router reaches it, or not.
+type reachableTable struct {
 	*fakeStore
 	router *zoneRouter
 }
 
-func (t *reachedTable) Commit(ctx context.Context, tx protocol.Transaction) (protocol.TransactionResult, error) {
+func (t *reachableTable) Commit(ctx context.Context, tx protocol.Transaction) (protocol.TransactionResult, error) {
 	if err := t.router.ask(); err != nil {
 		return protocol.TransactionResult{}, err
 	}
 	return t.fakeStore.Commit(ctx, tx)
 }
 
-func (t *reachedTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
+func (t *reachableTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
 	if err := t.router.ask(); err != nil {
 		return protocol.RowList{}, err
 	}
 	return t.fakeStore.List(ctx, prefix, limit)
 }
 
-func TestRoutersThatJoinWhileTheFirstOneIsCutOffAreCounted(t *testing.T) {
+func TestRoutersJoinedWhileReaderIsCutOffAreCounted(t *testing.T) {
 	oneZone := [][]ident.Node{{"a", "b", "c", "d", "e", "f", "g"}, {"h", "i", "j"}}
 	zones := [][]ident.Node{{"a-1", "b-2", "c-3", "d-1", "e-2", "f-3", "g-1"}, {"h-2", "i-3", "j-1"}}
 	tests := []struct {
@@ -60,46 +60,46 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newReachedFleet(tt.holder)
-				f.upInTurn(t, tt.nodes[0])
+				f := newReachableFleet(tt.holder)
+				f.startInOrder(t, tt.nodes[0])
 				time.Sleep(time.Minute)
 				f.set(tt.cut, func(r *zoneRouter) { r.cut = true })
 				time.Sleep(3 * time.Second)
 				f.adopt(5)
-				f.upInTurn(t, tt.nodes[1])
+				f.startInOrder(t, tt.nodes[1])
 				time.Sleep(30 * time.Second)
 				f.adopted(t, 5) // all are supplied meanwhile
-				f.count(t, 10)
-				t.Logf("at most %d repeats in a window, %d may be", f.most(), greedySlack)
-				is.True(f.most() <= greedySlack)
+				f.requireCount(t, 10)
+				t.Logf("at most %d repeats in a window, %d may be", f.maxInWindow(), greedySlack)
+				is.True(f.maxInWindow() <= greedySlack)
 			})
 		})
 	}
 }
 
-// newReachedFleet returns a fleet whose routers reach the table of the store as they reach
+// newReachableFleet returns a fleet whose routers reach the table of the store as they reach
 // the store. The holder of the lease, if there is one, counts the routers as well.
-func newReachedFleet(holder ident.Node) *fleet {
-	f := &fleet{zone: newZone()}
+func newReachableFleet(holder ident.Node) *greedyFleet {
+	f := &greedyFleet{zone: newZone()}
 	f.guard = func(ctx context.Context, running *zoneRouter) {
 		if running.node == holder {
 			go running.follower.countRouters(ctx, func() bool { return true })
 		}
-		running.follower.roster.table = &reachedTable{f.store, running}
+		running.follower.roster.table = &reachableTable{f.store, running}
 	}
 	return f
 }
 
-// upInTurn starts routers one after the other.
-func (f *fleet) upInTurn(t *testing.T, nodes []ident.Node) {
+// startInOrder starts routers one after the other.
+func (f *greedyFleet) startInOrder(t *testing.T, nodes []ident.Node) {
 	for _, node := range nodes {
 		f.up(t, node)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// count fails the test unless each router counts so many.
-func (f *fleet) count(t *testing.T, want int) {
+// requireCount fails the test unless each router counts so many.
+func (f *greedyFleet) requireCount(t *testing.T, want int) {
 	for node, running := range f.routers {
 		if routers := running.follower.replica.Routers(); routers != want {
 			t.Errorf("%s counts %d routers, not %d", node, routers, want)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestAnotherRouterContendsWhileTheFirstOneIsCutOff(t *testing.T) {
+func TestAnotherRouterContendsWhileReaderIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b", "c", "d")
--- a/internal/node/audience.go
+++ b/internal/node/recipients.go
@@ -44,37 +44,37 @@
 
 	mu sync.Mutex
 	// all are the other routers, near those of this zone.
-	all, near []netip.AddrPort
-	// zones are the relays of the other zones of this region, far those of the other
+	all, sameZone []netip.AddrPort
+	// otherZones are the relays of the other zones of this region, far those of the other
 	// regions, the zones of a region in turn.
-	zones map[ident.Zone][]netip.AddrPort
-	far   map[ident.Region][]netip.AddrPort
+	otherZones   map[ident.Zone][]netip.AddrPort
+	otherRegions map[ident.Region][]netip.AddrPort
 	// turn counts the notices that were told.
 	turn int
 }
 
-// know takes in the routers.
-func (a *audience) know(peers []upstream.Peer) {
+// set takes in the routers.
+func (a *audience) set(peers []upstream.Peer) {
 	peers = slices.DeleteFunc(slices.Clone(peers), func(peer upstream.Peer) bool { return peer.Node == a.node })
 	slices.SortFunc(peers, upstream.ByRevision)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.all, a.near = nil, nil
-	a.zones, a.far = make(map[ident.Zone][]netip.AddrPort), make(map[ident.Region][]netip.AddrPort)
+	a.all, a.sameZone = nil, nil
+	a.otherZones, a.otherRegions = make(map[ident.Zone][]netip.AddrPort), make(map[ident.Region][]netip.AddrPort)
 	relays := make(map[ident.Zone]int)
 	for _, peer := range peers {
 		a.all = append(a.all, peer.Addr)
 		if peer.Zone == a.zone {
-			a.near = append(a.near, peer.Addr)
+			a.sameZone = append(a.sameZone, peer.Addr)
 			continue
 		}
 		if relays[peer.Zone]++; relays[peer.Zone] > relaysPerZone {
 			continue
 		}
 		if place := a.regions.Of(peer.Zone); place != a.regions.Of(a.zone) {
-			a.far[place] = append(a.far[place], peer.Addr)
+			a.otherRegions[place] = append(a.otherRegions[place], peer.Addr)
 		} else {
-			a.zones[peer.Zone] = append(a.zones[peer.Zone], peer.Addr)
+			a.otherZones[peer.Zone] = append(a.otherZones[peer.Zone], peer.Addr)
 		}
 	}
 }
@@ -93,8 +93,8 @@
 	return len(a.all)
 }
 
-// tell returns the messages that carry a notice of this router to all others.
-func (a *audience) tell() []message {
+// toAll returns the messages that carry a notice of this router to all others.
+func (a *audience) toAll() []message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.regions.Several() {
@@ -102,15 +102,15 @@
 	}
 	a.turn++
 	messages := a.regional()
-	for _, relays := range a.far {
+	for _, relays := range a.otherRegions {
 		messages = append(messages, message{to: relays[a.turn%len(relays)], scope: toRegion})
 	}
 	return messages
 }
 
-// again returns the messages that carry the notice that was told last to the next relays,
+// toNextRelays returns the messages that carry the notice that was told last to the next relays,
 // if there are any.
-func (a *audience) again() []message {
+func (a *audience) toNextRelays() []message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.regions.Several() {
@@ -118,22 +118,22 @@
 	}
 	a.turn++
 	var messages []message
-	for _, relays := range a.zones {
+	for _, relays := range a.otherZones {
 		messages = append(messages, message{to: relays[a.turn%len(relays)], scope: toZone})
 	}
-	for _, relays := range a.far {
+	for _, relays := range a.otherRegions {
 		messages = append(messages, message{to: relays[a.turn%len(relays)], scope: toRegion})
 	}
 	return messages
 }
 
-// passOn returns the messages that carry on a notice that came with a scope.
-func (a *audience) passOn(wanted scope) []message {
+// relay returns the messages that carry on a notice that came with a scope.
+func (a *audience) relay(received scope) []message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	switch wanted {
+	switch received {
 	case toZone:
-		return direct(a.near)
+		return direct(a.sameZone)
 	case toRegion:
 		a.turn++
 		return a.regional()
@@ -144,8 +144,8 @@
 
 // regional returns the messages to the routers of this region; the caller holds the mutex.
 func (a *audience) regional() []message {
-	messages := direct(a.near)
-	for _, relays := range a.zones {
+	messages := direct(a.sameZone)
+	for _, relays := range a.otherZones {
 		messages = append(messages, message{to: relays[a.turn%len(relays)], scope: toZone})
 	}
 	return messages
--- a/internal/node/audience_test.go
+++ b/internal/node/recipients_test.go
@@ -12,14 +12,14 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// placed is a router of a test fleet.
-type placed struct {
+// placedRouter is a router of a test fleet.
+type placedRouter struct {
 	upstream.Peer
-	audience *audience
+	recipients *audience
 }
 
-// fleetOf returns routers of these zones, so many of each, that all know each other.
-func fleetOf(regions region.Map, perZone int, zones ...ident.Zone) []placed {
+// newPlacedRouters returns routers of these zones, so many of each, that all know each other.
+func newPlacedRouters(regions region.Map, perZone int, zones ...ident.Zone) []placedRouter {
 	var peers []upstream.Peer
 	for number := range perZone {
 		for index, zone := range zones {
@@ -30,11 +30,11 @@
 			})
 		}
 	}
-	var routers []placed
+	var routers []placedRouter
 	for _, peer := range peers {
-		told := &audience{node: peer.Node, zone: peer.Zone, regions: regions}
-		told.know(peers)
-		routers = append(routers, placed{Peer: peer, audience: told})
+		targets := &audience{node: peer.Node, zone: peer.Zone, regions: regions}
+		targets.set(peers)
+		routers = append(routers, placedRouter{Peer: peer, recipients: targets})
 	}
 	return routers
 }
@@ -44,14 +44,14 @@
 
 // deliver carries a notice of a router to all that it reaches, but for routers that are
 // down, and returns how often each got it.
-func deliver(regions region.Map, routers []placed, teller placed, down ident.Node) (got map[ident.Node]int, crossed crossings) {
+func deliver(regions region.Map, routers []placedRouter, sender placedRouter, down ident.Node) (got map[ident.Node]int, crossed crossings) {
 	got = make(map[ident.Node]int)
-	at := make(map[netip.AddrPort]placed)
+	at := make(map[netip.AddrPort]placedRouter)
 	for _, router := range routers {
 		at[router.Addr] = router
 	}
-	var carry func(from placed, messages []message)
-	carry = func(from placed, messages []message) {
+	var carry func(from placedRouter, messages []message)
+	carry = func(from placedRouter, messages []message) {
 		for _, message := range messages {
 			to := at[message.to]
 			if from.Zone != to.Zone {
@@ -64,16 +64,16 @@
 				continue
 			}
 			got[to.Node]++
-			carry(to, to.audience.passOn(message.scope))
+			carry(to, to.recipients.relay(message.scope))
 		}
 	}
-	carry(teller, teller.audience.tell())
+	carry(sender, sender.recipients.toAll())
 	return got, crossed
 }
 
 // A notice reaches each router once, whoever tells it, and crosses to each zone and region
 // once; where there is one region it is sent to each router.
-func TestANoticeCrossesToEachZoneAndRegionOnce(t *testing.T) {
+func TestNotificationEntersEachZoneAndRegionOnce(t *testing.T) {
 	three := region.NewMap(map[ident.Zone]ident.Region{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"})
 	nine := region.NewMap(map[ident.Zone]ident.Region{
 		"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b", "c1": "c", "c2": "c", "c3": "c",
@@ -94,10 +94,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			routers := fleetOf(tt.regions, tt.perZone, tt.zones...)
-			for _, teller := range routers {
+			routers := newPlacedRouters(tt.regions, tt.perZone, tt.zones...)
+			for _, sender := range routers {
 				for range relaysPerZone {
-					got, crossed := deliver(tt.regions, routers, teller, "")
+					got, crossed := deliver(tt.regions, routers, sender, "")
 					is.Equal(crossed, tt.want)
 					is.Equal(len(got), len(routers)-1)
 					for _, times := range got {
@@ -110,20 +110,20 @@
 }
 
 // A relay that is down loses some notices, never all: those who tell take turns.
-func TestADeadRelayDoesNotShutItsRegionOut(t *testing.T) {
+func TestDeadRelayDoesNotIsolateItsRegion(t *testing.T) {
 	regions := region.NewMap(map[ident.Zone]ident.Region{"a1": "a", "a2": "a", "b1": "b", "b2": "b"})
-	routers := fleetOf(regions, 3, "a1", "a2", "b1", "b2")
+	routers := newPlacedRouters(regions, 3, "a1", "a2", "b1", "b2")
 	for _, down := range routers {
 		t.Run(string(down.Node), func(t *testing.T) {
 			is := is.New(t)
-			for _, teller := range routers {
-				if teller.Node == down.Node {
+			for _, sender := range routers {
+				if sender.Node == down.Node {
 					continue
 				}
 				reached := map[ident.Node]bool{}
-				const notices = 8
-				for range notices {
-					got, _ := deliver(regions, routers, teller, down.Node)
+				const notifications = 8
+				for range notifications {
+					got, _ := deliver(regions, routers, sender, down.Node)
 					for node := range got {
 						reached[node] = true
 					}
@@ -135,7 +135,7 @@
 }
 
 // Where there is one region each router was told directly, and nothing is told again.
-func TestWhoIsToldAgain(t *testing.T) {
+func TestSecondSendUsesOtherRelays(t *testing.T) {
 	three := region.NewMap(map[ident.Zone]ident.Region{"a1": "a", "a2": "a", "b1": "b", "c1": "c"})
 	tests := []struct {
 		name    string
@@ -148,9 +148,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			routers := fleetOf(tt.regions, 2, "a1", "a2", "b1", "c1")
-			first := routers[0].audience.tell()
-			again := routers[0].audience.again()
+			routers := newPlacedRouters(tt.regions, 2, "a1", "a2", "b1", "c1")
+			first := routers[0].recipients.toAll()
+			again := routers[0].recipients.toNextRelays()
 			is.Equal(len(again), tt.want)
 			for _, message := range again {
 				is.True(message.scope != toNobody)
--- a/internal/node/recordlist.go
+++ b/internal/node/recordlist.go
@@ -13,9 +13,9 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// keptChanges bounds the changes of a list that are kept for peers which hold an
+// maxListChanges bounds the changes of a list that are kept for peers which hold an
 // older copy.
-const keptChanges = 32
+const maxListChanges = 32
 
 // recordList is a list of back ends, ordered by instance, that knows its last
 // changes. It is not safe for concurrent use.
@@ -33,17 +33,17 @@
 	removed []ident.Incarnation
 }
 
-// wholeList tells a list that was read from the store.
-func wholeList(records []backend.Record) *upstream.List {
+// fullList tells a list that was read from the store.
+func fullList(records []backend.Record) *upstream.List {
 	slices.SortFunc(records, byInstance)
 	return &upstream.List{Digest: digestOf(records), Told: true, Records: records}
 }
 
 func byInstance(a, b backend.Record) int { return cmp.Compare(a.Instance, b.Instance) }
 
-// since returns what changed since the copy of a digest; if that is not known,
+// changesSince returns what changed since the copy of a digest; if that is not known,
 // or not shorter, it returns the whole list, with a base of 0.
-func (l *recordList) since(digest uint64) (base uint64, records []backend.Record, removed []ident.Incarnation) {
+func (l *recordList) changesSince(digest uint64) (base uint64, records []backend.Record, removed []ident.Incarnation) {
 	first := slices.IndexFunc(l.changes, func(change listChange) bool { return change.base == digest })
 	if first < 0 || digest == 0 {
 		return 0, l.records, nil
@@ -66,14 +66,14 @@
 	return digest, slices.SortedFunc(maps.Values(changed), byInstance), slices.Sorted(maps.Keys(gone))
 }
 
-// take takes in a list that is told; it reports whether it fits this copy.
-func (l *recordList) take(list *upstream.List) bool {
+// apply takes in a list that is told; it reports whether it fits this copy.
+func (l *recordList) apply(list *upstream.List) bool {
 	records := list.Records
 	if list.Base != 0 {
 		if list.Base != l.digest {
 			return false
 		}
-		records = l.changed(list.Records, list.Removed)
+		records = l.mergedWith(list.Records, list.Removed)
 		if digestOf(records) != list.Digest {
 			// The copies differ in spite of their names: the whole list is due.
 			*l = recordList{}
@@ -83,16 +83,16 @@
 	change := listChange{base: l.digest}
 	change.records, change.removed = difference(l.records, records)
 	l.changes = append(l.changes, change)
-	if extra := len(l.changes) - keptChanges; extra > 0 {
+	if extra := len(l.changes) - maxListChanges; extra > 0 {
 		l.changes = slices.Delete(l.changes, 0, extra)
 	}
 	l.digest, l.records = list.Digest, records
 	return true
 }
 
-// changed returns this list with some records added or replaced and others
+// mergedWith returns this list with some records added or replaced and others
 // removed.
-func (l *recordList) changed(records []backend.Record, removed []ident.Incarnation) []backend.Record {
+func (l *recordList) mergedWith(records []backend.Record, removed []ident.Incarnation) []backend.Record {
 	merged := make(map[ident.Incarnation]backend.Record, len(l.records)+len(records))
 	for _, record := range l.records {
 		merged[record.Instance] = record
--- a/internal/node/recordlist_test.go
+++ b/internal/node/recordlist_test.go
@@ -12,15 +12,15 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// told returns what a router with the list tells one that holds a copy.
-func told(list *recordList, held uint64) *upstream.List {
-	tells := &upstream.List{Digest: list.digest, Told: true}
-	tells.Base, tells.Records, tells.Removed = list.since(held)
-	return tells
+// updateFor returns what a router with the list tells one that holds a copy.
+func updateFor(list *recordList, held uint64) *upstream.List {
+	update := &upstream.List{Digest: list.digest, Told: true}
+	update.Base, update.Records, update.Removed = list.changesSince(held)
+	return update
 }
 
-// edit makes another list of some of the same back ends.
-func edit(random *rand.Rand, records []backend.Record, revision uint64) []backend.Record {
+// editRecords makes another list of some of the same back ends.
+func editRecords(random *rand.Rand, records []backend.Record, revision uint64) []backend.Record {
 	var edited []backend.Record
 	for _, record := range records {
 		record.Revision = revision // a heartbeat
@@ -42,17 +42,17 @@
 }
 
 // Whatever copy a peer holds, what it is told brings it to the same list.
-func TestCopiesOfTheListAgree(t *testing.T) {
+func TestListCopiesConverge(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	var list recordList
 	copies := make([]recordList, 6)
 	records := []backend.Record{}
-	whole, changes := 0, 0
+	full, changes := 0, 0
 	for round := range uint64(400) {
-		records = edit(random, records, round+1)
-		if read := wholeList(records); read.Digest != list.digest {
-			is.True(list.take(read))
+		records = editRecords(random, records, round+1)
+		if read := fullList(records); read.Digest != list.digest {
+			is.True(list.apply(read))
 		}
 		for index := range copies {
 			// A copy lags by a number of rounds that grows with its index.
@@ -60,31 +60,31 @@
 			if random.IntN(1+index*index*4) != 0 || behind.digest == list.digest {
 				continue
 			}
-			tells := told(&list, behind.digest)
-			if tells.Base == 0 {
-				whole++
+			update := updateFor(&list, behind.digest)
+			if update.Base == 0 {
+				full++
 			} else {
 				changes++
-				is.True(len(tells.Records) < len(list.records))
+				is.True(len(update.Records) < len(list.records))
 			}
-			is.True(behind.take(tells))
+			is.True(behind.apply(update))
 			is.Equal(behind.digest, list.digest)
 			is.Equal(digestOf(behind.records), list.digest)
 		}
 	}
 	is.True(changes > 200)
-	is.True(whole > 6) // copies that were too far behind
+	is.True(full > 6) // copies that were too far behind
 }
 
 func TestHeartbeatsChangeNoDigest(t *testing.T) {
 	is := is.New(t)
 	first := []backend.Record{{Instance: "b", Revision: 1}, {Instance: "a", Revision: 2}}
 	second := []backend.Record{{Instance: "a", Revision: 7}, {Instance: "b", Revision: 9}}
-	is.Equal(wholeList(first).Digest, wholeList(second).Digest)
+	is.Equal(fullList(first).Digest, fullList(second).Digest)
 }
 
-func TestListsThatDoNotFitAreNotTaken(t *testing.T) {
-	base := wholeList([]backend.Record{{Instance: "a"}, {Instance: "b"}})
+func TestMismatchedListsAreRejected(t *testing.T) {
+	base := fullList([]backend.Record{{Instance: "a"}, {Instance: "b"}})
 	tests := []struct {
 		name string
 		list *upstream.List
@@ -98,8 +98,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			var list recordList
-			is.True(list.take(base))
-			is.True(!list.take(tt.list))
+			is.True(list.apply(base))
+			is.True(!list.apply(tt.list))
 			is.Equal(list.digest, tt.held) // 0 asks for the whole list
 		})
 	}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -41,8 +41,8 @@
 
 	mu   sync.Mutex
 	self upstream.Peer
-	// leaving is true once this router is about to end.
-	leaving      bool
+	// shuttingDown is true once this router is about to end.
+	shuttingDown bool
 	confirmation uint64
 	changed      chan struct{}
 	// origin is the router that read the store for the newest confirmation.
@@ -58,16 +58,16 @@
 	// sharers tells among how many the slack of repeats is divided.
 	routers   int
 	countedAt time.Time
-	// leastUntil ends the time in which routers may be missing from a count, since the store
+	// noDecreaseUntil ends the time in which routers may be missing from a count, since the store
 	// came back from an older copy.
-	leastUntil time.Time
-	// watched is up to where every version of weights that was named is known here, readTo
+	noDecreaseUntil time.Time
+	// watched is up to where every version of weights that was named is known here, readRevision
 	// the store's revision at this router's last read of the rows.
-	watched watched
-	readTo  uint64
-	// read relates the store's time to this router's clock, as of the same read.
-	read    storeMoment
-	sharers *admission.Sharers
+	watched      watchPosition
+	readRevision uint64
+	// lastReadClock relates the store's time to this router's clock, as of the same read.
+	lastReadClock storeClock
+	sharers       *admission.Sharers
 	// rollouts is what is known of rollouts, nil where there is no order. Orders and
 	// states may have been read by different routers.
 	rollouts *knownRollouts
@@ -86,7 +86,7 @@
 func (r *replica) Confirmation() (uint64, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.known() {
+	if !r.initializedLocked() {
 		return 0, r.changed
 	}
 	return r.confirmation, r.changed
@@ -99,15 +99,15 @@
 	return r.self.Revision
 }
 
-// known reports whether both the configuration and the list of back ends are held
+// initializedLocked reports whether both the configuration and the list of back ends are held
 // here; the caller holds the mutex.
-func (r *replica) known() bool { return r.config.version != 0 && r.list.digest != 0 }
+func (r *replica) initializedLocked() bool { return r.config.version != 0 && r.list.digest != 0 }
 
-// knows reports whether both the configuration and the list of back ends are held.
-func (r *replica) knows() bool {
+// initialized reports whether both the configuration and the list of back ends are held.
+func (r *replica) initialized() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known()
+	return r.initializedLocked()
 }
 
 // Update implements upstream.State.
@@ -120,7 +120,7 @@
 		Revision: r.self.Revision, Confirmation: r.confirmation, Origin: r.origin, Routers: r.routers,
 		Configuration: upstream.Configuration{Revision: r.config.seenThrough, Version: r.config.version},
 		List:          upstream.List{Digest: r.list.digest},
-		Leaving:       r.leaving,
+		Leaving:       r.shuttingDown,
 		Epoch:         r.epochs.Epoch(),
 	}
 	if first, known := r.epochs.First(); known {
@@ -131,9 +131,9 @@
 	}
 	if r.config.version != 0 {
 		update.Configuration.Age = view.Age(now)
-		update.Configuration.Namings = toldNamings(now, view)
+		update.Configuration.Namings = publicationUpdates(now, view)
 		update.Configuration.Rollouts = r.rollouts.told(now)
-		update.Configuration.Watched = toldWatched(r.watched)
+		update.Configuration.Watched = watchUpdate(r.watched)
 	}
 	if r.config.version != pull.Configuration {
 		update.Configuration.Body = r.config.body
@@ -143,13 +143,13 @@
 	}
 	if r.list.digest != pull.List {
 		update.List.Told = true
-		update.List.Base, update.List.Records, update.List.Removed = r.list.since(pull.List)
+		update.List.Base, update.List.Records, update.List.Removed = r.list.changesSince(pull.List)
 	}
 	if r.guard != nil {
 		update.Quarantine = r.guard.ToldSince(now, pull.Quarantine)
 	}
-	if news := r.backends.News(now); backend.NewsDigest(news) != pull.News {
-		update.News = news
+	if updates := r.backends.News(now); backend.NewsDigest(updates) != pull.News {
+		update.News = updates
 	}
 	if pull.Caches {
 		update.Caches = r.caches.Updates(now, pull.CacheHeld)
@@ -157,20 +157,20 @@
 	return update
 }
 
-func toldNamings(now time.Time, view catalog.View) []upstream.Naming {
-	var told []upstream.Naming
+func publicationUpdates(now time.Time, view catalog.View) []upstream.Naming {
+	var updates []upstream.Naming
 	for _, model := range slices.Sorted(maps.Keys(view.Models)) {
-		for _, naming := range view.Models[model].Named {
-			told = append(told, upstream.Naming{
-				Model: model, Version: naming.Version, Age: now.Sub(naming.SeenAt), Met: naming.Met,
+		for _, publication := range view.Models[model].Named {
+			updates = append(updates, upstream.Naming{
+				Model: model, Version: publication.Version, Age: now.Sub(publication.SeenAt), Met: publication.Met,
 			})
 		}
 	}
-	return told
+	return updates
 }
 
-// holds returns the names of the copies held here, for a pull.
-func (r *replica) holds() (configuration, list uint64) {
+// copyVersions returns the names of the copies held here, for a pull.
+func (r *replica) copyVersions() (configuration, list uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.config.version, r.list.digest
@@ -191,19 +191,19 @@
 	r.self = self
 }
 
-// cameBack takes in that the store came back from an older copy: rows of routers may be missing.
-func (r *replica) cameBack(now time.Time) {
+// storeRestored takes in that the store came back from an older copy: rows of routers may be missing.
+func (r *replica) storeRestored(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leastUntil = now.Add(rejoinedWithin)
+	r.noDecreaseUntil = now.Add(rejoinWindow)
 	r.confirmed(r.origin)
 }
 
-// leave tells the peers, those that wait at once, that this router is about to end.
-func (r *replica) leave() {
+// advertiseShutdown tells the peers, those that wait at once, that this router is about to end.
+func (r *replica) advertiseShutdown() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaving = true
+	r.shuttingDown = true
 	r.confirmed(r.origin)
 }
 
@@ -225,23 +225,23 @@
 	return clock.Since(r.originSince)
 }
 
-// counted takes in the number of routers in all zones, as read at a time. What a peer tells
+// observeRouterCount takes in the number of routers in all zones, as read at a time. What a peer tells
 // may be older than what is known here.
-func (r *replica) counted(readAt time.Time, routers int) {
+func (r *replica) observeRouterCount(readAt time.Time, routers int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !readAt.After(r.countedAt) {
 		return
 	}
-	if readAt.Before(r.leastUntil) {
+	if readAt.Before(r.noDecreaseUntil) {
 		routers = max(routers, r.routers)
 	}
 	r.routers, r.countedAt = routers, readAt
 	r.sharers.Counted(clock.Now(), readAt, routers)
 }
 
-// countAge returns the age of the number of routers.
-func (r *replica) countAge(now time.Time) time.Duration {
+// routerCountAge returns the age of the number of routers.
+func (r *replica) routerCountAge(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Sub(r.countedAt)
@@ -262,91 +262,91 @@
 	return r.sharers.Among(clock.Now())
 }
 
-// toldWatched returns what is told to a peer.
-func toldWatched(known watched) *upstream.Watched {
-	if known.revision == 0 {
+// watchUpdate returns what is told to a peer.
+func watchUpdate(position watchPosition) *upstream.Watched {
+	if position.revision == 0 {
 		return nil
 	}
-	return &upstream.Watched{Revision: known.revision, StoreTime: known.storeTime}
+	return &upstream.Watched{Revision: position.revision, StoreTime: position.storeTime}
 }
 
-// watchedTo returns up to where every named version is known.
-func (r *replica) watchedTo() watched {
+// watchedUntil returns up to where every named version is known.
+func (r *replica) watchedUntil() watchPosition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.watched
 }
 
-// watchedUpTo takes in up to where every named version is known. News are told to the peers
+// advanceWatch takes in up to where every named version is known. News are told to the peers
 // that wait.
-func (r *replica) watchedUpTo(known watched, news bool) {
+func (r *replica) advanceWatch(position watchPosition, hasNews bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known.revision >= r.watched.revision {
-		r.watched = watched{revision: known.revision, storeTime: max(known.storeTime, r.watched.storeTime)}
+	if position.revision >= r.watched.revision {
+		r.watched = watchPosition{revision: position.revision, storeTime: max(position.storeTime, r.watched.storeTime)}
 	}
-	if news {
+	if hasNews {
 		r.confirmed(r.origin)
 	}
 }
 
-// rowsRead takes in that this router has read the rows, as it asked for at a time.
-func (r *replica) rowsRead(askedAt time.Time, reading *Reading) {
+// recordRead takes in that this router has read the rows, as it asked for at a time.
+func (r *replica) recordRead(askedAt time.Time, reading *Reading) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.readTo = max(r.readTo, reading.StoreRevision)
-	r.read = storeMoment{storeTime: reading.StoreTime, askedAt: askedAt}
+	r.readRevision = max(r.readRevision, reading.StoreRevision)
+	r.lastReadClock = storeClock{storeTime: reading.StoreTime, askedAt: askedAt}
 }
 
 // lastRead returns the moment of this router's last read of the rows.
-func (r *replica) lastRead() storeMoment {
+func (r *replica) lastRead() storeClock {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.read
+	return r.lastReadClock
 }
 
-// toldAt returns the earliest moment at which the store can have given an answer that this
+// earliestAnswer returns the earliest moment at which the store can have given an answer that this
 // router asked for at a time.
-func (r *replica) toldAt(askedAt time.Time, storeTime time.Duration) time.Time {
+func (r *replica) earliestAnswer(askedAt time.Time, storeTime time.Duration) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.read.earliest(askedAt, storeTime, clock.Now())
+	return r.lastReadClock.earliest(askedAt, storeTime, clock.Now())
 }
 
-// passForgotten takes in that the store has forgotten changes after the watched revision: it
+// skipForgotten takes in that the store has forgotten changes after the watched revision: it
 // goes on at what the rows told last.
-func (r *replica) passForgotten() (from, to uint64) {
+func (r *replica) skipForgotten() (from, to uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	from = r.watched.revision
-	if r.readTo > from {
-		r.watched = watched{revision: r.readTo}
+	if r.readRevision > from {
+		r.watched = watchPosition{revision: r.readRevision}
 	}
 	return from, r.watched.revision
 }
 
 // takeRollouts takes in what a configuration that was confirmed at a time told of rollouts;
 // the caller holds the mutex.
-func (r *replica) takeRollouts(confirmedAt time.Time, told *knownRollouts) {
+func (r *replica) takeRollouts(confirmedAt time.Time, read *knownRollouts) {
 	if r.canaries == nil {
 		return
 	}
-	if told != nil || r.rollouts == nil || confirmedAt.After(r.rollouts.readAt) {
-		r.rollouts = r.rollouts.joined(told)
+	if read != nil || r.rollouts == nil || confirmedAt.After(r.rollouts.readAt) {
+		r.rollouts = r.rollouts.joined(read)
 	}
 	r.canaries.know(confirmedAt, r.rollouts)
 }
 
-// takeStates takes in the states of rollouts as they were read at a time.
-func (r *replica) takeStates(readAt time.Time, states []canary.State) {
+// applyStates takes in the states of rollouts as they were read at a time.
+func (r *replica) applyStates(readAt time.Time, states []canary.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.rollouts == nil {
 		return
 	}
-	told := *r.rollouts
-	told.states, told.statesAt = states, readAt
-	r.rollouts = r.rollouts.joined(&told)
+	updated := *r.rollouts
+	updated.states, updated.statesAt = states, readAt
+	r.rollouts = r.rollouts.joined(&updated)
 	r.canaries.know(r.rollouts.readAt, r.rollouts)
 	r.confirmed(r.origin)
 }
@@ -358,8 +358,8 @@
 	return r.rollouts
 }
 
-// takeList takes in the list of back ends as a router read it at a time.
-func (r *replica) takeList(origin ident.Node, listedAt time.Time, list *upstream.List) {
+// applyList takes in the list of back ends as a router read it at a time.
+func (r *replica) applyList(origin ident.Node, listedAt time.Time, list *upstream.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !listedAt.After(r.listedAt) {
@@ -368,7 +368,7 @@
 	switch {
 	case list.Digest == r.list.digest:
 		logBackends(r.backends.Confirm(listedAt))
-	case !list.Told || !r.list.take(list):
+	case !list.Told || !r.list.apply(list):
 		return
 	default:
 		logBackends(r.backends.Update(listedAt, r.list.records))
--- a/internal/node/roster.go
+++ b/internal/node/routerlist.go
@@ -30,8 +30,8 @@
 type routerRow struct {
 	// Addr is where the router takes pulls.
 	Addr netip.AddrPort `cbor:"1,keyasint"`
-	// Life tells the lives of one router apart.
-	Life string `cbor:"2,keyasint"`
+	// Incarnation tells the lives of one router apart.
+	Incarnation string `cbor:"2,keyasint"`
 	// FirstEra is one more than Epochs.First, 0 if that was not known.
 	FirstEra uint64 `cbor:"3,keyasint,omitempty"`
 }
@@ -55,7 +55,7 @@
 // join writes this router's row and returns it with those of all routers and
 // their number, read after the write.
 func (r *roster) join(ctx context.Context) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
-	if _, known := r.epochs.First(); !known && r.epochs.counts() {
+	if _, known := r.epochs.First(); !known && r.epochs.enabled() {
 		// From when on epochs are counted stands in the rows of those that joined before.
 		if _, _, err := r.read(ctx); err != nil {
 			return self, nil, 0, err
@@ -65,7 +65,7 @@
 	if err != nil {
 		return self, nil, 0, err
 	}
-	return r.written(ctx, row)
+	return r.recordRow(ctx, row)
 }
 
 // rejoin is join for a router whose row the store may have lost: it is written only then, so
@@ -80,7 +80,7 @@
 	if err != nil {
 		return self, nil, 0, err
 	}
-	return r.written(ctx, row)
+	return r.recordRow(ctx, row)
 }
 
 // current reports whether this router's row was seen since the store came back.
@@ -92,7 +92,7 @@
 
 // write writes this router's row.
 func (r *roster) write(ctx context.Context) (protocol.Row, error) {
-	row := routerRow{Addr: r.addr, Life: r.life}
+	row := routerRow{Addr: r.addr, Incarnation: r.life}
 	if first, known := r.epochs.First(); known {
 		row.FirstEra = first + 1
 	}
@@ -109,8 +109,8 @@
 	return written.Rows[0], nil
 }
 
-// written takes in this router's row, and reads those of all routers.
-func (r *roster) written(ctx context.Context, row protocol.Row) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
+// recordRow takes in this router's row, and reads those of all routers.
+func (r *roster) recordRow(ctx context.Context, row protocol.Row) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
 	r.mu.Lock()
 	r.row = row
 	r.mu.Unlock()
@@ -129,9 +129,9 @@
 		return nil, 0, err
 	}
 	for _, row := range list.Rows {
-		zone, name, named := strings.Cut(strings.TrimPrefix(row.Key, routerPrefix), "/")
+		zone, name, valid := strings.Cut(strings.TrimPrefix(row.Key, routerPrefix), "/")
 		var read routerRow
-		if !named || cbor.Unmarshal(row.Value, &read) != nil {
+		if !valid || cbor.Unmarshal(row.Value, &read) != nil {
 			continue
 		}
 		if read.FirstEra > 0 {
@@ -145,25 +145,25 @@
 }
 
 const (
-	// leaveFor bounds the tries to remove a row, so that a store that is away does not hold
+	// leaveTimeout bounds the tries to remove a row, so that a store that is away does not hold
 	// up the end of a router for longer than two calls may take.
-	leaveFor = 2 * time.Second
-	// leavePause follows a removal that failed.
-	leavePause = 200 * time.Millisecond
+	leaveTimeout = 2 * time.Second
+	// leaveRetryPause follows a removal that failed.
+	leaveRetryPause = 200 * time.Millisecond
 )
 
 // leave removes this router's row, unless a later life has written it anew. A removal that
 // the store turns away is tried again: others would count the router for good, and all
 // bounds that are divided by their number would be too small.
 func (r *roster) leave(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, leaveFor)
+	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	for {
 		err := r.removeOwn(bounded)
 		if err == nil {
 			return
 		}
-		if !wait.For(bounded, leavePause) {
+		if !wait.For(bounded, leaveRetryPause) {
 			log.WithFields(log.Fields{"cause": err.Error()}).Warn("router_row_not_removed")
 			return
 		}
@@ -207,5 +207,5 @@
 // owns reports whether a row is there and was written by this life of the router.
 func (r *roster) owns(row protocol.Row) bool {
 	var written routerRow
-	return row.Version != 0 && cbor.Unmarshal(row.Value, &written) == nil && written.Life == r.life
+	return row.Version != 0 && cbor.Unmarshal(row.Value, &written) == nil && written.Incarnation == r.life
 }
--- a/internal/node/sharers_test.go
+++ b/internal/node/sharers_test.go
@@ -31,7 +31,7 @@
 )
 
 // A router that is told to stop serves on, and counts among the routers until it ends.
-func TestAStoppingRouterCountsUntilItHasEnded(t *testing.T) {
+func TestStoppingRouterIsCountedUntilItEnds(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	store.reading.Revision = 1
@@ -63,8 +63,8 @@
 // greedyWindow is the window that the slack is granted in.
 var greedyWindow = admission.WindowConfig{Window: zoneSharers.Window}
 
-// fleet is a zone whose routers are greedy and are restarted.
-type fleet struct {
+// greedyFleet is a zone whose routers are greedy and are restarted.
+type greedyFleet struct {
 	*zone
 
 	granting sync.Mutex
@@ -72,18 +72,18 @@
 }
 
 // up starts a life of a router; end ends it.
-func (f *fleet) up(t *testing.T, node ident.Node) (running *zoneRouter, end func()) {
+func (f *greedyFleet) up(t *testing.T, node ident.Node) (running *zoneRouter, end func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	running = f.start(ctx, node)
-	go f.grab(ctx, running)
+	go f.useSlack(ctx, running)
 	return running, func() {
 		f.kill(node)
 		cancel()
 	}
 }
 
-// grab sends all repeats that a router may send without a request.
-func (f *fleet) grab(ctx context.Context, running *zoneRouter) {
+// useSlack sends all repeats that a router may send without a request.
+func (f *greedyFleet) useSlack(ctx context.Context, running *zoneRouter) {
 	budget := admission.NewWindowBudget(greedyWindow, time.Now())
 	wait.Every(ctx, 50*time.Millisecond, func() {
 		now := time.Now()
@@ -98,7 +98,7 @@
 
 // restart ends a life of a router as a planned stop does, which serves on for a while, and
 // starts the next one.
-func (f *fleet) restart(t *testing.T, running *zoneRouter, end func(), serves, pause time.Duration) {
+func (f *greedyFleet) restart(t *testing.T, running *zoneRouter, end func(), serves, pause time.Duration) {
 	time.Sleep(serves)
 	end()
 	running.follower.roster.leave(t.Context())
@@ -106,8 +106,8 @@
 	f.up(t, running.node)
 }
 
-// most returns the largest number of repeats that were sent in one window.
-func (f *fleet) most() int {
+// maxInWindow returns the largest number of repeats that were sent in one window.
+func (f *greedyFleet) maxInWindow() int {
 	f.granting.Lock()
 	defer f.granting.Unlock()
 	slices.SortFunc(f.grants, time.Time.Compare)
@@ -121,19 +121,19 @@
 	return most
 }
 
-// keepsTheSlack fails if more was sent in a window than the slack, or if it was not used.
-func (f *fleet) keepsTheSlack(t *testing.T) {
+// requireWithinSlack fails if more was sent in a window than the slack, or if it was not used.
+func (f *greedyFleet) requireWithinSlack(t *testing.T) {
 	t.Helper()
-	most := f.most()
+	most := f.maxInWindow()
 	t.Logf("at most %d repeats in a window, %d may be", most, greedySlack)
 	is := is.New(t)
 	is.True(most <= greedySlack)
 	is.True(most > greedySlack*3/4)
 }
 
-func TestRoutersThatRestartInTurnHaveOneSlack(t *testing.T) {
+func TestRollingRestartStaysWithinSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{zone: newZone()}
+		f := &greedyFleet{zone: newZone()}
 		var restarts []func()
 		for _, node := range []ident.Node{"a", "b", "c", "d", "e", "f", "g"} {
 			running, end := f.up(t, node)
@@ -146,13 +146,13 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		f.keepsTheSlack(t)
+		f.requireWithinSlack(t)
 	})
 }
 
-func TestLivesOfARouterHaveOneSlack(t *testing.T) {
+func TestRepeatedRestartsStayWithinSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{zone: newZone()}
+		f := &greedyFleet{zone: newZone()}
 		for _, node := range []ident.Node{"a", "b", "c"} {
 			f.up(t, node)
 		}
@@ -165,12 +165,12 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		f.keepsTheSlack(t)
+		f.requireWithinSlack(t)
 	})
 }
 
 // A router has no part of the slack until all have counted it for a window of repeats.
-func TestASettledRouterHasAPartOfTheSlack(t *testing.T) {
+func TestRouterGetsShareOfSlackAfterWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		config := Config{
@@ -178,7 +178,7 @@
 			Follow:  FollowConfig{RosterInterval: 5 * time.Second, Chain: upstream.Config{StaleAfter: time.Second}},
 		}
 		replica := New(config, Ports{Source: newFakeStore()}).follower.replica
-		count := func() { replica.counted(time.Now(), 7) }
+		count := func() { replica.observeRouterCount(time.Now(), 7) }
 		count()
 		is.Equal(replica.Sharers(), 0)
 		replica.joined(upstream.Peer{})
@@ -194,15 +194,15 @@
 	})
 }
 
-// disturbed is a fleet whose routers are started and ended at random.
-type disturbed struct {
-	fleet
+// randomFleet is a fleet whose routers are started and ended at random.
+type randomFleet struct {
+	greedyFleet
 	random *rand.Rand
 	// ends end the life of each router that is up.
 	ends [12]func()
 }
 
-func (d *disturbed) upAt(t *testing.T, index int) {
+func (d *randomFleet) upAt(t *testing.T, index int) {
 	running, end := d.up(t, ident.Node(fmt.Sprint("n", index)))
 	d.ends[index] = func() {
 		planned := d.random.IntN(2) == 0
@@ -217,7 +217,7 @@
 }
 
 // change ends a router that is up, or starts one that is not.
-func (d *disturbed) change(t *testing.T) {
+func (d *randomFleet) change(t *testing.T) {
 	index := d.random.IntN(len(d.ends))
 	if end := d.ends[index]; end != nil {
 		d.ends[index] = nil
@@ -231,11 +231,11 @@
 }
 
 // Whatever is done to the routers, in whatever order, they have one slack.
-func TestRoutersHaveOneSlackWhateverIsDoneToThem(t *testing.T) {
+func TestRandomRestartsStayWithinSlack(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &disturbed{fleet: fleet{zone: newZone()}, random: rand.New(rand.NewPCG(seed, 1))}
+				d := &randomFleet{greedyFleet: greedyFleet{zone: newZone()}, random: rand.New(rand.NewPCG(seed, 1))}
 				for index := range 7 {
 					d.upAt(t, index)
 				}
@@ -244,7 +244,7 @@
 					d.change(t)
 				}
 				time.Sleep(time.Minute)
-				d.keepsTheSlack(t)
+				d.requireWithinSlack(t)
 			})
 		})
 	}
--- a/internal/node/stalecount_test.go
+++ b/internal/node/stalecount_test.go
@@ -20,14 +20,14 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// cutTable is the store's rows as a router sees them that may be cut off from them.
-type cutTable struct {
+// cutOffTable is the store's rows as a router sees them that may be cut off from them.
+type cutOffTable struct {
 	store.Table
 	router *zoneRouter
 }
 
 // List implements store.Table.
-func (c *cutTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
+func (c *cutOffTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
 	c.router.zone.mu.Lock()
 	cut := c.router.cut
 	c.router.zone.mu.Unlock()
@@ -37,17 +37,17 @@
 	return c.Table.List(ctx, prefix, limit)
 }
 
-// newCutFleet returns a fleet whose routers, when cut off, cannot read the rows either.
-func newCutFleet() *fleet {
-	f := &fleet{zone: newZone()}
+// newCutOffFleet returns a fleet whose routers, when cut off, cannot read the rows either.
+func newCutOffFleet() *greedyFleet {
+	f := &greedyFleet{zone: newZone()}
 	f.guard = func(_ context.Context, running *zoneRouter) {
-		running.follower.roster.table = &cutTable{Table: f.store, router: running}
+		running.follower.roster.table = &cutOffTable{Table: f.store, router: running}
 	}
 	return f
 }
 
-// upQuiet starts a life of a router that wants no repeat for a while.
-func (f *fleet) upQuiet(t *testing.T, node ident.Node, quiet time.Duration) *zoneRouter {
+// startIdle starts a life of a router that wants no repeat for a while.
+func (f *greedyFleet) startIdle(t *testing.T, node ident.Node, quiet time.Duration) *zoneRouter {
 	ctx, cancel := context.WithCancel(t.Context())
 	running := f.start(ctx, node)
 	stop := running.stop
@@ -57,23 +57,23 @@
 	}
 	go func() {
 		if wait.For(ctx, quiet) {
-			f.grab(ctx, running)
+			f.useSlack(ctx, running)
 		}
 	}()
 	return running
 }
 
-// join starts routers that are greedy from the moment on at which they have a part.
-func (f *fleet) join(t *testing.T, routers int) {
+// startNew starts routers that are greedy from the moment on at which they have a part.
+func (f *greedyFleet) startNew(t *testing.T, routers int) {
 	for index := range routers {
 		f.up(t, ident.Node(fmt.Sprint("new", index)))
 	}
 }
 
 // A router that is cut off from the store and all peers does not know who joins.
-func TestARouterThatIsCutOffGrantsNothingFromTheSlack(t *testing.T) {
+func TestCutOffRouterGetsNoShareOfTheSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newCutFleet()
+		f := newCutOffFleet()
 		f.apart = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
 		for _, node := range []ident.Node{"a", "b", "c-far"} {
 			f.up(t, node)
@@ -81,21 +81,21 @@
 		}
 		time.Sleep(time.Minute)
 		f.set("c-far", func(r *zoneRouter) { r.cut = true })
-		f.join(t, 8)
+		f.startNew(t, 8)
 		time.Sleep(time.Minute)
 		f.set("c-far", func(r *zoneRouter) { r.cut = false })
 		time.Sleep(time.Minute)
-		f.keepsTheSlack(t)
+		f.requireWithinSlack(t)
 	})
 }
 
 // Routers that joined, were granted something and left while this one was cut off are in
 // no count that it knows when it is back.
-func TestARouterThatIsBackAwaitsAWindow(t *testing.T) {
+func TestReconnectedRouterWaitsOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newCutFleet()
+		f := newCutOffFleet()
 		f.apart = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
-		far := f.upQuiet(t, "c-far", 60*time.Second+34*time.Second)
+		far := f.startIdle(t, "c-far", 60*time.Second+34*time.Second)
 		f.up(t, "a")
 		time.Sleep(time.Minute)
 		f.set("c-far", func(r *zoneRouter) { r.cut = true })
@@ -112,25 +112,25 @@
 		if far.follower.replica.Sharers() == 0 {
 			t.Error("the router that is back has no part of the slack")
 		}
-		f.keepsTheSlack(t)
+		f.requireWithinSlack(t)
 	})
 }
 
 // The router that reads for all is killed just before a count, after machines joined.
-func TestACountIsNotLateWhenItsReaderDies(t *testing.T) {
+func TestRouterCountIsTimelyWhenReaderDies(t *testing.T) {
 	for _, died := range []time.Duration{4 * time.Second, 4500 * time.Millisecond, 4900 * time.Millisecond, 4990 * time.Millisecond} {
 		t.Run(died.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newCutFleet()
+				f := newCutOffFleet()
 				f.up(t, "a")
 				time.Sleep(100 * time.Millisecond)
-				f.upQuiet(t, "b", 66*time.Second)
+				f.startIdle(t, "b", 66*time.Second)
 				time.Sleep(60*time.Second - 90*time.Millisecond)
-				f.join(t, 8)
+				f.startNew(t, 8)
 				time.Sleep(died - 10*time.Millisecond)
 				f.kill("a")
 				time.Sleep(time.Minute)
-				f.keepsTheSlack(t)
+				f.requireWithinSlack(t)
 			})
 		})
 	}
@@ -138,9 +138,9 @@
 
 // A router that joins counts the rows itself; what the peer that it pulls from counted some
 // seconds before has fewer. Connections and limits of tenants are divided by that number.
-func TestARouterThatJoinsKeepsItsOwnCount(t *testing.T) {
+func TestJoiningRouterKeepsItsOwnCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newCutFleet()
+		f := newCutOffFleet()
 		f.up(t, "a")
 		time.Sleep(time.Minute + time.Second)
 		var last *zoneRouter
--- a/internal/node/storemoment.go
+++ b/internal/node/storeclock.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// storeMoment relates the store's own steady time to this router's clock, which goes on while
+// storeClock relates the store's own steady time to this router's clock, which goes on while
 // the process is paused: the store told its time at askedAt or later.
-type storeMoment struct {
+type storeClock struct {
 	// storeTime is 0 if it is not known.
 	storeTime time.Duration
 	askedAt   time.Time
@@ -14,7 +14,7 @@
 // was asked for at a time, given its own time then. The moment at which the answer was read
 // says nothing: a process that was paused reads it late. The one at which it was asked for is
 // safe, but an answer that is held back is given up to 10 s after that.
-func (m storeMoment) earliest(askedAt time.Time, storeTime time.Duration, now time.Time) time.Time {
+func (m storeClock) earliest(askedAt time.Time, storeTime time.Duration, now time.Time) time.Time {
 	if m.storeTime == 0 || storeTime == 0 {
 		return askedAt
 	}
