--- a/internal/node/epoch_test.go
+++ b/internal/node/epoch_test.go
@@ -70,7 +70,7 @@
 
 func (c *fakeEpochs) Epoch() uint64         { return c.epoch.Load() }
 func (c *fakeEpochs) First() (uint64, bool) { return 3, true }
-func (c *fakeEpochs) Begin(uint64)          {}
+func (c *fakeEpochs) ObserveFirst(uint64)   {}
 
 func TestRouterRewritesRowOnlyIfLost(t *testing.T) {
 	tests := []struct {
@@ -81,7 +81,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			table := &epochTable{fakeStore: newFakeStore()}
-			r := &roster{table: table, timeout: time.Second, node: "n", zone: "z", life: "1", epochs: epochCount{&fakeEpochs{}}}
+			r := &routerList{table: table, timeout: time.Second, node: "n", zone: "z", incarnation: "1", epochs: optionalEpochs{&fakeEpochs{}}}
 			self, _, _, err := r.join(t.Context())
 			is.NoErr(err)
 			is.True(r.current(0))
@@ -136,7 +136,7 @@
 		is := is.New(t)
 		f := newFollower(newFakeStore())
 		counted := &fakeEpochs{}
-		f.epochs = epochCount{counted}
+		f.epochs = optionalEpochs{counted}
 		f.replica.observeRouterCount(time.Now(), 7)
 		time.Sleep(time.Second)
 		counted.epoch.Store(1)
@@ -162,10 +162,10 @@
 	is.Equal(f.seenEpoch.Load(), uint64(2))
 	is.True(!f.epochsCurrent(&upstream.Update{Epoch: 1}))
 	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2})) // this router knows of no era itself
-	f.epochs = epochCount{&fakeEpochs{}}
+	f.epochs = optionalEpochs{&fakeEpochs{}}
 	is.True(!f.epochsCurrent(&upstream.Update{Epoch: 2}))
 	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2, FirstEra: 4}))
-	f.replica.epochs = epochCount{&fakeEpochs{}}
+	f.replica.epochs = optionalEpochs{&fakeEpochs{}}
 	update := f.replica.Update(time.Now(), &upstream.Pull{From: upstream.Peer{Node: ident.Node("m")}})
 	is.Equal(update.FirstEra, uint64(4))
 }
--- a/internal/node/laterow_test.go
+++ b/internal/node/laterow_test.go
@@ -43,7 +43,7 @@
 			value, err := cbor.Marshal(routerRow{Incarnation: tt.life})
 			is.NoErr(err)
 			late := &lateWriteTable{Table: table}
-			first := &roster{table: late, timeout: time.Second, node: "n", zone: "z", life: "1"}
+			first := &routerList{table: late, timeout: time.Second, node: "n", zone: "z", incarnation: "1"}
 			late.afterCommit = func() {
 				_, err := table.Commit(t.Context(), protocol.Transaction{Writes: []protocol.Write{{Key: first.key(), Value: value}}})
 				is.NoErr(err)
--- a/internal/node/publicationfakes_test.go
+++ b/internal/node/publicationfakes_test.go
@@ -31,7 +31,7 @@
 	is := is.New(t)
 	z := newPublishedZone()
 	fault := &atomic.Bool{}
-	z.guard = func(_ context.Context, running *zoneRouter) {
+	z.beforeStart = func(_ context.Context, running *zoneRouter) {
 		running.follower.source = source(running, fault)
 	}
 	first := z.start(t.Context(), "a")
@@ -55,7 +55,7 @@
 		}
 		for _, version := range versions {
 			s.version++
-			s.history = append(s.history, fakePublication{NamedWeights{Model: published, Version: version}, s.version})
+			s.history = append(s.history, fakePublication{PublishedWeights{Model: published, Version: version}, s.version})
 			models[published] = version
 		}
 		s.reading.Models = models
@@ -144,7 +144,7 @@
 func (d *lossyChanges) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
 	changes, err := d.zoneRouter.Changes(ctx, after, hold)
 	if err == nil && d.dropping.Load() {
-		changes.Named = nil
+		changes.Published = nil
 	}
 	return changes, err
 }
--- a/internal/node/publicationmark_test.go
+++ b/internal/node/publicationmark_test.go
@@ -49,7 +49,7 @@
 				is.Equal(publication.Version, tt.named[len(tt.named)-1])
 				is.True(!publication.SeenAt.After(publishedAt))
 				is.True(publishedAt.Sub(publication.SeenAt) <= 4*time.Second)
-				is.True(!publication.Met)
+				is.True(!publication.SeenAtStart)
 			})
 		})
 	}
--- a/internal/node/publicationmarkfaults_test.go
+++ b/internal/node/publicationmarkfaults_test.go
@@ -43,7 +43,7 @@
 		time.Sleep(15 * time.Second)
 		publication := started.newest()
 		is.Equal(publication.Version, 3)
-		t.Log(publication.SeenAt.Sub(publishedAt), publication.Met)
+		t.Log(publication.SeenAt.Sub(publishedAt), publication.SeenAtStart)
 		is.True(!publication.SeenAt.After(publishedAt))
 	})
 }
@@ -71,7 +71,7 @@
 			for _, one := range started {
 				publication := one.newest()
 				is.Equal(publication.Version, 3)
-				t.Log(one.node, publication.SeenAt.Sub(publishedAt), publication.Met)
+				t.Log(one.node, publication.SeenAt.Sub(publishedAt), publication.SeenAtStart)
 				is.True(!publication.SeenAt.After(publishedAt))
 			}
 		})
@@ -118,7 +118,7 @@
 				is := is.New(t)
 				z := newPublishedZone()
 				freeze, thawAt := &atomic.Bool{}, &atomic.Int64{}
-				z.guard = func(_ context.Context, running *zoneRouter) {
+				z.beforeStart = func(_ context.Context, running *zoneRouter) {
 					running.follower.source = &frozenCall{running, freeze, thawAt, loses}
 				}
 				started := z.start(t.Context(), "a")
@@ -131,7 +131,7 @@
 				time.Sleep(8 * time.Second)
 				publication := started.newest()
 				is.Equal(publication.Version, 3)
-				t.Log(publication.SeenAt.Sub(publishedAt), publication.Met)
+				t.Log(publication.SeenAt.Sub(publishedAt), publication.SeenAtStart)
 				is.True(publication.SeenAt.Sub(publishedAt) <= watchTolerance)
 			})
 		})
@@ -176,8 +176,8 @@
 			time.Sleep(4 * time.Second)
 			started := z.start(t.Context(), "c")
 			time.Sleep(2 * time.Second)
-			publication := started.follower.replica.holder.View().Models[otherModel].Named[0]
-			t.Log(publication.SeenAt.Sub(publishedAt), publication.Met)
+			publication := started.follower.replica.holder.View().Models[otherModel].Publications[0]
+			t.Log(publication.SeenAt.Sub(publishedAt), publication.SeenAtStart)
 			is.True(!publication.SeenAt.After(publishedAt))
 		})
 	}
@@ -192,8 +192,8 @@
 		started := z.start(t.Context(), "c")
 		time.Sleep(5 * time.Second)
 		publication := started.newest()
-		t.Log(publication.SeenAt.Sub(publishedAt), publication.Met)
+		t.Log(publication.SeenAt.Sub(publishedAt), publication.SeenAtStart)
 		is.Equal(publication.Version, 3)
-		is.True(publication.Met || !publication.SeenAt.After(publishedAt)) // its age must not count as known
+		is.True(publication.SeenAtStart || !publication.SeenAt.After(publishedAt)) // its age must not count as known
 	})
 }
--- a/internal/node/publicationrecheck.go
+++ b/internal/node/publicationrecheck.go
@@ -96,7 +96,7 @@
 // hasNewer reports whether changes tell a newer version than the newest known one.
 func (s *watchSession) hasNewer(changes *Changes) bool {
 	models := s.replica.holder.View().Models
-	return slices.ContainsFunc(changes.Named, func(published NamedWeights) bool {
+	return slices.ContainsFunc(changes.Published, func(published PublishedWeights) bool {
 		return published.Version > models[published.Model].Version
 	})
 }
--- a/internal/node/publicationsearch_test.go
+++ b/internal/node/publicationsearch_test.go
@@ -25,7 +25,7 @@
 			z.store.publish(3, 2)
 			questions := &atomic.Int32{}
 			questions.Store(late)
-			z.guard = func(_ context.Context, running *zoneRouter) {
+			z.beforeStart = func(_ context.Context, running *zoneRouter) {
 				running.follower.source = &slowSearch{running, questions}
 			}
 			started := z.start(t.Context(), "a")
@@ -42,13 +42,13 @@
 		is := is.New(t)
 		z := newPublishedZone()
 		published := &atomic.Bool{}
-		z.guard = func(_ context.Context, running *zoneRouter) {
+		z.beforeStart = func(_ context.Context, running *zoneRouter) {
 			running.follower.source = &publishBeforeRecheck{running, published}
 		}
 		first := z.start(t.Context(), "a")
 		time.Sleep(5 * time.Second)
 		is.True(published.Load())
 		is.Equal(first.newest().Version, 3)
-		is.True(!first.newest().Met)
+		is.True(!first.newest().SeenAtStart)
 	})
 }
--- a/internal/node/publicationstale_test.go
+++ b/internal/node/publicationstale_test.go
@@ -97,7 +97,7 @@
 				z.store.publish(3)
 				publishedAt := time.Now()
 				time.Sleep(away)
-				z.guard = func(_ context.Context, running *zoneRouter) {
+				z.beforeStart = func(_ context.Context, running *zoneRouter) {
 					applyStale := func() { is.NoErr(running.follower.apply(stale, knownAt)) }
 					running.follower.source = &scriptedReads{zoneRouter: running, reads: tt.reads(applyStale)}
 				}
@@ -118,7 +118,7 @@
 		is := is.New(t)
 		z := newPublishedZone()
 		source := &scriptedReads{}
-		z.guard = func(_ context.Context, running *zoneRouter) {
+		z.beforeStart = func(_ context.Context, running *zoneRouter) {
 			source.zoneRouter = running
 			running.follower.source = source
 		}
--- a/internal/node/publicationwatch.go
+++ b/internal/node/publicationwatch.go
@@ -69,14 +69,14 @@
 	return max(answeredAt-w.storeTime-requestTime-watchTolerance, 0), true
 }
 
-// watchNamings takes in every version of weights that is named, in the order of the writes,
+// watchPublications takes in every version of weights that is named, in the order of the writes,
 // while this router reads the store itself, until ctx ends.
 //
 // The rows do not tell which version is the newest: a write that the store did not answer
 // may be carried out seconds later, over a newer one, which then stood in its row for an
 // instant between two reads. Of plays of two days with such writes, 7 of 72 ended with
 // engines on older weights for good without the watch, and 0 of 48 with it.
-func (f *follower) watchNamings(ctx context.Context) {
+func (f *follower) watchPublications(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.watchesStore() {
 			f.watchStore(ctx)
@@ -125,7 +125,7 @@
 	}
 	elapsed, changedAt := clock.Since(askedAt), s.replica.earliestAnswer(askedAt, changes.StoreTime)
 	hasNews := s.applyChanges(ctx, from, changedAt, clock.Since(s.pendingSince), &changes)
-	s.watchResult(watchResults[hasNews])
+	s.onWatched(watchResults[hasNews])
 	if !s.rowsLoaded && clock.Since(s.rowsLoadedAt) >= rowsLoadInterval {
 		s.rowsLoaded = s.loadRows(ctx, changedAt, changes.StoreTime)
 		s.rowsLoadedAt = clock.Now()
@@ -160,12 +160,12 @@
 		s.pendingSince = clock.Now()
 	}
 	if !errors.Is(err, ErrHistoryGone) {
-		s.watchResult(watchFailed)
+		s.onWatched(watchFailed)
 		wait.For(ctx, s.pause)
 		s.pause = min(2*s.pause, maxWatchPause)
 		return
 	}
-	s.watchResult(watchGone)
+	s.onWatched(watchGone)
 	from, to := s.replica.skipForgotten()
 	s.rowsLoaded, s.recheck.dueAt = false, clock.Now()
 	log.WithFields(log.Fields{"from": from, "to": to, "cause": err.Error()}).Info("namings_forgotten")
@@ -188,19 +188,19 @@
 func (f *follower) applyPublished(
 	ctx context.Context, after uint64, changedAt time.Time, age time.Duration, known bool, changes *Changes,
 ) bool {
-	publication := catalog.Naming{SeenAt: changedAt.Add(-age), Met: !known}
-	row := namingRow{FirstSeen: changes.StoreTime - age, CompleteTo: after, SeenAtStart: publication.Met}
+	publication := catalog.Publication{SeenAt: changedAt.Add(-age), SeenAtStart: !known}
+	row := publicationRow{FirstSeen: changes.StoreTime - age, CompleteTo: after, SeenAtStart: publication.SeenAtStart}
 	hasNews := false
-	for _, published := range changes.Named {
+	for _, published := range changes.Published {
 		publication.Version = published.Version
-		if !f.replica.holder.Named(published.Model, publication) {
+		if !f.replica.holder.Published(published.Model, publication) {
 			continue
 		}
 		hasNews = true
 		log.WithFields(log.Fields{
-			"model": published.Model, "version": published.Version, "met": publication.Met, "age_ms": clock.Since(publication.SeenAt).Milliseconds(),
+			"model": published.Model, "version": published.Version, "met": publication.SeenAtStart, "age_ms": clock.Since(publication.SeenAt).Milliseconds(),
 		}).Info("version_named")
-		f.namings.save(ctx, published.Model, published.Version, row)
+		f.publications.save(ctx, published.Model, published.Version, row)
 	}
 	return hasNews
 }
@@ -211,14 +211,14 @@
 // storeTime is the store's time at the moment localTime here.
 func (f *follower) loadRows(ctx context.Context, localTime time.Time, storeTime time.Duration) bool {
 	for model, known := range f.replica.holder.View().Models {
-		stored, err := f.namings.load(ctx, model, storeTime, localTime)
+		stored, err := f.publications.load(ctx, model, storeTime, localTime)
 		if err != nil {
 			return false
 		}
 		f.applyStored(model, &stored)
-		for _, publication := range stored.missing(known.Named) {
-			f.namings.save(ctx, model, publication.Version, namingRow{
-				FirstSeen: storeTime - localTime.Sub(publication.SeenAt), SeenAtStart: publication.Met,
+		for _, publication := range stored.missing(known.Publications) {
+			f.publications.save(ctx, model, publication.Version, publicationRow{
+				FirstSeen: storeTime - localTime.Sub(publication.SeenAt), SeenAtStart: publication.SeenAtStart,
 			})
 		}
 	}
@@ -228,7 +228,7 @@
 // applyStored takes in what the rows of a model's versions tell.
 func (f *follower) applyStored(model ident.Model, stored *storedPublications) {
 	for _, publication := range stored.publications {
-		if f.replica.holder.Named(model, publication) {
+		if f.replica.holder.Published(model, publication) {
 			log.WithFields(log.Fields{
 				"model": model, "version": publication.Version, "age_ms": clock.Since(publication.SeenAt).Milliseconds(),
 			}).Info("version_recalled")
--- a/internal/node/publicationwatch_test.go
+++ b/internal/node/publicationwatch_test.go
@@ -14,12 +14,12 @@
 )
 
 // newest returns the newest version of the model that a router knows.
-func (r *zoneRouter) newest() catalog.Naming {
+func (r *zoneRouter) newest() catalog.Publication {
 	known := r.follower.replica.holder.View().Models[model]
-	if len(known.Named) == 0 {
-		return catalog.Naming{}
+	if len(known.Publications) == 0 {
+		return catalog.Publication{}
 	}
-	return known.Named[len(known.Named)-1]
+	return known.Publications[len(known.Publications)-1]
 }
 
 // unavailableTable is a table whose writes fail until a time.
@@ -50,7 +50,7 @@
 		for _, router := range routers {
 			publication := router.newest()
 			is.Equal(publication.Version, 3)
-			is.True(!publication.Met)
+			is.True(!publication.SeenAtStart)
 			is.True(publication.SeenAt.Sub(publishedAt).Abs() <= 20*time.Millisecond)
 		}
 		z.watches()
@@ -76,7 +76,7 @@
 		time.Sleep(time.Second)
 		publication := started.newest()
 		is.Equal(publication.Version, 3)
-		is.True(!publication.Met)
+		is.True(!publication.SeenAtStart)
 		is.True(time.Since(publication.SeenAt) >= time.Minute)
 	})
 }
@@ -88,8 +88,8 @@
 		store := newFakeStore()
 		begun := time.Now()
 		table := &unavailableTable{fakeStore: store, downUntil: begun.Add(10 * time.Second)}
-		publications := &namings{table: table, timeout: time.Second}
-		publications.save(t.Context(), model, 3, namingRow{FirstSeen: time.Second})
+		publications := &publicationStore{table: table, timeout: time.Second}
+		publications.save(t.Context(), model, 3, publicationRow{FirstSeen: time.Second})
 		is.Equal(time.Since(begun), time.Duration(0)) // nobody waits for it
 		time.Sleep(13 * time.Second)
 		stored, err := publications.load(t.Context(), model, 20*time.Second, time.Now())
@@ -123,7 +123,7 @@
 		// It counts as old as it may be, but for the tolerance.
 		is.True(publication.SeenAt.Sub(publishedAt) <= watchTolerance)
 		is.True(publishedAt.Sub(publication.SeenAt) <= watchHold)
-		is.True(!publication.Met)
+		is.True(!publication.SeenAtStart)
 	})
 }
 
@@ -167,7 +167,7 @@
 		started := z.start(t.Context(), "a")
 		time.Sleep(5 * time.Second)
 		is.Equal(started.newest().Version, 3)
-		is.True(started.newest().Met) // nobody saw when it was named
+		is.True(started.newest().SeenAtStart) // nobody saw when it was named
 		z.watches()
 		time.Sleep(time.Minute)
 		is.True(z.watches() <= 160) // what is forgotten is given up
@@ -201,7 +201,7 @@
 
 func TestMissingPublicationRows(t *testing.T) {
 	is := is.New(t)
-	rows := storedPublications{publications: []catalog.Naming{{Version: 2}, {Version: 4}}}
-	is.Equal(rows.missing([]catalog.Naming{{Version: 2}, {Version: 3}}), []catalog.Naming{{Version: 3}})
+	rows := storedPublications{publications: []catalog.Publication{{Version: 2}, {Version: 4}}}
+	is.Equal(rows.missing([]catalog.Publication{{Version: 2}, {Version: 3}}), []catalog.Publication{{Version: 3}})
 	is.Equal(len(rows.missing(nil)), 0)
 }
--- a/internal/node/readercutoffpublication_test.go
+++ b/internal/node/readercutoffpublication_test.go
@@ -20,7 +20,7 @@
 }
 
 func (f *truncatedHistory) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	if err := f.call(&f.watches); err != nil {
+	if err := f.countCall(&f.watches); err != nil {
 		return Changes{}, err
 	}
 	if after < f.oldest.Load() {
@@ -41,7 +41,7 @@
 				fault, oldest := &atomic.Bool{}, &atomic.Uint64{}
 				startTruncated(t, z, fault, oldest)
 				time.Sleep(10 * time.Second)
-				z.set(cut, func(r *zoneRouter) { r.cut = true })
+				z.changeRouter(cut, func(r *zoneRouter) { r.cutOff = true })
 				time.Sleep(5 * time.Second)
 				fault.Store(true)
 				z.store.publish(3, 2)
@@ -52,7 +52,7 @@
 				changes, err := z.store.Changes(t.Context(), 0, time.Millisecond)
 				is.New(t).NoErr(err)
 				oldest.Store(changes.StoreRevision)
-				z.set(cut, func(r *zoneRouter) { r.cut = false })
+				z.changeRouter(cut, func(r *zoneRouter) { r.cutOff = false })
 				time.Sleep(time.Minute)
 				z.requireNewest(t, 3)
 			})
@@ -63,9 +63,9 @@
 // startTruncated starts three routers before a store that leaves changes out while it is at
 // fault, and keeps none of before a revision.
 func startTruncated(t *testing.T, z *zone, fault *atomic.Bool, oldest *atomic.Uint64) {
-	z.guard = func(_ context.Context, running *zoneRouter) {
+	z.beforeStart = func(_ context.Context, running *zoneRouter) {
 		running.follower.source = &truncatedHistory{lossyChanges{running, fault}, oldest}
-		running.follower.roster.table = &reachableTable{z.store, running}
+		running.follower.routerList.table = &reachableTable{z.store, running}
 	}
 	for _, node := range []ident.Node{"a", "b", "c"} {
 		z.start(t.Context(), node)
--- a/internal/node/recipients_test.go
+++ b/internal/node/recipients_test.go
@@ -15,7 +15,7 @@
 // placedRouter is a router of a test fleet.
 type placedRouter struct {
 	upstream.Peer
-	recipients *audience
+	recipients *recipients
 }
 
 // newPlacedRouters returns routers of these zones, so many of each, that all know each other.
@@ -32,7 +32,7 @@
 	}
 	var routers []placedRouter
 	for _, peer := range peers {
-		targets := &audience{node: peer.Node, zone: peer.Zone, regions: regions}
+		targets := &recipients{node: peer.Node, zone: peer.Zone, regions: regions}
 		targets.set(peers)
 		routers = append(routers, placedRouter{Peer: peer, recipients: targets})
 	}
