--- a/internal/node/caches.go
+++ b/internal/node/caches.go
@@ -11,11 +11,11 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// CacheReader reads what stores of kept prompt caches hold.
+// CacheReader reads the contents of prompt cache stores.
 type CacheReader interface {
-	// Changes returns what changed in a store since a position in its history.
+	// Changes returns the changes of a store since a position in its history.
 	Changes(ctx context.Context, store netip.AddrPort, since uint64) (*promptcache.Changes, error)
-	// List returns all that a store holds.
+	// List returns the whole content of a store.
 	List(ctx context.Context, store netip.AddrPort) (*promptcache.Listing, error)
 }
 
@@ -26,19 +26,19 @@
 	cacheTimeout = 300 * time.Millisecond
 )
 
-// cacheFollower reads the stores of kept prompt caches for all routers of its region (of
-// its zone, if there is one region), which pull what it learns. A store that cannot be read is taken for unknown after a
-// while.
+// cacheFollower reads the prompt cache stores for all routers of its region (of its zone, if
+// there is one region), which pull the result. The content of a store that cannot be read
+// becomes unknown after a while.
 type cacheFollower struct {
-	// reads reports whether this router reads for them.
+	// reads reports whether this router reads the stores for the others.
 	reads  func() bool
 	reader CacheReader
 	index  *promptcache.Index
 	holder *catalog.Holder
 }
 
-// run reads all stores of the configuration in force, while that is this router's
-// duty, until ctx ends.
+// run reads all stores of the current configuration while reads returns true, until ctx
+// ends.
 func (f *cacheFollower) run(ctx context.Context) {
 	wait.Every(ctx, cacheInterval, func() {
 		view := f.holder.View()
@@ -56,7 +56,7 @@
 	})
 }
 
-// read takes in what became of one store since the last look.
+// read applies the changes of one store since the last read.
 func (f *cacheFollower) read(ctx context.Context, store netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(ctx, cacheTimeout)
 	defer cancel()
--- a/internal/node/caches_test.go
+++ b/internal/node/caches_test.go
@@ -14,7 +14,7 @@
 	"github.com/fieldpond/fieldpond/internal/promptcache"
 )
 
-// fakeCaches is one store of prompt caches that holds a part and may be dark.
+// fakeCaches is a prompt cache store that has one part and may be unreachable.
 type fakeCaches struct {
 	lists, changes    int
 	lost, unreachable bool
@@ -53,9 +53,9 @@
 		want           promptcache.Belief
 	}{
 		{name: "listed once, then followed", lists: 1, changes: 9, want: promptcache.Held},
-		{name: "listed anew after a gap", reader: fakeCaches{lost: true}, lists: 5, changes: 5, want: promptcache.Unknown},
+		{name: "listed again after a gap", reader: fakeCaches{lost: true}, lists: 5, changes: 5, want: promptcache.Unknown},
 		{name: "read by another router of the zone", follows: true, want: promptcache.Unknown},
-		{name: "dark", reader: fakeCaches{unreachable: true}, lists: 10, want: promptcache.Unknown},
+		{name: "unreachable", reader: fakeCaches{unreachable: true}, lists: 10, want: promptcache.Unknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/node/epoch.go
+++ b/internal/node/epoch.go
@@ -12,23 +12,21 @@
 )
 
 const (
-	// rejoinCheckInterval is the time between two looks at whether the store came back from an older
-	// copy, which may lack this router's row.
+	// rejoinCheckInterval is the time between two checks for a restore of the store, which may
+	// have lost this router's row.
 	rejoinCheckInterval = 250 * time.Millisecond
-	// rejoinWindow is how long after that all routers have their rows again that reach the
-	// store: they hear of it with a pull, and count each other once more. Until then the
-	// number of routers is not taken for smaller.
+	// rejoinWindow is the time after a restore in which all routers that reach the store write
+	// their rows again. Until then the number of routers may not decrease.
 	rejoinWindow = 15 * time.Second
 )
 
-// optionalEpochs is the count of a port, or that of a store which never comes back from an older
-// copy if there is none.
+// optionalEpochs wraps Epochs; without a port the store counts as never restored.
 type optionalEpochs struct{ port Epochs }
 
 // enabled reports whether there is a port.
 func (e optionalEpochs) enabled() bool { return e.port != nil }
 
-// Epoch returns the newest epoch.
+// Epoch implements Epochs.
 func (e optionalEpochs) Epoch() uint64 {
 	if e.port == nil {
 		return 0
@@ -36,7 +34,7 @@
 	return e.port.Epoch()
 }
 
-// First is that of Epochs.
+// First implements Epochs.
 func (e optionalEpochs) First() (first uint64, known bool) {
 	if e.port == nil {
 		return 0, false
@@ -44,15 +42,15 @@
 	return e.port.First()
 }
 
-// ObserveFirst is that of Epochs.
+// ObserveFirst implements Epochs.
 func (e optionalEpochs) ObserveFirst(first uint64) {
 	if e.port != nil {
 		e.port.ObserveFirst(first)
 	}
 }
 
-// observeEpoch takes in that the store may have come back from an older copy, as an answer to
-// this router or a peer shows. It is called before what was read is taken in.
+// observeEpoch handles a restore of the store if an answer to this router or a peer showed one.
+// Call it before the answer is applied.
 func (f *follower) observeEpoch() {
 	epoch := max(f.epochs.Epoch(), f.peersEpoch.Load())
 	for seen := f.seenEpoch.Load(); epoch > seen; seen = f.seenEpoch.Load() {
@@ -65,7 +63,7 @@
 	}
 }
 
-// applyPeerEpoch takes in what a peer tells of the store's epochs.
+// applyPeerEpoch applies the store's epochs as a peer reports them.
 func (f *follower) applyPeerEpoch(update *upstream.Update) {
 	if update.FirstEra > 0 {
 		f.epochs.ObserveFirst(update.FirstEra - 1)
@@ -76,7 +74,7 @@
 	f.observeEpoch()
 }
 
-// maintainRow writes this router's row again when the store came back without it, until ctx ends.
+// maintainRow writes this router's row again when a restored store lacks it, until ctx ends.
 func (f *follower) maintainRow(ctx context.Context) {
 	wait.Every(ctx, rejoinCheckInterval, func() {
 		f.observeEpoch()
@@ -96,7 +94,7 @@
 	})
 }
 
-// applyRouters takes in this router's row and those of the others.
+// applyRouters applies this router's row and those of the others.
 func (f *follower) applyRouters(askedAt time.Time, self upstream.Peer, peers []upstream.Peer, routers int) {
 	f.recipients.set(peers)
 	f.replica.observeRouterCount(askedAt, routers)
--- a/internal/node/epoch_test.go
+++ b/internal/node/epoch_test.go
@@ -15,7 +15,8 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// storeRestored is a Source whose store came back from an older copy: it tells no history of before.
+// restoredStore is a Source whose store was restored from an older copy: it has no history from
+// before the restore.
 type restoredStore struct{ *fakeStore }
 
 // Configurations implements Source.
@@ -26,14 +27,15 @@
 	return c.fakeStore.Configurations(ctx, after, until)
 }
 
-// What the row of the configuration shows after the store came back from an older copy.
+// After a restore an older configuration in the row must not replace the one in force, nor
+// confirm it.
 func TestConfigurationAfterStoreRestore(t *testing.T) {
 	tests := []struct {
 		name string
-		// version and body are those of the row then.
+		// version and body are those of the row after the restore.
 		version uint64
 		body    string
-		// held is the version in force then.
+		// held is the version in force afterwards.
 		held      uint64
 		confirmed bool
 	}{
@@ -53,7 +55,7 @@
 				is.NoErr(f.readConfiguration(t.Context()))
 				is.Equal(f.replica.holder.View().Snapshot.Version, uint64(5))
 				time.Sleep(time.Minute)
-				// Its version was given out again.
+				// The restored store assigns the same revision again.
 				fake.reading.Revision, fake.reading.Body, fake.snapshot.Version = store.Revision(1, 40), []byte(tt.body), tt.version
 				is.NoErr(f.readConfiguration(t.Context()))
 				view := f.replica.holder.View()
@@ -65,13 +67,14 @@
 	}
 }
 
-// fakeEpochs is a count of returns that a test sets. It implements Epochs.
+// fakeEpochs implements Epochs with an epoch that a test sets.
 type fakeEpochs struct{ epoch atomic.Uint64 }
 
 func (c *fakeEpochs) Epoch() uint64         { return c.epoch.Load() }
 func (c *fakeEpochs) First() (uint64, bool) { return 3, true }
 func (c *fakeEpochs) ObserveFirst(uint64)   {}
 
+// After a restore a router must write its row again only if it is lost, to keep the routers' order.
 func TestRouterRewritesRowOnlyIfLost(t *testing.T) {
 	tests := []struct {
 		name string
@@ -103,7 +106,7 @@
 	}
 }
 
-// epochTable is a table whose rows are of an epoch.
+// epochTable is a table whose rows have versions of an epoch.
 type epochTable struct {
 	*fakeStore
 	epoch  uint64
@@ -129,8 +132,8 @@
 	return row, found, err
 }
 
-// Rows of routers may be missing for a while: bounds that are divided by their number must not
-// grow meanwhile.
+// A restored store may lack rows of routers for a while: bounds that are divided by their number
+// must not grow in that time.
 func TestRouterCountDoesNotShrinkAfterStoreRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -152,16 +155,16 @@
 	})
 }
 
-// A router that reads nothing of the store itself hears of its return from a peer.
+// A router that does not read the store must learn of a restore from a peer.
 func TestPeerReportsStoreRestore(t *testing.T) {
 	is := is.New(t)
 	f := newFollower(newFakeStore())
 	f.applyPeerEpoch(&upstream.Update{Epoch: 2})
 	is.Equal(f.seenEpoch.Load(), uint64(2))
-	f.applyPeerEpoch(&upstream.Update{}) // of an older build, or one that has not heard of it
+	f.applyPeerEpoch(&upstream.Update{}) // of an older build, or of a peer that has not observed it
 	is.Equal(f.seenEpoch.Load(), uint64(2))
 	is.True(!f.epochsCurrent(&upstream.Update{Epoch: 1}))
-	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2})) // this router knows of no era itself
+	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2})) // this router has no first epoch itself
 	f.epochs = optionalEpochs{&fakeEpochs{}}
 	is.True(!f.epochsCurrent(&upstream.Update{Epoch: 2}))
 	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2, FirstEra: 4}))
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -17,49 +17,48 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// follower keeps the replica up to date: it reads the store as often as this
-// router's place in the chain asks for, and else pulls from a peer. A read counts
-// from the moment it was asked for, so that neither a pause of the process nor a
-// slow answer makes old news look new.
+// follower keeps the replica up to date: it reads the store as often as this router's
+// place in the chain requires, and otherwise pulls from a peer. A read counts from the
+// time of its request, so that a slow answer or a paused process doesn't make old state
+// look current.
 type follower struct {
 	source       Source
 	replica      *replica
 	config       FollowConfig
 	publications *publicationStore
 	routerList   *routerList
-	// states reads the states of rollouts; it is nil where no service is moved to another
-	// release under guard.
+	// states reads the states of rollouts; nil without guarded rollouts.
 	states *rolloutStates
-	// guard reads the requests that are held; it may be nil.
+	// guard reads the quarantined requests; it may be nil.
 	guard  *guard.Guard
 	client puller
 	chain  *chainGuard
-	// recipients is kept up to date with the routers there are.
+	// recipients is updated at each read of the router list.
 	recipients *recipients
-	// onJoined is called with this router's row and those of all, once it is written.
+	// onJoined is called with this router's row and those of all routers, once it is written.
 	onJoined func(self upstream.Peer, peers []upstream.Peer)
 	// onLost is called each time a dependency is lost.
 	onLost func(name string)
 	// onPulled is called with the result of each pull, onWatched with that of each watch.
 	onPulled, onWatched func(result string)
-	// startedAt is when this router began to follow.
-	startedAt time.Time
-	// configurationSeen is true after the first read of the configuration.
+	startedAt           time.Time
+	// configurationSeen is true once the configuration was read here or received from a peer.
 	configurationSeen atomic.Bool
-	// rowsReadAt is up to when the rows were last known here by this router's own questions.
+	// rowsReadAt is up to when the operator's rows are known by this router's own reads.
 	rowsReadAt time.Time
-	// rowsLoadedAt is when the watch last read the naming rows, rowsLoadFailed whether that failed.
+	// rowsLoadedAt is when the watch last read the publication rows, rowsLoadFailed whether
+	// that failed.
 	rowsLoadedAt   time.Time
 	rowsLoadFailed atomic.Bool
-	// epochs counts the returns of the store from an older copy; peersEpoch is the newest one
-	// that a peer told, seenEpoch the newest of which this router took notice.
+	// epochs counts restores of the store; peersEpoch is the newest epoch that a peer reported,
+	// seenEpoch the newest that this router has handled.
 	epochs                optionalEpochs
 	peersEpoch, seenEpoch atomic.Uint64
-	// outdated are the versions below the newest that rows named last, by model.
+	// outdated holds, by model, the version below the newest that its row was last logged with.
 	outdated map[ident.Model]int
 }
 
-// FollowConfig fixes how often the store is read.
+// FollowConfig sets how often the store is read.
 type FollowConfig struct {
 	// ConfigurationInterval is the time between two reads of the configuration.
 	ConfigurationInterval time.Duration
@@ -67,8 +66,8 @@
 	BackendInterval time.Duration
 	// ReadTimeout bounds one read.
 	ReadTimeout time.Duration
-	// RetryPause is waited after a failed read. It doubles with each one in a
-	// row, up to the interval, at routers that do not read for their zone.
+	// RetryPause follows a failed read. At routers that do not read the store for
+	// others it doubles with each failure in a row, up to the interval.
 	RetryPause time.Duration
 	// RosterInterval is the time between two counts of the routers.
 	RosterInterval time.Duration
@@ -76,7 +75,7 @@
 	Chain upstream.Config
 }
 
-// dependency logs when reads begin to fail and when they work again.
+// dependency logs when reads start to fail and when they work again.
 type dependency struct {
 	name string
 	// onLost is called each time the dependency is lost.
@@ -129,7 +128,7 @@
 	f.observeEpoch()
 	f.guard.Load(ctx, askedAt.Sub(f.replica.holder.View().ConfirmedAt))
 	f.observePublications(ctx, askedAt, &reading)
-	// When the answer is read says nothing, as the process may have stood still meanwhile.
+	// Not the time of the answer: the process may have been paused since it was sent.
 	f.rowsReadAt = askedAt
 	f.replica.recordRead(askedAt, &reading)
 	rollouts := f.orders(askedAt, f.replica.holder.View().ConfirmedAt, &reading)
@@ -143,8 +142,8 @@
 	return err
 }
 
-// orders returns the orders of a read with the states that are known, or nil if there is
-// none. A rollout whose order is withdrawn stays known until it is over.
+// orders returns the rollout orders of a read, nil if there are none. A rollout whose order was
+// withdrawn remains until it is over.
 func (f *follower) orders(askedAt, confirmedAt time.Time, reading *Reading) *knownRollouts {
 	known := f.replica.currentRollouts()
 	if f.states == nil || (len(reading.Orders) == 0 && !known.pending()) {
@@ -155,15 +154,14 @@
 	case orders.newestRevision() <= known.newestRevision():
 		orders.absentAt = known.absentAt
 	case !confirmedAt.IsZero():
-		// When the configuration was last confirmed, by whichever router, the order was
-		// not there.
+		// The order did not exist when a router last confirmed the configuration.
 		orders.absentAt = max(reading.StoreTime-askedAt.Sub(confirmedAt), 0)
 	}
 	return orders
 }
 
-// readStates reads the states of rollouts. Only orders without a final state are asked
-// for, so that a rollout that is over costs nothing.
+// readStates reads the states of rollouts. Call it only while an order has no final state, so
+// that finished rollouts cost no calls.
 func (f *follower) readStates(ctx context.Context) {
 	askedAt := clock.Now()
 	states, err := f.states.list(ctx)
@@ -174,12 +172,12 @@
 	f.replica.applyStates(askedAt, states)
 }
 
-// observePublications takes in the versions of weights that are named. One that is
-// there at the first look may have been named long before, and one that is there after a time in
-// which the rows were not known at any moment since then.
+// observePublications applies the published versions of a read. One that the first read finds may
+// have been published long before; one found after the rows were unknown for a time, at any
+// moment of that time.
 func (f *follower) observePublications(ctx context.Context, askedAt time.Time, reading *Reading) {
 	seen := f.configurationSeen.Swap(true)
-	// The answer may be read long after it was given, by a process that was paused.
+	// Computed now, as the process may have been paused since the answer was sent.
 	since, known := f.rowsUnknownSince(askedAt), true
 	if !seen {
 		since, known = unmarkedSince(f.loadAllPublications(ctx, askedAt, reading), askedAt, reading.StoreTime)
@@ -200,8 +198,8 @@
 	}
 }
 
-// logOutdatedVersion logs, once for each content, that a row names an older version than is
-// known: an older write was carried out after a newer one.
+// logOutdatedVersion logs, once for each version, that a row has an older version than the known
+// one: the store executed an older write after a newer one.
 func (f *follower) logOutdatedVersion(model ident.Model, version int) {
 	known := f.replica.holder.View().Models[model].Version
 	if version >= known {
@@ -218,10 +216,10 @@
 	log.WithFields(log.Fields{"model": model, "version": version, "known": known}).Warn("version_row_outdated")
 }
 
-// loadAllPublications takes in what other routers kept of the versions of all models, and returns the
-// store's time up to which they kept all, 0 if nothing tells it. If the rows of one model are
-// not read, the next read of the configuration looks for them again, as nothing else tells
-// then how old a version is that was named while all routers were away.
+// loadAllPublications applies the publication rows of all models, and returns the store's own time
+// up to which they are complete, 0 if unknown. If a model's rows cannot be read, the next read of
+// the configuration tries again: only they bound the age of a version that was published while
+// no router ran.
 func (f *follower) loadAllPublications(ctx context.Context, askedAt time.Time, reading *Reading) (marked time.Duration) {
 	for model := range reading.Models {
 		stored, err := f.loadPublications(ctx, askedAt, reading.StoreTime, model)
@@ -235,7 +233,7 @@
 	return marked
 }
 
-// loadPublications takes in what other routers kept of the versions of a model.
+// loadPublications applies the publication rows of a model.
 func (f *follower) loadPublications(ctx context.Context, askedAt time.Time, storeTime time.Duration, model ident.Model) (storedPublications, error) {
 	stored, err := f.publications.load(ctx, model, storeTime, askedAt)
 	if err != nil {
@@ -279,35 +277,34 @@
 }
 
 // minOwnOriginTime is how long a router that is not the first of all reads the store itself
-// before it takes over what the first does once for all. Where peers come and go, many read
-// for less: each would make calls for nothing.
+// before it takes over the first one's duties. While peers come and go many routers read for a
+// shorter time, and would make needless calls.
 const minOwnOriginTime = 2 * time.Second
 
-// readsForOthers reports whether this router does what is done once for all: it is the first
-// of all, or no peer supplies it for a while. A first router that is cut off from the store
-// alone still answers pulls, so that nobody else becomes the first one; without this nobody
-// counted the routers that joined then, nor asked a second time for changes of the store.
+// readsForOthers reports whether this router has the duties that one router does for all: it is
+// the first of all, or no peer has supplied it for a while. A first router that is cut off from
+// the store still answers pulls and stays the first, so another one must count the routers and
+// recheck changes.
 func (f *follower) readsForOthers() bool {
 	return f.chain.reads() || f.replica.ownOriginFor() >= minOwnOriginTime
 }
 
-// contends reports whether this router is to hold the lease of weights if nobody else does.
-// In a deployment of one zone nobody else took it for 30 s while its first router was cut off
-// from the store alone, and no engine was ordered to take new weights.
+// contends reports whether this router should take the rollout lease if it is free. The first
+// router of a region may be cut off from the store, so those that read in its place contend too.
 func (f *follower) contends() bool { return f.chain.leadsRegion() || f.readsForOthers() }
 
 const (
 	// startPeerWait is how long a starting router waits for its peers to supply it
-	// before it reads the store itself: some hops of a few ms each, and a late row.
+	// before it reads the store itself; it covers some hops and a late row.
 	startPeerWait = 200 * time.Millisecond
-	// startStagger is the span over which routers that nobody supplied then begin
-	// to read, so that the first of them can supply the others.
+	// startStagger spreads the first reads of unsupplied routers after that, so that the
+	// first one can supply the others.
 	startStagger = 400 * time.Millisecond
-	// startCheckInterval is the time between two looks at what a starting router has.
+	// startCheckInterval is the time between two checks whether a starting router is supplied.
 	startCheckInterval = 10 * time.Millisecond
 )
 
-// awaitPeers lets peers supply a starting router, and reports whether ctx is still
+// awaitPeers waits for peers to supply a starting router, and reports whether ctx is still
 // open. The first router of all does not wait.
 func (f *follower) awaitPeers(ctx context.Context) bool {
 	part := xxhash.Sum64String(string(f.replica.node)) % uint64(startStagger)
@@ -320,9 +317,8 @@
 	return true
 }
 
-// poll calls read whenever due says that no time is left, until ctx ends; the first
-// time at once, unless peers supply this router. After a failed read it pauses,
-// longer each time.
+// poll calls read whenever due returns no time left, until ctx ends; the first time at
+// once, unless peers supply this router. It pauses after a failed read, longer each time.
 func (f *follower) poll(ctx context.Context, interval time.Duration, due func(now time.Time) time.Duration, read func() error) {
 	pause := time.Duration(0)
 	if !f.awaitPeers(ctx) || (f.replica.initialized() && !f.chain.reads() && !waitUntilDue(ctx, 0, due)) {
@@ -345,8 +341,8 @@
 	}
 }
 
-// retryPause returns the pause after a failed read, given the one before. Only
-// the router that reads for its zone tries again at the same pace.
+// retryPause returns the pause after a failed read, given the previous one. Only the
+// router that reads for others retries at a constant pace.
 func (f *follower) retryPause(pause, interval time.Duration) time.Duration {
 	if f.chain.reads() {
 		return f.config.RetryPause
@@ -354,8 +350,8 @@
 	return min(max(2*pause, f.config.RetryPause), interval)
 }
 
-// rest waits for a time at least, and then until a read is due; it reports
-// whether ctx is still open. What a peer supplies puts the read off.
+// waitUntilDue waits for a least time and then until a read is due, and reports whether
+// ctx is still open. State from a peer postpones the read.
 func waitUntilDue(ctx context.Context, minWait time.Duration, due func(now time.Time) time.Duration) bool {
 	left := minWait
 	for {
--- a/internal/node/follower_test.go
+++ b/internal/node/follower_test.go
@@ -22,7 +22,7 @@
 
 const model = ident.Model("m")
 
-// fakeStore is a store with a configuration, a list and own rows.
+// fakeStore is a store with a configuration, an instance list and a table of own rows.
 type fakeStore struct {
 	mutex    sync.Mutex
 	reading  Reading
@@ -34,14 +34,14 @@
 	delay    time.Duration
 	decoded  int
 	snapshot catalog.Content
-	// history holds the namings in order, but for those up to the forgotten revision.
+	// history has the publications in order; those up to the revision forgotten are refused.
 	history   []fakePublication
 	forgotten uint64
 	// changed is closed at the next change.
 	changed chan struct{}
 }
 
-// fakePublication is a change of the store that named a version.
+// fakePublication is a change of the store that published a version.
 type fakePublication struct {
 	PublishedWeights
 	revision uint64
@@ -57,7 +57,7 @@
 	change()
 }
 
-// answer waits as long as the store takes, and says whether it is down.
+// answer waits for the store's delay, and returns an error if the store is down.
 func (s *fakeStore) answer(ctx context.Context) error {
 	s.mutex.Lock()
 	delay, down := s.delay, s.down
@@ -88,11 +88,11 @@
 	return reading, nil
 }
 
-// now returns the store's own time; 0 would say that it tells none.
+// now returns the store's own time, never 0, which means unknown.
 func (s *fakeStore) now() time.Duration { return time.Since(s.started) + time.Millisecond }
 
-// publish has the operator name versions of the model, one right after the other: only the
-// last one stands in the row when it is read.
+// publish has the operator publish versions of the model, so fast that reads of the row see
+// only the last one.
 func (s *fakeStore) publish(versions ...int) {
 	s.change(func() {
 		close(s.changed)
@@ -139,7 +139,7 @@
 	}
 }
 
-// changesAfter returns the changes that are there, and what is closed at the next one.
+// changesAfter returns the present changes, and a channel that is closed at the next one.
 func (s *fakeStore) changesAfter(after uint64) (Changes, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -221,7 +221,7 @@
 	return list, nil
 }
 
-// newFollower returns the follower of a router that is the first of its zone.
+// newFollower returns the follower of the only router.
 func newFollower(store *fakeStore) *follower {
 	chain := newChainGuard(upstream.Config{})
 	chain.use(func(chain *upstream.Chain) { chain.Join(upstream.Peer{Node: "n", Revision: 1}, nil) })
@@ -258,7 +258,7 @@
 	})
 }
 
-// A slow answer confirms the configuration only as of when it was asked for.
+// A slow answer must confirm the configuration only as of its request.
 func TestSlowAnswerCountsFromRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -291,7 +291,7 @@
 	})
 }
 
-// Losing the store is no reason to drop back ends.
+// Back ends must not be dropped during an outage of the store.
 func TestBackEndsAreKeptDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -306,8 +306,8 @@
 	})
 }
 
-// A router that starts after a version was named learns from the others how
-// long ago that was.
+// A router that starts after a version was published must find its age by the row that others
+// wrote.
 func TestVersionAgeOutlivesRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -340,6 +340,6 @@
 		go follower.followConfiguration(t.Context())
 		time.Sleep(time.Second)
 		is.True(follower.replica.holder.View().Models[model].Publications[0].SeenAtStart)
-		is.Equal(len(store.rows), 0) // its time is not claimed to be known
+		is.Equal(len(store.rows), 0) // no row claims to know its time
 	})
 }
--- a/internal/node/laterow_test.go
+++ b/internal/node/laterow_test.go
@@ -12,7 +12,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// lateWriteTable carries a write out again, behind the back of the one that wrote.
+// lateWriteTable runs afterCommit once, after the next transaction.
 type lateWriteTable struct {
 	store.Table
 	afterCommit func()
@@ -28,19 +28,21 @@
 	return result, err
 }
 
+// A router that leaves must also remove a row that a late write of its own has changed, but not
+// one of a later incarnation.
 func TestLateWriteOfOwnRowIsRemoved(t *testing.T) {
 	tests := []struct {
-		name, life string
-		left       int
+		name, incarnation string
+		left              int
 	}{
-		{"own life", "1", 0},
-		{"later life", "2", 1},
+		{"own incarnation", "1", 0},
+		{"later incarnation", "2", 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			table := newFakeStore()
-			value, err := cbor.Marshal(routerRow{Incarnation: tt.life})
+			value, err := cbor.Marshal(routerRow{Incarnation: tt.incarnation})
 			is.NoErr(err)
 			late := &lateWriteTable{Table: table}
 			first := &routerList{table: late, timeout: time.Second, node: "n", zone: "z", incarnation: "1"}
--- a/internal/node/latewrites_test.go
+++ b/internal/node/latewrites_test.go
@@ -1,12 +1,5 @@
-// A write that the store did not answer may be carried out seconds later, after newer
-// ones, and gets the highest revision then. So the content of a row is not always the
-// newest that was written, and a newer one may have stood there between two reads only.
-//
-// Evidence: the rows of an operator who repeated unanswered writes went v7, v6, v8, v6
-// with rising revisions, and no read saw v8. With the configuration's row that means: a
-// router that met the older one told it to peers that had just started; and one that
-// stood for an instant was missed for good, while the one before it, with keys that were
-// taken away, was confirmed at each read.
+// The store may execute an unanswered write seconds later, after newer ones, and give it the
+// highest revision. So a row may have older content, or had newer content between two reads.
 package node
 
 import (
@@ -27,15 +20,14 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// lateStore is a store whose row of the configuration holds a version number, and that
-// remembers what the row held.
+// lateStore is a store whose configuration is a version number, with the history of its row.
 type lateStore struct {
 	*fakeStore
 	written []Reading
-	// failure, if set, is the answer to questions about what the row held, which are counted.
+	// failure, if set, is the answer to requests for the history, which requests counts.
 	failure  error
 	requests int
-	// forgotten is the revision up to which that is not kept.
+	// forgotten is the revision up to which the history is lost.
 	forgotten uint64
 	// others is by how much writes of other rows raised the revision since the last one.
 	others uint64
@@ -43,8 +35,7 @@
 
 func newLateStore() *lateStore { return &lateStore{fakeStore: newFakeStore()} }
 
-// write makes versions the contents of the row, one right after the other, so that no
-// read sees any but the last.
+// write writes versions to the row, so fast that reads see only the last one.
 func (s *lateStore) write(versions ...uint64) {
 	s.change(func() {
 		for _, version := range versions {
@@ -56,7 +47,7 @@
 	})
 }
 
-// advance has others write rows, and the store forget all that was written before.
+// advance raises the store's revision by writes of other rows, and drops the history.
 func (s *lateStore) advance(writes uint64) {
 	s.change(func() {
 		s.others += writes
@@ -93,7 +84,7 @@
 	return between, nil
 }
 
-// historyRequests returns how often the store was asked what the row held.
+// historyRequests returns the number of requests for the history.
 func (s *lateStore) historyRequests() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -116,7 +107,7 @@
 	return reader
 }
 
-// started returns a router that follows the configuration and has seen the list once.
+// started returns a router that follows the configuration and has an instance list.
 func (s *lateStore) started(t *testing.T) *follower {
 	reader := s.router()
 	reader.replica.applyList("n", time.Now(), fullList(nil))
@@ -138,18 +129,18 @@
 type directPuller struct{ from *follower }
 
 // Pull implements puller.
-func (d directPuller) Pull(_ context.Context, _ upstream.Peer, pull *upstream.Pull) (*upstream.Update, time.Time, error) {
-	return d.from.replica.Update(time.Now(), pull), time.Now(), nil
+func (p directPuller) Pull(_ context.Context, _ upstream.Peer, pull *upstream.Pull) (*upstream.Update, time.Time, error) {
+	return p.from.replica.Update(time.Now(), pull), time.Now(), nil
 }
 
-// pullFrom lets a router pull once from another.
+// pullFrom makes a router pull once from another.
 func pullFrom(t *testing.T, puller, from *follower) {
 	t.Helper()
 	puller.client = directPuller{from: from}
 	puller.pull(t.Context(), upstream.Peer{}, 0)
 }
 
-// warnings returns the events that were warned of so far, in a synctest bubble.
+// warnings returns a function for the events logged as warnings so far, in a synctest bubble.
 func warnings(t *testing.T) func() []string {
 	t.Helper()
 	handler := memory.New()
@@ -179,9 +170,9 @@
 		store.write(9)
 		time.Sleep(time.Minute)
 		is.Equal(versionAt(reader), uint64(10))
-		is.True(ageAt(reader) <= configurationInterval) // what the row held since tells that 10 is the newest
+		is.True(ageAt(reader) <= configurationInterval) // the history confirms that 10 is the newest
 		is.Equal(warned(), []string{"configuration_row_outdated"})
-		is.Equal(store.historyRequests()-before, 1) // what is known is not asked again
+		is.Equal(store.historyRequests()-before, 1) // a known history is not requested again
 
 		started := store.router()
 		pullFrom(t, started, reader)
@@ -192,7 +183,7 @@
 func TestOverwrittenConfiguration(t *testing.T) {
 	t.Run("is adopted", testOverwrittenIsAdopted)
 	t.Run("is suspected when it is forgotten", testForgottenIsSuspected)
-	t.Run("is asked for until it is told", testRequestedUntilAnswered)
+	t.Run("is requested until it is answered", testRequestedUntilAnswered)
 }
 
 func testOverwrittenIsAdopted(t *testing.T) {
@@ -201,7 +192,7 @@
 		last uint64
 	}{
 		{"and an older one after it", 9},
-		{"and the one before it once more", 10},
+		{"and the one before it again", 10},
 		{"and one between the two after it", 11},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -223,7 +214,8 @@
 	}
 }
 
-// The store keeps its changes for some seconds, and configurations change less often.
+// A late write must be detected even if the last configuration is older than the history that
+// the store keeps.
 func TestLateWriteIsDetectedAfterLongInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -240,19 +232,19 @@
 		time.Sleep(time.Minute)
 		store.advance(1000)
 		time.Sleep(configurationInterval)
-		store.write(12) // the operator writes it once more
+		store.write(12) // the operator writes it again
 		time.Sleep(time.Minute)
 		is.True(ageAt(reader) <= configurationInterval)
 	})
 }
 
-// What the row held may be forgotten. Then the configuration that is held may have been
-// replaced, with its keys, by one that nobody saw.
+// If the history is lost, an unseen configuration may have replaced the one in force and its
+// keys, so that must not be confirmed.
 func testForgottenIsSuspected(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		last uint64
-	}{{"an older one", 9}, {"the same once more", 10}} {
+	}{{"an older one", 9}, {"the same again", 10}} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -267,10 +259,10 @@
 				is.Equal(versionAt(reader), uint64(10))
 				is.True(ageAt(reader) > 59*time.Second)
 				is.Equal(warned(), []string{"configuration_row_outdated"})
-				is.Equal(store.historyRequests()-before, 1) // what is forgotten is not asked again
+				is.Equal(store.historyRequests()-before, 1) // a lost history is not requested again
 				store.write(13)
 				time.Sleep(configurationInterval)
-				is.Equal(versionAt(reader), uint64(13)) // a newer one ends it
+				is.Equal(versionAt(reader), uint64(13)) // a newer one ends the suspicion
 				is.True(ageAt(reader) <= configurationInterval)
 			})
 		})
@@ -286,7 +278,7 @@
 		store.fail(errors.New("no answer"))
 		store.write(12, 11)
 		time.Sleep(10 * time.Second)
-		is.Equal(versionAt(reader), uint64(11)) // the row's content does not wait for it
+		is.Equal(versionAt(reader), uint64(11)) // the row's content does not wait for the history
 		is.True(ageAt(reader) > 9*time.Second)
 		store.fail(nil)
 		time.Sleep(time.Second)
@@ -295,7 +287,8 @@
 	})
 }
 
-// A router that starts after the late write finds the older configuration in the row.
+// A router that starts after the late write finds the older configuration in the row, and must get
+// the newest from a peer instead of spreading the older one.
 func TestRouterWithOlderConfigurationGetsNewestFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -311,7 +304,7 @@
 		started := store.router()
 		started.replica.applyList("n", time.Now(), fullList(nil))
 		is.NoErr(started.readConfiguration(t.Context()))
-		is.Equal(versionAt(started), uint64(9)) // what the row held is forgotten
+		is.Equal(versionAt(started), uint64(9)) // the history is lost
 		store.fail(nil)
 
 		pullFrom(t, reader, started)
@@ -320,7 +313,7 @@
 
 		pullFrom(t, started, reader)
 		is.Equal(versionAt(started), uint64(10))
-		// Its own read found another one: it does not tell that 10 was the newest then.
+		// Its own read found another one, so it doesn't confirm 10.
 		is.Equal(started.replica.holder.View().ConfirmedAt, readAt)
 		is.NoErr(started.readConfiguration(t.Context()))
 		is.Equal(versionAt(started), uint64(10))
@@ -328,16 +321,16 @@
 	})
 }
 
-// A router that starts without peers finds the older configuration in the row. The newest
-// one was written there a few seconds before at most: a late write is no later.
+// A router that starts without peers after a late write must find the newest configuration in the
+// history that the store still keeps.
 func TestLoneStartFindsNewestConfiguration(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// others is how far the other writes of the store raised the revision before, and
-		// kept the revisions of which it keeps the changes.
+		// others is by how much other writes raised the revision before, kept the number of
+		// revisions whose changes the store keeps.
 		others, kept uint64
 		version      uint64
-		questions    int
+		requests     int
 	}{
 		{"all is kept", 0, 1 << 20, 12, 1},
 		{"of a busy store", 100_000, 50_000, 12, 1},
@@ -355,17 +348,17 @@
 				store.forgotten = newest - min(tt.kept, newest)
 				reader := store.started(t)
 				is.Equal(versionAt(reader), tt.version)
-				is.Equal(store.historyRequests(), tt.questions)
+				is.Equal(store.historyRequests(), tt.requests)
 				time.Sleep(10 * time.Second)
 				is.Equal(versionAt(reader), tt.version)
 				is.True(ageAt(reader) <= configurationInterval)
-				is.Equal(store.historyRequests(), tt.questions) // a start looks back once
+				is.Equal(store.historyRequests(), tt.requests) // only the start searches the history
 			})
 		})
 	}
 }
 
-// A store that does not answer the question keeps no router from starting.
+// A failed request for the history must not keep a router from starting.
 func TestLoneStartDoesNotWaitForHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -380,8 +373,8 @@
 	})
 }
 
-// A router that starts after a late write of an engine learns from the others that the
-// engine drains.
+// A router that starts after a late write of an engine's row must learn from peers that the
+// engine is draining.
 func TestStartingRouterGetsDrainingFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/node/monitors.go
+++ b/internal/node/monitors.go
@@ -12,11 +12,10 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// regionCheckInterval is the time between two looks at which regions are lost; it is shorter
-// than a region is passed over.
+// regionCheckInterval is shorter than the time for which a lost region is skipped.
 const regionCheckInterval = 500 * time.Millisecond
 
-// logLostRegions logs which regions are lost, whenever that changes, until ctx ends.
+// logLostRegions logs the lost regions whenever they change, until ctx ends.
 func (n *Node) logLostRegions(ctx context.Context) {
 	var before []ident.Region
 	wait.Every(ctx, regionCheckInterval, func() {
@@ -28,7 +27,7 @@
 	})
 }
 
-// logSuspensions looks whether this process stood still, beside the looks that are made before
+// logSuspensions regularly checks for pauses of this process, in addition to the checks before
 // decisions, and logs suspensions of the machine, until ctx ends.
 func logSuspensions(ctx context.Context) {
 	before := clock.Suspended()
--- a/internal/node/notifier.go
+++ b/internal/node/notifier.go
@@ -21,56 +21,54 @@
 )
 
 const (
-	// maxDatagramBytes bounds what is read of a datagram: a report of answers by route
-	// and back end (canary.Report) may be longer than a notice, which takes 1,400.
+	// maxDatagramBytes bounds a received datagram: notifications take at most 1,400 bytes,
+	// but a canary.Report may be longer.
 	maxDatagramBytes = 4096
-	// enginesPerNotification bounds the engines named in one notice.
+	// enginesPerNotification bounds the engines in one notification.
 	enginesPerNotification = 40
 )
 
-// notifier carries notices to all routers, as datagrams without an answer: those of
-// the holder of the lease about engines that change, and those of the first router of
-// each zone about engines that are silent or full. It implements rollout.Announcer.
+// notifier sends and receives notifications and other datagrams of routers, which are not
+// acknowledged. It implements rollout.Announcer.
 type notifier struct {
-	socket   *net.UDPConn
-	backends *backend.Registry
-	// recipients are the routers that are told.
+	socket     *net.UDPConn
+	backends   *backend.Registry
 	recipients *recipients
-	// quotas takes in what other routers tell of limits; it may be nil.
+	// quotas receives messages about tenants' limits; it may be nil.
 	quotas *quotas
-	// limits takes in messages about grants of requests to back ends; it may be nil.
+	// limits receives messages about grants of requests to back ends; it may be nil.
 	limits *backendLimits
-	// updates takes in what other routers know of back ends; it may be nil.
+	// updates applies state updates of back ends; it may be nil.
 	updates *backendUpdates
-	// guard takes in evidence of crashes; it may be nil.
+	// guard merges evidence of crashes; it may be nil.
 	guard *guard.Guard
-	// canaries takes in permits and reports of rollouts; it may be nil.
+	// canaries receives permits and reports of rollouts; it may be nil.
 	canaries *canaries
 }
 
 var _ rollout.Announcer = (*notifier)(nil)
 
-// datagram is what routers tell each other; one of the first three fields is set.
+// datagram is a message between routers; each field but Scope is a kind of content.
 type datagram struct {
 	Rollout *rollout.Notification `cbor:"1,keyasint,omitempty"`
 	Health  *health.Notification  `cbor:"2,keyasint,omitempty"`
 	Quota   *quota.Datagram       `cbor:"3,keyasint,omitempty"`
 	Permit  *canary.Permit        `cbor:"4,keyasint,omitempty"`
 	Report  *canary.Report        `cbor:"5,keyasint,omitempty"`
-	// Quarantine tells of requests under which back ends crashed.
+	// Quarantine is evidence of requests that crash back ends.
 	Quarantine []quarantine.Evidence `cbor:"7,keyasint,omitempty"`
-	// Updates tells what back ends said of themselves, Limit is about grants of requests to them.
+	// Updates are state updates of back ends, Limit is about grants of requests to them.
 	Updates []backend.StateUpdate `cbor:"8,keyasint,omitempty"`
 	Limit   *limitMessage         `cbor:"9,keyasint,omitempty"`
-	// Scope says to whom the receiver passes the notice on.
+	// Scope is to which routers the receiver relays the notification.
 	Scope scope `cbor:"6,keyasint,omitempty"`
 }
 
-// listenNotifications opens the socket for notices at an address.
+// listenNotifications opens the socket for notifications at an address.
 func listenNotifications(addr netip.AddrPort, backends *backend.Registry, peers *recipients) (*notifier, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for notices")
+		return nil, errors.Wrap(err, "listen for notifications")
 	}
 	return &notifier{socket: socket, backends: backends, recipients: peers}, nil
 }
@@ -79,13 +77,13 @@
 func (n *notifier) Announce(notification rollout.Notification) {
 	n.applyRollout(&notification)
 	for _, part := range splitRollout(notification) {
-		// It is told once only, so that it goes by two relays where there are some.
+		// It is not repeated later, so it goes by two relays if there are any.
 		n.send(datagram{Rollout: &part})
 		n.sendAll(datagram{Rollout: &part}, n.recipients.toNextRelays())
 	}
 }
 
-// notifyHealth tells all routers, this one included, what checks of engines found.
+// notifyHealth applies the results of health checks and sends them to all other routers.
 func (n *notifier) notifyHealth(notification health.Notification) {
 	n.applyHealth(&notification)
 	for _, part := range splitHealth(notification) {
@@ -93,12 +91,12 @@
 	}
 }
 
-// sendCrashEvidence tells all other routers of requests under which back ends crashed.
+// sendCrashEvidence sends evidence of crashes to all other routers.
 func (n *notifier) sendCrashEvidence(evidence []quarantine.Evidence) {
 	n.send(datagram{Quarantine: evidence})
 }
 
-// sendStateUpdates tells all other routers what back ends said of themselves.
+// sendStateUpdates sends state updates of back ends to all other routers.
 func (n *notifier) sendStateUpdates(updates []backend.StateUpdate) {
 	for part := range slices.Chunk(updates, updatesPerDatagram) {
 		n.send(datagram{Updates: part})
@@ -108,7 +106,7 @@
 // send sends a datagram to all other routers.
 func (n *notifier) send(packet datagram) { n.sendAll(packet, n.recipients.toAll()) }
 
-// carry sends a datagram as the messages say.
+// sendAll sends a datagram to the address of each message, with the message's scope.
 func (n *notifier) sendAll(packet datagram, messages []message) {
 	var encoded [toRegion + 1][]byte
 	for _, message := range messages {
@@ -121,7 +119,7 @@
 			}
 			encoded[message.scope] = data
 		}
-		// A datagram that cannot be sent is a notice that is lost.
+		// A datagram that cannot be sent is lost, as one on the network may be.
 		_, _ = n.socket.WriteToUDPAddrPort(encoded[message.scope], message.to)
 	}
 }
@@ -138,11 +136,11 @@
 		log.WithFields(log.Fields{"cause": err.Error()}).Warn("notice_not_sent")
 		return
 	}
-	// What is lost is sent again, or missed by its receiver.
+	// Lost datagrams are sent again, or their receiver tolerates the loss.
 	_, _ = n.socket.WriteToUDPAddrPort(encoded, to)
 }
 
-// splitHealth returns notices that fit into a datagram each.
+// splitHealth splits a notification into ones that fit into a datagram each.
 func splitHealth(notification health.Notification) []health.Notification {
 	var parts []health.Notification
 	for len(notification.Silent)+len(notification.Answering)+len(notification.Queues)+len(notification.Gone) > 0 {
@@ -157,7 +155,7 @@
 	return parts
 }
 
-// splitRollout returns notices that fit into a datagram each.
+// splitRollout splits a notification into ones that fit into a datagram each.
 func splitRollout(notification rollout.Notification) []rollout.Notification {
 	var parts []rollout.Notification
 	for len(notification.Loading)+len(notification.Loaded)+len(notification.Unsettled)+len(notification.Emptying) > 0 {
@@ -174,13 +172,13 @@
 	return parts
 }
 
-// splitOff takes what there is room for, and returns the room that is left.
+// splitOff returns the items that there is room for, the rest, and the room that is left.
 func splitOff[T any](items []T, room int) (taken, rest []T, left int) {
 	count := min(len(items), room)
 	return items[:count], items[count:], room - count
 }
 
-// listen takes in notices until ctx ends.
+// listen receives datagrams until ctx ends.
 func (n *notifier) listen(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = n.socket.Close() })
 	defer stop()
@@ -197,14 +195,14 @@
 	}
 }
 
-// receive takes in a datagram; one that cannot be read is no notice of a router.
+// receive handles a datagram; it ignores unreadable ones.
 func (n *notifier) receive(from netip.AddrPort, encoded []byte) {
 	var packet datagram
 	if cbor.Unmarshal(encoded, &packet) != nil {
 		return
 	}
-	// Only notices are passed on: permits, reports and messages about limits count by their
-	// sender, and would come from a router of the roster once this one has sent them.
+	// Only notifications are relayed: permits, reports and messages about limits are trusted by
+	// their sender's address, and a relayed one would seem to come from this router.
 	n.sendAll(datagram{Rollout: packet.Rollout, Health: packet.Health, Quarantine: packet.Quarantine, Updates: packet.Updates}, n.recipients.relay(packet.Scope))
 	if packet.Rollout != nil {
 		n.applyRollout(packet.Rollout)
@@ -213,8 +211,8 @@
 		n.applyHealth(packet.Health)
 	}
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-	// Routers that started together know each other a count of the routers later: what they
-	// could not tell is answered to who can tell them.
+	// Routers that started together have each other's address only after the next count, so
+	// evidence that the sender lacks is returned to it.
 	if missing := n.guard.Merge(clock.Now(), packet.Quarantine); len(missing) > 0 {
 		n.sendTo(from, datagram{Quarantine: missing})
 	}
@@ -232,7 +230,7 @@
 	}
 }
 
-// applyHealth takes in which engines are silent and at which requests wait.
+// applyHealth applies health results and queue lengths of engines.
 func (n *notifier) applyHealth(notification *health.Notification) {
 	now := clock.Now()
 	n.backends.PeerSilent(now, notification.Silent)
@@ -243,7 +241,7 @@
 	}
 }
 
-// take takes in a notice.
+// applyRollout applies a notification about engines that load a version.
 func (n *notifier) applyRollout(notification *rollout.Notification) {
 	now := clock.Now()
 	for _, instance := range notification.Loading {
--- a/internal/node/notifier_test.go
+++ b/internal/node/notifier_test.go
@@ -42,7 +42,7 @@
 	addr := open(other).socket.LocalAddr().(interface{ AddrPort() netip.AddrPort }).AddrPort()
 	own := listed()
 	holder := open(own, addr)
-	_, err := holder.socket.WriteToUDPAddrPort([]byte("no notice"), addr)
+	_, err := holder.socket.WriteToUDPAddrPort([]byte("garbage"), addr)
 	is.NoErr(err)
 	notification := rollout.Notification{Model: model, Version: 2}
 	for _, record := range own.Records() {
@@ -93,18 +93,18 @@
 	is.NoErr(err)
 	defer func() { _ = sender.socket.Close() }()
 	tests := []struct {
-		name   string
-		notice health.Notification
-		want   ident.Incarnation
+		name         string
+		notification health.Notification
+		want         ident.Incarnation
 	}{
 		{"a silent engine", health.Notification{Silent: []ident.Incarnation{"a"}}, "b"},
-		{"one that answers, and a queue at the other", health.Notification{
+		{"an answering engine, and a queue at the other", health.Notification{
 			Answering: []ident.Incarnation{"a"}, Queues: []health.Queue{{Instance: "b", Waiting: 9}},
 		}, "a"},
 		{"a back end that is gone", health.Notification{Gone: []ident.Incarnation{"a"}}, "b"},
 	}
 	for _, tt := range tests {
-		sender.notifyHealth(tt.notice)
+		sender.notifyHealth(tt.notification)
 		for _, known := range []*backend.Registry{sender.backends, other.backends} {
 			eventually(t, func() bool {
 				choice, flight, found := known.Pick(time.Now(), &backend.Query{Service: "s", Model: model})
@@ -117,7 +117,7 @@
 	}
 }
 
-// recipientsOf returns the audience that routers at these addresses are.
+// recipientsOf returns recipients that are routers at these addresses.
 func recipientsOf(addrs ...netip.AddrPort) *recipients {
 	var peers []upstream.Peer
 	for index, addr := range addrs {
@@ -128,9 +128,8 @@
 	return targets
 }
 
-// Engines that are emptied get no new work until they have had the time for that and
-// for their load.
-// What counts by its sender is not passed on: a stranger's permit would come from a router.
+// Contents that are trusted by their sender must not be relayed: a stranger's permit would then
+// come from a router.
 func TestOnlyNotificationsAreRelayed(t *testing.T) {
 	is := is.New(t)
 	local := netip.MustParseAddrPort("127.0.0.1:0")
@@ -160,6 +159,7 @@
 	is.True(passed.Quota == nil)
 }
 
+// Quiescing engines must get no new work until they have had the time to quiesce and to load.
 func TestQuiescingEnginesGetNoNewWork(t *testing.T) {
 	is := is.New(t)
 	known := backend.NewRegistry(backend.Config{})
@@ -175,7 +175,7 @@
 	}{
 		{"at once", 0, false},
 		{"while it loads", 59 * time.Minute, false},
-		{"when it mostly has the version", 62 * time.Minute, true},
+		{"after the time to quiesce and load", 62 * time.Minute, true},
 	}
 	for _, tt := range tests {
 		_, _, found := known.Pick(time.Now().Add(tt.after), &backend.Query{Service: "s", Model: model})
@@ -192,7 +192,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it never came true")
+	t.Fatal("the condition did not become true")
 }
 
 func TestLongNotificationIsSplit(t *testing.T) {
--- a/internal/node/publicationages_test.go
+++ b/internal/node/publicationages_test.go
@@ -12,8 +12,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// sendsTo reports whether a router whose requests may begin on older weights for a grace
-// sends one to an engine with a version of them.
+// sendsTo reports whether a router whose requests may start on older weights for a grace
+// period sends one to an engine with a version of them.
 func (r *zoneRouter) sendsTo(version int, grace time.Duration) bool {
 	known := backend.NewRegistry(backend.Config{})
 	known.ApplyList(time.Now(), []backend.Record{{Instance: "e", Service: "s", Revision: 1, Models: map[ident.Model]int{model: version}}})
@@ -27,9 +27,8 @@
 	return found
 }
 
-// A router starts, and its first read of the naming rows gets no answer: it meets the newest
-// version in the row of the operator. The naming rows, which it reads later, tell that
-// requests may not begin on older weights any more.
+// Publication rows that are read only after the operator's row must still end the grace
+// period of older weights.
 func TestLateReadOfPublicationRowsSetsVersionAge(t *testing.T) {
 	const grace = 6 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -51,7 +50,7 @@
 		is.Equal(started.newest().Version, 4)
 		is.True(!started.newest().SeenAtStart)
 		is.True(time.Since(started.newest().SeenAt) >= 5*time.Second)
-		is.True(!started.sendsTo(2, grace)) // version 3 was named 6.5 s ago
+		is.True(!started.sendsTo(2, grace)) // version 3 was published 6.5 s ago
 		is.True(started.sendsTo(3, grace))
 		time.Sleep(time.Second)
 		is.True(!started.sendsTo(3, grace))
@@ -59,9 +58,8 @@
 	})
 }
 
-// A router that starts alone is turned away when it asks for the naming rows, and meets the
-// version. A moment later its watch reads the rows: they tell how old the version is, and
-// requests may not begin on older weights for as long as if it were named just now.
+// A router whose first read of the publication rows is refused must not count the version in
+// the operator's row as published just now, once its watch has read the rows.
 func TestVersionAgeIsFoundAfterRefusedRead(t *testing.T) {
 	for _, refusals := range []int32{0, 1} {
 		synctest.Test(t, func(t *testing.T) {
@@ -82,7 +80,7 @@
 			is.Equal(publication.Version, 3)
 			is.True(lists.Load() < 0) // the rows were read
 			if age := time.Since(publication.SeenAt); publication.SeenAtStart || age < 10*time.Second {
-				t.Errorf("with %d refusals the version, named 11 s ago, counts as %v old, met: %t", refusals, age, publication.SeenAtStart)
+				t.Errorf("with %d refusals the version, published 11 s ago, counts as %v old, seen at start: %t", refusals, age, publication.SeenAtStart)
 			}
 		})
 	}
--- a/internal/node/publicationfakes_test.go
+++ b/internal/node/publicationfakes_test.go
@@ -14,18 +14,18 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// newPublishedZone returns a zone whose operator has named version 2 of the model.
+// newPublishedZone returns a zone whose operator has published version 2 of the model.
 func newPublishedZone() *zone {
 	z := newZone()
 	z.store.publish(2)
 	return z
 }
 
-// otherModel is a second model, whose namings have rows of their own.
+// otherModel is a second model with publication rows of its own.
 const otherModel = ident.Model("b")
 
-// requireVersionAfterFault has a version named and written over while the store is at fault for a
-// second, as a source of the test's plays it, and fails unless it is known some time after.
+// requireVersionAfterFault publishes a version and overwrites it while source is faulty for a
+// second, and fails the test unless the version is known some time after.
 func requireVersionAfterFault(t *testing.T, source func(*zoneRouter, *atomic.Bool) Source, after time.Duration) {
 	t.Helper()
 	is := is.New(t)
@@ -44,7 +44,7 @@
 	is.Equal(first.newest().Version, 3)
 }
 
-// publishOf has the operator name versions of any model; the other rows stay.
+// publishOf has the operator publish versions of any model; the other rows stay.
 func (s *fakeStore) publishOf(published ident.Model, versions ...int) {
 	s.change(func() {
 		close(s.changed)
@@ -62,8 +62,8 @@
 	})
 }
 
-// refusingTable fails the writes whose key has a prefix, and the lists of prefixes, as long
-// as the counters say.
+// refusingTable fails writes of keys with the prefix noWrite, and the first failLists lists of
+// keys with the prefix noList.
 type refusingTable struct {
 	*fakeStore
 	noWrite   string
@@ -85,7 +85,7 @@
 	return t.fakeStore.List(ctx, prefix, limit)
 }
 
-// newestOf returns the newest version of a model that a router knows.
+// newestOf returns the newest version of a model at a router.
 func (r *zoneRouter) newestOf(m ident.Model) int {
 	return r.follower.replica.holder.View().Models[m].Version
 }
@@ -104,11 +104,11 @@
 // immediateAnswers answers each watch after 4 ms.
 type immediateAnswers struct{ *zoneRouter }
 
-func (h *immediateAnswers) Changes(ctx context.Context, after uint64, _ time.Duration) (Changes, error) {
-	return h.zoneRouter.Changes(ctx, after, 4*time.Millisecond)
+func (i *immediateAnswers) Changes(ctx context.Context, after uint64, _ time.Duration) (Changes, error) {
+	return i.zoneRouter.Changes(ctx, after, 4*time.Millisecond)
 }
 
-// refusedWatch is a source that refuses the watch of the router "a" at times.
+// refusedWatch is a source that refuses the watch of the router "a" while refuse is set.
 type refusedWatch struct {
 	*zoneRouter
 	refuse *atomic.Bool
@@ -121,36 +121,36 @@
 	return r.zoneRouter.Changes(ctx, after, hold)
 }
 
-// intermittentHistory refuses positions before the newest revision at times.
+// intermittentHistory has forgotten all changes while gone is set.
 type intermittentHistory struct {
 	*zoneRouter
 	gone *atomic.Bool
 }
 
-func (g *intermittentHistory) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	changes, err := g.zoneRouter.Changes(ctx, after, hold)
-	if err == nil && g.gone.Load() && after < changes.StoreRevision {
+func (i *intermittentHistory) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+	changes, err := i.zoneRouter.Changes(ctx, after, hold)
+	if err == nil && i.gone.Load() && after < changes.StoreRevision {
 		return Changes{}, ErrHistoryGone
 	}
 	return changes, err
 }
 
-// lossyChanges is a source whose watch leaves out, for a while, what was changed.
+// lossyChanges is a source whose watch omits changes while dropping is set.
 type lossyChanges struct {
 	*zoneRouter
 	dropping *atomic.Bool
 }
 
-func (d *lossyChanges) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	changes, err := d.zoneRouter.Changes(ctx, after, hold)
-	if err == nil && d.dropping.Load() {
+func (l *lossyChanges) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+	changes, err := l.zoneRouter.Changes(ctx, after, hold)
+	if err == nil && l.dropping.Load() {
 		changes.Published = nil
 	}
 	return changes, err
 }
 
-// slowSearch is a source that answers the first of the questions for the oldest changes too
-// late. Those are the ones for changes that are not forgotten, held back for an instant only.
+// slowSearch is a source that fails the first searches for the oldest changes: requests with
+// the hold time of a recheck whose changes are not forgotten.
 type slowSearch struct {
 	*zoneRouter
 	late *atomic.Int32
@@ -164,16 +164,16 @@
 	return changes, err
 }
 
-// publishBeforeRecheck is a source whose operator names version 3 right before the first question
-// that asks for what was told before.
+// publishBeforeRecheck is a source whose operator publishes version 3 right before the first
+// recheck.
 type publishBeforeRecheck struct {
 	*zoneRouter
 	published *atomic.Bool
 }
 
-func (n *publishBeforeRecheck) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	if hold == recheckHold && !n.published.Swap(true) {
-		n.zone.store.publish(3, 2)
+func (p *publishBeforeRecheck) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+	if hold == recheckHold && !p.published.Swap(true) {
+		p.zone.store.publish(3, 2)
 	}
-	return n.zoneRouter.Changes(ctx, after, hold)
+	return p.zoneRouter.Changes(ctx, after, hold)
 }
--- a/internal/node/publicationfaults_test.go
+++ b/internal/node/publicationfaults_test.go
@@ -12,8 +12,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// The first read of the naming rows by a router that starts gets no answer, and the history
-// is gone: the rows are read again at the begin of the watch.
+// If a starting router's first read of the publication rows fails and the history is gone, the
+// watch must read the rows again.
 func TestPublicationRowsAreReadAgainAfterFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,8 +34,8 @@
 	})
 }
 
-// A router is cut off while others see and keep a version; then those end, and the
-// history is gone. It reads the store again: the naming row tells the version.
+// A router that was cut off while others saw and saved a version must find it by its row when
+// those have ended and the history is gone.
 func TestReconnectedRouterReadsPublicationRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -62,8 +62,8 @@
 	})
 }
 
-// Two models. The row of one model's naming cannot be written until its router ends; the
-// row of the other's must name no revision beyond it. The history is whole.
+// If the row of one model's version was never written, the row of another model must not
+// claim to be complete beyond it.
 func TestStoredRevisionCoversOnlyStoredPublications(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -86,8 +86,8 @@
 	})
 }
 
-// Two models, both kept. A router that starts reads the rows of one; the read of the other's
-// gets no answer. The history is whole.
+// If a starting router reads the rows of one of two models only, it must not skip changes of
+// the other.
 func TestFailedReadDoesNotHideOtherModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -111,8 +111,8 @@
 	})
 }
 
-// The store keeps all but its oldest changes; the version was named and written over in
-// the older half of what it keeps.
+// A version that was published and overwritten in the older half of the changes that the store
+// keeps must be found.
 func TestSearchFindsOldestKeptChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -132,9 +132,8 @@
 	})
 }
 
-// The store is down for 10 s, and a version is named right after it is back. No write is
-// carried out during the outage: the version must not count as old as that, or all engines on
-// older weights get no work from that moment on.
+// A version published right after an outage of the store must not count as old as the outage, or
+// all engines on older weights would lose their work at once.
 func TestVersionPublishedAfterOutageIsNotExpired(t *testing.T) {
 	for offset := range 10 {
 		for _, versions := range [][]int{{3}, {3, 2}} {
@@ -157,7 +156,7 @@
 	}
 }
 
-// Many routers read the store themselves when it fails: it is not watched more often.
+// When the store fails and many routers read it themselves, watches must not outnumber reads.
 func TestFailedWatchesDoNotExceedReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -179,7 +178,7 @@
 	})
 }
 
-// Writes are refused for long, and the watch begins anew a few times meanwhile.
+// Restarts of the watch while writes fail must not add writers of the same rows.
 func TestPublicationWritersDoNotAccumulate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -197,7 +196,7 @@
 		commits.Store(0)
 		time.Sleep(10 * time.Second)
 		before := commits.Load()
-		// Stints of watching end and begin, as when this router is the first at times only.
+		// Watch sessions end and start, as when this router is the first at times only.
 		for range 10 {
 			running.follower.loadRows(t.Context(), time.Now(), time.Since(z.store.started))
 			time.Sleep(time.Second)
@@ -205,12 +204,11 @@
 		time.Sleep(10 * time.Second)
 		commits.Store(0)
 		time.Sleep(10 * time.Second)
-		is.True(commits.Load() <= before+17) // one for each row, in another phase
+		is.True(commits.Load() <= before+17) // one more for each row, by the phase of its retries
 	})
 }
 
-// The store answers each watch at once, with nothing new (it does not hold answers back,
-// or tells no revision). Each call is paid for.
+// A store that answers each watch at once without changes must not be called in a tight loop.
 func TestImmediateWatchAnswersAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -226,8 +224,8 @@
 	})
 }
 
-// The watching router is frozen: it answers no pull, and a version whose row stands is
-// named meanwhile.
+// A version published while the watching router is frozen must reach the others with about its
+// true age.
 func TestVersionPublishedWhileWatcherIsFrozen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -238,7 +236,7 @@
 		third := z.start(t.Context(), "c-2")
 		time.Sleep(3 * time.Second)
 		z.mu.Lock()
-		z.routers["a-1"].stop() // no loop runs, yet it is not known to be dead
+		z.routers["a-1"].stop() // no loop runs, but peers don't see it as dead
 		z.routers["a-1"].cutOff = true
 		z.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
@@ -253,7 +251,7 @@
 	})
 }
 
-// The store refuses the watch of one router only, and takes all its other calls.
+// A router whose watch alone was refused must find the versions of that time afterwards.
 func TestRefusedWatchCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -267,7 +265,7 @@
 		second := z.start(t.Context(), "b")
 		time.Sleep(3 * time.Second)
 		refuse.Store(true)
-		time.Sleep(watchHold + time.Second) // the question under way ends
+		time.Sleep(watchHold + time.Second) // the pending request ends
 		z.store.publish(3, 2)
 		time.Sleep(5 * time.Second)
 		is.Equal(first.newest().Version, 2)
@@ -278,24 +276,22 @@
 	})
 }
 
-// The store says for a second that it has forgotten what was changed, and tells it again
-// afterwards. Evidence: a router that started later, from an older revision, was told a
-// version that the watch had passed over 17 s before.
+// A store may report changes as forgotten for a second and return them afterwards.
 func TestHistoryThatReturnsIsRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requireVersionAfterFault(t, func(running *zoneRouter, at *atomic.Bool) Source { return &intermittentHistory{running, at} }, time.Minute)
 	})
 }
 
-// A store that is about to drop its history leaves changes out for a second.
+// A store that is about to drop its history omits changes for a second.
 func TestOmittedChangesAreRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		requireVersionAfterFault(t, func(running *zoneRouter, at *atomic.Bool) Source { return &lossyChanges{running, at} }, 10*time.Second)
 	})
 }
 
-// All routers end, a version is named and written over, and the first one that starts asks
-// for the changes since the newest naming of which there is a row.
+// A version that was published and overwritten while no router ran must be found by the next one
+// that starts, from the changes since the newest publication row.
 func TestStartRequestsChangesSinceLastStoredPublication(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -307,21 +303,21 @@
 		z.kill("a")
 		z.store.publish(4, 3)
 		publishedAt := time.Now()
-		z.store.forget(1) // a question from the begin would be refused
+		z.store.forget(1) // a request for all changes would be refused
 		time.Sleep(5 * time.Second)
 		z.watches()
 		started := z.start(t.Context(), "b")
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(started.newest().Version, 4)
-		// Nobody saw when it was named, but the mark tells up to when it was not.
+		// The mark bounds its age.
 		is.True(!started.newest().SeenAtStart)
 		is.True(started.newest().SeenAt.Sub(publishedAt) <= watchTolerance)
 		is.True(publishedAt.Sub(started.newest().SeenAt) <= 2*markInterval)
-		is.Equal(z.watches(), 3) // with the second question about what was told
+		is.Equal(z.watches(), 3) // with the recheck
 	})
 }
 
-// A version whose age is not known is kept, but not as one that was just named.
+// A version of unknown age must be saved as such, not as one published just now.
 func TestUnknownVersionAgeStaysUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/node/publicationmark.go
+++ b/internal/node/publicationmark.go
@@ -15,31 +15,30 @@
 )
 
 const (
-	// markKey is the end of the key of a model's mark, which lies among its naming rows so
-	// that one call reads both. It sorts before all versions, and so within maxPublicationRows.
+	// markKey ends the key of a model's mark, which shares the prefix of its publication rows
+	// so that one call reads both. It sorts before all versions, hence within
+	// maxPublicationRows.
 	markKey = "-watched"
-	// markInterval is the time between two marks. A version that is named while all routers
-	// are away counts as older by up to that: a call in 2 s for the whole fleet.
+	// markInterval is the time between two marks, and by how much too old a version may count
+	// that was published while all routers were down.
 	markInterval = 2 * time.Second
-	// maxMarksPerWrite bounds the marks that are written in one call: a store takes 100 rows.
+	// maxMarksPerWrite is the number of rows that the store accepts in one transaction.
 	maxMarksPerWrite = 100
 )
 
-// publicationMark tells up to when every version of a model's weights that was named is kept. A
-// router that starts while no other one is there has no memory to ask: without the mark it
-// took a version that was named meanwhile for one named just then, and let requests begin on
-// older weights for up to 4.8 s longer than they may, in 5 of 6 plays of a day with seven
-// routers and one such version.
+// publicationMark records up to when every published version of a model has a row. A router
+// that starts without peers needs it to bound the age of a version that was published while
+// no router ran; otherwise requests could start on older weights for too long.
 type publicationMark struct {
-	// StoreTime is the store's own time.
+	// StoreTime is in the store's own time.
 	StoreTime time.Duration `cbor:"1,keyasint"`
 }
 
-// markPublications keeps the marks while this router reads the store for others, until ctx ends.
+// markPublications writes the marks while this router reads the store for others, until ctx ends.
 func (f *follower) markPublications(ctx context.Context) {
 	marked := time.Duration(0)
 	wait.Every(ctx, markInterval, func() {
-		// Time at which the store was not read does not count.
+		// Without a new read of the store the mark must not advance.
 		readAt := f.replica.lastRead().storeTime
 		if readAt == marked || !f.watchesStore() || !f.readsForOthers() || !f.allPublicationsStored() {
 			return
@@ -52,15 +51,15 @@
 	})
 }
 
-// allPublicationsStored reports whether there are rows of all versions that are known, as far as this router
-// knows: what a peer told may have been kept by nobody, if that ended, until the rows are read.
+// allPublicationsStored reports whether all known versions have rows. Until the rows are read
+// that is unknown: the peer that reported a version may have ended before it wrote the row.
 func (f *follower) allPublicationsStored() bool {
 	return !f.rowsLoadFailed.Load() && !f.publications.hasPending()
 }
 
-// writeMarks writes the marks of models, as many in one call as it may hold. A mark that is written
-// late, over a newer one, only makes what is named after it count as older.
-func (n *publicationStore) writeMarks(ctx context.Context, models map[ident.Model]catalog.PublishedVersion, storeTime time.Duration) error {
+// writeMarks writes the marks of models in batches. A late write over a newer mark is harmless:
+// later publications only count as older.
+func (p *publicationStore) writeMarks(ctx context.Context, models map[ident.Model]catalog.PublishedVersion, storeTime time.Duration) error {
 	value, err := cbor.Marshal(publicationMark{StoreTime: storeTime})
 	if err != nil {
 		return err
@@ -70,22 +69,21 @@
 		writes = append(writes, protocol.Write{Key: publicationPrefix + string(model) + "/" + markKey, Value: value})
 	}
 	for batch := range slices.Chunk(writes, maxMarksPerWrite) {
-		if err := n.commit(ctx, batch); err != nil {
+		if err := p.commit(ctx, batch); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// commit writes some rows.
-func (n *publicationStore) commit(ctx context.Context, writes []protocol.Write) error {
-	bounded, cancel := context.WithTimeout(ctx, n.timeout)
+func (p *publicationStore) commit(ctx context.Context, writes []protocol.Write) error {
+	bounded, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	_, err := n.table.Commit(bounded, protocol.Transaction{Writes: writes})
+	_, err := p.table.Commit(bounded, protocol.Transaction{Writes: writes})
 	return err
 }
 
-// decodeMark returns the store's time that a mark tells, 0 if the row is none.
+// decodeMark returns the store's own time in a mark, 0 if it is unreadable.
 func decodeMark(value []byte) time.Duration {
 	var mark publicationMark
 	if err := cbor.Unmarshal(value, &mark); err != nil {
@@ -95,30 +93,28 @@
 	return mark.StoreTime
 }
 
-// hasPending reports whether rows of namings are not written yet: versions named before may
-// then not be kept.
-func (n *publicationStore) hasPending() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return len(n.pending) > 0
+// hasPending reports whether some publication rows are not written yet.
+func (p *publicationStore) hasPending() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.pending) > 0
 }
 
-// unmarkedSince returns since when a version may have been named that a router met at its first
-// look, for which it asked at a time, and whether that is known. All versions were kept up to
-// the marked time; the store's own time is the one of the look.
+// unmarkedSince returns the earliest time at which a version that a router's first read found
+// can have been published, and whether that is known. The read was requested at askedAt, and
+// storeTime is the store's own time at the read. All versions were stored up to marked.
 func unmarkedSince(marked time.Duration, askedAt time.Time, storeTime time.Duration) (since time.Time, known bool) {
-	// A mark of later than now was written before the store's time began anew.
+	// A mark in the future was written before the store's clock was reset.
 	if marked == 0 || storeTime < marked {
 		return askedAt, false
 	}
 	return askedAt.Add(marked - storeTime), true
 }
 
-// rowsUnknownSince returns since when a version may have been named that this router finds in a
-// row for which it asked at a time. That is then, if the rows were known shortly before, as they
-// are asked for all the time. Else it is when they were known last: a router that stood still, or
-// that was told by a peer which did, knows nothing of the time since. It is asked when the answer
-// is there, as a peer may tell what it knew while the question is open.
+// rowsUnknownSince returns the earliest time at which a version found by a read, requested at
+// askedAt, can have been published: askedAt if the rows were known shortly before, else when they
+// were last known, as this router or the peer that supplied it may have been paused. Call it once
+// the answer has arrived, since a peer's update may be applied during the read.
 func (f *follower) rowsUnknownSince(askedAt time.Time) time.Time {
 	known := f.rowsKnownUntil()
 	if known.IsZero() || askedAt.Sub(known) <= watchTolerance {
@@ -127,7 +123,7 @@
 	return known
 }
 
-// rowsKnownUntil returns up to when this router, or a peer that told it, knew the rows.
+// rowsKnownUntil returns up to when the rows are known, by own reads or from a peer.
 func (f *follower) rowsKnownUntil() time.Time {
 	if confirmedAt := f.replica.holder.View().ConfirmedAt; confirmedAt.After(f.rowsReadAt) {
 		return confirmedAt
@@ -135,9 +131,8 @@
 	return f.rowsReadAt
 }
 
-// rowsReadFailed takes in a question for the rows without an answer. While a store turns questions
-// away nothing is named, so that the rows are as they were; those that were not known shortly
-// before stay unknown.
+// rowsReadFailed records a failed read of the rows. A store that answers no reads accepts no
+// writes, so rows known shortly before are still current; others stay unknown.
 func (f *follower) rowsReadFailed(askedAt time.Time) {
 	if known := f.rowsKnownUntil(); !known.IsZero() && askedAt.Sub(known) <= watchTolerance {
 		f.rowsReadAt = askedAt
--- a/internal/node/publicationmark_test.go
+++ b/internal/node/publicationmark_test.go
@@ -1,13 +1,5 @@
 package node
 
-// Users saw requests begin on old weights after a version was named while no router was
-// there: five of seven were without power, two stood still, and the version was named in
-// between. A router that started met it in its row, took it for one that was named just
-// then, and let requests begin on older weights for the whole grace anew, up to 12.8 s after
-// the version was acknowledged. In the log of such a play the version counted as met, with
-// age 0, seconds after it was named; nothing that outlives the routers told them up to when
-// all versions were known.
-
 import (
 	"testing"
 	"testing/synctest"
@@ -16,14 +8,16 @@
 	"github.com/matryer/is"
 )
 
+// A version published while no router ran must count as published then: with an age of 0 a router
+// that starts would grant older weights a whole new grace period.
 func TestVersionPublishedWhileAllRoutersAreDown(t *testing.T) {
 	tests := []struct {
 		name string
-		// named are the versions named while all are away.
-		named []int
+		// published are the versions published while all routers are down.
+		published []int
 	}{
 		{"one version", []int{3}},
-		{"two versions, one of which no router ever sees", []int{3, 4}},
+		{"two versions, one overwritten before any router starts", []int{3, 4}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -38,7 +32,7 @@
 				z.kill("b")
 				time.Sleep(500 * time.Millisecond)
 				publishedAt := time.Now()
-				for _, version := range tt.named {
+				for _, version := range tt.published {
 					z.store.publish(version)
 					time.Sleep(2 * time.Second)
 				}
@@ -46,7 +40,7 @@
 				started := z.start(t.Context(), "c")
 				time.Sleep(2 * time.Second)
 				publication := started.newest()
-				is.Equal(publication.Version, tt.named[len(tt.named)-1])
+				is.Equal(publication.Version, tt.published[len(tt.published)-1])
 				is.True(!publication.SeenAt.After(publishedAt))
 				is.True(publishedAt.Sub(publication.SeenAt) <= 4*time.Second)
 				is.True(!publication.SeenAtStart)
--- a/internal/node/publicationmarkfaults_test.go
+++ b/internal/node/publicationmarkfaults_test.go
@@ -16,8 +16,8 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// publishedWhileDown returns a zone whose router ran for 20 s and was killed, and when version 3
-// was named after that, four seconds ago.
+// publishedWhileDown returns a zone whose only router ran for 20 s and was killed, and when
+// version 3 was published after that, four seconds ago.
 func publishedWhileDown(t *testing.T) (z *zone, publishedAt time.Time) {
 	t.Helper()
 	z = newPublishedZone()
@@ -31,7 +31,7 @@
 	return z, publishedAt
 }
 
-// The store turns away the one call for the rows of namings at the start.
+// The mark must be read even if the store refuses the first read of the publication rows.
 func TestMarkIsReadAgainAfterRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -48,7 +48,7 @@
 	})
 }
 
-// The store is down while several routers start at once, which pull from each other.
+// The mark must be read even if several routers start during an outage and pull from each other.
 func TestRoutersStartedDuringOutageReadMark(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -78,15 +78,13 @@
 	}
 }
 
-// frozenCall is a source whose process stands still for 6 s in the middle of a call for
-// the rows.
+// frozenCall is a source whose process is paused for 6 s in the middle of a read of the rows.
 type frozenCall struct {
 	*zoneRouter
 	freeze *atomic.Bool
-	// thawAt is when the process goes on, in nanoseconds.
+	// thawAt is when the process continues, in nanoseconds.
 	thawAt *atomic.Int64
-	// loses says that the call's connection does not outlive that. That of the watch never
-	// does.
+	// loses is whether the read's connection breaks by then. That of the watch always does.
 	loses bool
 }
 
@@ -111,6 +109,8 @@
 	return changes, err
 }
 
+// A version published while the router was paused in a read must not count as published when the
+// router continued.
 func TestVersionAgeAfterFrozenCall(t *testing.T) {
 	for name, loses := range map[string]bool{"the answer is read late": false, "the answer is lost": true} {
 		t.Run(name, func(t *testing.T) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// limitedTable is a table that takes a hundred entries in a transaction, as the store does.
+// limitedTable is a table that accepts a hundred entries in a transaction, as the store does.
 type limitedTable struct{ *fakeStore }
 
 func (h *limitedTable) Commit(ctx context.Context, tx protocol.Transaction) (protocol.TransactionResult, error) {
@@ -148,6 +148,7 @@
 	return h.fakeStore.Commit(ctx, tx)
 }
 
+// The marks of more models than fit into one transaction must all be written.
 func TestManyModelsGetMarks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -164,7 +165,8 @@
 	})
 }
 
-// A model of which no mark tells: its first version was named while all routers were away.
+// The first version of a model without a mark, published while no router ran, must count as
+// published then.
 func TestModelFirstPublishedWhileAllRoutersAreDown(t *testing.T) {
 	for range 100 {
 		synctest.Test(t, func(t *testing.T) {
@@ -183,7 +185,7 @@
 	}
 }
 
-// The store's own time begins anew, as it lost its power while all routers were away.
+// A mark must be ignored if the store's own clock was reset since, as by a power loss.
 func TestMarkFromBeforeStoreClockResetIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/node/publicationmarkpeer_test.go
+++ b/internal/node/publicationmarkpeer_test.go
@@ -9,9 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// The first router tells a version to the next one and dies before it keeps it; the next one
-// takes over, its one question for the kept rows is turned away, and all end soon after: the
-// mark must not claim the version.
+// A mark must not cover a version that a router knows only from a peer that died before it wrote
+// the version's row, while the router could not read the rows itself.
 func TestMarkExcludesVersionKnownOnlyFromPeer(t *testing.T) {
 	for _, uptime := range []time.Duration{2200 * time.Millisecond, 3 * time.Second, 4 * time.Second, 6 * time.Second, 9 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -37,7 +36,7 @@
 			time.Sleep(2 * time.Second)
 			publication := started.newest()
 			is.Equal(publication.Version, 3)
-			t.Logf("alone for %v: counts as named %v after it was", uptime, publication.SeenAt.Sub(publishedAt))
+			t.Logf("alone for %v: counts as published %v after it was", uptime, publication.SeenAt.Sub(publishedAt))
 			is.True(!publication.SeenAt.After(publishedAt.Add(watchTolerance)))
 		})
 	}
--- a/internal/node/publicationpause_test.go
+++ b/internal/node/publicationpause_test.go
@@ -13,20 +13,19 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// pausedSource is a source whose process stands still between an answer that tells
-// something new and the next step, as often as is left.
+// pausedSource is a source whose process is paused after an answer with version 3, as often as
+// left counts.
 type pausedSource struct {
 	*zoneRouter
 	left  *atomic.Int32
 	pause time.Duration
-	// loses says that the connection does not outlive the pause.
-	loses bool
-	// refuseChanges says that changes are never told.
+	// loses is whether the connection breaks during the pause.
+	loses         bool
 	refuseChanges bool
 }
 
-func (p *pausedSource) pauseOn(ctx context.Context, hasNews bool) bool {
-	if !hasNews || p.left.Add(-1) < 0 {
+func (p *pausedSource) pauseOn(ctx context.Context, changed bool) bool {
+	if !changed || p.left.Add(-1) < 0 {
 		return false
 	}
 	wait.For(context.WithoutCancel(ctx), p.pause)
@@ -59,19 +58,18 @@
 	return false
 }
 
-// The process is paused after the store has answered. A version counts from the moment at
-// which the store told it, not from the one at which the process went on.
+// A version must count from the store's answer, not from when the paused process read it.
 func TestAnswerReadLateKeepsVersionAge(t *testing.T) {
 	const pause = 5 * time.Second
 	tests := []struct {
-		name   string
-		source pausedSource
-		named  []int
-		within time.Duration
+		name      string
+		source    pausedSource
+		published []int
+		within    time.Duration
 	}{
-		{"a change that was told", pausedSource{pause: pause}, []int{3, 2}, 20 * time.Millisecond},
-		{"a change that was told for longer than a question may take", pausedSource{pause: 2 * watchHold}, []int{3, 2}, 20 * time.Millisecond},
-		{"an answer that was lost meanwhile", pausedSource{pause: 2 * watchHold, loses: true}, []int{3, 2}, watchTolerance},
+		{"a change", pausedSource{pause: pause}, []int{3, 2}, 20 * time.Millisecond},
+		{"a change, with a pause longer than the request's timeout", pausedSource{pause: 2 * watchHold}, []int{3, 2}, 20 * time.Millisecond},
+		{"an answer that was lost in the pause", pausedSource{pause: 2 * watchHold, loses: true}, []int{3, 2}, watchTolerance},
 		{"a row", pausedSource{pause: pause, refuseChanges: true}, []int{3}, 700 * time.Millisecond},
 	}
 	for _, tt := range tests {
@@ -87,7 +85,7 @@
 				}
 				first := z.start(t.Context(), "a")
 				time.Sleep(15 * time.Second)
-				z.store.publish(tt.named...)
+				z.store.publish(tt.published...)
 				publishedAt := time.Now()
 				time.Sleep(tt.source.pause + 3*time.Second)
 				is.Equal(first.newest().Version, 3)
@@ -99,8 +97,8 @@
 	}
 }
 
-// A router starts, its first read of the naming rows gets no answer, and it is paused before
-// it reads them again: what they tell is as old as it is.
+// Publication rows must give a version its true age even if the router was paused before it could
+// read them.
 func TestPublicationRowsReadAfterPauseKeepVersionAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -137,9 +135,9 @@
 		storeTime time.Duration
 		earliest  time.Duration
 	}{
-		{"held back", read, time.Second, time.Minute + 4*time.Second, 4 * time.Second},
-		{"given before the read", read, -3 * time.Second, time.Minute - time.Second, -time.Second},
-		{"given before it was asked for, by a slow read", read, 5 * time.Second, time.Minute + 4*time.Second, 5 * time.Second},
+		{"delayed by the store", read, time.Second, time.Minute + 4*time.Second, 4 * time.Second},
+		{"sent before the read", read, -3 * time.Second, time.Minute - time.Second, -time.Second},
+		{"sent before the request, by a slow read", read, 5 * time.Second, time.Minute + 4*time.Second, 5 * time.Second},
 		{"a store whose clock is fast", read, time.Second, 2 * time.Minute, 9 * time.Second},
 		{"no read", storeClock{}, time.Second, time.Minute, time.Second},
 		{"no time of the store", read, time.Second, 0, time.Second},
--- a/internal/node/publicationrecheck.go
+++ b/internal/node/publicationrecheck.go
@@ -13,41 +13,40 @@
 )
 
 const (
-	// recheckAfter is the time from a change to the question whether others were left out.
+	// recheckAfter is the time from a change to the recheck for omitted ones.
 	recheckAfter = 2 * time.Second
-	// recheckHold is how long such a question may be held back: it asks for what is there.
+	// recheckHold is the hold time of a recheck, which must not wait for new changes.
 	recheckHold = time.Millisecond
-	// recheckWindow is how long forgotten changes are asked for again. A store that drops its
-	// history may tell the same changes a second later; one that keeps 20 s has nothing
-	// more to tell then.
+	// recheckWindow is how long forgotten changes are requested again: a store that dropped its
+	// history may return the same changes a second later. Stores keep changes for 20 s.
 	recheckWindow = 15 * time.Second
 )
 
-// recheck asks for each change once more, some seconds after it was told. A store that
-// forgets its history leaves out changes for about a second before that, and then refuses
-// those of before for a while: what stood in its row for an instant then is told later only.
-// With six versions named beside such a fault, 1 of 30 plays ended on older weights.
+// recheck requests each change a second time, some seconds after the first. A store that is about
+// to forget its history omits changes for about a second and then refuses earlier revisions for a
+// while, so a version that was overwritten at once shows only in a later answer.
 type recheck struct {
-	// after is the revision up to which everything was told twice, next the one up to which
-	// it was told once at the last recheck.
+	// after is the revision up to which changes were received twice, next the one up to which
+	// they had been received once at the last recheck.
 	after, next uint64
-	// dueAt is when the next one is due, zero if nothing was told since the last one.
+	// dueAt is when the next recheck is due, zero if there was no answer since the last one.
 	dueAt time.Time
-	// forgottenSince is when the store first said that it has forgotten what is asked for, zero
-	// if it tells it.
+	// forgottenSince is when the store first returned ErrHistoryGone, zero if it returns the
+	// changes.
 	forgottenSince time.Time
-	// searched says that the oldest changes that are still told were found since then.
+	// searched is whether the oldest changes that the store keeps were found since then.
 	searched bool
-	// deferred says that the last one told a version first and was put off.
+	// deferred is whether the last recheck was put off because it had a version that the watch
+	// had not received.
 	deferred bool
 }
 
-// newRecheck returns the recheck of a watch that begins after a revision: it asks at once.
+// newRecheck returns the recheck of a watch that starts after a revision. It is due at once.
 func newRecheck(now time.Time, after uint64) recheck {
 	return recheck{after: after, next: after, dueAt: now}
 }
 
-// hold returns how long the next question of the watch may be held back.
+// hold returns the hold time of the watch's next request.
 func (r *recheck) hold(now time.Time) time.Duration {
 	if r.dueAt.IsZero() {
 		return watchHold
@@ -55,7 +54,8 @@
 	return min(max(r.dueAt.Sub(now), minWatchHold), watchHold)
 }
 
-// schedule takes in that the watch was answered, early if there were changes.
+// schedule sets when the next recheck is due, given an answer of the watch; early means that it
+// came before the end of the hold time.
 func (r *recheck) schedule(now time.Time, early bool) {
 	switch {
 	case !r.dueAt.IsZero():
@@ -66,9 +66,9 @@
 	}
 }
 
-// recheckChanges asks once more for what was told before, if that is due. All changes up to a
-// revision were told by now. Only a router that reads the store for others does so: calls are
-// dear in large fleets, where many read while their peers come and go.
+// recheckChanges makes the recheck if it is due. The watch has received all changes up to
+// revision to. Only a router that reads the store for others does so, which bounds the calls of
+// large fleets.
 func (s *watchSession) recheckChanges(ctx context.Context, to uint64) {
 	check := &s.recheck
 	if clock.Now().Before(check.dueAt) {
@@ -83,8 +83,8 @@
 	case errors.Is(err, ErrHistoryGone):
 		s.recheckForgotten(ctx, to)
 	case err == nil && !check.deferred && changes.StoreRevision > to && s.hasNewer(&changes):
-		// The watch is asked first: it knows how old at the most the version is, while this
-		// question would tell it as one of unknown age. Once only, as other writes go on.
+		// The watch goes first, as it can bound the version's age and a recheck can't. Once
+		// only, since other writes continue.
 		check.deferred, check.dueAt = true, clock.Now()
 	case err == nil:
 		check.forgottenSince, check.deferred = time.Time{}, false
@@ -93,7 +93,7 @@
 	}
 }
 
-// hasNewer reports whether changes tell a newer version than the newest known one.
+// hasNewer reports whether changes contain a version newer than the newest known one.
 func (s *watchSession) hasNewer(changes *Changes) bool {
 	models := s.replica.holder.View().Models
 	return slices.ContainsFunc(changes.Published, func(published PublishedWeights) bool {
@@ -101,10 +101,9 @@
 	})
 }
 
-// recheckForgotten asks for the oldest changes that the store still keeps, when it has just
-// forgotten those that are asked for, and once more when these are given up. A search that
-// gets no answer is made again each time: answers are large where there are too many changes,
-// and slow then, and what is not found stays unknown for good.
+// recheckForgotten searches for the oldest changes that the store still keeps, once when it has
+// forgotten the requested ones and again before these are given up. A search without an answer
+// is retried each time, since large answers may be slow and what is missed stays unknown.
 func (s *watchSession) recheckForgotten(ctx context.Context, to uint64) {
 	check := &s.recheck
 	check.dueAt = clock.Now().Add(recheckAfter)
@@ -121,12 +120,11 @@
 	}
 }
 
-// applyOldestKept finds the oldest revision between two others after which the store still knows
-// all changes, and takes these in: a question for each halving. It reports whether all were
-// answered.
+// applyOldestKept finds, by binary search between two revisions, the oldest one after which the
+// store still has all changes, and applies these. It reports whether all requests were answered.
 func (s *watchSession) applyOldestKept(ctx context.Context, forgotten, known uint64) bool {
 	if store.Epoch(forgotten) != store.Epoch(known) {
-		// Of before it came back from an older copy a store tells nothing.
+		// A restored store has no changes from before the restore.
 		forgotten = store.Revision(store.Epoch(known), 0)
 	}
 	for known-forgotten > 1 && ctx.Err() == nil {
@@ -145,8 +143,8 @@
 	return true
 }
 
-// applyRechecked takes in changes that were told before, or should have been: when a version was
-// named that was left out then is not known.
+// applyRechecked applies changes that the watch received or should have received; when an omitted
+// version was published is unknown.
 func (s *watchSession) applyRechecked(ctx context.Context, after uint64, changes *Changes) {
 	if s.applyPublished(ctx, after, clock.Now(), 0, false, changes) {
 		s.replica.advanceWatch(s.replica.watchedUntil(), true)
--- a/internal/node/publications.go
+++ b/internal/node/publications.go
@@ -19,40 +19,40 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// publicationPrefix is the begin of the keys of naming rows. There is one row for
-// each version of a model's weights, written once by whichever router saw the
-// version first, so that a router which starts later knows how old it is.
+// publicationPrefix starts the keys of publication rows. Each version of a model's
+// weights has one row, written once by the first router that saw the version, so that
+// routers which start later can tell the version's age.
 const publicationPrefix = "naming/"
 
-// publicationRow is the value of a naming row.
+// publicationRow is the value of a publication row.
 type publicationRow struct {
 	// FirstSeen is the store's own time at which the version was first seen.
 	FirstSeen time.Duration `cbor:"1,keyasint"`
-	// CompleteTo is the store's revision up to which all earlier namings were known then, 0 if
-	// that was not known.
+	// CompleteTo is the store's revision up to which all earlier publications were known at
+	// the write, 0 if unknown.
 	CompleteTo uint64 `cbor:"2,keyasint,omitempty"`
-	// SeenAtStart is true if the version may have been named long before FirstSeen.
+	// SeenAtStart is true if the version may have been published long before FirstSeen.
 	SeenAtStart bool `cbor:"3,keyasint,omitempty"`
 }
 
 const (
 	// publicationWritePause is the pause after a failed write of a row; it doubles up to
-	// maxPublicationWritePause. A write is tried until it succeeds: the row of the operator may not
-	// tell the version any more, and routers that start later then know it by this row only.
+	// maxPublicationWritePause. Writes are retried until they succeed: the operator's row may
+	// have been overwritten, and then this row is the only record of the version.
 	publicationWritePause    = 300 * time.Millisecond
 	maxPublicationWritePause = 2400 * time.Millisecond
-	// maxPublicationRows bounds the rows read at the start.
+	// maxPublicationRows bounds the rows read per model.
 	maxPublicationRows = 500
 )
 
-// publicationStore keeps and finds the times at which versions were named. It is safe for concurrent
-// use.
+// publicationStore saves and loads the times at which versions were published. It is safe
+// for concurrent use.
 type publicationStore struct {
 	table   store.Table
 	timeout time.Duration
 
 	mu sync.Mutex
-	// pending are the rows that are being written, by key.
+	// pending holds the rows that are not written yet, by key.
 	pending map[string]publicationRow
 }
 
@@ -60,28 +60,27 @@
 	return publicationPrefix + string(model) + "/" + strconv.Itoa(version)
 }
 
-// save has the row of a version written that this router knows to be named, unless another
-// router did before. It is tried until that is done, or ctx ends, without holding up the
-// caller.
-func (n *publicationStore) save(ctx context.Context, model ident.Model, version int, row publicationRow) {
+// save writes the row of a published version in the background, unless the row exists. It
+// retries until it succeeds or ctx ends.
+func (p *publicationStore) save(ctx context.Context, model ident.Model, version int, row publicationRow) {
 	key := publicationKey(model, version)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if _, active := n.pending[key]; active {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if _, active := p.pending[key]; active {
 		return
 	}
-	if n.pending == nil {
-		n.pending = make(map[string]publicationRow)
+	if p.pending == nil {
+		p.pending = make(map[string]publicationRow)
 	}
-	n.pending[key] = row
-	go n.write(ctx, key)
+	p.pending[key] = row
+	go p.write(ctx, key)
 }
 
 // write writes a pending row.
-func (n *publicationStore) write(ctx context.Context, key string) {
-	defer n.finish(key)
+func (p *publicationStore) write(ctx context.Context, key string) {
+	defer p.finish(key)
 	for pause := publicationWritePause; ; pause = min(2*pause, maxPublicationWritePause) {
-		err := n.tryWrite(ctx, key)
+		err := p.tryWrite(ctx, key)
 		if err == nil {
 			return
 		}
@@ -94,65 +93,62 @@
 	}
 }
 
-func (n *publicationStore) tryWrite(ctx context.Context, key string) error {
-	value, err := cbor.Marshal(n.rowToWrite(key))
+func (p *publicationStore) tryWrite(ctx context.Context, key string) error {
+	value, err := cbor.Marshal(p.rowToWrite(key))
 	if err != nil {
 		return err
 	}
-	writeCtx, cancel := context.WithTimeout(ctx, n.timeout)
+	writeCtx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
-	_, err = n.table.Commit(writeCtx, protocol.Transaction{
+	_, err = p.table.Commit(writeCtx, protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: key}},
 		Writes:     []protocol.Write{{Key: key, Value: value}},
 	})
 	return err
 }
 
-// rowToWrite returns a pending row as it may be written now. A router that starts from its row
-// asks only for changes after the revision that it names, so that all earlier namings must
-// have rows: it names none beyond those of the other pending rows.
-func (n *publicationStore) rowToWrite(key string) publicationRow {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	row := n.pending[key]
-	for _, other := range n.pending {
+// rowToWrite returns a pending row with CompleteTo limited to that of the other pending rows:
+// a router that starts requests only changes after that revision, so all earlier publications
+// must have rows.
+func (p *publicationStore) rowToWrite(key string) publicationRow {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	row := p.pending[key]
+	for _, other := range p.pending {
 		row.CompleteTo = min(row.CompleteTo, other.CompleteTo)
 	}
 	return row
 }
 
-func (n *publicationStore) finish(key string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	delete(n.pending, key)
+func (p *publicationStore) finish(key string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.pending, key)
 }
 
-// storedPublications is what the rows of a model's versions tell.
+// storedPublications is the content of a model's publication rows.
 type storedPublications struct {
 	// publications are the versions, oldest first.
 	publications []catalog.Publication
-	// completeTo is the store's revision up to which all namings are among them, as far as the
-	// rows tell.
+	// completeTo is the highest revision up to which the rows state that they are complete.
 	completeTo uint64
-	// markedTo is the store's own time up to which all namings are among them, 0 if no mark
-	// tells it.
+	// markedTo is the store's own time up to which the rows are complete, 0 without a mark.
 	markedTo time.Duration
 }
 
-// missing returns those of the known versions of which there is no row.
-func (k *storedPublications) missing(known []catalog.Publication) []catalog.Publication {
+// missing returns the known versions that have no row.
+func (p *storedPublications) missing(known []catalog.Publication) []catalog.Publication {
 	return slices.DeleteFunc(slices.Clone(known), func(publication catalog.Publication) bool {
-		return slices.ContainsFunc(k.publications, func(found catalog.Publication) bool { return found.Version == publication.Version })
+		return slices.ContainsFunc(p.publications, func(found catalog.Publication) bool { return found.Version == publication.Version })
 	})
 }
 
-// load returns the kept namings of a model. storeTime is the store's time at the moment
-// localTime here.
-func (n *publicationStore) load(ctx context.Context, model ident.Model, storeTime time.Duration, localTime time.Time) (storedPublications, error) {
-	bounded, cancel := context.WithTimeout(ctx, n.timeout)
+// load reads the rows of a model. storeTime is the store's own time at localTime.
+func (p *publicationStore) load(ctx context.Context, model ident.Model, storeTime time.Duration, localTime time.Time) (storedPublications, error) {
+	bounded, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 	prefix := publicationPrefix + string(model) + "/"
-	rows, err := n.table.List(bounded, prefix, maxPublicationRows)
+	rows, err := p.table.List(bounded, prefix, maxPublicationRows)
 	if err != nil {
 		return storedPublications{}, err
 	}
--- a/internal/node/publicationsearch_test.go
+++ b/internal/node/publicationsearch_test.go
@@ -10,8 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// The store has forgotten the changes after the last one that is known, and is slow to tell
-// those that it keeps: the search for them is made again, until it is answered.
+// The search for the oldest changes that the store keeps must be retried until it is answered.
 func TestUnansweredSearchIsRetried(t *testing.T) {
 	for _, late := range []int32{1, 2, 5} {
 		synctest.Test(t, func(t *testing.T) {
@@ -23,10 +22,10 @@
 			}
 			z.store.forget(z.store.revision())
 			z.store.publish(3, 2)
-			questions := &atomic.Int32{}
-			questions.Store(late)
+			failures := &atomic.Int32{}
+			failures.Store(late)
 			z.beforeStart = func(_ context.Context, running *zoneRouter) {
-				running.follower.source = &slowSearch{running, questions}
+				running.follower.source = &slowSearch{running, failures}
 			}
 			started := z.start(t.Context(), "a")
 			time.Sleep(recheckWindow - time.Second)
@@ -35,8 +34,8 @@
 	}
 }
 
-// A version is named between an answer of the watch and the second question about what was
-// told: the watch tells it next, with its age.
+// A version published between an answer of the watch and the recheck must be left to the watch,
+// which can give it an age.
 func TestRecheckLeavesNewChangesToWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/node/publicationstale_test.go
+++ b/internal/node/publicationstale_test.go
@@ -1,14 +1,5 @@
 package node
 
-// Users' days showed requests begin on old weights again, 12.3 s after a newer version was
-// acknowledged. Five of seven routers lost power, two stood still for 8.3 s, and the version was
-// named in between. Then the five started, and pulled from one that had just gone on and knew what
-// there was 8.7 s before. A router that had asked the store meanwhile met the version in its row,
-// and told all others that it was named at that moment: since when it might have been named was
-// taken at the question, when this router knew nothing, and that it knew nothing when the answer
-// was there, when the peer had told it. The log proved it: version 2 with the peer's age, and 3 ms
-// later version 3 with age 0, not met at a first look.
-
 import (
 	"context"
 	"sync"
@@ -23,8 +14,8 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// scriptedReads is a source whose reads of the rows are played one by one; later ones go to the
-// store. Its watch is never answered.
+// scriptedReads is a source whose next reads of the rows follow a script; later ones go to the
+// store. Its watch is always refused.
 type scriptedReads struct {
 	*zoneRouter
 
@@ -39,7 +30,7 @@
 	s.reads = reads
 }
 
-// next returns the next read that is played, if there is one.
+// next returns the next read of the script, or one that succeeds.
 func (s *scriptedReads) next() func() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,25 +53,25 @@
 	return Changes{}, fault.New(fault.RateLimited, "refused")
 }
 
-// A version that is found in its row counts from when all rows were last known, whoever told that,
-// and whatever became of the questions since.
+// A version found in its row must count from when the rows were last known, also if that was
+// reported by a peer during the read. Otherwise requests start on older weights for too long.
 func TestVersionAgeCountsFromLastKnownRows(t *testing.T) {
-	const away = 8 * time.Second
+	const downtime = 8 * time.Second
 	answered := func() error { return nil }
 	unanswered := func() error { return fault.New(fault.StoreUnavailable, "no answer") }
 	tests := []struct {
 		name string
-		// reads are those of a router that starts after the others were away; told has it told
-		// by a peer what that knew before.
+		// reads are those of a router that starts after the others were down; applyStale applies
+		// the state that a peer had before.
 		reads func(applyStale func()) []func() error
 	}{
-		{"told while the rows are asked for", func(applyStale func()) []func() error {
+		{"applied during a read", func(applyStale func()) []func() error {
 			return []func() error{func() error { applyStale(); return nil }}
 		}},
-		{"told after a question without an answer", func(applyStale func()) []func() error {
+		{"applied after a failed read", func(applyStale func()) []func() error {
 			return []func() error{unanswered, func() error { applyStale(); return nil }}
 		}},
-		{"told before questions without an answer", func(applyStale func()) []func() error {
+		{"applied before failed reads", func(applyStale func()) []func() error {
 			return []func() error{func() error { applyStale(); return unanswered() }, unanswered, unanswered, answered}
 		}},
 	}
@@ -96,7 +87,7 @@
 				time.Sleep(500 * time.Millisecond)
 				z.store.publish(3)
 				publishedAt := time.Now()
-				time.Sleep(away)
+				time.Sleep(downtime)
 				z.beforeStart = func(_ context.Context, running *zoneRouter) {
 					applyStale := func() { is.NoErr(running.follower.apply(stale, knownAt)) }
 					running.follower.source = &scriptedReads{zoneRouter: running, reads: tt.reads(applyStale)}
@@ -104,15 +95,14 @@
 				started := z.start(t.Context(), "b")
 				time.Sleep(3 * time.Second)
 				is.Equal(started.newest().Version, 3)
-				is.True(started.newest().SeenAt.Sub(publishedAt) <= 0) // no request begins on version 2 for too long
+				is.True(started.newest().SeenAt.Sub(publishedAt) <= 0) // no request starts on version 2 for too long
 				is.True(knownAt.Sub(started.newest().SeenAt) <= time.Second)
 			})
 		})
 	}
 }
 
-// A router that stood still, and whose first question after that gets no answer, does not know what
-// was named meanwhile either.
+// A failed first read after a pause must not make the time of the pause count as known.
 func TestFailedReadAfterPauseLeavesRowsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,14 +114,14 @@
 		}
 		running := z.start(t.Context(), "a")
 		time.Sleep(10 * time.Second)
-		var namedAt atomic.Pointer[time.Time]
+		var publishedAt atomic.Pointer[time.Time]
 		source.script(
 			func() error {
-				// The process stands still right after this answer.
+				// The process is paused right after this answer.
 				time.AfterFunc(time.Second, func() {
 					z.store.publish(3)
 					now := time.Now()
-					namedAt.Store(&now)
+					publishedAt.Store(&now)
 				})
 				return nil
 			},
@@ -143,6 +133,6 @@
 		)
 		time.Sleep(15 * time.Second)
 		is.Equal(running.newest().Version, 3)
-		is.True(running.newest().SeenAt.Sub(*namedAt.Load()) <= 0)
+		is.True(running.newest().SeenAt.Sub(*publishedAt.Load()) <= 0)
 	})
 }
--- a/internal/node/publicationwatch.go
+++ b/internal/node/publicationwatch.go
@@ -14,31 +14,28 @@
 )
 
 const (
-	// watchHold is how long the store holds back an answer that tells no change; each costs a
-	// call. A connection that falls silent meanwhile is found by keep-alive probes. A fleet of
-	// 23 routers made 798 calls to the store in a day, with 2 s in place of this 830.
+	// watchHold is how long the store delays an answer without changes. Keep-alive probes
+	// detect a connection that dies during that time.
 	watchHold = 10 * time.Second
-	// minWatchHold keeps the questions apart that are held back for a shorter time.
+	// minWatchHold is the least time between two requests of the watch.
 	minWatchHold = 200 * time.Millisecond
-	// rowsLoadInterval is the least time between two reads of the naming rows: they are read
-	// when the watch begins, which may be often while peers come and go.
+	// rowsLoadInterval is the least time between two reads of the publication rows: watches may
+	// start often while peers come and go.
 	rowsLoadInterval = 10 * time.Second
-	// maxWatchPause bounds the pause after a question that failed, which doubles each time.
+	// maxWatchPause bounds the pause after a failed request, which doubles each time.
 	maxWatchPause = time.Second
-	// minProcessPause is by how much a question that ends late shows that the process was paused.
-	// Timers that fire late on a busy machine are off by less.
+	// minProcessPause is how late a request must end to show that the process was paused; late
+	// timers of a busy machine are off by less.
 	minProcessPause = time.Second
-	// watchPause is the time between two looks whether this router is to watch.
+	// watchPause is the time between two checks whether this router must watch.
 	watchPause = 200 * time.Millisecond
-	// watchTolerance is the gap in the watch that does not make a version count as older: in
-	// about this time another router takes the watch over, or begins to read a store that is
-	// away itself. Engines on older weights get no work from an earlier moment on if it
-	// counts: without the tolerance the mean worth of six seeds of a day on which the store
-	// was away fell from 0.745 to 0.725, with 0.7 s to 0.735.
+	// watchTolerance is the gap in the watch that does not make a version count as older: about
+	// the time in which another router takes over the watch. Without it engines on older
+	// weights would lose work too early.
 	watchTolerance = 2500 * time.Millisecond
 )
 
-// The results of watches, in metrics.
+// Results of watches, as metric labels.
 const (
 	watchNews   = "news"
 	watchQuiet  = "quiet"
@@ -46,22 +43,22 @@
 	watchFailed = "failed"
 )
 
-// watchResults are the results of watches that were answered, by whether they told news.
+// watchResults maps whether an answer had a new version to the result.
 var watchResults = map[bool]string{true: watchNews, false: watchQuiet}
 
-// watchPosition is up to where all namings are known.
+// watchPosition is the point up to which all publications are known.
 type watchPosition struct {
-	// revision is that of the store, 0 if it is not known.
+	// revision is the store's revision, 0 if unknown.
 	revision uint64
-	// storeTime is the store's own time at which no naming was unknown, 0 if it is not known.
+	// storeTime is the store's own time, 0 if unknown.
 	storeTime time.Duration
 }
 
-// age returns how long ago at the most a version was named that is told in an answer of the
-// store, after it was asked for so long, and reports whether that is known. An answer that
-// was held back comes at the moment of the change, and a store that answers nobody takes no
-// writes either, so that only the time counts during which nobody asked. A version that was
-// named while the store turned away this router alone counts as younger by that time.
+// age returns the greatest age that a version in an answer of the store can have, and whether
+// that is known. answeredAt is the store's own time of the answer, requestTime how long the
+// request was pending; that time does not count, since a delayed answer comes with the change
+// and a store that answers no requests accepts no writes. If the store refused only this router,
+// the age is too low by that time.
 func (w watchPosition) age(answeredAt, requestTime time.Duration) (age time.Duration, known bool) {
 	if w.storeTime == 0 || answeredAt == 0 {
 		return 0, false
@@ -69,13 +66,11 @@
 	return max(answeredAt-w.storeTime-requestTime-watchTolerance, 0), true
 }
 
-// watchPublications takes in every version of weights that is named, in the order of the writes,
-// while this router reads the store itself, until ctx ends.
+// watchPublications applies every published version in the order of the writes, while this router
+// reads the store itself, until ctx ends.
 //
-// The rows do not tell which version is the newest: a write that the store did not answer
-// may be carried out seconds later, over a newer one, which then stood in its row for an
-// instant between two reads. Of plays of two days with such writes, 7 of 72 ended with
-// engines on older weights for good without the watch, and 0 of 48 with it.
+// Reading the rows is not enough: a write that the store did not answer may be executed seconds
+// later and overwrite a newer version between two reads.
 func (f *follower) watchPublications(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.watchesStore() {
@@ -86,13 +81,13 @@
 	}
 }
 
-// watchesStore reports whether this router watches the changes of the store: the one that reads
-// it for all does, and any that no peer supplies.
+// watchesStore reports whether this router must watch the store: it reads the store for all, or
+// no peer supplies it.
 func (f *follower) watchesStore() bool {
 	return f.replica.initialized() && (f.chain.reads() || f.replica.ownOrigin())
 }
 
-// watchStore watches for as long as this router is to.
+// watchStore runs a session for as long as this router must watch.
 func (f *follower) watchStore(ctx context.Context) {
 	session := &watchSession{
 		follower: f, pendingSince: clock.Now(), pause: watchPause, recheck: newRecheck(clock.Now(), f.replica.watchedUntil().revision),
@@ -102,20 +97,19 @@
 	}
 }
 
-// watchSession is a time for which a router watches without a break.
+// watchSession is an uninterrupted period of watching.
 type watchSession struct {
 	*follower
-	// pendingSince is when the question began that is not answered yet; one that failed is
-	// asked again.
+	// pendingSince is when the first request since the last answer was sent.
 	pendingSince time.Time
-	// pause follows the next question that fails.
+	// pause follows the next failed request.
 	pause time.Duration
-	// rowsLoaded says that the rows of namings were read in this session.
+	// rowsLoaded is whether the publication rows were read in this session.
 	rowsLoaded bool
 	recheck    recheck
 }
 
-// watch asks once for the changes after what is known.
+// watch makes one request for the changes after the watch position.
 func (s *watchSession) watch(ctx context.Context) {
 	from, hold, askedAt := s.replica.watchedUntil(), s.recheck.hold(clock.Now()), clock.Now()
 	changes, err := s.changes(ctx, from.revision, hold)
@@ -124,8 +118,8 @@
 		return
 	}
 	elapsed, changedAt := clock.Since(askedAt), s.replica.earliestAnswer(askedAt, changes.StoreTime)
-	hasNews := s.applyChanges(ctx, from, changedAt, clock.Since(s.pendingSince), &changes)
-	s.onWatched(watchResults[hasNews])
+	anyNew := s.applyChanges(ctx, from, changedAt, clock.Since(s.pendingSince), &changes)
+	s.onWatched(watchResults[anyNew])
 	if !s.rowsLoaded && clock.Since(s.rowsLoadedAt) >= rowsLoadInterval {
 		s.rowsLoaded = s.loadRows(ctx, changedAt, changes.StoreTime)
 		s.rowsLoadedAt = clock.Now()
@@ -133,30 +127,29 @@
 	}
 	s.recheck.schedule(clock.Now(), elapsed < hold)
 	s.recheckChanges(ctx, changes.StoreRevision)
-	if !hasNews && elapsed < minWatchHold {
-		// The store does not hold its answers back.
+	if !anyNew && elapsed < minWatchHold {
+		// The store does not delay its answers.
 		wait.For(ctx, minWatchHold-elapsed)
 	}
 	s.pendingSince, s.pause = clock.Now(), watchPause
 }
 
-// changes asks for the changes after a revision.
 func (f *follower) changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
 	bounded, cancel := context.WithTimeout(ctx, hold+f.config.ReadTimeout)
 	defer cancel()
 	return f.source.Changes(bounded, after, hold)
 }
 
-// handleFailure pauses after a question without an answer. Changes that the store has forgotten, or
-// that are too many, are passed over by the watch, but asked for again. late is by how much
-// the question took longer than it may.
+// handleFailure pauses after a failed request. The watch skips changes that the store has
+// forgotten, or that are too many; rechecks request them again. late is by how much the request
+// exceeded its timeout.
 func (s *watchSession) handleFailure(ctx context.Context, err error, late time.Duration) {
 	if ctx.Err() != nil {
 		return
 	}
 	if late > minProcessPause {
-		// The process was paused: the answer may have been given, and lost, long before, so
-		// that nobody asked since then as far as is known.
+		// The process was paused: the answer may have been lost long ago, and the time since
+		// then must not count as requestTime.
 		s.pendingSince = clock.Now()
 	}
 	if !errors.Is(err, ErrHistoryGone) {
@@ -172,43 +165,41 @@
 	wait.For(ctx, watchPause)
 }
 
-// applyChanges takes in what a watch told at a moment that began where all was known, and was
-// asked for some time. It reports whether there was news.
+// applyChanges applies the changes after position from, which the store sent at changedAt at the
+// earliest, and reports whether there was a new version. The request was pending for requestTime.
 func (f *follower) applyChanges(ctx context.Context, from watchPosition, changedAt time.Time, requestTime time.Duration, changes *Changes) bool {
-	// A version counts as old as it may be, so that no request begins on older weights for
-	// longer than it may.
+	// The greatest possible age, so that no request starts on older weights for too long.
 	age, known := from.age(changes.StoreTime, requestTime)
-	hasNews := f.applyPublished(ctx, from.revision, changedAt, age, known, changes)
-	f.replica.advanceWatch(watchPosition{revision: changes.StoreRevision, storeTime: changes.StoreTime}, hasNews)
-	return hasNews
+	anyNew := f.applyPublished(ctx, from.revision, changedAt, age, known, changes)
+	f.replica.advanceWatch(watchPosition{revision: changes.StoreRevision, storeTime: changes.StoreTime}, anyNew)
+	return anyNew
 }
 
-// applyPublished takes in versions that were named after a revision, as long before they were told
-// as age if that is known, and reports whether any is news.
+// applyPublished applies versions that were published after revision after, at changedAt minus
+// age if known, and reports whether any is new.
 func (f *follower) applyPublished(
 	ctx context.Context, after uint64, changedAt time.Time, age time.Duration, known bool, changes *Changes,
 ) bool {
 	publication := catalog.Publication{SeenAt: changedAt.Add(-age), SeenAtStart: !known}
 	row := publicationRow{FirstSeen: changes.StoreTime - age, CompleteTo: after, SeenAtStart: publication.SeenAtStart}
-	hasNews := false
+	anyNew := false
 	for _, published := range changes.Published {
 		publication.Version = published.Version
 		if !f.replica.holder.Published(published.Model, publication) {
 			continue
 		}
-		hasNews = true
+		anyNew = true
 		log.WithFields(log.Fields{
 			"model": published.Model, "version": published.Version, "met": publication.SeenAtStart, "age_ms": clock.Since(publication.SeenAt).Milliseconds(),
 		}).Info("version_named")
 		f.publications.save(ctx, published.Model, published.Version, row)
 	}
-	return hasNews
+	return anyNew
 }
 
-// loadRows takes in the namings that other routers kept, keeps those known here of which there
-// is no row, and reports whether the rows could be read: a router that watched before may
-// have ended before it kept what it saw, or this one may have been apart when it did.
-// storeTime is the store's time at the moment localTime here.
+// loadRows applies the stored publications, saves known ones that have no row, and reports
+// whether the rows could be read. The former watcher may have ended before it wrote its rows, or
+// this router may have been cut off when it did. storeTime is the store's own time at localTime.
 func (f *follower) loadRows(ctx context.Context, localTime time.Time, storeTime time.Duration) bool {
 	for model, known := range f.replica.holder.View().Models {
 		stored, err := f.publications.load(ctx, model, storeTime, localTime)
@@ -225,7 +216,7 @@
 	return true
 }
 
-// applyStored takes in what the rows of a model's versions tell.
+// applyStored applies the publication rows of a model.
 func (f *follower) applyStored(model ident.Model, stored *storedPublications) {
 	for _, publication := range stored.publications {
 		if f.replica.holder.Published(model, publication) {
--- a/internal/node/publicationwatch_test.go
+++ b/internal/node/publicationwatch_test.go
@@ -13,7 +13,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// newest returns the newest version of the model that a router knows.
+// newest returns the newest publication of the model at a router.
 func (r *zoneRouter) newest() catalog.Publication {
 	known := r.follower.replica.holder.View().Models[model]
 	if len(known.Publications) == 0 {
@@ -22,7 +22,7 @@
 	return known.Publications[len(known.Publications)-1]
 }
 
-// unavailableTable is a table whose writes fail until a time.
+// unavailableTable is a table whose writes fail until downUntil.
 type unavailableTable struct {
 	*fakeStore
 	downUntil time.Time
@@ -36,8 +36,8 @@
 	return t.fakeStore.Commit(ctx, transaction)
 }
 
-// A write that the store answered late is carried out over a newer one before any router
-// has read the row.
+// A version must reach all routers even if a late write of an older one overwrites its row before
+// any router reads it.
 func TestOverwrittenPublicationReachesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -55,12 +55,13 @@
 		}
 		z.watches()
 		time.Sleep(10 * time.Second)
-		is.Equal(routers[1].newest().Version, 3) // the row does not take it back
-		is.True(z.watches() <= 10)               // one router watches for all, and asks twice
+		is.Equal(routers[1].newest().Version, 3) // the row does not revert it
+		is.True(z.watches() <= 10)               // one router watches for all, with rechecks
 	})
 }
 
-// The row of the operator tells an older version to routers that start later.
+// Routers that start after all others have ended must find a version whose row was overwritten by
+// an older one.
 func TestPublicationOutlivesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -81,7 +82,7 @@
 	})
 }
 
-// A naming is kept although the store is away for longer than a few tries.
+// A publication must be saved even if the store is unavailable for several attempts.
 func TestPublicationIsSavedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -103,8 +104,7 @@
 	})
 }
 
-// The router that watches ends, and a version is named and written over before the next
-// one notices.
+// A version that is published and overwritten between two watching routers must not be missed.
 func TestNewWatcherMissesNoPublication(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -120,14 +120,14 @@
 		time.Sleep(3 * time.Second)
 		publication := second.newest()
 		is.Equal(publication.Version, 3)
-		// It counts as old as it may be, but for the tolerance.
+		// It counts as old as it can be, apart from the tolerance.
 		is.True(publication.SeenAt.Sub(publishedAt) <= watchTolerance)
 		is.True(publishedAt.Sub(publication.SeenAt) <= watchHold)
 		is.True(!publication.SeenAtStart)
 	})
 }
 
-// A router saw a version, told others, and ended before it kept it; the others keep it.
+// A version whose watcher ended before it wrote the row must be saved by the next watcher.
 func TestNewWatcherSavesPublicationsOfFormerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -152,8 +152,7 @@
 	})
 }
 
-// The store has forgotten the changes after the last one that is known, but not those in
-// which a newer version was named and written over.
+// Forgotten changes must not hide later ones, in which a version was published and overwritten.
 func TestForgottenChangesAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -167,10 +166,10 @@
 		started := z.start(t.Context(), "a")
 		time.Sleep(5 * time.Second)
 		is.Equal(started.newest().Version, 3)
-		is.True(started.newest().SeenAtStart) // nobody saw when it was named
+		is.True(started.newest().SeenAtStart) // its age is unknown
 		z.watches()
 		time.Sleep(time.Minute)
-		is.True(z.watches() <= 160) // what is forgotten is given up
+		is.True(z.watches() <= 160) // forgotten changes are given up
 	})
 }
 
@@ -182,10 +181,10 @@
 		known                        bool
 	}{
 		{"nothing is known", 0, 9 * time.Second, 0, 0, false},
-		{"the store tells no time", 8 * time.Second, 0, 0, 0, false},
-		{"the answer was held back", 8 * time.Second, 9 * time.Second, time.Second, 0, true},
-		{"asked right after the last answer", 8 * time.Second, 8010 * time.Millisecond, 4 * time.Millisecond, 0, true},
-		{"nobody asked for a while", 8 * time.Second, 13 * time.Second, time.Second, 4*time.Second - watchTolerance, true},
+		{"the store reports no time", 8 * time.Second, 0, 0, 0, false},
+		{"the answer was delayed", 8 * time.Second, 9 * time.Second, time.Second, 0, true},
+		{"requested right after the last answer", 8 * time.Second, 8010 * time.Millisecond, 4 * time.Millisecond, 0, true},
+		{"no request for a while", 8 * time.Second, 13 * time.Second, time.Second, 4*time.Second - watchTolerance, true},
 		{"the store did not answer for a while", 8 * time.Second, 18 * time.Second, 10 * time.Second, 0, true},
 		{"the process was paused after the answer", 8 * time.Second, 9 * time.Second, 5 * time.Second, 0, true},
 	}
--- a/internal/node/pull.go
+++ b/internal/node/pull.go
@@ -16,7 +16,7 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// puller asks a peer for its state.
+// puller requests the state of a peer.
 type puller interface {
 	Pull(ctx context.Context, peer upstream.Peer, pull *upstream.Pull) (*upstream.Update, time.Time, error)
 }
@@ -49,8 +49,8 @@
 	return leads
 }
 
-// relays reports whether this router is the first of its zone or, where there are several
-// regions, may pass notices on in its zone.
+// relays reports whether this router is the first of its zone or, with several regions, may
+// relay notifications in its zone.
 func (g *chainGuard) relays() (relays bool) {
 	g.use(func(chain *upstream.Chain) {
 		most := 1
@@ -69,30 +69,30 @@
 	return leads
 }
 
-// joined reports whether this router has a row.
+// joined reports whether this router has written its row.
 func (g *chainGuard) joined() (joined bool) {
 	g.use(func(chain *upstream.Chain) { joined = chain.Joined() })
 	return joined
 }
 
-// observeFollower takes in that a peer pulls from this router.
+// observeFollower records that a peer pulls from this router.
 func (g *chainGuard) observeFollower(peer upstream.Peer) {
 	g.use(func(chain *upstream.Chain) { chain.Followed(peer) })
 }
 
 const (
-	// joinRetryPause is the time between two tries to write this router's row.
+	// joinRetryPause is the time between two attempts to write this router's row.
 	joinRetryPause = 250 * time.Millisecond
-	// maxChainPause bounds the time between two looks at the chain.
+	// maxChainPause bounds the time between two evaluations of the chain.
 	maxChainPause = 500 * time.Millisecond
-	// countCheckInterval is the time between two looks at whether the routers are to be counted.
+	// countCheckInterval is the time between two checks whether the routers must be counted.
 	countCheckInterval = 500 * time.Millisecond
-	// minPullInterval is the least time between two pulls, whatever the peer answers.
+	// minPullInterval is the least time between two pulls, even if the peer answers at once.
 	minPullInterval = 20 * time.Millisecond
 )
 
-// followPeers joins the routers of the zone and pulls from the peers that the
-// chain names, until ctx ends.
+// followPeers writes this router's row and pulls from the peers that the chain selects,
+// until ctx ends.
 func (f *follower) followPeers(ctx context.Context) {
 	if !f.join(ctx) {
 		return
@@ -152,8 +152,8 @@
 	return false
 }
 
-// advertiseShutdown takes in that this router is about to end: those that pull from it learn that, and
-// the first one of them that stays takes its place.
+// advertiseShutdown reports to the routers that pull from this one that it is shutting down, so
+// that another one takes its place in the chain.
 func (f *follower) advertiseShutdown() {
 	f.chain.use(func(chain *upstream.Chain) { chain.Leave() })
 	f.replica.advertiseShutdown()
@@ -165,14 +165,14 @@
 	return next
 }
 
-// pull asks a peer once, takes in what it answers, and returns the number of
-// its confirmation.
+// pull requests the state of a peer once, applies it, and returns the number of the
+// peer's confirmation, 0 if there is none.
 func (f *follower) pull(ctx context.Context, peer upstream.Peer, confirmation uint64) uint64 {
 	pull := &upstream.Pull{Confirmation: confirmation}
 	pull.Configuration, pull.List = f.replica.copyVersions()
 	pull.Quarantine = f.guard.Digest()
 	pull.News = backend.UpdatesDigest(f.replica.backends.StateUpdates(clock.Now()))
-	// What caches hold can wait until this router can serve.
+	// The contents of prompt caches can wait until this router can serve.
 	if f.replica.initialized() {
 		pull.Caches, pull.CacheHeld = true, f.replica.caches.Positions()
 	}
@@ -202,9 +202,9 @@
 	return update.Confirmation
 }
 
-// shouldApply reports whether an update is to be taken in. A router that knows nothing
-// yet takes the state of any peer, and one that met an older configuration, as the store
-// wrote it late, any newer one; ages and versions guard what is believed.
+// shouldApply reports whether an update should be applied: it is fresh, or complete while this
+// router has no state yet or an older configuration. Ages and versions prevent that older state
+// replaces newer.
 func (f *follower) shouldApply(update *upstream.Update, result upstream.Result) bool {
 	if _, fresh := result.(upstream.Fresh); fresh {
 		return true
@@ -212,12 +212,12 @@
 	return update != nil && update.Complete() && (!f.replica.initialized() || f.replica.behind(&update.Configuration))
 }
 
-// resultName is the name of a result in metrics.
+// resultName returns the metric label of a result: its type's name in lower case.
 func resultName(result upstream.Result) string {
 	return strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", result), "upstream."))
 }
 
-// evaluate says what came of a pull.
+// evaluate returns the result of a pull.
 func (f *follower) evaluate(peer upstream.Peer, update *upstream.Update, err error) (result upstream.Result) {
 	switch {
 	case err != nil:
@@ -234,19 +234,19 @@
 	return result
 }
 
-// epochsCurrent reports whether a peer can know all that this router does of the store's returns
-// from older copies. One that does not may have confirmed what it holds by a version that was
-// given out again. Older builds never know, and those that only pull from them hear of none.
+// epochsCurrent reports whether a peer knows of all store restores that this router knows of.
+// Otherwise it may have confirmed its state by a version that was assigned again after a restore.
+// Older builds and routers that pull only from them know of none.
 func (f *follower) epochsCurrent(update *upstream.Update) bool {
 	_, known := f.epochs.First()
 	return update.Epoch >= f.seenEpoch.Load() && (update.FirstEra > 0 || !known)
 }
 
-// apply takes in the state of a peer as of a time.
+// apply applies the state of a peer as of a time.
 func (f *follower) apply(update *upstream.Update, at time.Time) error {
 	f.configurationSeen.Store(true)
 	f.applyPeerEpoch(update)
-	// It comes first, so that a router that starts knows it before it serves.
+	// First, so that a starting router has it before it serves.
 	f.guard.Merge(at, update.Quarantine)
 	for _, publication := range update.Configuration.Namings {
 		f.applyPublication(&publication, at)
@@ -260,10 +260,10 @@
 	}
 	f.replica.applyList(update.Origin, at.Add(-update.List.Age), &update.List)
 	f.replica.caches.Take(at, update.Caches)
-	// The list of back ends comes first: a limit of one that is not listed is passed over.
+	// After the instance list: updates of back ends that are not listed are ignored.
 	f.replica.updates.applyUpdates(update.News)
 	if position := configuration.Watched; position != nil {
-		// The namings up to this revision were taken in before it is.
+		// After the publications up to this position have been applied.
 		f.replica.advanceWatch(watchPosition{revision: position.Revision, storeTime: position.StoreTime}, false)
 	}
 	if update.Routers > 0 {
@@ -281,18 +281,17 @@
 	}
 }
 
-// countRouters keeps the rows of the routers up to date while this router reads the
-// store for others or holds the lease, until ctx ends. Those that tell others what becomes of
-// engines, or pass that on, read them when their number is another one.
+// countRouters reads the router list regularly while this router reads the store for others or
+// holds the lease, until ctx ends. Routers that send or relay notifications also read it when
+// the number of routers changes.
 func (f *follower) countRouters(ctx context.Context, holdsLease func() bool) {
 	minAge := f.config.RosterInterval - countCheckInterval/2
 	triedAt := clock.Now()
 	wait.Every(ctx, countCheckInterval, func() {
 		now := clock.Now()
 		intervalOver := now.Sub(triedAt) >= minAge
-		// A router that takes over from one that died before its next count, and one whose
-		// count failed, must not wait for an interval of its own: the others take no part of
-		// the slack of repeats while their count is old.
+		// After a takeover or a failed count don't wait a whole interval: the others get no
+		// share of the retry slack while their count is old.
 		due := f.readsForOthers() && (intervalOver || f.replica.routerCountAge(now) >= minAge)
 		changed := f.chain.relays() && f.replica.Routers() != f.recipients.count()+1
 		if !due && !(intervalOver && (holdsLease() || changed)) {
@@ -303,7 +302,7 @@
 	})
 }
 
-// readRouters reads the rows of the routers.
+// readRouters reads the router list.
 func (f *follower) readRouters(ctx context.Context) {
 	readAt := clock.Now()
 	peers, routers, err := f.routerList.read(ctx)
--- a/internal/node/pull_test.go
+++ b/internal/node/pull_test.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// Routers that start together are supplied by the first of them, and so are those
-// that start again together, whose rows of former lives are still there.
+// Routers that start or restart together, with the rows of former incarnations still there, must
+// be supplied by the first of them instead of all reading the store.
 func TestSimultaneousStartDoesNotOverloadStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -90,7 +90,7 @@
 	})
 }
 
-// What one router reads of a store of prompt caches, all others of the zone learn.
+// What one router reads from a prompt cache store must reach all others of the zone.
 func TestCacheContentsArePulled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -108,12 +108,12 @@
 		for node := range z.routers {
 			is.Equal(caches(node).Holds(time.Now(), store, part, 100), promptcache.Held)
 		}
-		time.Sleep(5 * time.Second) // the reader hears nothing more of the store
+		time.Sleep(5 * time.Second) // the reader gets no more answers of the store
 		is.Equal(caches("l").Holds(time.Now(), store, part, 100), promptcache.Unknown)
 	})
 }
 
-// A router whose peers know nothing reads the store soon.
+// A router whose peers are dead must read the store soon.
 func TestAStartingRouterDoesNotWaitForDeadPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, "a", "b", "c")
@@ -126,7 +126,7 @@
 	})
 }
 
-// What a follower believes is never dated later than the read it comes from.
+// Pulled state must never count as newer than the read it comes from.
 func TestPulledStateKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -139,6 +139,7 @@
 	})
 }
 
+// New configurations must reach all routers whatever fault hits the one that reads the store.
 func TestUpdatesReachAllRoutersAfterReaderFaults(t *testing.T) {
 	tests := []struct {
 		name string
@@ -165,7 +166,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				z := startZone(t, "a", "b", "c", "d")
 				tt.hit(t.Context(), z)
-				time.Sleep(3 * time.Second) // those who pull have found out
+				time.Sleep(3 * time.Second) // routers that pull have detected it
 				z.writeConfiguration(7)
 				time.Sleep(2 * time.Second)
 				z.requireVersion(t, 7)
@@ -178,7 +179,7 @@
 	}
 }
 
-// A store that is down is not asked by every router at full pace.
+// While the store is down only its reader may retry at full pace.
 func TestStoreOutageCausesNoRequestStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -190,7 +191,7 @@
 		z.store.change(func() { z.store.down = true })
 		time.Sleep(5 * time.Second)
 		total, by := z.reads()
-		is.True(by["n00"] >= 80) // the reader tries often
+		is.True(by["n00"] >= 80) // the reader retries often
 		is.True(total-by["n00"] <= 19*20)
 		z.store.change(func() { z.store.down = false })
 		z.writeConfiguration(3)
@@ -199,7 +200,7 @@
 	})
 }
 
-// The age of a naming is the same at a router that pulled it.
+// A publication must have the same age at a router that pulled it.
 func TestPulledPublicationsKeepTheirAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -228,7 +229,7 @@
 	_, _, routers, err := second.join(t.Context())
 	is.NoErr(err)
 	is.Equal(routers, 1)
-	first.leave(t.Context()) // its row was written anew
+	first.leave(t.Context()) // its row was overwritten
 	_, routers, err = second.read(t.Context())
 	is.NoErr(err)
 	is.Equal(routers, 1)
--- a/internal/node/readercutoff_test.go
+++ b/internal/node/readercutoff_test.go
@@ -1,11 +1,5 @@
 package node
 
-// The number of routers, by which the slack of repeats is divided, is read by the router
-// that reads the store for all. When the first router of all is cut off from the store
-// alone, its peers go on pulling from it, find its state stale, and one of them reads the
-// store in its place. But the cut-off one still counts as up, so that none of the others
-// takes itself for the first one, and nobody counts the routers that join.
-
 import (
 	"context"
 	"maps"
@@ -20,7 +14,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// reachableTable is the store's table as a router reaches it, or not.
+// reachableTable is the store's table for a router, which fails while that is cut off.
 type reachableTable struct {
 	*fakeStore
 	router *zoneRouter
@@ -40,15 +34,17 @@
 	return t.fakeStore.List(ctx, prefix, limit)
 }
 
+// While the first router is cut off from the store alone, it still counts as up, so another one
+// must count routers that join. Otherwise the retry slack is divided by too few.
 func TestRoutersJoinedWhileReaderIsCutOffAreCounted(t *testing.T) {
 	oneZone := [][]ident.Node{{"a", "b", "c", "d", "e", "f", "g"}, {"h", "i", "j"}}
 	zones := [][]ident.Node{{"a-1", "b-2", "c-3", "d-1", "e-2", "f-3", "g-1"}, {"h-2", "i-3", "j-1"}}
 	tests := []struct {
 		name string
-		// nodes run first, and join while one is cut off.
+		// nodes are those that run first and those that join while one is cut off.
 		nodes [][]ident.Node
-		// cut is the router that does not reach the store, holder the one that holds the
-		// lease, if there is one: a holder counts as well.
+		// cut is the router that does not reach the store, holder the holder of the lease, if
+		// any, which also counts the routers.
 		cut, holder ident.Node
 	}{
 		{"the last one is cut off", oneZone, "g", ""},
@@ -68,17 +64,17 @@
 				f.writeConfiguration(5)
 				f.startInOrder(t, tt.nodes[1])
 				time.Sleep(30 * time.Second)
-				f.requireVersion(t, 5) // all are supplied meanwhile
+				f.requireVersion(t, 5) // all are supplied
 				f.requireCount(t, 10)
-				t.Logf("at most %d repeats in a window, %d may be", f.maxInWindow(), greedySlack)
+				t.Logf("at most %d retries in a window, %d are allowed", f.maxInWindow(), greedySlack)
 				is.True(f.maxInWindow() <= greedySlack)
 			})
 		})
 	}
 }
 
-// newReachableFleet returns a fleet whose routers reach the table of the store as they reach
-// the store. The holder of the lease, if there is one, counts the routers as well.
+// newReachableFleet returns a fleet whose cut-off routers do not reach the store's table either.
+// The holder of the lease, if any, also counts the routers.
 func newReachableFleet(holder ident.Node) *greedyFleet {
 	f := &greedyFleet{zone: newZone()}
 	f.beforeStart = func(ctx context.Context, running *zoneRouter) {
@@ -90,7 +86,6 @@
 	return f
 }
 
-// startInOrder starts routers one after the other.
 func (f *greedyFleet) startInOrder(t *testing.T, nodes []ident.Node) {
 	for _, node := range nodes {
 		f.up(t, node)
@@ -98,7 +93,7 @@
 	}
 }
 
-// requireCount fails the test unless each router counts so many.
+// requireCount fails the test unless each router counts want routers.
 func (f *greedyFleet) requireCount(t *testing.T, want int) {
 	for node, running := range f.routers {
 		if routers := running.follower.replica.Routers(); routers != want {
@@ -107,6 +102,7 @@
 	}
 }
 
+// While the first router is cut off from the store alone, another one must contend for the lease.
 func TestAnotherRouterContendsWhileReaderIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -122,7 +118,7 @@
 	})
 }
 
-// contenders returns the routers that are to hold the lease, in the order of their names.
+// contenders returns the routers that contend for the lease, in the order of their names.
 func (z *zone) contenders() (nodes []ident.Node) {
 	for _, node := range slices.Sorted(maps.Keys(z.routers)) {
 		if z.routers[node].follower.contends() {
--- a/internal/node/readercutoffpublication_test.go
+++ b/internal/node/readercutoffpublication_test.go
@@ -12,27 +12,24 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// truncatedHistory tells what a router with a deaf watch is told, and keeps no changes of before
-// a revision.
+// truncatedHistory is lossyChanges without the changes before the revision oldest.
 type truncatedHistory struct {
 	lossyChanges
 	oldest *atomic.Uint64
 }
 
-func (f *truncatedHistory) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	if err := f.countCall(&f.watches); err != nil {
+func (t *truncatedHistory) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+	if err := t.countCall(&t.watches); err != nil {
 		return Changes{}, err
 	}
-	if after < f.oldest.Load() {
+	if after < t.oldest.Load() {
 		return Changes{}, ErrHistoryGone
 	}
-	return f.lossyChanges.Changes(ctx, after, hold)
+	return t.lossyChanges.Changes(ctx, after, hold)
 }
 
-// A store that forgets its history leaves changes out for a while. They are asked for once
-// more, but only by the router that reads the store for all, which a router that is cut off
-// from the store alone still is to its peers: the one that reads and watches in its place
-// asks no second time. When the cut is over, the store keeps these changes no more.
+// If the first router is cut off from the store alone, the one that watches in its place must
+// recheck changes, as the store may forget them before the first one is back.
 func TestOmittedVersionIsFoundWhileReaderIsCutOff(t *testing.T) {
 	for _, cut := range []ident.Node{"c", "a"} {
 		t.Run("cut off: "+string(cut), func(t *testing.T) {
@@ -60,8 +57,8 @@
 	}
 }
 
-// startTruncated starts three routers before a store that leaves changes out while it is at
-// fault, and keeps none of before a revision.
+// startTruncated starts three routers at a store that omits changes while fault is set, and has
+// none before a revision.
 func startTruncated(t *testing.T, z *zone, fault *atomic.Bool, oldest *atomic.Uint64) {
 	z.beforeStart = func(_ context.Context, running *zoneRouter) {
 		running.follower.source = &truncatedHistory{lossyChanges{running, fault}, oldest}
@@ -73,11 +70,11 @@
 	}
 }
 
-// requireNewest fails the test unless each router knows a version as the newest.
+// requireNewest fails the test unless want is the newest version at each router.
 func (z *zone) requireNewest(t *testing.T, want int) {
 	for node, running := range z.routers {
 		if newest := running.newest().Version; newest != want {
-			t.Errorf("%s knows version %d as the newest, not %d", node, newest, want)
+			t.Errorf("%s has version %d as the newest, not %d", node, newest, want)
 		}
 	}
 }
--- a/internal/node/recipients.go
+++ b/internal/node/recipients.go
@@ -10,148 +10,146 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// scope says to whom the receiver of a notice passes it on.
+// scope is to which routers the receiver of a notification relays it.
 type scope uint8
 
 const (
-	// toNobody is the scope of a notice that its teller sent to each router itself.
+	// toNobody is for notifications that the sender sends to each router itself.
 	toNobody scope = iota
-	// toZone is that of one that the receiver passes on in its zone.
+	// toZone is for those that the receiver relays in its zone.
 	toZone
-	// toRegion is that of one that the receiver passes on in its region.
+	// toRegion is for those that the receiver relays in its region.
 	toRegion
 )
 
-// message is one datagram of a notice.
+// message is one datagram of a notification.
 type message struct {
 	to    netip.AddrPort
 	scope scope
 }
 
-// relaysPerZone is how many routers of a zone, the longest running ones, may pass notices
-// on. Tellers take turns among them, so that one that is dead loses a part of the notices
-// only.
+// relaysPerZone is how many routers of a zone, the longest running ones, may relay
+// notifications. Senders rotate among them, so that a dead one loses only a part.
 const relaysPerZone = 2
 
-// recipients is whom a router tells notices. Where there are several regions a notice
-// crosses to each region and to each zone once, in place of once for each router: on a
-// fleet of 76 routers in six zones, 5 datagrams leave a zone in place of 63. Where there is
-// one region each router is told directly. It is safe for concurrent use.
+// recipients are the routers that get a router's notifications. With several regions a
+// notification is sent once to each region and zone and relayed there; with one region it is sent
+// to each router directly. It is safe for concurrent use.
 type recipients struct {
 	node    ident.Node
 	zone    ident.Zone
 	regions region.Map
 
 	mu sync.Mutex
-	// all are the other routers, near those of this zone.
+	// all are the other routers, sameZone those of this zone.
 	all, sameZone []netip.AddrPort
-	// otherZones are the relays of the other zones of this region, far those of the other
-	// regions, the zones of a region in turn.
+	// otherZones are the relays of the other zones of this region, otherRegions those of the
+	// other regions.
 	otherZones   map[ident.Zone][]netip.AddrPort
 	otherRegions map[ident.Region][]netip.AddrPort
-	// turn counts the notices that were told.
+	// turn selects the relays; it rises with each notification.
 	turn int
 }
 
-// set takes in the routers.
-func (a *recipients) set(peers []upstream.Peer) {
-	peers = slices.DeleteFunc(slices.Clone(peers), func(peer upstream.Peer) bool { return peer.Node == a.node })
+// set replaces the routers.
+func (r *recipients) set(peers []upstream.Peer) {
+	peers = slices.DeleteFunc(slices.Clone(peers), func(peer upstream.Peer) bool { return peer.Node == r.node })
 	slices.SortFunc(peers, upstream.ByRevision)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.all, a.sameZone = nil, nil
-	a.otherZones, a.otherRegions = make(map[ident.Zone][]netip.AddrPort), make(map[ident.Region][]netip.AddrPort)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.all, r.sameZone = nil, nil
+	r.otherZones, r.otherRegions = make(map[ident.Zone][]netip.AddrPort), make(map[ident.Region][]netip.AddrPort)
 	relays := make(map[ident.Zone]int)
 	for _, peer := range peers {
-		a.all = append(a.all, peer.Addr)
-		if peer.Zone == a.zone {
-			a.sameZone = append(a.sameZone, peer.Addr)
+		r.all = append(r.all, peer.Addr)
+		if peer.Zone == r.zone {
+			r.sameZone = append(r.sameZone, peer.Addr)
 			continue
 		}
 		if relays[peer.Zone]++; relays[peer.Zone] > relaysPerZone {
 			continue
 		}
-		if place := a.regions.Of(peer.Zone); place != a.regions.Of(a.zone) {
-			a.otherRegions[place] = append(a.otherRegions[place], peer.Addr)
+		if place := r.regions.Of(peer.Zone); place != r.regions.Of(r.zone) {
+			r.otherRegions[place] = append(r.otherRegions[place], peer.Addr)
 		} else {
-			a.otherZones[peer.Zone] = append(a.otherZones[peer.Zone], peer.Addr)
+			r.otherZones[peer.Zone] = append(r.otherZones[peer.Zone], peer.Addr)
 		}
 	}
 }
 
-// others returns the addresses of the other routers, as known last.
-func (a *recipients) others() []netip.AddrPort {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.all
+// others returns the addresses of the other routers.
+func (r *recipients) others() []netip.AddrPort {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.all
 }
 
 // count returns the number of the other routers.
-func (a *recipients) count() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return len(a.all)
+func (r *recipients) count() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.all)
 }
 
-// toAll returns the messages that carry a notice of this router to all others.
-func (a *recipients) toAll() []message {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.regions.HasMultiple() {
-		return direct(a.all)
+// toAll returns the messages that bring a notification of this router to all others.
+func (r *recipients) toAll() []message {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.regions.HasMultiple() {
+		return direct(r.all)
 	}
-	a.turn++
-	messages := a.regional()
-	for _, relays := range a.otherRegions {
-		messages = append(messages, message{to: relays[a.turn%len(relays)], scope: toRegion})
+	r.turn++
+	messages := r.regional()
+	for _, relays := range r.otherRegions {
+		messages = append(messages, message{to: relays[r.turn%len(relays)], scope: toRegion})
 	}
 	return messages
 }
 
-// toNextRelays returns the messages that carry the notice that was told last to the next relays,
-// if there are any.
-func (a *recipients) toNextRelays() []message {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.regions.HasMultiple() {
+// toNextRelays returns the messages that send the same notification to the next relays, none with
+// one region.
+func (r *recipients) toNextRelays() []message {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.regions.HasMultiple() {
 		return nil
 	}
-	a.turn++
+	r.turn++
 	var messages []message
-	for _, relays := range a.otherZones {
-		messages = append(messages, message{to: relays[a.turn%len(relays)], scope: toZone})
+	for _, relays := range r.otherZones {
+		messages = append(messages, message{to: relays[r.turn%len(relays)], scope: toZone})
 	}
-	for _, relays := range a.otherRegions {
-		messages = append(messages, message{to: relays[a.turn%len(relays)], scope: toRegion})
+	for _, relays := range r.otherRegions {
+		messages = append(messages, message{to: relays[r.turn%len(relays)], scope: toRegion})
 	}
 	return messages
 }
 
-// relay returns the messages that carry on a notice that came with a scope.
-func (a *recipients) relay(received scope) []message {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// relay returns the messages that relay a notification received with a scope.
+func (r *recipients) relay(received scope) []message {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch received {
 	case toZone:
-		return direct(a.sameZone)
+		return direct(r.sameZone)
 	case toRegion:
-		a.turn++
-		return a.regional()
+		r.turn++
+		return r.regional()
 	default:
 		return nil
 	}
 }
 
 // regional returns the messages to the routers of this region; the caller holds the mutex.
-func (a *recipients) regional() []message {
-	messages := direct(a.sameZone)
-	for _, relays := range a.otherZones {
-		messages = append(messages, message{to: relays[a.turn%len(relays)], scope: toZone})
+func (r *recipients) regional() []message {
+	messages := direct(r.sameZone)
+	for _, relays := range r.otherZones {
+		messages = append(messages, message{to: relays[r.turn%len(relays)], scope: toZone})
 	}
 	return messages
 }
 
-// direct returns a message to each router that it does not pass on.
+// direct returns a message to each router that is not to be relayed.
 func direct(addrs []netip.AddrPort) []message {
 	messages := make([]message, 0, len(addrs))
 	for _, addr := range addrs {
--- a/internal/node/recipients_test.go
+++ b/internal/node/recipients_test.go
@@ -18,7 +18,7 @@
 	recipients *recipients
 }
 
-// newPlacedRouters returns routers of these zones, so many of each, that all know each other.
+// newPlacedRouters returns perZone routers of each zone, which all have each other as recipients.
 func newPlacedRouters(regions region.Map, perZone int, zones ...ident.Zone) []placedRouter {
 	var peers []upstream.Peer
 	for number := range perZone {
@@ -39,10 +39,10 @@
 	return routers
 }
 
-// crossings counts the messages of one notice that leave a zone and a region.
+// crossings counts the messages of one notification that leave a zone and a region.
 type crossings struct{ zones, regions int }
 
-// deliver carries a notice of a router to all that it reaches, but for routers that are
+// deliver brings a notification of a router to all that it reaches, except the router that is
 // down, and returns how often each got it.
 func deliver(regions region.Map, routers []placedRouter, sender placedRouter, down ident.Node) (got map[ident.Node]int, crossed crossings) {
 	got = make(map[ident.Node]int)
@@ -71,8 +71,8 @@
 	return got, crossed
 }
 
-// A notice reaches each router once, whoever tells it, and crosses to each zone and region
-// once; where there is one region it is sent to each router.
+// A notification must reach each router once and be sent once to each zone and region; with one
+// region it is sent to each router.
 func TestNotificationEntersEachZoneAndRegionOnce(t *testing.T) {
 	three := region.NewMap(map[ident.Zone]ident.Region{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"})
 	nine := region.NewMap(map[ident.Zone]ident.Region{
@@ -109,7 +109,7 @@
 	}
 }
 
-// A relay that is down loses some notices, never all: those who tell take turns.
+// A relay that is down may cost its region some notifications but not all.
 func TestDeadRelayDoesNotIsolateItsRegion(t *testing.T) {
 	regions := region.NewMap(map[ident.Zone]ident.Region{"a1": "a", "a2": "a", "b1": "b", "b2": "b"})
 	routers := newPlacedRouters(regions, 3, "a1", "a2", "b1", "b2")
@@ -128,13 +128,13 @@
 						reached[node] = true
 					}
 				}
-				is.Equal(len(reached), len(routers)-2) // all but the teller and the dead one
+				is.Equal(len(reached), len(routers)-2) // all but the sender and the dead one
 			}
 		})
 	}
 }
 
-// Where there is one region each router was told directly, and nothing is told again.
+// With several regions the second sending must use other relays; with one region there is none.
 func TestSecondSendUsesOtherRelays(t *testing.T) {
 	three := region.NewMap(map[ident.Zone]ident.Region{"a1": "a", "a2": "a", "b1": "b", "c1": "c"})
 	tests := []struct {
@@ -143,7 +143,7 @@
 		want    int
 	}{
 		{"one region", region.Map{}, 0},
-		{"three regions", three, 3}, // the other zone of the region, and two regions
+		{"three regions", three, 3}, // the region's other zone, and two regions
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/node/recordlist.go
+++ b/internal/node/recordlist.go
@@ -13,27 +13,26 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// maxListChanges bounds the changes of a list that are kept for peers which hold an
-// older copy.
+// maxListChanges bounds the changes that are kept for peers with an older copy.
 const maxListChanges = 32
 
-// recordList is a list of back ends, ordered by instance, that knows its last
-// changes. It is not safe for concurrent use.
+// recordList is an instance list, ordered by instance, with its last changes. It is not
+// safe for concurrent use.
 type recordList struct {
-	// digest names the content of records, 0 for none.
+	// digest identifies the content of records; 0 means no list.
 	digest  uint64
 	records []backend.Record
 	changes []listChange
 }
 
-// listChange leads from the copy of one digest to the next.
+// listChange is the change from the list with the digest base to the next one.
 type listChange struct {
 	base    uint64
 	records []backend.Record
 	removed []ident.Incarnation
 }
 
-// fullList tells a list that was read from the store.
+// fullList returns a list read from the store as an update. It sorts records.
 func fullList(records []backend.Record) *upstream.List {
 	slices.SortFunc(records, byInstance)
 	return &upstream.List{Digest: digestOf(records), Told: true, Records: records}
@@ -41,8 +40,8 @@
 
 func byInstance(a, b backend.Record) int { return cmp.Compare(a.Instance, b.Instance) }
 
-// changesSince returns what changed since the copy of a digest; if that is not known,
-// or not shorter, it returns the whole list, with a base of 0.
+// changesSince returns the changes since the list with a digest; if they are unknown or
+// not shorter, it returns the full list, with a base of 0.
 func (l *recordList) changesSince(digest uint64) (base uint64, records []backend.Record, removed []ident.Incarnation) {
 	first := slices.IndexFunc(l.changes, func(change listChange) bool { return change.base == digest })
 	if first < 0 || digest == 0 {
@@ -66,7 +65,7 @@
 	return digest, slices.SortedFunc(maps.Values(changed), byInstance), slices.Sorted(maps.Keys(gone))
 }
 
-// apply takes in a list that is told; it reports whether it fits this copy.
+// apply applies an update, and reports whether it fits this copy.
 func (l *recordList) apply(list *upstream.List) bool {
 	records := list.Records
 	if list.Base != 0 {
@@ -75,7 +74,7 @@
 		}
 		records = l.mergedWith(list.Records, list.Removed)
 		if digestOf(records) != list.Digest {
-			// The copies differ in spite of their names: the whole list is due.
+			// The copies differ despite equal digests: drop this one to get the full list.
 			*l = recordList{}
 			return false
 		}
@@ -90,8 +89,7 @@
 	return true
 }
 
-// mergedWith returns this list with some records added or replaced and others
-// removed.
+// mergedWith returns this list with some records added or replaced and others removed.
 func (l *recordList) mergedWith(records []backend.Record, removed []ident.Incarnation) []backend.Record {
 	merged := make(map[ident.Incarnation]backend.Record, len(l.records)+len(records))
 	for _, record := range l.records {
@@ -106,8 +104,8 @@
 	return slices.SortedFunc(maps.Values(merged), byInstance)
 }
 
-// difference returns the records of a list that an older one lacks or has with
-// other content, and the instances that are gone. Both are ordered by instance.
+// difference returns the records that were added or changed since an older list, and the
+// instances that were removed. All are ordered by instance.
 func difference(older, newer []backend.Record) (changed []backend.Record, gone []ident.Incarnation) {
 	index := 0
 	for _, record := range newer {
@@ -130,15 +128,15 @@
 	return changed, gone
 }
 
-// sameContent compares two records apart from their revisions, which rise with
-// each heartbeat.
+// sameContent compares two records without their revisions, which rise with each
+// heartbeat.
 func sameContent(a, b *backend.Record) bool {
 	return a.Instance == b.Instance && a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone &&
 		a.Release == b.Release && a.Slots == b.Slots && a.Draining == b.Draining && maps.Equal(a.Models, b.Models)
 }
 
-// digestOf names the content of a list ordered by instance, apart from the
-// revisions of its records. It is never 0.
+// digestOf returns a hash of a list ordered by instance, without the revisions of its
+// records. It is never 0.
 func digestOf(records []backend.Record) uint64 {
 	digest := xxhash.New()
 	number := func(value int) {
--- a/internal/node/recordlist_test.go
+++ b/internal/node/recordlist_test.go
@@ -12,14 +12,14 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// updateFor returns what a router with the list tells one that holds a copy.
+// updateFor returns the update that a router with the list sends to one with a copy.
 func updateFor(list *recordList, held uint64) *upstream.List {
 	update := &upstream.List{Digest: list.digest, Told: true}
 	update.Base, update.Records, update.Removed = list.changesSince(held)
 	return update
 }
 
-// editRecords makes another list of some of the same back ends.
+// editRecords returns a changed list with some of the same back ends.
 func editRecords(random *rand.Rand, records []backend.Record, revision uint64) []backend.Record {
 	var edited []backend.Record
 	for _, record := range records {
@@ -41,7 +41,7 @@
 	return edited
 }
 
-// Whatever copy a peer holds, what it is told brings it to the same list.
+// Updates must bring every copy of the list, however old, to the same content.
 func TestListCopiesConverge(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
@@ -88,7 +88,7 @@
 	tests := []struct {
 		name string
 		list *upstream.List
-		// held is what the copy names afterwards.
+		// held is the digest of the copy afterwards.
 		held uint64
 	}{
 		{"changes of another copy", &upstream.List{Digest: 9, Told: true, Base: 8}, base.Digest},
@@ -100,7 +100,7 @@
 			var list recordList
 			is.True(list.apply(base))
 			is.True(!list.apply(tt.list))
-			is.Equal(list.digest, tt.held) // 0 asks for the whole list
+			is.Equal(list.digest, tt.held) // 0 requests the full list
 		})
 	}
 }
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -19,57 +19,54 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// replica is this router's copy of the shared state: the configuration and the
-// list of back ends, from whichever of the store and the peers told it last. It
-// tells peers what it holds. It is safe for concurrent use.
+// replica is this router's copy of the shared state, mainly the configuration and the instance
+// list, from the store or a peer, and serves it to peers. It is safe for concurrent use.
 type replica struct {
 	node     ident.Node
 	holder   *catalog.Holder
 	backends *backend.Registry
 	decode   func(body []byte) (*catalog.Snapshot, error)
-	// caches is what stores of prompt caches hold; it is passed on, not read here.
+	// caches indexes the contents of prompt cache stores; it is only passed on here.
 	caches *promptcache.Index
-	// canaries takes in orders, states and releases; it is nil where no service is moved
-	// to another release under guard.
+	// canaries receives orders, states and releases; nil without guarded rollouts.
 	canaries *canaries
-	// epochs counts the returns of the store from an older copy.
+	// epochs counts restores of the store.
 	epochs optionalEpochs
-	// guard knows the requests that are held; it may be nil.
+	// guard has the quarantined requests; it may be nil.
 	guard *guard.Guard
-	// updates takes in what back ends said of themselves; it may be nil.
+	// updates applies state updates of back ends; it may be nil.
 	updates *backendUpdates
 
-	mu   sync.Mutex
-	self upstream.Peer
-	// shuttingDown is true once this router is about to end.
+	mu           sync.Mutex
+	self         upstream.Peer
 	shuttingDown bool
 	confirmation uint64
 	changed      chan struct{}
 	// origin is the router that read the store for the newest confirmation.
 	origin ident.Node
-	// originSince is since when that router has done so without another one.
+	// originSince is since when origin has been the same router.
 	originSince time.Time
 	// config is the configuration in force.
 	config heldConfiguration
 	// list was read at listedAt.
 	list     recordList
 	listedAt time.Time
-	// routers is the number of routers in all zones as of countedAt, 0 if not known;
-	// sharers tells among how many the slack of repeats is divided.
+	// routers is the number of routers in all zones as of countedAt, 0 if unknown; sharers
+	// derives from it the number among which the retry slack is divided.
 	routers   int
 	countedAt time.Time
-	// noDecreaseUntil ends the time in which routers may be missing from a count, since the store
-	// came back from an older copy.
+	// noDecreaseUntil is until when routers may not decrease, since a restored store may lack
+	// rows of routers.
 	noDecreaseUntil time.Time
-	// watched is up to where every version of weights that was named is known here, readRevision
-	// the store's revision at this router's last read of the rows.
+	// watched is the position up to which all publications are known, readRevision the
+	// store's revision at this router's last read of the rows.
 	watched      watchPosition
 	readRevision uint64
-	// lastReadClock relates the store's time to this router's clock, as of the same read.
+	// lastReadClock relates the store's clock to this router's, as of the same read.
 	lastReadClock storeClock
 	sharers       *admission.Sharers
-	// rollouts is what is known of rollouts, nil where there is no order. Orders and
-	// states may have been read by different routers.
+	// rollouts are the known rollouts, nil without an order. Orders and states may have been
+	// read by different routers.
 	rollouts *knownRollouts
 }
 
@@ -99,11 +96,10 @@
 	return r.self.Revision
 }
 
-// initializedLocked reports whether both the configuration and the list of back ends are held
-// here; the caller holds the mutex.
+// initializedLocked is initialized for callers that hold the mutex.
 func (r *replica) initializedLocked() bool { return r.config.version != 0 && r.list.digest != 0 }
 
-// initialized reports whether both the configuration and the list of back ends are held.
+// initialized reports whether this router has both a configuration and an instance list.
 func (r *replica) initialized() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +110,7 @@
 func (r *replica) Update(now time.Time, pull *upstream.Pull) *upstream.Update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// The view must not be older than the confirmation and the revision that it is told with.
+	// The view must not be older than the confirmation and the revision that it is sent with.
 	view := r.holder.View()
 	update := &upstream.Update{
 		Revision: r.self.Revision, Confirmation: r.confirmation, Origin: r.origin, Routers: r.routers,
@@ -169,14 +165,14 @@
 	return updates
 }
 
-// copyVersions returns the names of the copies held here, for a pull.
+// copyVersions returns the configuration's version and the instance list's digest, for a pull.
 func (r *replica) copyVersions() (configuration, list uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.config.version, r.list.digest
 }
 
-// joined takes in this router's own row.
+// joined sets this router's own row.
 func (r *replica) joined(self upstream.Peer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,14 +180,14 @@
 	r.sharers.SetJoined(clock.Now())
 }
 
-// rejoined takes in this router's own row as it is in a store that came back from an older copy.
+// rejoined sets this router's own row after a restore of the store.
 func (r *replica) rejoined(self upstream.Peer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.self = self
 }
 
-// storeRestored takes in that the store came back from an older copy: rows of routers may be missing.
+// storeRestored handles a restore of the store: rows of routers may be missing.
 func (r *replica) storeRestored(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,7 +195,7 @@
 	r.bumpConfirmation(r.origin)
 }
 
-// advertiseShutdown tells the peers, those that wait at once, that this router is about to end.
+// advertiseShutdown reports to peers, at once to waiting ones, that this router is shutting down.
 func (r *replica) advertiseShutdown() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -214,7 +210,7 @@
 	return r.origin == r.node
 }
 
-// ownOriginFor returns for how long this router has read every confirmation itself, 0 if it
+// ownOriginFor returns for how long this router has read all confirmations itself, 0 if it
 // did not read the newest one.
 func (r *replica) ownOriginFor() time.Duration {
 	r.mu.Lock()
@@ -225,8 +221,8 @@
 	return clock.Since(r.originSince)
 }
 
-// observeRouterCount takes in the number of routers in all zones, as read at a time. What a peer tells
-// may be older than what is known here.
+// observeRouterCount records the number of routers in all zones, as read at a time. Counts from
+// peers may be older than the known one, and are then ignored.
 func (r *replica) observeRouterCount(readAt time.Time, routers int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -247,22 +243,22 @@
 	return now.Sub(r.countedAt)
 }
 
-// Routers returns the number of routers in all zones, 0 if not known.
+// Routers returns the number of routers in all zones, 0 if unknown.
 func (r *replica) Routers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.routers
 }
 
-// Sharers returns the number of routers among which the slack of repeats is divided, 0
-// while this router has no part of it.
+// Sharers returns the number of routers among which the retry slack is divided, 0 while
+// this router has no share of it.
 func (r *replica) Sharers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sharers.Count(clock.Now())
 }
 
-// watchUpdate returns what is told to a peer.
+// watchUpdate returns the position as sent to peers, nil if unknown.
 func watchUpdate(position watchPosition) *upstream.Watched {
 	if position.revision == 0 {
 		return nil
@@ -270,27 +266,27 @@
 	return &upstream.Watched{Revision: position.revision, StoreTime: position.storeTime}
 }
 
-// watchedUntil returns up to where every named version is known.
+// watchedUntil returns the position up to which all publications are known.
 func (r *replica) watchedUntil() watchPosition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.watched
 }
 
-// advanceWatch takes in up to where every named version is known. News are told to the peers
-// that wait.
-func (r *replica) advanceWatch(position watchPosition, hasNews bool) {
+// advanceWatch moves the position up to which all publications are known, never back. If there
+// are new versions, waiting peers are notified.
+func (r *replica) advanceWatch(position watchPosition, anyNew bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if position.revision >= r.watched.revision {
 		r.watched = watchPosition{revision: position.revision, storeTime: max(position.storeTime, r.watched.storeTime)}
 	}
-	if hasNews {
+	if anyNew {
 		r.bumpConfirmation(r.origin)
 	}
 }
 
-// recordRead takes in that this router has read the rows, as it asked for at a time.
+// recordRead records a read of the rows that this router requested at askedAt.
 func (r *replica) recordRead(askedAt time.Time, reading *Reading) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -298,23 +294,23 @@
 	r.lastReadClock = storeClock{storeTime: reading.StoreTime, askedAt: askedAt}
 }
 
-// lastRead returns the moment of this router's last read of the rows.
+// lastRead returns the clocks as of this router's last read of the rows.
 func (r *replica) lastRead() storeClock {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastReadClock
 }
 
-// earliestAnswer returns the earliest moment at which the store can have given an answer that this
-// router asked for at a time.
+// earliestAnswer returns the earliest time at which the store can have sent an answer that was
+// requested at askedAt and has the store's own time storeTime.
 func (r *replica) earliestAnswer(askedAt time.Time, storeTime time.Duration) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastReadClock.earliest(askedAt, storeTime, clock.Now())
 }
 
-// skipForgotten takes in that the store has forgotten changes after the watched revision: it
-// goes on at what the rows told last.
+// skipForgotten moves the watch position, whose next changes the store has forgotten, to the last
+// read of the rows.
 func (r *replica) skipForgotten() (from, to uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -325,8 +321,8 @@
 	return from, r.watched.revision
 }
 
-// applyRollouts takes in what a configuration that was confirmed at a time told of rollouts;
-// the caller holds the mutex.
+// applyRollouts applies the rollouts that came with a configuration confirmed at a time; the
+// caller holds the mutex.
 func (r *replica) applyRollouts(confirmedAt time.Time, read *knownRollouts) {
 	if r.canaries == nil {
 		return
@@ -337,7 +333,7 @@
 	r.canaries.setRollouts(confirmedAt, r.rollouts)
 }
 
-// applyStates takes in the states of rollouts as they were read at a time.
+// applyStates applies the states of rollouts as read at a time.
 func (r *replica) applyStates(readAt time.Time, states []canary.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -351,14 +347,14 @@
 	r.bumpConfirmation(r.origin)
 }
 
-// currentRollouts returns the rollouts that are known.
+// currentRollouts returns the known rollouts, nil without an order.
 func (r *replica) currentRollouts() *knownRollouts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rollouts
 }
 
-// applyList takes in the list of back ends as a router read it at a time.
+// applyList applies the instance list as the origin read it at a time.
 func (r *replica) applyList(origin ident.Node, listedAt time.Time, list *upstream.List) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -378,7 +374,8 @@
 	r.bumpConfirmation(origin)
 }
 
-// bumpConfirmation tells the peers that wait; the caller holds the mutex.
+// bumpConfirmation starts a new confirmation, which wakes waiting peers; the caller holds the
+// mutex.
 func (r *replica) bumpConfirmation(origin ident.Node) {
 	if r.origin != origin {
 		r.origin, r.originSince = origin, clock.Now()
@@ -388,7 +385,7 @@
 	r.changed = make(chan struct{})
 }
 
-// listAge returns the age of the list of back ends, or of the process.
+// listAge returns the age of the instance list, or of the process if there is no list.
 func (r *replica) listAge(now, startedAt time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/routerlist.go
+++ b/internal/node/routerlist.go
@@ -18,25 +18,24 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// routerPrefix is the begin of the keys of the routers' rows, which go on with
-// the zone and the name: each router writes its own at its start, and removes it
-// at the end of a planned stop.
+// routerPrefix starts the keys of the routers' rows, followed by zone and name. Each
+// router writes its own row at its start and removes it at the end of a planned stop.
 const routerPrefix = "router/"
 
-// maxRouters bounds the rows of routers that are read.
+// maxRouters bounds the number of router rows that are read.
 const maxRouters = 4000
 
 // routerRow is the value of a router's row.
 type routerRow struct {
-	// Addr is where the router takes pulls.
+	// Addr is where the router accepts pulls.
 	Addr netip.AddrPort `cbor:"1,keyasint"`
-	// Incarnation tells the lives of one router apart.
+	// Incarnation identifies one process lifetime of the router.
 	Incarnation string `cbor:"2,keyasint"`
-	// FirstEra is one more than Epochs.First, 0 if that was not known.
+	// FirstEra is one more than Epochs.First, 0 if that was unknown.
 	FirstEra uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// routerList keeps this router's row, and reads those of the others.
+// routerList writes this router's row and reads those of all routers.
 type routerList struct {
 	table       store.Table
 	timeout     time.Duration
@@ -52,11 +51,11 @@
 
 func (r *routerList) key() string { return routerPrefix + string(r.zone) + "/" + string(r.node) }
 
-// join writes this router's row and returns it with those of all routers and
-// their number, read after the write.
+// join writes this router's row and returns it, with the routers and the number of rows
+// as read after the write.
 func (r *routerList) join(ctx context.Context) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
 	if _, known := r.epochs.First(); !known && r.epochs.enabled() {
-		// From when on epochs are counted stands in the rows of those that joined before.
+		// The rows of earlier routers have the first epoch.
 		if _, _, err := r.read(ctx); err != nil {
 			return self, nil, 0, err
 		}
@@ -68,8 +67,8 @@
 	return r.recordRow(ctx, row)
 }
 
-// rejoin is join for a router whose row the store may have lost: it is written only then, so
-// that the order of the routers stays.
+// rejoin is join for a router whose row a restore may have lost. It writes the row only if it is
+// lost, so that the order of the routers stays.
 func (r *routerList) rejoin(ctx context.Context) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
 	bounded, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -83,14 +82,13 @@
 	return r.recordRow(ctx, row)
 }
 
-// current reports whether this router's row was seen since the store came back.
+// current reports whether this router's row was seen in an epoch or later.
 func (r *routerList) current(epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return store.Epoch(r.row.Version) >= epoch
 }
 
-// write writes this router's row.
 func (r *routerList) write(ctx context.Context) (protocol.Row, error) {
 	row := routerRow{Addr: r.addr, Incarnation: r.incarnation}
 	if first, known := r.epochs.First(); known {
@@ -109,7 +107,7 @@
 	return written.Rows[0], nil
 }
 
-// recordRow takes in this router's row, and reads those of all routers.
+// recordRow stores this router's row and reads those of all routers.
 func (r *routerList) recordRow(ctx context.Context, row protocol.Row) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
 	r.mu.Lock()
 	r.row = row
@@ -119,8 +117,7 @@
 	return self, peers, routers, err
 }
 
-// read returns the routers of all zones whose rows are sound, and the number of
-// rows.
+// read returns the routers of all zones with readable rows, and the number of rows.
 func (r *routerList) read(ctx context.Context) (peers []upstream.Peer, routers int, err error) {
 	bounded, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -145,16 +142,16 @@
 }
 
 const (
-	// leaveTimeout bounds the tries to remove a row, so that a store that is away does not hold
-	// up the end of a router for longer than two calls may take.
+	// leaveTimeout bounds the attempts to remove a row, so that an unavailable store does not
+	// delay the shutdown for longer than two calls may take.
 	leaveTimeout = 2 * time.Second
-	// leaveRetryPause follows a removal that failed.
+	// leaveRetryPause follows a failed removal.
 	leaveRetryPause = 200 * time.Millisecond
 )
 
-// leave removes this router's row, unless a later life has written it anew. A removal that
-// the store turns away is tried again: others would count the router for good, and all
-// bounds that are divided by their number would be too small.
+// leave removes this router's row, unless a later incarnation has written it. Failed removals are
+// retried: otherwise the router would count forever, and all bounds that are divided by the number
+// of routers would be too small.
 func (r *routerList) leave(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -170,8 +167,8 @@
 	}
 }
 
-// removeOwn removes this router's row once. A write of its own that was carried out late may
-// have changed the row's revision: then it is removed as the refusal tells it.
+// removeOwn tries once to remove this router's row. If a late write of its own has changed the
+// row's revision, it removes the row at the revision that the refusal returned.
 func (r *routerList) removeOwn(ctx context.Context) error {
 	r.mu.Lock()
 	row := r.row
@@ -188,7 +185,7 @@
 	return err
 }
 
-// remove removes a row at its revision.
+// remove removes a row if it still has this revision.
 func (r *routerList) remove(ctx context.Context, row protocol.Row) (protocol.TransactionResult, error) {
 	return r.table.Commit(ctx, protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: row.Key, Version: row.Version}},
@@ -196,7 +193,7 @@
 	})
 }
 
-// refusedBy returns the row whose revision refused a transaction, if one did.
+// refusedBy returns the row whose revision made a transaction fail, the zero row if none did.
 func refusedBy(result protocol.TransactionResult) protocol.Row {
 	if result.Committed || len(result.Rows) == 0 {
 		return protocol.Row{}
@@ -204,7 +201,7 @@
 	return result.Rows[0]
 }
 
-// owns reports whether a row is there and was written by this life of the router.
+// owns reports whether a row exists and was written by this incarnation of the router.
 func (r *routerList) owns(row protocol.Row) bool {
 	var written routerRow
 	return row.Version != 0 && cbor.Unmarshal(row.Value, &written) == nil && written.Incarnation == r.incarnation
--- a/internal/node/sharers_test.go
+++ b/internal/node/sharers_test.go
@@ -1,15 +1,7 @@
 package node
 
-// Users saw engines get more repeats in ten seconds than the budget grants, after all
-// routers had been told to restart, one shortly after the other. Each removed its row in
-// the store when its stop began and served on for seconds. Those that started meanwhile
-// counted the few rows there were, or took the small count of the peer that they pulled
-// from, and each used the part of the slack that one of so few has. The logs of such a
-// restart proved it: six of seven routers divided the slack by two. The tests below
-// showed it: a router that is stopping was not counted, and what routers that restart in
-// turn may send together was above the slack. They also showed that each life of a router
-// that is killed again and again was granted the router's part anew, since what a life was
-// granted is forgotten with it.
+// The retry slack is divided by the number of routers. Restarts must not raise what all routers
+// use together, neither by low counts nor by a new share for each incarnation.
 
 import (
 	"context"
@@ -30,7 +22,7 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// A router that is told to stop serves on, and counts among the routers until it ends.
+// A stopping router still serves and must be counted until it ends.
 func TestStoppingRouterIsCountedUntilItEnds(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
@@ -57,13 +49,13 @@
 	is.Equal(counted(), 0)
 }
 
-// greedySlack is the slack of the whole system in the tests of greedy routers.
+// greedySlack is the retry slack of all routers of a greedyFleet.
 const greedySlack = 54
 
-// greedyWindow is the window that the slack is granted in.
+// greedyWindow is the window of the retry slack.
 var greedyWindow = admission.WindowConfig{Window: zoneSharers.Window}
 
-// greedyFleet is a zone whose routers are greedy and are restarted.
+// greedyFleet is a zone whose routers use their whole share of the retry slack.
 type greedyFleet struct {
 	*zone
 
@@ -71,7 +63,7 @@
 	grants   []time.Time
 }
 
-// up starts a life of a router; end ends it.
+// up starts an incarnation of a router; end kills it.
 func (f *greedyFleet) up(t *testing.T, node ident.Node) (running *zoneRouter, end func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	running = f.start(ctx, node)
@@ -82,7 +74,7 @@
 	}
 }
 
-// useSlack sends all repeats that a router may send without a request.
+// useSlack records all retries that the router's share of the slack allows.
 func (f *greedyFleet) useSlack(ctx context.Context, running *zoneRouter) {
 	budget := admission.NewWindowBudget(greedyWindow, time.Now())
 	wait.Every(ctx, 50*time.Millisecond, func() {
@@ -96,8 +88,8 @@
 	})
 }
 
-// restart ends a life of a router as a planned stop does, which serves on for a while, and
-// starts the next one.
+// restart ends a router as a planned stop does, after it has served for a while, and starts it
+// again.
 func (f *greedyFleet) restart(t *testing.T, running *zoneRouter, end func(), serves, pause time.Duration) {
 	time.Sleep(serves)
 	end()
@@ -106,7 +98,7 @@
 	f.up(t, running.node)
 }
 
-// maxInWindow returns the largest number of repeats that were sent in one window.
+// maxInWindow returns the largest number of retries in one window.
 func (f *greedyFleet) maxInWindow() int {
 	f.granting.Lock()
 	defer f.granting.Unlock()
@@ -121,11 +113,12 @@
 	return most
 }
 
-// requireWithinSlack fails if more was sent in a window than the slack, or if it was not used.
+// requireWithinSlack fails if a window had more retries than the slack, or if the slack was not
+// used.
 func (f *greedyFleet) requireWithinSlack(t *testing.T) {
 	t.Helper()
 	most := f.maxInWindow()
-	t.Logf("at most %d repeats in a window, %d may be", most, greedySlack)
+	t.Logf("at most %d retries in a window, %d are allowed", most, greedySlack)
 	is := is.New(t)
 	is.True(most <= greedySlack)
 	is.True(most > greedySlack*3/4)
@@ -169,7 +162,7 @@
 	})
 }
 
-// A router has no part of the slack until all have counted it for a window of repeats.
+// A router must have no share of the slack until all have counted it for a window.
 func TestRouterGetsShareOfSlackAfterWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -198,7 +191,7 @@
 type randomFleet struct {
 	greedyFleet
 	random *rand.Rand
-	// ends end the life of each router that is up.
+	// ends end the routers that are up.
 	ends [12]func()
 }
 
@@ -230,7 +223,7 @@
 	}
 }
 
-// Whatever is done to the routers, in whatever order, they have one slack.
+// Random starts, kills and planned stops must not raise the retries above the slack.
 func TestRandomRestartsStayWithinSlack(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/node/stalecount_test.go
+++ b/internal/node/stalecount_test.go
@@ -1,9 +1,7 @@
 package node
 
-// The slack of repeats is divided by the number of routers, which those that read the
-// store's rows count and tell on. A router that is cut off from the store and its peers, or
-// whose reader died just before a count, knew an old number for longer than the others rely
-// on, and kept the part of the slack that one of so few has while machines joined.
+// The retry slack is divided by the number of routers. A router with an old, too low number, as
+// after a cut-off or the death of the reader, must not keep a large share while routers join.
 
 import (
 	"context"
@@ -20,7 +18,7 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// cutOffTable is the store's rows as a router sees them that may be cut off from them.
+// cutOffTable is a table that cannot be listed while the router is cut off.
 type cutOffTable struct {
 	store.Table
 	router *zoneRouter
@@ -37,7 +35,7 @@
 	return c.Table.List(ctx, prefix, limit)
 }
 
-// newCutOffFleet returns a fleet whose routers, when cut off, cannot read the rows either.
+// newCutOffFleet returns a fleet whose cut-off routers cannot read the router list either.
 func newCutOffFleet() *greedyFleet {
 	f := &greedyFleet{zone: newZone()}
 	f.beforeStart = func(_ context.Context, running *zoneRouter) {
@@ -46,7 +44,7 @@
 	return f
 }
 
-// startIdle starts a life of a router that wants no repeat for a while.
+// startIdle starts a router that sends no retries for a while.
 func (f *greedyFleet) startIdle(t *testing.T, node ident.Node, quiet time.Duration) *zoneRouter {
 	ctx, cancel := context.WithCancel(t.Context())
 	running := f.start(ctx, node)
@@ -63,14 +61,14 @@
 	return running
 }
 
-// startNew starts routers that are greedy from the moment on at which they have a part.
+// startNew starts further routers, which use their whole share of the slack from the start.
 func (f *greedyFleet) startNew(t *testing.T, routers int) {
 	for index := range routers {
 		f.up(t, ident.Node(fmt.Sprint("new", index)))
 	}
 }
 
-// A router that is cut off from the store and all peers does not know who joins.
+// A router that is cut off from the store and all peers does not see who joins.
 func TestCutOffRouterGetsNoShareOfTheSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCutOffFleet()
@@ -89,8 +87,8 @@
 	})
 }
 
-// Routers that joined, were granted something and left while this one was cut off are in
-// no count that it knows when it is back.
+// A reconnected router must wait a window: routers that joined, used a share and left while it
+// was cut off are in none of its counts.
 func TestReconnectedRouterWaitsOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCutOffFleet()
@@ -110,13 +108,14 @@
 		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = false })
 		time.Sleep(time.Minute)
 		if far.follower.replica.Sharers() == 0 {
-			t.Error("the router that is back has no part of the slack")
+			t.Error("the reconnected router has no share of the slack")
 		}
 		f.requireWithinSlack(t)
 	})
 }
 
-// The router that reads for all is killed just before a count, after machines joined.
+// The count must stay timely if the router that reads for all is killed just before a count,
+// after others joined.
 func TestRouterCountIsTimelyWhenReaderDies(t *testing.T) {
 	for _, died := range []time.Duration{4 * time.Second, 4500 * time.Millisecond, 4900 * time.Millisecond, 4990 * time.Millisecond} {
 		t.Run(died.String(), func(t *testing.T) {
@@ -136,8 +135,8 @@
 	}
 }
 
-// A router that joins counts the rows itself; what the peer that it pulls from counted some
-// seconds before has fewer. Connections and limits of tenants are divided by that number.
+// A joining router's own count must not be replaced by an older, lower one of the peer that it
+// pulls from: tenants' connections and limits are divided by that number.
 func TestJoiningRouterKeepsItsOwnCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCutOffFleet()
@@ -150,7 +149,7 @@
 		}
 		for range 50 {
 			if routers := last.follower.replica.Routers(); routers != 7 {
-				t.Fatalf("the router that joined last divides by %d, not by 7", routers)
+				t.Fatalf("the router that joined last counts %d routers, not 7", routers)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/internal/node/storeclock.go
+++ b/internal/node/storeclock.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// storeClock relates the store's own steady time to this router's clock, which goes on while
-// the process is paused: the store told its time at askedAt or later.
+// storeClock relates the store's own monotonic time to this router's clock, which runs on while
+// the process is paused: the store's time was storeTime at askedAt or later.
 type storeClock struct {
-	// storeTime is 0 if it is not known.
+	// storeTime is 0 if unknown.
 	storeTime time.Duration
 	askedAt   time.Time
 }
 
-// earliest returns the earliest moment here at which the store can have given an answer that
-// was asked for at a time, given its own time then. The moment at which the answer was read
-// says nothing: a process that was paused reads it late. The one at which it was asked for is
-// safe, but an answer that is held back is given up to 10 s after that.
+// earliest returns the earliest local time at which the store can have sent an answer that was
+// requested at askedAt and has the store's time storeTime. The time at which the answer was read
+// may be too late, as the process may have been paused, and askedAt may be watchHold too early.
 func (m storeClock) earliest(askedAt time.Time, storeTime time.Duration, now time.Time) time.Time {
 	if m.storeTime == 0 || storeTime == 0 {
 		return askedAt
