--- a/internal/node/epoch_test.go
+++ b/internal/node/epoch_test.go
@@ -15,25 +15,27 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// cameBack is a Source whose store came back from an older copy: it tells no history of before.
-type cameBack struct{ *fakeStore }
+// restoredStore is a Source whose store was restored from an older copy: it has no history from
+// before the restore.
+type restoredStore struct{ *fakeStore }
 
 // Configurations implements Source.
-func (c cameBack) Configurations(ctx context.Context, after, until uint64) ([]Reading, error) {
+func (c restoredStore) Configurations(ctx context.Context, after, until uint64) ([]Reading, error) {
 	if after != 0 && store.Epoch(after) != store.Epoch(until) {
 		return nil, ErrHistoryGone
 	}
 	return c.fakeStore.Configurations(ctx, after, until)
 }
 
-// What the row of the configuration shows after the store came back from an older copy.
-func TestTheConfigurationAfterTheStoreCameBack(t *testing.T) {
+// After a restore an older configuration in the row must not replace the one in force, nor
+// confirm it.
+func TestConfigurationAfterStoreRestore(t *testing.T) {
 	tests := []struct {
 		name string
-		// version and body are those of the row then.
+		// version and body are those of the row after the restore.
 		version uint64
 		body    string
-		// held is the version in force then.
+		// held is the version in force afterwards.
 		held      uint64
 		confirmed bool
 	}{
@@ -49,11 +51,11 @@
 				fake := newFakeStore()
 				fake.reading.Revision, fake.reading.Body, fake.snapshot.Version = 40, []byte("held"), 5
 				f := newFollower(fake)
-				f.source = cameBack{fake}
+				f.source = restoredStore{fake}
 				is.NoErr(f.readConfiguration(t.Context()))
 				is.Equal(f.replica.holder.View().Snapshot.Version, uint64(5))
 				time.Sleep(time.Minute)
-				// Its version was given out again.
+				// The restored store assigns the same revision again.
 				fake.reading.Revision, fake.reading.Body, fake.snapshot.Version = store.Revision(1, 40), []byte(tt.body), tt.version
 				is.NoErr(f.readConfiguration(t.Context()))
 				view := f.replica.holder.View()
@@ -65,14 +67,15 @@
 	}
 }
 
-// countedEpochs is a count of returns that a test sets. It implements Epochs.
-type countedEpochs struct{ epoch atomic.Uint64 }
+// fakeEpochs implements Epochs with an epoch that a test sets.
+type fakeEpochs struct{ epoch atomic.Uint64 }
 
-func (c *countedEpochs) Epoch() uint64         { return c.epoch.Load() }
-func (c *countedEpochs) First() (uint64, bool) { return 3, true }
-func (c *countedEpochs) ObserveFirst(uint64)   {}
+func (c *fakeEpochs) Epoch() uint64         { return c.epoch.Load() }
+func (c *fakeEpochs) First() (uint64, bool) { return 3, true }
+func (c *fakeEpochs) ObserveFirst(uint64)   {}
 
-func TestARouterWritesItsRowAgainOnlyIfItIsLost(t *testing.T) {
+// After a restore a router must write its row again only if it is lost, to keep the routers' order.
+func TestRouterRewritesRowOnlyIfLost(t *testing.T) {
 	tests := []struct {
 		name string
 		lost bool
@@ -81,7 +84,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			table := &epochTable{fakeStore: newFakeStore()}
-			r := &routerList{table: table, timeout: time.Second, node: "n", zone: "z", incarnation: "1", epochs: optionalEpochs{&countedEpochs{}}}
+			r := &routerList{table: table, timeout: time.Second, node: "n", zone: "z", incarnation: "1", epochs: optionalEpochs{&fakeEpochs{}}}
 			self, _, _, err := r.join(t.Context())
 			is.NoErr(err)
 			is.True(r.current(0))
@@ -103,7 +106,7 @@
 	}
 }
 
-// epochTable is a table whose rows are of an epoch.
+// epochTable is a table whose rows have versions of an epoch.
 type epochTable struct {
 	*fakeStore
 	epoch  uint64
@@ -129,43 +132,43 @@
 	return row, found, err
 }
 
-// Rows of routers may be missing for a while: bounds that are divided by their number must not
-// grow meanwhile.
-func TestRoutersAreNotTakenForFewerRightAfterTheStoreCameBack(t *testing.T) {
+// A restored store may lack rows of routers for a while: bounds that are divided by their number
+// must not grow in that time.
+func TestRouterCountDoesNotShrinkAfterStoreRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFollower(newFakeStore())
-		counted := &countedEpochs{}
+		counted := &fakeEpochs{}
 		f.epochs = optionalEpochs{counted}
-		f.replica.counted(time.Now(), 7)
+		f.replica.observeRouterCount(time.Now(), 7)
 		time.Sleep(time.Second)
 		counted.epoch.Store(1)
-		f.noteEpoch()
-		f.replica.counted(time.Now(), 2)
+		f.observeEpoch()
+		f.replica.observeRouterCount(time.Now(), 2)
 		is.Equal(f.replica.Routers(), 7)
 		time.Sleep(time.Second)
-		f.replica.counted(time.Now(), 9)
+		f.replica.observeRouterCount(time.Now(), 9)
 		is.Equal(f.replica.Routers(), 9)
-		time.Sleep(rejoinedWithin)
-		f.replica.counted(time.Now(), 6)
+		time.Sleep(rejoinWindow)
+		f.replica.observeRouterCount(time.Now(), 6)
 		is.Equal(f.replica.Routers(), 6)
 	})
 }
 
-// A router that reads nothing of the store itself hears of its return from a peer.
-func TestAPeerTellsThatTheStoreCameBack(t *testing.T) {
+// A router that does not read the store must learn of a restore from a peer.
+func TestPeerReportsStoreRestore(t *testing.T) {
 	is := is.New(t)
 	f := newFollower(newFakeStore())
-	f.takeEpoch(&upstream.Update{Epoch: 2})
+	f.applyPeerEpoch(&upstream.Update{Epoch: 2})
 	is.Equal(f.seenEpoch.Load(), uint64(2))
-	f.takeEpoch(&upstream.Update{}) // of an older build, or one that has not heard of it
+	f.applyPeerEpoch(&upstream.Update{}) // of an older build, or of a peer that has not observed it
 	is.Equal(f.seenEpoch.Load(), uint64(2))
-	is.True(!f.knowsReturns(&upstream.Update{Epoch: 1}))
-	is.True(f.knowsReturns(&upstream.Update{Epoch: 2})) // this router knows of no era itself
-	f.epochs = optionalEpochs{&countedEpochs{}}
-	is.True(!f.knowsReturns(&upstream.Update{Epoch: 2}))
-	is.True(f.knowsReturns(&upstream.Update{Epoch: 2, FirstEra: 4}))
-	f.replica.epochs = optionalEpochs{&countedEpochs{}}
-	told := f.replica.Update(time.Now(), &upstream.Pull{From: upstream.Peer{Node: ident.Node("m")}})
-	is.Equal(told.FirstEra, uint64(4))
+	is.True(!f.epochsCurrent(&upstream.Update{Epoch: 1}))
+	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2})) // this router has no first epoch itself
+	f.epochs = optionalEpochs{&fakeEpochs{}}
+	is.True(!f.epochsCurrent(&upstream.Update{Epoch: 2}))
+	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2, FirstEra: 4}))
+	f.replica.epochs = optionalEpochs{&fakeEpochs{}}
+	update := f.replica.Update(time.Now(), &upstream.Pull{From: upstream.Peer{Node: ident.Node("m")}})
+	is.Equal(update.FirstEra, uint64(4))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -176,7 +176,7 @@
 // the next count, and state older than StaleAfter is not lived on.
 func (c *Config) sharers() admission.SharersConfig {
 	return admission.SharersConfig{
-		Window: c.Forward.Retries.Window, Lag: c.Follow.RosterInterval + c.Follow.Chain.StaleAfter,
+		Window: c.Forward.Retries.Window, Lag: c.Follow.RouterListInterval + c.Follow.Chain.StaleAfter,
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -58,7 +58,7 @@
 		MetricsAddress: freeAddress(t), MetricsPath: "/metrics", PeerAddr: peerAddr,
 		Follow: FollowConfig{
 			ConfigurationInterval: 20 * time.Millisecond, BackendInterval: 20 * time.Millisecond,
-			ReadTimeout: time.Second, RetryPause: 10 * time.Millisecond, RosterInterval: time.Second,
+			ReadTimeout: time.Second, RetryPause: 10 * time.Millisecond, RouterListInterval: time.Second,
 		},
 		Forward:     forward.Config{Freshness: catalog.Freshness{Keyed: time.Minute}},
 		GracePeriod: 5 * time.Second, ShutdownDelay: 150 * time.Millisecond,
--- a/internal/node/notices_test.go
+++ b/internal/node/notifier_test.go
@@ -19,7 +19,7 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-func TestNoticesReachTheOtherRouters(t *testing.T) {
+func TestNotificationsReachOtherRouters(t *testing.T) {
 	is := is.New(t)
 	listed := func() *backend.Registry {
 		known := backend.NewRegistry(backend.Config{})
@@ -42,13 +42,13 @@
 	addr := open(other).socket.LocalAddr().(interface{ AddrPort() netip.AddrPort }).AddrPort()
 	own := listed()
 	holder := open(own, addr)
-	_, err := holder.socket.WriteToUDPAddrPort([]byte("no notice"), addr)
+	_, err := holder.socket.WriteToUDPAddrPort([]byte("garbage"), addr)
 	is.NoErr(err)
-	notice := rollout.Notification{Model: model, Version: 2}
+	notification := rollout.Notification{Model: model, Version: 2}
 	for _, record := range own.Records() {
-		notice.Loading = append(notice.Loading, record.Instance)
+		notification.Loading = append(notification.Loading, record.Instance)
 	}
-	holder.Announce(notice)
+	holder.Announce(notification)
 	query := &backend.Query{Service: "s", Model: model}
 	for _, known := range []*backend.Registry{own, other} {
 		eventually(t, func() bool {
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestWhatChecksFindReachesTheOtherRouters(t *testing.T) {
+func TestHealthNotificationsReachOtherRouters(t *testing.T) {
 	is := is.New(t)
 	listed := func() *backend.Registry {
 		known := backend.NewRegistry(backend.Config{})
@@ -89,23 +89,23 @@
 	is.NoErr(err)
 	go other.listen(t.Context())
 	addr := other.socket.LocalAddr().(interface{ AddrPort() netip.AddrPort }).AddrPort()
-	teller, err := listenNotifications(netip.MustParseAddrPort("127.0.0.1:0"), listed(), recipientsOf(addr))
+	sender, err := listenNotifications(netip.MustParseAddrPort("127.0.0.1:0"), listed(), recipientsOf(addr))
 	is.NoErr(err)
-	defer func() { _ = teller.socket.Close() }()
+	defer func() { _ = sender.socket.Close() }()
 	tests := []struct {
-		name   string
-		notice health.Notification
-		want   ident.Incarnation
+		name         string
+		notification health.Notification
+		want         ident.Incarnation
 	}{
 		{"a silent engine", health.Notification{Silent: []ident.Incarnation{"a"}}, "b"},
-		{"one that answers, and a queue at the other", health.Notification{
+		{"an answering engine, and a queue at the other", health.Notification{
 			Answering: []ident.Incarnation{"a"}, Queues: []health.Queue{{Instance: "b", Waiting: 9}},
 		}, "a"},
 		{"a back end that is gone", health.Notification{Gone: []ident.Incarnation{"a"}}, "b"},
 	}
 	for _, tt := range tests {
-		teller.notifyHealth(tt.notice)
-		for _, known := range []*backend.Registry{teller.backends, other.backends} {
+		sender.notifyHealth(tt.notification)
+		for _, known := range []*backend.Registry{sender.backends, other.backends} {
 			eventually(t, func() bool {
 				choice, flight, found := known.Pick(time.Now(), &backend.Query{Service: "s", Model: model})
 				if found {
@@ -117,21 +117,20 @@
 	}
 }
 
-// recipientsOf returns the audience that routers at these addresses are.
+// recipientsOf returns recipients that are routers at these addresses.
 func recipientsOf(addrs ...netip.AddrPort) *recipients {
 	var peers []upstream.Peer
 	for index, addr := range addrs {
 		peers = append(peers, upstream.Peer{Node: ident.Node(fmt.Sprint("n", index)), Addr: addr})
 	}
-	told := &recipients{}
-	told.know(peers)
-	return told
+	targets := &recipients{}
+	targets.set(peers)
+	return targets
 }
 
-// Engines that are emptied get no new work until they have had the time for that and
-// for their load.
-// What counts by its sender is not passed on: a stranger's permit would come from a router.
-func TestOnlyNoticesArePassedOn(t *testing.T) {
+// Contents that are trusted by their sender must not be relayed: a stranger's permit would then
+// come from a router.
+func TestOnlyNotificationsAreRelayed(t *testing.T) {
 	is := is.New(t)
 	local := netip.MustParseAddrPort("127.0.0.1:0")
 	peer, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(local))
@@ -160,12 +159,13 @@
 	is.True(passed.Quota == nil)
 }
 
-func TestEmptiedEnginesGetNoNewWork(t *testing.T) {
+// Quiescing engines must get no new work until they have had the time to quiesce and to load.
+func TestQuiescingEnginesGetNoNewWork(t *testing.T) {
 	is := is.New(t)
 	known := backend.NewRegistry(backend.Config{})
 	known.ApplyList(time.Now(), []backend.Record{{Instance: "a", Service: "s", Models: map[ident.Model]int{model: 1}}})
-	told := &notifier{backends: known, recipients: recipientsOf()}
-	told.Announce(rollout.Notification{
+	sender := &notifier{backends: known, recipients: recipientsOf()}
+	sender.Announce(rollout.Notification{
 		Model: model, Version: 2, Emptying: []ident.Incarnation{"a"}, EmptyTime: time.Minute, LoadTime: time.Hour,
 	})
 	tests := []struct {
@@ -175,7 +175,7 @@
 	}{
 		{"at once", 0, false},
 		{"while it loads", 59 * time.Minute, false},
-		{"when it mostly has the version", 62 * time.Minute, true},
+		{"after the time to quiesce and load", 62 * time.Minute, true},
 	}
 	for _, tt := range tests {
 		_, _, found := known.Pick(time.Now().Add(tt.after), &backend.Query{Service: "s", Model: model})
@@ -192,37 +192,37 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("it never came true")
+	t.Fatal("the condition did not become true")
 }
 
-func TestALongNoticeIsSplit(t *testing.T) {
+func TestLongNotificationIsSplit(t *testing.T) {
 	is := is.New(t)
-	notice := rollout.Notification{Model: model, Version: 2, LoadTime: time.Second, EmptyTime: time.Millisecond}
+	notification := rollout.Notification{Model: model, Version: 2, LoadTime: time.Second, EmptyTime: time.Millisecond}
 	for index := range 95 {
-		notice.Loading = append(notice.Loading, ident.Incarnation(fmt.Sprint("l", index)))
+		notification.Loading = append(notification.Loading, ident.Incarnation(fmt.Sprint("l", index)))
 	}
 	for index := range 50 {
-		notice.Loaded = append(notice.Loaded, ident.Incarnation(fmt.Sprint("d", index)))
+		notification.Loaded = append(notification.Loaded, ident.Incarnation(fmt.Sprint("d", index)))
 	}
 	for index := range 45 {
-		notice.Unsettled = append(notice.Unsettled, ident.Incarnation(fmt.Sprint("u", index)))
+		notification.Unsettled = append(notification.Unsettled, ident.Incarnation(fmt.Sprint("u", index)))
 	}
 	for index := range 55 {
-		notice.Emptying = append(notice.Emptying, ident.Incarnation(fmt.Sprint("e", index)))
+		notification.Emptying = append(notification.Emptying, ident.Incarnation(fmt.Sprint("e", index)))
 	}
 	var joined rollout.Notification
-	for _, part := range splitNotice(notice) {
+	for _, part := range splitRollout(notification) {
 		is.True(len(part.Loading)+len(part.Loaded)+len(part.Unsettled)+len(part.Emptying) <= enginesPerNotification)
-		is.Equal(part.LoadTime, notice.LoadTime)
-		is.Equal(part.EmptyTime, notice.EmptyTime)
+		is.Equal(part.LoadTime, notification.LoadTime)
+		is.Equal(part.EmptyTime, notification.EmptyTime)
 		joined.Emptying = append(joined.Emptying, part.Emptying...)
 		joined.Unsettled = append(joined.Unsettled, part.Unsettled...)
 		joined.Loading = append(joined.Loading, part.Loading...)
 		joined.Loaded = append(joined.Loaded, part.Loaded...)
 	}
-	is.Equal(joined.Loading, notice.Loading)
-	is.Equal(joined.Loaded, notice.Loaded)
-	is.Equal(joined.Unsettled, notice.Unsettled)
-	is.Equal(joined.Emptying, notice.Emptying)
-	is.Equal(len(splitNotice(rollout.Notification{})), 0)
+	is.Equal(joined.Loading, notification.Loading)
+	is.Equal(joined.Loaded, notification.Loaded)
+	is.Equal(joined.Unsettled, notification.Unsettled)
+	is.Equal(joined.Emptying, notification.Emptying)
+	is.Equal(len(splitRollout(rollout.Notification{})), 0)
 }
--- a/internal/node/namingfaults_test.go
+++ b/internal/node/publicationfaults_test.go
@@ -12,34 +12,34 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// The first read of the naming rows by a router that starts gets no answer, and the history
-// is gone: the rows are read again at the begin of the watch.
-func TestNamingRowsAreTakenInThoughTheFirstReadFailed(t *testing.T) {
+// If a starting router's first read of the publication rows fails and the history is gone, the
+// watch must read the rows again.
+func TestPublicationRowsAreReadAgainAfterFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
-		z.store.name(3, 2)
+		z.store.publish(3, 2)
 		time.Sleep(time.Second)
 		z.kill("a")
 		time.Sleep(time.Minute)
 		z.store.forget(z.store.revision())
 		lists := &atomic.Int32{}
 		lists.Store(1)
-		z.namingTable = &refusingTable{fakeStore: z.store, noList: namingPrefix, failLists: lists}
+		z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
 		started := z.start(t.Context(), "b")
 		time.Sleep(time.Minute)
 		is.Equal(started.newest().Version, 3)
 	})
 }
 
-// A router is cut off while others see and keep a version; then those end, and the
-// history is gone. It reads the store again: the naming row tells the version.
-func TestARouterThatWasCutOffFindsTheNamingRow(t *testing.T) {
+// A router that was cut off while others saw and saved a version must find it by its row when
+// those have ended and the history is gone.
+func TestReconnectedRouterReadsPublicationRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.start(t.Context(), "a-1")
 		time.Sleep(20 * time.Millisecond)
 		second := z.start(t.Context(), "b-2")
@@ -49,7 +49,7 @@
 		z.routers["b-2"].cutOff = true
 		z.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		z.store.name(3, 2)
+		z.store.publish(3, 2)
 		time.Sleep(5 * time.Second)
 		z.store.forget(z.store.revision())
 		z.kill("a-1")
@@ -62,20 +62,20 @@
 	})
 }
 
-// Two models. The row of one model's naming cannot be written until its router ends; the
-// row of the other's must name no revision beyond it. The history is whole.
-func TestAKeptRevisionClaimsOnlyWhatIsKept(t *testing.T) {
+// If the row of one model's version was never written, the row of another model must not
+// claim to be complete beyond it.
+func TestStoredRevisionCoversOnlyStoredPublications(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
-		z.store.nameOf(model, 2)
-		z.store.nameOf(otherModel, 2)
-		z.namingTable = &refusingTable{fakeStore: z.store, noWrite: namingPrefix + string(otherModel)}
+		z.store.publishOf(model, 2)
+		z.store.publishOf(otherModel, 2)
+		z.namingTable = &refusingTable{fakeStore: z.store, noWrite: publicationPrefix + string(otherModel)}
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
-		z.store.nameOf(otherModel, 3, 2)
+		z.store.publishOf(otherModel, 3, 2)
 		time.Sleep(500 * time.Millisecond)
-		z.store.nameOf(model, 3)
+		z.store.publishOf(model, 3)
 		time.Sleep(500 * time.Millisecond)
 		z.kill("a")
 		z.namingTable = z.store
@@ -86,24 +86,24 @@
 	})
 }
 
-// Two models, both kept. A router that starts reads the rows of one; the read of the other's
-// gets no answer. The history is whole.
-func TestAReadThatFailsDoesNotHideTheOtherModel(t *testing.T) {
+// If a starting router reads the rows of one of two models only, it must not skip changes of
+// the other.
+func TestFailedReadDoesNotHideOtherModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
-		z.store.nameOf(model, 2)
-		z.store.nameOf(otherModel, 2)
+		z.store.publishOf(model, 2)
+		z.store.publishOf(otherModel, 2)
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
-		z.store.nameOf(otherModel, 3, 2)
+		z.store.publishOf(otherModel, 3, 2)
 		time.Sleep(500 * time.Millisecond)
-		z.store.nameOf(model, 3)
+		z.store.publishOf(model, 3)
 		time.Sleep(500 * time.Millisecond)
 		z.kill("a")
 		lists := &atomic.Int32{}
 		lists.Store(1)
-		z.namingTable = &refusingTable{fakeStore: z.store, noList: namingPrefix + string(otherModel), failLists: lists}
+		z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix + string(otherModel), failLists: lists}
 		started := z.start(t.Context(), "b")
 		time.Sleep(time.Minute)
 		is.Equal(started.newestOf(model), 3)
@@ -111,20 +111,20 @@
 	})
 }
 
-// The store keeps all but its oldest changes; the version was named and written over in
-// the older half of what it keeps.
-func TestNoKeptChangeIsPassedOver(t *testing.T) {
+// A version that was published and overwritten in the older half of the changes that the store
+// keeps must be found.
+func TestSearchFindsOldestKeptChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
-		z.store.name(1)
+		z.store.publish(1)
 		z.store.forget(z.store.revision())
 		for range 100 {
-			z.store.name(1)
+			z.store.publish(1)
 		}
-		z.store.name(3, 2)
+		z.store.publish(3, 2)
 		for range 900 {
-			z.store.name(2)
+			z.store.publish(2)
 		}
 		started := z.start(t.Context(), "a")
 		time.Sleep(10 * time.Second)
@@ -132,38 +132,37 @@
 	})
 }
 
-// The store is down for 10 s, and a version is named right after it is back. No write is
-// carried out during the outage: the version must not count as old as that, or all engines on
-// older weights get no work from that moment on.
-func TestAVersionNamedAfterAnOutageIsNotExpiredAtOnce(t *testing.T) {
+// A version published right after an outage of the store must not count as old as the outage, or
+// all engines on older weights would lose their work at once.
+func TestVersionPublishedAfterOutageIsNotExpired(t *testing.T) {
 	for offset := range 10 {
 		for _, versions := range [][]int{{3}, {3, 2}} {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				z := newZone()
-				z.store.name(2)
+				z.store.publish(2)
 				first := z.start(t.Context(), "a")
 				time.Sleep(3 * time.Second)
 				z.store.change(func() { z.store.down = true })
 				time.Sleep(10*time.Second + time.Duration(offset)*11*time.Millisecond)
 				z.store.change(func() { z.store.down = false })
-				z.store.name(versions...)
-				namedAt := time.Now()
+				z.store.publish(versions...)
+				publishedAt := time.Now()
 				time.Sleep(3 * time.Second)
 				is.Equal(first.newest().Version, 3)
-				is.True(namedAt.Sub(first.newest().SeenAt) <= time.Second)
+				is.True(publishedAt.Sub(first.newest().SeenAt) <= time.Second)
 			})
 		}
 	}
 }
 
-// Many routers read the store themselves when it fails: it is not watched more often.
-func TestFailingWatchesAreNoMoreThanReads(t *testing.T) {
+// When the store fails and many routers read it themselves, watches must not outnumber reads.
+func TestFailedWatchesDoNotExceedReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
 		z.partitioned = func(a, b ident.Zone) bool { return a != b }
-		z.store.name(2)
+		z.store.publish(2)
 		for _, node := range []ident.Node{"a-1", "b-2", "c-3", "d-4", "e-5", "f-6", "g-7", "h-8"} {
 			z.start(t.Context(), node)
 			time.Sleep(20 * time.Millisecond)
@@ -179,44 +178,43 @@
 	})
 }
 
-// Writes are refused for long, and the watch begins anew a few times meanwhile.
-func TestWritersOfNamingsDoNotPileUp(t *testing.T) {
+// Restarts of the watch while writes fail must not add writers of the same rows.
+func TestPublicationWritersDoNotAccumulate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		commits := &atomic.Int32{}
-		z.namingTable = &countingTable{refusingTable{fakeStore: z.store, noWrite: namingPrefix}, commits}
+		z.namingTable = &countingTable{refusingTable{fakeStore: z.store, noWrite: publicationPrefix}, commits}
 		running := z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
 		for version := range 16 {
-			z.store.name(version + 3)
+			z.store.publish(version + 3)
 			time.Sleep(200 * time.Millisecond)
 		}
-		running.follower.recall(t.Context(), time.Now(), time.Since(z.store.started))
+		running.follower.loadRows(t.Context(), time.Now(), time.Since(z.store.started))
 		time.Sleep(10 * time.Second)
 		commits.Store(0)
 		time.Sleep(10 * time.Second)
 		before := commits.Load()
-		// Stints of watching end and begin, as when this router is the first at times only.
+		// Watch sessions end and start, as when this router is the first at times only.
 		for range 10 {
-			running.follower.recall(t.Context(), time.Now(), time.Since(z.store.started))
+			running.follower.loadRows(t.Context(), time.Now(), time.Since(z.store.started))
 			time.Sleep(time.Second)
 		}
 		time.Sleep(10 * time.Second)
 		commits.Store(0)
 		time.Sleep(10 * time.Second)
-		is.True(commits.Load() <= before+17) // one for each row, in another phase
+		is.True(commits.Load() <= before+17) // one more for each row, by the phase of its retries
 	})
 }
 
-// The store answers each watch at once, with nothing new (it does not hold answers back,
-// or tells no revision). Each call is paid for.
-func TestWatchesThatAreNotHeldBackAreBounded(t *testing.T) {
+// A store that answers each watch at once without changes must not be called in a tight loop.
+func TestImmediateWatchAnswersAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.beforeStart = func(_ context.Context, running *zoneRouter) {
-			running.follower.source = &hastyAnswers{running}
+			running.follower.source = &immediateAnswers{running}
 		}
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
@@ -226,38 +224,38 @@
 	})
 }
 
-// The watching router is frozen: it answers no pull, and a version whose row stands is
-// named meanwhile.
-func TestAVersionNamedWhileTheWatcherIsFrozen(t *testing.T) {
+// A version published while the watching router is frozen must reach the others with about its
+// true age.
+func TestVersionPublishedWhileWatcherIsFrozen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.start(t.Context(), "a-1")
 		time.Sleep(20 * time.Millisecond)
 		second := z.start(t.Context(), "b-1")
 		third := z.start(t.Context(), "c-2")
 		time.Sleep(3 * time.Second)
 		z.mu.Lock()
-		z.routers["a-1"].stop() // no loop runs, yet it is not known to be dead
+		z.routers["a-1"].stop() // no loop runs, but peers don't see it as dead
 		z.routers["a-1"].cutOff = true
 		z.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
-		z.store.name(3)
-		namedAt := time.Now()
+		z.store.publish(3)
+		publishedAt := time.Now()
 		time.Sleep(6 * time.Second)
 		for _, router := range []*zoneRouter{second, third} {
-			naming := router.newest()
-			is.Equal(naming.Version, 3)
-			is.True(!naming.SeenAt.After(namedAt.Add(1800 * time.Millisecond)))
+			publication := router.newest()
+			is.Equal(publication.Version, 3)
+			is.True(!publication.SeenAt.After(publishedAt.Add(1800 * time.Millisecond)))
 		}
 	})
 }
 
-// The store refuses the watch of one router only, and takes all its other calls.
-func TestAWatchThatIsRefusedCatchesUp(t *testing.T) {
+// A router whose watch alone was refused must find the versions of that time afterwards.
+func TestRefusedWatchCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		refuse := &atomic.Bool{}
 		z.beforeStart = func(_ context.Context, running *zoneRouter) {
 			running.follower.source = &refusedWatch{running, refuse}
@@ -267,8 +265,8 @@
 		second := z.start(t.Context(), "b")
 		time.Sleep(3 * time.Second)
 		refuse.Store(true)
-		time.Sleep(watchHold + time.Second) // the question under way ends
-		z.store.name(3, 2)
+		time.Sleep(watchHold + time.Second) // the pending request ends
+		z.store.publish(3, 2)
 		time.Sleep(5 * time.Second)
 		is.Equal(first.newest().Version, 2)
 		refuse.Store(false)
@@ -278,54 +276,52 @@
 	})
 }
 
-// The store says for a second that it has forgotten what was changed, and tells it again
-// afterwards. Evidence: a router that started later, from an older revision, was told a
-// version that the watch had passed over 17 s before.
-func TestAHistoryThatComesBackIsAskedForAgain(t *testing.T) {
+// A store may report changes as forgotten for a second and return them afterwards.
+func TestHistoryThatReturnsIsRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		learnsAfterAFault(t, func(running *zoneRouter, at *atomic.Bool) Source { return &goneAtTimes{running, at} }, time.Minute)
+		requireVersionAfterFault(t, func(running *zoneRouter, at *atomic.Bool) Source { return &intermittentHistory{running, at} }, time.Minute)
 	})
 }
 
-// A store that is about to drop its history leaves changes out for a second.
-func TestChangesThatWereLeftOutAreAskedForAgain(t *testing.T) {
+// A store that is about to drop its history omits changes for a second.
+func TestOmittedChangesAreRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		learnsAfterAFault(t, func(running *zoneRouter, at *atomic.Bool) Source { return &deafForAWhile{running, at} }, 10*time.Second)
+		requireVersionAfterFault(t, func(running *zoneRouter, at *atomic.Bool) Source { return &lossyChanges{running, at} }, 10*time.Second)
 	})
 }
 
-// All routers end, a version is named and written over, and the first one that starts asks
-// for the changes since the newest naming of which there is a row.
-func TestAStartAsksForTheChangesSinceTheLastNamingThatWasKept(t *testing.T) {
+// A version that was published and overwritten while no router ran must be found by the next one
+// that starts, from the changes since the newest publication row.
+func TestStartRequestsChangesSinceLastStoredPublication(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
-		z.store.name(3)
+		z.store.publish(3)
 		time.Sleep(time.Second)
 		z.kill("a")
-		z.store.name(4, 3)
-		namedAt := time.Now()
-		z.store.forget(1) // a question from the begin would be refused
+		z.store.publish(4, 3)
+		publishedAt := time.Now()
+		z.store.forget(1) // a request for all changes would be refused
 		time.Sleep(5 * time.Second)
 		z.watches()
 		started := z.start(t.Context(), "b")
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(started.newest().Version, 4)
-		// Nobody saw when it was named, but the mark tells up to when it was not.
+		// The mark bounds its age.
 		is.True(!started.newest().SeenAtStart)
-		is.True(started.newest().SeenAt.Sub(namedAt) <= watchTolerance)
-		is.True(namedAt.Sub(started.newest().SeenAt) <= 2*markInterval)
-		is.Equal(z.watches(), 3) // with the second question about what was told
+		is.True(started.newest().SeenAt.Sub(publishedAt) <= watchTolerance)
+		is.True(publishedAt.Sub(started.newest().SeenAt) <= 2*markInterval)
+		is.Equal(z.watches(), 3) // with the recheck
 	})
 }
 
-// A version whose age is not known is kept, but not as one that was just named.
-func TestAnUnknownAgeStaysUnknown(t *testing.T) {
+// A version of unknown age must be saved as such, not as one published just now.
+func TestUnknownVersionAgeStaysUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		z := newNamedZone()
+		z := newPublishedZone()
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
 		z.kill("a")
--- /dev/null
+++ b/internal/node/publicationwatch.go
@@ -0,0 +1,228 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/fieldpond/fieldpond/internal/catalog"
+	"github.com/fieldpond/fieldpond/internal/clock"
+	"github.com/fieldpond/fieldpond/internal/ident"
+	"github.com/fieldpond/fieldpond/internal/wait"
+)
+
+const (
+	// watchHold is how long the store delays an answer without changes. Keep-alive probes
+	// detect a connection that dies during that time.
+	watchHold = 10 * time.Second
+	// minWatchHold is the least time between two requests of the watch.
+	minWatchHold = 200 * time.Millisecond
+	// rowsLoadInterval is the least time between two reads of the publication rows: watches may
+	// start often while peers come and go.
+	rowsLoadInterval = 10 * time.Second
+	// maxWatchPause bounds the pause after a failed request, which doubles each time.
+	maxWatchPause = time.Second
+	// minProcessPause is how late a request must end to show that the process was paused; late
+	// timers of a busy machine are off by less.
+	minProcessPause = time.Second
+	// watchPause is the time between two checks whether this router must watch.
+	watchPause = 200 * time.Millisecond
+	// watchTolerance is the gap in the watch that does not make a version count as older: about
+	// the time in which another router takes over the watch. Without it engines on older
+	// weights would lose work too early.
+	watchTolerance = 2500 * time.Millisecond
+)
+
+// Results of watches, as metric labels.
+const (
+	watchNews   = "news"
+	watchQuiet  = "quiet"
+	watchGone   = "history_gone"
+	watchFailed = "failed"
+)
+
+// watchResults maps whether an answer had a new version to the result.
+var watchResults = map[bool]string{true: watchNews, false: watchQuiet}
+
+// watchPosition is the point up to which all publications are known.
+type watchPosition struct {
+	// revision is the store's revision, 0 if unknown.
+	revision uint64
+	// storeTime is the store's own time, 0 if unknown.
+	storeTime time.Duration
+}
+
+// age returns the greatest age that a version in an answer of the store can have, and whether
+// that is known. answeredAt is the store's own time of the answer, requestTime how long the
+// request was pending; that time does not count, since a delayed answer comes with the change
+// and a store that answers no requests accepts no writes. If the store refused only this router,
+// the age is too low by that time.
+func (w watchPosition) age(answeredAt, requestTime time.Duration) (age time.Duration, known bool) {
+	if w.storeTime == 0 || answeredAt == 0 {
+		return 0, false
+	}
+	return max(answeredAt-w.storeTime-requestTime-watchTolerance, 0), true
+}
+
+// watchPublications applies every published version in the order of the writes, while this router
+// reads the store itself, until ctx ends.
+//
+// Reading the rows is not enough: a write that the store did not answer may be executed seconds
+// later and overwrite a newer version between two reads.
+func (f *follower) watchPublications(ctx context.Context) {
+	for ctx.Err() == nil {
+		if f.watchesStore() {
+			f.watchStore(ctx)
+			continue
+		}
+		wait.For(ctx, watchPause)
+	}
+}
+
+// watchesStore reports whether this router must watch the store: it reads the store for all, or
+// no peer supplies it.
+func (f *follower) watchesStore() bool {
+	return f.replica.initialized() && (f.chain.reads() || f.replica.ownOrigin())
+}
+
+// watchStore runs a session for as long as this router must watch.
+func (f *follower) watchStore(ctx context.Context) {
+	session := &watchSession{
+		follower: f, pendingSince: clock.Now(), pause: watchPause, recheck: newRecheck(clock.Now(), f.replica.watchedUntil().revision),
+	}
+	for ctx.Err() == nil && f.watchesStore() {
+		session.watch(ctx)
+	}
+}
+
+// watchSession is an uninterrupted period of watching.
+type watchSession struct {
+	*follower
+	// pendingSince is when the first request since the last answer was sent.
+	pendingSince time.Time
+	// pause follows the next failed request.
+	pause time.Duration
+	// rowsLoaded is whether the publication rows were read in this session.
+	rowsLoaded bool
+	recheck    recheck
+}
+
+// watch makes one request for the changes after the watch position.
+func (s *watchSession) watch(ctx context.Context) {
+	from, hold, askedAt := s.replica.watchedUntil(), s.recheck.hold(clock.Now()), clock.Now()
+	changes, err := s.changes(ctx, from.revision, hold)
+	if err != nil {
+		s.handleFailure(ctx, err, clock.Since(askedAt)-hold-s.config.ReadTimeout)
+		return
+	}
+	elapsed, changedAt := clock.Since(askedAt), s.replica.earliestAnswer(askedAt, changes.StoreTime)
+	anyNew := s.applyChanges(ctx, from, changedAt, clock.Since(s.pendingSince), &changes)
+	s.onWatched(watchResults[anyNew])
+	if !s.rowsLoaded && clock.Since(s.rowsLoadedAt) >= rowsLoadInterval {
+		s.rowsLoaded = s.loadRows(ctx, changedAt, changes.StoreTime)
+		s.rowsLoadedAt = clock.Now()
+		s.rowsLoadFailed.Store(!s.rowsLoaded)
+	}
+	s.recheck.schedule(clock.Now(), elapsed < hold)
+	s.recheckChanges(ctx, changes.StoreRevision)
+	if !anyNew && elapsed < minWatchHold {
+		// The store does not delay its answers.
+		wait.For(ctx, minWatchHold-elapsed)
+	}
+	s.pendingSince, s.pause = clock.Now(), watchPause
+}
+
+func (f *follower) changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+	bounded, cancel := context.WithTimeout(ctx, hold+f.config.ReadTimeout)
+	defer cancel()
+	return f.source.Changes(bounded, after, hold)
+}
+
+// handleFailure pauses after a failed request. The watch skips changes that the store has
+// forgotten, or that are too many; rechecks request them again. late is by how much the request
+// exceeded its timeout.
+func (s *watchSession) handleFailure(ctx context.Context, err error, late time.Duration) {
+	if ctx.Err() != nil {
+		return
+	}
+	if late > minProcessPause {
+		// The process was paused: the answer may have been lost long ago, and the time since
+		// then must not count as requestTime.
+		s.pendingSince = clock.Now()
+	}
+	if !errors.Is(err, ErrHistoryGone) {
+		s.onWatched(watchFailed)
+		wait.For(ctx, s.pause)
+		s.pause = min(2*s.pause, maxWatchPause)
+		return
+	}
+	s.onWatched(watchGone)
+	from, to := s.replica.skipForgotten()
+	s.rowsLoaded, s.recheck.dueAt = false, clock.Now()
+	log.WithFields(log.Fields{"from": from, "to": to, "cause": err.Error()}).Info("namings_forgotten")
+	wait.For(ctx, watchPause)
+}
+
+// applyChanges applies the changes after position from, which the store sent at changedAt at the
+// earliest, and reports whether there was a new version. The request was pending for requestTime.
+func (f *follower) applyChanges(ctx context.Context, from watchPosition, changedAt time.Time, requestTime time.Duration, changes *Changes) bool {
+	// The greatest possible age, so that no request starts on older weights for too long.
+	age, known := from.age(changes.StoreTime, requestTime)
+	anyNew := f.applyPublished(ctx, from.revision, changedAt, age, known, changes)
+	f.replica.advanceWatch(watchPosition{revision: changes.StoreRevision, storeTime: changes.StoreTime}, anyNew)
+	return anyNew
+}
+
+// applyPublished applies versions that were published after revision after, at changedAt minus
+// age if known, and reports whether any is new.
+func (f *follower) applyPublished(
+	ctx context.Context, after uint64, changedAt time.Time, age time.Duration, known bool, changes *Changes,
+) bool {
+	publication := catalog.Publication{SeenAt: changedAt.Add(-age), SeenAtStart: !known}
+	row := publicationRow{FirstSeen: changes.StoreTime - age, CompleteTo: after, SeenAtStart: publication.SeenAtStart}
+	anyNew := false
+	for _, published := range changes.Published {
+		publication.Version = published.Version
+		if !f.replica.holder.Published(published.Model, publication) {
+			continue
+		}
+		anyNew = true
+		log.WithFields(log.Fields{
+			"model": published.Model, "version": published.Version, "met": publication.SeenAtStart, "age_ms": clock.Since(publication.SeenAt).Milliseconds(),
+		}).Info("version_named")
+		f.publications.save(ctx, published.Model, published.Version, row)
+	}
+	return anyNew
+}
+
+// loadRows applies the stored publications, saves known ones that have no row, and reports
+// whether the rows could be read. The former watcher may have ended before it wrote its rows, or
+// this router may have been cut off when it did. storeTime is the store's own time at localTime.
+func (f *follower) loadRows(ctx context.Context, localTime time.Time, storeTime time.Duration) bool {
+	for model, known := range f.replica.holder.View().Models {
+		stored, err := f.publications.load(ctx, model, storeTime, localTime)
+		if err != nil {
+			return false
+		}
+		f.applyStored(model, &stored)
+		for _, publication := range stored.missing(known.Publications) {
+			f.publications.save(ctx, model, publication.Version, publicationRow{
+				FirstSeen: storeTime - localTime.Sub(publication.SeenAt), SeenAtStart: publication.SeenAtStart,
+			})
+		}
+	}
+	return true
+}
+
+// applyStored applies the publication rows of a model.
+func (f *follower) applyStored(model ident.Model, stored *storedPublications) {
+	for _, publication := range stored.publications {
+		if f.replica.holder.Published(model, publication) {
+			log.WithFields(log.Fields{
+				"model": model, "version": publication.Version, "age_ms": clock.Since(publication.SeenAt).Milliseconds(),
+			}).Info("version_recalled")
+		}
+	}
+}
--- a/internal/node/pull.go
+++ b/internal/node/pull.go
@@ -16,7 +16,7 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// puller asks a peer for its state.
+// puller requests the state of a peer.
 type puller interface {
 	Pull(ctx context.Context, peer upstream.Peer, pull *upstream.Pull) (*upstream.Update, time.Time, error)
 }
@@ -49,8 +49,8 @@
 	return leads
 }
 
-// relays reports whether this router is the first of its zone or, where there are several
-// regions, may pass notices on in its zone.
+// relays reports whether this router is the first of its zone or, with several regions, may
+// relay notifications in its zone.
 func (g *chainGuard) relays() (relays bool) {
 	g.use(func(chain *upstream.Chain) {
 		most := 1
@@ -69,30 +69,30 @@
 	return leads
 }
 
-// joined reports whether this router has a row.
+// joined reports whether this router has written its row.
 func (g *chainGuard) joined() (joined bool) {
 	g.use(func(chain *upstream.Chain) { joined = chain.Joined() })
 	return joined
 }
 
-// observeFollower takes in that a peer pulls from this router.
+// observeFollower records that a peer pulls from this router.
 func (g *chainGuard) observeFollower(peer upstream.Peer) {
 	g.use(func(chain *upstream.Chain) { chain.Followed(peer) })
 }
 
 const (
-	// joinPause is the time between two tries to write this router's row.
-	joinPause = 250 * time.Millisecond
-	// chainPause bounds the time between two looks at the chain.
-	chainPause = 500 * time.Millisecond
-	// countLook is the time between two looks at whether the routers are to be counted.
-	countLook = 500 * time.Millisecond
-	// leastPull is the least time between two pulls, whatever the peer answers.
-	leastPull = 20 * time.Millisecond
+	// joinRetryPause is the time between two attempts to write this router's row.
+	joinRetryPause = 250 * time.Millisecond
+	// maxChainPause bounds the time between two evaluations of the chain.
+	maxChainPause = 500 * time.Millisecond
+	// countCheckInterval is the time between two checks whether the routers must be counted.
+	countCheckInterval = 500 * time.Millisecond
+	// minPullInterval is the least time between two pulls, even if the peer answers at once.
+	minPullInterval = 20 * time.Millisecond
 )
 
-// followPeers joins the routers of the zone and pulls from the peers that the
-// chain names, until ctx ends.
+// followPeers writes this router's row and pulls from the peers that the chain selects,
+// until ctx ends.
 func (f *follower) followPeers(ctx context.Context) {
 	if !f.join(ctx) {
 		return
@@ -110,9 +110,9 @@
 		case upstream.Peer:
 			begun := clock.Now()
 			confirmation = f.pull(ctx, next, confirmation)
-			wait.For(ctx, max(leastPull-clock.Since(begun), time.Millisecond))
+			wait.For(ctx, max(minPullInterval-clock.Since(begun), time.Millisecond))
 		case upstream.Store:
-			wait.For(ctx, min(max(clock.Until(next.RetryAt), leastPull), chainPause))
+			wait.For(ctx, min(max(clock.Until(next.RetryAt), minPullInterval), maxChainPause))
 		}
 	}
 }
@@ -135,28 +135,28 @@
 
 // join writes this router's row, and reports whether ctx is still open.
 func (f *follower) join(ctx context.Context) bool {
-	seen := &dependency{name: "router row", count: f.onLost}
+	dep := &dependency{name: "router row", onLost: f.onLost}
 	for ctx.Err() == nil {
 		askedAt := clock.Now()
 		self, peers, routers, err := f.routerList.join(ctx)
-		seen.saw(err)
+		dep.observe(err)
 		if err == nil {
-			f.noteEpoch()
+			f.observeEpoch()
 			f.replica.joined(self)
-			f.takeRoster(askedAt, self, peers, routers)
+			f.applyRouters(askedAt, self, peers, routers)
 			log.WithFields(log.Fields{"revision": self.Revision, "peers": len(peers), "routers": routers}).Info("joined")
 			return true
 		}
-		wait.For(ctx, joinPause)
+		wait.For(ctx, joinRetryPause)
 	}
 	return false
 }
 
-// advertiseShutdown takes in that this router is about to end: those that pull from it learn that, and
-// the first one of them that stays takes its place.
+// advertiseShutdown reports to the routers that pull from this one that it is shutting down, so
+// that another one takes its place in the chain.
 func (f *follower) advertiseShutdown() {
 	f.chain.use(func(chain *upstream.Chain) { chain.Leave() })
-	f.replica.leave()
+	f.replica.advertiseShutdown()
 }
 
 func (f *follower) next(now time.Time) (next upstream.Source) {
@@ -165,15 +165,15 @@
 	return next
 }
 
-// pull asks a peer once, takes in what it answers, and returns the number of
-// its confirmation.
+// pull requests the state of a peer once, applies it, and returns the number of the
+// peer's confirmation, 0 if there is none.
 func (f *follower) pull(ctx context.Context, peer upstream.Peer, confirmation uint64) uint64 {
 	pull := &upstream.Pull{Confirmation: confirmation}
-	pull.Configuration, pull.List = f.replica.holds()
+	pull.Configuration, pull.List = f.replica.copyVersions()
 	pull.Quarantine = f.guard.Digest()
 	pull.News = backend.UpdatesDigest(f.replica.backends.StateUpdates(clock.Now()))
-	// What caches hold can wait until this router can serve.
-	if f.replica.knows() {
+	// The contents of prompt caches can wait until this router can serve.
+	if f.replica.initialized() {
 		pull.Caches, pull.CacheHeld = true, f.replica.caches.Positions()
 	}
 	f.chain.use(func(chain *upstream.Chain) { pull.From = chain.Self() })
@@ -181,9 +181,9 @@
 	if ctx.Err() != nil {
 		return 0
 	}
-	result := f.judge(peer, update, err)
-	if f.wants(update, result) {
-		err = f.take(update, at)
+	result := f.evaluate(peer, update, err)
+	if f.shouldApply(update, result) {
+		err = f.apply(update, at)
 	}
 	f.onPulled(resultName(result))
 	if err != nil {
@@ -202,23 +202,23 @@
 	return update.Confirmation
 }
 
-// wants reports whether an update is to be taken in. A router that knows nothing
-// yet takes the state of any peer, and one that met an older configuration, as the store
-// wrote it late, any newer one; ages and versions guard what is believed.
-func (f *follower) wants(update *upstream.Update, result upstream.Result) bool {
+// shouldApply reports whether an update should be applied: it is fresh, or complete while this
+// router has no state yet or an older configuration. Ages and versions prevent that older state
+// replaces newer.
+func (f *follower) shouldApply(update *upstream.Update, result upstream.Result) bool {
 	if _, fresh := result.(upstream.Fresh); fresh {
 		return true
 	}
-	return update != nil && update.Complete() && (!f.replica.knows() || f.replica.behind(&update.Configuration))
+	return update != nil && update.Complete() && (!f.replica.initialized() || f.replica.behind(&update.Configuration))
 }
 
-// resultName is the name of a result in metrics.
+// resultName returns the metric label of a result: its type's name in lower case.
 func resultName(result upstream.Result) string {
 	return strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", result), "upstream."))
 }
 
-// judge says what came of a pull.
-func (f *follower) judge(peer upstream.Peer, update *upstream.Update, err error) (result upstream.Result) {
+// evaluate returns the result of a pull.
+func (f *follower) evaluate(peer upstream.Peer, update *upstream.Update, err error) (result upstream.Result) {
 	switch {
 	case err != nil:
 		return upstream.Failed{}
@@ -226,7 +226,7 @@
 		return upstream.Restarted{Revision: update.Revision}
 	case !update.Complete():
 		return upstream.Stale{}
-	case !f.knowsReturns(update):
+	case !f.epochsCurrent(update):
 		return upstream.Stale{}
 	}
 	age := max(update.Configuration.Age, update.List.Age)
@@ -234,22 +234,22 @@
 	return result
 }
 
-// knowsReturns reports whether a peer can know all that this router does of the store's returns
-// from older copies. One that does not may have confirmed what it holds by a version that was
-// given out again. Older builds never know, and those that only pull from them hear of none.
-func (f *follower) knowsReturns(update *upstream.Update) bool {
-	_, told := f.epochs.First()
-	return update.Epoch >= f.seenEpoch.Load() && (update.FirstEra > 0 || !told)
+// epochsCurrent reports whether a peer knows of all store restores that this router knows of.
+// Otherwise it may have confirmed its state by a version that was assigned again after a restore.
+// Older builds and routers that pull only from them know of none.
+func (f *follower) epochsCurrent(update *upstream.Update) bool {
+	_, known := f.epochs.First()
+	return update.Epoch >= f.seenEpoch.Load() && (update.FirstEra > 0 || !known)
 }
 
-// take takes in the state of a peer as of a time.
-func (f *follower) take(update *upstream.Update, at time.Time) error {
-	f.looked.Store(true)
-	f.takeEpoch(update)
-	// It comes first, so that a router that starts knows it before it serves.
+// apply applies the state of a peer as of a time.
+func (f *follower) apply(update *upstream.Update, at time.Time) error {
+	f.configurationSeen.Store(true)
+	f.applyPeerEpoch(update)
+	// First, so that a starting router has it before it serves.
 	f.guard.Merge(at, update.Quarantine)
-	for _, naming := range update.Configuration.Namings {
-		f.takeNaming(&naming, at)
+	for _, publication := range update.Configuration.Namings {
+		f.applyPublication(&publication, at)
 	}
 	configuration := &update.Configuration
 	err := f.replica.applyConfiguration(
@@ -258,44 +258,43 @@
 	if err != nil {
 		return err
 	}
-	f.replica.takeList(update.Origin, at.Add(-update.List.Age), &update.List)
+	f.replica.applyList(update.Origin, at.Add(-update.List.Age), &update.List)
 	f.replica.caches.Take(at, update.Caches)
-	// The list of back ends comes first: a limit of one that is not listed is passed over.
+	// After the instance list: updates of back ends that are not listed are ignored.
 	f.replica.updates.applyUpdates(update.News)
-	if told := configuration.Watched; told != nil {
-		// The namings up to this revision were taken in before it is.
-		f.replica.watchedUpTo(watched{revision: told.Revision, storeTime: told.StoreTime}, false)
+	if position := configuration.Watched; position != nil {
+		// After the publications up to this position have been applied.
+		f.replica.advanceWatch(watchPosition{revision: position.Revision, storeTime: position.StoreTime}, false)
 	}
 	if update.Routers > 0 {
-		f.replica.counted(at.Add(-update.RoutersAge), update.Routers)
+		f.replica.observeRouterCount(at.Add(-update.RoutersAge), update.Routers)
 	}
 	return nil
 }
 
-func (f *follower) takeNaming(told *upstream.Publication, at time.Time) {
-	naming := catalog.Publication{Version: told.Version, SeenAt: at.Add(-told.Age), SeenAtStart: told.Met}
-	if f.replica.holder.Published(told.Model, naming) {
+func (f *follower) applyPublication(update *upstream.Publication, at time.Time) {
+	publication := catalog.Publication{Version: update.Version, SeenAt: at.Add(-update.Age), SeenAtStart: update.Met}
+	if f.replica.holder.Published(update.Model, publication) {
 		log.WithFields(log.Fields{
-			"model": told.Model, "version": told.Version, "age_ms": told.Age.Milliseconds(), "met": told.Met,
+			"model": update.Model, "version": update.Version, "age_ms": update.Age.Milliseconds(), "met": update.Met,
 		}).Info("version_named")
 	}
 }
 
-// countRouters keeps the rows of the routers up to date while this router reads the
-// store for others or holds the lease, until ctx ends. Those that tell others what becomes of
-// engines, or pass that on, read them when their number is another one.
-func (f *follower) countRouters(ctx context.Context, holds func() bool) {
-	least := f.config.RosterInterval - countLook/2
+// countRouters reads the router list regularly while this router reads the store for others or
+// holds the lease, until ctx ends. Routers that send or relay notifications also read it when
+// the number of routers changes.
+func (f *follower) countRouters(ctx context.Context, holdsLease func() bool) {
+	minAge := f.config.RouterListInterval - countCheckInterval/2
 	triedAt := clock.Now()
-	wait.Every(ctx, countLook, func() {
+	wait.Every(ctx, countCheckInterval, func() {
 		now := clock.Now()
-		rested := now.Sub(triedAt) >= least
-		// A router that takes over from one that died before its next count, and one whose
-		// count failed, must not wait for an interval of its own: the others take no part of
-		// the slack of repeats while their count is old.
-		due := f.readsForOthers() && (rested || f.replica.countAge(now) >= least)
+		intervalOver := now.Sub(triedAt) >= minAge
+		// After a takeover or a failed count don't wait a whole interval: the others get no
+		// share of the retry slack while their count is old.
+		due := f.readsForOthers() && (intervalOver || f.replica.routerCountAge(now) >= minAge)
 		changed := f.chain.relays() && f.replica.Routers() != f.recipients.count()+1
-		if !due && !(rested && (holds() || changed)) {
+		if !due && !(intervalOver && (holdsLease() || changed)) {
 			return
 		}
 		triedAt = now
@@ -303,7 +302,7 @@
 	})
 }
 
-// readRouters reads the rows of the routers.
+// readRouters reads the router list.
 func (f *follower) readRouters(ctx context.Context) {
 	readAt := clock.Now()
 	peers, routers, err := f.routerList.read(ctx)
@@ -311,7 +310,7 @@
 		log.WithFields(log.Fields{"cause": err.Error()}).Warn("routers_not_counted")
 		return
 	}
-	f.noteEpoch()
-	f.replica.counted(readAt, routers)
-	f.recipients.know(peers)
+	f.observeEpoch()
+	f.replica.observeRouterCount(readAt, routers)
+	f.recipients.set(peers)
 }
--- a/internal/node/pull_test.go
+++ b/internal/node/pull_test.go
@@ -59,9 +59,9 @@
 	})
 }
 
-// Routers that start together are supplied by the first of them, and so are those
-// that start again together, whose rows of former lives are still there.
-func TestAStartOfAllRoutersIsNoStorm(t *testing.T) {
+// Routers that start or restart together, with the rows of former incarnations still there, must
+// be supplied by the first of them instead of all reading the store.
+func TestSimultaneousStartDoesNotOverloadStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
@@ -90,8 +90,8 @@
 	})
 }
 
-// What one router reads of a store of prompt caches, all others of the zone learn.
-func TestWhatCachesHoldIsPulled(t *testing.T) {
+// What one router reads from a prompt cache store must reach all others of the zone.
+func TestCacheContentsArePulled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l")
@@ -108,12 +108,12 @@
 		for node := range z.routers {
 			is.Equal(caches(node).Holds(time.Now(), store, part, 100), promptcache.Held)
 		}
-		time.Sleep(5 * time.Second) // the reader hears nothing more of the store
+		time.Sleep(5 * time.Second) // the reader gets no more answers of the store
 		is.Equal(caches("l").Holds(time.Now(), store, part, 100), promptcache.Unknown)
 	})
 }
 
-// A router whose peers know nothing reads the store soon.
+// A router whose peers are dead must read the store soon.
 func TestAStartingRouterDoesNotWaitForDeadPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, "a", "b", "c")
@@ -121,12 +121,12 @@
 			z.kill(node)
 		}
 		z.start(t.Context(), "d")
-		time.Sleep(startPatience + startStagger + startPause)
+		time.Sleep(startPeerWait + startStagger + startCheckInterval)
 		z.requireVersion(t, 1)
 	})
 }
 
-// What a follower believes is never dated later than the read it comes from.
+// Pulled state must never count as newer than the read it comes from.
 func TestPulledStateKeepsItsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -139,7 +139,8 @@
 	})
 }
 
-func TestNewsReachEveryRouterWhateverHappensToTheReader(t *testing.T) {
+// New configurations must reach all routers whatever fault hits the one that reads the store.
+func TestUpdatesReachAllRoutersAfterReaderFaults(t *testing.T) {
 	tests := []struct {
 		name string
 		hit  func(ctx context.Context, z *zone)
@@ -165,7 +166,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				z := startZone(t, "a", "b", "c", "d")
 				tt.hit(t.Context(), z)
-				time.Sleep(3 * time.Second) // those who pull have found out
+				time.Sleep(3 * time.Second) // routers that pull have detected it
 				z.writeConfiguration(7)
 				time.Sleep(2 * time.Second)
 				z.requireVersion(t, 7)
@@ -178,8 +179,8 @@
 	}
 }
 
-// A store that is down is not asked by every router at full pace.
-func TestAnOutageOfTheStoreIsNoStorm(t *testing.T) {
+// While the store is down only its reader may retry at full pace.
+func TestStoreOutageCausesNoRequestStorm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var nodes []ident.Node
@@ -190,7 +191,7 @@
 		z.store.change(func() { z.store.down = true })
 		time.Sleep(5 * time.Second)
 		total, by := z.reads()
-		is.True(by["n00"] >= 80) // the reader tries often
+		is.True(by["n00"] >= 80) // the reader retries often
 		is.True(total-by["n00"] <= 19*20)
 		z.store.change(func() { z.store.down = false })
 		z.writeConfiguration(3)
@@ -199,8 +200,8 @@
 	})
 }
 
-// The age of a naming is the same at a router that pulled it.
-func TestNamingsTravelWithTheirAge(t *testing.T) {
+// A publication must have the same age at a router that pulled it.
+func TestPulledPublicationsKeepTheirAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b")
@@ -210,15 +211,15 @@
 		time.Sleep(5 * time.Second)
 		first := z.routers["a"].follower.replica.holder.View().Models[model].Publications[0]
 		for _, node := range []ident.Node{"b", "c"} {
-			named := z.routers[node].follower.replica.holder.View().Models[model].Publications[0]
-			is.Equal(named.Version, 2)
-			is.True(!named.SeenAt.After(first.SeenAt.Add(time.Second)))
+			publication := z.routers[node].follower.replica.holder.View().Models[model].Publications[0]
+			is.Equal(publication.Version, 2)
+			is.True(!publication.SeenAt.After(first.SeenAt.Add(time.Second)))
 		}
 		is.True(!late.follower.replica.holder.View().Models[model].Publications[0].SeenAtStart)
 	})
 }
 
-func TestARouterLeavesItsOwnRowOnly(t *testing.T) {
+func TestRouterRemovesOnlyItsOwnRow(t *testing.T) {
 	is := is.New(t)
 	table := newFakeStore()
 	first := &routerList{table: table, timeout: time.Second, node: "n", zone: "z", incarnation: "1"}
@@ -228,7 +229,7 @@
 	_, _, routers, err := second.join(t.Context())
 	is.NoErr(err)
 	is.Equal(routers, 1)
-	first.leave(t.Context()) // its row was written anew
+	first.leave(t.Context()) // its row was overwritten
 	_, routers, err = second.read(t.Context())
 	is.NoErr(err)
 	is.Equal(routers, 1)
--- a/internal/node/sharers_test.go
+++ b/internal/node/sharers_test.go
@@ -1,15 +1,7 @@
 package node
 
-// Users saw engines get more repeats in ten seconds than the budget grants, after all
-// routers had been told to restart, one shortly after the other. Each removed its row in
-// the store when its stop began and served on for seconds. Those that started meanwhile
-// counted the few rows there were, or took the small count of the peer that they pulled
-// from, and each used the part of the slack that one of so few has. The logs of such a
-// restart proved it: six of seven routers divided the slack by two. The tests below
-// showed it: a router that is stopping was not counted, and what routers that restart in
-// turn may send together was above the slack. They also showed that each life of a router
-// that is killed again and again was granted the router's part anew, since what a life was
-// granted is forgotten with it.
+// The retry slack is divided by the number of routers. Restarts must not raise what all routers
+// use together, neither by low counts nor by a new share for each incarnation.
 
 import (
 	"context"
@@ -30,8 +22,8 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// A router that is told to stop serves on, and counts among the routers until it ends.
-func TestAStoppingRouterCountsUntilItHasEnded(t *testing.T) {
+// A stopping router still serves and must be counted until it ends.
+func TestStoppingRouterIsCountedUntilItEnds(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	store.reading.Revision = 1
@@ -57,33 +49,33 @@
 	is.Equal(counted(), 0)
 }
 
-// greedySlack is the slack of the whole system in the tests of greedy routers.
+// greedySlack is the retry slack of all routers of a greedyFleet.
 const greedySlack = 54
 
-// greedyWindow is the window that the slack is granted in.
+// greedyWindow is the window of the retry slack.
 var greedyWindow = admission.WindowConfig{Window: zoneSharers.Window}
 
-// fleet is a zone whose routers are greedy and are restarted.
-type fleet struct {
+// greedyFleet is a zone whose routers use their whole share of the retry slack.
+type greedyFleet struct {
 	*zone
 
 	granting sync.Mutex
 	grants   []time.Time
 }
 
-// up starts a life of a router; end ends it.
-func (f *fleet) up(t *testing.T, node ident.Node) (running *zoneRouter, end func()) {
+// up starts an incarnation of a router; end kills it.
+func (f *greedyFleet) up(t *testing.T, node ident.Node) (running *zoneRouter, end func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	running = f.start(ctx, node)
-	go f.grab(ctx, running)
+	go f.useSlack(ctx, running)
 	return running, func() {
 		f.kill(node)
 		cancel()
 	}
 }
 
-// grab sends all repeats that a router may send without a request.
-func (f *fleet) grab(ctx context.Context, running *zoneRouter) {
+// useSlack records all retries that the router's share of the slack allows.
+func (f *greedyFleet) useSlack(ctx context.Context, running *zoneRouter) {
 	budget := admission.NewWindowBudget(greedyWindow, time.Now())
 	wait.Every(ctx, 50*time.Millisecond, func() {
 		now := time.Now()
@@ -96,9 +88,9 @@
 	})
 }
 
-// restart ends a life of a router as a planned stop does, which serves on for a while, and
-// starts the next one.
-func (f *fleet) restart(t *testing.T, running *zoneRouter, end func(), serves, pause time.Duration) {
+// restart ends a router as a planned stop does, after it has served for a while, and starts it
+// again.
+func (f *greedyFleet) restart(t *testing.T, running *zoneRouter, end func(), serves, pause time.Duration) {
 	time.Sleep(serves)
 	end()
 	running.follower.routerList.leave(t.Context())
@@ -106,8 +98,8 @@
 	f.up(t, running.node)
 }
 
-// most returns the largest number of repeats that were sent in one window.
-func (f *fleet) most() int {
+// maxInWindow returns the largest number of retries in one window.
+func (f *greedyFleet) maxInWindow() int {
 	f.granting.Lock()
 	defer f.granting.Unlock()
 	slices.SortFunc(f.grants, time.Time.Compare)
@@ -121,19 +113,20 @@
 	return most
 }
 
-// keepsTheSlack fails if more was sent in a window than the slack, or if it was not used.
-func (f *fleet) keepsTheSlack(t *testing.T) {
+// requireWithinSlack fails if a window had more retries than the slack, or if the slack was not
+// used.
+func (f *greedyFleet) requireWithinSlack(t *testing.T) {
 	t.Helper()
-	most := f.most()
-	t.Logf("at most %d repeats in a window, %d may be", most, greedySlack)
+	most := f.maxInWindow()
+	t.Logf("at most %d retries in a window, %d are allowed", most, greedySlack)
 	is := is.New(t)
 	is.True(most <= greedySlack)
 	is.True(most > greedySlack*3/4)
 }
 
-func TestRoutersThatRestartInTurnHaveOneSlack(t *testing.T) {
+func TestRollingRestartStaysWithinSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{zone: newZone()}
+		f := &greedyFleet{zone: newZone()}
 		var restarts []func()
 		for _, node := range []ident.Node{"a", "b", "c", "d", "e", "f", "g"} {
 			running, end := f.up(t, node)
@@ -146,13 +139,13 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		f.keepsTheSlack(t)
+		f.requireWithinSlack(t)
 	})
 }
 
-func TestLivesOfARouterHaveOneSlack(t *testing.T) {
+func TestRepeatedRestartsStayWithinSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{zone: newZone()}
+		f := &greedyFleet{zone: newZone()}
 		for _, node := range []ident.Node{"a", "b", "c"} {
 			f.up(t, node)
 		}
@@ -165,20 +158,20 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		f.keepsTheSlack(t)
+		f.requireWithinSlack(t)
 	})
 }
 
-// A router has no part of the slack until all have counted it for a window of repeats.
-func TestASettledRouterHasAPartOfTheSlack(t *testing.T) {
+// A router must have no share of the slack until all have counted it for a window.
+func TestRouterGetsShareOfSlackAfterWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		config := Config{
 			Forward: forward.Config{Retries: admission.WindowConfig{Window: 10 * time.Second}},
-			Follow:  FollowConfig{RosterInterval: 5 * time.Second, Chain: upstream.Config{StaleAfter: time.Second}},
+			Follow:  FollowConfig{RouterListInterval: 5 * time.Second, Chain: upstream.Config{StaleAfter: time.Second}},
 		}
 		replica := New(config, Ports{Source: newFakeStore()}).follower.replica
-		count := func() { replica.counted(time.Now(), 7) }
+		count := func() { replica.observeRouterCount(time.Now(), 7) }
 		count()
 		is.Equal(replica.Sharers(), 0)
 		replica.joined(upstream.Peer{})
@@ -194,15 +187,15 @@
 	})
 }
 
-// disturbed is a fleet whose routers are started and ended at random.
-type disturbed struct {
-	fleet
+// randomFleet is a fleet whose routers are started and ended at random.
+type randomFleet struct {
+	greedyFleet
 	random *rand.Rand
-	// ends end the life of each router that is up.
+	// ends end the routers that are up.
 	ends [12]func()
 }
 
-func (d *disturbed) upAt(t *testing.T, index int) {
+func (d *randomFleet) upAt(t *testing.T, index int) {
 	running, end := d.up(t, ident.Node(fmt.Sprint("n", index)))
 	d.ends[index] = func() {
 		planned := d.random.IntN(2) == 0
@@ -217,7 +210,7 @@
 }
 
 // change ends a router that is up, or starts one that is not.
-func (d *disturbed) change(t *testing.T) {
+func (d *randomFleet) change(t *testing.T) {
 	index := d.random.IntN(len(d.ends))
 	if end := d.ends[index]; end != nil {
 		d.ends[index] = nil
@@ -230,12 +223,12 @@
 	}
 }
 
-// Whatever is done to the routers, in whatever order, they have one slack.
-func TestRoutersHaveOneSlackWhateverIsDoneToThem(t *testing.T) {
+// Random starts, kills and planned stops must not raise the retries above the slack.
+func TestRandomRestartsStayWithinSlack(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &disturbed{fleet: fleet{zone: newZone()}, random: rand.New(rand.NewPCG(seed, 1))}
+				d := &randomFleet{greedyFleet: greedyFleet{zone: newZone()}, random: rand.New(rand.NewPCG(seed, 1))}
 				for index := range 7 {
 					d.upAt(t, index)
 				}
@@ -244,7 +237,7 @@
 					d.change(t)
 				}
 				time.Sleep(time.Minute)
-				d.keepsTheSlack(t)
+				d.requireWithinSlack(t)
 			})
 		})
 	}
--- a/internal/node/stalecount_test.go
+++ b/internal/node/stalecount_test.go
@@ -1,9 +1,7 @@
 package node
 
-// The slack of repeats is divided by the number of routers, which those that read the
-// store's rows count and tell on. A router that is cut off from the store and its peers, or
-// whose reader died just before a count, knew an old number for longer than the others rely
-// on, and kept the part of the slack that one of so few has while machines joined.
+// The retry slack is divided by the number of routers. A router with an old, too low number, as
+// after a cut-off or the death of the reader, must not keep a large share while routers join.
 
 import (
 	"context"
@@ -20,14 +18,14 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// cutTable is the store's rows as a router sees them that may be cut off from them.
-type cutTable struct {
+// cutOffTable is a table that cannot be listed while the router is cut off.
+type cutOffTable struct {
 	store.Table
 	router *zoneRouter
 }
 
 // List implements store.Table.
-func (c *cutTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
+func (c *cutOffTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
 	c.router.zone.mu.Lock()
 	cut := c.router.cutOff
 	c.router.zone.mu.Unlock()
@@ -37,17 +35,17 @@
 	return c.Table.List(ctx, prefix, limit)
 }
 
-// newCutFleet returns a fleet whose routers, when cut off, cannot read the rows either.
-func newCutFleet() *fleet {
-	f := &fleet{zone: newZone()}
+// newCutOffFleet returns a fleet whose cut-off routers cannot read the router list either.
+func newCutOffFleet() *greedyFleet {
+	f := &greedyFleet{zone: newZone()}
 	f.beforeStart = func(_ context.Context, running *zoneRouter) {
-		running.follower.routerList.table = &cutTable{Table: f.store, router: running}
+		running.follower.routerList.table = &cutOffTable{Table: f.store, router: running}
 	}
 	return f
 }
 
-// upQuiet starts a life of a router that wants no repeat for a while.
-func (f *fleet) upQuiet(t *testing.T, node ident.Node, quiet time.Duration) *zoneRouter {
+// startIdle starts a router that sends no retries for a while.
+func (f *greedyFleet) startIdle(t *testing.T, node ident.Node, quiet time.Duration) *zoneRouter {
 	ctx, cancel := context.WithCancel(t.Context())
 	running := f.start(ctx, node)
 	stop := running.stop
@@ -57,23 +55,23 @@
 	}
 	go func() {
 		if wait.For(ctx, quiet) {
-			f.grab(ctx, running)
+			f.useSlack(ctx, running)
 		}
 	}()
 	return running
 }
 
-// join starts routers that are greedy from the moment on at which they have a part.
-func (f *fleet) join(t *testing.T, routers int) {
+// startNew starts further routers, which use their whole share of the slack from the start.
+func (f *greedyFleet) startNew(t *testing.T, routers int) {
 	for index := range routers {
 		f.up(t, ident.Node(fmt.Sprint("new", index)))
 	}
 }
 
-// A router that is cut off from the store and all peers does not know who joins.
-func TestARouterThatIsCutOffGrantsNothingFromTheSlack(t *testing.T) {
+// A router that is cut off from the store and all peers does not see who joins.
+func TestCutOffRouterGetsNoShareOfTheSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newCutFleet()
+		f := newCutOffFleet()
 		f.partitioned = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
 		for _, node := range []ident.Node{"a", "b", "c-far"} {
 			f.up(t, node)
@@ -81,21 +79,21 @@
 		}
 		time.Sleep(time.Minute)
 		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = true })
-		f.join(t, 8)
+		f.startNew(t, 8)
 		time.Sleep(time.Minute)
 		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = false })
 		time.Sleep(time.Minute)
-		f.keepsTheSlack(t)
+		f.requireWithinSlack(t)
 	})
 }
 
-// Routers that joined, were granted something and left while this one was cut off are in
-// no count that it knows when it is back.
-func TestARouterThatIsBackAwaitsAWindow(t *testing.T) {
+// A reconnected router must wait a window: routers that joined, used a share and left while it
+// was cut off are in none of its counts.
+func TestReconnectedRouterWaitsOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newCutFleet()
+		f := newCutOffFleet()
 		f.partitioned = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
-		far := f.upQuiet(t, "c-far", 60*time.Second+34*time.Second)
+		far := f.startIdle(t, "c-far", 60*time.Second+34*time.Second)
 		f.up(t, "a")
 		time.Sleep(time.Minute)
 		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = true })
@@ -110,37 +108,38 @@
 		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = false })
 		time.Sleep(time.Minute)
 		if far.follower.replica.Sharers() == 0 {
-			t.Error("the router that is back has no part of the slack")
+			t.Error("the reconnected router has no share of the slack")
 		}
-		f.keepsTheSlack(t)
+		f.requireWithinSlack(t)
 	})
 }
 
-// The router that reads for all is killed just before a count, after machines joined.
-func TestACountIsNotLateWhenItsReaderDies(t *testing.T) {
+// The count must stay timely if the router that reads for all is killed just before a count,
+// after others joined.
+func TestRouterCountIsTimelyWhenReaderDies(t *testing.T) {
 	for _, died := range []time.Duration{4 * time.Second, 4500 * time.Millisecond, 4900 * time.Millisecond, 4990 * time.Millisecond} {
 		t.Run(died.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newCutFleet()
+				f := newCutOffFleet()
 				f.up(t, "a")
 				time.Sleep(100 * time.Millisecond)
-				f.upQuiet(t, "b", 66*time.Second)
+				f.startIdle(t, "b", 66*time.Second)
 				time.Sleep(60*time.Second - 90*time.Millisecond)
-				f.join(t, 8)
+				f.startNew(t, 8)
 				time.Sleep(died - 10*time.Millisecond)
 				f.kill("a")
 				time.Sleep(time.Minute)
-				f.keepsTheSlack(t)
+				f.requireWithinSlack(t)
 			})
 		})
 	}
 }
 
-// A router that joins counts the rows itself; what the peer that it pulls from counted some
-// seconds before has fewer. Connections and limits of tenants are divided by that number.
-func TestARouterThatJoinsKeepsItsOwnCount(t *testing.T) {
+// A joining router's own count must not be replaced by an older, lower one of the peer that it
+// pulls from: tenants' connections and limits are divided by that number.
+func TestJoiningRouterKeepsItsOwnCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newCutFleet()
+		f := newCutOffFleet()
 		f.up(t, "a")
 		time.Sleep(time.Minute + time.Second)
 		var last *zoneRouter
@@ -150,7 +149,7 @@
 		}
 		for range 50 {
 			if routers := last.follower.replica.Routers(); routers != 7 {
-				t.Fatalf("the router that joined last divides by %d, not by 7", routers)
+				t.Fatalf("the router that joined last counts %d routers, not 7", routers)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/internal/node/testrouter_test.go
+++ b/internal/node/testrouter_test.go
@@ -24,7 +24,7 @@
 		PeerAddr: netip.MustParseAddrPort(freeAddress(t)),
 		Follow: FollowConfig{
 			ConfigurationInterval: 200 * time.Millisecond, BackendInterval: 200 * time.Millisecond,
-			ReadTimeout: time.Second, RetryPause: 10 * time.Millisecond, RosterInterval: time.Second,
+			ReadTimeout: time.Second, RetryPause: 10 * time.Millisecond, RouterListInterval: time.Second,
 		},
 		Forward: forward.Config{
 			Freshness: catalog.Freshness{Keyed: time.Minute, Denial: time.Minute},
--- a/internal/node/zone_test.go
+++ b/internal/node/zone_test.go
@@ -84,7 +84,7 @@
 		startedAt: time.Now(),
 		config: FollowConfig{
 			ConfigurationInterval: 700 * time.Millisecond, BackendInterval: 500 * time.Millisecond,
-			ReadTimeout: time.Second, RetryPause: 100 * time.Millisecond, RosterInterval: 5 * time.Second,
+			ReadTimeout: time.Second, RetryPause: 100 * time.Millisecond, RouterListInterval: 5 * time.Second,
 		},
 	}
 	z.mu.Lock()
