--- a/internal/quota/agent.go
+++ b/internal/quota/agent.go
@@ -24,16 +24,16 @@
 }
 
 const (
-	// asksEach is the number of times that one leader is asked, and asksHeard that if it was
+	// attemptsPerLeader is the number of times that one leader is asked, and attemptsIfHeard that if it was
 	// heard since the last hello was due: then datagrams are lost, and it is up. Where a
 	// fifth of them is lost, 24 routers took their leaders for down 600 times in 10 s, and
 	// parts that counted in two pools came to 1.3 times the limits (model of this package).
-	asksEach  = 2
-	asksHeard = 6
-	// leadersEach is the number of leaders that are asked for one claim.
-	leadersEach = 3
-	// unknownRouters is taken as the number of routers while it is not known.
-	unknownRouters = 100
+	attemptsPerLeader = 2
+	attemptsIfHeard   = 6
+	// leadersPerRequest is the number of leaders that are asked for one claim.
+	leadersPerRequest = 3
+	// assumedRouters is taken as the number of routers while it is not known.
+	assumedRouters = 100
 )
 
 // Agent is the state machine of one router: it asks the leader of its pool for grants,
@@ -53,30 +53,30 @@
 	// start credit; creditedAt is when it last gave one to any pool.
 	startCredit bool
 	creditedAt  time.Time
-	asks        map[uint64]*pending
+	requests    map[uint64]*pending
 	out         []Envelope
-	done        []Decision
+	decisions   []Decision
 }
 
 // pending is a claim that waits for its verdict.
 type pending struct {
-	claim Claim
-	// to was asked at askedAt for the tries-th time; leaders counts those asked.
-	to             netip.AddrPort
-	askedAt        time.Time
-	tries, leaders int
+	reservation Claim
+	// leader was asked at pendingSince for the tries-th time; leaders counts those asked.
+	leader                 netip.AddrPort
+	sentAt                 time.Time
+	attempts, leadersTried int
 }
 
 // NewAgent returns the agent of a router that knows no other.
 func NewAgent(cfg Config) *Agent {
 	agent := &Agent{
 		cfg: cfg, ranking: NewRanking(cfg.Self), pool: NewPool(cfg.Bounds), nextID: cfg.FirstID,
-		asks: make(map[uint64]*pending),
+		requests: make(map[uint64]*pending),
 	}
 	agent.ranking.place = cfg.Place
 	if cfg.HelloInterval > 0 {
 		agent.ranking.interval = cfg.HelloInterval
-		agent.pool.heardEvery(cfg.HelloInterval)
+		agent.pool.setHelloInterval(cfg.HelloInterval)
 	}
 	return agent
 }
@@ -85,16 +85,16 @@
 // those with lower ones, the lowest first.
 func (a *Agent) Know(revision uint64, older []netip.AddrPort) {
 	a.revision = revision
-	a.ranking.Know(revision, older)
+	a.ranking.SetRouters(revision, older)
 }
 
 // Counted takes in the number of all routers, 0 if it is not known.
 func (a *Agent) Counted(routers int) { a.routers = routers }
 
-// sharers returns the number of routers that share the limits.
-func (a *Agent) sharers() int {
+// routerCount returns the number of routers that share the limits.
+func (a *Agent) routerCount() int {
 	if a.routers <= 0 {
-		return unknownRouters
+		return assumedRouters
 	}
 	return a.routers
 }
@@ -113,22 +113,22 @@
 // Tick takes in the time: hellos that are due, and answers that did not come.
 func (a *Agent) Tick(now time.Time) {
 	if !a.cfg.Alone {
-		for _, envelope := range a.ranking.Due(now) {
-			a.hello(now, envelope)
+		for _, envelope := range a.ranking.DueHellos(now) {
+			a.sendHello(now, envelope)
 		}
 	}
-	a.follow(now)
-	a.pool.advance(now, a.sharers())
-	for id, waiting := range a.asks {
-		if now.Sub(waiting.askedAt) >= a.ranking.Patience(waiting.to) {
-			a.again(now, id, waiting)
+	a.followLeader(now)
+	a.pool.advance(now, a.routerCount())
+	for id, waiting := range a.requests {
+		if now.Sub(waiting.sentAt) >= a.ranking.ResponseTimeout(waiting.leader) {
+			a.retry(now, id, waiting)
 		}
 	}
 }
 
-// hello sends a hello, to the leader as a member.
-func (a *Agent) hello(now time.Time, envelope Envelope) {
-	a.follow(now)
+// sendHello sends a hello, to the leader as a member.
+func (a *Agent) sendHello(now time.Time, envelope Envelope) {
+	a.followLeader(now)
 	if hello, is := envelope.Message.(Hello); is && envelope.To == a.leader {
 		hello.Member, hello.StartCredit = true, a.startCredit
 		envelope.Message = hello
@@ -136,100 +136,100 @@
 	a.out = append(a.out, envelope)
 }
 
-// follow takes this router into the pool of whoever leads now.
-func (a *Agent) follow(now time.Time) {
+// followLeader takes this router into the pool of whoever leads now.
+func (a *Agent) followLeader(now time.Time) {
 	leader := a.ranking.Leader()
 	if leader != a.leader {
-		a.join(now, leader)
+		a.switchLeader(now, leader)
 	}
 	if leader == a.cfg.Self {
-		a.pool.Join(now, a.cfg.Self, a.startCredit, a.sharers())
+		a.pool.Join(now, a.cfg.Self, a.startCredit, a.routerCount())
 		a.startCredit = false
 	}
 }
 
 // join leaves one pool for another.
-func (a *Agent) join(now time.Time, leader netip.AddrPort) {
+func (a *Agent) switchLeader(now time.Time, next netip.AddrPort) {
 	switch {
 	case a.leader == a.cfg.Self:
-		a.pool.Leave(now, a.cfg.Self, a.sharers())
+		a.pool.Leave(now, a.cfg.Self, a.routerCount())
 	case a.leader.IsValid():
-		a.out = append(a.out, Envelope{To: a.leader, Message: a.goodbye()})
+		a.out = append(a.out, Envelope{To: a.leader, Message: a.leaveMessage()})
 	}
-	a.leader = leader
+	a.leader = next
 	a.startCredit = a.creditedAt.IsZero() || now.Sub(a.creditedAt) >= a.cfg.Bounds.Window
 	if a.startCredit {
 		a.creditedAt = now
 	}
-	if leader != a.cfg.Self {
-		a.out = append(a.out, Envelope{To: leader, Message: Hello{Member: true, StartCredit: a.startCredit}})
+	if next != a.cfg.Self {
+		a.out = append(a.out, Envelope{To: next, Message: Hello{Member: true, StartCredit: a.startCredit}})
 	}
 }
 
 // Take asks for the grant of a claim and returns the ID of the decision to come.
-func (a *Agent) Take(now time.Time, claim Claim) uint64 {
+func (a *Agent) Take(now time.Time, reservation Claim) uint64 {
 	a.nextID++
-	a.ask(now, a.nextID, &pending{claim: claim})
+	a.send(now, a.nextID, &pending{reservation: reservation})
 	return a.nextID
 }
 
-// ask asks the leader of this router's pool.
-func (a *Agent) ask(now time.Time, id uint64, waiting *pending) {
-	a.follow(now)
-	if waiting.to != a.leader {
+// send asks the leader of this router's pool.
+func (a *Agent) send(now time.Time, id uint64, waiting *pending) {
+	a.followLeader(now)
+	if waiting.leader != a.leader {
 		a.withdraw(id, waiting)
-		waiting.to, waiting.tries = a.leader, 0
-		waiting.leaders++
+		waiting.leader, waiting.attempts = a.leader, 0
+		waiting.leadersTried++
 	}
-	waiting.tries++
-	waiting.askedAt = now
-	ask := Ask{ID: id, Claim: waiting.claim}
-	a.asks[id] = waiting
+	waiting.attempts++
+	waiting.sentAt = now
+	request := Ask{ID: id, Claim: waiting.reservation}
+	a.requests[id] = waiting
 	if a.leader == a.cfg.Self {
-		answer := a.pool.Ask(now, a.cfg.Self, &ask, a.sharers())
-		a.answered(now, a.cfg.Self, &answer)
+		response := a.pool.Acquire(now, a.cfg.Self, &request, a.routerCount())
+		a.handleResponse(now, a.cfg.Self, &response)
 		return
 	}
-	a.out = append(a.out, Envelope{To: a.leader, Message: ask})
+	a.out = append(a.out, Envelope{To: a.leader, Message: request})
 }
 
-// again asks once more for what was not answered in time.
-func (a *Agent) again(now time.Time, id uint64, waiting *pending) {
-	asks := asksEach
-	if a.ranking.HeardSince(waiting.to, now.Add(-a.ranking.interval)) {
-		asks = asksHeard
+// retry asks once more for what was not answered in time.
+func (a *Agent) retry(now time.Time, id uint64, waiting *pending) {
+	attempts := attemptsPerLeader
+	if a.ranking.HeardSince(waiting.leader, now.Add(-a.ranking.interval)) {
+		attempts = attemptsIfHeard
 	}
-	if waiting.tries >= asks {
-		a.ranking.Missed(waiting.to)
+	if waiting.attempts >= attempts {
+		a.ranking.MarkDown(waiting.leader)
 	}
-	a.follow(now)
-	if waiting.to != a.leader && waiting.leaders >= leadersEach {
+	a.followLeader(now)
+	if waiting.leader != a.leader && waiting.leadersTried >= leadersPerRequest {
 		a.Forget(id)
-		a.done = append(a.done, Decision{ID: id, Verdict: Unconfirmed{}})
+		a.decisions = append(a.decisions, Decision{ID: id, Verdict: Unconfirmed{}})
 		return
 	}
-	a.ask(now, id, waiting)
+	a.send(now, id, waiting)
 }
 
 // Forget drops a claim whose request has ended.
 func (a *Agent) Forget(id uint64) {
-	if waiting := a.asks[id]; waiting != nil {
+	if waiting := a.requests[id]; waiting != nil {
 		a.withdraw(id, waiting)
-		delete(a.asks, id)
+		delete(a.requests, id)
 	}
 }
 
 // withdraw gives back what a leader may have granted that is not awaited any more.
 func (a *Agent) withdraw(id uint64, waiting *pending) {
-	if waiting.to.IsValid() {
-		a.Return(Grant{By: waiting.to, ID: id})
+	if waiting.leader.IsValid() {
+		a.Return(Grant{By: waiting.leader, ID: id})
 	}
 }
 
 // Return gives back the grant of a request that did not run.
 func (a *Agent) Return(grant Grant) {
 	if grant.By == a.cfg.Self {
-		a.pool.Return(a.cfg.Self, grant.ID)
+		a.pool.Release(a.cfg.Self, grant.ID)
 		return
 	}
 	a.out = append(a.out, Envelope{To: grant.By, Message: Return{ID: grant.ID}})
@@ -237,69 +237,69 @@
 
 // Receive takes in a message.
 func (a *Agent) Receive(now time.Time, from netip.AddrPort, msg Message) {
-	a.ranking.Heard(now, from)
+	a.ranking.ObserveMessage(now, from)
 	switch msg := msg.(type) {
 	case Hello:
-		a.ranking.Greeted(from, msg.Revision)
-		if msg.Member && !a.pool.outdated(from, Leave{Hello: msg.Number}) {
-			a.pool.Join(now, from, msg.StartCredit, a.sharers())
+		a.ranking.ObserveHello(from, msg.Revision)
+		if msg.Member && !a.pool.sentBeforeLeaving(from, Leave{Hello: msg.Number}) {
+			a.pool.Join(now, from, msg.StartCredit, a.routerCount())
 		}
 		a.out = append(a.out, Envelope{To: from, Message: Welcome{Number: msg.Number, Revision: a.revision}})
 	case Welcome:
 		if from == a.leader && msg.Number != 0 {
 			a.startCredit = false
 		}
-		a.ranking.Welcomed(now, from, &msg)
-		a.follow(now)
+		a.ranking.ObserveAck(now, from, &msg)
+		a.followLeader(now)
 	case Leave:
-		a.pool.Leave(now, from, a.sharers())
-		a.pool.said(now, from, msg)
+		a.pool.Leave(now, from, a.routerCount())
+		a.pool.recordDeparture(now, from, msg)
 	case Ask:
-		answer := a.pool.Ask(now, from, &msg, a.sharers())
-		a.out = append(a.out, Envelope{To: from, Message: answer})
+		response := a.pool.Acquire(now, from, &msg, a.routerCount())
+		a.out = append(a.out, Envelope{To: from, Message: response})
 	case Answer:
-		a.answered(now, from, &msg)
+		a.handleResponse(now, from, &msg)
 	case Return:
-		a.pool.Return(from, msg.ID)
+		a.pool.Release(from, msg.ID)
 	}
 }
 
-// answered takes in an answer, unless it came before or is not awaited any more.
-func (a *Agent) answered(now time.Time, from netip.AddrPort, answer *Answer) {
-	waiting := a.asks[answer.ID]
-	if waiting == nil || waiting.to != from {
+// handleResponse takes in an answer, unless it came before or is not awaited any more.
+func (a *Agent) handleResponse(now time.Time, from netip.AddrPort, response *Answer) {
+	waiting := a.requests[response.ID]
+	if waiting == nil || waiting.leader != from {
 		return
 	}
-	if answer.Forming {
-		waiting.askedAt, waiting.tries = now, 0
+	if response.Forming {
+		waiting.sentAt, waiting.attempts = now, 0
 		return
 	}
-	delete(a.asks, answer.ID)
-	a.decide(from, *answer)
+	delete(a.requests, response.ID)
+	a.decide(from, *response)
 }
 
 // decide gives the verdict that an answer means.
-func (a *Agent) decide(by netip.AddrPort, answer Answer) {
-	verdict := Verdict(Denied{After: answer.After})
-	if answer.Granted {
-		verdict = Granted{Grant: Grant{By: by, ID: answer.ID}}
+func (a *Agent) decide(leader netip.AddrPort, response Answer) {
+	result := Verdict(Denied{After: response.After})
+	if response.Granted {
+		result = Granted{Grant: Grant{By: leader, ID: response.ID}}
 	}
-	a.done = append(a.done, Decision{ID: answer.ID, Verdict: verdict})
+	a.decisions = append(a.decisions, Decision{ID: response.ID, Verdict: result})
 }
 
 // Stop leaves the pool, as the router stops.
 func (a *Agent) Stop() {
 	if a.leader.IsValid() && a.leader != a.cfg.Self {
-		a.out = append(a.out, Envelope{To: a.leader, Message: a.goodbye()})
+		a.out = append(a.out, Envelope{To: a.leader, Message: a.leaveMessage()})
 	}
 }
 
-// goodbye returns the message that this router is no member any more.
-func (a *Agent) goodbye() Leave { return Leave{Hello: a.ranking.number, Ask: a.nextID} }
+// leaveMessage returns the message that this router is no member any more.
+func (a *Agent) leaveMessage() Leave { return Leave{Hello: a.ranking.number, Ask: a.nextID} }
 
 // Flush returns the messages to send and the decisions made since the last call.
 func (a *Agent) Flush() ([]Envelope, []Decision) {
-	out, done := a.out, a.done
-	a.out, a.done = nil, nil
-	return out, done
+	out, decisions := a.out, a.decisions
+	a.out, a.decisions = nil, nil
+	return out, decisions
 }
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// BenchmarkPoolAsk is one claim at the leader of a pool.
-func BenchmarkPoolAsk(b *testing.B) {
+// BenchmarkPoolAcquire is one claim at the leader of a pool.
+func BenchmarkPoolAcquire(b *testing.B) {
 	for _, size := range []struct{ tenants, routers int }{{16, 79}, {23_000, 390}} {
 		b.Run(fmt.Sprintf("%d tenants, %d routers", size.tenants, size.routers), func(b *testing.B) {
 			names := make([]Subject, size.tenants)
@@ -23,7 +23,7 @@
 				ask := Ask{ID: uint64(index), Claim: Claim{
 					Subject: names[index%len(names)], Limit: Limit{Rate: 1e6, Burst: 1e6}, Version: 1, Amount: 9000,
 				}}
-				pool.Ask(now, addrOf(index%size.routers), &ask, size.routers)
+				pool.Acquire(now, addrOf(index%size.routers), &ask, size.routers)
 			}
 		})
 	}
@@ -36,7 +36,7 @@
 			pool := poolOf(epoch, 100, 100, false)
 			for index := range tenants {
 				ask := Ask{ID: uint64(index), Claim: Claim{Subject: Subject(fmt.Sprint(index)), Limit: testLimit, Amount: 1}}
-				pool.Ask(epoch, addrOf(0), &ask, 100)
+				pool.Acquire(epoch, addrOf(0), &ask, 100)
 			}
 			for b.Loop() {
 				pool.Join(epoch, addrOf(1), false, 100)
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-func TestNoWindowIsAboveTheBoundWhateverFails(t *testing.T) {
+func TestUsageStaysWithinBoundsUnderFaults(t *testing.T) {
 	const seeds = 6
-	kinds := [][]modelTrouble{nil, modelTroubles}
-	for _, trouble := range modelTroubles {
-		kinds = append(kinds, []modelTrouble{trouble})
+	kinds := [][]modelFault{nil, modelFaults}
+	for _, trouble := range modelFaults {
+		kinds = append(kinds, []modelFault{trouble})
 	}
 	for _, troubles := range kinds {
 		name := "none or all"
@@ -25,11 +25,11 @@
 				is := is.New(t)
 				m := newModel(seed, 24, modelTenants())
 				limits := limitsOf(m.tenants)
-				m.play(troubles, 24*time.Second)
-				is.Equal(m.judge(limits), nil)
-				m.calm(12 * time.Second)
+				m.run(troubles, 24*time.Second)
+				is.Equal(m.violations(limits), nil)
+				m.runWithoutFaults(12 * time.Second)
 				is.Equal(members(m.leader()), len(m.routers)) // one pool again
-				is.Equal(m.judge(limits), nil)
+				is.Equal(m.violations(limits), nil)
 			})
 		}
 	}
@@ -37,7 +37,7 @@
 
 // When the leader of a pool is gone, the others are not refused while they gather at
 // the next one.
-func TestTheLossOfALeaderRefusesNobody(t *testing.T) {
+func TestLeaderLossDeniesNoRequests(t *testing.T) {
 	tests := []struct {
 		name    string
 		trouble func(m *model)
@@ -67,14 +67,14 @@
 				// The router that was lost may refuse what comes through it.
 				is.True(tenant.calmDenied <= tenant.calmAsked/len(m.routers)+1)
 			}
-			is.Equal(m.judge(limits), nil)
+			is.Equal(m.violations(limits), nil)
 		})
 	}
 }
 
 // A fleet that was killed as a whole finds to one pool soon after it is back, although
 // most of the routers that each knows of are not what they were.
-func TestAFleetThatStartsAnewIsOnePoolSoon(t *testing.T) {
+func TestRestartedFleetFormsOnePool(t *testing.T) {
 	tests := []struct {
 		routers int
 		within  time.Duration
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestATenantWithinItsLimitIsNotRefused(t *testing.T) {
+func TestTenantWithinLimitIsNotDenied(t *testing.T) {
 	tests := []struct {
 		name  string
 		alone bool
@@ -112,7 +112,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			m := newModel(3, 24, modelTenants())
-			m.alone = tt.alone
+			m.standalone = tt.alone
 			for m.now < 3*time.Second {
 				m.step(false)
 			}
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -27,12 +27,12 @@
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-// leastBurst is the part of a second's use that may be used at once, whatever the burst
+// minBurst is the part of a second's use that may be used at once, whatever the burst
 // says: a bucket that holds nothing grants nothing.
-const leastBurst = 0.25
+const minBurst = 0.25
 
 // capacity returns what a bucket holds.
-func (l Limit) capacity() float64 { return max(l.Burst, leastBurst*l.Rate) }
+func (l Limit) capacity() float64 { return max(l.Burst, minBurst*l.Rate) }
 
 // Bounds say by how much the use of a subject in any window may be above its limit.
 type Bounds struct {
@@ -48,8 +48,8 @@
 	Unit float64
 }
 
-// Most returns the most that may be used in any window.
-func (b Bounds) Most(limit Limit) float64 {
+// Max returns the most that may be used in any window.
+func (b Bounds) Max(limit Limit) float64 {
 	return b.allowed(limit) + b.spare(limit)
 }
 
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -52,9 +52,9 @@
 	Preferred bool `cbor:"5,keyasint,omitempty"`
 }
 
-// sound reports whether the claim may be counted: what another router tells may be
+// valid reports whether the claim may be counted: what another router tells may be
 // anything.
-func (c *Claim) sound() bool {
+func (c *Claim) valid() bool {
 	finite := func(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 	return finite(c.Amount) && finite(c.Limit.Rate) && finite(c.Limit.Burst) && c.Limit.Limited()
 }
@@ -151,7 +151,7 @@
 }
 
 // Verdict is what came of a claim: Granted, Denied or Unconfirmed.
-type Verdict interface{ verdict() }
+type Verdict interface{ result() }
 
 // Granted allows the request.
 type Granted struct{ Grant Grant }
@@ -165,9 +165,9 @@
 // Unconfirmed says that no leader of a pool answered in time.
 type Unconfirmed struct{}
 
-func (Granted) verdict()     {}
-func (Denied) verdict()      {}
-func (Unconfirmed) verdict() {}
+func (Granted) result()     {}
+func (Denied) result()      {}
+func (Unconfirmed) result() {}
 
 // Decision is the verdict on the claim with an ID.
 type Decision struct {
--- a/internal/quota/message_test.go
+++ b/internal/quota/message_test.go
@@ -15,7 +15,7 @@
 	Answer{ID: 3, Granted: true}, Answer{ID: 3, After: time.Second}, Return{ID: 3},
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	for _, msg := range testMessages {
 		t.Run(fmt.Sprintf("%T", msg), func(t *testing.T) {
 			is := is.New(t)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -71,22 +71,22 @@
 
 // model is one history.
 type model struct {
-	random *rand.Rand
-	now    time.Duration
-	bounds Bounds
-	alone  bool
+	random     *rand.Rand
+	now        time.Duration
+	bounds     Bounds
+	standalone bool
 	// place and hello are those of the agents' configuration.
-	place    int
-	hello    time.Duration
-	routers  []*modelRouter
-	byAddr   map[netip.AddrPort]*modelRouter
-	tenants  []*modelTenant
-	revision uint64
-	loss     float64
+	place         int
+	helloInterval time.Duration
+	routers       []*modelRouter
+	byAddr        map[netip.AddrPort]*modelRouter
+	tenants       []*modelTenant
+	revision      uint64
+	loss          float64
 	// tick is the time between two ticks of an agent.
 	tick time.Duration
-	// troubled is the time until which refusals within a limit are not counted.
-	troubled time.Duration
+	// faultUntil is the time until which refusals within a limit are not counted.
+	faultUntil time.Duration
 }
 
 // epoch is the time at which the virtual time begins.
@@ -110,7 +110,7 @@
 	m.revision++
 	router.revision = m.revision
 	router.waiting, router.inbox = make(map[uint64]*modelRequest), nil
-	router.agent = NewAgent(Config{Self: router.addr, Bounds: m.bounds, FirstID: m.random.Uint64() >> 1, Alone: m.alone, Place: m.place, HelloInterval: m.hello})
+	router.agent = NewAgent(Config{Self: router.addr, Bounds: m.bounds, FirstID: m.random.Uint64() >> 1, Alone: m.standalone, Place: m.place, HelloInterval: m.helloInterval})
 	older := slices.DeleteFunc(slices.Clone(m.routers), func(other *modelRouter) bool { return other == router || other.revision == 0 })
 	slices.SortFunc(older, func(a, b *modelRouter) int { return cmp.Compare(a.revision, b.revision) })
 	var addrs []netip.AddrPort
@@ -132,7 +132,7 @@
 func (m *model) flush(router *modelRouter) {
 	out, done := router.agent.Flush()
 	for _, decision := range done {
-		m.decided(router, decision)
+		m.decide(router, decision)
 	}
 	for _, envelope := range out {
 		to := m.byAddr[envelope.To]
@@ -146,15 +146,15 @@
 	}
 }
 
-// decided judges a verdict: in a tenth of all cases no engine takes the request.
-func (m *model) decided(router *modelRouter, decision Decision) {
+// decide judges a verdict: in a tenth of all cases no engine takes the request.
+func (m *model) decide(router *modelRouter, decision Decision) {
 	req := router.waiting[decision.ID]
 	if req == nil {
 		return
 	}
 	delete(router.waiting, decision.ID)
 	granted, ok := decision.Verdict.(Granted)
-	if req.calm && m.now > m.troubled {
+	if req.calm && m.now > m.faultUntil {
 		req.tenant.calmAsked++
 		if !ok {
 			req.tenant.calmDenied++
@@ -218,8 +218,8 @@
 			if m.bounds.Unit > 0 {
 				amount = m.bounds.Unit
 			}
-			claim := Claim{Subject: Subject(tenant.name), Limit: tenant.limit, Version: tenant.version, Amount: amount, Preferred: tenant.preferred && m.random.IntN(2) == 0}
-			id := router.agent.Take(m.time(), claim)
+			reservation := Claim{Subject: Subject(tenant.name), Limit: tenant.limit, Version: tenant.version, Amount: amount, Preferred: tenant.preferred && m.random.IntN(2) == 0}
+			id := router.agent.Take(m.time(), reservation)
 			router.waiting[id] = &modelRequest{tenant: tenant, amount: amount, calm: tenant.hot == 0}
 			m.flush(router)
 		}
@@ -259,8 +259,8 @@
 	router.agent, router.downUntil = nil, m.now+length
 }
 
-// modelTrouble is something that goes wrong.
-type modelTrouble struct {
+// modelFault is something that goes wrong.
+type modelFault struct {
 	name string
 	// begin returns what ends the trouble.
 	begin func(m *model) (end func())
@@ -269,7 +269,7 @@
 // lostDatagrams is the trouble that makes routers change their leaders most often.
 const lostDatagrams = "datagrams are lost"
 
-var modelTroubles = []modelTrouble{
+var modelFaults = []modelFault{
 	{"the leader is killed", func(m *model) func() { m.kill(m.leader(), time.Second); return func() {} }},
 	{"all are killed", func(m *model) func() {
 		for _, router := range m.routers {
@@ -328,9 +328,9 @@
 	}
 }
 
-// play plays a history: troubles of the given kinds, one after the other and together,
+// run plays a history: troubles of the given kinds, one after the other and together,
 // while tenants become hot.
-func (m *model) play(troubles []modelTrouble, length time.Duration) {
+func (m *model) run(faults []modelFault, length time.Duration) {
 	for m.now < 3*time.Second {
 		m.step(false)
 	}
@@ -340,13 +340,13 @@
 		if end != nil && m.now >= endAt {
 			end()
 			end = nil
-			m.troubled = m.now + 4*time.Second
+			m.faultUntil = m.now + 4*time.Second
 		}
-		if m.now >= nextAt && len(troubles) > 0 && end == nil {
-			end = troubles[m.random.IntN(len(troubles))].begin(m)
+		if m.now >= nextAt && len(faults) > 0 && end == nil {
+			end = faults[m.random.IntN(len(faults))].begin(m)
 			lasts := time.Duration(500+m.random.IntN(4000)) * time.Millisecond
 			endAt, nextAt = m.now+lasts, m.now+time.Duration(m.random.IntN(5000))*time.Millisecond
-			m.troubled = endAt + 4*time.Second
+			m.faultUntil = endAt + 4*time.Second
 		}
 		if m.now%(500*time.Millisecond) == 0 {
 			tenant := m.tenants[m.random.IntN(len(m.tenants))]
@@ -356,8 +356,8 @@
 	}
 }
 
-// calm plays on while nothing goes wrong.
-func (m *model) calm(length time.Duration) {
+// runWithoutFaults plays on while nothing goes wrong.
+func (m *model) runWithoutFaults(length time.Duration) {
 	m.heal()
 	m.loss = 0
 	for _, tenant := range m.tenants {
@@ -376,13 +376,13 @@
 	}
 }
 
-// judge reports the tenants whose use in some window was above the bound. A limit that
+// violations reports the tenants whose use in some window was above the bound. A limit that
 // falls binds from a window later; the larger one is taken all the time.
-func (m *model) judge(limits map[string]Limit) (broken []string) {
+func (m *model) violations(limits map[string]Limit) (broken []string) {
 	for _, tenant := range m.tenants {
-		most := m.bounds.Most(limits[tenant.name])
-		if largest := tenant.largestWindow(m.bounds.Window); largest > most {
-			broken = append(broken, fmt.Sprintf("%s used %.0f of %.0f", tenant.name, largest, most))
+		allowed := m.bounds.Max(limits[tenant.name])
+		if largest := tenant.largestWindow(m.bounds.Window); largest > allowed {
+			broken = append(broken, fmt.Sprintf("%s used %.0f of %.0f", tenant.name, largest, allowed))
 		}
 	}
 	return broken
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// memberHellos is for how many intervals between hellos a member counts that was not
+	// memberIntervals is for how many intervals between hellos a member counts that was not
 	// heard. For as long a router that went to another pool may count in both.
-	memberHellos = 3
-	// memberFor is that time with the usual interval.
-	memberFor = memberHellos * helloInterval
-	// answersKept is how long answers are kept for asks that are repeated, and for
+	memberIntervals = 3
+	// memberTimeout is that time with the usual interval.
+	memberTimeout = memberIntervals * helloInterval
+	// responseRetention is how long answers are kept for asks that are repeated, and for
 	// requests that give back what they were granted.
-	answersKept = 4 * time.Second
-	// formingHellos is for how many intervals after its last new member a pool with less than
+	responseRetention = 4 * time.Second
+	// formingIntervals is for how many intervals after its last new member a pool with less than
 	// half of all routers may still grow: a router that lost its leader notices within that
 	// time.
-	formingHellos = 2
-	// longestDenial bounds the time told with a denial.
-	longestDenial = 10 * time.Second
+	formingIntervals = 2
+	// maxRetryAfter bounds the time told with a denial.
+	maxRetryAfter = 10 * time.Second
 )
 
 // Pool is the part of a router that grants claims to the members of its pool. It is not
 // safe for concurrent use.
 type Pool struct {
 	bounds Bounds
-	// memberFor and formingFor are memberHellos and formingHellos intervals.
-	memberFor, formingFor time.Duration
-	members               map[netip.AddrPort]time.Time
+	// memberTimeout and formingPeriod are memberIntervals and formingIntervals intervals.
+	memberTimeout, formingPeriod time.Duration
+	members                      map[netip.AddrPort]time.Time
 	// routers is the number of all routers, as told last.
 	routers int
-	// goodbyes are those of the routers that left a short time ago.
-	goodbyes map[netip.AddrPort]goodbye
-	// grewAt is when a member came that was none before.
-	grewAt time.Time
+	// departures are those of the routers that left a short time ago.
+	departures map[netip.AddrPort]departure
+	// lastJoinAt is when a member came that was none before.
+	lastJoinAt time.Time
 	// sweepAt is when the next member may have to be dropped.
 	sweepAt time.Time
 	buckets map[Subject]*bucket
@@ -48,10 +48,10 @@
 	filledAt time.Time
 	// baseFilled and baseCredits are from where buckets of new tenants are counted: those
 	// at the last loss of a member.
-	baseFilled  float64
-	baseCredits int
-	answers     map[askKey]*answered
-	order       []askKey
+	baseFilled    float64
+	baseCredits   int
+	responses     map[requestKey]*answeredRequest
+	responseOrder []requestKey
 }
 
 // bucket holds what a tenant may still use.
@@ -62,38 +62,38 @@
 	// filled and credits are those of the pool up to which the level is counted.
 	filled  float64
 	credits int
-	// crowd counts the claims that were denied lately, and usedAt is when the last one came.
-	crowd  crowd
-	usedAt time.Time
+	// denials counts the claims that were denied lately, and usedAt is when the last one came.
+	denials denialCounter
+	usedAt  time.Time
 }
 
-// askKey names an ask of one router.
-type askKey struct {
+// requestKey names an ask of one router.
+type requestKey struct {
 	from netip.AddrPort
 	id   uint64
 }
 
-// answered is an ask that was answered.
-type answered struct {
-	answer  Answer
-	subject Subject
-	amount  float64
-	at      time.Time
+// answeredRequest is an ask that was answered.
+type answeredRequest struct {
+	response Answer
+	subject  Subject
+	amount   float64
+	at       time.Time
 }
 
 // NewPool returns a pool without members.
 func NewPool(bounds Bounds) *Pool {
 	pool := &Pool{
 		bounds: bounds, members: make(map[netip.AddrPort]time.Time), buckets: make(map[Subject]*bucket),
-		answers: make(map[askKey]*answered), goodbyes: make(map[netip.AddrPort]goodbye),
+		responses: make(map[requestKey]*answeredRequest), departures: make(map[netip.AddrPort]departure),
 	}
-	pool.heardEvery(helloInterval)
+	pool.setHelloInterval(helloInterval)
 	return pool
 }
 
-// heardEvery sets the time between two hellos of a member.
-func (p *Pool) heardEvery(interval time.Duration) {
-	p.memberFor, p.formingFor = memberHellos*interval, formingHellos*interval
+// setHelloInterval sets the time between two hellos of a member.
+func (p *Pool) setHelloInterval(interval time.Duration) {
+	p.memberTimeout, p.formingPeriod = memberIntervals*interval, formingIntervals*interval
 }
 
 // Join takes in that a router is a member, and whether it adds its start credit
@@ -104,7 +104,7 @@
 		p.credits++
 	}
 	if _, known := p.members[from]; !known {
-		p.grewAt = now
+		p.lastJoinAt = now
 	}
 	p.members[from] = now
 }
@@ -124,7 +124,7 @@
 // forming reports whether routers are just gathering in this pool, because their leader
 // is gone or the fleet has started: what it cannot grant yet it soon can.
 func (p *Pool) forming(now time.Time, routers int) bool {
-	return 2*len(p.members) < routers && now.Sub(p.grewAt) < p.formingFor
+	return 2*len(p.members) < routers && now.Sub(p.lastJoinAt) < p.formingPeriod
 }
 
 // share returns the part of all limits that the members bring.
@@ -137,17 +137,17 @@
 	p.routers = routers
 	if elapsed := now.Sub(p.filledAt); !p.filledAt.IsZero() && elapsed > 0 {
 		// A leader that stood still has no news of its members for that time.
-		elapsed = min(elapsed, p.memberFor)
+		elapsed = min(elapsed, p.memberTimeout)
 		p.filled += elapsed.Seconds() * p.share(routers)
 	}
 	p.filledAt = now
 	if now.Before(p.sweepAt) {
 		return
 	}
-	p.sweepAt = now.Add(p.memberFor)
+	p.sweepAt = now.Add(p.memberTimeout)
 	before := len(p.members)
 	for member, heardAt := range p.members {
-		goneAt := heardAt.Add(p.memberFor)
+		goneAt := heardAt.Add(p.memberTimeout)
 		if !now.Before(goneAt) {
 			delete(p.members, member)
 		} else if goneAt.Before(p.sweepAt) {
@@ -157,56 +157,56 @@
 	if len(p.members) < before {
 		p.shrink(routers)
 	}
-	p.forgetBuckets(now)
-	maps.DeleteFunc(p.goodbyes, func(_ netip.AddrPort, left goodbye) bool { return now.Sub(left.at) > p.memberFor })
+	p.dropUnusedBuckets(now)
+	maps.DeleteFunc(p.departures, func(_ netip.AddrPort, left departure) bool { return now.Sub(left.leftAt) > p.memberTimeout })
 }
 
-// goodbye is the last word of a router that left, with its time.
-type goodbye struct {
-	leave Leave
-	at    time.Time
+// departure is the last word of a router that left, with its time.
+type departure struct {
+	leave  Leave
+	leftAt time.Time
 }
 
-// said remembers what a router had sent when it left. Copies of that which come later, or by
+// recordDeparture remembers what a router had sent when it left. Copies of that which come later, or by
 // other ways, would make it a member again beside the pool that it went to: with a fifth of all
 // datagrams lost and a twentieth repeated, 24 routers granted 1.6 times a limit of 300 a second
-// in a window (TestNoBackEndGetsMoreThanItsLimitWhateverFails).
-func (p *Pool) said(now time.Time, from netip.AddrPort, leave Leave) {
-	p.goodbyes[from] = goodbye{leave: leave, at: now}
+// in a window (TestBackEndLimitsHoldUnderFaults).
+func (p *Pool) recordDeparture(now time.Time, from netip.AddrPort, leave Leave) {
+	p.departures[from] = departure{leave: leave, leftAt: now}
 }
 
-// outdated reports whether a router had sent a hello or an ask before it left.
-func (p *Pool) outdated(from netip.AddrPort, sent Leave) bool {
-	left, found := p.goodbyes[from]
+// sentBeforeLeaving reports whether a router had sent a hello or an ask before it left.
+func (p *Pool) sentBeforeLeaving(from netip.AddrPort, sent Leave) bool {
+	left, found := p.departures[from]
 	return found && sent.Hello <= left.leave.Hello && sent.Ask <= left.leave.Ask
 }
 
-// bucketFor is how long a bucket of units is kept that nobody claims from: back ends come and
+// bucketRetention is how long a bucket of units is kept that nobody claims from: back ends come and
 // go. One that is made anew begins full, as it would be after that time at a rate of 0.1 a
 // second.
-const bucketFor = time.Minute
+const bucketRetention = time.Minute
 
-// forgetBuckets drops the buckets of units that nobody claims from any more.
-func (p *Pool) forgetBuckets(now time.Time) {
+// dropUnusedBuckets drops the buckets of units that nobody claims from any more.
+func (p *Pool) dropUnusedBuckets(now time.Time) {
 	if p.bounds.Unit == 0 {
 		return
 	}
-	maps.DeleteFunc(p.buckets, func(_ Subject, known *bucket) bool { return now.Sub(known.usedAt) > bucketFor })
+	maps.DeleteFunc(p.buckets, func(_ Subject, known *bucket) bool { return now.Sub(known.usedAt) > bucketRetention })
 }
 
-// full returns what a bucket of this pool holds.
-func (p *Pool) full(limit Limit, routers int) float64 {
+// capacity returns what a bucket of this pool holds.
+func (p *Pool) capacity(limit Limit, routers int) float64 {
 	share := p.share(routers)
-	full := limit.capacity() * share
+	capacity := limit.capacity() * share
 	if share >= unitPart {
-		full = max(full, p.bounds.Unit)
+		capacity = max(capacity, p.bounds.Unit)
 	}
-	return full
+	return capacity
 }
 
-// most returns what a bucket of this pool holds with the start credits of its members.
-func (p *Pool) most(limit Limit, routers int) float64 {
-	return p.full(limit, routers) + startCreditPart*p.bounds.spare(limit)*p.share(routers)
+// maxLevel returns what a bucket of this pool holds with the start credits of its members.
+func (p *Pool) maxLevel(limit Limit, routers int) float64 {
+	return p.capacity(limit, routers) + startCreditPart*p.bounds.spare(limit)*p.share(routers)
 }
 
 // shrink takes from all buckets what is above the share of the members that are left:
@@ -214,78 +214,78 @@
 func (p *Pool) shrink(routers int) {
 	p.baseFilled, p.baseCredits = p.filled, p.credits
 	for _, filling := range p.buckets {
-		p.settle(filling, routers)
-		filling.level = min(filling.level, p.most(filling.limit, routers))
+		p.refill(filling, routers)
+		filling.level = min(filling.level, p.maxLevel(filling.limit, routers))
 	}
 }
 
-// Ask answers an ask of a router, which counts as a member from then on. The same ask
+// Acquire answers an ask of a router, which counts as a member from then on. The same ask
 // gets the same answer.
-func (p *Pool) Ask(now time.Time, from netip.AddrPort, ask *Ask, routers int) Answer {
-	if !ask.Claim.sound() {
-		return Answer{ID: ask.ID, After: longestDenial}
+func (p *Pool) Acquire(now time.Time, from netip.AddrPort, request *Ask, routers int) Answer {
+	if !request.Claim.valid() {
+		return Answer{ID: request.ID, After: maxRetryAfter}
 	}
-	if p.outdated(from, Leave{Ask: ask.ID}) {
+	if p.sentBeforeLeaving(from, Leave{Ask: request.ID}) {
 		p.advance(now, routers)
 	} else {
 		p.Join(now, from, false, routers)
 	}
-	p.forget(now)
-	key := askKey{from: from, id: ask.ID}
-	if known := p.answers[key]; known != nil {
-		return known.answer
+	p.dropOldResponses(now)
+	key := requestKey{from: from, id: request.ID}
+	if known := p.responses[key]; known != nil {
+		return known.response
 	}
-	filling := p.bucket(&ask.Claim, routers)
+	filling := p.bucket(&request.Claim, routers)
 	filling.usedAt = now
-	answer := Answer{ID: ask.ID}
-	after := p.wait(filling, &ask.Claim, routers)
+	response := Answer{ID: request.ID}
+	wait := p.wait(filling, &request.Claim, routers)
 	switch {
-	case after == 0:
-		answer.Granted = true
-		filling.level -= ask.Claim.Amount
+	case wait == 0:
+		response.Granted = true
+		filling.level -= request.Claim.Amount
 	case p.forming(now, routers):
-		answer.Forming = true
-		return answer
+		response.Forming = true
+		return response
 	default:
-		answer.After = min(after+p.yield(now, filling, routers), longestDenial)
+		response.After = min(wait+p.extraDelay(now, filling, routers), maxRetryAfter)
 	}
-	p.answers[key] = &answered{answer: answer, subject: ask.Claim.Subject, amount: ask.Claim.Amount, at: now}
-	p.order = append(p.order, key)
-	return answer
+	p.responses[key] = &answeredRequest{response: response, subject: request.Claim.Subject, amount: request.Claim.Amount, at: now}
+	p.responseOrder = append(p.responseOrder, key)
+	return response
 }
 
-// Return takes back what was granted for a request that did not run.
-func (p *Pool) Return(from netip.AddrPort, id uint64) {
-	known := p.answers[askKey{from: from, id: id}]
-	if known == nil || !known.answer.Granted {
+// Release takes back what was granted for a request that did not run.
+func (p *Pool) Release(from netip.AddrPort, id uint64) {
+	known := p.responses[requestKey{from: from, id: id}]
+	if known == nil || !known.response.Granted {
 		return
 	}
-	known.answer.Granted = false
+	known.response.Granted = false
 	if filling := p.buckets[known.subject]; filling != nil {
 		// What comes back late adds to a bucket that has filled since: no more than it holds.
-		most := p.most(filling.limit, p.routers)
+		most := p.maxLevel(filling.limit, p.routers)
 		filling.level = max(filling.level, min(filling.level+known.amount, most))
 	}
 }
 
 // bucket returns the bucket of a claim's tenant, filled up to now.
-func (p *Pool) bucket(claim *Claim, routers int) *bucket {
-	known := p.buckets[claim.Subject]
+func (p *Pool) bucket(reservation *Claim, routers int) *bucket {
+	known := p.buckets[reservation.Subject]
 	if known == nil {
-		known = &bucket{limit: claim.Limit, version: claim.Version, filled: p.baseFilled, credits: p.baseCredits}
-		p.buckets[claim.Subject] = known
+		known = &bucket{limit: reservation.Limit, version: reservation.Version, filled: p.baseFilled, credits: p.baseCredits}
+		p.buckets[reservation.Subject] = known
 	}
-	p.settle(known, routers)
-	if claim.Version > known.version {
-		known.limit, known.version = claim.Limit, claim.Version
+	p.refill(known, routers)
+	if reservation.Version > known.version {
+		known.limit, known.version = reservation.Limit, reservation.Version
 		known.level = min(known.level, max(known.limit.capacity(), p.bounds.Unit))
 	}
 	return known
 }
 
-// settle fills a bucket up to now.
-func (p *Pool) settle(known *bucket, routers int) {
-	full := p.full(known.limit, routers)
+// refill fills a bucket up to now.
+func (p *Pool) refill(known *bucket, routers int) {
+	full := p.capacity(known.limit, routers)
 	filled := known.level + p.bounds.rate(known.limit)*(p.filled-known.filled)
 	known.level = max(known.level, min(filled, full))
 	known.level = p.withCredits(known, full, routers)
@@ -301,15 +301,15 @@
 }
 
 // wait returns the time until a claim could be granted, 0 if it can be now.
-func (p *Pool) wait(filling *bucket, claim *Claim, routers int) time.Duration {
+func (p *Pool) wait(filling *bucket, reservation *Claim, routers int) time.Duration {
 	share := p.share(routers)
-	full := p.full(filling.limit, routers)
-	needed := claim.Amount
-	if largest := full + debtPart*p.bounds.spare(filling.limit)*share; claim.Amount <= largest {
+	full := p.capacity(filling.limit, routers)
+	needed := reservation.Amount
+	if largest := full + debtPart*p.bounds.spare(filling.limit)*share; reservation.Amount <= largest {
 		// A request larger than the bucket waits until it is full.
-		needed = min(claim.Amount, full)
+		needed = min(reservation.Amount, full)
 	}
-	if claim.Preferred {
+	if reservation.Preferred {
 		needed -= preferredPart * p.bounds.Unit
 	}
 	lacking := needed - filling.level
@@ -317,18 +317,18 @@
 		return 0
 	}
 	wait := lacking / (p.bounds.rate(filling.limit) * share)
-	if needed > full || math.IsInf(wait, 1) || wait > longestDenial.Seconds() {
-		return longestDenial
+	if needed > full || math.IsInf(wait, 1) || wait > maxRetryAfter.Seconds() {
+		return maxRetryAfter
 	}
 	return max(time.Duration(wait*float64(time.Second)), time.Millisecond)
 }
 
-// forget drops answers that are not asked for any more.
-func (p *Pool) forget(now time.Time) {
+// dropOldResponses drops answers that are not asked for any more.
+func (p *Pool) dropOldResponses(now time.Time) {
 	count := 0
-	for count < len(p.order) && now.Sub(p.answers[p.order[count]].at) > answersKept {
-		delete(p.answers, p.order[count])
+	for count < len(p.responseOrder) && now.Sub(p.responses[p.responseOrder[count]].at) > responseRetention {
+		delete(p.responses, p.responseOrder[count])
 		count++
 	}
-	p.order = p.order[count:]
+	p.responseOrder = p.responseOrder[count:]
 }
--- a/internal/quota/pool_test.go
+++ b/internal/quota/pool_test.go
@@ -30,8 +30,8 @@
 	return pool
 }
 
-// keep keeps members for a time.
-func keep(pool *Pool, now time.Time, length time.Duration, members, routers int) time.Time {
+// keepMembers keeps members for a time.
+func keepMembers(pool *Pool, now time.Time, length time.Duration, members, routers int) time.Time {
 	for end := now.Add(length); now.Before(end); {
 		now = now.Add(helloInterval)
 		for index := range members {
@@ -41,21 +41,21 @@
 	return now
 }
 
-// lastID is the id of the last ask of granted.
-var lastID atomic.Uint64
+// lastRequestID is the id of the last ask of granted.
+var lastRequestID atomic.Uint64
 
-// granted asks for amounts of one unit until one is denied, and returns how many were
+// grantedUnits asks for amounts of one unit until one is denied, and returns how many were
 // granted.
-func granted(pool *Pool, now time.Time, limit Limit, version uint64, routers int) int {
+func grantedUnits(pool *Pool, now time.Time, limit Limit, version uint64, routers int) int {
 	for count := 0; ; count++ {
-		ask := Ask{ID: 1000 + lastID.Add(1), Claim: Claim{Subject: "t", Limit: limit, Version: version, Amount: 1}}
-		if !pool.Ask(now, addrOf(0), &ask, routers).Granted {
+		request := Ask{ID: 1000 + lastRequestID.Add(1), Claim: Claim{Subject: "t", Limit: limit, Version: version, Amount: 1}}
+		if !pool.Acquire(now, addrOf(0), &request, routers).Granted {
 			return count
 		}
 	}
 }
 
-func TestAPoolGrantsTheShareOfItsMembers(t *testing.T) {
+func TestPoolGrantsShareOfMembers(t *testing.T) {
 	tests := []struct {
 		members, routers int
 		credit           bool
@@ -76,14 +76,14 @@
 			is := is.New(t)
 			now := epoch
 			pool := poolOf(now, tt.members, tt.routers, tt.credit)
-			now = keep(pool, now, tt.filled, tt.members, tt.routers)
-			is.Equal(granted(pool, now, testLimit, 1, tt.routers), tt.want)
+			now = keepMembers(pool, now, tt.filled, tt.members, tt.routers)
+			is.Equal(grantedUnits(pool, now, testLimit, 1, tt.routers), tt.want)
 		})
 	}
 }
 
 // Routers that come and go fill no bucket beyond its capacity and the part of the spare.
-func TestWhatMembersBringIsBounded(t *testing.T) {
+func TestStartCreditsAreBounded(t *testing.T) {
 	tests := []struct {
 		name  string
 		known bool
@@ -98,73 +98,73 @@
 			now := epoch
 			pool := poolOf(now, 4, 4, false)
 			if tt.known {
-				is.Equal(granted(pool, now, testLimit, 1, 4), 0)
+				is.Equal(grantedUnits(pool, now, testLimit, 1, 4), 0)
 			}
 			for range 100 {
 				pool.Leave(now, addrOf(1), 4)
 				pool.Join(now, addrOf(1), true, 4)
 			}
-			is.Equal(granted(pool, now, testLimit, 1, 4), tt.want)
+			is.Equal(grantedUnits(pool, now, testLimit, 1, 4), tt.want)
 		})
 	}
 }
 
 // What a pool holds goes with its members: whoever leads them next grants it too.
-func TestAPoolThatLosesMembersHoldsLess(t *testing.T) {
+func TestPoolShrinksWithMembers(t *testing.T) {
 	tests := []struct{ left, want int }{{4, 2000}, {2, 1050}, {1, 525}}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.left), func(t *testing.T) {
 			is := is.New(t)
 			pool := poolOf(epoch, 4, 4, false)
-			is.Equal(granted(pool, epoch, testLimit, 1, 4), 0)
-			now := keep(pool, epoch, time.Minute, 4, 4)
+			is.Equal(grantedUnits(pool, epoch, testLimit, 1, 4), 0)
+			now := keepMembers(pool, epoch, time.Minute, 4, 4)
 			for index := tt.left; index < 4; index++ {
 				pool.Leave(now, addrOf(index), 4)
 			}
-			is.Equal(granted(pool, now, testLimit, 1, 4), tt.want)
+			is.Equal(grantedUnits(pool, now, testLimit, 1, 4), tt.want)
 		})
 	}
 }
 
-func TestALeaderThatStoodStillFillsNothingMeanwhile(t *testing.T) {
+func TestPausedLeaderDoesNotRefillBuckets(t *testing.T) {
 	is := is.New(t)
 	pool := poolOf(epoch, 4, 4, false)
 	now := epoch.Add(time.Minute)
-	most := int(testBounds.rate(testLimit) * memberFor.Seconds())
-	is.True(granted(pool, now, testLimit, 1, 4) <= most)
+	most := int(testBounds.rate(testLimit) * memberTimeout.Seconds())
+	is.True(grantedUnits(pool, now, testLimit, 1, 4) <= most)
 	is.Equal(pool.Members(), 1) // who asked
 }
 
-func TestWhatIsGivenBackCountsOnce(t *testing.T) {
+func TestReleaseCountsOnce(t *testing.T) {
 	is := is.New(t)
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
-	now = keep(pool, now, time.Second, 4, 4)
+	now = keepMembers(pool, now, time.Second, 4, 4)
 	ask := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: 1000}}
-	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
-	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted) // the same ask, once more
-	is.Equal(granted(pool, now, testLimit, 0, 4), 102)
+	is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted)
+	is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted) // the same ask, once more
+	is.Equal(grantedUnits(pool, now, testLimit, 0, 4), 102)
 	for range 3 {
-		pool.Return(addrOf(0), 1)
-		pool.Return(addrOf(1), 1) // never granted
+		pool.Release(addrOf(0), 1)
+		pool.Release(addrOf(1), 1) // never granted
 	}
-	is.Equal(granted(pool, now.Add(time.Nanosecond), testLimit, 0, 4), 1000)
+	is.Equal(grantedUnits(pool, now.Add(time.Nanosecond), testLimit, 0, 4), 1000)
 }
 
-func TestANewerLimitIsTakenAtOnceAndAnOlderOneNever(t *testing.T) {
+func TestOnlyNewerLimitIsApplied(t *testing.T) {
 	is := is.New(t)
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
-	now = keep(pool, now, time.Minute, 4, 4)
+	now = keepMembers(pool, now, time.Minute, 4, 4)
 	ask := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Version: 1, Amount: 1}}
-	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
+	is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted)
 	lower := Limit{Rate: 100, Burst: 200}
-	is.Equal(granted(pool, now, lower, 2, 4), 200)
-	now = keep(pool, now, time.Minute, 4, 4)
-	is.Equal(granted(pool, now, testLimit, 1, 4), 200)
+	is.Equal(grantedUnits(pool, now, lower, 2, 4), 200)
+	now = keepMembers(pool, now, time.Minute, 4, 4)
+	is.Equal(grantedUnits(pool, now, testLimit, 1, 4), 200)
 }
 
-func TestAClaimThatIsNoneIsDenied(t *testing.T) {
+func TestInvalidReservationIsDenied(t *testing.T) {
 	tests := []Claim{
 		{Limit: testLimit, Amount: -1}, {Limit: testLimit, Amount: math.NaN()}, {Limit: testLimit, Amount: math.Inf(1)},
 		{Limit: Limit{Rate: math.NaN(), Burst: 1}, Amount: 1}, {Limit: Limit{Rate: math.Inf(1)}, Amount: 1},
@@ -174,8 +174,8 @@
 		t.Run(fmt.Sprint(claim), func(t *testing.T) {
 			is := is.New(t)
 			pool := poolOf(epoch, 1, 1, false)
-			now := keep(pool, epoch, time.Minute, 1, 1)
-			is.Equal(pool.Ask(now, addrOf(0), &Ask{ID: 1, Claim: claim}, 1), Answer{ID: 1, After: longestDenial})
+			now := keepMembers(pool, epoch, time.Minute, 1, 1)
+			is.Equal(pool.Acquire(now, addrOf(0), &Ask{ID: 1, Claim: claim}, 1), Answer{ID: 1, After: maxRetryAfter})
 			is.Equal(len(pool.buckets), 0)
 		})
 	}
@@ -193,15 +193,15 @@
 		{"lacks a half", 1500, 900 * time.Millisecond, false, 529 * time.Millisecond},
 		{"larger than the bucket, which is full", 2140, time.Minute, true, 0},
 		{"larger than the bucket, which is not full", 2140, 900 * time.Millisecond, false, 1005 * time.Millisecond},
-		{"larger than may ever be granted", 2160, time.Minute, false, longestDenial},
+		{"larger than may ever be granted", 2160, time.Minute, false, maxRetryAfter},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			pool := poolOf(epoch, 4, 4, false)
-			now := keep(pool, epoch, tt.filled, 4, 4)
+			now := keepMembers(pool, epoch, tt.filled, 4, 4)
 			ask := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: tt.amount}}
-			answer := pool.Ask(now, addrOf(0), &ask, 4)
+			answer := pool.Acquire(now, addrOf(0), &ask, 4)
 			is.Equal(answer.Granted, tt.granted)
 			is.Equal(answer.After.Round(time.Millisecond), tt.after)
 		})
--- a/internal/quota/ranking.go
+++ b/internal/quota/ranking.go
@@ -17,26 +17,26 @@
 	// downMisses is the number of hellos in a row without a welcome after which a
 	// router is down: one may be a lost datagram.
 	downMisses = 2
-	// upWelcomes is the number of welcomes in a row after which a router that was down
+	// upAcks is the number of welcomes in a row after which a router that was down
 	// may lead again, so that one that comes and goes does not move all pools.
-	upWelcomes = 2
+	upAcks = 2
 	// standbys is the number of routers besides the leader that are probed although
 	// they are up, so that the next leader is known before it is needed; as many that
 	// are down are probed for their return.
 	standbys = 3
-	// unheardProbes is the number of routers of which nothing was heard yet that are
+	// maxUnheardProbes is the number of routers of which nothing was heard yet that are
 	// probed at once. After a start of the whole fleet most of them have started anew too
 	// and answer so, and the oldest that has not stands behind them.
-	unheardProbes = 64
-	// leastPatience is how long an answer is awaited at least: two ways between zones
+	maxUnheardProbes = 64
+	// minResponseTimeout is how long an answer is awaited at least: two ways between zones
 	// of a region and the turns of two busy machines.
-	leastPatience = 30 * time.Millisecond
-	// mostPatience bounds it.
-	mostPatience = 250 * time.Millisecond
-	// patienceFactor times the usual time to a welcome is waited for an answer.
-	patienceFactor = 4
-	// tripWeight is the part of a new observation in the usual time to a welcome.
-	tripWeight = 0.2
+	minResponseTimeout = 30 * time.Millisecond
+	// maxResponseTimeout bounds it.
+	maxResponseTimeout = 250 * time.Millisecond
+	// responseTimeoutFactor times the usual time to a welcome is waited for an answer.
+	responseTimeoutFactor = 4
+	// rttWeight is the part of a new observation in the usual time to a welcome.
+	rttWeight = 0.2
 )
 
 // Ranking orders the routers that may lead the pool of this one: those that joined the
@@ -61,17 +61,17 @@
 	// revision tells the age of those that are younger.
 	revision uint64
 	// up is false until the router was heard.
-	up       bool
-	misses   int
-	welcomes int
-	// asked is the number of the hello that waits for its welcome, 0 for none.
-	asked   uint64
-	askedAt time.Time
-	helloAt time.Time
+	up     bool
+	misses int
+	acks   int
+	// pendingHello is the number of the hello that waits for its welcome, 0 for none.
+	pendingHello uint64
+	pendingSince time.Time
+	helloAt      time.Time
 	// heardAt is when any message of it last came.
 	heardAt time.Time
-	// trip is the usual time from a hello to its welcome.
-	trip time.Duration
+	// rtt is the usual time from a hello to its welcome.
+	rtt time.Duration
 }
 
 // NewRanking returns the ranking of a router that knows no other.
@@ -79,8 +79,8 @@
 	return &Ranking{self: self, interval: helloInterval}
 }
 
-// Know takes in this router's revision and the routers that are older, oldest first.
-func (r *Ranking) Know(revision uint64, older []netip.AddrPort) {
+// SetRouters takes in this router's revision and the routers that are older, oldest first.
+func (r *Ranking) SetRouters(revision uint64, older []netip.AddrPort) {
 	r.revision = revision
 	r.candidates, r.younger = nil, nil
 	for _, addr := range older {
@@ -105,9 +105,9 @@
 	return up[r.place%len(up)]
 }
 
-// Greeted takes in a hello of a router with a revision: one that is younger than this
+// ObserveHello takes in a hello of a router with a revision: one that is younger than this
 // router may be at the leader's place.
-func (r *Ranking) Greeted(from netip.AddrPort, revision uint64) {
+func (r *Ranking) ObserveHello(from netip.AddrPort, revision uint64) {
 	if r.place == 0 || revision <= r.revision || r.revision == 0 {
 		return
 	}
@@ -116,13 +116,13 @@
 		known = &candidate{addr: from}
 	}
 	if known.revision != revision {
-		r.follows(known, revision)
+		r.insertYounger(known, revision)
 	}
 }
 
-// follows puts a router among the younger ones by its revision.
-func (r *Ranking) follows(known *candidate, revision uint64) {
-	r.drop(known)
+// insertYounger puts a router among the younger ones by its revision.
+func (r *Ranking) insertYounger(known *candidate, revision uint64) {
+	r.remove(known)
 	known.revision = revision
 	at, _ := slices.BinarySearchFunc(r.younger, revision, func(other *candidate, revision uint64) int {
 		return cmp.Compare(other.revision, revision)
@@ -130,24 +130,24 @@
 	r.younger = slices.Insert(r.younger, at, known)
 }
 
-// drop takes a router out of the order.
-func (r *Ranking) drop(known *candidate) {
+// remove takes a router out of the order.
+func (r *Ranking) remove(known *candidate) {
 	same := func(other *candidate) bool { return other == known }
 	r.candidates = slices.DeleteFunc(r.candidates, same)
 	r.younger = slices.DeleteFunc(r.younger, same)
 }
 
-// Patience returns how long the answer of a router is awaited.
-func (r *Ranking) Patience(addr netip.AddrPort) time.Duration {
+// ResponseTimeout returns how long the answer of a router is awaited.
+func (r *Ranking) ResponseTimeout(addr netip.AddrPort) time.Duration {
 	known := r.find(addr)
 	if known == nil {
-		return leastPatience
+		return minResponseTimeout
 	}
-	return min(max(patienceFactor*known.trip, leastPatience), mostPatience)
+	return min(max(responseTimeoutFactor*known.rtt, minResponseTimeout), maxResponseTimeout)
 }
 
-// Heard takes in that a message of a router came.
-func (r *Ranking) Heard(now time.Time, from netip.AddrPort) {
+// ObserveMessage takes in that a message of a router came.
+func (r *Ranking) ObserveMessage(now time.Time, from netip.AddrPort) {
 	if known := r.find(from); known != nil {
 		known.heardAt = now
 	}
@@ -159,57 +159,57 @@
 	return known != nil && known.heardAt.After(since)
 }
 
-// Missed takes in that a router did not answer in time, often enough to be down.
-func (r *Ranking) Missed(addr netip.AddrPort) {
+// MarkDown takes in that a router did not answer in time, often enough to be down.
+func (r *Ranking) MarkDown(addr netip.AddrPort) {
 	if known := r.find(addr); known != nil {
-		known.down()
+		known.markDown()
 	}
 }
 
-// Due returns the hellos that are due, and counts them as sent.
-func (r *Ranking) Due(now time.Time) []Envelope {
-	r.noteMissed(now, r.candidates)
-	r.noteMissed(now, r.younger)
+// DueHellos returns the hellos that are due, and counts them as sent.
+func (r *Ranking) DueHellos(now time.Time) []Envelope {
+	r.recordMissedHellos(now, r.candidates)
+	r.recordMissedHellos(now, r.younger)
 	leader := r.Leader()
-	probes := probing{place: r.place}
+	pass := probePass{place: r.place}
 	var due []Envelope
 	for _, known := range r.candidates {
-		if !r.probe(&probes, known, leader) {
+		if !r.visit(&pass, known, leader) {
 			break
 		}
-		if now.Sub(known.helloAt) >= probes.interval {
+		if now.Sub(known.helloAt) >= pass.interval {
 			due = append(due, Envelope{To: known.addr, Message: r.hello(now, known)})
 		}
 	}
-	probes.up++ // this router
+	pass.up++ // this router
 	for _, known := range r.younger {
-		if !r.probe(&probes, known, leader) {
+		if !r.visit(&pass, known, leader) {
 			break
 		}
-		if now.Sub(known.helloAt) >= probes.interval {
+		if now.Sub(known.helloAt) >= pass.interval {
 			due = append(due, Envelope{To: known.addr, Message: r.hello(now, known)})
 		}
 	}
 	return due
 }
 
-// noteMissed takes in that hellos got no welcome in time.
-func (r *Ranking) noteMissed(now time.Time, greeted []*candidate) {
-	for _, known := range greeted {
-		if known.asked == 0 || now.Sub(known.askedAt) < r.interval {
+// recordMissedHellos takes in that hellos got no welcome in time.
+func (r *Ranking) recordMissedHellos(now time.Time, candidates []*candidate) {
+	for _, known := range candidates {
+		if known.pendingHello == 0 || now.Sub(known.pendingSince) < r.interval {
 			continue
 		}
-		if known.up && known.heardAt.After(known.askedAt) {
+		if known.up && known.heardAt.After(known.pendingSince) {
 			// A datagram was lost: the router has told something else since.
-			known.asked = 0
+			known.pendingHello = 0
 			continue
 		}
-		known.missed()
+		known.recordMiss()
 	}
 }
 
-// probing counts the routers that one look at who is due has passed.
-type probing struct {
+// probePass counts the routers that one look at who is due has passed.
+type probePass struct {
 	place             int
 	up, down, unheard int
 	// interval is the time between two hellos to the router that was passed last.
@@ -217,29 +217,29 @@
 }
 
 // probe passes a router, and reports whether it is among those that are greeted.
-func (r *Ranking) probe(probes *probing, known *candidate, leader netip.AddrPort) bool {
-	probes.interval = probeInterval
+func (r *Ranking) visit(pass *probePass, known *candidate, leader netip.AddrPort) bool {
+	pass.interval = probeInterval
 	switch {
 	case known.up:
-		probes.up++
+		pass.up++
 		if known.addr == leader {
-			probes.interval = r.interval
+			pass.interval = r.interval
 		}
 	case known.misses >= downMisses:
 		// The more are down, the less often the younger of them are probed.
-		probes.down++
-		probes.interval += time.Duration(probes.down/standbys) * probeInterval
+		pass.down++
+		pass.interval += time.Duration(pass.down/standbys) * probeInterval
 	default:
-		probes.unheard++
-		probes.interval = r.interval
+		pass.unheard++
+		pass.interval = r.interval
 	}
-	return probes.up <= probes.place+standbys && probes.unheard <= unheardProbes
+	return pass.up <= pass.place+standbys && pass.unheard <= maxUnheardProbes
 }
 
 // hello counts a hello to a candidate as sent.
 func (r *Ranking) hello(now time.Time, known *candidate) Hello {
 	r.number++
-	known.helloAt, known.askedAt, known.asked = now, now, r.number
+	known.helloAt, known.pendingSince, known.pendingHello = now, now, r.number
 	hello := Hello{Number: r.number}
 	if r.place > 0 {
 		hello.Revision = r.revision
@@ -247,46 +247,46 @@
 	return hello
 }
 
-// Welcomed takes in a welcome. A router that has restarted since is younger than this
+// ObserveAck takes in a welcome. A router that has restarted since is younger than this
 // one now, and leads it no more.
-func (r *Ranking) Welcomed(now time.Time, from netip.AddrPort, welcome *Welcome) {
+func (r *Ranking) ObserveAck(now time.Time, from netip.AddrPort, ack *Welcome) {
 	known := r.find(from)
-	if known == nil || known.asked != welcome.Number || welcome.Number == 0 {
+	if known == nil || known.pendingHello != ack.Number || ack.Number == 0 {
 		return
 	}
-	known.asked = 0
-	if welcome.Revision == 0 || (welcome.Revision > r.revision && r.place == 0) {
-		r.drop(known)
+	known.pendingHello = 0
+	if ack.Revision == 0 || (ack.Revision > r.revision && r.place == 0) {
+		r.remove(known)
 		return
 	}
-	if welcome.Revision > r.revision && welcome.Revision != known.revision {
-		r.follows(known, welcome.Revision)
+	if ack.Revision > r.revision && ack.Revision != known.revision {
+		r.insertYounger(known, ack.Revision)
 	}
-	trip := now.Sub(known.askedAt)
-	if known.trip == 0 {
-		known.trip = trip
+	rtt := now.Sub(known.pendingSince)
+	if known.rtt == 0 {
+		known.rtt = rtt
 	}
-	known.trip += time.Duration(tripWeight * float64(trip-known.trip))
+	known.rtt += time.Duration(rttWeight * float64(rtt-known.rtt))
 	first := known.misses < downMisses
-	known.welcomes++
-	if first || known.welcomes >= upWelcomes {
+	known.acks++
+	if first || known.acks >= upAcks {
 		known.up, known.misses = true, 0
 	}
 }
 
-// missed takes in that a hello got no welcome in time.
-func (c *candidate) missed() {
-	c.asked, c.welcomes = 0, 0
+// recordMiss takes in that a hello got no welcome in time.
+func (c *candidate) recordMiss() {
+	c.pendingHello, c.acks = 0, 0
 	c.misses++
 	if c.misses >= downMisses {
 		c.up = false
 	}
 }
 
-// down takes in that the router does not answer.
-func (c *candidate) down() {
+// markDown takes in that the router does not answer.
+func (c *candidate) markDown() {
 	c.misses = downMisses - 1
-	c.missed()
+	c.recordMiss()
 }
 
 func (r *Ranking) find(addr netip.AddrPort) *candidate {
--- a/internal/quota/ranking_test.go
+++ b/internal/quota/ranking_test.go
@@ -8,21 +8,21 @@
 	"github.com/matryer/is"
 )
 
-// answering plays hellos to the routers that answer, for a time.
-func answering(ranking *Ranking, now time.Time, length time.Duration, revisions map[netip.AddrPort]uint64) time.Time {
+// exchangeHellos plays hellos to the routers that answer, for a time.
+func exchangeHellos(ranking *Ranking, now time.Time, length time.Duration, revisions map[netip.AddrPort]uint64) time.Time {
 	const step = 10 * time.Millisecond
 	for end := now.Add(length); now.Before(end); now = now.Add(step) {
-		for _, envelope := range ranking.Due(now) {
+		for _, envelope := range ranking.DueHellos(now) {
 			if revision, up := revisions[envelope.To]; up {
-				welcome := Welcome{Number: envelope.Message.(Hello).Number, Revision: revision}
-				ranking.Welcomed(now.Add(time.Millisecond), envelope.To, &welcome)
+				ack := Welcome{Number: envelope.Message.(Hello).Number, Revision: revision}
+				ranking.ObserveAck(now.Add(time.Millisecond), envelope.To, &ack)
 			}
 		}
 	}
 	return now
 }
 
-func TestTheOldestRouterThatAnswersLeads(t *testing.T) {
+func TestOldestReachableRouterLeads(t *testing.T) {
 	self := addrOf(100)
 	tests := []struct {
 		name string
@@ -45,51 +45,51 @@
 			for index := range 12 {
 				older = append(older, addrOf(index))
 			}
-			ranking.Know(100, older)
+			ranking.SetRouters(100, older)
 			up := make(map[netip.AddrPort]uint64)
 			for index, revision := range tt.up {
 				up[addrOf(index)] = revision
 			}
-			answering(ranking, epoch, 3*time.Second, up)
+			exchangeHellos(ranking, epoch, 3*time.Second, up)
 			is.Equal(ranking.Leader(), tt.want)
 		})
 	}
 }
 
-func TestALeaderThatFallsSilentIsReplacedAndReturns(t *testing.T) {
+func TestSilentLeaderIsReplacedAndReturns(t *testing.T) {
 	is := is.New(t)
 	ranking := NewRanking(addrOf(100))
-	ranking.Know(100, []netip.AddrPort{addrOf(0), addrOf(1)})
+	ranking.SetRouters(100, []netip.AddrPort{addrOf(0), addrOf(1)})
 	both := map[netip.AddrPort]uint64{addrOf(0): 1, addrOf(1): 2}
 	second := map[netip.AddrPort]uint64{addrOf(1): 2}
-	now := answering(ranking, epoch, 2*time.Second, both)
+	now := exchangeHellos(ranking, epoch, 2*time.Second, both)
 	is.Equal(ranking.Leader(), addrOf(0))
-	now = answering(ranking, now, 3*helloInterval, second)
+	now = exchangeHellos(ranking, now, 3*helloInterval, second)
 	is.Equal(ranking.Leader(), addrOf(1))
-	now = answering(ranking, now, 5*time.Second, second)
-	now = answering(ranking, now, time.Second, both)
+	now = exchangeHellos(ranking, now, 5*time.Second, second)
+	now = exchangeHellos(ranking, now, time.Second, both)
 	is.Equal(ranking.Leader(), addrOf(1)) // one welcome is not enough
-	answering(ranking, now, 3*time.Second, both)
+	exchangeHellos(ranking, now, 3*time.Second, both)
 	is.Equal(ranking.Leader(), addrOf(0))
-	ranking.Missed(addrOf(0))
+	ranking.MarkDown(addrOf(0))
 	is.Equal(ranking.Leader(), addrOf(1))
 }
 
-func TestAnAnswerIsAwaitedByTheUsualTimeToAWelcome(t *testing.T) {
+func TestResponseTimeoutFollowsRoundTripTime(t *testing.T) {
 	tests := []struct {
 		trip, want time.Duration
 	}{
-		{time.Millisecond, leastPatience}, {20 * time.Millisecond, 80 * time.Millisecond}, {100 * time.Millisecond, mostPatience},
+		{time.Millisecond, minResponseTimeout}, {20 * time.Millisecond, 80 * time.Millisecond}, {100 * time.Millisecond, maxResponseTimeout},
 	}
 	for _, tt := range tests {
 		t.Run(tt.trip.String(), func(t *testing.T) {
 			is := is.New(t)
 			ranking := NewRanking(addrOf(100))
-			ranking.Know(100, []netip.AddrPort{addrOf(0)})
-			hello := ranking.Due(epoch)[0].Message.(Hello)
-			ranking.Welcomed(epoch.Add(tt.trip), addrOf(0), &Welcome{Number: hello.Number, Revision: 1})
-			is.Equal(ranking.Patience(addrOf(0)), tt.want)
-			is.Equal(ranking.Patience(addrOf(1)), leastPatience)
+			ranking.SetRouters(100, []netip.AddrPort{addrOf(0)})
+			hello := ranking.DueHellos(epoch)[0].Message.(Hello)
+			ranking.ObserveAck(epoch.Add(tt.trip), addrOf(0), &Welcome{Number: hello.Number, Revision: 1})
+			is.Equal(ranking.ResponseTimeout(addrOf(0)), tt.want)
+			is.Equal(ranking.ResponseTimeout(addrOf(1)), minResponseTimeout)
 		})
 	}
 }
--- a/internal/quota/units_test.go
+++ b/internal/quota/units_test.go
@@ -16,8 +16,8 @@
 	unitSlack  = 5
 )
 
-// backEnds are back ends with limits, of which eight times as much is asked for.
-func backEnds(rates ...float64) []*modelTenant {
+// backEndTenants are back ends with limits, of which eight times as much is asked for.
+func backEndTenants(rates ...float64) []*modelTenant {
 	var all []*modelTenant
 	for _, rate := range rates {
 		all = append(all, &modelTenant{
@@ -29,18 +29,18 @@
 
 // newUnitModel returns a fleet that grants units of back ends with limits.
 func newUnitModel(seed uint64, routers, place int, rates ...float64) *model {
-	m := newModel(seed, routers, backEnds(rates...))
+	m := newModel(seed, routers, backEndTenants(rates...))
 	m.bounds = Bounds{Window: unitWindow, Unit: 1}
-	m.place, m.hello = place, 300*time.Millisecond
+	m.place, m.helloInterval = place, 300*time.Millisecond
 	return m
 }
 
-// judgeUnits reports the back ends that got more than they may in some window.
-func (m *model) judgeUnits(limits map[string]Limit) (broken []string) {
+// unitViolations reports the back ends that got more than they may in some window.
+func (m *model) unitViolations(limits map[string]Limit) (broken []string) {
 	for _, backEnd := range m.tenants {
-		most := unitFactor*limits[backEnd.name].Rate*unitWindow.Seconds() + unitSlack
-		if largest := backEnd.largestWindow(unitWindow); largest > most {
-			broken = append(broken, fmt.Sprintf("%s got %.0f of %.1f", backEnd.name, largest, most))
+		allowed := unitFactor*limits[backEnd.name].Rate*unitWindow.Seconds() + unitSlack
+		if largest := backEnd.largestWindow(unitWindow); largest > allowed {
+			broken = append(broken, fmt.Sprintf("%s got %.0f of %.1f", backEnd.name, largest, allowed))
 		}
 	}
 	return broken
@@ -48,11 +48,11 @@
 
 // The limits of back ends are kept whoever grants is killed, frozen or cut off, also where one
 // request of each router is more than a window allows.
-func TestNoBackEndGetsMoreThanItsLimitWhateverFails(t *testing.T) {
+func TestBackEndLimitsHoldUnderFaults(t *testing.T) {
 	fleets := []int{7, 24}
-	kinds := [][]modelTrouble{nil, modelTroubles}
-	for _, trouble := range modelTroubles {
-		kinds = append(kinds, []modelTrouble{trouble})
+	kinds := [][]modelFault{nil, modelFaults}
+	for _, trouble := range modelFaults {
+		kinds = append(kinds, []modelFault{trouble})
 	}
 	for _, troubles := range kinds {
 		name, fleets := "none or all", fleets
@@ -68,18 +68,18 @@
 				is := is.New(t)
 				m := newUnitModel(uint64(seed), routers, 2*seed, 0.25, 1.3, 9, 100)
 				limits := limitsOf(m.tenants)
-				m.play(troubles, 14*time.Second)
-				is.Equal(m.judgeUnits(limits), nil)
-				m.calm(8 * time.Second)
+				m.run(troubles, 14*time.Second)
+				is.Equal(m.unitViolations(limits), nil)
+				m.runWithoutFaults(8 * time.Second)
 				is.Equal(members(m.leader()), len(m.routers)) // one pool again
-				is.Equal(m.judgeUnits(limits), nil)
+				is.Equal(m.unitViolations(limits), nil)
 			})
 		}
 	}
 }
 
 // A limit is no ban: while there is demand most of it is used.
-func TestMostOfABackEndsLimitIsUsed(t *testing.T) {
+func TestBackEndLimitIsMostlyUsed(t *testing.T) {
 	for place, routers := range []int{1, 3, 7, 83} {
 		t.Run(fmt.Sprintf("%d routers/place %d", routers, place), func(t *testing.T) {
 			t.Parallel()
@@ -91,7 +91,7 @@
 			for m.now < 33*time.Second {
 				m.step(true)
 			}
-			is.Equal(m.judgeUnits(limitsOf(m.tenants)), nil)
+			is.Equal(m.unitViolations(limitsOf(m.tenants)), nil)
 			for _, backEnd := range m.tenants {
 				allowed := backEnd.limit.Rate * 30
 				used := backEnd.largestWindow(time.Hour)
@@ -103,7 +103,7 @@
 }
 
 // Different places are led by different routers, and all agree on them.
-func TestPlacesAreLedByDifferentRouters(t *testing.T) {
+func TestPlacesHaveDifferentLeaders(t *testing.T) {
 	tests := []struct{ routers, places, leaders int }{{1, 4, 1}, {2, 4, 2}, {7, 4, 4}, {79, 4, 4}}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.routers), func(t *testing.T) {
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestAPreferredClaimIsGrantedEarlier(t *testing.T) {
+func TestPreferredReservationIsGrantedEarlier(t *testing.T) {
 	tests := []struct {
 		name               string
 		preferred, granted bool
@@ -134,15 +134,15 @@
 			for index := range 4 {
 				pool.Join(epoch, addrOf(index), false, 4)
 			}
-			now := keep(pool, epoch, 600*time.Millisecond, 4, 4)
+			now := keepMembers(pool, epoch, 600*time.Millisecond, 4, 4)
 			ask := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1, Preferred: tt.preferred}}
-			is.Equal(pool.Ask(now, addrOf(0), &ask, 4).Granted, tt.granted)
+			is.Equal(pool.Acquire(now, addrOf(0), &ask, 4).Granted, tt.granted)
 		})
 	}
 }
 
 // A small part of the routers saves up nothing: many parts would grant what they saved at once.
-func TestASmallPoolSavesUpNoUnit(t *testing.T) {
+func TestSmallPoolSavesNoUnit(t *testing.T) {
 	tests := []struct {
 		members, routers int
 		granted          bool
@@ -154,30 +154,30 @@
 			for index := range tt.members {
 				pool.Join(epoch, addrOf(index), false, tt.routers)
 			}
-			now := keep(pool, epoch, time.Minute, tt.members, tt.routers)
+			now := keepMembers(pool, epoch, time.Minute, tt.members, tt.routers)
 			ask := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1.3}, Amount: 1}}
-			is.Equal(pool.Ask(now, addrOf(0), &ask, tt.routers).Granted, tt.granted)
+			is.Equal(pool.Acquire(now, addrOf(0), &ask, tt.routers).Granted, tt.granted)
 		})
 	}
 }
 
 // Grants that come back once the bucket has filled again add nothing: a back end that takes
 // no connections for a while would get all of them at once.
-func TestGrantsThatComeBackLateAreNotSavedUp(t *testing.T) {
+func TestLateReleasesDoNotAccumulate(t *testing.T) {
 	is := is.New(t)
 	pool := NewPool(Bounds{Window: unitWindow, Unit: 1})
 	for index := range 4 {
 		pool.Join(epoch, addrOf(index), false, 4)
 	}
-	now := keep(pool, epoch, 3*time.Second, 4, 4)
+	now := keepMembers(pool, epoch, 3*time.Second, 4, 4)
 	for id := range uint64(5) {
 		ask := Ask{ID: id, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
-		is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
-		now = keep(pool, now, 1200*time.Millisecond, 4, 4)
-		pool.Return(addrOf(0), id)
+		is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted)
+		now = keepMembers(pool, now, 1200*time.Millisecond, 4, 4)
+		pool.Release(addrOf(0), id)
 	}
 	ask := Ask{ID: 100, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
-	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
+	is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted)
 	ask.ID++
-	is.True(!pool.Ask(now, addrOf(0), &ask, 4).Granted)
+	is.True(!pool.Acquire(now, addrOf(0), &ask, 4).Granted)
 }
