--- a/internal/quota/agent.go
+++ b/internal/quota/agent.go
@@ -5,41 +5,38 @@
 	"time"
 )
 
-// Config sets an Agent.
+// Config configures an Agent.
 type Config struct {
-	// Self is where other routers reach this one.
+	// Self is the address at which other routers reach this one.
 	Self   netip.AddrPort
 	Bounds Bounds
-	// FirstID is the first of this agent's ids, which must differ from those of its
-	// former lives.
+	// FirstID is the first of this agent's ids. It must differ from those of earlier processes.
 	FirstID uint64
-	// Alone keeps the router in a pool of its own: each router then grants its equal
-	// share of every limit without a word to the others.
+	// Alone keeps the router in a pool of its own: it grants its equal share of every limit
+	// without sending messages.
 	Alone bool
-	// Place is the place, among the routers that are up from the oldest on, of the one that
-	// leads. Agents with other places share out the work of leading.
+	// Place is the leader's place among the reachable routers, from the oldest on. Agents with
+	// different places share the work of leading.
 	Place int
-	// HelloInterval is the time between two hellos to the leader; 0 means the usual one.
+	// HelloInterval is the time between two hellos to the leader. Default: helloInterval.
 	HelloInterval time.Duration
 }
 
 const (
-	// attemptsPerLeader is the number of times that one leader is asked, and attemptsIfHeard that if it was
-	// heard since the last hello was due: then datagrams are lost, and it is up. Where a
-	// fifth of them is lost, 24 routers took their leaders for down 600 times in 10 s, and
-	// parts that counted in two pools came to 1.3 times the limits (model of this package).
+	// attemptsPerLeader is the number of times that a request is sent to one leader, and
+	// attemptsIfHeard that if a message arrived from it since the last hello was due: then
+	// datagrams are lost, and the leader must not be taken for down.
 	attemptsPerLeader = 2
 	attemptsIfHeard   = 6
-	// leadersPerRequest is the number of leaders that are asked for one claim.
+	// leadersPerRequest is the number of leaders that one request is sent to.
 	leadersPerRequest = 3
-	// assumedRouters is taken as the number of routers while it is not known.
+	// assumedRouters is the number of routers while it is unknown.
 	assumedRouters = 100
 )
 
-// Agent is the state machine of one router: it asks the leader of its pool for grants,
-// and leads a pool itself where others ask it. Its inputs are claims, messages and the
-// time; Flush returns what is to be sent and what was decided. It is not safe for
-// concurrent use.
+// Agent is the state machine of one router: it requests grants from the leader of its pool, and
+// leads a pool itself if other routers choose it. Its inputs are reservations, messages and the
+// time; Flush returns its messages and decisions. It is not safe for concurrent use.
 type Agent struct {
 	cfg      Config
 	ranking  *Ranking
@@ -47,10 +44,10 @@
 	revision uint64
 	routers  int
 	nextID   uint64
-	// leader leads the pool of this router; it was chosen last.
+	// leader is the leader of this router's pool.
 	leader netip.AddrPort
-	// startCredit is true until the leader has welcomed this router together with its
-	// start credit; creditedAt is when it last gave one to any pool.
+	// startCredit is true until the leader has acknowledged this router with its start credit;
+	// creditedAt is when it last gave one to any pool.
 	startCredit bool
 	creditedAt  time.Time
 	requests    map[uint64]*pending
@@ -58,16 +55,16 @@
 	decisions   []Decision
 }
 
-// pending is a claim that waits for its verdict.
+// pending is a reservation that waits for its result.
 type pending struct {
 	reservation Claim
-	// leader was asked at pendingSince for the tries-th time; leaders counts those asked.
+	// leader got the request last, at sentAt; leadersTried counts the leaders that got it.
 	leader                 netip.AddrPort
 	sentAt                 time.Time
 	attempts, leadersTried int
 }
 
-// NewAgent returns the agent of a router that knows no other.
+// NewAgent returns the agent of a router without peers.
 func NewAgent(cfg Config) *Agent {
 	agent := &Agent{
 		cfg: cfg, ranking: NewRanking(cfg.Self), pool: NewPool(cfg.Bounds), nextID: cfg.FirstID,
@@ -81,17 +78,16 @@
 	return agent
 }
 
-// Know takes in this router's revision in the list of routers and the addresses of
-// those with lower ones, the lowest first.
+// Know sets this router's revision in the router list and the addresses of those with lower
+// revisions, the lowest first.
 func (a *Agent) Know(revision uint64, older []netip.AddrPort) {
 	a.revision = revision
 	a.ranking.SetRouters(revision, older)
 }
 
-// Counted takes in the number of all routers, 0 if it is not known.
+// Counted sets the number of all routers, 0 if it is unknown.
 func (a *Agent) Counted(routers int) { a.routers = routers }
 
-// routerCount returns the number of routers that share the limits.
 func (a *Agent) routerCount() int {
 	if a.routers <= 0 {
 		return assumedRouters
@@ -99,7 +95,7 @@
 	return a.routers
 }
 
-// Leader returns who leads the pool of this router.
+// Leader returns the leader of this router's pool.
 func (a *Agent) Leader() netip.AddrPort { return a.leader }
 
 // Members returns the number of members of the pool that this router leads.
@@ -110,7 +106,7 @@
 	return (a.leader.IsValid() && a.leader != a.cfg.Self) || a.pool.Members() > 1
 }
 
-// Tick takes in the time: hellos that are due, and answers that did not come.
+// Tick sends the hellos that are due and retries requests without a response.
 func (a *Agent) Tick(now time.Time) {
 	if !a.cfg.Alone {
 		for _, envelope := range a.ranking.DueHellos(now) {
@@ -126,7 +122,7 @@
 	}
 }
 
-// sendHello sends a hello, to the leader as a member.
+// sendHello queues a hello; the one to the leader announces a member.
 func (a *Agent) sendHello(now time.Time, envelope Envelope) {
 	a.followLeader(now)
 	if hello, is := envelope.Message.(Hello); is && envelope.To == a.leader {
@@ -136,7 +132,7 @@
 	a.out = append(a.out, envelope)
 }
 
-// followLeader takes this router into the pool of whoever leads now.
+// followLeader joins the pool of the current leader.
 func (a *Agent) followLeader(now time.Time) {
 	leader := a.ranking.Leader()
 	if leader != a.leader {
@@ -148,7 +144,7 @@
 	}
 }
 
-// join leaves one pool for another.
+// switchLeader leaves one pool and joins another.
 func (a *Agent) switchLeader(now time.Time, next netip.AddrPort) {
 	switch {
 	case a.leader == a.cfg.Self:
@@ -166,14 +162,14 @@
 	}
 }
 
-// Take asks for the grant of a claim and returns the ID of the decision to come.
+// Take requests the grant of a reservation and returns the ID of its Decision.
 func (a *Agent) Take(now time.Time, reservation Claim) uint64 {
 	a.nextID++
 	a.send(now, a.nextID, &pending{reservation: reservation})
 	return a.nextID
 }
 
-// send asks the leader of this router's pool.
+// send sends a request to the leader of this router's pool.
 func (a *Agent) send(now time.Time, id uint64, waiting *pending) {
 	a.followLeader(now)
 	if waiting.leader != a.leader {
@@ -193,13 +189,13 @@
 	a.out = append(a.out, Envelope{To: a.leader, Message: request})
 }
 
-// retry asks once more for what was not answered in time.
+// retry resends a request without a response, unless too many leaders were tried.
 func (a *Agent) retry(now time.Time, id uint64, waiting *pending) {
-	attempts := attemptsPerLeader
+	maxAttempts := attemptsPerLeader
 	if a.ranking.HeardSince(waiting.leader, now.Add(-a.ranking.interval)) {
-		attempts = attemptsIfHeard
+		maxAttempts = attemptsIfHeard
 	}
-	if waiting.attempts >= attempts {
+	if waiting.attempts >= maxAttempts {
 		a.ranking.MarkDown(waiting.leader)
 	}
 	a.followLeader(now)
@@ -211,7 +207,7 @@
 	a.send(now, id, waiting)
 }
 
-// Forget drops a claim whose request has ended.
+// Forget drops a reservation whose request has ended.
 func (a *Agent) Forget(id uint64) {
 	if waiting := a.requests[id]; waiting != nil {
 		a.withdraw(id, waiting)
@@ -219,14 +215,14 @@
 	}
 }
 
-// withdraw gives back what a leader may have granted that is not awaited any more.
+// withdraw releases what a leader may have granted but is not awaited any more.
 func (a *Agent) withdraw(id uint64, waiting *pending) {
 	if waiting.leader.IsValid() {
 		a.Return(Grant{By: waiting.leader, ID: id})
 	}
 }
 
-// Return gives back the grant of a request that did not run.
+// Return releases the grant of a request that did not run.
 func (a *Agent) Return(grant Grant) {
 	if grant.By == a.cfg.Self {
 		a.pool.Release(a.cfg.Self, grant.ID)
@@ -235,7 +231,7 @@
 	a.out = append(a.out, Envelope{To: grant.By, Message: Return{ID: grant.ID}})
 }
 
-// Receive takes in a message.
+// Receive handles a message.
 func (a *Agent) Receive(now time.Time, from netip.AddrPort, msg Message) {
 	a.ranking.ObserveMessage(now, from)
 	switch msg := msg.(type) {
@@ -264,7 +260,7 @@
 	}
 }
 
-// handleResponse takes in an answer, unless it came before or is not awaited any more.
+// handleResponse applies a response. Duplicates and late ones are ignored.
 func (a *Agent) handleResponse(now time.Time, from netip.AddrPort, response *Answer) {
 	waiting := a.requests[response.ID]
 	if waiting == nil || waiting.leader != from {
@@ -278,7 +274,6 @@
 	a.decide(from, *response)
 }
 
-// decide gives the verdict that an answer means.
 func (a *Agent) decide(leader netip.AddrPort, response Answer) {
 	result := Verdict(Denied{After: response.After})
 	if response.Granted {
@@ -287,17 +282,16 @@
 	a.decisions = append(a.decisions, Decision{ID: response.ID, Verdict: result})
 }
 
-// Stop leaves the pool, as the router stops.
+// Stop leaves the pool when the router shuts down.
 func (a *Agent) Stop() {
 	if a.leader.IsValid() && a.leader != a.cfg.Self {
 		a.out = append(a.out, Envelope{To: a.leader, Message: a.leaveMessage()})
 	}
 }
 
-// leaveMessage returns the message that this router is no member any more.
 func (a *Agent) leaveMessage() Leave { return Leave{Hello: a.ranking.number, Ask: a.nextID} }
 
-// Flush returns the messages to send and the decisions made since the last call.
+// Flush returns the messages and decisions since the last call.
 func (a *Agent) Flush() ([]Envelope, []Decision) {
 	out, decisions := a.out, a.decisions
 	a.out, a.decisions = nil, nil
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// BenchmarkPoolAcquire is one claim at the leader of a pool.
+// BenchmarkPoolAcquire is one request at the leader of a pool.
 func BenchmarkPoolAcquire(b *testing.B) {
 	for _, size := range []struct{ tenants, routers int }{{16, 79}, {23_000, 390}} {
 		b.Run(fmt.Sprintf("%d tenants, %d routers", size.tenants, size.routers), func(b *testing.B) {
@@ -20,23 +20,23 @@
 			b.ReportAllocs()
 			for index := range b.N {
 				now = now.Add(250 * time.Microsecond)
-				ask := Ask{ID: uint64(index), Claim: Claim{
+				request := Ask{ID: uint64(index), Claim: Claim{
 					Subject: names[index%len(names)], Limit: Limit{Rate: 1e6, Burst: 1e6}, Version: 1, Amount: 9000,
 				}}
-				pool.Acquire(now, addrOf(index%size.routers), &ask, size.routers)
+				pool.Acquire(now, addrOf(index%size.routers), &request, size.routers)
 			}
 		})
 	}
 }
 
-// BenchmarkLostMember is what the leader does when a member falls silent.
+// BenchmarkLostMember is the loss of a member at the leader.
 func BenchmarkLostMember(b *testing.B) {
 	for _, tenants := range []int{16, 23_000} {
 		b.Run(fmt.Sprint(tenants, " tenants"), func(b *testing.B) {
 			pool := poolOf(epoch, 100, 100, false)
 			for index := range tenants {
-				ask := Ask{ID: uint64(index), Claim: Claim{Subject: Subject(fmt.Sprint(index)), Limit: testLimit, Amount: 1}}
-				pool.Acquire(epoch, addrOf(0), &ask, 100)
+				request := Ask{ID: uint64(index), Claim: Claim{Subject: Subject(fmt.Sprint(index)), Limit: testLimit, Amount: 1}}
+				pool.Acquire(epoch, addrOf(0), &request, 100)
 			}
 			for b.Loop() {
 				pool.Join(epoch, addrOf(1), false, 100)
@@ -46,11 +46,11 @@
 	}
 }
 
-// BenchmarkMessage encodes and decodes one ask, and reports its length.
+// BenchmarkMessage encodes and decodes one request and reports its length.
 func BenchmarkMessage(b *testing.B) {
-	ask := Ask{ID: 1 << 62, Claim: Claim{Subject: "jeye930", Limit: Limit{Rate: 573606, Burst: 573606}, Version: 7, Amount: 9190}}
+	request := Ask{ID: 1 << 62, Claim: Claim{Subject: "jeye930", Limit: Limit{Rate: 573606, Burst: 573606}, Version: 7, Amount: 9190}}
 	for b.Loop() {
-		encoded, err := cbor.Marshal(Pack(ask))
+		encoded, err := cbor.Marshal(Pack(request))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -35,8 +35,7 @@
 	}
 }
 
-// When the leader of a pool is gone, the others are not refused while they gather at
-// the next one.
+// The members of a lost leader are not denied while they join the next one.
 func TestLeaderLossDeniesNoRequests(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -56,24 +55,23 @@
 				m.step(m.now > 3*time.Second)
 			}
 			for _, tenant := range m.tenants {
-				tenant.calmAsked, tenant.calmDenied = 0, 0
+				tenant.faultFreeCount, tenant.faultFreeDenied = 0, 0
 			}
 			tt.trouble(m)
 			for m.now < 14*time.Second {
 				m.step(true)
 			}
 			for _, tenant := range m.tenants {
-				t.Logf("%s: %d of %d refused", tenant.name, tenant.calmDenied, tenant.calmAsked)
-				// The router that was lost may refuse what comes through it.
-				is.True(tenant.calmDenied <= tenant.calmAsked/len(m.routers)+1)
+				t.Logf("%s: %d of %d denied", tenant.name, tenant.faultFreeDenied, tenant.faultFreeCount)
+				// The lost router may deny its own requests.
+				is.True(tenant.faultFreeDenied <= tenant.faultFreeCount/len(m.routers)+1)
 			}
 			is.Equal(m.violations(limits), nil)
 		})
 	}
 }
 
-// A fleet that was killed as a whole finds to one pool soon after it is back, although
-// most of the routers that each knows of are not what they were.
+// Most routers that each one knows have restarted too and rank behind it.
 func TestRestartedFleetFormsOnePool(t *testing.T) {
 	tests := []struct {
 		routers int
@@ -120,9 +118,9 @@
 				m.step(true)
 			}
 			for _, tenant := range m.tenants {
-				is.True(tenant.calmAsked > 100)
-				share := float64(tenant.calmDenied) / float64(tenant.calmAsked)
-				t.Logf("%s: %d of %d refused", tenant.name, tenant.calmDenied, tenant.calmAsked)
+				is.True(tenant.faultFreeCount > 100)
+				share := float64(tenant.faultFreeDenied) / float64(tenant.faultFreeCount)
+				t.Logf("%s: %d of %d denied", tenant.name, tenant.faultFreeDenied, tenant.faultFreeCount)
 				is.True(share <= tt.most)
 			}
 		})
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -6,78 +6,75 @@
 	"time"
 )
 
-// Message is what one agent tells another. A message may be lost, repeated or late.
-// It is one of Hello, Welcome, Leave, Ask, Answer and Return; Datagram is its form on
-// the wire.
+// Message is a message between two agents. It may be lost, duplicated or late. It is one of
+// Hello, HelloAck, Leave, AcquireRequest, AcquireResponse and Release, and sent as a Datagram.
 type Message interface{ message() }
 
-// Hello says that its sender is up and, if Member is set, that it is a member of the
-// receiver's pool.
+// Hello reports that its sender is up and, if Member is set, a member of the receiver's pool.
 type Hello struct {
 	Member bool `cbor:"1,keyasint,omitempty"`
-	// StartCredit says that the sender adds its start credit to the pool.
+	// StartCredit is true if the sender adds its start credit to the pool.
 	StartCredit bool `cbor:"2,keyasint,omitempty"`
-	// Number is told back by the Welcome.
+	// Number is echoed by the HelloAck.
 	Number uint64 `cbor:"3,keyasint"`
-	// Revision tells how old the sender is among all routers, 0 if it does not matter to
-	// the receiver.
+	// Revision is that of the sender in the router list, 0 if it does not matter to the
+	// receiver.
 	Revision uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Welcome answers a Hello.
+// Welcome acknowledges a Hello.
 type Welcome struct {
 	Number uint64 `cbor:"1,keyasint"`
-	// Revision tells how old the answering router is among all; it is 0 until known.
+	// Revision is that of the sender in the router list, 0 until it is known.
 	Revision uint64 `cbor:"2,keyasint"`
 }
 
-// Leave says that its sender is no member any more. What it sent before may arrive later.
+// Leave reports that its sender is no member any more. Its earlier messages may arrive later.
 type Leave struct {
-	// Hello and Ask are the numbers of the last ones that it sent to anyone before.
+	// Hello and AcquireRequest are the numbers of the last ones that it sent to any router.
 	Hello uint64 `cbor:"1,keyasint,omitempty"`
 	Ask   uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Subject is whose limit is claimed: a tenant by its name, or one life of a back end.
+// Subject is the owner of a limit: a tenant's name or an incarnation of a back end.
 type Subject string
 
-// Claim is what a request would use of a limit.
+// Claim is the part of a limit that a request would use.
 type Claim struct {
 	Subject Subject `cbor:"1,keyasint"`
 	Limit   Limit   `cbor:"2,keyasint"`
-	// Version orders the limits of a subject; the highest is in force.
+	// Version orders the limits of a subject; the highest applies.
 	Version uint64  `cbor:"3,keyasint"`
 	Amount  float64 `cbor:"4,keyasint"`
-	// Preferred claims are granted a little earlier than others (preferredPart).
+	// Preferred reservations are granted a little earlier than others (preferredPart).
 	Preferred bool `cbor:"5,keyasint,omitempty"`
 }
 
-// valid reports whether the claim may be counted: what another router tells may be
-// anything.
+// valid reports whether the numbers are finite and not negative: messages of other routers are
+// not trusted.
 func (c *Claim) valid() bool {
 	finite := func(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 	return finite(c.Amount) && finite(c.Limit.Rate) && finite(c.Limit.Burst) && c.Limit.Limited()
 }
 
-// Ask asks the leader of a pool to grant a claim. It is repeated with the same ID if no
-// answer comes.
+// Ask requests a reservation from the leader of a pool. A retry has the same ID.
 type Ask struct {
 	ID    uint64 `cbor:"1,keyasint"`
 	Claim Claim  `cbor:"2,keyasint"`
 }
 
-// Answer answers an Ask.
+// Answer answers an AcquireRequest.
 type Answer struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	Granted bool   `cbor:"2,keyasint,omitempty"`
-	// After is the time until the claim could be granted, if it is denied.
+	// After is the time until the request could be granted, if it is denied.
 	After time.Duration `cbor:"3,keyasint,omitempty"`
-	// Forming says that neither is decided, since members of the pool are still coming:
-	// the claim is to be asked for again.
+	// Forming is true if neither is decided, since members are still joining the pool: the
+	// request is to be retried.
 	Forming bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Return gives back what was granted for a request that did not run.
+// Return releases the grant of a request that did not run.
 type Return struct {
 	ID uint64 `cbor:"1,keyasint"`
 }
@@ -89,7 +86,7 @@
 func (Answer) message()  {}
 func (Return) message()  {}
 
-// Datagram carries one message; exactly one field is set.
+// Datagram contains one message; exactly one field is set.
 type Datagram struct {
 	Hello   *Hello   `cbor:"1,keyasint,omitempty"`
 	Welcome *Welcome `cbor:"2,keyasint,omitempty"`
@@ -118,7 +115,7 @@
 	return &Datagram{}
 }
 
-// Message returns what the datagram carries, or nil.
+// Message returns the message of the datagram, or nil.
 func (d *Datagram) Message() Message {
 	switch {
 	case d.Hello != nil:
@@ -137,7 +134,7 @@
 	return nil
 }
 
-// Envelope is a message to be sent.
+// Envelope is a message and its receiver.
 type Envelope struct {
 	To      netip.AddrPort
 	Message Message
@@ -145,31 +142,31 @@
 
 // Grant is the permission to run one request.
 type Grant struct {
-	// By leads the pool that granted, as ID.
+	// By is the leader of the pool that granted the request ID.
 	By netip.AddrPort
 	ID uint64
 }
 
-// Verdict is what came of a claim: Granted, Denied or Unconfirmed.
+// Verdict is the result of a reservation: Granted, Denied or Unconfirmed.
 type Verdict interface{ result() }
 
 // Granted allows the request.
 type Granted struct{ Grant Grant }
 
-// Denied refuses it, since the tenant has used its limit.
+// Denied refuses the request, since the limit is used up.
 type Denied struct {
-	// After is the time until the tenant may use as much.
+	// After is the time until as much is free.
 	After time.Duration
 }
 
-// Unconfirmed says that no leader of a pool answered in time.
+// Unconfirmed means that no leader answered in time.
 type Unconfirmed struct{}
 
 func (Granted) result()     {}
 func (Denied) result()      {}
 func (Unconfirmed) result() {}
 
-// Decision is the verdict on the claim with an ID.
+// Decision is the result of the request with an ID.
 type Decision struct {
 	ID      uint64
 	Verdict Verdict
--- a/internal/quota/message_test.go
+++ b/internal/quota/message_test.go
@@ -28,8 +28,7 @@
 	}
 }
 
-// Whatever claims come, a pool grants no tenant more than the bound of a window, and no
-// amount that is not a number above zero.
+// No request of any content yields a grant beyond the bounds or of an invalid amount.
 func FuzzAgent(f *testing.F) {
 	for _, msg := range testMessages {
 		encoded, err := cbor.Marshal(Pack(msg))
@@ -55,7 +54,7 @@
 		id := agent.Take(now, Claim{Subject: "other", Limit: testLimit, Version: 1, Amount: 1e9})
 		_, done := agent.Flush()
 		if len(done) != 1 || done[0].ID != id {
-			t.Fatal("no verdict")
+			t.Fatal("no result")
 		}
 		if _, granted := done[0].Verdict.(Granted); granted {
 			t.Fatal("granted beyond any limit")
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -9,15 +9,14 @@
 	"time"
 )
 
-// The model plays routers, their network and their requests in virtual time, and judges
-// what ran by the windows of each tenant.
+// The model simulates routers, their network and their requests in virtual time, and checks
+// each tenant's use in every window.
 
 const (
 	modelStep   = 2 * time.Millisecond
 	modelWindow = 8 * time.Second
 )
 
-// modelTenant is a tenant of the model.
 type modelTenant struct {
 	name  string
 	limit Limit
@@ -25,17 +24,15 @@
 	version uint64
 	// use is the usual use of the limit, 1 for all of it.
 	use float64
-	// hot multiplies the use while it is above 0.
-	hot float64
+	// overload multiplies the use while it is above 0.
+	overload float64
 	// mean is the mean amount of a request.
 	mean float64
-	// preferred says that half of the claims are.
+	// preferred makes half of the reservations preferred.
 	preferred bool
-	// ran are the amounts that ran, with their times.
-	ran []usage
-	// asked and denied count requests, asked and denied in calm those that were made
-	// within the limit while nothing was wrong.
-	calmAsked, calmDenied int
+	ran       []usage
+	// faultFreeCount and faultFreeDenied count requests within the limit while there is no fault.
+	faultFreeCount, faultFreeDenied int
 }
 
 type usage struct {
@@ -43,24 +40,23 @@
 	amount float64
 }
 
-// modelRouter is a router of the model.
 type modelRouter struct {
 	addr     netip.AddrPort
 	agent    *Agent
 	revision uint64
-	// down until a time: it takes in nothing, and starts anew at the end; frozen until
-	// a time: it takes everything in at the end.
+	// A router that is down receives nothing and restarts at downUntil; a frozen one receives
+	// everything at frozenUntil.
 	downUntil, frozenUntil time.Duration
-	// cut routers reach no other; group routers reach those of their group.
+	// Routers reach only those of their group.
 	group   int
 	inbox   []delivery
 	waiting map[uint64]*modelRequest
 }
 
 type modelRequest struct {
-	tenant *modelTenant
-	amount float64
-	calm   bool
+	tenant      *modelTenant
+	amount      float64
+	withinLimit bool
 }
 
 type delivery struct {
@@ -69,13 +65,13 @@
 	msg  Message
 }
 
-// model is one history.
+// model is one simulation.
 type model struct {
 	random     *rand.Rand
 	now        time.Duration
 	bounds     Bounds
 	standalone bool
-	// place and hello are those of the agents' configuration.
+	// place and helloInterval are those of the agents' Config.
 	place         int
 	helloInterval time.Duration
 	routers       []*modelRouter
@@ -85,11 +81,11 @@
 	loss          float64
 	// tick is the time between two ticks of an agent.
 	tick time.Duration
-	// faultUntil is the time until which refusals within a limit are not counted.
+	// faultUntil is the time until which denials within a limit are not counted.
 	faultUntil time.Duration
 }
 
-// epoch is the time at which the virtual time begins.
+// epoch is the start of the virtual time.
 var epoch = time.Unix(1_000_000, 0)
 
 func newModel(seed uint64, routers int, tenants []*modelTenant) *model {
@@ -105,7 +101,7 @@
 	return m
 }
 
-// start starts a router anew: it knows those that joined before it.
+// start restarts a router, which gets a list of those that joined before it.
 func (m *model) start(router *modelRouter) {
 	m.revision++
 	router.revision = m.revision
@@ -123,12 +119,12 @@
 
 func (m *model) time() time.Time { return epoch.Add(m.now) }
 
-// reaches reports whether a message of one router gets to another.
+// reaches reports whether a message from one router reaches another.
 func (m *model) reaches(from, to *modelRouter) bool {
 	return from.group == to.group && (m.loss == 0 || m.random.Float64() >= m.loss)
 }
 
-// flush carries out what an agent wants.
+// flush sends the agent's messages and applies its decisions.
 func (m *model) flush(router *modelRouter) {
 	out, done := router.agent.Flush()
 	for _, decision := range done {
@@ -146,7 +142,7 @@
 	}
 }
 
-// decide judges a verdict: in a tenth of all cases no engine takes the request.
+// decide applies a decision. A tenth of the granted requests does not run.
 func (m *model) decide(router *modelRouter, decision Decision) {
 	req := router.waiting[decision.ID]
 	if req == nil {
@@ -154,10 +150,10 @@
 	}
 	delete(router.waiting, decision.ID)
 	granted, ok := decision.Verdict.(Granted)
-	if req.calm && m.now > m.faultUntil {
-		req.tenant.calmAsked++
+	if req.withinLimit && m.now > m.faultUntil {
+		req.tenant.faultFreeCount++
 		if !ok {
-			req.tenant.calmDenied++
+			req.tenant.faultFreeDenied++
 		}
 	}
 	switch {
@@ -169,7 +165,6 @@
 	}
 }
 
-// step plays one step.
 func (m *model) step(traffic bool) {
 	m.now += modelStep
 	for _, router := range m.routers {
@@ -205,7 +200,7 @@
 // traffic sends the requests of a step, each through a random router that is up.
 func (m *model) traffic() {
 	for _, tenant := range m.tenants {
-		rate := tenant.limit.Rate * tenant.use * max(tenant.hot, 1) / tenant.mean
+		rate := tenant.limit.Rate * tenant.use * max(tenant.overload, 1) / tenant.mean
 		for expected := rate * modelStep.Seconds(); expected > 0; expected-- {
 			if m.random.Float64() >= expected {
 				continue
@@ -220,13 +215,13 @@
 			}
 			reservation := Claim{Subject: Subject(tenant.name), Limit: tenant.limit, Version: tenant.version, Amount: amount, Preferred: tenant.preferred && m.random.IntN(2) == 0}
 			id := router.agent.Take(m.time(), reservation)
-			router.waiting[id] = &modelRequest{tenant: tenant, amount: amount, calm: tenant.hot == 0}
+			router.waiting[id] = &modelRequest{tenant: tenant, amount: amount, withinLimit: tenant.overload == 0}
 			m.flush(router)
 		}
 	}
 }
 
-// largestWindow returns the most that ran of a tenant in any window.
+// largestWindow returns the largest amount of a tenant that ran in any window.
 func (t *modelTenant) largestWindow(window time.Duration) float64 {
 	largest, sum, first := 0.0, 0.0, 0
 	for _, one := range t.ran {
@@ -254,19 +249,18 @@
 	return router.agent.Members()
 }
 
-// kill takes a router down, which starts anew at the end.
+// kill stops a router, which restarts after a time.
 func (m *model) kill(router *modelRouter, length time.Duration) {
 	router.agent, router.downUntil = nil, m.now+length
 }
 
-// modelFault is something that goes wrong.
 type modelFault struct {
 	name string
-	// begin returns what ends the trouble.
+	// begin starts the fault and returns what ends it.
 	begin func(m *model) (end func())
 }
 
-// lostDatagrams is the trouble that makes routers change their leaders most often.
+// lostDatagrams is the fault that makes routers change their leaders most often.
 const lostDatagrams = "datagrams are lost"
 
 var modelFaults = []modelFault{
@@ -328,8 +322,7 @@
 	}
 }
 
-// run plays a history: troubles of the given kinds, one after the other and together,
-// while tenants become hot.
+// run simulates a random sequence of faults of the given kinds, while tenants become hot.
 func (m *model) run(faults []modelFault, length time.Duration) {
 	for m.now < 3*time.Second {
 		m.step(false)
@@ -350,18 +343,17 @@
 		}
 		if m.now%(500*time.Millisecond) == 0 {
 			tenant := m.tenants[m.random.IntN(len(m.tenants))]
-			tenant.hot = float64(m.random.IntN(2)) * 5
+			tenant.overload = float64(m.random.IntN(2)) * 5
 		}
 		m.step(true)
 	}
 }
 
-// runWithoutFaults plays on while nothing goes wrong.
 func (m *model) runWithoutFaults(length time.Duration) {
 	m.heal()
 	m.loss = 0
 	for _, tenant := range m.tenants {
-		tenant.hot = 0
+		tenant.overload = 0
 	}
 	for end := m.now + length; m.now < end; {
 		m.step(true)
@@ -376,8 +368,8 @@
 	}
 }
 
-// violations reports the tenants whose use in some window was above the bound. A limit that
-// falls binds from a window later; the larger one is taken all the time.
+// violations returns the tenants whose use exceeded the bound in some window. A lowered limit
+// applies only after a window, so limits are the higher ones.
 func (m *model) violations(limits map[string]Limit) (broken []string) {
 	for _, tenant := range m.tenants {
 		allowed := m.bounds.Max(limits[tenant.name])
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -8,72 +8,72 @@
 )
 
 const (
-	// memberIntervals is for how many intervals between hellos a member counts that was not
-	// heard. For as long a router that went to another pool may count in both.
+	// memberIntervals is the number of hello intervals after which a silent member is dropped.
+	// Until then a router that moved to another pool may count in both.
 	memberIntervals = 3
-	// memberTimeout is that time with the usual interval.
+	// memberTimeout is the time of memberIntervals at the default interval.
 	memberTimeout = memberIntervals * helloInterval
-	// responseRetention is how long answers are kept for asks that are repeated, and for
-	// requests that give back what they were granted.
+	// responseRetention is how long responses are kept for retried requests and for releases.
 	responseRetention = 4 * time.Second
-	// formingIntervals is for how many intervals after its last new member a pool with less than
-	// half of all routers may still grow: a router that lost its leader notices within that
-	// time.
+	// formingIntervals is the number of hello intervals after its last join for which a pool
+	// with less than half of all routers may still grow: by then a router has noticed the loss
+	// of its leader.
 	formingIntervals = 2
-	// maxRetryAfter bounds the time told with a denial.
+	// maxRetryAfter bounds the RetryAfter of a denial.
 	maxRetryAfter = 10 * time.Second
 )
 
-// Pool is the part of a router that grants claims to the members of its pool. It is not
-// safe for concurrent use.
+// Pool is the part of a router that grants requests to the members of its pool. It is not safe
+// for concurrent use.
 type Pool struct {
 	bounds Bounds
-	// memberTimeout and formingPeriod are memberIntervals and formingIntervals intervals.
+	// memberTimeout and formingPeriod are memberIntervals and formingIntervals times the hello
+	// interval.
 	memberTimeout, formingPeriod time.Duration
 	members                      map[netip.AddrPort]time.Time
-	// routers is the number of all routers, as told last.
+	// routers is the number of all routers.
 	routers int
-	// departures are those of the routers that left a short time ago.
+	// departures are the Leave messages of routers that left recently.
 	departures map[netip.AddrPort]departure
-	// lastJoinAt is when a member came that was none before.
+	// lastJoinAt is when a new member came last.
 	lastJoinAt time.Time
 	// sweepAt is when the next member may have to be dropped.
 	sweepAt time.Time
 	buckets map[Subject]*bucket
-	// credits is the number of times that a member added its start credit.
+	// credits is the number of start credits added so far.
 	credits int
-	// filled is the time, in seconds, for which the whole fleet would have had to be
-	// members for all buckets to fill as much as they did since the pool began.
+	// filled is the time, in seconds, for which all routers would have had to be members to
+	// fill the buckets as much as they were since the pool began.
 	filled   float64
 	filledAt time.Time
-	// baseFilled and baseCredits are from where buckets of new tenants are counted: those
-	// at the last loss of a member.
+	// baseFilled and baseCredits are the values from which new buckets count: those at the last
+	// loss of a member.
 	baseFilled    float64
 	baseCredits   int
 	responses     map[requestKey]*answeredRequest
 	responseOrder []requestKey
 }
 
-// bucket holds what a tenant may still use.
+// bucket is the token bucket of a subject.
 type bucket struct {
 	limit   Limit
 	version uint64
 	level   float64
-	// filled and credits are those of the pool up to which the level is counted.
+	// filled and credits are the pool's values up to which level is computed.
 	filled  float64
 	credits int
-	// denials counts the claims that were denied lately, and usedAt is when the last one came.
+	// denials counts recent denials; usedAt is the time of the last request.
 	denials denialCounter
 	usedAt  time.Time
 }
 
-// requestKey names an ask of one router.
+// requestKey identifies a request of one router.
 type requestKey struct {
 	from netip.AddrPort
 	id   uint64
 }
 
-// answeredRequest is an ask that was answered.
+// answeredRequest is a request and its response, kept for retries and releases.
 type answeredRequest struct {
 	response Answer
 	subject  Subject
@@ -91,13 +91,11 @@
 	return pool
 }
 
-// setHelloInterval sets the time between two hellos of a member.
 func (p *Pool) setHelloInterval(interval time.Duration) {
 	p.memberTimeout, p.formingPeriod = memberIntervals*interval, formingIntervals*interval
 }
 
-// Join takes in that a router is a member, and whether it adds its start credit
-// if it is a new one.
+// Join adds or refreshes a member; credit adds the start credit of a new one.
 func (p *Pool) Join(now time.Time, from netip.AddrPort, credit bool, routers int) {
 	p.advance(now, routers)
 	if _, known := p.members[from]; !known && credit {
@@ -109,7 +107,7 @@
 	p.members[from] = now
 }
 
-// Leave takes in that a router is no member any more.
+// Leave removes a member.
 func (p *Pool) Leave(now time.Time, from netip.AddrPort, routers int) {
 	p.advance(now, routers)
 	if _, known := p.members[from]; known {
@@ -121,22 +119,22 @@
 // Members returns the number of members.
 func (p *Pool) Members() int { return len(p.members) }
 
-// forming reports whether routers are just gathering in this pool, because their leader
-// is gone or the fleet has started: what it cannot grant yet it soon can.
+// forming reports whether routers are still joining, after the loss of their leader or a start
+// of the whole fleet: the pool may soon grant what it cannot grant yet.
 func (p *Pool) forming(now time.Time, routers int) bool {
 	return 2*len(p.members) < routers && now.Sub(p.lastJoinAt) < p.formingPeriod
 }
 
-// share returns the part of all limits that the members bring.
+// share returns the part of all limits that the members contribute.
 func (p *Pool) share(routers int) float64 {
 	return min(float64(len(p.members))/float64(max(routers, 1)), 1)
 }
 
-// advance brings the pool up to a time.
+// advance updates the pool to a time: it fills the buckets and drops silent members.
 func (p *Pool) advance(now time.Time, routers int) {
 	p.routers = routers
 	if elapsed := now.Sub(p.filledAt); !p.filledAt.IsZero() && elapsed > 0 {
-		// A leader that stood still has no news of its members for that time.
+		// A leader that was paused has no information on its members for that time.
 		elapsed = min(elapsed, p.memberTimeout)
 		p.filled += elapsed.Seconds() * p.share(routers)
 	}
@@ -161,32 +159,28 @@
 	maps.DeleteFunc(p.departures, func(_ netip.AddrPort, left departure) bool { return now.Sub(left.leftAt) > p.memberTimeout })
 }
 
-// departure is the last word of a router that left, with its time.
+// departure is the Leave message of a router and the time of its arrival.
 type departure struct {
 	leave  Leave
 	leftAt time.Time
 }
 
-// recordDeparture remembers what a router had sent when it left. Copies of that which come later, or by
-// other ways, would make it a member again beside the pool that it went to: with a fifth of all
-// datagrams lost and a twentieth repeated, 24 routers granted 1.6 times a limit of 300 a second
-// in a window (TestBackEndLimitsHoldUnderFaults).
+// recordDeparture records what a router sent before it left. Late copies of that would make it
+// a member again in addition to its new pool, and both would grant its share.
 func (p *Pool) recordDeparture(now time.Time, from netip.AddrPort, leave Leave) {
 	p.departures[from] = departure{leave: leave, leftAt: now}
 }
 
-// sentBeforeLeaving reports whether a router had sent a hello or an ask before it left.
+// sentBeforeLeaving reports whether a router sent a hello or a request before it left.
 func (p *Pool) sentBeforeLeaving(from netip.AddrPort, sent Leave) bool {
 	left, found := p.departures[from]
 	return found && sent.Hello <= left.leave.Hello && sent.Ask <= left.leave.Ask
 }
 
-// bucketRetention is how long a bucket of units is kept that nobody claims from: back ends come and
-// go. One that is made anew begins full, as it would be after that time at a rate of 0.1 a
-// second.
+// bucketRetention is how long an unused bucket of units is kept, as back ends come and go. A
+// new one starts full.
 const bucketRetention = time.Minute
 
-// dropUnusedBuckets drops the buckets of units that nobody claims from any more.
 func (p *Pool) dropUnusedBuckets(now time.Time) {
 	if p.bounds.Unit == 0 {
 		return
@@ -194,7 +188,7 @@
 	maps.DeleteFunc(p.buckets, func(_ Subject, known *bucket) bool { return now.Sub(known.usedAt) > bucketRetention })
 }
 
-// capacity returns what a bucket of this pool holds.
+// capacity returns the size of a bucket of this pool.
 func (p *Pool) capacity(limit Limit, routers int) float64 {
 	share := p.share(routers)
 	capacity := limit.capacity() * share
@@ -204,13 +198,13 @@
 	return capacity
 }
 
-// maxLevel returns what a bucket of this pool holds with the start credits of its members.
+// maxLevel returns the capacity plus the start credits of the members.
 func (p *Pool) maxLevel(limit Limit, routers int) float64 {
 	return p.capacity(limit, routers) + startCreditPart*p.bounds.spare(limit)*p.share(routers)
 }
 
-// shrink takes from all buckets what is above the share of the members that are left:
-// those that went may be granted as much elsewhere.
+// shrink reduces all buckets to the share of the remaining members: another pool may grant the
+// rest.
 func (p *Pool) shrink(routers int) {
 	p.baseFilled, p.baseCredits = p.filled, p.credits
 	for _, filling := range p.buckets {
@@ -219,8 +213,8 @@
 	}
 }
 
-// Acquire answers an ask of a router, which counts as a member from then on. The same ask
-// gets the same answer.
+// Acquire answers a request of a router and counts the router as a member. A retried request
+// gets the same response.
 func (p *Pool) Acquire(now time.Time, from netip.AddrPort, request *Ask, routers int) Answer {
 	if !request.Claim.valid() {
 		return Answer{ID: request.ID, After: maxRetryAfter}
@@ -254,7 +248,7 @@
 	return response
 }
 
-// Release takes back what was granted for a request that did not run.
+// Release takes back a grant of a request that did not run.
 func (p *Pool) Release(from netip.AddrPort, id uint64) {
 	known := p.responses[requestKey{from: from, id: id}]
 	if known == nil || !known.response.Granted {
@@ -262,13 +256,13 @@
 	}
 	known.response.Granted = false
 	if filling := p.buckets[known.subject]; filling != nil {
-		// What comes back late adds to a bucket that has filled since: no more than it holds.
+		// A late release must not raise a refilled bucket above its maximum.
 		most := p.maxLevel(filling.limit, p.routers)
 		filling.level = max(filling.level, min(filling.level+known.amount, most))
 	}
 }
 
-// bucket returns the bucket of a claim's tenant, filled up to now.
+// bucket returns the refilled bucket of a reservation's subject.
 func (p *Pool) bucket(reservation *Claim, routers int) *bucket {
 	known := p.buckets[reservation.Subject]
 	if known == nil {
@@ -292,15 +286,15 @@
 	known.filled, known.credits = p.filled, p.credits
 }
 
-// withCredits returns the level of a bucket with the start credits since it was last
-// looked at: no more than those of all routers, however many came and went.
+// withCredits returns the level of a bucket with the start credits since its last update: at
+// most those of all routers, however many joined and left.
 func (p *Pool) withCredits(known *bucket, full float64, routers int) float64 {
 	whole := startCreditPart * p.bounds.spare(known.limit)
 	part := min(whole*float64(p.credits-known.credits)/float64(max(routers, 1)), whole)
 	return max(known.level, min(known.level+part, full+whole))
 }
 
-// wait returns the time until a claim could be granted, 0 if it can be now.
+// wait returns the time until a reservation could be granted, 0 if it can be now.
 func (p *Pool) wait(filling *bucket, reservation *Claim, routers int) time.Duration {
 	share := p.share(routers)
 	full := p.capacity(filling.limit, routers)
@@ -323,7 +317,6 @@
 	return max(time.Duration(wait*float64(time.Second)), time.Millisecond)
 }
 
-// dropOldResponses drops answers that are not asked for any more.
 func (p *Pool) dropOldResponses(now time.Time) {
 	count := 0
 	for count < len(p.responseOrder) && now.Sub(p.responses[p.responseOrder[count]].at) > responseRetention {
--- a/internal/quota/pool_test.go
+++ b/internal/quota/pool_test.go
@@ -13,15 +13,15 @@
 
 var testLimit = Limit{Rate: 1000, Burst: 2000}
 
-// testBounds leave a spare of 1000: 400 are granted evenly over the window, 100 are
-// start credits, 150 are debt.
+// testBounds leave a spare of 1000: 400 are granted evenly over the window, 100 are start
+// credits, 150 are debt.
 var testBounds = Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 0}
 
 func addrOf(index int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(index + 1)}), 7000)
 }
 
-// poolOf returns a pool with a number of members out of routers, filled since a time.
+// poolOf returns a pool with a number of members out of routers.
 func poolOf(now time.Time, members, routers int, credit bool) *Pool {
 	pool := NewPool(testBounds)
 	for index := range members {
@@ -30,7 +30,7 @@
 	return pool
 }
 
-// keepMembers keeps members for a time.
+// keepMembers refreshes the members for a time.
 func keepMembers(pool *Pool, now time.Time, length time.Duration, members, routers int) time.Time {
 	for end := now.Add(length); now.Before(end); {
 		now = now.Add(helloInterval)
@@ -41,11 +41,10 @@
 	return now
 }
 
-// lastRequestID is the id of the last ask of granted.
+// lastRequestID is the last request ID of grantedUnits.
 var lastRequestID atomic.Uint64
 
-// grantedUnits asks for amounts of one unit until one is denied, and returns how many were
-// granted.
+// grantedUnits requests single units until one is denied, and returns the number granted.
 func grantedUnits(pool *Pool, now time.Time, limit Limit, version uint64, routers int) int {
 	for count := 0; ; count++ {
 		request := Ask{ID: 1000 + lastRequestID.Add(1), Claim: Claim{Subject: "t", Limit: limit, Version: version, Amount: 1}}
@@ -82,7 +81,7 @@
 	}
 }
 
-// Routers that come and go fill no bucket beyond its capacity and the part of the spare.
+// Routers that leave and join repeatedly must not fill a bucket beyond its bounds.
 func TestStartCreditsAreBounded(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -109,7 +108,7 @@
 	}
 }
 
-// What a pool holds goes with its members: whoever leads them next grants it too.
+// The next leader of the lost members grants their share, so the pool must give it up.
 func TestPoolShrinksWithMembers(t *testing.T) {
 	tests := []struct{ left, want int }{{4, 2000}, {2, 1050}, {1, 525}}
 	for _, tt := range tests {
@@ -132,7 +131,7 @@
 	now := epoch.Add(time.Minute)
 	most := int(testBounds.rate(testLimit) * memberTimeout.Seconds())
 	is.True(grantedUnits(pool, now, testLimit, 1, 4) <= most)
-	is.Equal(pool.Members(), 1) // who asked
+	is.Equal(pool.Members(), 1) // the requester
 }
 
 func TestReleaseCountsOnce(t *testing.T) {
@@ -140,9 +139,9 @@
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
 	now = keepMembers(pool, now, time.Second, 4, 4)
-	ask := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: 1000}}
-	is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted)
-	is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted) // the same ask, once more
+	request := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: 1000}}
+	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
+	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted) // a retry
 	is.Equal(grantedUnits(pool, now, testLimit, 0, 4), 102)
 	for range 3 {
 		pool.Release(addrOf(0), 1)
@@ -156,8 +155,8 @@
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
 	now = keepMembers(pool, now, time.Minute, 4, 4)
-	ask := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Version: 1, Amount: 1}}
-	is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted)
+	request := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Version: 1, Amount: 1}}
+	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
 	lower := Limit{Rate: 100, Burst: 200}
 	is.Equal(grantedUnits(pool, now, lower, 2, 4), 200)
 	now = keepMembers(pool, now, time.Minute, 4, 4)
@@ -170,18 +169,18 @@
 		{Limit: Limit{Rate: math.NaN(), Burst: 1}, Amount: 1}, {Limit: Limit{Rate: math.Inf(1)}, Amount: 1},
 		{Limit: Limit{Rate: 1, Burst: math.Inf(1)}, Amount: 1}, {Amount: 1},
 	}
-	for _, claim := range tests {
-		t.Run(fmt.Sprint(claim), func(t *testing.T) {
+	for _, reservation := range tests {
+		t.Run(fmt.Sprint(reservation), func(t *testing.T) {
 			is := is.New(t)
 			pool := poolOf(epoch, 1, 1, false)
 			now := keepMembers(pool, epoch, time.Minute, 1, 1)
-			is.Equal(pool.Acquire(now, addrOf(0), &Ask{ID: 1, Claim: claim}, 1), Answer{ID: 1, After: maxRetryAfter})
+			is.Equal(pool.Acquire(now, addrOf(0), &Ask{ID: 1, Claim: reservation}, 1), Answer{ID: 1, After: maxRetryAfter})
 			is.Equal(len(pool.buckets), 0)
 		})
 	}
 }
 
-func TestLargeRequests(t *testing.T) {
+func TestLargeReservations(t *testing.T) {
 	tests := []struct {
 		name    string
 		amount  float64
@@ -200,10 +199,10 @@
 			is := is.New(t)
 			pool := poolOf(epoch, 4, 4, false)
 			now := keepMembers(pool, epoch, tt.filled, 4, 4)
-			ask := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: tt.amount}}
-			answer := pool.Acquire(now, addrOf(0), &ask, 4)
-			is.Equal(answer.Granted, tt.granted)
-			is.Equal(answer.After.Round(time.Millisecond), tt.after)
+			request := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: tt.amount}}
+			response := pool.Acquire(now, addrOf(0), &request, 4)
+			is.Equal(response.Granted, tt.granted)
+			is.Equal(response.After.Round(time.Millisecond), tt.after)
 		})
 	}
 }
--- a/internal/quota/ranking.go
+++ b/internal/quota/ranking.go
@@ -8,45 +8,42 @@
 )
 
 const (
-	// helloInterval is the time between two hellos to the leader: a leader that dies is
-	// noticed within two of them. At 390 routers they are 2,600 datagrams a second at
-	// the leader, and as many back.
+	// helloInterval is the time between two hellos to the leader: a dead leader is noticed
+	// after two of them.
 	helloInterval = 150 * time.Millisecond
 	// probeInterval is the time between two hellos to a router that may lead later.
 	probeInterval = time.Second
-	// downMisses is the number of hellos in a row without a welcome after which a
+	// downMisses is the number of consecutive hellos without an acknowledgement after which a
 	// router is down: one may be a lost datagram.
 	downMisses = 2
-	// upAcks is the number of welcomes in a row after which a router that was down
-	// may lead again, so that one that comes and goes does not move all pools.
+	// upAcks is the number of consecutive acknowledgements after which a router that was down
+	// may lead again, so that a flapping router does not move all pools.
 	upAcks = 2
-	// standbys is the number of routers besides the leader that are probed although
-	// they are up, so that the next leader is known before it is needed; as many that
-	// are down are probed for their return.
+	// standbys is the number of routers besides the leader that are probed while they are up,
+	// so that the next leader is known in advance; as many that are down are probed for their
+	// return.
 	standbys = 3
-	// maxUnheardProbes is the number of routers of which nothing was heard yet that are
-	// probed at once. After a start of the whole fleet most of them have started anew too
-	// and answer so, and the oldest that has not stands behind them.
+	// maxUnheardProbes is the number of routers without any message yet that are probed at
+	// once. After a restart of the whole fleet the oldest router that did not restart may be
+	// behind many that did.
 	maxUnheardProbes = 64
-	// minResponseTimeout is how long an answer is awaited at least: two ways between zones
-	// of a region and the turns of two busy machines.
+	// minResponseTimeout covers a round trip between zones and scheduling delays at both ends.
 	minResponseTimeout = 30 * time.Millisecond
-	// maxResponseTimeout bounds it.
 	maxResponseTimeout = 250 * time.Millisecond
-	// responseTimeoutFactor times the usual time to a welcome is waited for an answer.
+	// responseTimeoutFactor multiplies the mean round-trip time.
 	responseTimeoutFactor = 4
-	// rttWeight is the part of a new observation in the usual time to a welcome.
+	// rttWeight is the weight of a new sample in the mean round-trip time.
 	rttWeight = 0.2
 )
 
-// Ranking orders the routers that may lead the pool of this one: those that joined the
-// fleet before it, the oldest first, then itself and, where the leader is not the oldest,
-// those that joined later and greeted it. Routers thereby agree on who is at a place among
-// those that are up without a word about it. It is not safe for concurrent use.
+// Ranking orders the routers that may lead this router's pool: the older ones, the oldest
+// first, then itself and, where the leader is not the oldest, younger ones that sent a hello.
+// Routers thereby agree on who is at a place among those that are up, without messages about
+// it. It is not safe for concurrent use.
 type Ranking struct {
 	self     netip.AddrPort
 	revision uint64
-	// place is that of the leader among the routers that are up, 0 for the oldest.
+	// place is the leader's place among the routers that are up, 0 for the oldest.
 	place int
 	// interval is the time between two hellos to the leader.
 	interval time.Duration
@@ -55,31 +52,30 @@
 	number              uint64
 }
 
-// candidate is a router that may lead.
 type candidate struct {
 	addr netip.AddrPort
-	// revision tells the age of those that are younger.
+	// revision is the place of younger routers in the order.
 	revision uint64
-	// up is false until the router was heard.
+	// up is false until a hello was acknowledged.
 	up     bool
 	misses int
 	acks   int
-	// pendingHello is the number of the hello that waits for its welcome, 0 for none.
+	// pendingHello is the number of the hello without an acknowledgement yet, 0 for none.
 	pendingHello uint64
 	pendingSince time.Time
 	helloAt      time.Time
-	// heardAt is when any message of it last came.
+	// heardAt is when any of its messages came last.
 	heardAt time.Time
-	// rtt is the usual time from a hello to its welcome.
+	// rtt is the mean round-trip time.
 	rtt time.Duration
 }
 
-// NewRanking returns the ranking of a router that knows no other.
+// NewRanking returns the ranking of a router without peers.
 func NewRanking(self netip.AddrPort) *Ranking {
 	return &Ranking{self: self, interval: helloInterval}
 }
 
-// SetRouters takes in this router's revision and the routers that are older, oldest first.
+// SetRouters sets this router's revision and the older routers, oldest first.
 func (r *Ranking) SetRouters(revision uint64, older []netip.AddrPort) {
 	r.revision = revision
 	r.candidates, r.younger = nil, nil
@@ -88,7 +84,7 @@
 	}
 }
 
-// Leader returns the router that leads the pool of this one.
+// Leader returns the leader of this router's pool.
 func (r *Ranking) Leader() netip.AddrPort {
 	up := make([]netip.AddrPort, 0, r.place+1)
 	for _, known := range r.candidates {
@@ -105,8 +101,8 @@
 	return up[r.place%len(up)]
 }
 
-// ObserveHello takes in a hello of a router with a revision: one that is younger than this
-// router may be at the leader's place.
+// ObserveHello records a hello of a router: one younger than this router may be at the leader's
+// place.
 func (r *Ranking) ObserveHello(from netip.AddrPort, revision uint64) {
 	if r.place == 0 || revision <= r.revision || r.revision == 0 {
 		return
@@ -120,7 +116,6 @@
 	}
 }
 
-// insertYounger puts a router among the younger ones by its revision.
 func (r *Ranking) insertYounger(known *candidate, revision uint64) {
 	r.remove(known)
 	known.revision = revision
@@ -130,14 +125,13 @@
 	r.younger = slices.Insert(r.younger, at, known)
 }
 
-// remove takes a router out of the order.
 func (r *Ranking) remove(known *candidate) {
 	same := func(other *candidate) bool { return other == known }
 	r.candidates = slices.DeleteFunc(r.candidates, same)
 	r.younger = slices.DeleteFunc(r.younger, same)
 }
 
-// ResponseTimeout returns how long the answer of a router is awaited.
+// ResponseTimeout returns how long to wait for a response of a router.
 func (r *Ranking) ResponseTimeout(addr netip.AddrPort) time.Duration {
 	known := r.find(addr)
 	if known == nil {
@@ -146,7 +140,7 @@
 	return min(max(responseTimeoutFactor*known.rtt, minResponseTimeout), maxResponseTimeout)
 }
 
-// ObserveMessage takes in that a message of a router came.
+// ObserveMessage records that a message of a router came.
 func (r *Ranking) ObserveMessage(now time.Time, from netip.AddrPort) {
 	if known := r.find(from); known != nil {
 		known.heardAt = now
@@ -159,14 +153,14 @@
 	return known != nil && known.heardAt.After(since)
 }
 
-// MarkDown takes in that a router did not answer in time, often enough to be down.
+// MarkDown records that a router repeatedly did not answer in time.
 func (r *Ranking) MarkDown(addr netip.AddrPort) {
 	if known := r.find(addr); known != nil {
 		known.markDown()
 	}
 }
 
-// DueHellos returns the hellos that are due, and counts them as sent.
+// DueHellos returns the hellos that are due and counts them as sent.
 func (r *Ranking) DueHellos(now time.Time) []Envelope {
 	r.recordMissedHellos(now, r.candidates)
 	r.recordMissedHellos(now, r.younger)
@@ -193,14 +187,14 @@
 	return due
 }
 
-// recordMissedHellos takes in that hellos got no welcome in time.
+// recordMissedHellos records hellos without an acknowledgement in time.
 func (r *Ranking) recordMissedHellos(now time.Time, candidates []*candidate) {
 	for _, known := range candidates {
 		if known.pendingHello == 0 || now.Sub(known.pendingSince) < r.interval {
 			continue
 		}
 		if known.up && known.heardAt.After(known.pendingSince) {
-			// A datagram was lost: the router has told something else since.
+			// The datagram was lost: another message of the router came since.
 			known.pendingHello = 0
 			continue
 		}
@@ -208,15 +202,15 @@
 	}
 }
 
-// probePass counts the routers that one look at who is due has passed.
+// probePass counts the routers visited by one call of DueHellos.
 type probePass struct {
 	place             int
 	up, down, unheard int
-	// interval is the time between two hellos to the router that was passed last.
+	// interval is the time between two hellos to the router visited last.
 	interval time.Duration
 }
 
-// probe passes a router, and reports whether it is among those that are greeted.
+// visit counts a router and reports whether it gets hellos.
 func (r *Ranking) visit(pass *probePass, known *candidate, leader netip.AddrPort) bool {
 	pass.interval = probeInterval
 	switch {
@@ -236,7 +230,7 @@
 	return pass.up <= pass.place+standbys && pass.unheard <= maxUnheardProbes
 }
 
-// hello counts a hello to a candidate as sent.
+// hello returns a hello to a candidate and counts it as sent.
 func (r *Ranking) hello(now time.Time, known *candidate) Hello {
 	r.number++
 	known.helloAt, known.pendingSince, known.pendingHello = now, now, r.number
@@ -247,8 +241,8 @@
 	return hello
 }
 
-// ObserveAck takes in a welcome. A router that has restarted since is younger than this
-// one now, and leads it no more.
+// ObserveAck applies an acknowledgement. A router that has restarted is younger than this one
+// and loses its place.
 func (r *Ranking) ObserveAck(now time.Time, from netip.AddrPort, ack *Welcome) {
 	known := r.find(from)
 	if known == nil || known.pendingHello != ack.Number || ack.Number == 0 {
@@ -274,7 +268,7 @@
 	}
 }
 
-// recordMiss takes in that a hello got no welcome in time.
+// recordMiss records a hello without an acknowledgement in time.
 func (c *candidate) recordMiss() {
 	c.pendingHello, c.acks = 0, 0
 	c.misses++
@@ -283,7 +277,7 @@
 	}
 }
 
-// markDown takes in that the router does not answer.
+// markDown marks the router as down, as it does not answer.
 func (c *candidate) markDown() {
 	c.misses = downMisses - 1
 	c.recordMiss()
--- a/internal/quota/ranking_test.go
+++ b/internal/quota/ranking_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// exchangeHellos plays hellos to the routers that answer, for a time.
+// exchangeHellos simulates hellos to the routers that answer, for a time.
 func exchangeHellos(ranking *Ranking, now time.Time, length time.Duration, revisions map[netip.AddrPort]uint64) time.Time {
 	const step = 10 * time.Millisecond
 	for end := now.Add(length); now.Before(end); now = now.Add(step) {
@@ -26,7 +26,7 @@
 	self := addrOf(100)
 	tests := []struct {
 		name string
-		// up tells the revisions of the routers that answer, out of 12 that are older.
+		// up has the revisions of the routers that answer, out of 12 older ones.
 		up   map[int]uint64
 		want netip.AddrPort
 	}{
@@ -68,7 +68,7 @@
 	is.Equal(ranking.Leader(), addrOf(1))
 	now = exchangeHellos(ranking, now, 5*time.Second, second)
 	now = exchangeHellos(ranking, now, time.Second, both)
-	is.Equal(ranking.Leader(), addrOf(1)) // one welcome is not enough
+	is.Equal(ranking.Leader(), addrOf(1)) // one acknowledgement is not enough
 	exchangeHellos(ranking, now, 3*time.Second, both)
 	is.Equal(ranking.Leader(), addrOf(0))
 	ranking.MarkDown(addrOf(0))
--- a/internal/quota/units_test.go
+++ b/internal/quota/units_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// What a back end may get in a window: unitFactor times what its limit allows, and unitSlack
+// A back end may get unitFactor times what its limit allows in a window, plus unitSlack
 // requests.
 const (
 	unitWindow = 4 * time.Second
@@ -16,7 +16,7 @@
 	unitSlack  = 5
 )
 
-// backEndTenants are back ends with limits, of which eight times as much is asked for.
+// backEndTenants returns back ends with limits and eight times as much demand.
 func backEndTenants(rates ...float64) []*modelTenant {
 	var all []*modelTenant
 	for _, rate := range rates {
@@ -35,7 +35,7 @@
 	return m
 }
 
-// unitViolations reports the back ends that got more than they may in some window.
+// unitViolations returns the back ends that exceeded their bound in some window.
 func (m *model) unitViolations(limits map[string]Limit) (broken []string) {
 	for _, backEnd := range m.tenants {
 		allowed := unitFactor*limits[backEnd.name].Rate*unitWindow.Seconds() + unitSlack
@@ -46,8 +46,8 @@
 	return broken
 }
 
-// The limits of back ends are kept whoever grants is killed, frozen or cut off, also where one
-// request of each router is more than a window allows.
+// Limits of back ends hold if leaders are killed, frozen or cut off, also where one request of
+// each router would exceed a window.
 func TestBackEndLimitsHoldUnderFaults(t *testing.T) {
 	fleets := []int{7, 24}
 	kinds := [][]modelFault{nil, modelFaults}
@@ -78,7 +78,6 @@
 	}
 }
 
-// A limit is no ban: while there is demand most of it is used.
 func TestBackEndLimitIsMostlyUsed(t *testing.T) {
 	for place, routers := range []int{1, 3, 7, 83} {
 		t.Run(fmt.Sprintf("%d routers/place %d", routers, place), func(t *testing.T) {
@@ -96,13 +95,12 @@
 				allowed := backEnd.limit.Rate * 30
 				used := backEnd.largestWindow(time.Hour)
 				t.Logf("%s: %.0f of %.1f used", backEnd.name, used, allowed)
-				is.True(used >= 0.7*allowed-1) // the first comes free after the time of one
+				is.True(used >= 0.7*allowed-1) // the first unit is free only after its interval
 			}
 		})
 	}
 }
 
-// Different places are led by different routers, and all agree on them.
 func TestPlacesHaveDifferentLeaders(t *testing.T) {
 	tests := []struct{ routers, places, leaders int }{{1, 4, 1}, {2, 4, 2}, {7, 4, 4}, {79, 4, 4}}
 	for _, tt := range tests {
@@ -135,13 +133,13 @@
 				pool.Join(epoch, addrOf(index), false, 4)
 			}
 			now := keepMembers(pool, epoch, 600*time.Millisecond, 4, 4)
-			ask := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1, Preferred: tt.preferred}}
-			is.Equal(pool.Acquire(now, addrOf(0), &ask, 4).Granted, tt.granted)
+			request := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1, Preferred: tt.preferred}}
+			is.Equal(pool.Acquire(now, addrOf(0), &request, 4).Granted, tt.granted)
 		})
 	}
 }
 
-// A small part of the routers saves up nothing: many parts would grant what they saved at once.
+// Many small pools would grant accumulated units all at once.
 func TestSmallPoolSavesNoUnit(t *testing.T) {
 	tests := []struct {
 		members, routers int
@@ -155,14 +153,14 @@
 				pool.Join(epoch, addrOf(index), false, tt.routers)
 			}
 			now := keepMembers(pool, epoch, time.Minute, tt.members, tt.routers)
-			ask := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1.3}, Amount: 1}}
-			is.Equal(pool.Acquire(now, addrOf(0), &ask, tt.routers).Granted, tt.granted)
+			request := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1.3}, Amount: 1}}
+			is.Equal(pool.Acquire(now, addrOf(0), &request, tt.routers).Granted, tt.granted)
 		})
 	}
 }
 
-// Grants that come back once the bucket has filled again add nothing: a back end that takes
-// no connections for a while would get all of them at once.
+// Late releases must not add to a refilled bucket: a back end that refused connections for a
+// while would get all of them at once.
 func TestLateReleasesDoNotAccumulate(t *testing.T) {
 	is := is.New(t)
 	pool := NewPool(Bounds{Window: unitWindow, Unit: 1})
@@ -171,13 +169,13 @@
 	}
 	now := keepMembers(pool, epoch, 3*time.Second, 4, 4)
 	for id := range uint64(5) {
-		ask := Ask{ID: id, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
-		is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted)
+		request := Ask{ID: id, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
+		is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
 		now = keepMembers(pool, now, 1200*time.Millisecond, 4, 4)
 		pool.Release(addrOf(0), id)
 	}
-	ask := Ask{ID: 100, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
-	is.True(pool.Acquire(now, addrOf(0), &ask, 4).Granted)
-	ask.ID++
-	is.True(!pool.Acquire(now, addrOf(0), &ask, 4).Granted)
+	request := Ask{ID: 100, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
+	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
+	request.ID++
+	is.True(!pool.Acquire(now, addrOf(0), &request, 4).Granted)
 }
