--- a/internal/quarantine/size_test.go
+++ b/internal/quarantine/bench_test.go
@@ -10,21 +10,21 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-// BenchmarkTold encodes what one router tells of a request, with one crash and with as many as
+// BenchmarkEvidence encodes what one router tells of a request, with one crash and with as many as
 // are kept. The metric is its length: 61 and 251 bytes.
-func BenchmarkTold(b *testing.B) {
+func BenchmarkEvidence(b *testing.B) {
 	for _, crashes := range []int{1, 6} {
 		ledger := quarantine.NewLedger()
 		for index := range crashes {
-			at := begin.Add(time.Duration(index) * time.Second)
+			at := startTime.Add(time.Duration(index) * time.Second)
 			life := ident.Incarnation("i-405d13ae6" + string(rune('a'+index)) + "@1769988000000")
-			ledger.Crashed(at, life, []quarantine.Fingerprint{fingerprint(0)})
+			ledger.RecordCrash(at, life, []quarantine.Fingerprint{fingerprint(0)})
 		}
 		name := map[int]string{1: "one crash", 6: "six crashes"}[crashes]
 		b.Run(name, func(b *testing.B) {
 			length := 0
 			for b.Loop() {
-				told, _ := ledger.Tell(begin.Add(20*time.Second), fingerprint(0))
+				told, _ := ledger.Evidence(startTime.Add(20*time.Second), fingerprint(0))
 				encoded, err := cbor.Marshal(told)
 				if err != nil {
 					b.Fatal(err)
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/decision.go
@@ -10,10 +10,10 @@
 	// maxTrials bounds how often a held request is sent once more, over all routers; one of
 	// the three sendings that are allowed is left for a copy that was under way.
 	maxTrials = 2
-	// HeldRetryAfter is told to callers of a request that is not tried again by itself.
-	HeldRetryAfter = 10 * time.Minute
-	// leastRetryAfter is the least that callers are told: a short time would bring it back.
-	leastRetryAfter = 10 * time.Second
+	// QuarantinedRetryAfter is told to callers of a request that is not tried again by itself.
+	QuarantinedRetryAfter = 10 * time.Minute
+	// minRetryAfter is the least that callers are told: a short time would bring it back.
+	minRetryAfter = 10 * time.Second
 )
 
 // trialPauses are the times before the first and second trial, since the last crash or trial.
@@ -40,31 +40,31 @@
 	return fmt.Sprintf("%d back ends crashed while they ran this request, which has the fingerprint %s", len(v.Crashes), v.Request)
 }
 
-// Judge returns the verdict on a request, nil if it may be sent.
-func (l *Ledger) Judge(now time.Time, request Fingerprint) *Verdict {
+// Check returns the verdict on a request, nil if it may be sent.
+func (l *Ledger) Check(now time.Time, request Fingerprint) *Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.suspects[request]
-	if known == nil || !known.held() {
+	if known == nil || !known.quarantined() {
 		return nil
 	}
-	verdict := &Verdict{Request: request, Crashes: slices.Clone(known.counted()), Trials: known.trials, RetryAfter: HeldRetryAfter}
-	if due, more := known.trialAfter(); more {
-		verdict.TrialDue = !now.Before(due)
-		verdict.RetryAfter = max(due.Sub(now), leastRetryAfter)
+	decision := &Verdict{Request: request, Crashes: slices.Clone(known.countedCrashes()), Trials: known.trials, RetryAfter: QuarantinedRetryAfter}
+	if due, more := known.nextTrial(); more {
+		decision.TrialDue = !now.Before(due)
+		decision.RetryAfter = max(due.Sub(now), minRetryAfter)
 	}
-	return verdict
+	return decision
 }
 
-// trialAfter returns when a held request may be tried again, if ever. A crash after all
+// nextTrial returns when a held request may be tried again, if ever. A crash after all
 // routers had time to learn the verdict counts as a trial: a router that was cut off or stood
 // still has sent the request.
-func (s *suspect) trialAfter() (due time.Time, more bool) {
-	crashes := s.counted()
-	learnt := crashes[crashesToHold-1].At.Add(learnFor)
+func (s *suspect) nextTrial() (due time.Time, more bool) {
+	crashes := s.countedCrashes()
+	propagatedAt := crashes[crashesToQuarantine-1].At.Add(propagationTime)
 	late := 0
 	for _, crash := range crashes {
-		if crash.At.After(learnt) {
+		if crash.At.After(propagatedAt) {
 			late++
 		}
 	}
@@ -79,8 +79,8 @@
 	return last.Add(trialPauses[used]), true
 }
 
-// GrantTrial reports whether a trial may be granted after a number of others, the last one a
+// TrialAllowed reports whether a trial may be granted after a number of others, the last one a
 // time ago. It is asked with what the store keeps.
-func GrantTrial(trials int, since time.Duration) bool {
+func TrialAllowed(trials int, since time.Duration) bool {
 	return trials < maxTrials && (trials == 0 || since >= trialPauses[trials])
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+func TestFingerprintDependsOnIdentity(t *testing.T) {
 	is := is.New(t)
 	base := quarantine.Identity{Tenant: "t", Method: "POST", Host: "h", Target: "/a/b", Body: []byte("body")}
 	again := base
--- a/internal/quarantine/guard/checks.go
+++ b/internal/quarantine/guard/crashchecks.go
@@ -11,26 +11,26 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// checkAt are the times, since an attempt broke off, at which its back end is asked whether
+// checkTimes are the times, since an attempt broke off, at which its back end is asked whether
 // that life goes on. A crash shows in the first two, as the address refuses connections until
 // the next life; a back end that is back before is known by its start or its name. One that
 // answers neither way by the last has crashed as little as any that is cut off.
-var checkAt = []time.Duration{
+var checkTimes = []time.Duration{
 	10 * time.Millisecond, 110 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond,
 	1500 * time.Millisecond, 3 * time.Second, 6 * time.Second,
 }
 
 const (
-	// refusalsToEnd is the number of refused connections in a row that prove that no process
+	// refusalsToConfirm is the number of refused connections in a row that prove that no process
 	// listens any more. One may be due to a bound of connections.
-	refusalsToEnd = 2
-	// lookTimeout bounds one look: back ends report without a slot, within a few ms.
-	lookTimeout = 300 * time.Millisecond
+	refusalsToConfirm = 2
+	// probeTimeout bounds one look: back ends report without a slot, within a few ms.
+	probeTimeout = 300 * time.Millisecond
 	// maxCrashChecks bounds the checks under way, and with them the evidence of one router.
 	maxCrashChecks = 256
-	// endedKept is how long it is remembered that a life has ended, for attempts that learn of
+	// endedRetention is how long it is remembered that a life has ended, for attempts that learn of
 	// it late.
-	endedKept = 30 * time.Second
+	endedRetention = 30 * time.Second
 )
 
 // Sign is what one look at a back end found of a life of it.
@@ -67,17 +67,17 @@
 
 // crashCheck is the question whether one life of a back end has ended.
 type crashCheck struct {
-	place   Place
+	target  Place
 	brokeAt time.Time
 	// requests were running there, as far as their attempts have broken off so far.
 	requests map[quarantine.Fingerprint]struct{}
 }
 
-// look asks the back end once.
-func (c *crashCheck) look(ctx context.Context) Sign {
-	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
+// probe asks the back end once.
+func (c *crashCheck) probe(ctx context.Context) Sign {
+	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return c.place.Look(bounded, c.brokeAt)
+	return c.target.Look(bounded, c.brokeAt)
 }
 
 func (c *crashCheck) add(requests []quarantine.Fingerprint) {
@@ -90,16 +90,16 @@
 // safe for concurrent use.
 type crashChecks struct {
 	backends Backends
-	// crashed is told which requests were running on a life that crashed at a time.
-	crashed func(at time.Time, life ident.Incarnation, requests []quarantine.Fingerprint)
-	// result is told what came of each check: crashed, alive or unknown.
-	result func(string)
-
-	mu    sync.Mutex
-	ctx   context.Context
-	wait  sync.WaitGroup
-	open  map[ident.Incarnation]*crashCheck
-	ended map[ident.Incarnation]time.Time
+	// onCrash is told which requests were running on a life that crashed at a time.
+	onCrash func(at time.Time, life ident.Incarnation, requests []quarantine.Fingerprint)
+	// onResult is told what came of each check: crashed, alive or unknown.
+	onResult func(string)
+
+	mu      sync.Mutex
+	ctx     context.Context
+	running sync.WaitGroup
+	open    map[ident.Incarnation]*crashCheck
+	ended   map[ident.Incarnation]time.Time
 }
 
 // run lets checks run until ctx ends.
@@ -108,82 +108,82 @@
 	c.ctx = ctx
 	c.mu.Unlock()
 	<-ctx.Done()
-	c.wait.Wait()
+	c.running.Wait()
 }
 
 // broke takes in that attempts of requests broke off at a back end, and checks it. One that was
 // leaving has ended as planned: that says nothing against what ran there.
-func (c *crashChecks) broke(now time.Time, at Place, requests ...quarantine.Fingerprint) {
-	if c.backends.Leaving(at.Life) {
+func (c *crashChecks) observeBroken(now time.Time, target Place, requests ...quarantine.Fingerprint) {
+	if c.backends.Leaving(target.Life) {
 		return
 	}
-	life := at.Life
+	incarnation := target.Life
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if endedAt, ended := c.ended[life]; ended && now.Sub(endedAt) < endedKept {
+	if endedAt, ended := c.ended[incarnation]; ended && now.Sub(endedAt) < endedRetention {
 		// The mutex is held, and the caller's request waits for its answer.
-		go c.crashed(endedAt, life, requests)
+		go c.onCrash(endedAt, incarnation, requests)
 		return
 	}
-	if check := c.open[life]; check != nil {
+	if check := c.open[incarnation]; check != nil {
 		check.add(requests)
 		return
 	}
 	if c.ctx == nil || c.ctx.Err() != nil || len(c.open) >= maxCrashChecks {
 		return
 	}
-	check := &crashCheck{place: at, brokeAt: now, requests: make(map[quarantine.Fingerprint]struct{})}
+	check := &crashCheck{target: target, brokeAt: now, requests: make(map[quarantine.Fingerprint]struct{})}
 	check.add(requests)
-	c.open[life] = check
-	c.wait.Go(func() { c.check(c.ctx, life, check) })
+	c.open[incarnation] = check
+	c.running.Go(func() { c.check(c.ctx, incarnation, check) })
 }
 
 // check asks the back end until it is known whether that life has ended.
-func (c *crashChecks) check(ctx context.Context, life ident.Incarnation, check *crashCheck) {
+func (c *crashChecks) check(ctx context.Context, incarnation ident.Incarnation, check *crashCheck) {
 	refusals := 0
-	for _, after := range checkAt {
+	for _, after := range checkTimes {
 		if !wait.For(ctx, max(clock.Until(check.brokeAt.Add(after)), time.Millisecond)) {
 			break
 		}
-		switch check.look(ctx) {
+		switch check.probe(ctx) {
 		case SignAlive:
-			c.finish(life, "alive", false)
+			c.finish(incarnation, "alive", false)
 			return
 		case SignEnded:
-			refusals = refusalsToEnd
+			refusals = refusalsToConfirm
 		case SignRefused:
 			refusals++
 		case SignNone:
 			refusals = 0
 		}
-		if refusals >= refusalsToEnd {
-			requests := c.finish(life, "crashed", true)
+		if refusals >= refusalsToConfirm {
+			requests := c.finish(incarnation, "crashed", true)
 			// Nothing more is sent to that life. What reached the next one under the old name
 			// would count as running on the life that has ended.
-			c.backends.SawGone(clock.Now(), life)
-			c.crashed(check.brokeAt, life, requests)
+			c.backends.SawGone(clock.Now(), incarnation)
+			c.onCrash(check.brokeAt, incarnation, requests)
 			return
 		}
 	}
-	c.finish(life, "unknown", false)
+	c.finish(incarnation, "unknown", false)
 }
 
 // finish ends a check, and returns the requests that ran on the life.
-func (c *crashChecks) finish(life ident.Incarnation, result string, ended bool) []quarantine.Fingerprint {
-	c.result(result)
+func (c *crashChecks) finish(incarnation ident.Incarnation, result string, ended bool) []quarantine.Fingerprint {
+	c.onResult(result)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	requests := make([]quarantine.Fingerprint, 0, len(c.open[life].requests))
-	for request := range c.open[life].requests {
+	requests := make([]quarantine.Fingerprint, 0, len(c.open[incarnation].requests))
+	for request := range c.open[incarnation].requests {
 		requests = append(requests, request)
 	}
-	delete(c.open, life)
+	delete(c.open, incarnation)
 	if ended {
-		c.ended[life] = clock.Now()
+		c.ended[incarnation] = clock.Now()
 	}
-	for life, at := range c.ended {
-		if clock.Since(at) > endedKept {
-			delete(c.ended, life)
+	for incarnation, at := range c.ended {
+		if clock.Since(at) > endedRetention {
+			delete(c.ended, incarnation)
 		}
 	}
 	return requests
--- a/internal/quarantine/guard/guard.go
+++ b/internal/quarantine/guard/guard.go
@@ -56,15 +56,15 @@
 	ledger    *quarantine.Ledger
 	successes *quarantine.Successes
 	checks    *crashChecks
-	// left are the attempts that were given up: others may have seen that a life crashed.
-	left *leftAttempts
-	rows *rows
+	// abandoned are the attempts that were given up: others may have seen that a life crashed.
+	abandoned *abandonedAttempts
+	rows      *rows
 
 	mu sync.Mutex
-	// news are the requests that are still to be told, and how often.
-	news map[quarantine.Fingerprint]int
-	// unkept are the requests whose rows this router has to bring up to date.
-	unkept map[quarantine.Fingerprint]struct{}
+	// updates are the requests that are still to be told, and how often.
+	updates map[quarantine.Fingerprint]int
+	// staleRows are the requests whose rows this router has to bring up to date.
+	staleRows map[quarantine.Fingerprint]struct{}
 	// wake ends the pause before the rows are written.
 	wake chan struct{}
 }
@@ -74,20 +74,20 @@
 	config = config.withDefaults()
 	ledger := quarantine.NewLedger()
 	g := &Guard{
-		config: config, ledger: ledger, successes: quarantine.NewSuccesses(), left: &leftAttempts{},
-		rows: newRows(config.Table, config.Timeout, ledger),
-		news: make(map[quarantine.Fingerprint]int), unkept: make(map[quarantine.Fingerprint]struct{}),
+		config: config, ledger: ledger, successes: quarantine.NewSuccesses(), abandoned: &abandonedAttempts{},
+		rows:    newRows(config.Table, config.Timeout, ledger),
+		updates: make(map[quarantine.Fingerprint]int), staleRows: make(map[quarantine.Fingerprint]struct{}),
 		wake: make(chan struct{}, 1),
 	}
 	g.checks = &crashChecks{
-		backends: config.Backends, crashed: g.crashed, result: config.OnCheck,
+		backends: config.Backends, onCrash: g.recordCrash, onResult: config.OnCheck,
 		open: make(map[ident.Incarnation]*crashCheck), ended: make(map[ident.Incarnation]time.Time),
 	}
 	return g
 }
 
 // Counts returns the number of requests that are held, and of all that are known.
-func (g *Guard) Counts() (held, suspects int) { return g.ledger.Counts() }
+func (g *Guard) Counts() (quarantined, suspects int) { return g.ledger.Counts() }
 
 // Judge returns why a request may not be sent, nil if it may. A router that lately had an answer
 // to the request vouches for it.
@@ -96,84 +96,84 @@
 		return nil
 	}
 	if at, found := g.successes.Last(now, &request.Identity); found {
-		g.answered(at, request)
+		g.recordSuccess(at, request)
 	}
-	return g.ledger.Judge(now, request.Fingerprint())
+	return g.ledger.Check(now, request.Fingerprint())
 }
 
 // Answered takes in a whole success.
 func (g *Guard) Answered(now time.Time, request *quarantine.Subject) {
 	g.successes.Add(now, &request.Identity)
 	if !g.ledger.Empty() {
-		g.answered(now, request)
+		g.recordSuccess(now, request)
 	}
 }
 
-// answered takes in that a request was answered at a time.
-func (g *Guard) answered(at time.Time, request *quarantine.Subject) {
-	news, released := g.ledger.Answered(at, request.Fingerprint())
-	if news {
-		g.tell(request.Fingerprint())
+// recordSuccess takes in that a request was answered at a time.
+func (g *Guard) recordSuccess(at time.Time, request *quarantine.Subject) {
+	changed, released := g.ledger.RecordSuccess(at, request.Fingerprint())
+	if changed {
+		g.announce(request.Fingerprint())
 	}
 	if released {
 		log.WithFields(log.Fields{"fingerprint": request.Fingerprint().String(), "cause": "answered"}).Info("quarantine_ended")
-		g.keep(request.Fingerprint())
+		g.scheduleWrite(request.Fingerprint())
 	}
 }
 
 // Broke takes in an attempt that broke off.
-func (g *Guard) Broke(now time.Time, request *quarantine.Subject, at Place) {
-	if _, vouched := g.successes.Last(now, &request.Identity); vouched {
+func (g *Guard) Broke(now time.Time, request *quarantine.Subject, target Place) {
+	if _, succeeded := g.successes.Last(now, &request.Identity); succeeded {
 		return
 	}
-	g.checks.broke(now, at, request.Fingerprint())
+	g.checks.observeBroken(now, target, request.Fingerprint())
 }
 
 // Left takes in an attempt that was given up by this side and may be at work there still.
-func (g *Guard) Left(now time.Time, request *quarantine.Subject, at Place) {
-	if _, vouched := g.successes.Last(now, &request.Identity); vouched {
+func (g *Guard) Left(now time.Time, request *quarantine.Subject, target Place) {
+	if _, succeeded := g.successes.Last(now, &request.Identity); succeeded {
 		return
 	}
-	g.left.add(leftAttempt{life: at.Life, request: request.Fingerprint(), at: now})
+	g.abandoned.add(abandonedAttempt{incarnation: target.Life, request: request.Fingerprint(), at: now})
 }
 
 // Unreached takes in that a back end took no connection. Where requests were given up shortly
 // before, and no other attempt was open that could break off, this is what shows that the back end
 // crashed.
-func (g *Guard) Unreached(now time.Time, at Place) {
-	if g.left.has(at.Life, now) {
-		g.checks.broke(now, at)
+func (g *Guard) Unreached(now time.Time, target Place) {
+	if g.abandoned.has(target.Life, now) {
+		g.checks.observeBroken(now, target)
 	}
 }
 
 // crashed takes in that a life of a back end crashed at a time on which requests ran. Those that
 // were given up there may have run as well.
-func (g *Guard) crashed(at time.Time, life ident.Incarnation, requests []quarantine.Fingerprint) {
-	requests = append(requests, g.left.take(life, at)...)
-	log.WithFields(log.Fields{"instance": life, "requests": len(requests)}).Warn("backend_crashed")
-	g.book(at, life, requests)
+func (g *Guard) recordCrash(at time.Time, incarnation ident.Incarnation, requests []quarantine.Fingerprint) {
+	requests = append(requests, g.abandoned.take(incarnation, at)...)
+	log.WithFields(log.Fields{"instance": incarnation, "requests": len(requests)}).Warn("backend_crashed")
+	g.recordEvidence(at, incarnation, requests)
 }
 
 // book takes in evidence against requests, and tells the other routers.
-func (g *Guard) book(at time.Time, life ident.Incarnation, requests []quarantine.Fingerprint) {
-	held := g.ledger.Crashed(at, life, requests)
-	g.tell(requests...)
-	g.logHeld(clock.Now(), held)
-	g.keep(slices.DeleteFunc(slices.Clone(requests), func(request quarantine.Fingerprint) bool {
-		return g.ledger.ToKeep(request) == 0
+func (g *Guard) recordEvidence(at time.Time, incarnation ident.Incarnation, requests []quarantine.Fingerprint) {
+	quarantined := g.ledger.RecordCrash(at, incarnation, requests)
+	g.announce(requests...)
+	g.logQuarantined(clock.Now(), quarantined)
+	g.scheduleWrite(slices.DeleteFunc(slices.Clone(requests), func(request quarantine.Fingerprint) bool {
+		return g.ledger.ToStore(request) == 0
 	})...)
 }
 
-// logHeld logs which requests are held from now on, with the evidence.
-func (g *Guard) logHeld(now time.Time, held []quarantine.Fingerprint) {
-	for _, request := range held {
-		verdict := g.ledger.Judge(now, request)
-		if verdict == nil {
+// logQuarantined logs which requests are held from now on, with the evidence.
+func (g *Guard) logQuarantined(now time.Time, quarantined []quarantine.Fingerprint) {
+	for _, request := range quarantined {
+		decision := g.ledger.Check(now, request)
+		if decision == nil {
 			continue
 		}
 		var instances []string
 		var ages []int64
-		for _, crash := range verdict.Crashes {
+		for _, crash := range decision.Crashes {
 			instances = append(instances, string(crash.Life))
 			ages = append(ages, now.Sub(crash.At).Milliseconds())
 		}
@@ -186,9 +186,9 @@
 func (g *Guard) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { g.checks.run(ctx) })
-	loops.Go(func() { g.keepRows(ctx) })
-	wait.Every(ctx, newsInterval, func() {
-		g.tellAgain()
+	loops.Go(func() { g.maintainRows(ctx) })
+	wait.Every(ctx, updateInterval, func() {
+		g.repeatUpdates()
 		g.ledger.Forget(clock.Now())
 	})
 	loops.Wait()
@@ -196,12 +196,12 @@
 
 // Try asks for the grant of a trial that is due, and waits for it for a short time.
 func (g *Guard) Try(ctx context.Context, request *quarantine.Subject) bool {
-	result, trials := g.rows.claimTrial(ctx, request.Fingerprint())
+	result, trials := g.rows.acquireTrial(ctx, request.Fingerprint())
 	g.config.OnTrial(string(result))
 	if result != trialGranted {
 		return false
 	}
 	log.WithFields(log.Fields{"fingerprint": request.Fingerprint().String(), "trials": trials}).Info("quarantine_trial")
-	g.tell(request.Fingerprint())
+	g.announce(request.Fingerprint())
 	return true
 }
--- a/internal/quarantine/guard/guard_test.go
+++ b/internal/quarantine/guard/guard_test.go
@@ -9,23 +9,23 @@
 	"github.com/matryer/is"
 )
 
-func TestEvidenceOfAllRoutersHoldsARequestEverywhere(t *testing.T) {
+func TestEvidenceIsSharedByAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 3, always(SignRefused))
+		w := newHarness(t, 3, always(SignRefused))
 		w.crash(0, "guilty", 0)
 		w.crash(1, "guilty", 1)
-		is.Equal(w.held("guilty"), 0)
+		is.Equal(w.quarantinedAt("guilty"), 0)
 		w.crash(2, "guilty", 2)
-		is.Equal(w.held("guilty"), 3)
-		is.Equal(w.held("other"), 0)
+		is.Equal(w.quarantinedAt("guilty"), 3)
+		is.Equal(w.quarantinedAt("other"), 0)
 		time.Sleep(time.Second)
 		is.Equal(w.store.count(), 1)
 	})
 }
 
 // What a check does not prove is no evidence.
-func TestOnlyLivesThatEndedAreEvidence(t *testing.T) {
+func TestOnlyConfirmedCrashesAreEvidence(t *testing.T) {
 	tests := []struct {
 		name    string
 		found   Sign
@@ -42,10 +42,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWards(t, 1, always(tt.found))
+				w := newHarness(t, 1, always(tt.found))
 				w.crash(0, "x", tt.engines...)
 				time.Sleep(10 * time.Second)
-				is.New(t).Equal(w.held("x"), tt.held)
+				is.New(t).Equal(w.quarantinedAt("x"), tt.held)
 			})
 		})
 	}
@@ -53,41 +53,41 @@
 
 // What was given up at an engine that crashes may be why it did, whichever router sees the crash
 // and by whichever sign. It is no evidence once it is longer ago, or where the engine lives on.
-func TestWhatWasGivenUpAtALifeThatCrashedIsEvidence(t *testing.T) {
+func TestAbandonedAttemptsAreEvidenceAfterCrash(t *testing.T) {
 	is := is.New(t)
 	tests := []struct {
 		name string
 		// seen has the end of a life show, some time after the request was given up there.
-		seen  func(w *wards, engine int)
+		seen  func(w *harness, engine int)
 		after time.Duration
 		held  int
 	}{
-		{"an attempt of another request breaks off", func(w *wards, engine int) {
-			w.all[0].Broke(time.Now(), asked(fmt.Sprint("beside ", engine)), w.place(engine))
+		{"an attempt of another request breaks off", func(w *harness, engine int) {
+			w.all[0].Broke(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
 		}, 100 * time.Millisecond, 2},
-		{"it breaks off at another router", func(w *wards, engine int) {
-			w.all[1].Broke(time.Now(), asked(fmt.Sprint("beside ", engine)), w.place(engine))
+		{"it breaks off at another router", func(w *harness, engine int) {
+			w.all[1].Broke(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
 		}, 100 * time.Millisecond, 2},
-		{"it takes no connection", func(w *wards, engine int) { w.all[0].Unreached(time.Now(), w.place(engine)) }, 100 * time.Millisecond, 2},
-		{"another one takes no connection", func(w *wards, _ int) {
-			w.all[0].Unreached(time.Now(), w.place(7))
+		{"it takes no connection", func(w *harness, engine int) { w.all[0].Unreached(time.Now(), w.target(engine)) }, 100 * time.Millisecond, 2},
+		{"another one takes no connection", func(w *harness, _ int) {
+			w.all[0].Unreached(time.Now(), w.target(7))
 		}, 100 * time.Millisecond, 0},
-		{"long after", func(w *wards, engine int) {
-			w.all[0].Broke(time.Now(), asked(fmt.Sprint("beside ", engine)), w.place(engine))
+		{"long after", func(w *harness, engine int) {
+			w.all[0].Broke(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
 		}, 5 * time.Second, 0},
-		{"nothing shows", func(*wards, int) {}, 100 * time.Millisecond, 0},
+		{"nothing shows", func(*harness, int) {}, 100 * time.Millisecond, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWards(t, 2, always(SignRefused))
+				w := newHarness(t, 2, always(SignRefused))
 				for engine := range 3 {
-					w.all[0].Left(time.Now(), asked("x"), w.place(engine))
+					w.all[0].Left(time.Now(), subject("x"), w.target(engine))
 					time.Sleep(tt.after)
 					tt.seen(w, engine)
 					time.Sleep(time.Second)
 				}
-				is.Equal(w.held("x"), tt.held)
+				is.Equal(w.quarantinedAt("x"), tt.held)
 			})
 		})
 	}
@@ -95,47 +95,47 @@
 
 // A request that was just answered does not crash what runs it, although it ran on each of
 // the engines that crashed.
-func TestAnAnswerVouchesForItsRequest(t *testing.T) {
+func TestSuccessClearsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 2, always(SignRefused))
+		w := newHarness(t, 2, always(SignRefused))
 		time.Sleep(time.Millisecond)
-		w.all[0].Answered(time.Now(), asked("hot"))
+		w.all[0].Answered(time.Now(), subject("hot"))
 		w.crash(0, "hot", 0, 1, 2, 3)
-		is.Equal(w.held("hot"), 0)
+		is.Equal(w.quarantinedAt("hot"), 0)
 		// Another router had no answer, and is told by the one that had.
 		w.crash(1, "hot", 4, 5, 6)
-		is.Equal(w.all[0].Judge(time.Now(), asked("hot")), nil)
-		is.Equal(w.held("hot"), 0)
+		is.Equal(w.all[0].Judge(time.Now(), subject("hot")), nil)
+		is.Equal(w.quarantinedAt("hot"), 0)
 	})
 }
 
 // A request that was held wrongly is tried again and released everywhere.
-func TestAWrongVerdictIsLiftedByATrial(t *testing.T) {
+func TestSuccessfulTrialReleasesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 3, always(SignRefused))
+		w := newHarness(t, 3, always(SignRefused))
 		w.crash(0, "innocent", 0, 1, 2)
 		time.Sleep(time.Second)
-		is.True(!w.all[1].Judge(time.Now(), asked("innocent")).TrialDue)
+		is.True(!w.all[1].Judge(time.Now(), subject("innocent")).TrialDue)
 		time.Sleep(10 * time.Second)
-		is.True(w.all[1].Judge(time.Now(), asked("innocent")).TrialDue)
-		is.True(w.all[1].Try(t.Context(), asked("innocent")))
-		is.True(!w.all[2].Try(t.Context(), asked("innocent")))
-		w.all[1].Answered(time.Now(), asked("innocent"))
-		is.Equal(w.held("innocent"), 0)
+		is.True(w.all[1].Judge(time.Now(), subject("innocent")).TrialDue)
+		is.True(w.all[1].Try(t.Context(), subject("innocent")))
+		is.True(!w.all[2].Try(t.Context(), subject("innocent")))
+		w.all[1].Answered(time.Now(), subject("innocent"))
+		is.Equal(w.quarantinedAt("innocent"), 0)
 		time.Sleep(3 * time.Second)
 		is.Equal(w.store.count(), 0)
 	})
 }
 
 // However long it lasts and however many routers ask, a request is tried twice.
-func TestTrialsAreBoundedOverAllRouters(t *testing.T) {
+func TestTrialsAreBoundedAcrossRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 4, always(SignRefused))
+		w := newHarness(t, 4, always(SignRefused))
 		// One router learns nothing of what the others try.
-		w.deafen(3, true)
+		w.setIsolated(3, true)
 		w.crash(0, "guilty", 0, 1, 2)
 		w.all[3].Load(t.Context(), 0)
 		w.crash(3, "guilty", 3, 4, 5)
@@ -143,9 +143,9 @@
 		for range 600 {
 			time.Sleep(time.Second)
 			for _, q := range w.all {
-				verdict := q.Judge(time.Now(), asked("guilty"))
+				verdict := q.Judge(time.Now(), subject("guilty"))
 				is.True(verdict != nil)
-				if verdict.TrialDue && q.Try(t.Context(), asked("guilty")) {
+				if verdict.TrialDue && q.Try(t.Context(), subject("guilty")) {
 					trials++
 				}
 			}
--- a/internal/quarantine/guard/rows.go
+++ b/internal/quarantine/guard/rows.go
@@ -23,9 +23,9 @@
 	RowPrefix = "quarantine/"
 	// maxRows bounds the rows read.
 	maxRows = 2000
-	// trialPause is the least time between two questions of this router for a trial of one
+	// trialInterval is the least time between two questions of this router for a trial of one
 	// request, whatever came of the last one.
-	trialPause = 2 * time.Second
+	trialInterval = 2 * time.Second
 	// trialTimeout bounds such a question, for which a request waits.
 	trialTimeout = 300 * time.Millisecond
 )
@@ -43,7 +43,7 @@
 type rowValue struct {
 	// StoreTime is the store's own time as of which the ages in Told count.
 	StoreTime time.Duration   `cbor:"1,keyasint"`
-	Told      quarantine.Told `cbor:"2,keyasint"`
+	Evidence  quarantine.Told `cbor:"2,keyasint"`
 }
 
 // rows keeps the evidence against requests in the store, and grants trials by conditional
@@ -58,18 +58,18 @@
 	// read is true once the rows were read. kept holds those that are there, and for how many
 	// crashes each has the evidence; listedAt is when all of them were asked for last.
 	read     bool
-	kept     map[quarantine.Fingerprint]int
+	stored   map[quarantine.Fingerprint]int
 	listedAt time.Time
 	// epoch is that of the store at the last list.
 	epoch uint64
-	// triedAt is when this router last asked for a trial.
-	triedAt map[quarantine.Fingerprint]time.Time
+	// trialAskedAt is when this router last asked for a trial.
+	trialAskedAt map[quarantine.Fingerprint]time.Time
 }
 
 func newRows(table store.Table, timeout time.Duration, ledger *quarantine.Ledger) *rows {
 	return &rows{
 		table: table, timeout: timeout, ledger: ledger,
-		kept: make(map[quarantine.Fingerprint]int), triedAt: make(map[quarantine.Fingerprint]time.Time), listedAt: clock.Now(),
+		stored: make(map[quarantine.Fingerprint]int), trialAskedAt: make(map[quarantine.Fingerprint]time.Time), listedAt: clock.Now(),
 	}
 }
 
@@ -87,13 +87,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var outdated []quarantine.Fingerprint
-	for _, request := range r.ledger.AllToKeep() {
-		if r.kept[request] < r.ledger.ToKeep(request) {
+	for _, request := range r.ledger.AllToStore() {
+		if r.stored[request] < r.ledger.ToStore(request) {
 			outdated = append(outdated, request)
 		}
 	}
-	for request := range r.kept {
-		if r.ledger.ToKeep(request) == 0 {
+	for request := range r.stored {
+		if r.ledger.ToStore(request) == 0 {
 			outdated = append(outdated, request)
 		}
 	}
@@ -102,7 +102,7 @@
 
 // list reads all rows and takes them in. It returns the requests whose rows were removed though
 // there is evidence, and those that are held from now on.
-func (r *rows) list(ctx context.Context) (gone, held []quarantine.Fingerprint, err error) {
+func (r *rows) list(ctx context.Context) (gone, quarantined []quarantine.Fingerprint, err error) {
 	bounded, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	before := r.beginList()
@@ -113,33 +113,33 @@
 	now := clock.Now()
 	found := make(map[quarantine.Fingerprint]int, len(list.Rows))
 	for _, row := range list.Rows {
-		kept, err := readRow(&row)
+		value, err := decodeRow(&row)
 		if err != nil {
 			log.WithFields(log.Fields{"row": row.Key, "cause": err.Error()}).Warn("quarantine_row_unreadable")
 			continue
 		}
-		found[kept.Told.Request] = kept.Told.Kept()
-		held = append(held, r.takeRow(now, row.StoreTime, kept)...)
+		found[value.Evidence.Request] = value.Evidence.ToStore()
+		quarantined = append(quarantined, r.applyRow(now, row.StoreTime, value)...)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// What a store lacks that came back from an older copy was removed by nobody: it is
 	// written again.
-	cameBack := r.read && list.Epoch > r.epoch
+	restored := r.read && list.Epoch > r.epoch
 	r.epoch = max(r.epoch, list.Epoch)
 	for request := range before {
 		if _, there := found[request]; there || list.More {
 			continue
 		}
-		delete(r.kept, request)
+		delete(r.stored, request)
 		// What needs no row was removed by a router.
-		if r.ledger.ToKeep(request) > 0 && !cameBack {
+		if r.ledger.ToStore(request) > 0 && !restored {
 			gone = append(gone, request)
 		}
 	}
 	r.read = true
-	maps.Copy(r.kept, found)
-	return gone, held, nil
+	maps.Copy(r.stored, found)
+	return gone, quarantined, nil
 }
 
 // beginList notes that the rows are asked for, and returns those that this router knows. What a
@@ -149,7 +149,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listedAt = clock.Now()
-	return maps.Clone(r.kept)
+	return maps.Clone(r.stored)
 }
 
 // relistDue reports whether the rows are to be read again: often while an operator may want to
@@ -158,31 +158,31 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	interval := quietRelistInterval
-	if held, _ := r.ledger.Counts(); held > 0 {
+	if quarantined, _ := r.ledger.Counts(); quarantined > 0 {
 		interval = relistInterval
 	}
 	return now.Sub(r.listedAt) >= interval
 }
 
-// takeRow takes in a row as of now, the store's time being as told; a list tells none.
-func (r *rows) takeRow(now time.Time, storeTime time.Duration, kept *rowValue) []quarantine.Fingerprint {
+// applyRow takes in a row as of now, the store's time being as told; a list tells none.
+func (r *rows) applyRow(now time.Time, storeTime time.Duration, value *rowValue) []quarantine.Fingerprint {
 	at := now
-	if storeTime > kept.StoreTime {
-		at = now.Add(kept.StoreTime - storeTime)
+	if storeTime > value.StoreTime {
+		at = now.Add(value.StoreTime - storeTime)
 	}
-	held, _ := r.ledger.Take(at, []quarantine.Told{kept.Told})
-	return held
+	quarantined, _ := r.ledger.Merge(at, []quarantine.Told{value.Evidence})
+	return quarantined
 }
 
-func readRow(row *protocol.Row) (*rowValue, error) {
-	var kept rowValue
-	if err := cbor.Unmarshal(row.Value, &kept); err != nil {
+func decodeRow(row *protocol.Row) (*rowValue, error) {
+	var value rowValue
+	if err := cbor.Unmarshal(row.Value, &value); err != nil {
 		return nil, errors.Wrap(err, "read the row")
 	}
-	if rowKey(kept.Told.Request) != row.Key {
-		return nil, errors.Errorf("the row tells of the request %s", kept.Told.Request)
+	if rowKey(value.Evidence.Request) != row.Key {
+		return nil, errors.Errorf("the row tells of the request %s", value.Evidence.Request)
 	}
-	return &kept, nil
+	return &value, nil
 }
 
 func rowKey(request quarantine.Fingerprint) string {
@@ -192,23 +192,23 @@
 	return key.String()
 }
 
-// lacks reports whether the row of a request lacks evidence, as far as this router knows.
-func (r *rows) lacks(request quarantine.Fingerprint) bool {
+// lacksEvidence reports whether the row of a request lacks evidence, as far as this router knows.
+func (r *rows) lacksEvidence(request quarantine.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.kept[request] < r.ledger.ToKeep(request)
+	return r.stored[request] < r.ledger.ToStore(request)
 }
 
-// updateTries bounds the tries to write one row: routers that saw one crash write the same rows at
+// updateAttempts bounds the tries to write one row: routers that saw one crash write the same rows at
 // the same moment, and what another one wrote may have less evidence.
-const updateTries = 4
+const updateAttempts = 4
 
 // update brings the row of a request up to date: it has the evidence while that is to be kept.
 func (r *rows) update(ctx context.Context, request quarantine.Fingerprint) error {
 	bounded, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	err := errRowChanged
-	for try := 0; try < updateTries && errors.Is(err, errRowChanged); try++ {
+	for try := 0; try < updateAttempts && errors.Is(err, errRowChanged); try++ {
 		err = r.updateOnce(bounded, request)
 	}
 	return err
@@ -220,45 +220,45 @@
 	if err != nil {
 		return err
 	}
-	has := 0
+	stored := 0
 	if found {
-		has = evidenceOf(&row)
+		stored = storedCrashes(&row)
 	}
 	now := clock.Now()
-	told, _ := r.ledger.Tell(now, request)
-	wanted := r.ledger.ToKeep(request)
-	if found == (wanted > 0) && has >= wanted {
-		r.know(request, has)
+	evidence, _ := r.ledger.Evidence(now, request)
+	needed := r.ledger.ToStore(request)
+	if found == (needed > 0) && stored >= needed {
+		r.recordStored(request, stored)
 		return nil
 	}
 	write := protocol.Write{Key: rowKey(request), Delete: true}
-	if wanted > 0 {
-		if write, err = writeOf(row.StoreTime, told); err != nil {
+	if needed > 0 {
+		if write, err = newWrite(row.StoreTime, evidence); err != nil {
 			return err
 		}
 	}
-	return r.commit(ctx, &row, write, request, wanted)
+	return r.commit(ctx, &row, write, request, needed)
 }
 
-// evidenceOf returns for how many crashes a row has the evidence, 0 if it cannot be read.
-func evidenceOf(row *protocol.Row) int {
-	kept, err := readRow(row)
+// storedCrashes returns for how many crashes a row has the evidence, 0 if it cannot be read.
+func storedCrashes(row *protocol.Row) int {
+	value, err := decodeRow(row)
 	if err != nil {
 		return 0
 	}
-	return kept.Told.Kept()
+	return value.Evidence.ToStore()
 }
 
-func writeOf(storeTime time.Duration, told quarantine.Told) (protocol.Write, error) {
-	value, err := cbor.Marshal(rowValue{StoreTime: storeTime, Told: told})
-	return protocol.Write{Key: rowKey(told.Request), Value: value}, err
+func newWrite(storeTime time.Duration, evidence quarantine.Told) (protocol.Write, error) {
+	value, err := cbor.Marshal(rowValue{StoreTime: storeTime, Evidence: evidence})
+	return protocol.Write{Key: rowKey(evidence.Request), Value: value}, err
 }
 
 // errRowChanged says that another router wrote the row meanwhile.
 var errRowChanged = errors.New("another router wrote the row meanwhile")
 
 // commit writes a row on condition that it is as it was read.
-func (r *rows) commit(ctx context.Context, read *protocol.Row, write protocol.Write, request quarantine.Fingerprint, evidence int) error {
+func (r *rows) commit(ctx context.Context, read *protocol.Row, write protocol.Write, request quarantine.Fingerprint, crashes int) error {
 	result, err := r.table.Commit(ctx, protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: write.Key, Version: read.Version}}, Writes: []protocol.Write{write},
 	})
@@ -268,25 +268,25 @@
 	if !result.Committed {
 		return errRowChanged
 	}
-	r.know(request, evidence)
+	r.recordStored(request, crashes)
 	return nil
 }
 
-// know takes in for how many crashes a row has the evidence, 0 if it is not there.
-func (r *rows) know(request quarantine.Fingerprint, evidence int) {
+// recordStored takes in for how many crashes a row has the evidence, 0 if it is not there.
+func (r *rows) recordStored(request quarantine.Fingerprint, crashes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if evidence > 0 {
-		r.kept[request] = evidence
+	if crashes > 0 {
+		r.stored[request] = crashes
 		return
 	}
-	delete(r.kept, request)
+	delete(r.stored, request)
 }
 
-// claimTrial asks for the grant of a trial, and returns the number of those granted so far.
+// acquireTrial asks for the grant of a trial, and returns the number of those granted so far.
 // One whose write has no answer counts as granted to nobody.
-func (r *rows) claimTrial(ctx context.Context, request quarantine.Fingerprint) (trialResult, int) {
-	if !r.mayClaim(clock.Now(), request) {
+func (r *rows) acquireTrial(ctx context.Context, request quarantine.Fingerprint) (trialResult, int) {
+	if !r.mayAskForTrial(clock.Now(), request) {
 		return trialDenied, 0
 	}
 	bounded, cancel := context.WithTimeout(ctx, trialTimeout)
@@ -299,46 +299,46 @@
 	if !found {
 		return trialDenied, 0
 	}
-	kept, err := readRow(&row)
+	value, err := decodeRow(&row)
 	if err != nil {
 		return trialFailed, 0
 	}
-	r.takeRow(clock.Now(), row.StoreTime, kept)
-	since := row.StoreTime - kept.StoreTime + kept.Told.TrialAge
-	if !quarantine.GrantTrial(kept.Told.Trials, since) {
-		return trialDenied, kept.Told.Trials
+	r.applyRow(clock.Now(), row.StoreTime, value)
+	since := row.StoreTime - value.StoreTime + value.Evidence.TrialAge
+	if !quarantine.TrialAllowed(value.Evidence.Trials, since) {
+		return trialDenied, value.Evidence.Trials
 	}
-	return r.grantTrial(bounded, &row, request, kept.Told.Trials+1)
+	return r.grantTrial(bounded, &row, request, value.Evidence.Trials+1)
 }
 
-// mayClaim reports whether this router may ask for a trial now.
-func (r *rows) mayClaim(now time.Time, request quarantine.Fingerprint) bool {
+// mayAskForTrial reports whether this router may ask for a trial now.
+func (r *rows) mayAskForTrial(now time.Time, request quarantine.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.triedAt[request]) < trialPause {
+	if now.Sub(r.trialAskedAt[request]) < trialInterval {
 		return false
 	}
-	if len(r.triedAt) > maxRows {
-		clear(r.triedAt)
+	if len(r.trialAskedAt) > maxRows {
+		clear(r.trialAskedAt)
 	}
-	r.triedAt[request] = now
+	r.trialAskedAt[request] = now
 	return true
 }
 
 // grantTrial writes that one more trial is granted.
 func (r *rows) grantTrial(ctx context.Context, row *protocol.Row, request quarantine.Fingerprint, trials int) (trialResult, int) {
 	now := clock.Now()
-	r.ledger.Tried(request, trials, now)
-	told, known := r.ledger.Tell(now, request)
+	r.ledger.RecordTrials(request, trials, now)
+	evidence, known := r.ledger.Evidence(now, request)
 	if !known {
 		return trialDenied, 0
 	}
-	told.Trials, told.TrialAge = trials, 0
-	write, err := writeOf(row.StoreTime, told)
+	evidence.Trials, evidence.TrialAge = trials, 0
+	write, err := newWrite(row.StoreTime, evidence)
 	if err != nil {
 		return trialFailed, trials
 	}
-	if err := r.commit(ctx, row, write, request, told.Kept()); err != nil {
+	if err := r.commit(ctx, row, write, request, evidence.ToStore()); err != nil {
 		return trialFailed, trials
 	}
 	return trialGranted, trials
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// crashesToHold is the number of lives of back ends that must have crashed under a
+	// crashesToQuarantine is the number of lives of back ends that must have crashed under a
 	// request before it is held. Fewer would hold innocent ones: while 18 engines crashed again
 	// and again, 75 of 314 requests of one route broke off within 8 s (record of a deployment),
 	// and clients try these again.
-	crashesToHold = 3
-	// crashesToKeep is the number from which on the evidence is to outlive all routers: one
+	crashesToQuarantine = 3
+	// crashesToStore is the number from which on the evidence is to outlive all routers: one
 	// more crash completes it, and whoever saw that may have no time to write it down.
-	crashesToKeep = crashesToHold - 1
-	// VouchFor is how long after a success crashes are no evidence: a request that was just
+	crashesToStore = crashesToQuarantine - 1
+	// SuccessTTL is how long after a success crashes are no evidence: a request that was just
 	// answered does not crash each back end that runs it. An often asked prompt is answered
 	// several times in that span.
-	VouchFor = 10 * time.Second
-	// learnFor is how long all routers have to learn that a request is held; crashes after
+	SuccessTTL = 10 * time.Second
+	// propagationTime is how long all routers have to learn that a request is held; crashes after
 	// that count like trials.
-	learnFor = 3 * time.Second
-	// suspectFor is how long evidence is kept that did not suffice.
-	suspectFor = 10 * time.Minute
+	propagationTime = 3 * time.Second
+	// suspectTTL is how long evidence is kept that did not suffice.
+	suspectTTL = 10 * time.Minute
 	// maxSuspects bounds the requests known; each takes some 500 bytes, by the sizes of its
 	// fields.
 	maxSuspects = 2048
@@ -48,16 +48,16 @@
 	// trials counts those that were granted after it was held, the last one at trialAt.
 	trials  int
 	trialAt time.Time
-	// announced is true once the caller was told that it is held.
-	announced bool
+	// reported is true once the caller was told that it is held.
+	reported bool
 }
 
-// counted returns the crashes that no success explains, in order of time.
-func (s *suspect) counted() []Crash {
+// countedCrashes returns the crashes that no success explains, in order of time.
+func (s *suspect) countedCrashes() []Crash {
 	if s.clearedAt.IsZero() {
 		return s.crashes
 	}
-	until := s.clearedAt.Add(VouchFor)
+	until := s.clearedAt.Add(SuccessTTL)
 	first := slices.IndexFunc(s.crashes, func(crash Crash) bool { return crash.At.After(until) })
 	if first < 0 {
 		return nil
@@ -65,26 +65,26 @@
 	return s.crashes[first:]
 }
 
-func (s *suspect) held() bool { return len(s.counted()) >= crashesToHold }
+func (s *suspect) quarantined() bool { return len(s.countedCrashes()) >= crashesToQuarantine }
 
-// toKeep returns for how many crashes the evidence is to be kept. What is beyond a verdict
+// toStore returns for how many crashes the evidence is to be kept. What is beyond a verdict
 // changes nothing that must be known.
-func (s *suspect) toKeep() int {
-	count := len(s.counted())
-	if count < crashesToKeep {
+func (s *suspect) toStore() int {
+	count := len(s.countedCrashes())
+	if count < crashesToStore {
 		return 0
 	}
-	return min(count, crashesToHold)
+	return min(count, crashesToQuarantine)
 }
 
 // add takes in a crash. A life ends once, when the first router saw it.
 func (s *suspect) add(crash Crash) {
-	place := slices.IndexFunc(s.crashes, func(known Crash) bool { return known.Life == crash.Life })
+	index := slices.IndexFunc(s.crashes, func(known Crash) bool { return known.Life == crash.Life })
 	switch {
-	case place < 0:
+	case index < 0:
 		s.crashes = append(s.crashes, crash)
-	case crash.At.Before(s.crashes[place].At):
-		s.crashes[place].At = crash.At
+	case crash.At.Before(s.crashes[index].At):
+		s.crashes[index].At = crash.At
 	default:
 		return
 	}
@@ -103,11 +103,11 @@
 	if !s.trialAt.After(at) {
 		s.trials, s.trialAt = 0, time.Time{}
 	}
-	s.announced = s.announced && s.held()
+	s.reported = s.reported && s.quarantined()
 }
 
-// tried takes in the trials that were granted, the last one at a time.
-func (s *suspect) tried(trials int, at time.Time) {
+// recordTrials takes in the trials that were granted, the last one at a time.
+func (s *suspect) recordTrials(trials int, at time.Time) {
 	if trials > s.trials && at.After(s.clearedAt) {
 		s.trials, s.trialAt = trials, at
 	}
@@ -144,69 +144,69 @@
 
 // Crashed takes in that a life ended at a time that requests ran on, and returns those that
 // are held from now on.
-func (l *Ledger) Crashed(at time.Time, life ident.Incarnation, requests []Fingerprint) (held []Fingerprint) {
+func (l *Ledger) RecordCrash(at time.Time, incarnation ident.Incarnation, requests []Fingerprint) (quarantined []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, request := range requests {
-		l.known(at, request).add(Crash{Life: life, At: at})
-		held = l.announce(request, held)
+		l.suspectOf(at, request).add(Crash{Life: incarnation, At: at})
+		quarantined = l.reportOnce(request, quarantined)
 	}
-	return held
+	return quarantined
 }
 
 // Answered takes in a whole success at a time, and reports whether that is news: there was
 // evidence against the request that it wipes. held says that the request was held.
-func (l *Ledger) Answered(at time.Time, request Fingerprint) (news, held bool) {
+func (l *Ledger) RecordSuccess(at time.Time, request Fingerprint) (changed, released bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.suspects[request]
 	if known == nil {
 		return false, false
 	}
-	before := len(known.counted())
-	held = known.held()
+	before := len(known.countedCrashes())
+	released = known.quarantined()
 	known.clear(at)
-	return len(known.counted()) < before, held && !known.held()
+	return len(known.countedCrashes()) < before, released && !known.quarantined()
 }
 
-// Lift takes back a verdict by order of an operator. Crashes from now on count.
-func (l *Ledger) Lift(now time.Time, request Fingerprint) {
+// Release takes back a verdict by order of an operator. Crashes from now on count.
+func (l *Ledger) Release(now time.Time, request Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known := l.suspects[request]; known != nil {
-		known.clear(now.Add(-VouchFor))
+		known.clear(now.Add(-SuccessTTL))
 	}
 }
 
-// Tried takes in the number of trials of a held request that were granted, the last one at
+// RecordTrials takes in the number of trials of a held request that were granted, the last one at
 // a time.
-func (l *Ledger) Tried(request Fingerprint, trials int, at time.Time) {
+func (l *Ledger) RecordTrials(request Fingerprint, trials int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known := l.suspects[request]; known != nil {
-		known.tried(trials, at)
+		known.recordTrials(trials, at)
 	}
 }
 
-// ToKeep returns for how many crashes under a request a place that outlives all routers is to
+// ToStore returns for how many crashes under a request a place that outlives all routers is to
 // have the evidence, 0 if it is to have none.
-func (l *Ledger) ToKeep(request Fingerprint) int {
+func (l *Ledger) ToStore(request Fingerprint) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.suspects[request]
 	if known == nil {
 		return 0
 	}
-	return known.toKeep()
+	return known.toStore()
 }
 
-// AllToKeep returns the requests for which ToKeep is above 0.
-func (l *Ledger) AllToKeep() []Fingerprint {
+// AllToStore returns the requests for which ToStore is above 0.
+func (l *Ledger) AllToStore() []Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []Fingerprint
 	for request, known := range l.suspects {
-		if known.toKeep() > 0 {
+		if known.toStore() > 0 {
 			all = append(all, request)
 		}
 	}
@@ -214,42 +214,42 @@
 }
 
 // Counts returns the number of requests that are held, and of all that are known.
-func (l *Ledger) Counts() (held, suspects int) {
+func (l *Ledger) Counts() (quarantined, suspects int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, known := range l.suspects {
-		if known.held() {
-			held++
+		if known.quarantined() {
+			quarantined++
 		}
 	}
-	return held, len(l.suspects)
+	return quarantined, len(l.suspects)
 }
 
-// announce adds a request to those that are newly held; the caller holds the mutex.
-func (l *Ledger) announce(request Fingerprint, held []Fingerprint) []Fingerprint {
+// reportOnce adds a request to those that are newly held; the caller holds the mutex.
+func (l *Ledger) reportOnce(request Fingerprint, quarantined []Fingerprint) []Fingerprint {
 	known := l.suspects[request]
-	if known == nil || known.announced || !known.held() {
-		return held
+	if known == nil || known.reported || !known.quarantined() {
+		return quarantined
 	}
-	known.announced = true
-	return append(held, request)
+	known.reported = true
+	return append(quarantined, request)
 }
 
-// known returns the suspect of a request, making room for it; the caller holds the mutex.
-func (l *Ledger) known(now time.Time, request Fingerprint) *suspect {
+// suspectOf returns the suspect of a request, making room for it; the caller holds the mutex.
+func (l *Ledger) suspectOf(now time.Time, request Fingerprint) *suspect {
 	if known := l.suspects[request]; known != nil {
 		return known
 	}
 	if len(l.suspects) >= maxSuspects {
-		l.makeRoom(now)
+		l.evict(now)
 	}
 	made := &suspect{}
 	l.suspects[request] = made
 	return made
 }
 
-// makeRoom drops what is old or, if nothing is, the request with the least evidence.
-func (l *Ledger) makeRoom(now time.Time) {
+// evict drops what is old or, if nothing is, the request with the least evidence.
+func (l *Ledger) evict(now time.Time) {
 	l.forget(now)
 	if len(l.suspects) < maxSuspects {
 		return
@@ -266,7 +266,7 @@
 
 // weaker reports whether there is less evidence against a than against b.
 func weaker(a, b *suspect) bool {
-	if order := cmp.Compare(len(a.counted()), len(b.counted())); order != 0 {
+	if order := cmp.Compare(len(a.countedCrashes()), len(b.countedCrashes())); order != 0 {
 		return order < 0
 	}
 	return a.changedAt().Before(b.changedAt())
@@ -281,7 +281,7 @@
 
 func (l *Ledger) forget(now time.Time) {
 	for request, known := range l.suspects {
-		if !known.held() && now.Sub(known.changedAt()) > suspectFor {
+		if !known.quarantined() && now.Sub(known.changedAt()) > suspectTTL {
 			delete(l.suspects, request)
 		}
 	}
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -12,40 +12,40 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func fingerprint(number int) quarantine.Fingerprint {
 	identity := quarantine.Identity{Body: fmt.Append(nil, number)}
 	return identity.Fingerprint()
 }
 
-func life(number int) ident.Incarnation { return ident.Incarnation(fmt.Sprint("e", number)) }
+func incarnation(number int) ident.Incarnation { return ident.Incarnation(fmt.Sprint("e", number)) }
 
 // event is something that happens to request 0 some seconds after the begin.
 type event struct {
 	at float64
-	// crash names the life that ended, 0 none.
-	crash    int
+	// crashed names the life that ended, 0 none.
+	crashed  int
 	answered bool
-	lifted   bool
+	released bool
 }
 
-func play(ledger *quarantine.Ledger, events []event) {
+func apply(ledger *quarantine.Ledger, events []event) {
 	for _, e := range events {
-		now := begin.Add(time.Duration(e.at * float64(time.Second)))
+		now := startTime.Add(time.Duration(e.at * float64(time.Second)))
 		switch {
 		case e.answered:
-			ledger.Answered(now, fingerprint(0))
-		case e.lifted:
-			ledger.Lift(now, fingerprint(0))
+			ledger.RecordSuccess(now, fingerprint(0))
+		case e.released:
+			ledger.Release(now, fingerprint(0))
 		default:
-			ledger.Crashed(now, life(e.crash), []quarantine.Fingerprint{fingerprint(0)})
+			ledger.RecordCrash(now, incarnation(e.crashed), []quarantine.Fingerprint{fingerprint(0)})
 		}
 	}
 }
 
-func TestARequestIsHeldOnceThreeLivesCrashedUnderIt(t *testing.T) {
-	crash := func(at float64, life int) event { return event{at: at, crash: life} }
+func TestThreeCrashesQuarantineRequest(t *testing.T) {
+	crash := func(at float64, life int) event { return event{at: at, crashed: life} }
 	answered := func(at float64) event { return event{at: at, answered: true} }
 	tests := []struct {
 		name   string
@@ -61,40 +61,40 @@
 		{"an answer before", []event{crash(1, 1), answered(2), crash(3, 2), crash(4, 3), crash(5, 4)}, false},
 		{"an answer long before", []event{crash(1, 1), answered(2), crash(13, 2), crash(14, 3), crash(15, 4)}, true},
 		{"an answer after", []event{crash(1, 1), crash(1, 2), crash(1, 3), answered(1.2)}, false},
-		{"lifted by an operator", []event{crash(1, 1), crash(2, 2), crash(3, 3), {at: 4, lifted: true}}, false},
-		{"lifted wrongly", []event{crash(1, 1), crash(2, 2), crash(3, 3), {at: 4, lifted: true}, crash(5, 4), crash(6, 5), crash(7, 6)}, true},
+		{"lifted by an operator", []event{crash(1, 1), crash(2, 2), crash(3, 3), {at: 4, released: true}}, false},
+		{"lifted wrongly", []event{crash(1, 1), crash(2, 2), crash(3, 3), {at: 4, released: true}, crash(5, 4), crash(6, 5), crash(7, 6)}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			ledger := quarantine.NewLedger()
-			play(ledger, tt.events)
-			is.Equal(ledger.Judge(begin.Add(time.Minute), fingerprint(0)) != nil, tt.held)
-			is.True(ledger.Judge(begin.Add(time.Minute), fingerprint(1)) == nil)
+			apply(ledger, tt.events)
+			is.Equal(ledger.Check(startTime.Add(time.Minute), fingerprint(0)) != nil, tt.held)
+			is.True(ledger.Check(startTime.Add(time.Minute), fingerprint(1)) == nil)
 		})
 	}
 }
 
 // What routers know merges to the same verdict in any order, however often it is told.
-func TestWhatIsToldMergesInAnyOrder(t *testing.T) {
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	is := is.New(t)
-	now := begin.Add(20 * time.Second)
+	now := startTime.Add(20 * time.Second)
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		var all []event
 		for range 1 + random.IntN(8) {
-			all = append(all, event{at: random.Float64() * 15, crash: 1 + random.IntN(5), answered: random.IntN(8) == 0})
+			all = append(all, event{at: random.Float64() * 15, crashed: 1 + random.IntN(5), answered: random.IntN(8) == 0})
 		}
 		whole := quarantine.NewLedger()
-		play(whole, all)
+		apply(whole, all)
 		var told []quarantine.Told
 		for _, e := range all {
 			one := quarantine.NewLedger()
-			play(one, []event{{at: e.at, crash: e.crash}})
+			apply(one, []event{{at: e.at, crashed: e.crashed}})
 			if e.answered {
-				play(one, []event{e})
+				apply(one, []event{e})
 			}
-			tell, _ := one.Tell(now, fingerprint(0))
+			tell, _ := one.Evidence(now, fingerprint(0))
 			if e.answered {
 				tell.Crashes = nil
 			}
@@ -103,30 +103,30 @@
 		merged := []*quarantine.Ledger{quarantine.NewLedger(), quarantine.NewLedger()}
 		for _, ledger := range merged {
 			random.Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
-			ledger.Take(now, told)
+			ledger.Merge(now, told)
 		}
-		a, b := merged[0].Judge(now, fingerprint(0)), merged[1].Judge(now, fingerprint(0))
+		a, b := merged[0].Check(now, fingerprint(0)), merged[1].Check(now, fingerprint(0))
 		is.Equal(a != nil, b != nil)
 	}
 }
 
-func TestTrialsAreFewAndFarBetween(t *testing.T) {
+func TestTrialSchedule(t *testing.T) {
 	is := is.New(t)
 	ledger := quarantine.NewLedger()
-	play(ledger, []event{{at: 1, crash: 1}, {at: 2, crash: 2}, {at: 3, crash: 3}})
+	apply(ledger, []event{{at: 1, crashed: 1}, {at: 2, crashed: 2}, {at: 3, crashed: 3}})
 	at := func(seconds float64) *quarantine.Verdict {
-		return ledger.Judge(begin.Add(time.Duration(seconds*float64(time.Second))), fingerprint(0))
+		return ledger.Check(startTime.Add(time.Duration(seconds*float64(time.Second))), fingerprint(0))
 	}
 	is.True(!at(12.9).TrialDue)
 	is.Equal(at(4).RetryAfter, 10*time.Second)
 	is.True(at(13).TrialDue)
-	ledger.Tried(fingerprint(0), 1, begin.Add(13*time.Second))
-	play(ledger, []event{{at: 13.1, crash: 4}})
+	ledger.RecordTrials(fingerprint(0), 1, startTime.Add(13*time.Second))
+	apply(ledger, []event{{at: 13.1, crashed: 4}})
 	is.True(!at(613).TrialDue)
 	is.True(at(614).TrialDue)
-	ledger.Tried(fingerprint(0), 2, begin.Add(614*time.Second))
+	ledger.RecordTrials(fingerprint(0), 2, startTime.Add(614*time.Second))
 	is.True(!at(1e6).TrialDue)
-	is.Equal(at(1e6).RetryAfter, quarantine.HeldRetryAfter)
+	is.Equal(at(1e6).RetryAfter, quarantine.QuarantinedRetryAfter)
 }
 
 // A router that was cut off may send the request after all others learnt of it: that is one
@@ -134,20 +134,20 @@
 func TestLateCrashesCountAsTrials(t *testing.T) {
 	is := is.New(t)
 	ledger := quarantine.NewLedger()
-	play(ledger, []event{{at: 1, crash: 1}, {at: 1, crash: 2}, {at: 1, crash: 3}, {at: 3, crash: 4}, {at: 9, crash: 5}, {at: 10, crash: 6}})
-	is.True(!ledger.Judge(begin.Add(time.Hour), fingerprint(0)).TrialDue)
+	apply(ledger, []event{{at: 1, crashed: 1}, {at: 1, crashed: 2}, {at: 1, crashed: 3}, {at: 3, crashed: 4}, {at: 9, crashed: 5}, {at: 10, crashed: 6}})
+	is.True(!ledger.Check(startTime.Add(time.Hour), fingerprint(0)).TrialDue)
 }
 
-func TestWhoKnowsMoreIsTold(t *testing.T) {
+func TestMergeReportsMissingEvidence(t *testing.T) {
 	is := is.New(t)
 	one, two := quarantine.NewLedger(), quarantine.NewLedger()
-	play(one, []event{{at: 1, crash: 1}, {at: 2, crash: 2}})
-	play(two, []event{{at: 3, crash: 3}})
-	told, _ := two.Tell(begin.Add(4*time.Second), fingerprint(0))
-	_, more := one.Take(begin.Add(4*time.Second), []quarantine.Told{told})
+	apply(one, []event{{at: 1, crashed: 1}, {at: 2, crashed: 2}})
+	apply(two, []event{{at: 3, crashed: 3}})
+	told, _ := two.Evidence(startTime.Add(4*time.Second), fingerprint(0))
+	_, more := one.Merge(startTime.Add(4*time.Second), []quarantine.Told{told})
 	is.Equal(len(more), 1)
-	told, _ = one.Tell(begin.Add(4*time.Second), fingerprint(0))
-	held, more := two.Take(begin.Add(4*time.Second), []quarantine.Told{told})
+	told, _ = one.Evidence(startTime.Add(4*time.Second), fingerprint(0))
+	held, more := two.Merge(startTime.Add(4*time.Second), []quarantine.Told{told})
 	is.Equal(len(held), 1)
 	is.Equal(len(more), 0)
 }
@@ -155,20 +155,20 @@
 func TestEvidenceIsBounded(t *testing.T) {
 	is := is.New(t)
 	ledger := quarantine.NewLedger()
-	play(ledger, []event{{at: 1, crash: 1}, {at: 1, crash: 2}, {at: 1, crash: 3}})
+	apply(ledger, []event{{at: 1, crashed: 1}, {at: 1, crashed: 2}, {at: 1, crashed: 3}})
 	for number := range 10_000 {
-		ledger.Crashed(begin.Add(time.Second), life(4), []quarantine.Fingerprint{fingerprint(1 + number)})
+		ledger.RecordCrash(startTime.Add(time.Second), incarnation(4), []quarantine.Fingerprint{fingerprint(1 + number)})
 	}
 	held, suspects := ledger.Counts()
 	is.Equal(held, 1)
 	is.Equal(suspects, 2048)
-	ledger.Forget(begin.Add(time.Hour))
+	ledger.Forget(startTime.Add(time.Hour))
 	held, suspects = ledger.Counts()
 	is.Equal(held, 1)
 	is.Equal(suspects, 1)
 }
 
-func TestARecentSuccessIsRemembered(t *testing.T) {
+func TestRecentSuccessIsFound(t *testing.T) {
 	is := is.New(t)
 	successes := quarantine.NewSuccesses()
 	now := time.Now().Add(time.Millisecond)
@@ -186,11 +186,11 @@
 }
 
 // A verdict is read while further crashes are told, which are sorted in.
-func TestAVerdictDoesNotChangeOnceItWasGiven(t *testing.T) {
+func TestDecisionIsNotChangedByLaterCrashes(t *testing.T) {
 	is := is.New(t)
 	ledger := quarantine.NewLedger()
-	play(ledger, []event{{at: 3, crash: 1}, {at: 4, crash: 2}, {at: 5, crash: 3}, {at: 6, crash: 4}, {at: 7, crash: 5}, {at: 8, crash: 6}})
-	verdict := ledger.Judge(begin.Add(time.Minute), fingerprint(0))
-	play(ledger, []event{{at: 2, crash: 6}})
-	is.Equal(verdict.Crashes[0].Life, life(1))
+	apply(ledger, []event{{at: 3, crashed: 1}, {at: 4, crashed: 2}, {at: 5, crashed: 3}, {at: 6, crashed: 4}, {at: 7, crashed: 5}, {at: 8, crashed: 6}})
+	verdict := ledger.Check(startTime.Add(time.Minute), fingerprint(0))
+	apply(ledger, []event{{at: 2, crashed: 6}})
+	is.Equal(verdict.Crashes[0].Life, incarnation(1))
 }
--- a/internal/quarantine/successes.go
+++ b/internal/quarantine/successes.go
@@ -7,7 +7,7 @@
 )
 
 // successSlots is the number of requests remembered, one in each slot: at 100 answers a second
-// one in nine is overwritten by another one within VouchFor. They take 128 kB.
+// one in nine is overwritten by another one within SuccessTTL. They take 128 kB.
 const successSlots = 8192
 
 // Successes remembers which requests were lately answered. A keyed hash stands for a request:
@@ -39,14 +39,14 @@
 	s.slots[key%successSlots] = success{key: key, at: now.Sub(s.epoch)}
 }
 
-// Last returns when a request was answered last, if it was within VouchFor.
+// Last returns when a request was answered last, if it was within SuccessTTL.
 func (s *Successes) Last(now time.Time, request *Identity) (at time.Time, found bool) {
 	key := request.key(s.seed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slot := s.slots[key%successSlots]
 	at = s.epoch.Add(slot.at)
-	return at, slot.key == key && slot.at > 0 && now.Sub(at) <= VouchFor
+	return at, slot.key == key && slot.at > 0 && now.Sub(at) <= SuccessTTL
 }
 
 // key returns the keyed hash of what makes two requests the same one.
