--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-// BenchmarkEvidence encodes what one router tells of a request, with one crash and with as many as
-// are kept. The metric is its length: 61 and 251 bytes.
+// BenchmarkEvidence encodes the evidence of a request with one crash and with maxCrashes, and
+// reports its length.
 func BenchmarkEvidence(b *testing.B) {
 	for _, crashes := range []int{1, 6} {
 		ledger := quarantine.NewLedger()
@@ -24,32 +24,32 @@
 		b.Run(name, func(b *testing.B) {
 			length := 0
 			for b.Loop() {
-				told, _ := ledger.Evidence(startTime.Add(20*time.Second), fingerprint(0))
-				encoded, err := cbor.Marshal(told)
+				evidence, _ := ledger.Evidence(startTime.Add(20*time.Second), fingerprint(0))
+				encoded, err := cbor.Marshal(evidence)
 				if err != nil {
 					b.Fatal(err)
 				}
 				length = len(encoded)
 			}
-			b.ReportMetric(float64(length), "B/told")
+			b.ReportMetric(float64(length), "B/evidence")
 		})
 	}
 }
 
-// BenchmarkIdentity compares what an answered request costs (the keyed hash that remembers it)
-// with what one that breaks off does, for a body of 36 kB: a prompt of 9,000 tokens.
+// BenchmarkIdentity compares the cost of an answered request (a keyed hash) with that of a
+// broken one (a fingerprint), for a body of 36 kB.
 func BenchmarkIdentity(b *testing.B) {
-	asked := &quarantine.Identity{Tenant: "t", Method: "POST", Host: "h", Target: "/a", Body: make([]byte, 36_000)}
+	request := &quarantine.Identity{Tenant: "t", Method: "POST", Host: "h", Target: "/a", Body: make([]byte, 36_000)}
 	successes := quarantine.NewSuccesses()
 	now := time.Now()
-	b.Run("remember", func(b *testing.B) {
+	b.Run("keyed hash", func(b *testing.B) {
 		for b.Loop() {
-			successes.Add(now, asked)
+			successes.Add(now, request)
 		}
 	})
 	b.Run("fingerprint", func(b *testing.B) {
 		for b.Loop() {
-			_ = asked.Fingerprint()
+			_ = request.Fingerprint()
 		}
 	})
 }
--- a/internal/quarantine/decision.go
+++ b/internal/quarantine/decision.go
@@ -7,40 +7,38 @@
 )
 
 const (
-	// maxTrials bounds how often a held request is sent once more, over all routers; one of
-	// the three sendings that are allowed is left for a copy that was under way.
+	// maxTrials is the number of trials of a quarantined request over all routers. It leaves
+	// one of three allowed sendings for a copy that was already in flight.
 	maxTrials = 2
-	// QuarantinedRetryAfter is told to callers of a request that is not tried again by itself.
+	// QuarantinedRetryAfter is the Retry-After of a request without a further trial.
 	QuarantinedRetryAfter = 10 * time.Minute
-	// minRetryAfter is the least that callers are told: a short time would bring it back.
+	// minRetryAfter bounds Retry-After: earlier retries would only repeat the request.
 	minRetryAfter = 10 * time.Second
 )
 
 // trialPauses are the times before the first and second trial, since the last crash or trial.
-// Whoever asked for a request that was held wrongly has it back in 10 s. After a first trial that
-// crashed its back end too, a fourth one in a row, the request is hardly innocent, and a trial costs
-// all that runs beside it (two to nine streams of other callers with each crash, logs of a
-// deployment): the second one has time.
+// The first is short for requests quarantined wrongly. After a crash in the first trial the
+// request is probably guilty, and another crash would break all other requests of the back end.
 var trialPauses = [maxTrials]time.Duration{10 * time.Second, 10 * time.Minute}
 
-// Verdict says why a request is not sent on.
+// Verdict states why a request may not be sent.
 type Verdict struct {
 	Request Fingerprint
-	// Crashes are the lives that ended under it with no success in between.
+	// Crashes are those of incarnations that ran the request, since its last success.
 	Crashes []Crash
 	Trials  int
-	// TrialDue says that it may be tried once more, if the trial is granted.
+	// TrialDue is true if a trial of the request may be granted.
 	TrialDue bool
-	// RetryAfter is when a caller may come back.
+	// RetryAfter is the time after which the client may retry.
 	RetryAfter time.Duration
 }
 
-// String says why the request is held, to its callers.
+// String returns the reason for the quarantine, as sent to clients.
 func (v *Verdict) String() string {
 	return fmt.Sprintf("%d back ends crashed while they ran this request, which has the fingerprint %s", len(v.Crashes), v.Request)
 }
 
-// Check returns the verdict on a request, nil if it may be sent.
+// Check returns the decision on a quarantined request, nil if the request may be sent.
 func (l *Ledger) Check(now time.Time, request Fingerprint) *Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,9 +54,8 @@
 	return decision
 }
 
-// nextTrial returns when a held request may be tried again, if ever. A crash after all
-// routers had time to learn the verdict counts as a trial: a router that was cut off or stood
-// still has sent the request.
+// nextTrial returns when a quarantined request may be tried again, if ever. A crash after
+// propagationTime counts as a trial: a router that was cut off or paused has sent the request.
 func (s *suspect) nextTrial() (due time.Time, more bool) {
 	crashes := s.countedCrashes()
 	propagatedAt := crashes[crashesToQuarantine-1].At.Add(propagationTime)
@@ -79,8 +76,8 @@
 	return last.Add(trialPauses[used]), true
 }
 
-// TrialAllowed reports whether a trial may be granted after a number of others, the last one a
-// time ago. It is asked with what the store keeps.
+// TrialAllowed reports whether another trial may be granted, by the trials and the time since
+// the last one in the store.
 func TrialAllowed(trials int, since time.Duration) bool {
 	return trials < maxTrials && (trials == 0 || since >= trialPauses[trials])
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -9,34 +9,34 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Told is what one router tells others of a request, and what is kept of it. Ages count up to
-// the moment it was told.
+// Told is the evidence on a request as sent to other routers and stored. Ages count back from
+// the time of sending.
 type Told struct {
 	_       struct{} `cbor:",toarray"`
 	Request Fingerprint
 	Crashes []ToldCrash
-	// Cleared says that the request was answered, or lifted, ClearedAge ago.
+	// Cleared is true if the request succeeded or was released, ClearedAge ago.
 	Cleared    bool
 	ClearedAge time.Duration
 	Trials     int
 	TrialAge   time.Duration
 }
 
-// ToldCrash is a crash as it is told.
+// ToldCrash is a crash in Evidence.
 type ToldCrash struct {
 	_    struct{} `cbor:",toarray"`
 	Life ident.Incarnation
 	Age  time.Duration
 }
 
-// ToStore returns for how many crashes evidence was told, as Ledger.ToStore counts them.
+// ToStore returns the number of crashes to store, as Ledger.ToStore does.
 func (t *Told) ToStore() int {
 	merged := NewLedger()
 	merged.Merge(time.Unix(0, 0), []Told{*t})
 	return merged.ToStore(t.Request)
 }
 
-// Evidence returns what is known of a request; it is false if nothing is.
+// Evidence returns the evidence on a request; it is false if there is none.
 func (l *Ledger) Evidence(now time.Time, request Fingerprint) (Told, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,7 +47,7 @@
 	return known.evidence(now, request), true
 }
 
-// QuarantinedEvidence returns what is known of all requests that are held, or were held and are cleared.
+// QuarantinedEvidence returns the evidence on all requests that are or were quarantined.
 func (l *Ledger) QuarantinedEvidence(now time.Time) []Told {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +60,7 @@
 	return all
 }
 
-// Digest names what QuarantinedEvidence tells, apart from ages; it is 0 if that is nothing.
+// Digest returns a hash of QuarantinedEvidence without ages, 0 if there is none.
 func (l *Ledger) Digest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,8 +97,8 @@
 	return evidence
 }
 
-// Take merges what was told as of a time. It returns the requests that are held from now on,
-// and those of which more is known here than was told.
+// Merge adds evidence as of a time. It returns the requests that are quarantined from now on,
+// and those on which this ledger has more evidence than was received.
 func (l *Ledger) Merge(at time.Time, all []Told) (quarantined, more []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,4 +1,4 @@
-// Package quarantine tells requests apart under which back ends crash.
+// Package quarantine identifies requests that crash back ends.
 package quarantine
 
 import (
@@ -10,13 +10,12 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// FingerprintBytes is the length of a Fingerprint. Sixteen bytes of a cryptographic hash
-// keep a client from making a request that shares the fingerprint of another one.
+// FingerprintBytes is the length of a Fingerprint, enough that no client can construct a
+// request with the fingerprint of another one.
 const FingerprintBytes = 16
 
-// Fingerprint names what a request asks for, whichever try of its client it is: ids of
-// requests are new with each try. Its text may be logged: it holds nothing of the request
-// that can be read back.
+// Fingerprint identifies what a request asks for; it is the same for all retries of a client.
+// It may be logged, as the request cannot be recovered from it.
 type Fingerprint [FingerprintBytes]byte
 
 // String returns the fingerprint as hexadecimal digits.
@@ -24,14 +23,14 @@
 
 // Identity is what makes two requests the same one.
 type Identity struct {
-	// Tenant is that of the caller, empty where requests need no key.
+	// Tenant is the caller's, empty where requests need no key.
 	Tenant ident.Tenant
-	// Target is the request target as the client wrote it.
+	// Target is the request target as sent by the client.
 	Method, Host, Target string
 	Body                 []byte
 }
 
-// Fingerprint returns the fingerprint of a request.
+// Fingerprint returns the fingerprint of the identity.
 func (i *Identity) Fingerprint() Fingerprint {
 	digest := sha256.New()
 	i.writeTo(digest)
@@ -40,7 +39,6 @@
 	return fingerprint
 }
 
-// writeTo writes to a hash what makes two requests the same one.
 func (i *Identity) writeTo(digest hash.Hash) {
 	for _, text := range []string{string(i.Tenant), i.Method, i.Host, i.Target} {
 		writeField(digest, []byte(text))
@@ -48,7 +46,8 @@
 	writeField(digest, i.Body)
 }
 
-// writeField writes a field after its length, so that no two lists of fields read alike.
+// writeField writes a field after its length, so that different lists of fields never write the
+// same bytes.
 func writeField(digest hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
--- a/internal/quarantine/guard/abandoned.go
+++ b/internal/quarantine/guard/abandoned.go
@@ -9,29 +9,28 @@
 )
 
 const (
-	// abandonedWindow is how long before its crash a back end may have begun a request that was given
-	// up. Most drop what is given up; the others begin it once a place is free.
+	// abandonedWindow is how long before its crash a back end may have begun an abandoned
+	// request. Most drop those; the others begin them once a slot is free.
 	abandonedWindow = 2 * time.Second
-	// maxAbandoned bounds the attempts remembered that were given up, the newest: 250 a second, in
-	// 30 kB.
+	// maxAbandoned is the number of the newest abandoned attempts remembered.
 	maxAbandoned = 512
 )
 
-// abandonedAttempt is an attempt that was given up while its back end may have been at work on it.
+// abandonedAttempt is an attempt given up by this router while the back end may have been
+// running it.
 type abandonedAttempt struct {
 	incarnation ident.Incarnation
 	request     quarantine.Fingerprint
 	at          time.Time
 }
 
-// abandonedAttempts remembers the newest attempts that were given up. It is safe for concurrent use.
+// abandonedAttempts remembers the newest abandoned attempts. It is safe for concurrent use.
 type abandonedAttempts struct {
 	mu   sync.Mutex
 	all  [maxAbandoned]abandonedAttempt
 	next int
 }
 
-// add takes in an attempt that was given up.
 func (l *abandonedAttempts) add(attempt abandonedAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,8 +38,7 @@
 	l.next = (l.next + 1) % maxAbandoned
 }
 
-// take returns the requests that were given up at a life of a back end shortly before it crashed
-// at a time, and forgets them.
+// take removes and returns the requests abandoned at an incarnation shortly before its crash.
 func (l *abandonedAttempts) take(incarnation ident.Incarnation, crashedAt time.Time) []quarantine.Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +56,7 @@
 	return requests
 }
 
-// has reports whether a request was given up at a life of a back end shortly before a time.
+// has reports whether a request was abandoned at an incarnation shortly before a time.
 func (l *abandonedAttempts) has(incarnation ident.Incarnation, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quarantine/guard/crashchecks.go
+++ b/internal/quarantine/guard/crashchecks.go
@@ -11,69 +11,68 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// checkTimes are the times, since an attempt broke off, at which its back end is asked whether
-// that life goes on. A crash shows in the first two, as the address refuses connections until
-// the next life; a back end that is back before is known by its start or its name. One that
-// answers neither way by the last has crashed as little as any that is cut off.
+// checkTimes are the times, since an attempt broke off, at which its back end is probed. A
+// crash shows in the first two, as the address refuses connections until a restart; a back end
+// that restarted sooner has another start time or name. Without either by the last probe the
+// crash is not confirmed.
 var checkTimes = []time.Duration{
 	10 * time.Millisecond, 110 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond,
 	1500 * time.Millisecond, 3 * time.Second, 6 * time.Second,
 }
 
 const (
-	// refusalsToConfirm is the number of refused connections in a row that prove that no process
-	// listens any more. One may be due to a bound of connections.
+	// refusalsToConfirm is the number of consecutive refused connections that prove that no
+	// process listens. One may be due to a connection limit.
 	refusalsToConfirm = 2
-	// probeTimeout bounds one look: back ends report without a slot, within a few ms.
+	// probeTimeout bounds one probe.
 	probeTimeout = 300 * time.Millisecond
-	// maxCrashChecks bounds the checks under way, and with them the evidence of one router.
+	// maxCrashChecks bounds the concurrent checks, and with them the evidence of one router.
 	maxCrashChecks = 256
-	// endedRetention is how long it is remembered that a life has ended, for attempts that learn of
-	// it late.
+	// endedRetention is how long the end of an incarnation is remembered for attempts that
+	// break off later.
 	endedRetention = 30 * time.Second
 )
 
-// Sign is what one look at a back end found of a life of it.
+// Sign is the result of one probe of an incarnation.
 type Sign uint8
 
 const (
-	// SignNone proves nothing: no answer, or one that does not tell.
+	// SignNone proves nothing: no answer, or an inconclusive one.
 	SignNone Sign = iota
-	// SignAlive is an answer of the same life.
+	// SignAlive is an answer of the same incarnation.
 	SignAlive
-	// SignRefused is a connection that was refused as none is to a process that runs. Where a
-	// back end bounds its connections, it is SignNone while an attempt of this router from before
-	// the break is open there: a crash breaks all connections.
+	// SignRefused is a refused connection. Where a back end limits its connections, it is
+	// ProbeInconclusive while an attempt of this router from before the break is open there: a
+	// crash breaks all connections.
 	SignRefused
-	// SignEnded is an answer of another life.
+	// SignEnded is an answer of another incarnation.
 	SignEnded
 )
 
-// Place is one life of a back end at which an attempt was made.
+// Place is an incarnation of a back end at which an attempt was made.
 type Place struct {
 	Life ident.Incarnation
-	// Look asks the back end once what became of that life, where an attempt broke off at a
-	// time. It must come back once ctx ends.
+	// Look probes the back end once after an attempt broke off at a time. It must return once
+	// ctx ends.
 	Look func(ctx context.Context, brokeAt time.Time) Sign
 }
 
-// Backends is what a router knows of its back ends. Its methods are safe for concurrent use.
+// Backends is the router's registry of back ends. Its methods are safe for concurrent use.
 type Backends interface {
-	// Leaving reports whether a life has ended as planned or is about to.
+	// Leaving reports whether an incarnation has ended as planned or is about to.
 	Leaving(life ident.Incarnation) bool
-	// SawGone takes in that a life has ended.
+	// SawGone records that an incarnation has ended.
 	SawGone(now time.Time, life ident.Incarnation)
 }
 
-// crashCheck is the question whether one life of a back end has ended.
+// crashCheck checks whether one incarnation has crashed.
 type crashCheck struct {
 	target  Place
 	brokeAt time.Time
-	// requests were running there, as far as their attempts have broken off so far.
+	// requests are those whose attempts there have broken off so far.
 	requests map[quarantine.Fingerprint]struct{}
 }
 
-// probe asks the back end once.
 func (c *crashCheck) probe(ctx context.Context) Sign {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -86,13 +85,13 @@
 	}
 }
 
-// crashChecks finds out whether back ends have crashed at which attempts broke off. It is
-// safe for concurrent use.
+// crashChecks checks back ends for crashes after attempts broke off. It is safe for concurrent
+// use.
 type crashChecks struct {
 	backends Backends
-	// onCrash is told which requests were running on a life that crashed at a time.
+	// onCrash is called with the requests that ran on a crashed incarnation.
 	onCrash func(at time.Time, life ident.Incarnation, requests []quarantine.Fingerprint)
-	// onResult is told what came of each check: crashed, alive or unknown.
+	// onResult is called with the result of each check: crashed, alive or unknown.
 	onResult func(string)
 
 	mu      sync.Mutex
@@ -102,7 +101,7 @@
 	ended   map[ident.Incarnation]time.Time
 }
 
-// run lets checks run until ctx ends.
+// run permits checks until ctx ends.
 func (c *crashChecks) run(ctx context.Context) {
 	c.mu.Lock()
 	c.ctx = ctx
@@ -111,8 +110,8 @@
 	c.running.Wait()
 }
 
-// broke takes in that attempts of requests broke off at a back end, and checks it. One that was
-// leaving has ended as planned: that says nothing against what ran there.
+// observeBroken records broken attempts at a back end and checks it, unless it was draining:
+// then it ended as planned.
 func (c *crashChecks) observeBroken(now time.Time, target Place, requests ...quarantine.Fingerprint) {
 	if c.backends.Leaving(target.Life) {
 		return
@@ -121,7 +120,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if endedAt, ended := c.ended[incarnation]; ended && now.Sub(endedAt) < endedRetention {
-		// The mutex is held, and the caller's request waits for its answer.
+		// The mutex is held, and the caller's request is waiting.
 		go c.onCrash(endedAt, incarnation, requests)
 		return
 	}
@@ -138,7 +137,7 @@
 	c.running.Go(func() { c.check(c.ctx, incarnation, check) })
 }
 
-// check asks the back end until it is known whether that life has ended.
+// check probes the back end until the state of the incarnation is certain.
 func (c *crashChecks) check(ctx context.Context, incarnation ident.Incarnation, check *crashCheck) {
 	refusals := 0
 	for _, after := range checkTimes {
@@ -158,8 +157,8 @@
 		}
 		if refusals >= refusalsToConfirm {
 			requests := c.finish(incarnation, "crashed", true)
-			// Nothing more is sent to that life. What reached the next one under the old name
-			// would count as running on the life that has ended.
+			// Nothing more is sent to that incarnation. What reached its successor under the
+			// old name would count as run by the crashed one.
 			c.backends.SawGone(clock.Now(), incarnation)
 			c.onCrash(check.brokeAt, incarnation, requests)
 			return
@@ -168,7 +167,7 @@
 	c.finish(incarnation, "unknown", false)
 }
 
-// finish ends a check, and returns the requests that ran on the life.
+// finish ends a check and returns the requests that ran on the incarnation.
 func (c *crashChecks) finish(incarnation ident.Incarnation, result string, ended bool) []quarantine.Fingerprint {
 	c.onResult(result)
 	c.mu.Lock()
--- a/internal/quarantine/guard/guard.go
+++ b/internal/quarantine/guard/guard.go
@@ -1,6 +1,6 @@
-// Package guard keeps requests from back ends under which these crash, together with the other
-// routers: it is the shell around the evidence of package quarantine, and has the goroutines, the
-// checks of back ends, the news for other routers and the rows that outlive all of them.
+// Package guard keeps requests from back ends that these crash, together with the other
+// routers. It runs the goroutines around the evidence of package quarantine: checks of back
+// ends, updates to other routers and the stored rows.
 package guard
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// Config sets up a Guard.
+// Config configures a Guard.
 type Config struct {
-	// Table keeps the rows, Timeout bounds one call.
+	// Table stores the rows; Timeout bounds one call.
 	Table    store.Table
 	Timeout  time.Duration
 	Backends Backends
-	// Send sends news to all other routers. It must not block. Default: nobody is told.
+	// Send sends evidence to all other routers. It must not block. Default: none is sent.
 	Send func([]quarantine.Told)
-	// Keeps reports whether this router writes and reads the rows for all. Default: never.
+	// Keeps reports whether this router maintains the rows for all. Default: never.
 	Keeps func() bool
-	// OnTrial is told what came of each question for a trial: granted, denied or failed; OnCheck
-	// what came of each check of a back end: crashed, alive or unknown.
+	// OnTrial is called with the result of each request for a trial: granted, denied or failed;
+	// OnCheck with that of each check of a back end: crashed, alive or unknown.
 	OnTrial, OnCheck func(result string)
 }
 
@@ -49,27 +49,27 @@
 	return c
 }
 
-// Guard keeps requests from back ends under which these crash. It is safe for concurrent use; a
-// nil Guard knows nothing and tells nothing.
+// Guard keeps requests from back ends that these crash. It is safe for concurrent use. A nil
+// Guard has no evidence.
 type Guard struct {
 	config    Config
 	ledger    *quarantine.Ledger
 	successes *quarantine.Successes
 	checks    *crashChecks
-	// abandoned are the attempts that were given up: others may have seen that a life crashed.
+	// abandoned attempts count if another request or router observes the crash.
 	abandoned *abandonedAttempts
 	rows      *rows
 
 	mu sync.Mutex
-	// updates are the requests that are still to be told, and how often.
+	// updates are the requests whose evidence is still to be sent, and how often.
 	updates map[quarantine.Fingerprint]int
-	// staleRows are the requests whose rows this router has to bring up to date.
+	// staleRows are the requests whose rows this router has to update.
 	staleRows map[quarantine.Fingerprint]struct{}
 	// wake ends the pause before the rows are written.
 	wake chan struct{}
 }
 
-// New returns a guard that does nothing by itself before Run.
+// New returns a guard that is inactive until Run.
 func New(config Config) *Guard {
 	config = config.withDefaults()
 	ledger := quarantine.NewLedger()
@@ -86,11 +86,11 @@
 	return g
 }
 
-// Counts returns the number of requests that are held, and of all that are known.
+// Counts returns the number of quarantined requests and of all suspects.
 func (g *Guard) Counts() (quarantined, suspects int) { return g.ledger.Counts() }
 
-// Judge returns why a request may not be sent, nil if it may. A router that lately had an answer
-// to the request vouches for it.
+// Judge returns why a request may not be sent, nil if it may. A recent success at this router
+// clears it.
 func (g *Guard) Judge(now time.Time, request *quarantine.Subject) *quarantine.Verdict {
 	if g.ledger.Empty() {
 		return nil
@@ -101,7 +101,7 @@
 	return g.ledger.Check(now, request.Fingerprint())
 }
 
-// Answered takes in a whole success.
+// Answered records a complete success.
 func (g *Guard) Answered(now time.Time, request *quarantine.Subject) {
 	g.successes.Add(now, &request.Identity)
 	if !g.ledger.Empty() {
@@ -109,7 +109,6 @@
 	}
 }
 
-// recordSuccess takes in that a request was answered at a time.
 func (g *Guard) recordSuccess(at time.Time, request *quarantine.Subject) {
 	changed, released := g.ledger.RecordSuccess(at, request.Fingerprint())
 	if changed {
@@ -121,7 +120,7 @@
 	}
 }
 
-// Broke takes in an attempt that broke off.
+// Broke records an attempt that broke off.
 func (g *Guard) Broke(now time.Time, request *quarantine.Subject, target Place) {
 	if _, succeeded := g.successes.Last(now, &request.Identity); succeeded {
 		return
@@ -129,7 +128,7 @@
 	g.checks.observeBroken(now, target, request.Fingerprint())
 }
 
-// Left takes in an attempt that was given up by this side and may be at work there still.
+// Left records an attempt that this router gave up and that the back end may still run.
 func (g *Guard) Left(now time.Time, request *quarantine.Subject, target Place) {
 	if _, succeeded := g.successes.Last(now, &request.Identity); succeeded {
 		return
@@ -137,24 +136,23 @@
 	g.abandoned.add(abandonedAttempt{incarnation: target.Life, request: request.Fingerprint(), at: now})
 }
 
-// Unreached takes in that a back end took no connection. Where requests were given up shortly
-// before, and no other attempt was open that could break off, this is what shows that the back end
-// crashed.
+// Unreached records that a back end accepted no connection. After abandoned requests this may
+// be the only sign of a crash.
 func (g *Guard) Unreached(now time.Time, target Place) {
 	if g.abandoned.has(target.Life, now) {
 		g.checks.observeBroken(now, target)
 	}
 }
 
-// crashed takes in that a life of a back end crashed at a time on which requests ran. Those that
-// were given up there may have run as well.
+// recordCrash records the crash of an incarnation under requests, which include those abandoned
+// there.
 func (g *Guard) recordCrash(at time.Time, incarnation ident.Incarnation, requests []quarantine.Fingerprint) {
 	requests = append(requests, g.abandoned.take(incarnation, at)...)
 	log.WithFields(log.Fields{"instance": incarnation, "requests": len(requests)}).Warn("backend_crashed")
 	g.recordEvidence(at, incarnation, requests)
 }
 
-// book takes in evidence against requests, and tells the other routers.
+// recordEvidence adds a crash under requests and sends it to the other routers.
 func (g *Guard) recordEvidence(at time.Time, incarnation ident.Incarnation, requests []quarantine.Fingerprint) {
 	quarantined := g.ledger.RecordCrash(at, incarnation, requests)
 	g.announce(requests...)
@@ -164,7 +162,6 @@
 	})...)
 }
 
-// logQuarantined logs which requests are held from now on, with the evidence.
 func (g *Guard) logQuarantined(now time.Time, quarantined []quarantine.Fingerprint) {
 	for _, request := range quarantined {
 		decision := g.ledger.Check(now, request)
@@ -181,8 +178,8 @@
 	}
 }
 
-// Run checks back ends, tells news and keeps the rows until ctx ends. What breaks off before it
-// runs is not taken in.
+// Run checks back ends, sends updates and maintains the rows until ctx ends. Attempts that
+// break off before are not checked.
 func (g *Guard) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { g.checks.run(ctx) })
@@ -194,7 +191,7 @@
 	loops.Wait()
 }
 
-// Try asks for the grant of a trial that is due, and waits for it for a short time.
+// Try requests a trial that is due, and waits a short time for it.
 func (g *Guard) Try(ctx context.Context, request *quarantine.Subject) bool {
 	result, trials := g.rows.acquireTrial(ctx, request.Fingerprint())
 	g.config.OnTrial(string(result))
--- a/internal/quarantine/guard/guard_test.go
+++ b/internal/quarantine/guard/guard_test.go
@@ -24,17 +24,17 @@
 	})
 }
 
-// What a check does not prove is no evidence.
+// Crashes that a check does not confirm are no evidence.
 func TestOnlyConfirmedCrashesAreEvidence(t *testing.T) {
 	tests := []struct {
-		name    string
-		found   Sign
-		engines []int
-		held    int
+		name        string
+		found       Sign
+		engines     []int
+		quarantined int
 	}{
 		{"refused connections", SignRefused, []int{0, 1, 2}, 1},
-		{"other lives", SignEnded, []int{0, 1, 2}, 1},
-		{"the same lives answer", SignAlive, []int{0, 1, 2}, 0},
+		{"other incarnations", SignEnded, []int{0, 1, 2}, 1},
+		{"the same incarnations answer", SignAlive, []int{0, 1, 2}, 0},
 		{"silence", SignNone, []int{0, 1, 2}, 0},
 		{"one that was draining", SignRefused, []int{0, 1, 8}, 0},
 		{"one that was not listed", SignRefused, []int{0, 1, 9}, 0},
@@ -45,22 +45,23 @@
 				w := newHarness(t, 1, always(tt.found))
 				w.crash(0, "x", tt.engines...)
 				time.Sleep(10 * time.Second)
-				is.New(t).Equal(w.quarantinedAt("x"), tt.held)
+				is.New(t).Equal(w.quarantinedAt("x"), tt.quarantined)
 			})
 		})
 	}
 }
 
-// What was given up at an engine that crashes may be why it did, whichever router sees the crash
-// and by whichever sign. It is no evidence once it is longer ago, or where the engine lives on.
+// An abandoned request may have caused a crash, by whichever sign and router that is observed,
+// unless it was long before or the engine is alive.
 func TestAbandonedAttemptsAreEvidenceAfterCrash(t *testing.T) {
 	is := is.New(t)
 	tests := []struct {
 		name string
-		// seen has the end of a life show, some time after the request was given up there.
-		seen  func(w *harness, engine int)
-		after time.Duration
-		held  int
+		// observe shows the end of an incarnation, some time after the request was abandoned
+		// there.
+		seen        func(w *harness, engine int)
+		after       time.Duration
+		quarantined int
 	}{
 		{"an attempt of another request breaks off", func(w *harness, engine int) {
 			w.all[0].Broke(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
@@ -87,14 +88,13 @@
 					tt.seen(w, engine)
 					time.Sleep(time.Second)
 				}
-				is.Equal(w.quarantinedAt("x"), tt.held)
+				is.Equal(w.quarantinedAt("x"), tt.quarantined)
 			})
 		})
 	}
 }
 
-// A request that was just answered does not crash what runs it, although it ran on each of
-// the engines that crashed.
+// A request that was just answered is innocent, although it ran on each engine that crashed.
 func TestSuccessClearsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -103,14 +103,13 @@
 		w.all[0].Answered(time.Now(), subject("hot"))
 		w.crash(0, "hot", 0, 1, 2, 3)
 		is.Equal(w.quarantinedAt("hot"), 0)
-		// Another router had no answer, and is told by the one that had.
+		// The other router had no success and gets that of the first.
 		w.crash(1, "hot", 4, 5, 6)
 		is.Equal(w.all[0].Judge(time.Now(), subject("hot")), nil)
 		is.Equal(w.quarantinedAt("hot"), 0)
 	})
 }
 
-// A request that was held wrongly is tried again and released everywhere.
 func TestSuccessfulTrialReleasesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -129,12 +128,12 @@
 	})
 }
 
-// However long it lasts and however many routers ask, a request is tried twice.
+// A request gets at most two trials, however many routers request them.
 func TestTrialsAreBoundedAcrossRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newHarness(t, 4, always(SignRefused))
-		// One router learns nothing of what the others try.
+		// One router gets no updates from the others.
 		w.setIsolated(3, true)
 		w.crash(0, "guilty", 0, 1, 2)
 		w.all[3].Load(t.Context(), 0)
@@ -143,9 +142,9 @@
 		for range 600 {
 			time.Sleep(time.Second)
 			for _, q := range w.all {
-				verdict := q.Judge(time.Now(), subject("guilty"))
-				is.True(verdict != nil)
-				if verdict.TrialDue && q.Try(t.Context(), subject("guilty")) {
+				decision := q.Judge(time.Now(), subject("guilty"))
+				is.True(decision != nil)
+				if decision.TrialDue && q.Try(t.Context(), subject("guilty")) {
 					trials++
 				}
 			}
--- a/internal/quarantine/guard/harness_test.go
+++ b/internal/quarantine/guard/harness_test.go
@@ -13,21 +13,23 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine"
 )
 
-// probeFunc is what a look at a life finds.
+// probeFunc is the result of probing an incarnation.
 type probeFunc func(life ident.Incarnation) Sign
 
 func always(result Sign) probeFunc { return func(ident.Incarnation) Sign { return result } }
 
-// fakeBackends are engines e0 to e8, of which the last one is leaving, and no other.
+// fakeBackends are engines e0 to e8 and no others; e8 is draining.
 type fakeBackends struct{}
 
 // Leaving implements Backends.
-func (fakeBackends) Leaving(life ident.Incarnation) bool { return life < "e0" || life > "e7" }
+func (fakeBackends) Leaving(incarnation ident.Incarnation) bool {
+	return incarnation < "e0" || incarnation > "e7"
+}
 
 // SawGone implements Backends.
 func (fakeBackends) SawGone(time.Time, ident.Incarnation) {}
 
-// harness are the quarantines of some routers before one store, in virtual time.
+// harness runs the guards of some routers with one store, in virtual time.
 type harness struct {
 	store *sharedRows
 	table *fakeTable
@@ -35,15 +37,15 @@
 
 	mu  sync.Mutex
 	all []*Guard
-	// isolated routers get no news.
+	// isolated routers receive no updates.
 	isolated map[int]bool
 }
 
-// newHarness starts routers, of which the first keeps the rows.
-func newHarness(t *testing.T, routers int, look probeFunc) *harness {
+// newHarness starts routers, of which the first maintains the rows.
+func newHarness(t *testing.T, routers int, probe probeFunc) *harness {
 	t.Helper()
 	store := newSharedRows()
-	w := &harness{store: store, table: &fakeTable{rows: store}, probe: look, isolated: map[int]bool{}}
+	w := &harness{store: store, table: &fakeTable{rows: store}, probe: probe, isolated: map[int]bool{}}
 	for range routers {
 		w.start(t.Context())
 	}
@@ -55,7 +57,7 @@
 	var g *Guard
 	g = New(Config{
 		Table: w.table, Timeout: time.Second, Backends: fakeBackends{}, Keeps: func() bool { return index == 0 },
-		Send: func(told []quarantine.Told) { w.send(index, g, told) },
+		Send: func(evidence []quarantine.Told) { w.send(index, g, evidence) },
 	})
 	w.mu.Lock()
 	w.all = append(w.all, g)
@@ -65,14 +67,14 @@
 	return g
 }
 
-// setIsolated has a router get news or not.
-func (w *harness) setIsolated(router int, deaf bool) {
+// setIsolated sets whether a router receives updates.
+func (w *harness) setIsolated(router int, isolated bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.isolated[router] = deaf
+	w.isolated[router] = isolated
 }
 
-// send hands news of a router to the others, and later what these answer to it.
+// send delivers an update to the other routers, and later their replies.
 func (w *harness) send(from int, sender *Guard, evidence []quarantine.Told) {
 	w.mu.Lock()
 	all, isolated := w.all, maps.Clone(w.isolated)
@@ -85,7 +87,6 @@
 	}
 }
 
-// target is a life of an engine.
 func (w *harness) target(engine int) Place {
 	incarnation := ident.Incarnation(fmt.Sprint("e", engine))
 	return Place{Life: incarnation, Look: func(context.Context, time.Time) Sign { return w.probe(incarnation) }}
@@ -95,7 +96,7 @@
 	return &quarantine.Subject{Identity: quarantine.Identity{Body: []byte(body)}}
 }
 
-// crash has a router see attempts of a request break off at engines.
+// crash has attempts of a request at a router break off at engines.
 func (w *harness) crash(router int, body string, engines ...int) {
 	for _, engine := range engines {
 		w.all[router].Broke(time.Now(), subject(body), w.target(engine))
@@ -103,7 +104,7 @@
 	time.Sleep(200 * time.Millisecond)
 }
 
-// quarantinedAt returns how many routers hold a request.
+// quarantinedAt returns the number of routers that quarantine a request.
 func (w *harness) quarantinedAt(body string) int {
 	count := 0
 	for _, q := range w.all {
--- a/internal/quarantine/guard/maintain.go
+++ b/internal/quarantine/guard/maintain.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// maintainInterval is the time between two looks at which rows are to be written, relistInterval
-	// between two reads of the rows while a request is held, quietRelistInterval else.
+	// maintainInterval is the time between two updates of rows; relistInterval that between two
+	// reads of all rows while a request is quarantined, quietRelistInterval otherwise.
 	maintainInterval    = 2 * time.Second
 	relistInterval      = 5 * time.Second
 	quietRelistInterval = 10 * time.Minute
-	// reloadAfter is how long nothing may have been confirmed here before the rows are read
-	// once more: three reads of the configuration that failed, or were not made.
+	// reloadAfter is the time without confirmed contact after which the rows are read again:
+	// three failed reads of the configuration.
 	reloadAfter = 2400 * time.Millisecond
 )
 
-// scheduleReported has the rows brought up to date at once of requests of which another router told, by
-// the router that keeps the rows and by those that just told of evidence themselves: none of them
-// may have known all of it before, and all may end at the next moment.
+// scheduleReported schedules rows on evidence of another router at once, at the router that
+// maintains the rows and at those that are sending evidence on the same requests: none of them
+// may have had all of it before, and all may end at any moment.
 func (g *Guard) scheduleReported(evidence []quarantine.Told) {
 	maintains := g.config.Keeps()
 	for _, one := range evidence {
@@ -34,7 +34,7 @@
 	}
 }
 
-// scheduleWrite has the rows of requests brought up to date by this router.
+// scheduleWrite has this router update the rows of requests.
 func (g *Guard) scheduleWrite(requests ...quarantine.Fingerprint) {
 	if len(requests) == 0 {
 		return
@@ -46,7 +46,7 @@
 	}
 }
 
-// markStale notes that the rows of requests are to be brought up to date at the next look.
+// markStale marks rows for the next update.
 func (g *Guard) markStale(requests []quarantine.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// maintainRows keeps the rows up to date until ctx ends.
+// maintainRows updates the rows until ctx ends.
 func (g *Guard) maintainRows(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -68,7 +68,7 @@
 			if g.rows.relistDue(clock.Now()) {
 				g.relist(ctx)
 			}
-			// Without waking: a store that is down is asked again at the next look.
+			// Without waking: a store that is down is retried at the next interval.
 			g.markStale(g.rows.outdated())
 		}
 		g.writeRows(ctx)
@@ -96,9 +96,8 @@
 }
 
 // Load reads the rows before this router serves, unless that was done, and again when nothing
-// was confirmed here for a while. Without the rows a router that starts alone, or one that
-// reads the store itself and was cut off or suspended while others learnt of a request, would
-// send it to three back ends once more.
+// was confirmed for a while. Otherwise a router that starts alone, or was cut off or suspended,
+// would send a quarantined request to three back ends again.
 func (g *Guard) Load(ctx context.Context, unconfirmedFor time.Duration) {
 	if g == nil || (g.rows.loaded() && unconfirmedFor < reloadAfter) {
 		return
@@ -111,7 +110,7 @@
 	g.logQuarantined(clock.Now(), quarantined)
 }
 
-// writeRows brings the rows up to date that this router has to; what fails is tried again.
+// writeRows updates the stale rows; failures are retried.
 func (g *Guard) writeRows(ctx context.Context) {
 	g.mu.Lock()
 	due := make([]quarantine.Fingerprint, 0, len(g.staleRows))
--- a/internal/quarantine/guard/rows.go
+++ b/internal/quarantine/guard/rows.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// RowPrefix is the begin of the keys of the rows of requests that are held or will be
-	// by the next crash, one row each. They outlive all routers.
+	// RowPrefix is the prefix of the keys of rows, one for each request that is quarantined or
+	// would be by the next crash.
 	RowPrefix = "quarantine/"
 	// maxRows bounds the rows read.
 	maxRows = 2000
-	// trialInterval is the least time between two questions of this router for a trial of one
-	// request, whatever came of the last one.
+	// trialInterval is the least time between two requests of this router for a trial of one
+	// request.
 	trialInterval = 2 * time.Second
-	// trialTimeout bounds such a question, for which a request waits.
+	// trialTimeout bounds such a request, since a client is waiting.
 	trialTimeout = 300 * time.Millisecond
 )
 
-// trialResult is what came of a question for a trial.
+// trialResult is the result of a request for a trial.
 type trialResult string
 
 const (
@@ -41,28 +41,27 @@
 
 // rowValue is the value of a row.
 type rowValue struct {
-	// StoreTime is the store's own time as of which the ages in Told count.
+	// StoreTime is the store's own time from which the ages in Evidence count.
 	StoreTime time.Duration   `cbor:"1,keyasint"`
 	Evidence  quarantine.Told `cbor:"2,keyasint"`
 }
 
-// rows keeps the evidence against requests in the store, and grants trials by conditional
-// writes, so that all routers together try each as often as it may be. It is safe for
-// concurrent use.
+// rows stores the evidence against requests, and grants trials by conditional writes, so that
+// their number is bounded over all routers. It is safe for concurrent use.
 type rows struct {
 	table   store.Table
 	timeout time.Duration
 	ledger  *quarantine.Ledger
 
 	mu sync.Mutex
-	// read is true once the rows were read. kept holds those that are there, and for how many
-	// crashes each has the evidence; listedAt is when all of them were asked for last.
+	// read is true once the rows were read. stored has their numbers of crashes; listedAt is
+	// the time of the last list.
 	read     bool
 	stored   map[quarantine.Fingerprint]int
 	listedAt time.Time
 	// epoch is that of the store at the last list.
 	epoch uint64
-	// trialAskedAt is when this router last asked for a trial.
+	// trialAskedAt is when this router last requested a trial.
 	trialAskedAt map[quarantine.Fingerprint]time.Time
 }
 
@@ -73,16 +72,14 @@
 	}
 }
 
-// loaded reports whether the rows were read.
 func (r *rows) loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.read
 }
 
-// outdated returns the requests whose rows lack what they should have, and those that need none
-// any more and have one, as far as this router knows. Who learnt of either first may have ended
-// before it brought the row up to date.
+// outdated returns the requests whose rows lack evidence, and those whose rows are no longer
+// needed. The router that observed it may have ended before it updated the row.
 func (r *rows) outdated() []quarantine.Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,8 +97,8 @@
 	return outdated
 }
 
-// list reads all rows and takes them in. It returns the requests whose rows were removed though
-// there is evidence, and those that are held from now on.
+// list reads and applies all rows. It returns the requests whose rows were removed though there
+// is evidence, and those that are quarantined from now on.
 func (r *rows) list(ctx context.Context) (gone, quarantined []quarantine.Fingerprint, err error) {
 	bounded, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -123,8 +120,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// What a store lacks that came back from an older copy was removed by nobody: it is
-	// written again.
+	// Rows that a restored store lacks were not removed by an operator and are written again.
 	restored := r.read && list.Epoch > r.epoch
 	r.epoch = max(r.epoch, list.Epoch)
 	for request := range before {
@@ -132,7 +128,7 @@
 			continue
 		}
 		delete(r.stored, request)
-		// What needs no row was removed by a router.
+		// A row that was not needed was removed by a router.
 		if r.ledger.ToStore(request) > 0 && !restored {
 			gone = append(gone, request)
 		}
@@ -142,9 +138,8 @@
 	return gone, quarantined, nil
 }
 
-// beginList notes that the rows are asked for, and returns those that this router knows. What a
-// list lacks is gone only if it was known before: a row that is written while the list is on its
-// way is newer.
+// beginList records the start of a list and returns the rows stored before. Only those can be
+// missing in it: a row written during the list is newer.
 func (r *rows) beginList() map[quarantine.Fingerprint]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,8 +147,8 @@
 	return maps.Clone(r.stored)
 }
 
-// relistDue reports whether the rows are to be read again: often while an operator may want to
-// end a quarantine, else as often as evidence that did not suffice is forgotten.
+// relistDue reports whether the rows are to be read again: often while an operator may end a
+// quarantine, otherwise as often as insufficient evidence expires.
 func (r *rows) relistDue(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +159,7 @@
 	return now.Sub(r.listedAt) >= interval
 }
 
-// applyRow takes in a row as of now, the store's time being as told; a list tells none.
+// applyRow merges a row as of now. The storeTime of a list is zero.
 func (r *rows) applyRow(now time.Time, storeTime time.Duration, value *rowValue) []quarantine.Fingerprint {
 	at := now
 	if storeTime > value.StoreTime {
@@ -180,7 +175,7 @@
 		return nil, errors.Wrap(err, "read the row")
 	}
 	if rowKey(value.Evidence.Request) != row.Key {
-		return nil, errors.Errorf("the row tells of the request %s", value.Evidence.Request)
+		return nil, errors.Errorf("the row is that of request %s", value.Evidence.Request)
 	}
 	return &value, nil
 }
@@ -192,18 +187,19 @@
 	return key.String()
 }
 
-// lacksEvidence reports whether the row of a request lacks evidence, as far as this router knows.
+// lacksEvidence reports whether the row of a request lacks evidence, as far as this router has
+// seen.
 func (r *rows) lacksEvidence(request quarantine.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stored[request] < r.ledger.ToStore(request)
 }
 
-// updateAttempts bounds the tries to write one row: routers that saw one crash write the same rows at
-// the same moment, and what another one wrote may have less evidence.
+// updateAttempts bounds the attempts to write one row: routers that observed the same crash
+// write the same rows concurrently.
 const updateAttempts = 4
 
-// update brings the row of a request up to date: it has the evidence while that is to be kept.
+// update writes or removes the row of a request as its evidence requires.
 func (r *rows) update(ctx context.Context, request quarantine.Fingerprint) error {
 	bounded, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -214,7 +210,6 @@
 	return err
 }
 
-// updateOnce tries that once.
 func (r *rows) updateOnce(ctx context.Context, request quarantine.Fingerprint) error {
 	row, found, err := r.table.Read(ctx, rowKey(request))
 	if err != nil {
@@ -240,7 +235,7 @@
 	return r.commit(ctx, &row, write, request, needed)
 }
 
-// storedCrashes returns for how many crashes a row has the evidence, 0 if it cannot be read.
+// storedCrashes returns the number of crashes in a row, 0 if it cannot be decoded.
 func storedCrashes(row *protocol.Row) int {
 	value, err := decodeRow(row)
 	if err != nil {
@@ -254,10 +249,10 @@
 	return protocol.Write{Key: rowKey(evidence.Request), Value: value}, err
 }
 
-// errRowChanged says that another router wrote the row meanwhile.
-var errRowChanged = errors.New("another router wrote the row meanwhile")
+// errRowChanged is returned when another router wrote the row first.
+var errRowChanged = errors.New("another router changed the row")
 
-// commit writes a row on condition that it is as it was read.
+// commit writes a row on condition that it did not change since it was read.
 func (r *rows) commit(ctx context.Context, read *protocol.Row, write protocol.Write, request quarantine.Fingerprint, crashes int) error {
 	result, err := r.table.Commit(ctx, protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: write.Key, Version: read.Version}}, Writes: []protocol.Write{write},
@@ -272,7 +267,7 @@
 	return nil
 }
 
-// recordStored takes in for how many crashes a row has the evidence, 0 if it is not there.
+// recordStored records the number of crashes in a row, 0 if there is none.
 func (r *rows) recordStored(request quarantine.Fingerprint, crashes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -283,8 +278,8 @@
 	delete(r.stored, request)
 }
 
-// acquireTrial asks for the grant of a trial, and returns the number of those granted so far.
-// One whose write has no answer counts as granted to nobody.
+// acquireTrial requests a trial, and returns the number granted so far. One whose write gets no
+// answer counts as used.
 func (r *rows) acquireTrial(ctx context.Context, request quarantine.Fingerprint) (trialResult, int) {
 	if !r.mayAskForTrial(clock.Now(), request) {
 		return trialDenied, 0
@@ -295,7 +290,7 @@
 	if err != nil {
 		return trialFailed, 0
 	}
-	// A verdict that is not kept yet cannot bound the trials of all.
+	// Without a row the trials of all routers are not bounded.
 	if !found {
 		return trialDenied, 0
 	}
@@ -311,7 +306,7 @@
 	return r.grantTrial(bounded, &row, request, value.Evidence.Trials+1)
 }
 
-// mayAskForTrial reports whether this router may ask for a trial now.
+// mayAskForTrial reports whether this router may request a trial now, and records it.
 func (r *rows) mayAskForTrial(now time.Time, request quarantine.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/quarantine/guard/rows_test.go
+++ b/internal/quarantine/guard/rows_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// All routers end as the third back end crashes, before any of them could tell or write that.
-// The request comes again each 4 s: whatever they knew, it may reach back ends three times more.
+// All routers end at the third crash, before any could send or store it. The request is retried
+// every 4 s and may reach at most three more back ends.
 func TestEvidenceSurvivesLossOfAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -31,23 +31,23 @@
 		for _, q := range w.all {
 			q.Load(t.Context(), 0)
 		}
-		late, engine := 0, 3
+		sent, engine := 0, 3
 		for range 60 {
-			q := w.all[late%3]
-			verdict := q.Judge(time.Now(), subject("guilty"))
-			if verdict == nil || (verdict.TrialDue && q.Try(t.Context(), subject("guilty"))) {
-				late++
-				w.crash(late%3, "guilty", engine)
+			q := w.all[sent%3]
+			decision := q.Judge(time.Now(), subject("guilty"))
+			if decision == nil || (decision.TrialDue && q.Try(t.Context(), subject("guilty"))) {
+				sent++
+				w.crash(sent%3, "guilty", engine)
 				engine++
 			}
 			time.Sleep(4 * time.Second)
 		}
-		is.True(late <= 3)
+		is.True(sent <= 3)
 	})
 }
 
-// Two routers each saw one crash, and the second did not hear of the first until it told of its
-// own. The row is there at once, though the router that keeps the rows hears of nothing.
+// Two routers each observed one crash, and the second got the evidence of the first late. The
+// row is stored at once although the router that maintains the rows gets no updates.
 func TestMergedEvidenceIsStoredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -62,8 +62,8 @@
 	})
 }
 
-// Routers that saw the same crashes write the same rows at the same moment. One that finds a row
-// changed goes on with it and with the others.
+// Routers that observed the same crashes write the same rows concurrently. A conflict is
+// retried and does not block the other rows.
 func TestConflictDoesNotBlockOtherRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -84,7 +84,7 @@
 	})
 }
 
-// The row of evidence that did not suffice goes once a success wipes it, or once it is forgotten.
+// The row is removed once a success clears the evidence or once it expires.
 func TestRowOfInsufficientEvidenceIsRemoved(t *testing.T) {
 	tests := []struct {
 		name string
@@ -128,7 +128,7 @@
 	})
 }
 
-// A row that a store lacks which came back from an older copy was removed by nobody.
+// A row missing in a restored store was not removed by an operator.
 func TestRestoredStoreReleasesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -165,7 +165,7 @@
 	})
 }
 
-// A row that was written, and met by a trial, after the rows were listed was not removed by an
+// A row that was written after the rows were listed, and used by a trial, was not removed by an
 // operator.
 func TestRowNewerThanListReleasesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -175,19 +175,19 @@
 		w.crash(1, "guilty", 0, 1, 2)
 		time.Sleep(11 * time.Second)
 		var granted atomic.Bool
-		meanwhile := func() {
+		duringList := func() {
 			w.table.down.Store(false)
 			is.NoErr(w.all[1].rows.update(t.Context(), subject("guilty").Fingerprint()))
 			granted.Store(w.all[0].Try(t.Context(), subject("guilty")))
 		}
-		w.table.listed.Store(&meanwhile)
+		w.table.listed.Store(&duringList)
 		time.Sleep(6 * time.Second)
 		is.True(granted.Load())
 		is.Equal(w.quarantinedAt("guilty"), 2)
 	})
 }
 
-// A row that cannot be read is passed over; the others hold.
+// An unreadable row must not hide the others.
 func TestUnreadableRowIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -208,8 +208,7 @@
 	})
 }
 
-// A router that reads the store itself, and was cut off while others learnt of a request, hears
-// of it when it is back.
+// A router that was cut off during a quarantine gets it from the rows.
 func TestIsolatedRouterReloadsRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -225,8 +224,7 @@
 	})
 }
 
-// A router that ends right after it learnt that a request is innocent leaves a row behind,
-// which the router that keeps the rows removes.
+// A router that ends right after a success leaves the row behind.
 func TestLeftoverRowIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/quarantine/guard/table_test.go
+++ b/internal/quarantine/guard/table_test.go
@@ -12,7 +12,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/storetest"
 )
 
-// sharedRows are the rows that all routers of a test read and write.
+// sharedRows are the rows of all routers of a test.
 type sharedRows struct {
 	mu      sync.Mutex
 	started time.Time
@@ -27,22 +27,19 @@
 	change()
 }
 
-// count returns the number of rows.
 func (s *sharedRows) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.Current)
 }
 
-// fakeTable is a way to the rows that may be down.
+// fakeTable is a router's access to the rows, which may be down.
 type fakeTable struct {
 	rows *sharedRows
 	down atomic.Bool
-	// listed, if there is one, is called once, between a list that is made although the table is
-	// down and its return.
+	// listed, if set, is called once between a list and its return, even if the table is down.
 	listed atomic.Pointer[func()]
-	// refuse, if there is one, tells writes that are refused as if another router had changed the
-	// row meanwhile.
+	// refuse, if set, selects writes that fail as if another router had changed the row.
 	refuse func(key string) bool
 }
 
--- a/internal/quarantine/guard/updates.go
+++ b/internal/quarantine/guard/updates.go
@@ -8,18 +8,16 @@
 )
 
 const (
-	// updateInterval is the time between two tellings of the same news, updateCopies how often it
-	// is told: with three datagrams in ten lost, one router in 120 misses it, and has it by
-	// the next pull if the request is held.
+	// updateInterval is the time between two copies of an update; updateCopies is their number,
+	// since datagrams may be lost. Evidence on quarantined requests is also pulled.
 	updateInterval = 250 * time.Millisecond
 	updateCopies   = 4
-	// maxPerDatagram bounds the requests told in one datagram, which takes 251 bytes for each at
-	// most, maxPerUpdate the requests told at once.
+	// maxPerDatagram bounds the requests in one datagram, maxPerUpdate those in one update.
 	maxPerDatagram = 10
 	maxPerUpdate   = 200
 )
 
-// Take takes in what another router told as of a time, and returns what that one lacks.
+// Take merges evidence from another router as of a time, and returns what that router lacks.
 func (g *Guard) Take(at time.Time, evidence []quarantine.Told) (missing []quarantine.Told) {
 	if g == nil || len(evidence) == 0 {
 		return nil
@@ -36,15 +34,15 @@
 	return missing
 }
 
-// hasUpdates reports whether news of a request are still to be told by this router.
+// hasUpdates reports whether evidence on a request is still to be sent by this router.
 func (g *Guard) hasUpdates(request quarantine.Fingerprint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.updates[request] > 0
 }
 
-// recordPeerCrashes books crashes of which another router told as of a time on the requests that
-// were given up here at the same lives.
+// recordPeerCrashes counts crashes observed by another router against the requests abandoned
+// here at the same incarnations.
 func (g *Guard) recordPeerCrashes(at time.Time, evidence []quarantine.Told) {
 	for _, one := range evidence {
 		for _, crash := range one.Crashes {
@@ -59,7 +57,7 @@
 	}
 }
 
-// Digest names what is known of requests that are held.
+// Digest returns a hash of the evidence on quarantined requests.
 func (g *Guard) Digest() uint64 {
 	if g == nil {
 		return 0
@@ -67,7 +65,8 @@
 	return g.ledger.Digest()
 }
 
-// ToldSince returns what a peer is told that knows something of requests that are held.
+// ToldSince returns the evidence on quarantined requests for a peer with a digest, nil if the
+// digests agree.
 func (g *Guard) ToldSince(now time.Time, digest uint64) []quarantine.Told {
 	if g.ledger.Digest() == digest {
 		return nil
@@ -76,7 +75,7 @@
 	return evidence[:min(len(evidence), maxPerUpdate)]
 }
 
-// announce tells all other routers what is known of requests, and again some times.
+// announce sends the evidence on requests to all other routers, updateCopies times.
 func (g *Guard) announce(requests ...quarantine.Fingerprint) {
 	g.mu.Lock()
 	for _, request := range requests {
@@ -88,7 +87,6 @@
 	g.sendUpdates(requests)
 }
 
-// sendUpdates sends what is known of requests.
 func (g *Guard) sendUpdates(requests []quarantine.Fingerprint) {
 	now := clock.Now()
 	var part []quarantine.Told
@@ -106,7 +104,7 @@
 	}
 }
 
-// repeatUpdates tells the news once more that were not told often enough.
+// repeatUpdates sends the updates again that were not sent often enough.
 func (g *Guard) repeatUpdates() {
 	g.mu.Lock()
 	var due []quarantine.Fingerprint
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -10,49 +10,47 @@
 )
 
 const (
-	// crashesToQuarantine is the number of lives of back ends that must have crashed under a
-	// request before it is held. Fewer would hold innocent ones: while 18 engines crashed again
-	// and again, 75 of 314 requests of one route broke off within 8 s (record of a deployment),
-	// and clients try these again.
+	// crashesToQuarantine is the number of incarnations that must have crashed while they ran a
+	// request before it is quarantined. Fewer would quarantine innocent requests where engines
+	// crash for other reasons.
 	crashesToQuarantine = 3
-	// crashesToStore is the number from which on the evidence is to outlive all routers: one
-	// more crash completes it, and whoever saw that may have no time to write it down.
+	// crashesToStore is the number from which on the evidence is stored: the router that
+	// observes the next crash may have no time to store it.
 	crashesToStore = crashesToQuarantine - 1
-	// SuccessTTL is how long after a success crashes are no evidence: a request that was just
-	// answered does not crash each back end that runs it. An often asked prompt is answered
-	// several times in that span.
+	// SuccessTTL is the time after a success during which crashes are no evidence: a request
+	// that was just answered does not crash each back end that runs it.
 	SuccessTTL = 10 * time.Second
-	// propagationTime is how long all routers have to learn that a request is held; crashes after
-	// that count like trials.
+	// propagationTime is the time after which all routers have a quarantine; later crashes
+	// count as trials.
 	propagationTime = 3 * time.Second
-	// suspectTTL is how long evidence is kept that did not suffice.
+	// suspectTTL is how long evidence is kept that does not suffice.
 	suspectTTL = 10 * time.Minute
-	// maxSuspects bounds the requests known; each takes some 500 bytes, by the sizes of its
-	// fields.
+	// maxSuspects bounds the number of suspects.
 	maxSuspects = 2048
-	// maxCrashes bounds the crashes kept for each, the newest.
+	// maxCrashes is the number of the newest crashes kept for each suspect.
 	maxCrashes = 6
 )
 
-// Crash is the end of a life that a request ran on.
+// Crash is the crash of an incarnation that ran a request.
 type Crash struct {
 	Life ident.Incarnation
 	At   time.Time
 }
 
-// suspect is what is known of one request.
+// suspect is the evidence on one request.
 type suspect struct {
 	crashes []Crash
-	// clearedAt is when it was last known to be answered, zero if never.
+	// clearedAt is the time of the last success or release, zero if none.
 	clearedAt time.Time
-	// trials counts those that were granted after it was held, the last one at trialAt.
+	// trials counts those granted in quarantine, the last one at trialAt.
 	trials  int
 	trialAt time.Time
-	// reported is true once the caller was told that it is held.
+	// reported is true once the caller got the request as quarantined.
 	reported bool
 }
 
-// countedCrashes returns the crashes that no success explains, in order of time.
+// countedCrashes returns the crashes after the last success and its SuccessTTL, in order of
+// time.
 func (s *suspect) countedCrashes() []Crash {
 	if s.clearedAt.IsZero() {
 		return s.crashes
@@ -67,8 +65,7 @@
 
 func (s *suspect) quarantined() bool { return len(s.countedCrashes()) >= crashesToQuarantine }
 
-// toStore returns for how many crashes the evidence is to be kept. What is beyond a verdict
-// changes nothing that must be known.
+// toStore returns the number of crashes to store. More than a quarantine needs add nothing.
 func (s *suspect) toStore() int {
 	count := len(s.countedCrashes())
 	if count < crashesToStore {
@@ -77,7 +74,7 @@
 	return min(count, crashesToQuarantine)
 }
 
-// add takes in a crash. A life ends once, when the first router saw it.
+// add adds a crash. Of two reports on one incarnation the earlier one counts.
 func (s *suspect) add(crash Crash) {
 	index := slices.IndexFunc(s.crashes, func(known Crash) bool { return known.Life == crash.Life })
 	switch {
@@ -94,7 +91,7 @@
 	}
 }
 
-// clear takes in that the request was answered at a time. Trials from before count no more.
+// clear records a success. Earlier trials count no more.
 func (s *suspect) clear(at time.Time) {
 	if !at.After(s.clearedAt) {
 		return
@@ -106,14 +103,14 @@
 	s.reported = s.reported && s.quarantined()
 }
 
-// recordTrials takes in the trials that were granted, the last one at a time.
+// recordTrials sets the number of trials granted, the last one at a time.
 func (s *suspect) recordTrials(trials int, at time.Time) {
 	if trials > s.trials && at.After(s.clearedAt) {
 		s.trials, s.trialAt = trials, at
 	}
 }
 
-// changedAt is when the newest thing became known.
+// changedAt returns the time of the newest evidence.
 func (s *suspect) changedAt() time.Time {
 	newest := s.clearedAt
 	for _, crash := range s.crashes {
@@ -124,26 +121,26 @@
 	return newest
 }
 
-// Ledger holds the evidence against requests, and what speaks for them. What several routers
-// know merges to the same state in any order. It is a state machine without I/O or clock,
-// and safe for concurrent use.
+// Ledger has the evidence for and against requests. Evidence of several routers merges to the
+// same state in any order. It is a state machine without I/O or clock, and safe for concurrent
+// use.
 type Ledger struct {
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
 }
 
-// NewLedger returns a ledger that knows no request.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{suspects: make(map[Fingerprint]*suspect)} }
 
-// Empty reports whether no request is known, so that no fingerprint needs to be made.
+// Empty reports whether there are no suspects, so that no fingerprint needs to be computed.
 func (l *Ledger) Empty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.suspects) == 0
 }
 
-// Crashed takes in that a life ended at a time that requests ran on, and returns those that
-// are held from now on.
+// RecordCrash records the crash of an incarnation that ran requests, and returns those that are
+// quarantined from now on.
 func (l *Ledger) RecordCrash(at time.Time, incarnation ident.Incarnation, requests []Fingerprint) (quarantined []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,8 +151,8 @@
 	return quarantined
 }
 
-// Answered takes in a whole success at a time, and reports whether that is news: there was
-// evidence against the request that it wipes. held says that the request was held.
+// RecordSuccess records a success and reports whether it changed the evidence, and whether it
+// released the request.
 func (l *Ledger) RecordSuccess(at time.Time, request Fingerprint) (changed, released bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,7 +166,7 @@
 	return len(known.countedCrashes()) < before, released && !known.quarantined()
 }
 
-// Release takes back a verdict by order of an operator. Crashes from now on count.
+// Release ends a quarantine by order of an operator. Later crashes count.
 func (l *Ledger) Release(now time.Time, request Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,8 +175,8 @@
 	}
 }
 
-// RecordTrials takes in the number of trials of a held request that were granted, the last one at
-// a time.
+// RecordTrials sets the number of trials granted for a quarantined request, the last one at a
+// time.
 func (l *Ledger) RecordTrials(request Fingerprint, trials int, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,8 +185,8 @@
 	}
 }
 
-// ToStore returns for how many crashes under a request a place that outlives all routers is to
-// have the evidence, 0 if it is to have none.
+// ToStore returns the number of crashes under a request whose evidence the store is to have, 0
+// if none.
 func (l *Ledger) ToStore(request Fingerprint) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -213,7 +210,7 @@
 	return all
 }
 
-// Counts returns the number of requests that are held, and of all that are known.
+// Counts returns the number of quarantined requests and of all suspects.
 func (l *Ledger) Counts() (quarantined, suspects int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,7 +222,7 @@
 	return quarantined, len(l.suspects)
 }
 
-// reportOnce adds a request to those that are newly held; the caller holds the mutex.
+// reportOnce appends a newly quarantined request; the mutex is held.
 func (l *Ledger) reportOnce(request Fingerprint, quarantined []Fingerprint) []Fingerprint {
 	known := l.suspects[request]
 	if known == nil || known.reported || !known.quarantined() {
@@ -235,7 +232,7 @@
 	return append(quarantined, request)
 }
 
-// suspectOf returns the suspect of a request, making room for it; the caller holds the mutex.
+// suspectOf returns the suspect of a request, created if there is none; the mutex is held.
 func (l *Ledger) suspectOf(now time.Time, request Fingerprint) *suspect {
 	if known := l.suspects[request]; known != nil {
 		return known
@@ -248,7 +245,7 @@
 	return made
 }
 
-// evict drops what is old or, if nothing is, the request with the least evidence.
+// evict drops old suspects or, if there are none, the one with the least evidence.
 func (l *Ledger) evict(now time.Time) {
 	l.forget(now)
 	if len(l.suspects) < maxSuspects {
@@ -272,7 +269,7 @@
 	return a.changedAt().Before(b.changedAt())
 }
 
-// Forget drops requests that are not held and of which nothing was heard for long.
+// Forget drops suspects that are not quarantined and without recent evidence.
 func (l *Ledger) Forget(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -21,10 +21,10 @@
 
 func incarnation(number int) ident.Incarnation { return ident.Incarnation(fmt.Sprint("e", number)) }
 
-// event is something that happens to request 0 some seconds after the begin.
+// event is an event on request 0, in seconds after startTime.
 type event struct {
 	at float64
-	// crashed names the life that ended, 0 none.
+	// crashed is the number of the incarnation that crashed, 0 for none.
 	crashed  int
 	answered bool
 	released bool
@@ -48,9 +48,9 @@
 	crash := func(at float64, life int) event { return event{at: at, crashed: life} }
 	answered := func(at float64) event { return event{at: at, answered: true} }
 	tests := []struct {
-		name   string
-		events []event
-		held   bool
+		name        string
+		events      []event
+		quarantined bool
 	}{
 		{"nothing", nil, false},
 		{"two crashes", []event{crash(1, 1), crash(2, 2)}, false},
@@ -61,21 +61,21 @@
 		{"an answer before", []event{crash(1, 1), answered(2), crash(3, 2), crash(4, 3), crash(5, 4)}, false},
 		{"an answer long before", []event{crash(1, 1), answered(2), crash(13, 2), crash(14, 3), crash(15, 4)}, true},
 		{"an answer after", []event{crash(1, 1), crash(1, 2), crash(1, 3), answered(1.2)}, false},
-		{"lifted by an operator", []event{crash(1, 1), crash(2, 2), crash(3, 3), {at: 4, released: true}}, false},
-		{"lifted wrongly", []event{crash(1, 1), crash(2, 2), crash(3, 3), {at: 4, released: true}, crash(5, 4), crash(6, 5), crash(7, 6)}, true},
+		{"released by an operator", []event{crash(1, 1), crash(2, 2), crash(3, 3), {at: 4, released: true}}, false},
+		{"released wrongly", []event{crash(1, 1), crash(2, 2), crash(3, 3), {at: 4, released: true}, crash(5, 4), crash(6, 5), crash(7, 6)}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			ledger := quarantine.NewLedger()
 			apply(ledger, tt.events)
-			is.Equal(ledger.Check(startTime.Add(time.Minute), fingerprint(0)) != nil, tt.held)
+			is.Equal(ledger.Check(startTime.Add(time.Minute), fingerprint(0)) != nil, tt.quarantined)
 			is.True(ledger.Check(startTime.Add(time.Minute), fingerprint(1)) == nil)
 		})
 	}
 }
 
-// What routers know merges to the same verdict in any order, however often it is told.
+// Evidence merges to the same decision in any order, however often it is received.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	now := startTime.Add(20 * time.Second)
@@ -87,23 +87,23 @@
 		}
 		whole := quarantine.NewLedger()
 		apply(whole, all)
-		var told []quarantine.Told
+		var evidence []quarantine.Told
 		for _, e := range all {
 			one := quarantine.NewLedger()
 			apply(one, []event{{at: e.at, crashed: e.crashed}})
 			if e.answered {
 				apply(one, []event{e})
 			}
-			tell, _ := one.Evidence(now, fingerprint(0))
+			single, _ := one.Evidence(now, fingerprint(0))
 			if e.answered {
-				tell.Crashes = nil
+				single.Crashes = nil
 			}
-			told = append(told, tell, tell)
+			evidence = append(evidence, single, single)
 		}
 		merged := []*quarantine.Ledger{quarantine.NewLedger(), quarantine.NewLedger()}
 		for _, ledger := range merged {
-			random.Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
-			ledger.Merge(now, told)
+			random.Shuffle(len(evidence), func(i, j int) { evidence[i], evidence[j] = evidence[j], evidence[i] })
+			ledger.Merge(now, evidence)
 		}
 		a, b := merged[0].Check(now, fingerprint(0)), merged[1].Check(now, fingerprint(0))
 		is.Equal(a != nil, b != nil)
@@ -129,8 +129,8 @@
 	is.Equal(at(1e6).RetryAfter, quarantine.QuarantinedRetryAfter)
 }
 
-// A router that was cut off may send the request after all others learnt of it: that is one
-// of the few sendings there may be.
+// A crash after all routers got the quarantine comes from a router that was cut off, and uses
+// up a trial.
 func TestLateCrashesCountAsTrials(t *testing.T) {
 	is := is.New(t)
 	ledger := quarantine.NewLedger()
@@ -143,12 +143,12 @@
 	one, two := quarantine.NewLedger(), quarantine.NewLedger()
 	apply(one, []event{{at: 1, crashed: 1}, {at: 2, crashed: 2}})
 	apply(two, []event{{at: 3, crashed: 3}})
-	told, _ := two.Evidence(startTime.Add(4*time.Second), fingerprint(0))
-	_, more := one.Merge(startTime.Add(4*time.Second), []quarantine.Told{told})
+	evidence, _ := two.Evidence(startTime.Add(4*time.Second), fingerprint(0))
+	_, more := one.Merge(startTime.Add(4*time.Second), []quarantine.Told{evidence})
 	is.Equal(len(more), 1)
-	told, _ = one.Evidence(startTime.Add(4*time.Second), fingerprint(0))
-	held, more := two.Merge(startTime.Add(4*time.Second), []quarantine.Told{told})
-	is.Equal(len(held), 1)
+	evidence, _ = one.Evidence(startTime.Add(4*time.Second), fingerprint(0))
+	quarantined, more := two.Merge(startTime.Add(4*time.Second), []quarantine.Told{evidence})
+	is.Equal(len(quarantined), 1)
 	is.Equal(len(more), 0)
 }
 
@@ -159,12 +159,12 @@
 	for number := range 10_000 {
 		ledger.RecordCrash(startTime.Add(time.Second), incarnation(4), []quarantine.Fingerprint{fingerprint(1 + number)})
 	}
-	held, suspects := ledger.Counts()
-	is.Equal(held, 1)
+	quarantined, suspects := ledger.Counts()
+	is.Equal(quarantined, 1)
 	is.Equal(suspects, 2048)
 	ledger.Forget(startTime.Add(time.Hour))
-	held, suspects = ledger.Counts()
-	is.Equal(held, 1)
+	quarantined, suspects = ledger.Counts()
+	is.Equal(quarantined, 1)
 	is.Equal(suspects, 1)
 }
 
@@ -172,25 +172,25 @@
 	is := is.New(t)
 	successes := quarantine.NewSuccesses()
 	now := time.Now().Add(time.Millisecond)
-	asked := &quarantine.Identity{Tenant: "t", Target: "/x", Body: []byte("hot")}
-	_, found := successes.Last(now, asked)
+	request := &quarantine.Identity{Tenant: "t", Target: "/x", Body: []byte("hot")}
+	_, found := successes.Last(now, request)
 	is.True(!found)
-	successes.Add(now, asked)
-	at, found := successes.Last(now.Add(9*time.Second), asked)
+	successes.Add(now, request)
+	at, found := successes.Last(now.Add(9*time.Second), request)
 	is.True(found)
 	is.Equal(at.Sub(now), time.Duration(0))
-	_, found = successes.Last(now.Add(11*time.Second), asked)
+	_, found = successes.Last(now.Add(11*time.Second), request)
 	is.True(!found)
 	_, found = successes.Last(now, &quarantine.Identity{Tenant: "u", Target: "/x", Body: []byte("hot")})
 	is.True(!found)
 }
 
-// A verdict is read while further crashes are told, which are sorted in.
+// A decision is read concurrently with Merge, which sorts in further crashes.
 func TestDecisionIsNotChangedByLaterCrashes(t *testing.T) {
 	is := is.New(t)
 	ledger := quarantine.NewLedger()
 	apply(ledger, []event{{at: 3, crashed: 1}, {at: 4, crashed: 2}, {at: 5, crashed: 3}, {at: 6, crashed: 4}, {at: 7, crashed: 5}, {at: 8, crashed: 6}})
-	verdict := ledger.Check(startTime.Add(time.Minute), fingerprint(0))
+	decision := ledger.Check(startTime.Add(time.Minute), fingerprint(0))
 	apply(ledger, []event{{at: 2, crashed: 6}})
-	is.Equal(verdict.Crashes[0].Life, incarnation(1))
+	is.Equal(decision.Crashes[0].Life, incarnation(1))
 }
--- a/internal/quarantine/subject.go
+++ b/internal/quarantine/subject.go
@@ -1,7 +1,7 @@
 package quarantine
 
-// Subject is a request that is being judged. Its fingerprint is made when it is first asked
-// for. It is not safe for concurrent use.
+// Subject is a request to be checked, with its fingerprint computed on first use. It is not
+// safe for concurrent use.
 type Subject struct {
 	Identity
 	fingerprint Fingerprint
--- a/internal/quarantine/successes.go
+++ b/internal/quarantine/successes.go
@@ -6,13 +6,11 @@
 	"time"
 )
 
-// successSlots is the number of requests remembered, one in each slot: at 100 answers a second
-// one in nine is overwritten by another one within SuccessTTL. They take 128 kB.
+// successSlots is the number of requests remembered, one in each slot.
 const successSlots = 8192
 
-// Successes remembers which requests were lately answered. A keyed hash stands for a request:
-// no client can aim it, and it takes 4.6 us where a fingerprint takes 31 us, for a body of
-// 36 kB (BenchmarkIdentity). It is safe for concurrent use.
+// Successes remembers recently answered requests by a keyed hash, which no client can aim at
+// and which is cheaper than a fingerprint. It is safe for concurrent use.
 type Successes struct {
 	seed  maphash.Seed
 	epoch time.Time
@@ -21,17 +19,17 @@
 	slots [successSlots]success
 }
 
-// success is the last answer to a request.
+// success is the last success of a request.
 type success struct {
 	key uint64
 	// at is the time since the epoch.
 	at time.Duration
 }
 
-// NewSuccesses returns a memory without any.
+// NewSuccesses returns an empty Successes.
 func NewSuccesses() *Successes { return &Successes{seed: maphash.MakeSeed(), epoch: time.Now()} }
 
-// Add takes in that a request was answered.
+// Add records the success of a request.
 func (s *Successes) Add(now time.Time, request *Identity) {
 	key := request.key(s.seed)
 	s.mu.Lock()
@@ -39,7 +37,7 @@
 	s.slots[key%successSlots] = success{key: key, at: now.Sub(s.epoch)}
 }
 
-// Last returns when a request was answered last, if it was within SuccessTTL.
+// Last returns the time of the last success of a request, if it was within SuccessTTL.
 func (s *Successes) Last(now time.Time, request *Identity) (at time.Time, found bool) {
 	key := request.key(s.seed)
 	s.mu.Lock()
@@ -49,7 +47,7 @@
 	return at, slot.key == key && slot.at > 0 && now.Sub(at) <= SuccessTTL
 }
 
-// key returns the keyed hash of what makes two requests the same one.
+// key returns the keyed hash of the identity.
 func (i *Identity) key(seed maphash.Seed) uint64 {
 	var digest maphash.Hash
 	digest.SetSeed(seed)
