--- a/internal/node/backendlimits.go
+++ b/internal/node/backendlimits.go
@@ -54,18 +54,18 @@
 	for place := range b.places {
 		cfg := quota.Config{
 			Self: self, Bounds: quota.Bounds{Window: limitWindow, Unit: 1}, Place: place, HelloInterval: limitHello,
-			Alone: !self.IsValid(),
+			Standalone: !self.IsValid(),
 		}
 		b.places[place] = newQuotas(cfg, &quotas{
 			name: "back ends", send: func(quota.Envelope) {}, routers: routers,
-			count: func(*quota.Claim, quota.Verdict) {},
+			count: func(*quota.Reservation, quota.Result) {},
 		})
 	}
 	return b
 }
 
 // connect sends messages by the socket of this router.
-func (b *backendLimits) connect(announcer *notices) {
+func (b *backendLimits) connect(announcer *notifier) {
 	for place, pool := range b.places {
 		pool.send = func(envelope quota.Envelope) {
 			message := limitMessage{Place: uint8(place), Quota: *quota.Pack(envelope.Message)}
@@ -93,24 +93,24 @@
 	return int(xxhash.Sum64String(string(instance)) % limitPlaces)
 }
 
-// Take implements forward.BackendLimits.
-func (b *backendLimits) Take(ctx context.Context, choice *backend.Choice, preferred bool) quota.Verdict {
+// Acquire implements forward.BackendLimits.
+func (b *backendLimits) Acquire(ctx context.Context, choice *backend.Choice, preferred bool) quota.Result {
 	pool := b.places[placeOf(choice.Instance)]
-	verdict := pool.Take(ctx, quota.Claim{
+	verdict := pool.Acquire(ctx, quota.Reservation{
 		Subject: quota.Subject(choice.Instance), Limit: quota.Limit{Rate: choice.Limit.Rate}, Version: choice.Limit.Sequence,
 		Amount: 1, Preferred: preferred,
 	})
 	b.metrics.limitClaims.WithLabelValues(verdictName(verdict)).Inc()
 	if _, unconfirmed := verdict.(quota.Unconfirmed); !unconfirmed && pool.shared() {
 		// Others keep to the limit as well: an answer that ends it would have been told.
-		b.backends.LimitConfirmed(clock.Now(), choice.Instance)
+		b.backends.ConfirmLimit(clock.Now(), choice.Instance)
 	}
 	return verdict
 }
 
-// Return implements forward.BackendLimits.
-func (b *backendLimits) Return(to ident.Incarnation, grant quota.Grant) {
-	b.places[placeOf(to)].Return(grant)
+// Release implements forward.BackendLimits.
+func (b *backendLimits) Release(to ident.Incarnation, grant quota.Grant) {
+	b.places[placeOf(to)].Release(grant)
 }
 
 // wake joins the pool for a back end at once, so that it is formed when requests come.
@@ -123,7 +123,7 @@
 func (b *backendLimits) run(ctx context.Context) {
 	wait.Every(ctx, quotaTick, func() {
 		var limited [limitPlaces]bool
-		for _, instance := range b.backends.Limited(clock.Now()) {
+		for _, instance := range b.backends.LimitedInstances(clock.Now()) {
 			limited[placeOf(instance)] = true
 		}
 		for place, pool := range b.places {
@@ -145,7 +145,7 @@
 }
 
 // verdictName is the name of a verdict in metrics.
-func verdictName(verdict quota.Verdict) string {
+func verdictName(verdict quota.Result) string {
 	switch verdict.(type) {
 	case quota.Granted:
 		return "granted"
--- a/internal/node/director.go
+++ b/internal/node/director.go
@@ -14,7 +14,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// lookBack is how long before a read an order is taken to have been written that nobody
+// checkHistory is how long before a read an order is taken to have been written that nobody
 // looked for before: a router is supplied by others within this time after its start.
 const lookBack = 3 * time.Second
 
@@ -82,9 +82,9 @@
 // can have been there.
 func (d *directing) observe(now time.Time, rollouts *knownRollouts, engines []backend.Record, routers []netip.AddrPort) {
 	origin := rollouts.readAt.Add(-rollouts.storeTime)
-	if newest := rollouts.newest(); newest > d.newest {
+	if newest := rollouts.newestRevision(); newest > d.newest {
 		d.newest = newest
-		absent := rollouts.absent
+		absent := rollouts.absentAt
 		if absent == 0 {
 			absent = max(rollouts.storeTime-lookBack, 0)
 		}
--- a/internal/node/leaveagain_test.go
+++ b/internal/node/leaveagain_test.go
@@ -33,8 +33,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
-		z.guard = func(_ context.Context, running *zoneRouter) {
-			running.follower.roster.table = &refusedOnce{fakeStore: z.store}
+		z.beforeStart = func(_ context.Context, running *zoneRouter) {
+			running.follower.routerList.table = &refusedOnce{fakeStore: z.store}
 		}
 		z.start(t.Context(), "a")
 		time.Sleep(time.Second)
@@ -44,7 +44,7 @@
 		leave, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		z.kill("b")
-		stopping.follower.roster.leave(leave)
+		stopping.follower.routerList.leave(leave)
 		time.Sleep(time.Minute)
 		if routers := z.routers["a"].follower.replica.Routers(); routers != 1 {
 			t.Errorf("%d routers are counted a minute after the other one has ended", routers)
--- a/internal/node/limitfleet_test.go
+++ b/internal/node/limitfleet_test.go
@@ -167,15 +167,15 @@
 func (f *limitFleet) answer(router int, engine *limitedEngine) *forward.Reply {
 	reply := &forward.Reply{
 		Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n")),
-		Verdict: forward.Genuine, Said: backend.Said{Limit: f.told(router, engine)},
+		Execution: forward.Genuine, Advertised: backend.Advertised{Limit: f.told(router, engine)},
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	reply.Said.Leaving = engine.leaving
+	reply.Advertised.Draining = engine.leaving
 	if rand.Float64() < engine.refuses {
-		reply.Status, reply.Verdict, reply.Said.Rest = http.StatusServiceUnavailable, forward.NotExecuted, engine.rest
+		reply.Status, reply.Execution, reply.Advertised.Backoff = http.StatusServiceUnavailable, forward.NotExecuted, engine.rest
 	}
-	engine.answers = append(engine.answers, fleetAnswer{router: router, at: time.Now(), leaving: engine.leaving, rest: reply.Said.Rest})
+	engine.answers = append(engine.answers, fleetAnswer{router: router, at: time.Now(), leaving: engine.leaving, rest: reply.Advertised.Backoff})
 	return reply
 }
 
@@ -190,7 +190,7 @@
 }
 
 // told returns the limit that an answer to a router names.
-func (f *limitFleet) told(router int, engine *limitedEngine) backend.ToldLimit {
+func (f *limitFleet) told(router int, engine *limitedEngine) backend.AdvertisedLimit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if engine.rate == unlimited {
@@ -259,7 +259,7 @@
 	id := ident.NewUnique()
 	forwarder.Forward(ctx, &forward.Request{
 		ID: ident.Request(id), Method: http.MethodPost, Target: "/x", Path: "/x", Host: "h", Header: http.Header{}, Body: []byte(id),
-		Wait: 4 * time.Second, ReceivedAt: begun,
+		ClientTimeout: 4 * time.Second, ReceivedAt: begun,
 		Prompt: &forward.Prompt{Model: model, Parts: []forward.Part{{ID: string(id), Tokens: 10}}},
 	}, sink)
 	l.mu.Lock()
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -150,14 +150,14 @@
 		m.release(step)
 		m.distances.WithLabelValues(step.Choice.Distance.String()).Inc()
 	}
-	if step.Kind == forward.StepSent && step.Choice.Instead != backend.NotPassedOver {
-		m.elsewhere.WithLabelValues(string(step.Choice.Instead)).Inc()
+	if step.Kind == forward.StepSent && step.Choice.FasterSkip != backend.SkipNone {
+		m.elsewhere.WithLabelValues(string(step.Choice.FasterSkip)).Inc()
 	}
 	switch step.Kind {
-	case forward.StepRepeatGranted:
-		m.repeats.WithLabelValues(string(step.Repeat.Service), "granted").Inc()
-	case forward.StepRepeatDenied:
-		m.repeats.WithLabelValues(string(step.Repeat.Service), "denied").Inc()
+	case forward.StepRetryGranted:
+		m.repeats.WithLabelValues(string(step.Retry.Service), "granted").Inc()
+	case forward.StepRetryDenied:
+		m.repeats.WithLabelValues(string(step.Retry.Service), "denied").Inc()
 	}
 	if !ends[step.Kind] {
 		return
@@ -171,13 +171,13 @@
 
 // release counts an attempt by the release of its back end while releases are bounded.
 func (m *metrics) release(step *forward.Step) {
-	if choice := &step.Choice; choice.Releases.Bounded() {
+	if choice := &step.Choice; choice.Releases.Restricted() {
 		m.releaseAttempts.WithLabelValues(string(choice.Service), string(choice.Release), step.Outcome.String()).Inc()
 	}
 }
 
 // tenantClaim counts a claim on the limit of a tenant.
-func (m *metrics) tenantClaim(claim *quota.Claim, verdict quota.Verdict) {
+func (m *metrics) tenantClaim(claim *quota.Reservation, verdict quota.Result) {
 	counter := m.tenantUnconfirmed
 	switch verdict.(type) {
 	case quota.Granted:
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -22,40 +22,40 @@
 
 var _ forward.Quarantine = (*quarantines)(nil)
 
-// Broke implements forward.Quarantine.
-func (q *quarantines) Broke(now time.Time, request *quarantine.Subject, at backend.Record) {
-	q.Guard.Broke(now, request, q.place(at))
+// ObserveBroken implements forward.Quarantine.
+func (q *quarantines) ObserveBroken(now time.Time, request *quarantine.Subject, at backend.Record) {
+	q.Guard.ObserveBroken(now, request, q.place(at))
 }
 
-// Left implements forward.Quarantine.
-func (q *quarantines) Left(now time.Time, request *quarantine.Subject, at backend.Record) {
-	q.Guard.Left(now, request, q.place(at))
+// ObserveAbandoned implements forward.Quarantine.
+func (q *quarantines) ObserveAbandoned(now time.Time, request *quarantine.Subject, at backend.Record) {
+	q.Guard.ObserveAbandoned(now, request, q.place(at))
 }
 
-// Unreached implements forward.Quarantine.
-func (q *quarantines) Unreached(now time.Time, at backend.Record) {
-	q.Guard.Unreached(now, q.place(at))
+// ObserveUnreachable implements forward.Quarantine.
+func (q *quarantines) ObserveUnreachable(now time.Time, at backend.Record) {
+	q.Guard.ObserveUnreachable(now, q.place(at))
 }
 
 // place returns the life of a back end that a record names.
-func (q *quarantines) place(at backend.Record) guard.Place {
-	return guard.Place{Life: at.Instance, Look: func(ctx context.Context, brokeAt time.Time) guard.Sign {
+func (q *quarantines) place(at backend.Record) guard.Target {
+	return guard.Target{Incarnation: at.Instance, Probe: func(ctx context.Context, brokeAt time.Time) guard.ProbeResult {
 		return q.look(ctx, at, brokeAt)
 	}}
 }
 
 // look asks a back end once what became of its life. While older attempts of this router are open
 // there, its process runs: a crash breaks all connections.
-func (q *quarantines) look(ctx context.Context, at backend.Record, brokeAt time.Time) guard.Sign {
+func (q *quarantines) look(ctx context.Context, at backend.Record, brokeAt time.Time) guard.ProbeResult {
 	_, err := q.engines.Report(ctx, at)
 	switch {
 	case err == nil:
-		return guard.SignAlive
+		return guard.ProbeAlive
 	case errors.Is(err, rollout.ErrOtherInstance):
-		return guard.SignEnded
-	case errors.Is(err, syscall.ECONNREFUSED) && !q.backends.InFlightSince(at.Instance, brokeAt):
-		return guard.SignRefused
+		return guard.ProbeEnded
+	case errors.Is(err, syscall.ECONNREFUSED) && !q.backends.InFlightBefore(at.Instance, brokeAt):
+		return guard.ProbeRefused
 	default:
-		return guard.SignNone
+		return guard.ProbeInconclusive
 	}
 }
--- a/internal/quarantine/decision.go
+++ b/internal/quarantine/decision.go
@@ -21,8 +21,8 @@
 // request is probably guilty, and another crash would break all other requests of the back end.
 var trialPauses = [maxTrials]time.Duration{10 * time.Second, 10 * time.Minute}
 
-// Verdict states why a request may not be sent.
-type Verdict struct {
+// Decision states why a request may not be sent.
+type Decision struct {
 	Request Fingerprint
 	// Crashes are those of incarnations that ran the request, since its last success.
 	Crashes []Crash
@@ -34,19 +34,19 @@
 }
 
 // String returns the reason for the quarantine, as sent to clients.
-func (v *Verdict) String() string {
+func (v *Decision) String() string {
 	return fmt.Sprintf("%d back ends crashed while they ran this request, which has the fingerprint %s", len(v.Crashes), v.Request)
 }
 
 // Check returns the decision on a quarantined request, nil if the request may be sent.
-func (l *Ledger) Check(now time.Time, request Fingerprint) *Verdict {
+func (l *Ledger) Check(now time.Time, request Fingerprint) *Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.suspects[request]
 	if known == nil || !known.quarantined() {
 		return nil
 	}
-	decision := &Verdict{Request: request, Crashes: slices.Clone(known.countedCrashes()), Trials: known.trials, RetryAfter: QuarantinedRetryAfter}
+	decision := &Decision{Request: request, Crashes: slices.Clone(known.countedCrashes()), Trials: known.trials, RetryAfter: QuarantinedRetryAfter}
 	if due, more := known.nextTrial(); more {
 		decision.TrialDue = !now.Before(due)
 		decision.RetryAfter = max(due.Sub(now), minRetryAfter)
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -9,12 +9,12 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Told is the evidence on a request as sent to other routers and stored. Ages count back from
+// Evidence is the evidence on a request as sent to other routers and stored. Ages count back from
 // the time of sending.
-type Told struct {
+type Evidence struct {
 	_       struct{} `cbor:",toarray"`
 	Request Fingerprint
-	Crashes []ToldCrash
+	Crashes []CrashEvidence
 	// Cleared is true if the request succeeded or was released, ClearedAge ago.
 	Cleared    bool
 	ClearedAge time.Duration
@@ -22,36 +22,36 @@
 	TrialAge   time.Duration
 }
 
-// ToldCrash is a crash in Evidence.
-type ToldCrash struct {
-	_    struct{} `cbor:",toarray"`
-	Life ident.Incarnation
-	Age  time.Duration
+// CrashEvidence is a crash in Evidence.
+type CrashEvidence struct {
+	_           struct{} `cbor:",toarray"`
+	Incarnation ident.Incarnation
+	Age         time.Duration
 }
 
 // ToStore returns the number of crashes to store, as Ledger.ToStore does.
-func (t *Told) ToStore() int {
+func (t *Evidence) ToStore() int {
 	merged := NewLedger()
-	merged.Merge(time.Unix(0, 0), []Told{*t})
+	merged.Merge(time.Unix(0, 0), []Evidence{*t})
 	return merged.ToStore(t.Request)
 }
 
 // Evidence returns the evidence on a request; it is false if there is none.
-func (l *Ledger) Evidence(now time.Time, request Fingerprint) (Told, bool) {
+func (l *Ledger) Evidence(now time.Time, request Fingerprint) (Evidence, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.suspects[request]
 	if known == nil {
-		return Told{}, false
+		return Evidence{}, false
 	}
 	return known.evidence(now, request), true
 }
 
 // QuarantinedEvidence returns the evidence on all requests that are or were quarantined.
-func (l *Ledger) QuarantinedEvidence(now time.Time) []Told {
+func (l *Ledger) QuarantinedEvidence(now time.Time) []Evidence {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []Told
+	var all []Evidence
 	for request, known := range l.suspects {
 		if len(known.crashes) >= crashesToQuarantine {
 			all = append(all, known.evidence(now, request))
@@ -77,16 +77,16 @@
 	hash := xxhash.New()
 	_, _ = hash.Write(request[:])
 	for _, crash := range s.crashes {
-		_, _ = fmt.Fprint(hash, crash.Life, ";")
+		_, _ = fmt.Fprint(hash, crash.Incarnation, ";")
 	}
 	_, _ = fmt.Fprint(hash, s.trials, s.quarantined())
 	return hash.Sum64()
 }
 
-func (s *suspect) evidence(now time.Time, request Fingerprint) Told {
-	evidence := Told{Request: request, Trials: s.trials}
+func (s *suspect) evidence(now time.Time, request Fingerprint) Evidence {
+	evidence := Evidence{Request: request, Trials: s.trials}
 	for _, crash := range s.crashes {
-		evidence.Crashes = append(evidence.Crashes, ToldCrash{Life: crash.Life, Age: now.Sub(crash.At)})
+		evidence.Crashes = append(evidence.Crashes, CrashEvidence{Incarnation: crash.Incarnation, Age: now.Sub(crash.At)})
 	}
 	if !s.clearedAt.IsZero() {
 		evidence.Cleared, evidence.ClearedAge = true, now.Sub(s.clearedAt)
@@ -99,13 +99,13 @@
 
 // Merge adds evidence as of a time. It returns the requests that are quarantined from now on,
 // and those on which this ledger has more evidence than was received.
-func (l *Ledger) Merge(at time.Time, all []Told) (quarantined, more []Fingerprint) {
+func (l *Ledger) Merge(at time.Time, all []Evidence) (quarantined, more []Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, evidence := range all {
 		known := l.suspectOf(at, evidence.Request)
 		for _, crash := range evidence.Crashes {
-			known.add(Crash{Life: crash.Life, At: at.Add(-crash.Age)})
+			known.add(Crash{Incarnation: crash.Incarnation, At: at.Add(-crash.Age)})
 		}
 		if evidence.Cleared {
 			known.clear(at.Add(-evidence.ClearedAge))
--- a/internal/quarantine/guard/crashchecks.go
+++ b/internal/quarantine/guard/crashchecks.go
@@ -33,50 +33,50 @@
 	endedRetention = 30 * time.Second
 )
 
-// Sign is the result of one probe of an incarnation.
-type Sign uint8
+// ProbeResult is the result of one probe of an incarnation.
+type ProbeResult uint8
 
 const (
-	// SignNone proves nothing: no answer, or an inconclusive one.
-	SignNone Sign = iota
-	// SignAlive is an answer of the same incarnation.
-	SignAlive
-	// SignRefused is a refused connection. Where a back end limits its connections, it is
+	// ProbeInconclusive proves nothing: no answer, or an inconclusive one.
+	ProbeInconclusive ProbeResult = iota
+	// ProbeAlive is an answer of the same incarnation.
+	ProbeAlive
+	// ProbeRefused is a refused connection. Where a back end limits its connections, it is
 	// ProbeInconclusive while an attempt of this router from before the break is open there: a
 	// crash breaks all connections.
-	SignRefused
-	// SignEnded is an answer of another incarnation.
-	SignEnded
+	ProbeRefused
+	// ProbeEnded is an answer of another incarnation.
+	ProbeEnded
 )
 
-// Place is an incarnation of a back end at which an attempt was made.
-type Place struct {
-	Life ident.Incarnation
-	// Look probes the back end once after an attempt broke off at a time. It must return once
+// Target is an incarnation of a back end at which an attempt was made.
+type Target struct {
+	Incarnation ident.Incarnation
+	// Probe probes the back end once after an attempt broke off at a time. It must return once
 	// ctx ends.
-	Look func(ctx context.Context, brokeAt time.Time) Sign
+	Probe func(ctx context.Context, brokeAt time.Time) ProbeResult
 }
 
 // Backends is the router's registry of back ends. Its methods are safe for concurrent use.
 type Backends interface {
-	// Leaving reports whether an incarnation has ended as planned or is about to.
-	Leaving(life ident.Incarnation) bool
-	// SawGone records that an incarnation has ended.
-	SawGone(now time.Time, life ident.Incarnation)
+	// DrainingOrUnlisted reports whether an incarnation has ended as planned or is about to.
+	DrainingOrUnlisted(life ident.Incarnation) bool
+	// ObserveGone records that an incarnation has ended.
+	ObserveGone(now time.Time, life ident.Incarnation)
 }
 
 // crashCheck checks whether one incarnation has crashed.
 type crashCheck struct {
-	target  Place
+	target  Target
 	brokeAt time.Time
 	// requests are those whose attempts there have broken off so far.
 	requests map[quarantine.Fingerprint]struct{}
 }
 
-func (c *crashCheck) probe(ctx context.Context) Sign {
+func (c *crashCheck) probe(ctx context.Context) ProbeResult {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return c.target.Look(bounded, c.brokeAt)
+	return c.target.Probe(bounded, c.brokeAt)
 }
 
 func (c *crashCheck) add(requests []quarantine.Fingerprint) {
@@ -112,11 +112,11 @@
 
 // observeBroken records broken attempts at a back end and checks it, unless it was draining:
 // then it ended as planned.
-func (c *crashChecks) observeBroken(now time.Time, target Place, requests ...quarantine.Fingerprint) {
-	if c.backends.Leaving(target.Life) {
+func (c *crashChecks) observeBroken(now time.Time, target Target, requests ...quarantine.Fingerprint) {
+	if c.backends.DrainingOrUnlisted(target.Incarnation) {
 		return
 	}
-	incarnation := target.Life
+	incarnation := target.Incarnation
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if endedAt, ended := c.ended[incarnation]; ended && now.Sub(endedAt) < endedRetention {
@@ -145,21 +145,21 @@
 			break
 		}
 		switch check.probe(ctx) {
-		case SignAlive:
+		case ProbeAlive:
 			c.finish(incarnation, "alive", false)
 			return
-		case SignEnded:
+		case ProbeEnded:
 			refusals = refusalsToConfirm
-		case SignRefused:
+		case ProbeRefused:
 			refusals++
-		case SignNone:
+		case ProbeInconclusive:
 			refusals = 0
 		}
 		if refusals >= refusalsToConfirm {
 			requests := c.finish(incarnation, "crashed", true)
 			// Nothing more is sent to that incarnation. What reached its successor under the
 			// old name would count as run by the crashed one.
-			c.backends.SawGone(clock.Now(), incarnation)
+			c.backends.ObserveGone(clock.Now(), incarnation)
 			c.onCrash(check.brokeAt, incarnation, requests)
 			return
 		}
--- a/internal/quarantine/guard/guard.go
+++ b/internal/quarantine/guard/guard.go
@@ -25,9 +25,9 @@
 	Timeout  time.Duration
 	Backends Backends
 	// Send sends evidence to all other routers. It must not block. Default: none is sent.
-	Send func([]quarantine.Told)
-	// Keeps reports whether this router maintains the rows for all. Default: never.
-	Keeps func() bool
+	Send func([]quarantine.Evidence)
+	// MaintainsRows reports whether this router maintains the rows for all. Default: never.
+	MaintainsRows func() bool
 	// OnTrial is called with the result of each request for a trial: granted, denied or failed;
 	// OnCheck with that of each check of a back end: crashed, alive or unknown.
 	OnTrial, OnCheck func(result string)
@@ -35,10 +35,10 @@
 
 func (c Config) withDefaults() Config {
 	if c.Send == nil {
-		c.Send = func([]quarantine.Told) {}
+		c.Send = func([]quarantine.Evidence) {}
 	}
-	if c.Keeps == nil {
-		c.Keeps = func() bool { return false }
+	if c.MaintainsRows == nil {
+		c.MaintainsRows = func() bool { return false }
 	}
 	if c.OnTrial == nil {
 		c.OnTrial = func(string) {}
@@ -89,9 +89,9 @@
 // Counts returns the number of quarantined requests and of all suspects.
 func (g *Guard) Counts() (quarantined, suspects int) { return g.ledger.Counts() }
 
-// Judge returns why a request may not be sent, nil if it may. A recent success at this router
+// Check returns why a request may not be sent, nil if it may. A recent success at this router
 // clears it.
-func (g *Guard) Judge(now time.Time, request *quarantine.Subject) *quarantine.Verdict {
+func (g *Guard) Check(now time.Time, request *quarantine.Subject) *quarantine.Decision {
 	if g.ledger.Empty() {
 		return nil
 	}
@@ -101,8 +101,8 @@
 	return g.ledger.Check(now, request.Fingerprint())
 }
 
-// Answered records a complete success.
-func (g *Guard) Answered(now time.Time, request *quarantine.Subject) {
+// ObserveAnswered records a complete success.
+func (g *Guard) ObserveAnswered(now time.Time, request *quarantine.Subject) {
 	g.successes.Add(now, &request.Identity)
 	if !g.ledger.Empty() {
 		g.recordSuccess(now, request)
@@ -120,26 +120,26 @@
 	}
 }
 
-// Broke records an attempt that broke off.
-func (g *Guard) Broke(now time.Time, request *quarantine.Subject, target Place) {
+// ObserveBroken records an attempt that broke off.
+func (g *Guard) ObserveBroken(now time.Time, request *quarantine.Subject, target Target) {
 	if _, succeeded := g.successes.Last(now, &request.Identity); succeeded {
 		return
 	}
 	g.checks.observeBroken(now, target, request.Fingerprint())
 }
 
-// Left records an attempt that this router gave up and that the back end may still run.
-func (g *Guard) Left(now time.Time, request *quarantine.Subject, target Place) {
+// ObserveAbandoned records an attempt that this router gave up and that the back end may still run.
+func (g *Guard) ObserveAbandoned(now time.Time, request *quarantine.Subject, target Target) {
 	if _, succeeded := g.successes.Last(now, &request.Identity); succeeded {
 		return
 	}
-	g.abandoned.add(abandonedAttempt{incarnation: target.Life, request: request.Fingerprint(), at: now})
+	g.abandoned.add(abandonedAttempt{incarnation: target.Incarnation, request: request.Fingerprint(), at: now})
 }
 
-// Unreached records that a back end accepted no connection. After abandoned requests this may
+// ObserveUnreachable records that a back end accepted no connection. After abandoned requests this may
 // be the only sign of a crash.
-func (g *Guard) Unreached(now time.Time, target Place) {
-	if g.abandoned.has(target.Life, now) {
+func (g *Guard) ObserveUnreachable(now time.Time, target Target) {
+	if g.abandoned.has(target.Incarnation, now) {
 		g.checks.observeBroken(now, target)
 	}
 }
@@ -171,7 +171,7 @@
 		var instances []string
 		var ages []int64
 		for _, crash := range decision.Crashes {
-			instances = append(instances, string(crash.Life))
+			instances = append(instances, string(crash.Incarnation))
 			ages = append(ages, now.Sub(crash.At).Milliseconds())
 		}
 		log.WithFields(log.Fields{"fingerprint": request.String(), "instances": instances, "ages_ms": ages}).Warn("quarantine_began")
@@ -191,8 +191,8 @@
 	loops.Wait()
 }
 
-// Try requests a trial that is due, and waits a short time for it.
-func (g *Guard) Try(ctx context.Context, request *quarantine.Subject) bool {
+// AcquireTrial requests a trial that is due, and waits a short time for it.
+func (g *Guard) AcquireTrial(ctx context.Context, request *quarantine.Subject) bool {
 	result, trials := g.rows.acquireTrial(ctx, request.Fingerprint())
 	g.config.OnTrial(string(result))
 	if result != trialGranted {
--- a/internal/quarantine/guard/guard_test.go
+++ b/internal/quarantine/guard/guard_test.go
@@ -12,7 +12,7 @@
 func TestEvidenceIsSharedByAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 3, always(SignRefused))
+		w := newHarness(t, 3, always(ProbeRefused))
 		w.crash(0, "guilty", 0)
 		w.crash(1, "guilty", 1)
 		is.Equal(w.quarantinedAt("guilty"), 0)
@@ -28,16 +28,16 @@
 func TestOnlyConfirmedCrashesAreEvidence(t *testing.T) {
 	tests := []struct {
 		name        string
-		found       Sign
+		found       ProbeResult
 		engines     []int
 		quarantined int
 	}{
-		{"refused connections", SignRefused, []int{0, 1, 2}, 1},
-		{"other incarnations", SignEnded, []int{0, 1, 2}, 1},
-		{"the same incarnations answer", SignAlive, []int{0, 1, 2}, 0},
-		{"silence", SignNone, []int{0, 1, 2}, 0},
-		{"one that was draining", SignRefused, []int{0, 1, 8}, 0},
-		{"one that was not listed", SignRefused, []int{0, 1, 9}, 0},
+		{"refused connections", ProbeRefused, []int{0, 1, 2}, 1},
+		{"other incarnations", ProbeEnded, []int{0, 1, 2}, 1},
+		{"the same incarnations answer", ProbeAlive, []int{0, 1, 2}, 0},
+		{"silence", ProbeInconclusive, []int{0, 1, 2}, 0},
+		{"one that was draining", ProbeRefused, []int{0, 1, 8}, 0},
+		{"one that was not listed", ProbeRefused, []int{0, 1, 9}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -64,26 +64,26 @@
 		quarantined int
 	}{
 		{"an attempt of another request breaks off", func(w *harness, engine int) {
-			w.all[0].Broke(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
+			w.all[0].ObserveBroken(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
 		}, 100 * time.Millisecond, 2},
 		{"it breaks off at another router", func(w *harness, engine int) {
-			w.all[1].Broke(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
+			w.all[1].ObserveBroken(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
 		}, 100 * time.Millisecond, 2},
-		{"it takes no connection", func(w *harness, engine int) { w.all[0].Unreached(time.Now(), w.target(engine)) }, 100 * time.Millisecond, 2},
+		{"it takes no connection", func(w *harness, engine int) { w.all[0].ObserveUnreachable(time.Now(), w.target(engine)) }, 100 * time.Millisecond, 2},
 		{"another one takes no connection", func(w *harness, _ int) {
-			w.all[0].Unreached(time.Now(), w.target(7))
+			w.all[0].ObserveUnreachable(time.Now(), w.target(7))
 		}, 100 * time.Millisecond, 0},
 		{"long after", func(w *harness, engine int) {
-			w.all[0].Broke(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
+			w.all[0].ObserveBroken(time.Now(), subject(fmt.Sprint("beside ", engine)), w.target(engine))
 		}, 5 * time.Second, 0},
 		{"nothing shows", func(*harness, int) {}, 100 * time.Millisecond, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newHarness(t, 2, always(SignRefused))
+				w := newHarness(t, 2, always(ProbeRefused))
 				for engine := range 3 {
-					w.all[0].Left(time.Now(), subject("x"), w.target(engine))
+					w.all[0].ObserveAbandoned(time.Now(), subject("x"), w.target(engine))
 					time.Sleep(tt.after)
 					tt.seen(w, engine)
 					time.Sleep(time.Second)
@@ -98,14 +98,14 @@
 func TestSuccessClearsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 2, always(SignRefused))
+		w := newHarness(t, 2, always(ProbeRefused))
 		time.Sleep(time.Millisecond)
-		w.all[0].Answered(time.Now(), subject("hot"))
+		w.all[0].ObserveAnswered(time.Now(), subject("hot"))
 		w.crash(0, "hot", 0, 1, 2, 3)
 		is.Equal(w.quarantinedAt("hot"), 0)
 		// The other router had no success and gets that of the first.
 		w.crash(1, "hot", 4, 5, 6)
-		is.Equal(w.all[0].Judge(time.Now(), subject("hot")), nil)
+		is.Equal(w.all[0].Check(time.Now(), subject("hot")), nil)
 		is.Equal(w.quarantinedAt("hot"), 0)
 	})
 }
@@ -113,15 +113,15 @@
 func TestSuccessfulTrialReleasesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 3, always(SignRefused))
+		w := newHarness(t, 3, always(ProbeRefused))
 		w.crash(0, "innocent", 0, 1, 2)
 		time.Sleep(time.Second)
-		is.True(!w.all[1].Judge(time.Now(), subject("innocent")).TrialDue)
+		is.True(!w.all[1].Check(time.Now(), subject("innocent")).TrialDue)
 		time.Sleep(10 * time.Second)
-		is.True(w.all[1].Judge(time.Now(), subject("innocent")).TrialDue)
-		is.True(w.all[1].Try(t.Context(), subject("innocent")))
-		is.True(!w.all[2].Try(t.Context(), subject("innocent")))
-		w.all[1].Answered(time.Now(), subject("innocent"))
+		is.True(w.all[1].Check(time.Now(), subject("innocent")).TrialDue)
+		is.True(w.all[1].AcquireTrial(t.Context(), subject("innocent")))
+		is.True(!w.all[2].AcquireTrial(t.Context(), subject("innocent")))
+		w.all[1].ObserveAnswered(time.Now(), subject("innocent"))
 		is.Equal(w.quarantinedAt("innocent"), 0)
 		time.Sleep(3 * time.Second)
 		is.Equal(w.store.count(), 0)
@@ -132,7 +132,7 @@
 func TestTrialsAreBoundedAcrossRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 4, always(SignRefused))
+		w := newHarness(t, 4, always(ProbeRefused))
 		// One router gets no updates from the others.
 		w.setIsolated(3, true)
 		w.crash(0, "guilty", 0, 1, 2)
@@ -142,9 +142,9 @@
 		for range 600 {
 			time.Sleep(time.Second)
 			for _, q := range w.all {
-				decision := q.Judge(time.Now(), subject("guilty"))
+				decision := q.Check(time.Now(), subject("guilty"))
 				is.True(decision != nil)
-				if decision.TrialDue && q.Try(t.Context(), subject("guilty")) {
+				if decision.TrialDue && q.AcquireTrial(t.Context(), subject("guilty")) {
 					trials++
 				}
 			}
--- a/internal/quarantine/guard/harness_test.go
+++ b/internal/quarantine/guard/harness_test.go
@@ -14,20 +14,22 @@
 )
 
 // probeFunc is the result of probing an incarnation.
-type probeFunc func(life ident.Incarnation) Sign
+type probeFunc func(life ident.Incarnation) ProbeResult
 
-func always(result Sign) probeFunc { return func(ident.Incarnation) Sign { return result } }
+func always(result ProbeResult) probeFunc {
+	return func(ident.Incarnation) ProbeResult { return result }
+}
 
 // fakeBackends are engines e0 to e8 and no others; e8 is draining.
 type fakeBackends struct{}
 
-// Leaving implements Backends.
-func (fakeBackends) Leaving(incarnation ident.Incarnation) bool {
+// DrainingOrUnlisted implements Backends.
+func (fakeBackends) DrainingOrUnlisted(incarnation ident.Incarnation) bool {
 	return incarnation < "e0" || incarnation > "e7"
 }
 
-// SawGone implements Backends.
-func (fakeBackends) SawGone(time.Time, ident.Incarnation) {}
+// ObserveGone implements Backends.
+func (fakeBackends) ObserveGone(time.Time, ident.Incarnation) {}
 
 // harness runs the guards of some routers with one store, in virtual time.
 type harness struct {
@@ -56,8 +58,8 @@
 	index := len(w.all)
 	var g *Guard
 	g = New(Config{
-		Table: w.table, Timeout: time.Second, Backends: fakeBackends{}, Keeps: func() bool { return index == 0 },
-		Send: func(evidence []quarantine.Told) { w.send(index, g, evidence) },
+		Table: w.table, Timeout: time.Second, Backends: fakeBackends{}, MaintainsRows: func() bool { return index == 0 },
+		Send: func(evidence []quarantine.Evidence) { w.send(index, g, evidence) },
 	})
 	w.mu.Lock()
 	w.all = append(w.all, g)
@@ -75,21 +77,21 @@
 }
 
 // send delivers an update to the other routers, and later their replies.
-func (w *harness) send(from int, sender *Guard, evidence []quarantine.Told) {
+func (w *harness) send(from int, sender *Guard, evidence []quarantine.Evidence) {
 	w.mu.Lock()
 	all, isolated := w.all, maps.Clone(w.isolated)
 	w.mu.Unlock()
 	for other, receiver := range all {
 		if other != from && !isolated[other] {
-			missing := receiver.Take(time.Now(), evidence)
-			time.AfterFunc(time.Millisecond, func() { sender.Take(time.Now(), missing) })
+			missing := receiver.Merge(time.Now(), evidence)
+			time.AfterFunc(time.Millisecond, func() { sender.Merge(time.Now(), missing) })
 		}
 	}
 }
 
-func (w *harness) target(engine int) Place {
+func (w *harness) target(engine int) Target {
 	incarnation := ident.Incarnation(fmt.Sprint("e", engine))
-	return Place{Life: incarnation, Look: func(context.Context, time.Time) Sign { return w.probe(incarnation) }}
+	return Target{Incarnation: incarnation, Probe: func(context.Context, time.Time) ProbeResult { return w.probe(incarnation) }}
 }
 
 func subject(body string) *quarantine.Subject {
@@ -99,7 +101,7 @@
 // crash has attempts of a request at a router break off at engines.
 func (w *harness) crash(router int, body string, engines ...int) {
 	for _, engine := range engines {
-		w.all[router].Broke(time.Now(), subject(body), w.target(engine))
+		w.all[router].ObserveBroken(time.Now(), subject(body), w.target(engine))
 	}
 	time.Sleep(200 * time.Millisecond)
 }
@@ -108,7 +110,7 @@
 func (w *harness) quarantinedAt(body string) int {
 	count := 0
 	for _, q := range w.all {
-		if q.Judge(time.Now(), subject(body)) != nil {
+		if q.Check(time.Now(), subject(body)) != nil {
 			count++
 		}
 	}
--- a/internal/quarantine/guard/maintain.go
+++ b/internal/quarantine/guard/maintain.go
@@ -25,8 +25,8 @@
 // scheduleReported schedules rows on evidence of another router at once, at the router that
 // maintains the rows and at those that are sending evidence on the same requests: none of them
 // may have had all of it before, and all may end at any moment.
-func (g *Guard) scheduleReported(evidence []quarantine.Told) {
-	maintains := g.config.Keeps()
+func (g *Guard) scheduleReported(evidence []quarantine.Evidence) {
+	maintains := g.config.MaintainsRows()
 	for _, one := range evidence {
 		if g.rows.lacksEvidence(one.Request) && (maintains || g.hasUpdates(one.Request)) {
 			g.scheduleWrite(one.Request)
@@ -64,7 +64,7 @@
 		case <-g.wake:
 		case <-time.After(maintainInterval):
 		}
-		if g.config.Keeps() {
+		if g.config.MaintainsRows() {
 			if g.rows.relistDue(clock.Now()) {
 				g.relist(ctx)
 			}
--- a/internal/quarantine/guard/rows.go
+++ b/internal/quarantine/guard/rows.go
@@ -42,8 +42,8 @@
 // rowValue is the value of a row.
 type rowValue struct {
 	// StoreTime is the store's own time from which the ages in Evidence count.
-	StoreTime time.Duration   `cbor:"1,keyasint"`
-	Evidence  quarantine.Told `cbor:"2,keyasint"`
+	StoreTime time.Duration       `cbor:"1,keyasint"`
+	Evidence  quarantine.Evidence `cbor:"2,keyasint"`
 }
 
 // rows stores the evidence against requests, and grants trials by conditional writes, so that
@@ -165,7 +165,7 @@
 	if storeTime > value.StoreTime {
 		at = now.Add(value.StoreTime - storeTime)
 	}
-	quarantined, _ := r.ledger.Merge(at, []quarantine.Told{value.Evidence})
+	quarantined, _ := r.ledger.Merge(at, []quarantine.Evidence{value.Evidence})
 	return quarantined
 }
 
@@ -244,7 +244,7 @@
 	return value.Evidence.ToStore()
 }
 
-func newWrite(storeTime time.Duration, evidence quarantine.Told) (protocol.Write, error) {
+func newWrite(storeTime time.Duration, evidence quarantine.Evidence) (protocol.Write, error) {
 	value, err := cbor.Marshal(rowValue{StoreTime: storeTime, Evidence: evidence})
 	return protocol.Write{Key: rowKey(evidence.Request), Value: value}, err
 }
--- a/internal/quarantine/guard/rows_test.go
+++ b/internal/quarantine/guard/rows_test.go
@@ -15,9 +15,9 @@
 func TestEvidenceSurvivesLossOfAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 3, always(SignRefused))
+		w := newHarness(t, 3, always(ProbeRefused))
 		ctx, kill := context.WithCancel(t.Context())
-		former := newHarness(t, 0, always(SignRefused))
+		former := newHarness(t, 0, always(ProbeRefused))
 		former.store, former.table = w.store, &fakeTable{rows: w.store}
 		for range 3 {
 			former.start(ctx)
@@ -34,8 +34,8 @@
 		sent, engine := 0, 3
 		for range 60 {
 			q := w.all[sent%3]
-			decision := q.Judge(time.Now(), subject("guilty"))
-			if decision == nil || (decision.TrialDue && q.Try(t.Context(), subject("guilty"))) {
+			decision := q.Check(time.Now(), subject("guilty"))
+			if decision == nil || (decision.TrialDue && q.AcquireTrial(t.Context(), subject("guilty"))) {
 				sent++
 				w.crash(sent%3, "guilty", engine)
 				engine++
@@ -51,7 +51,7 @@
 func TestMergedEvidenceIsStoredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 3, always(SignRefused))
+		w := newHarness(t, 3, always(ProbeRefused))
 		w.setIsolated(0, true)
 		w.setIsolated(2, true)
 		w.crash(1, "x", 0)
@@ -67,7 +67,7 @@
 func TestConflictDoesNotBlockOtherRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 2, always(SignRefused))
+		w := newHarness(t, 2, always(ProbeRefused))
 		w.setIsolated(0, true)
 		conflicts := 0
 		w.table.refuse = func(string) bool {
@@ -76,7 +76,7 @@
 		}
 		for engine := range 2 {
 			for _, body := range []string{"a", "b", "c"} {
-				w.all[1].Broke(time.Now(), subject(body), w.target(engine))
+				w.all[1].ObserveBroken(time.Now(), subject(body), w.target(engine))
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -90,14 +90,14 @@
 		name string
 		then func(w *harness)
 	}{
-		{"answered", func(w *harness) { w.all[1].Answered(time.Now(), subject("x")) }},
+		{"answered", func(w *harness) { w.all[1].ObserveAnswered(time.Now(), subject("x")) }},
 		{"forgotten", func(*harness) { time.Sleep(11 * time.Minute) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newHarness(t, 2, always(SignRefused))
+				w := newHarness(t, 2, always(ProbeRefused))
 				w.crash(1, "x", 0)
 				time.Sleep(3 * time.Second)
 				is.Equal(w.store.count(), 0)
@@ -116,12 +116,12 @@
 func TestNoTrialIsGrantedWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 2, always(SignRefused))
+		w := newHarness(t, 2, always(ProbeRefused))
 		w.table.down.Store(true)
 		w.crash(0, "guilty", 0, 1, 2)
 		time.Sleep(time.Minute)
 		is.Equal(w.quarantinedAt("guilty"), 2)
-		is.True(!w.all[0].Try(t.Context(), subject("guilty")))
+		is.True(!w.all[0].AcquireTrial(t.Context(), subject("guilty")))
 		w.table.down.Store(false)
 		time.Sleep(5 * time.Second)
 		is.Equal(w.store.count(), 1)
@@ -132,7 +132,7 @@
 func TestRestoredStoreReleasesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 2, always(SignRefused))
+		w := newHarness(t, 2, always(ProbeRefused))
 		empty := w.store.Copy()
 		for engine := range 3 {
 			w.crash(0, "guilty", engine)
@@ -152,7 +152,7 @@
 func TestRemovedRowReleasesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 3, always(SignRefused))
+		w := newHarness(t, 3, always(ProbeRefused))
 		w.crash(1, "x", 0, 1, 2)
 		time.Sleep(6 * time.Second)
 		is.Equal(w.store.count(), 1)
@@ -170,7 +170,7 @@
 func TestRowNewerThanListReleasesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 2, always(SignRefused))
+		w := newHarness(t, 2, always(ProbeRefused))
 		w.table.down.Store(true)
 		w.crash(1, "guilty", 0, 1, 2)
 		time.Sleep(11 * time.Second)
@@ -178,7 +178,7 @@
 		duringList := func() {
 			w.table.down.Store(false)
 			is.NoErr(w.all[1].rows.update(t.Context(), subject("guilty").Fingerprint()))
-			granted.Store(w.all[0].Try(t.Context(), subject("guilty")))
+			granted.Store(w.all[0].AcquireTrial(t.Context(), subject("guilty")))
 		}
 		w.table.listed.Store(&duringList)
 		time.Sleep(6 * time.Second)
@@ -191,7 +191,7 @@
 func TestUnreadableRowIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 1, always(SignRefused))
+		w := newHarness(t, 1, always(ProbeRefused))
 		w.crash(0, "x", 0, 1, 2)
 		time.Sleep(time.Second)
 		w.store.change(func() {
@@ -203,8 +203,8 @@
 		})
 		next := w.start(t.Context())
 		next.Load(t.Context(), 0)
-		is.True(next.Judge(time.Now(), subject("x")) != nil)
-		is.True(next.Judge(time.Now(), subject("y")) == nil)
+		is.True(next.Check(time.Now(), subject("x")) != nil)
+		is.True(next.Check(time.Now(), subject("y")) == nil)
 	})
 }
 
@@ -212,15 +212,15 @@
 func TestIsolatedRouterReloadsRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 3, always(SignRefused))
+		w := newHarness(t, 3, always(ProbeRefused))
 		w.all[1].Load(t.Context(), 0)
 		w.setIsolated(1, true)
 		w.crash(0, "guilty", 0, 1, 2)
 		time.Sleep(time.Second)
 		w.all[1].Load(t.Context(), time.Second)
-		is.True(w.all[1].Judge(time.Now(), subject("guilty")) == nil)
+		is.True(w.all[1].Check(time.Now(), subject("guilty")) == nil)
 		w.all[1].Load(t.Context(), 5*time.Second)
-		is.True(w.all[1].Judge(time.Now(), subject("guilty")) != nil)
+		is.True(w.all[1].Check(time.Now(), subject("guilty")) != nil)
 	})
 }
 
@@ -228,7 +228,7 @@
 func TestLeftoverRowIsRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newHarness(t, 2, always(SignRefused))
+		w := newHarness(t, 2, always(ProbeRefused))
 		w.crash(0, "innocent", 0, 1, 2)
 		time.Sleep(time.Second)
 		is.Equal(w.store.count(), 1)
--- a/internal/quarantine/guard/updates.go
+++ b/internal/quarantine/guard/updates.go
@@ -17,8 +17,8 @@
 	maxPerUpdate   = 200
 )
 
-// Take merges evidence from another router as of a time, and returns what that router lacks.
-func (g *Guard) Take(at time.Time, evidence []quarantine.Told) (missing []quarantine.Told) {
+// Merge merges evidence from another router as of a time, and returns what that router lacks.
+func (g *Guard) Merge(at time.Time, evidence []quarantine.Evidence) (missing []quarantine.Evidence) {
 	if g == nil || len(evidence) == 0 {
 		return nil
 	}
@@ -43,15 +43,15 @@
 
 // recordPeerCrashes counts crashes observed by another router against the requests abandoned
 // here at the same incarnations.
-func (g *Guard) recordPeerCrashes(at time.Time, evidence []quarantine.Told) {
+func (g *Guard) recordPeerCrashes(at time.Time, evidence []quarantine.Evidence) {
 	for _, one := range evidence {
 		for _, crash := range one.Crashes {
 			if crash.Age > abandonedWindow {
 				continue
 			}
 			crashedAt := at.Add(-crash.Age)
-			if requests := g.abandoned.take(crash.Life, crashedAt); len(requests) > 0 {
-				g.recordEvidence(crashedAt, crash.Life, requests)
+			if requests := g.abandoned.take(crash.Incarnation, crashedAt); len(requests) > 0 {
+				g.recordEvidence(crashedAt, crash.Incarnation, requests)
 			}
 		}
 	}
@@ -65,9 +65,9 @@
 	return g.ledger.Digest()
 }
 
-// ToldSince returns the evidence on quarantined requests for a peer with a digest, nil if the
+// EvidenceSince returns the evidence on quarantined requests for a peer with a digest, nil if the
 // digests agree.
-func (g *Guard) ToldSince(now time.Time, digest uint64) []quarantine.Told {
+func (g *Guard) EvidenceSince(now time.Time, digest uint64) []quarantine.Evidence {
 	if g.ledger.Digest() == digest {
 		return nil
 	}
@@ -89,7 +89,7 @@
 
 func (g *Guard) sendUpdates(requests []quarantine.Fingerprint) {
 	now := clock.Now()
-	var part []quarantine.Told
+	var part []quarantine.Evidence
 	for _, request := range requests[:min(len(requests), maxPerUpdate)] {
 		if evidence, known := g.ledger.Evidence(now, request); known {
 			part = append(part, evidence)
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -33,8 +33,8 @@
 
 // Crash is the crash of an incarnation that ran a request.
 type Crash struct {
-	Life ident.Incarnation
-	At   time.Time
+	Incarnation ident.Incarnation
+	At          time.Time
 }
 
 // suspect is the evidence on one request.
@@ -76,7 +76,7 @@
 
 // add adds a crash. Of two reports on one incarnation the earlier one counts.
 func (s *suspect) add(crash Crash) {
-	index := slices.IndexFunc(s.crashes, func(known Crash) bool { return known.Life == crash.Life })
+	index := slices.IndexFunc(s.crashes, func(known Crash) bool { return known.Incarnation == crash.Incarnation })
 	switch {
 	case index < 0:
 		s.crashes = append(s.crashes, crash)
@@ -145,7 +145,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, request := range requests {
-		l.suspectOf(at, request).add(Crash{Life: incarnation, At: at})
+		l.suspectOf(at, request).add(Crash{Incarnation: incarnation, At: at})
 		quarantined = l.reportOnce(request, quarantined)
 	}
 	return quarantined
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -87,7 +87,7 @@
 		}
 		whole := quarantine.NewLedger()
 		apply(whole, all)
-		var evidence []quarantine.Told
+		var evidence []quarantine.Evidence
 		for _, e := range all {
 			one := quarantine.NewLedger()
 			apply(one, []event{{at: e.at, crashed: e.crashed}})
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	ledger := quarantine.NewLedger()
 	apply(ledger, []event{{at: 1, crashed: 1}, {at: 2, crashed: 2}, {at: 3, crashed: 3}})
-	at := func(seconds float64) *quarantine.Verdict {
+	at := func(seconds float64) *quarantine.Decision {
 		return ledger.Check(startTime.Add(time.Duration(seconds*float64(time.Second))), fingerprint(0))
 	}
 	is.True(!at(12.9).TrialDue)
@@ -144,10 +144,10 @@
 	apply(one, []event{{at: 1, crashed: 1}, {at: 2, crashed: 2}})
 	apply(two, []event{{at: 3, crashed: 3}})
 	evidence, _ := two.Evidence(startTime.Add(4*time.Second), fingerprint(0))
-	_, more := one.Merge(startTime.Add(4*time.Second), []quarantine.Told{evidence})
+	_, more := one.Merge(startTime.Add(4*time.Second), []quarantine.Evidence{evidence})
 	is.Equal(len(more), 1)
 	evidence, _ = one.Evidence(startTime.Add(4*time.Second), fingerprint(0))
-	quarantined, more := two.Merge(startTime.Add(4*time.Second), []quarantine.Told{evidence})
+	quarantined, more := two.Merge(startTime.Add(4*time.Second), []quarantine.Evidence{evidence})
 	is.Equal(len(quarantined), 1)
 	is.Equal(len(more), 0)
 }
@@ -192,5 +192,5 @@
 	apply(ledger, []event{{at: 3, crashed: 1}, {at: 4, crashed: 2}, {at: 5, crashed: 3}, {at: 6, crashed: 4}, {at: 7, crashed: 5}, {at: 8, crashed: 6}})
 	decision := ledger.Check(startTime.Add(time.Minute), fingerprint(0))
 	apply(ledger, []event{{at: 2, crashed: 6}})
-	is.Equal(decision.Crashes[0].Life, incarnation(1))
+	is.Equal(decision.Crashes[0].Incarnation, incarnation(1))
 }
--- a/internal/quota/agent.go
+++ b/internal/quota/agent.go
@@ -12,9 +12,9 @@
 	Bounds Bounds
 	// FirstID is the first of this agent's ids. It must differ from those of earlier processes.
 	FirstID uint64
-	// Alone keeps the router in a pool of its own: it grants its equal share of every limit
+	// Standalone keeps the router in a pool of its own: it grants its equal share of every limit
 	// without sending messages.
-	Alone bool
+	Standalone bool
 	// Place is the leader's place among the reachable routers, from the oldest on. Agents with
 	// different places share the work of leading.
 	Place int
@@ -57,7 +57,7 @@
 
 // pending is a reservation that waits for its result.
 type pending struct {
-	reservation Claim
+	reservation Reservation
 	// leader got the request last, at sentAt; leadersTried counts the leaders that got it.
 	leader                 netip.AddrPort
 	sentAt                 time.Time
@@ -78,15 +78,15 @@
 	return agent
 }
 
-// Know sets this router's revision in the router list and the addresses of those with lower
+// SetRouters sets this router's revision in the router list and the addresses of those with lower
 // revisions, the lowest first.
-func (a *Agent) Know(revision uint64, older []netip.AddrPort) {
+func (a *Agent) SetRouters(revision uint64, older []netip.AddrPort) {
 	a.revision = revision
 	a.ranking.SetRouters(revision, older)
 }
 
-// Counted sets the number of all routers, 0 if it is unknown.
-func (a *Agent) Counted(routers int) { a.routers = routers }
+// SetRouterCount sets the number of all routers, 0 if it is unknown.
+func (a *Agent) SetRouterCount(routers int) { a.routers = routers }
 
 func (a *Agent) routerCount() int {
 	if a.routers <= 0 {
@@ -108,7 +108,7 @@
 
 // Tick sends the hellos that are due and retries requests without a response.
 func (a *Agent) Tick(now time.Time) {
-	if !a.cfg.Alone {
+	if !a.cfg.Standalone {
 		for _, envelope := range a.ranking.DueHellos(now) {
 			a.sendHello(now, envelope)
 		}
@@ -162,8 +162,8 @@
 	}
 }
 
-// Take requests the grant of a reservation and returns the ID of its Decision.
-func (a *Agent) Take(now time.Time, reservation Claim) uint64 {
+// Acquire requests the grant of a reservation and returns the ID of its Decision.
+func (a *Agent) Acquire(now time.Time, reservation Reservation) uint64 {
 	a.nextID++
 	a.send(now, a.nextID, &pending{reservation: reservation})
 	return a.nextID
@@ -179,7 +179,7 @@
 	}
 	waiting.attempts++
 	waiting.sentAt = now
-	request := Ask{ID: id, Claim: waiting.reservation}
+	request := AcquireRequest{ID: id, Reservation: waiting.reservation}
 	a.requests[id] = waiting
 	if a.leader == a.cfg.Self {
 		response := a.pool.Acquire(now, a.cfg.Self, &request, a.routerCount())
@@ -200,15 +200,15 @@
 	}
 	a.followLeader(now)
 	if waiting.leader != a.leader && waiting.leadersTried >= leadersPerRequest {
-		a.Forget(id)
-		a.decisions = append(a.decisions, Decision{ID: id, Verdict: Unconfirmed{}})
+		a.Cancel(id)
+		a.decisions = append(a.decisions, Decision{ID: id, Result: Unconfirmed{}})
 		return
 	}
 	a.send(now, id, waiting)
 }
 
-// Forget drops a reservation whose request has ended.
-func (a *Agent) Forget(id uint64) {
+// Cancel drops a reservation whose request has ended.
+func (a *Agent) Cancel(id uint64) {
 	if waiting := a.requests[id]; waiting != nil {
 		a.withdraw(id, waiting)
 		delete(a.requests, id)
@@ -218,17 +218,17 @@
 // withdraw releases what a leader may have granted but is not awaited any more.
 func (a *Agent) withdraw(id uint64, waiting *pending) {
 	if waiting.leader.IsValid() {
-		a.Return(Grant{By: waiting.leader, ID: id})
+		a.Release(Grant{Leader: waiting.leader, ID: id})
 	}
 }
 
-// Return releases the grant of a request that did not run.
-func (a *Agent) Return(grant Grant) {
-	if grant.By == a.cfg.Self {
+// Release releases the grant of a request that did not run.
+func (a *Agent) Release(grant Grant) {
+	if grant.Leader == a.cfg.Self {
 		a.pool.Release(a.cfg.Self, grant.ID)
 		return
 	}
-	a.out = append(a.out, Envelope{To: grant.By, Message: Return{ID: grant.ID}})
+	a.out = append(a.out, Envelope{To: grant.Leader, Message: Release{ID: grant.ID}})
 }
 
 // Receive handles a message.
@@ -240,8 +240,8 @@
 		if msg.Member && !a.pool.sentBeforeLeaving(from, Leave{Hello: msg.Number}) {
 			a.pool.Join(now, from, msg.StartCredit, a.routerCount())
 		}
-		a.out = append(a.out, Envelope{To: from, Message: Welcome{Number: msg.Number, Revision: a.revision}})
-	case Welcome:
+		a.out = append(a.out, Envelope{To: from, Message: HelloAck{Number: msg.Number, Revision: a.revision}})
+	case HelloAck:
 		if from == a.leader && msg.Number != 0 {
 			a.startCredit = false
 		}
@@ -250,18 +250,18 @@
 	case Leave:
 		a.pool.Leave(now, from, a.routerCount())
 		a.pool.recordDeparture(now, from, msg)
-	case Ask:
+	case AcquireRequest:
 		response := a.pool.Acquire(now, from, &msg, a.routerCount())
 		a.out = append(a.out, Envelope{To: from, Message: response})
-	case Answer:
+	case AcquireResponse:
 		a.handleResponse(now, from, &msg)
-	case Return:
+	case Release:
 		a.pool.Release(from, msg.ID)
 	}
 }
 
 // handleResponse applies a response. Duplicates and late ones are ignored.
-func (a *Agent) handleResponse(now time.Time, from netip.AddrPort, response *Answer) {
+func (a *Agent) handleResponse(now time.Time, from netip.AddrPort, response *AcquireResponse) {
 	waiting := a.requests[response.ID]
 	if waiting == nil || waiting.leader != from {
 		return
@@ -274,12 +274,12 @@
 	a.decide(from, *response)
 }
 
-func (a *Agent) decide(leader netip.AddrPort, response Answer) {
-	result := Verdict(Denied{After: response.After})
+func (a *Agent) decide(leader netip.AddrPort, response AcquireResponse) {
+	result := Result(Denied{RetryAfter: response.RetryAfter})
 	if response.Granted {
-		result = Granted{Grant: Grant{By: leader, ID: response.ID}}
+		result = Granted{Grant: Grant{Leader: leader, ID: response.ID}}
 	}
-	a.decisions = append(a.decisions, Decision{ID: response.ID, Verdict: result})
+	a.decisions = append(a.decisions, Decision{ID: response.ID, Result: result})
 }
 
 // Stop leaves the pool when the router shuts down.
@@ -289,7 +289,7 @@
 	}
 }
 
-func (a *Agent) leaveMessage() Leave { return Leave{Hello: a.ranking.number, Ask: a.nextID} }
+func (a *Agent) leaveMessage() Leave { return Leave{Hello: a.ranking.number, AcquireRequest: a.nextID} }
 
 // Flush returns the messages and decisions since the last call.
 func (a *Agent) Flush() ([]Envelope, []Decision) {
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -20,7 +20,7 @@
 			b.ReportAllocs()
 			for index := range b.N {
 				now = now.Add(250 * time.Microsecond)
-				request := Ask{ID: uint64(index), Claim: Claim{
+				request := AcquireRequest{ID: uint64(index), Reservation: Reservation{
 					Subject: names[index%len(names)], Limit: Limit{Rate: 1e6, Burst: 1e6}, Version: 1, Amount: 9000,
 				}}
 				pool.Acquire(now, addrOf(index%size.routers), &request, size.routers)
@@ -35,7 +35,7 @@
 		b.Run(fmt.Sprint(tenants, " tenants"), func(b *testing.B) {
 			pool := poolOf(epoch, 100, 100, false)
 			for index := range tenants {
-				request := Ask{ID: uint64(index), Claim: Claim{Subject: Subject(fmt.Sprint(index)), Limit: testLimit, Amount: 1}}
+				request := AcquireRequest{ID: uint64(index), Reservation: Reservation{Subject: Subject(fmt.Sprint(index)), Limit: testLimit, Amount: 1}}
 				pool.Acquire(epoch, addrOf(0), &request, 100)
 			}
 			for b.Loop() {
@@ -48,7 +48,7 @@
 
 // BenchmarkMessage encodes and decodes one request and reports its length.
 func BenchmarkMessage(b *testing.B) {
-	request := Ask{ID: 1 << 62, Claim: Claim{Subject: "jeye930", Limit: Limit{Rate: 573606, Burst: 573606}, Version: 7, Amount: 9190}}
+	request := AcquireRequest{ID: 1 << 62, Reservation: Reservation{Subject: "jeye930", Limit: Limit{Rate: 573606, Burst: 573606}, Version: 7, Amount: 9190}}
 	for b.Loop() {
 		encoded, err := cbor.Marshal(Pack(request))
 		if err != nil {
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -22,8 +22,8 @@
 	Revision uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Welcome acknowledges a Hello.
-type Welcome struct {
+// HelloAck acknowledges a Hello.
+type HelloAck struct {
 	Number uint64 `cbor:"1,keyasint"`
 	// Revision is that of the sender in the router list, 0 until it is known.
 	Revision uint64 `cbor:"2,keyasint"`
@@ -32,15 +32,15 @@
 // Leave reports that its sender is no member any more. Its earlier messages may arrive later.
 type Leave struct {
 	// Hello and AcquireRequest are the numbers of the last ones that it sent to any router.
-	Hello uint64 `cbor:"1,keyasint,omitempty"`
-	Ask   uint64 `cbor:"2,keyasint,omitempty"`
+	Hello          uint64 `cbor:"1,keyasint,omitempty"`
+	AcquireRequest uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // Subject is the owner of a limit: a tenant's name or an incarnation of a back end.
 type Subject string
 
-// Claim is the part of a limit that a request would use.
-type Claim struct {
+// Reservation is the part of a limit that a request would use.
+type Reservation struct {
 	Subject Subject `cbor:"1,keyasint"`
 	Limit   Limit   `cbor:"2,keyasint"`
 	// Version orders the limits of a subject; the highest applies.
@@ -52,48 +52,48 @@
 
 // valid reports whether the numbers are finite and not negative: messages of other routers are
 // not trusted.
-func (c *Claim) valid() bool {
+func (c *Reservation) valid() bool {
 	finite := func(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 	return finite(c.Amount) && finite(c.Limit.Rate) && finite(c.Limit.Burst) && c.Limit.Limited()
 }
 
-// Ask requests a reservation from the leader of a pool. A retry has the same ID.
-type Ask struct {
-	ID    uint64 `cbor:"1,keyasint"`
-	Claim Claim  `cbor:"2,keyasint"`
+// AcquireRequest requests a reservation from the leader of a pool. A retry has the same ID.
+type AcquireRequest struct {
+	ID          uint64      `cbor:"1,keyasint"`
+	Reservation Reservation `cbor:"2,keyasint"`
 }
 
-// Answer answers an AcquireRequest.
-type Answer struct {
+// AcquireResponse answers an AcquireRequest.
+type AcquireResponse struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	Granted bool   `cbor:"2,keyasint,omitempty"`
-	// After is the time until the request could be granted, if it is denied.
-	After time.Duration `cbor:"3,keyasint,omitempty"`
+	// RetryAfter is the time until the request could be granted, if it is denied.
+	RetryAfter time.Duration `cbor:"3,keyasint,omitempty"`
 	// Forming is true if neither is decided, since members are still joining the pool: the
 	// request is to be retried.
 	Forming bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Return releases the grant of a request that did not run.
-type Return struct {
+// Release releases the grant of a request that did not run.
+type Release struct {
 	ID uint64 `cbor:"1,keyasint"`
 }
 
-func (Hello) message()   {}
-func (Welcome) message() {}
-func (Leave) message()   {}
-func (Ask) message()     {}
-func (Answer) message()  {}
-func (Return) message()  {}
+func (Hello) message()           {}
+func (HelloAck) message()        {}
+func (Leave) message()           {}
+func (AcquireRequest) message()  {}
+func (AcquireResponse) message() {}
+func (Release) message()         {}
 
 // Datagram contains one message; exactly one field is set.
 type Datagram struct {
-	Hello   *Hello   `cbor:"1,keyasint,omitempty"`
-	Welcome *Welcome `cbor:"2,keyasint,omitempty"`
-	Leave   *Leave   `cbor:"3,keyasint,omitempty"`
-	Ask     *Ask     `cbor:"4,keyasint,omitempty"`
-	Answer  *Answer  `cbor:"5,keyasint,omitempty"`
-	Return  *Return  `cbor:"6,keyasint,omitempty"`
+	Hello           *Hello           `cbor:"1,keyasint,omitempty"`
+	HelloAck        *HelloAck        `cbor:"2,keyasint,omitempty"`
+	Leave           *Leave           `cbor:"3,keyasint,omitempty"`
+	AcquireRequest  *AcquireRequest  `cbor:"4,keyasint,omitempty"`
+	AcquireResponse *AcquireResponse `cbor:"5,keyasint,omitempty"`
+	Release         *Release         `cbor:"6,keyasint,omitempty"`
 }
 
 // Pack returns the datagram of a message.
@@ -101,16 +101,16 @@
 	switch msg := msg.(type) {
 	case Hello:
 		return &Datagram{Hello: &msg}
-	case Welcome:
-		return &Datagram{Welcome: &msg}
+	case HelloAck:
+		return &Datagram{HelloAck: &msg}
 	case Leave:
 		return &Datagram{Leave: &msg}
-	case Ask:
-		return &Datagram{Ask: &msg}
-	case Answer:
-		return &Datagram{Answer: &msg}
-	case Return:
-		return &Datagram{Return: &msg}
+	case AcquireRequest:
+		return &Datagram{AcquireRequest: &msg}
+	case AcquireResponse:
+		return &Datagram{AcquireResponse: &msg}
+	case Release:
+		return &Datagram{Release: &msg}
 	}
 	return &Datagram{}
 }
@@ -120,16 +120,16 @@
 	switch {
 	case d.Hello != nil:
 		return *d.Hello
-	case d.Welcome != nil:
-		return *d.Welcome
+	case d.HelloAck != nil:
+		return *d.HelloAck
 	case d.Leave != nil:
 		return *d.Leave
-	case d.Ask != nil:
-		return *d.Ask
-	case d.Answer != nil:
-		return *d.Answer
-	case d.Return != nil:
-		return *d.Return
+	case d.AcquireRequest != nil:
+		return *d.AcquireRequest
+	case d.AcquireResponse != nil:
+		return *d.AcquireResponse
+	case d.Release != nil:
+		return *d.Release
 	}
 	return nil
 }
@@ -142,21 +142,21 @@
 
 // Grant is the permission to run one request.
 type Grant struct {
-	// By is the leader of the pool that granted the request ID.
-	By netip.AddrPort
-	ID uint64
+	// Leader is the leader of the pool that granted the request ID.
+	Leader netip.AddrPort
+	ID     uint64
 }
 
-// Verdict is the result of a reservation: Granted, Denied or Unconfirmed.
-type Verdict interface{ result() }
+// Result is the result of a reservation: Granted, Denied or Unconfirmed.
+type Result interface{ result() }
 
 // Granted allows the request.
 type Granted struct{ Grant Grant }
 
 // Denied refuses the request, since the limit is used up.
 type Denied struct {
-	// After is the time until as much is free.
-	After time.Duration
+	// RetryAfter is the time until as much is free.
+	RetryAfter time.Duration
 }
 
 // Unconfirmed means that no leader answered in time.
@@ -168,6 +168,6 @@
 
 // Decision is the result of the request with an ID.
 type Decision struct {
-	ID      uint64
-	Verdict Verdict
+	ID     uint64
+	Result Result
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -106,15 +106,15 @@
 	m.revision++
 	router.revision = m.revision
 	router.waiting, router.inbox = make(map[uint64]*modelRequest), nil
-	router.agent = NewAgent(Config{Self: router.addr, Bounds: m.bounds, FirstID: m.random.Uint64() >> 1, Alone: m.standalone, Place: m.place, HelloInterval: m.helloInterval})
+	router.agent = NewAgent(Config{Self: router.addr, Bounds: m.bounds, FirstID: m.random.Uint64() >> 1, Standalone: m.standalone, Place: m.place, HelloInterval: m.helloInterval})
 	older := slices.DeleteFunc(slices.Clone(m.routers), func(other *modelRouter) bool { return other == router || other.revision == 0 })
 	slices.SortFunc(older, func(a, b *modelRouter) int { return cmp.Compare(a.revision, b.revision) })
 	var addrs []netip.AddrPort
 	for _, other := range older {
 		addrs = append(addrs, other.addr)
 	}
-	router.agent.Know(router.revision, addrs)
-	router.agent.Counted(len(m.routers))
+	router.agent.SetRouters(router.revision, addrs)
+	router.agent.SetRouterCount(len(m.routers))
 }
 
 func (m *model) time() time.Time { return epoch.Add(m.now) }
@@ -149,7 +149,7 @@
 		return
 	}
 	delete(router.waiting, decision.ID)
-	granted, ok := decision.Verdict.(Granted)
+	granted, ok := decision.Result.(Granted)
 	if req.withinLimit && m.now > m.faultUntil {
 		req.tenant.faultFreeCount++
 		if !ok {
@@ -159,7 +159,7 @@
 	switch {
 	case !ok:
 	case m.random.IntN(10) == 0:
-		router.agent.Return(granted.Grant)
+		router.agent.Release(granted.Grant)
 	default:
 		req.tenant.ran = append(req.tenant.ran, usage{at: m.now, amount: req.amount})
 	}
@@ -213,8 +213,8 @@
 			if m.bounds.Unit > 0 {
 				amount = m.bounds.Unit
 			}
-			reservation := Claim{Subject: Subject(tenant.name), Limit: tenant.limit, Version: tenant.version, Amount: amount, Preferred: tenant.preferred && m.random.IntN(2) == 0}
-			id := router.agent.Take(m.time(), reservation)
+			reservation := Reservation{Subject: Subject(tenant.name), Limit: tenant.limit, Version: tenant.version, Amount: amount, Preferred: tenant.preferred && m.random.IntN(2) == 0}
+			id := router.agent.Acquire(m.time(), reservation)
 			router.waiting[id] = &modelRequest{tenant: tenant, amount: amount, withinLimit: tenant.overload == 0}
 			m.flush(router)
 		}
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -75,7 +75,7 @@
 
 // answeredRequest is a request and its response, kept for retries and releases.
 type answeredRequest struct {
-	response Answer
+	response AcquireResponse
 	subject  Subject
 	amount   float64
 	at       time.Time
@@ -174,7 +174,7 @@
 // sentBeforeLeaving reports whether a router sent a hello or a request before it left.
 func (p *Pool) sentBeforeLeaving(from netip.AddrPort, sent Leave) bool {
 	left, found := p.departures[from]
-	return found && sent.Hello <= left.leave.Hello && sent.Ask <= left.leave.Ask
+	return found && sent.Hello <= left.leave.Hello && sent.AcquireRequest <= left.leave.AcquireRequest
 }
 
 // bucketRetention is how long an unused bucket of units is kept, as back ends come and go. A
@@ -215,11 +215,11 @@
 
 // Acquire answers a request of a router and counts the router as a member. A retried request
 // gets the same response.
-func (p *Pool) Acquire(now time.Time, from netip.AddrPort, request *Ask, routers int) Answer {
-	if !request.Claim.valid() {
-		return Answer{ID: request.ID, After: maxRetryAfter}
+func (p *Pool) Acquire(now time.Time, from netip.AddrPort, request *AcquireRequest, routers int) AcquireResponse {
+	if !request.Reservation.valid() {
+		return AcquireResponse{ID: request.ID, RetryAfter: maxRetryAfter}
 	}
-	if p.sentBeforeLeaving(from, Leave{Ask: request.ID}) {
+	if p.sentBeforeLeaving(from, Leave{AcquireRequest: request.ID}) {
 		p.advance(now, routers)
 	} else {
 		p.Join(now, from, false, routers)
@@ -229,21 +229,21 @@
 	if known := p.responses[key]; known != nil {
 		return known.response
 	}
-	filling := p.bucket(&request.Claim, routers)
+	filling := p.bucket(&request.Reservation, routers)
 	filling.usedAt = now
-	response := Answer{ID: request.ID}
-	wait := p.wait(filling, &request.Claim, routers)
+	response := AcquireResponse{ID: request.ID}
+	wait := p.wait(filling, &request.Reservation, routers)
 	switch {
 	case wait == 0:
 		response.Granted = true
-		filling.level -= request.Claim.Amount
+		filling.level -= request.Reservation.Amount
 	case p.forming(now, routers):
 		response.Forming = true
 		return response
 	default:
-		response.After = min(wait+p.extraDelay(now, filling, routers), maxRetryAfter)
+		response.RetryAfter = min(wait+p.extraDelay(now, filling, routers), maxRetryAfter)
 	}
-	p.responses[key] = &answeredRequest{response: response, subject: request.Claim.Subject, amount: request.Claim.Amount, at: now}
+	p.responses[key] = &answeredRequest{response: response, subject: request.Reservation.Subject, amount: request.Reservation.Amount, at: now}
 	p.responseOrder = append(p.responseOrder, key)
 	return response
 }
@@ -263,7 +263,7 @@
 }
 
 // bucket returns the refilled bucket of a reservation's subject.
-func (p *Pool) bucket(reservation *Claim, routers int) *bucket {
+func (p *Pool) bucket(reservation *Reservation, routers int) *bucket {
 	known := p.buckets[reservation.Subject]
 	if known == nil {
 		known = &bucket{limit: reservation.Limit, version: reservation.Version, filled: p.baseFilled, credits: p.baseCredits}
@@ -295,7 +295,7 @@
 }
 
 // wait returns the time until a reservation could be granted, 0 if it can be now.
-func (p *Pool) wait(filling *bucket, reservation *Claim, routers int) time.Duration {
+func (p *Pool) wait(filling *bucket, reservation *Reservation, routers int) time.Duration {
 	share := p.share(routers)
 	full := p.capacity(filling.limit, routers)
 	needed := reservation.Amount
--- a/internal/quota/pool_test.go
+++ b/internal/quota/pool_test.go
@@ -47,7 +47,7 @@
 // grantedUnits requests single units until one is denied, and returns the number granted.
 func grantedUnits(pool *Pool, now time.Time, limit Limit, version uint64, routers int) int {
 	for count := 0; ; count++ {
-		request := Ask{ID: 1000 + lastRequestID.Add(1), Claim: Claim{Subject: "t", Limit: limit, Version: version, Amount: 1}}
+		request := AcquireRequest{ID: 1000 + lastRequestID.Add(1), Reservation: Reservation{Subject: "t", Limit: limit, Version: version, Amount: 1}}
 		if !pool.Acquire(now, addrOf(0), &request, routers).Granted {
 			return count
 		}
@@ -139,7 +139,7 @@
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
 	now = keepMembers(pool, now, time.Second, 4, 4)
-	request := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: 1000}}
+	request := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Amount: 1000}}
 	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
 	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted) // a retry
 	is.Equal(grantedUnits(pool, now, testLimit, 0, 4), 102)
@@ -155,7 +155,7 @@
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
 	now = keepMembers(pool, now, time.Minute, 4, 4)
-	request := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Version: 1, Amount: 1}}
+	request := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Version: 1, Amount: 1}}
 	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
 	lower := Limit{Rate: 100, Burst: 200}
 	is.Equal(grantedUnits(pool, now, lower, 2, 4), 200)
@@ -164,7 +164,7 @@
 }
 
 func TestInvalidReservationIsDenied(t *testing.T) {
-	tests := []Claim{
+	tests := []Reservation{
 		{Limit: testLimit, Amount: -1}, {Limit: testLimit, Amount: math.NaN()}, {Limit: testLimit, Amount: math.Inf(1)},
 		{Limit: Limit{Rate: math.NaN(), Burst: 1}, Amount: 1}, {Limit: Limit{Rate: math.Inf(1)}, Amount: 1},
 		{Limit: Limit{Rate: 1, Burst: math.Inf(1)}, Amount: 1}, {Amount: 1},
@@ -174,7 +174,7 @@
 			is := is.New(t)
 			pool := poolOf(epoch, 1, 1, false)
 			now := keepMembers(pool, epoch, time.Minute, 1, 1)
-			is.Equal(pool.Acquire(now, addrOf(0), &Ask{ID: 1, Claim: reservation}, 1), Answer{ID: 1, After: maxRetryAfter})
+			is.Equal(pool.Acquire(now, addrOf(0), &AcquireRequest{ID: 1, Reservation: reservation}, 1), AcquireResponse{ID: 1, RetryAfter: maxRetryAfter})
 			is.Equal(len(pool.buckets), 0)
 		})
 	}
@@ -199,10 +199,10 @@
 			is := is.New(t)
 			pool := poolOf(epoch, 4, 4, false)
 			now := keepMembers(pool, epoch, tt.filled, 4, 4)
-			request := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: tt.amount}}
+			request := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Amount: tt.amount}}
 			response := pool.Acquire(now, addrOf(0), &request, 4)
 			is.Equal(response.Granted, tt.granted)
-			is.Equal(response.After.Round(time.Millisecond), tt.after)
+			is.Equal(response.RetryAfter.Round(time.Millisecond), tt.after)
 		})
 	}
 }
--- a/internal/quota/ranking.go
+++ b/internal/quota/ranking.go
@@ -243,7 +243,7 @@
 
 // ObserveAck applies an acknowledgement. A router that has restarted is younger than this one
 // and loses its place.
-func (r *Ranking) ObserveAck(now time.Time, from netip.AddrPort, ack *Welcome) {
+func (r *Ranking) ObserveAck(now time.Time, from netip.AddrPort, ack *HelloAck) {
 	known := r.find(from)
 	if known == nil || known.pendingHello != ack.Number || ack.Number == 0 {
 		return
--- a/internal/quota/ranking_test.go
+++ b/internal/quota/ranking_test.go
@@ -14,7 +14,7 @@
 	for end := now.Add(length); now.Before(end); now = now.Add(step) {
 		for _, envelope := range ranking.DueHellos(now) {
 			if revision, up := revisions[envelope.To]; up {
-				ack := Welcome{Number: envelope.Message.(Hello).Number, Revision: revision}
+				ack := HelloAck{Number: envelope.Message.(Hello).Number, Revision: revision}
 				ranking.ObserveAck(now.Add(time.Millisecond), envelope.To, &ack)
 			}
 		}
@@ -87,7 +87,7 @@
 			ranking := NewRanking(addrOf(100))
 			ranking.SetRouters(100, []netip.AddrPort{addrOf(0)})
 			hello := ranking.DueHellos(epoch)[0].Message.(Hello)
-			ranking.ObserveAck(epoch.Add(tt.trip), addrOf(0), &Welcome{Number: hello.Number, Revision: 1})
+			ranking.ObserveAck(epoch.Add(tt.trip), addrOf(0), &HelloAck{Number: hello.Number, Revision: 1})
 			is.Equal(ranking.ResponseTimeout(addrOf(0)), tt.want)
 			is.Equal(ranking.ResponseTimeout(addrOf(1)), minResponseTimeout)
 		})
--- a/internal/quota/units_test.go
+++ b/internal/quota/units_test.go
@@ -133,7 +133,7 @@
 				pool.Join(epoch, addrOf(index), false, 4)
 			}
 			now := keepMembers(pool, epoch, 600*time.Millisecond, 4, 4)
-			request := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1, Preferred: tt.preferred}}
+			request := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1, Preferred: tt.preferred}}
 			is.Equal(pool.Acquire(now, addrOf(0), &request, 4).Granted, tt.granted)
 		})
 	}
@@ -153,7 +153,7 @@
 				pool.Join(epoch, addrOf(index), false, tt.routers)
 			}
 			now := keepMembers(pool, epoch, time.Minute, tt.members, tt.routers)
-			request := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1.3}, Amount: 1}}
+			request := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "e", Limit: Limit{Rate: 1.3}, Amount: 1}}
 			is.Equal(pool.Acquire(now, addrOf(0), &request, tt.routers).Granted, tt.granted)
 		})
 	}
@@ -169,12 +169,12 @@
 	}
 	now := keepMembers(pool, epoch, 3*time.Second, 4, 4)
 	for id := range uint64(5) {
-		request := Ask{ID: id, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
+		request := AcquireRequest{ID: id, Reservation: Reservation{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
 		is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
 		now = keepMembers(pool, now, 1200*time.Millisecond, 4, 4)
 		pool.Release(addrOf(0), id)
 	}
-	request := Ask{ID: 100, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
+	request := AcquireRequest{ID: 100, Reservation: Reservation{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
 	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
 	request.ID++
 	is.True(!pool.Acquire(now, addrOf(0), &request, 4).Granted)
