--- a/internal/quarantine/guard/guard_test.go
+++ b/internal/quarantine/guard/guard_test.go
@@ -57,9 +57,8 @@
 	is := is.New(t)
 	tests := []struct {
 		name string
-		// observe shows the end of an incarnation, some time after the request was abandoned
-		// there.
-		seen        func(w *harness, engine int)
+		// observe shows the end of an incarnation some time after the request was abandoned there.
+		observe     func(w *harness, engine int)
 		after       time.Duration
 		quarantined int
 	}{
@@ -85,7 +84,7 @@
 				for engine := range 3 {
 					w.all[0].ObserveAbandoned(time.Now(), subject("x"), w.target(engine))
 					time.Sleep(tt.after)
-					tt.seen(w, engine)
+					tt.observe(w, engine)
 					time.Sleep(time.Second)
 				}
 				is.Equal(w.quarantinedAt("x"), tt.quarantined)
