--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -62,9 +62,9 @@
 	return queue, make([]Item, 0, 1)
 }
 
-// BenchmarkPumpHeld pumps while every item is held by itself, the most work a
+// BenchmarkPumpBlocked pumps while every item is held by itself, the most work a
 // Pump can be.
-func BenchmarkPumpHeld(b *testing.B) {
+func BenchmarkPumpBlocked(b *testing.B) {
 	for _, tenants := range []int{10, 1000, 23000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
 			queue, _ := filled(tenants)
--- a/internal/admission/bursts_test.go
+++ b/internal/admission/bursts_test.go
@@ -28,7 +28,7 @@
 
 // traffic holds the requests and repeats of all routers in each step.
 type traffic struct {
-	requests, repeats []int
+	requests, retries []int
 }
 
 // within returns what lies in the window that ends with a step, so many steps earlier.
@@ -42,35 +42,35 @@
 
 // worst returns the largest part of what the rule allows that was used in a window.
 func (m *traffic) worst() (worst float64) {
-	for end := range m.repeats {
+	for end := range m.retries {
 		most := max(
 			within(m.requests, end, 0), within(m.requests, end, stepsOfWindow/2), within(m.requests, end, stepsOfWindow),
 		)
-		used := float64(within(m.repeats, end, 0)) / (burstRatio*float64(most) + burstSlack)
+		used := float64(within(m.retries, end, 0)) / (burstRatio*float64(most) + burstSlack)
 		worst = max(worst, used)
 	}
 	return worst
 }
 
-// fleetOf is a number of routers with budgets.
-type fleetOf struct {
+// fleet is a number of routers with budgets.
+type fleet struct {
 	traffic
 	start   time.Time
 	budgets []*admission.WindowBudget
 }
 
-func newFleetOf(routers int) *fleetOf {
-	f := &fleetOf{start: time.Unix(1000, 0)}
+func newFleet(routers int) *fleet {
+	f := &fleet{start: time.Unix(1000, 0)}
 	for range routers {
-		f.budgets = append(f.budgets, admission.NewWindowBudget(livesWindow, f.start))
+		f.budgets = append(f.budgets, admission.NewWindowBudget(restartWindow, f.start))
 	}
 	return f
 }
 
 // step gives each router requests, and lets them repeat all that they may if engines refuse.
-func (f *fleetOf) step(refused bool, requests func(router int) int) {
-	now := f.start.Add(time.Duration(len(f.repeats)) * burstStep)
-	arrived, repeated := 0, 0
+func (f *fleet) step(refused bool, requests func(router int) int) {
+	now := f.start.Add(time.Duration(len(f.retries)) * burstStep)
+	arrived, retried := 0, 0
 	for router, budget := range f.budgets {
 		count := requests(router)
 		for range count {
@@ -78,18 +78,18 @@
 		}
 		arrived += count
 		for refused && budget.Allow(now, burstSlack/float64(len(f.budgets))) {
-			repeated++
+			retried++
 		}
 	}
-	f.requests, f.repeats = append(f.requests, arrived), append(f.repeats, repeated)
+	f.requests, f.retries = append(f.requests, arrived), append(f.retries, retried)
 }
 
 // Two bursts of requests that lie nearly a window apart are in no window of the rule
 // together, if the one that is judged ends a quarter of a window after the second.
-func TestTwoBurstsEarnOneShare(t *testing.T) {
+func TestTwoBurstsStayWithinBound(t *testing.T) {
 	for apart := 5; apart <= stepsOfWindow; apart += 5 {
 		t.Run(fmt.Sprint(time.Duration(apart)*burstStep), func(t *testing.T) {
-			f := newFleetOf(4)
+			f := newFleet(4)
 			first := 2 * stepsOfWindow
 			for step := range 4 * stepsOfWindow {
 				f.step(step >= first+apart, func(int) int {
@@ -107,15 +107,15 @@
 	}
 }
 
-// drawn is a random course of requests and refusals.
-type drawn struct {
+// randomLoad is a random course of requests and refusals.
+type randomLoad struct {
 	*rand.Rand
 	calm, burst       float64
 	bursting, refused int
 }
 
 // next draws a step: the mean number of requests of one router, and whether they are refused.
-func (d *drawn) next() (mean float64, refused bool) {
+func (d *randomLoad) next() (mean float64, refused bool) {
 	d.bursting, d.refused = d.bursting-1, d.refused-1
 	if d.bursting < -20 && d.IntN(50) == 0 {
 		d.bursting = 1 + d.IntN(20)
@@ -130,14 +130,14 @@
 }
 
 // poisson draws a number of arrivals.
-func (d *drawn) poisson(mean float64) (count int) {
+func (d *randomLoad) poisson(mean float64) (count int) {
 	for left := d.ExpFloat64(); left < mean; left += d.ExpFloat64() {
 		count++
 	}
 	return count
 }
 
-func TestRandomArrivalsKeepTheRule(t *testing.T) {
+func TestRandomArrivalsStayWithinBound(t *testing.T) {
 	tests := []struct {
 		name        string
 		routers     int
@@ -155,8 +155,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			worst := 0.0
 			for seed := range uint64(8) {
-				d := &drawn{Rand: rand.New(rand.NewPCG(seed, 7)), calm: tt.calm, burst: tt.burst}
-				f := newFleetOf(tt.routers)
+				d := &randomLoad{Rand: rand.New(rand.NewPCG(seed, 7)), calm: tt.calm, burst: tt.burst}
+				f := newFleet(tt.routers)
 				for range 12 * stepsOfWindow {
 					mean, refused := d.next()
 					f.step(refused, func(int) int { return d.poisson(mean) })
--- a/internal/admission/clock_test.go
+++ b/internal/admission/clock_test.go
@@ -31,7 +31,7 @@
 	return set
 }
 
-func TestASetClockForgetsNoRepeat(t *testing.T) {
+func TestRetriesCountAfterClockChange(t *testing.T) {
 	tests := []struct {
 		name string
 		by   time.Duration
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestRequestsLeaveTheWindowWhenTheClockIsSetBack(t *testing.T) {
+func TestRequestsExpireAfterClockIsSetBack(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	budget := admission.NewWindowBudget(window, start)
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -7,16 +7,16 @@
 	// MaxWaitingPerTenant is the most items of one tenant that wait.
 	// Default: a quarter of MaxWaiting, at least 1.
 	MaxWaitingPerTenant int
-	// MaxHeldPerPump is the most items that one Pump finds to be held by
+	// MaxBlockedPerPump is the most items that one Pump finds to be held by
 	// themselves (ItemBlocked) before it ends early. Default: 128.
-	MaxHeldPerPump int
+	MaxBlockedPerPump int
 }
 
 const (
-	defaultMaxWaiting     = 8192
-	defaultMaxHeldPerPump = 128
-	// tenantPart is the part of MaxWaiting that one tenant may fill.
-	tenantPart = 4
+	defaultMaxWaiting        = 8192
+	defaultMaxBlockedPerPump = 128
+	// tenantDivisor is the part of MaxWaiting that one tenant may fill.
+	tenantDivisor = 4
 	// agingInterval is how often a pool of a class is passed over by
 	// dispatches of more urgent classes before it is due for a turn.
 	agingInterval = 16
@@ -33,10 +33,10 @@
 		c.MaxWaiting = defaultMaxWaiting
 	}
 	if c.MaxWaitingPerTenant <= 0 {
-		c.MaxWaitingPerTenant = max(1, c.MaxWaiting/tenantPart)
+		c.MaxWaitingPerTenant = max(1, c.MaxWaiting/tenantDivisor)
 	}
-	if c.MaxHeldPerPump <= 0 {
-		c.MaxHeldPerPump = defaultMaxHeldPerPump
+	if c.MaxBlockedPerPump <= 0 {
+		c.MaxBlockedPerPump = defaultMaxBlockedPerPump
 	}
 	return c
 }
--- a/internal/admission/floor.go
+++ b/internal/admission/floor.go
@@ -9,8 +9,8 @@
 	// floorProbes is the number of attempts that end under the lowered limit
 	// at the start of a window.
 	floorProbes = 16
-	// floorProbePart is the part of the limit that is allowed meanwhile.
-	floorProbePart = 4
+	// floorProbeDivisor is the part of the limit that is allowed meanwhile.
+	floorProbeDivisor = 4
 )
 
 // latencyFloor keeps the smallest time to first token of the last 30 to 60
@@ -56,7 +56,7 @@
 // lowered returns the limit while probing, and else the limit itself.
 func (f *latencyFloor) lowered(limit float64, bounds LimitBounds) int {
 	if f.probing() {
-		return int(max(float64(bounds.Minimum), limit/floorProbePart))
+		return int(max(float64(bounds.Minimum), limit/floorProbeDivisor))
 	}
 	return int(limit)
 }
--- a/internal/admission/level.go
+++ b/internal/admission/level.go
@@ -37,8 +37,8 @@
 	cost      float64
 	count     int
 	heapIndex int
-	// mark is level.passed at the last dispatch from the pool.
-	mark uint64
+	// passedAtDispatch is level.passed at the last dispatch from the pool.
+	passedAtDispatch uint64
 	// starving is the pool's place in level.starving.
 	starving *list.Element
 	blocked  bool
@@ -51,10 +51,10 @@
 	ready    indexedHeap[*pool]
 	tenants  map[ident.Tenant]*tenantShare
 	// longest orders tenants by backlog, the longest for its weight first.
-	longest indexedHeap[*tenantShare]
-	virtual float64
-	weight  float64
-	count   int
+	longest     indexedHeap[*tenantShare]
+	virtualTime float64
+	weight      float64
+	count       int
 	// passed counts dispatches from more urgent levels.
 	passed uint64
 	// starving lists the pools, the one that was passed most often first.
@@ -130,7 +130,7 @@
 	}
 	if share.count == 0 {
 		share.weight = item.Weight
-		share.tag = max(share.tag, l.virtual)
+		share.tag = max(share.tag, l.virtualTime)
 		l.weight += share.weight
 		l.longest.add(share)
 	}
@@ -152,7 +152,7 @@
 	if known, found := l.pools[key]; found {
 		return known
 	}
-	created := &pool{key: key, level: l, heapIndex: notInHeap, mark: l.passed}
+	created := &pool{key: key, level: l, heapIndex: notInHeap, passedAtDispatch: l.passed}
 	created.flows = indexedHeap[*flow]{less: flowLess, index: func(f *flow) *int { return &f.heapIndex }}
 	created.starving = l.starving.PushBack(created)
 	l.pools[key] = created
@@ -194,10 +194,10 @@
 		line.pool.flows.moved(line)
 		l.refresh(line.pool)
 	}
-	l.settleTenant(line.tenant)
+	l.updateTenant(line.tenant)
 	if l.count == 0 {
 		// The busy period is over: everyone starts anew.
-		l.virtual = 0
+		l.virtualTime = 0
 		clear(l.tenants)
 	}
 }
@@ -231,14 +231,14 @@
 	}
 }
 
-func (l *level) settleTenant(share *tenantShare) {
+func (l *level) updateTenant(share *tenantShare) {
 	if share.count > 0 {
 		l.longest.moved(share)
 		return
 	}
 	l.longest.remove(share)
 	l.weight -= share.weight
-	if share.tag <= l.virtual {
+	if share.tag <= l.virtualTime {
 		delete(l.tenants, share.name)
 	}
 }
@@ -255,12 +255,12 @@
 			l.refresh(other.pool)
 		}
 	}
-	start := max(share.tag, l.virtual-maxLag)
-	l.virtual = max(l.virtual, start)
+	start := max(share.tag, l.virtualTime-maxLag)
+	l.virtualTime = max(l.virtualTime, start)
 	share.tag = start + cost/share.weight
 	for _, other := range moved {
 		l.activate(other)
 	}
-	line.pool.mark = l.passed
+	line.pool.passedAtDispatch = l.passed
 	l.starving.MoveToBack(line.pool.starving)
 }
--- a/internal/admission/limits_test.go
+++ b/internal/admission/limits_test.go
@@ -33,7 +33,7 @@
 	return largest
 }
 
-func TestLimitersFindTheRoom(t *testing.T) {
+func TestLimitersConvergeToCapacity(t *testing.T) {
 	bounds := LimitBounds{Minimum: 2, Maximum: 64}
 	limiters := map[string]func() Limiter{
 		"fixed":    func() Limiter { return NewFixedLimiter(8) },
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -23,11 +23,11 @@
 	os.Exit(m.Run())
 }
 
-// TestEveryItemEndsExactlyOnceInAnyHistory also checks that a pump tries every
+// TestEveryItemEndsExactlyOnce also checks that a pump tries every
 // pool with waiting items, lines stay in order, and nobody is held too long.
-func TestEveryItemEndsExactlyOnceInAnyHistory(t *testing.T) {
+func TestEveryItemEndsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		queue, now := NewQueue(Config{MaxWaiting: 20, MaxWaitingPerTenant: 8, MaxHeldPerPump: 3}), start
+		queue, now := NewQueue(Config{MaxWaiting: 20, MaxWaitingPerTenant: 8, MaxBlockedPerPump: 3}), start
 		alive := map[ident.Request]Item{}
 		pick := func(label string, below int) int { return rapid.IntRange(0, below-1).Draw(t, label) }
 		end := func(id ident.Request) {
--- a/internal/admission/moved_test.go
+++ b/internal/admission/movedclients_test.go
@@ -21,7 +21,7 @@
 	movedSlack    = 54
 	movedPart     = float64(movedSlack) / (movedRouters + 1)
 	movedPause    = 16 * time.Millisecond // 62.5 requests a second in all
-	movedTries    = 3                     // repeats of one request, as forward.maxSends allows
+	movedRetries  = 3                     // repeats of one request, as forward.maxSends allows
 	movedRefusals = 60 * time.Second      // when two thirds of the sendings begin to be refused
 )
 
@@ -40,7 +40,7 @@
 	return count
 }
 
-func TestRequestsThatMoveToOtherRoutersEarnOnce(t *testing.T) {
+func TestMovedClientsStayWithinBound(t *testing.T) {
 	tests := []struct {
 		name string
 		// left routers serve all clients from some time after the refusals begin.
@@ -57,8 +57,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			start := time.Unix(1000, 0)
-			requests, repeats := movedTraffic(start, tt.left, tt.after)
-			worst, at := worstAbove(requests, repeats)
+			requests, retries := movedTraffic(start, tt.left, tt.after)
+			worst, at := worstAbove(requests, retries)
 			t.Logf("at most %.1f repeats above the bound, %v after refusals began", worst, at.Sub(start.Add(movedRefusals)))
 			if worst > 0 {
 				t.Errorf("%.1f repeats above the bound of all routers", worst)
@@ -69,7 +69,7 @@
 
 // movedTraffic plays the fleet. Refusals begin after a minute; some time later only the left
 // routers serve all clients. It returns the requests and the repeats.
-func movedTraffic(start time.Time, left int, after time.Duration) (requests, repeats times) {
+func movedTraffic(start time.Time, left int, after time.Duration) (requests, retries times) {
 	var budgets [movedRouters]*admission.WindowBudget
 	for index := range budgets {
 		budgets[index] = admission.NewWindowBudget(movedWindow, start)
@@ -87,32 +87,32 @@
 		if now.Sub(start) < movedRefusals {
 			continue
 		}
-		for range repeatsOf(number, budget, now) {
-			repeats = append(repeats, now)
+		for range retriesOf(number, budget, now) {
+			retries = append(retries, now)
 		}
 	}
-	return requests, repeats
+	return requests, retries
 }
 
-// repeatsOf returns how often a request is repeated, of which engines shed two thirds.
-func repeatsOf(number int, budget *admission.WindowBudget, now time.Time) int {
-	for try := range movedTries {
-		if (number*7+try*5)%9 >= 6 || !budget.Allow(now, movedPart) {
-			return try
+// retriesOf returns how often a request is repeated, of which engines shed two thirds.
+func retriesOf(number int, budget *admission.WindowBudget, now time.Time) int {
+	for retried := range movedRetries {
+		if (number*7+retried*5)%9 >= 6 || !budget.Allow(now, movedPart) {
+			return retried
 		}
 	}
-	return movedTries
+	return movedRetries
 }
 
 // worstAbove returns by how much repeats are above the bound in the worst window, and when
 // that ends: the most requests count of the window, of the one before it and of the one half
 // a window before it.
-func worstAbove(requests, repeats times) (worst float64, at time.Time) {
-	for _, end := range repeats {
+func worstAbove(requests, retries times) (worst float64, at time.Time) {
+	for _, end := range retries {
 		begin := end.Add(-movedWindow.Window)
 		half := movedWindow.Window / 2
 		most := max(requests.in(begin, end), requests.in(begin.Add(-half), end.Add(-half)), requests.in(begin.Add(-2*half), begin))
-		above := float64(repeats.in(begin, end)) - movedRatio*float64(most) - movedSlack
+		above := float64(retries.in(begin, end)) - movedRatio*float64(most) - movedSlack
 		if at.IsZero() || above > worst {
 			worst, at = above, end
 		}
--- a/internal/admission/pump.go
+++ b/internal/admission/pump.go
@@ -9,41 +9,41 @@
 //
 // Each pool is tried until its first PoolBlocked, each line of a tenant until
 // its first ItemBlocked, so a Pump without capacity costs one decision a pool.
-// After Config.MaxHeldPerPump times ItemBlocked the Pump ends early, Unfinished
+// After Config.MaxBlockedPerPump times ItemBlocked the Pump ends early, Unfinished
 // is true, and the next Pump goes on with the lines not tried yet.
 func (q *Queue) Pump(now time.Time, decide func(*Item) Result) []Refused {
 	refused := q.expire(now, func(expires time.Time) bool { return expires.Before(now) })
-	var blocked []PoolKey
-	held := 0
-	for held < q.config.MaxHeldPerPump {
+	var blockedPools []PoolKey
+	blockedItems := 0
+	for blockedItems < q.config.MaxBlockedPerPump {
 		tried, aged := q.next()
 		if tried == nil {
 			break
 		}
-		verdict := decide(&tried.item)
-		switch verdict.Action {
+		result := decide(&tried.item)
+		switch result.Action {
 		case Dispatched:
 			q.dispatch(now, tried, aged)
 		case PoolBlocked:
-			blocked = append(blocked, tried.item.Pool)
+			blockedPools = append(blockedPools, tried.item.Pool)
 			q.setBlocked(tried.item.Pool, true)
 		case ItemBlocked:
-			held++
-			q.aside = append(q.aside, tried.flow)
+			blockedItems++
+			q.blockedFlows = append(q.blockedFlows, tried.flow)
 			tried.flow.pool.flows.remove(tried.flow)
 			tried.flow.pool.level.refresh(tried.flow.pool)
 		default:
 			q.counters.Rejected++
-			refused = append(refused, Refused{tried.item, verdict.Fault})
+			refused = append(refused, Refused{tried.item, result.Fault})
 			q.drop(now, tried)
 		}
 	}
-	for _, key := range blocked {
+	for _, key := range blockedPools {
 		q.setBlocked(key, false)
 	}
-	q.unfinished = held == q.config.MaxHeldPerPump
+	q.unfinished = blockedItems == q.config.MaxBlockedPerPump
 	if !q.unfinished {
-		q.restoreAside()
+		q.restoreBlockedFlows()
 	}
 	return append(refused, q.Expire(now)...)
 }
@@ -51,15 +51,15 @@
 // Unfinished reports whether the last Pump ended before every line was tried.
 func (q *Queue) Unfinished() bool { return q.unfinished }
 
-// restoreAside puts the lines that were set aside, and still wait, back.
-func (q *Queue) restoreAside() {
-	for _, line := range q.aside {
+// restoreBlockedFlows puts the lines that were set aside, and still wait, back.
+func (q *Queue) restoreBlockedFlows() {
+	for _, line := range q.blockedFlows {
 		if line.count > 0 {
 			line.pool.level.activate(line)
 		}
 	}
-	clear(q.aside)
-	q.aside = q.aside[:0]
+	clear(q.blockedFlows)
+	q.blockedFlows = q.blockedFlows[:0]
 }
 
 // next returns the item whose turn it is, and whether it is out of turn for
@@ -86,7 +86,7 @@
 	for _, candidate := range q.levels {
 		for element := candidate.starving.Front(); element != nil; element = element.Next() {
 			waiting := element.Value.(*pool)
-			passed := candidate.passed - waiting.mark
+			passed := candidate.passed - waiting.passedAtDispatch
 			if passed < agingInterval || passed <= passedMost {
 				break
 			}
@@ -115,7 +115,7 @@
 			passed.passed++
 		}
 	}
-	q.drain(now, gone.item.Pool).served(now, gone.item.Cost)
+	q.throughputOf(now, gone.item.Pool).recordDispatch(now, gone.item.Cost)
 	from.charge(gone.flow, gone.item.Cost)
 	q.drop(now, gone)
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -40,29 +40,29 @@
 //
 // A Queue is not safe for concurrent use.
 type Queue struct {
-	config    Config
-	levels    []*level
-	entries   map[ident.Request]*entry
-	expiry    indexedHeap[*entry]
-	perTenant map[ident.Tenant]int
-	drains    map[PoolKey]*drain
-	sequence  uint64
+	config      Config
+	levels      []*level
+	entries     map[ident.Request]*entry
+	expiry      indexedHeap[*entry]
+	perTenant   map[ident.Tenant]int
+	throughputs map[PoolKey]*throughput
+	sequence    uint64
 	// sinceAged counts dispatches since the last out of turn.
 	sinceAged int
-	// aside holds the lines set aside by the current round of Pumps.
-	aside      []*flow
-	unfinished bool
-	counters   Counters
+	// blockedFlows holds the lines set aside by the current round of Pumps.
+	blockedFlows []*flow
+	unfinished   bool
+	counters     Counters
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(config Config) *Queue {
 	return &Queue{
-		config:    config.withDefaults(),
-		entries:   make(map[ident.Request]*entry),
-		perTenant: make(map[ident.Tenant]int),
-		drains:    make(map[PoolKey]*drain),
-		sinceAged: agedSpacing,
+		config:      config.withDefaults(),
+		entries:     make(map[ident.Request]*entry),
+		perTenant:   make(map[ident.Tenant]int),
+		throughputs: make(map[PoolKey]*throughput),
+		sinceAged:   agedSpacing,
 		expiry: indexedHeap[*entry]{
 			less: func(a, b *entry) bool {
 				if a.expires.Equal(b.expires) {
@@ -117,7 +117,7 @@
 	q.entries[item.ID] = added
 	q.perTenant[item.Tenant]++
 	q.expiry.add(added)
-	q.drain(now, item.Pool).enter(now)
+	q.throughputOf(now, item.Pool).enter(now)
 	q.level(item.Priority).add(added)
 }
 
@@ -130,7 +130,7 @@
 		delete(q.perTenant, item.Tenant)
 	}
 	q.expiry.remove(gone)
-	q.drain(now, item.Pool).leave(now)
+	q.throughputOf(now, item.Pool).leave(now)
 	gone.flow.pool.level.remove(gone)
 }
 
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -49,7 +49,7 @@
 	is.True(cost["small"] > 0.95*cost["large"] && cost["small"] < 1.05*cost["large"])
 }
 
-func TestTenantsNeitherSaveUpServiceNorLoseIt(t *testing.T) {
+func TestIdleTenantGetsNoCredit(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue(Config{})
 	waiting(queue, 300, Item{Tenant: "early"})
@@ -64,7 +64,7 @@
 	is.True(late >= 19 && late <= 21)
 }
 
-func TestLowerClassesGetTheirStatedShare(t *testing.T) {
+func TestStarvationBound(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue(Config{MaxWaitingPerTenant: 8192})
 	const lower, pools = 3, 5
@@ -96,7 +96,7 @@
 	is.True(queue.Counters().Aged > 0)
 }
 
-func TestBlockedPoolsCostOneDecisionAndHideNothing(t *testing.T) {
+func TestBlockedPoolIsTriedOnce(t *testing.T) {
 	cases := []struct {
 		name    string
 		blocked Action
@@ -108,7 +108,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			queue := NewQueue(Config{MaxHeldPerPump: 7})
+			queue := NewQueue(Config{MaxBlockedPerPump: 7})
 			for tenant := range 10 {
 				name := ident.Tenant(fmt.Sprint(tenant))
 				waiting(queue, 5, Item{Tenant: name, Pool: "stuck"})
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestHoldTimeEndsAtItsMoment(t *testing.T) {
+func TestHoldTimeExpires(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue(Config{})
 	is.Equal(len(queue.Offer(start, Item{ID: "x", Tenant: "a", MaxHold: 2 * time.Second})), 0)
@@ -188,10 +188,10 @@
 	is.Equal(len(dispatchSome(queue, start, 1)), 1) // no hold time, but free capacity
 	queue.Offer(start, Item{ID: "never", Tenant: "a"})
 	is.Equal(len(queue.Pump(start, func(*Item) Result { return Result{Action: PoolBlocked} })), 1)
-	is.Equal(queue.Len()+len(queue.drains)-1, 0)
+	is.Equal(queue.Len()+len(queue.throughputs)-1, 0)
 }
 
-func TestHopelessItemsAreRefusedAtArrival(t *testing.T) {
+func TestItemsWithTooShortHoldTimeAreRefused(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue(Config{})
 	waiting(queue, 1000, Item{Tenant: "a", Cost: 10})
--- a/internal/admission/lives_test.go
+++ b/internal/admission/restarts_test.go
@@ -16,11 +16,11 @@
 	"github.com/fieldpond/fieldpond/internal/admission"
 )
 
-// livesWindow leaves a fifth of a ratio of 0.2 to requests that are new to a router.
-var livesWindow = admission.WindowConfig{Window: 10 * time.Second, Share: 0.16, GrowthShare: 0.04}
+// restartWindow leaves a fifth of a ratio of 0.2 to requests that are new to a router.
+var restartWindow = admission.WindowConfig{Window: 10 * time.Second, Share: 0.16, GrowthShare: 0.04}
 
 // Every request asks for a repeat, and the router is killed again and again.
-func TestLivesOfARouterHaveOneShare(t *testing.T) {
+func TestRestartedRouterStaysWithinBound(t *testing.T) {
 	tests := []struct {
 		name  string
 		lives time.Duration
@@ -38,22 +38,22 @@
 			const pause = 20 * time.Millisecond
 			start := time.Unix(1000, 0)
 			begun := start
-			budget := admission.NewWindowBudget(livesWindow, begun)
-			var repeats []time.Time
+			budget := admission.NewWindowBudget(restartWindow, begun)
+			var retries []time.Time
 			// Refusals come in bursts, after times in which nothing is repeated.
 			for now := start; now.Before(start.Add(time.Minute)); now = now.Add(pause) {
 				if now.Sub(begun) >= tt.lives {
 					begun = now
-					budget = admission.NewWindowBudget(livesWindow, begun)
+					budget = admission.NewWindowBudget(restartWindow, begun)
 				}
 				budget.RecordRequest(now)
 				bursts := now.Sub(start)%(20*time.Second) >= 12*time.Second
 				for bursts && budget.Allow(now, 0) {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 			}
-			most := mostInWindow(repeats)
-			requests := int(livesWindow.Window / pause)
+			most := mostInWindow(retries)
+			requests := int(restartWindow.Window / pause)
 			is.True(most > 0)
 			is.True(most <= requests/5)
 		})
@@ -61,11 +61,11 @@
 }
 
 // mostInWindow returns the most repeats that lie in one window.
-func mostInWindow(repeats []time.Time) (most int) {
-	for first := range repeats {
+func mostInWindow(retries []time.Time) (most int) {
+	for first := range retries {
 		count := 0
-		for _, at := range repeats[first:] {
-			if at.Sub(repeats[first]) < livesWindow.Window {
+		for _, at := range retries[first:] {
+			if at.Sub(retries[first]) < restartWindow.Window {
 				count++
 			}
 		}
@@ -74,10 +74,10 @@
 	return most
 }
 
-func TestARouterThatHasJustStartedRepeatsLess(t *testing.T) {
+func TestNewRouterRetriesLess(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	budget := admission.NewWindowBudget(livesWindow, start)
+	budget := admission.NewWindowBudget(restartWindow, start)
 	const pause = 10 * time.Millisecond
 	now := start
 	// granted returns the repeats that are granted at a time, after steady requests up to it.
--- a/internal/admission/sharers.go
+++ b/internal/admission/sharers.go
@@ -27,13 +27,13 @@
 	// current was counted last, as of countedAt; former are the numbers held before.
 	current   int
 	countedAt time.Time
-	former    []formerCount
+	previous  []previousCount
 	// staleUntil is when a count that was too old was last replaced by another one.
 	staleUntil time.Time
 }
 
-// formerCount is a number of routers that was held until another one was counted.
-type formerCount struct {
+// previousCount is a number of routers that was held until another one was counted.
+type previousCount struct {
 	routers int
 	until   time.Time
 }
@@ -58,10 +58,10 @@
 		return
 	}
 	if s.current > 0 {
-		s.former = append(s.former, formerCount{routers: s.current, until: now})
+		s.previous = append(s.previous, previousCount{routers: s.current, until: now})
 	}
 	s.current = routers
-	s.forget(now)
+	s.dropExpired(now)
 }
 
 // Count returns the number of routers that have a part each, or 0 while this router has
@@ -75,10 +75,10 @@
 	if s.stale(now) || now.Sub(s.staleUntil) < s.cfg.Window {
 		return 0
 	}
-	s.forget(now)
+	s.dropExpired(now)
 	most := s.current
-	for _, former := range s.former {
-		most = max(most, former.routers)
+	for _, earlier := range s.previous {
+		most = max(most, earlier.routers)
 	}
 	return most
 }
@@ -86,13 +86,13 @@
 // stale reports whether the newest count is older than the others rely on.
 func (s *Sharers) stale(now time.Time) bool { return now.Sub(s.countedAt) > s.cfg.Lag }
 
-// forget drops what was not held in the window any more.
-func (s *Sharers) forget(now time.Time) {
-	kept := s.former[:0]
-	for _, former := range s.former {
-		if now.Sub(former.until) <= s.cfg.Window {
-			kept = append(kept, former)
+// dropExpired drops what was not held in the window any more.
+func (s *Sharers) dropExpired(now time.Time) {
+	kept := s.previous[:0]
+	for _, earlier := range s.previous {
+		if now.Sub(earlier.until) <= s.cfg.Window {
+			kept = append(kept, earlier)
 		}
 	}
-	s.former = kept
+	s.previous = kept
 }
--- a/internal/admission/sharers_test.go
+++ b/internal/admission/sharers_test.go
@@ -9,14 +9,14 @@
 	"github.com/fieldpond/fieldpond/internal/admission"
 )
 
-// counted is a number of routers that is listed from a time on.
-type counted struct {
+// listedCount is a number of routers that is listed from a time on.
+type listedCount struct {
 	after   time.Duration
 	routers int
 }
 
-// confirmed counts each number at its time, and again each second until the next one.
-func confirmed(counts []counted, until time.Duration, count func(after time.Duration, routers int)) {
+// repeatCounts counts each number at its time, and again each second until the next one.
+func repeatCounts(counts []listedCount, until time.Duration, count func(after time.Duration, routers int)) {
 	for index, current := range counts {
 		end := until
 		if index+1 < len(counts) {
@@ -28,27 +28,27 @@
 	}
 }
 
-func TestTheLargestCountOfTheWindowDivides(t *testing.T) {
+func TestLargestCountOfWindowApplies(t *testing.T) {
 	start := time.Unix(1000, 0)
 	cfg := admission.SharersConfig{Window: 10 * time.Second, Lag: 5 * time.Second}
 	tests := []struct {
 		name   string
 		joined bool
-		counts []counted
+		counts []listedCount
 		at     time.Duration
 		among  int
 	}{
-		{"not joined", false, []counted{{0, 7}}, time.Hour, 0},
-		{"just joined", true, []counted{{0, 7}}, time.Second, 0},
-		{"shortly before it was counted for a window", true, []counted{{0, 7}}, 15*time.Second - 1, 0},
-		{"counted for a window", true, []counted{{0, 7}}, 15 * time.Second, 7},
-		{"fewer, a moment ago", true, []counted{{0, 7}, {20 * time.Second, 2}}, 20 * time.Second, 7},
-		{"fewer, a window ago", true, []counted{{0, 7}, {20 * time.Second, 2}}, 30 * time.Second, 7},
-		{"fewer, longer ago", true, []counted{{0, 7}, {20 * time.Second, 2}}, 30*time.Second + 1, 2},
-		{"fewer for a moment only", true, []counted{{0, 7}, {20 * time.Second, 1}, {21 * time.Second, 7}}, 31 * time.Second, 7},
-		{"fewer and fewer", true, []counted{{0, 7}, {20 * time.Second, 5}, {25 * time.Second, 3}}, 32 * time.Second, 5},
-		{"more", true, []counted{{0, 7}, {20 * time.Second, 12}}, 20 * time.Second, 12},
-		{"more for a moment", true, []counted{{0, 7}, {20 * time.Second, 12}, {21 * time.Second, 7}}, 25 * time.Second, 12},
+		{"not joined", false, []listedCount{{0, 7}}, time.Hour, 0},
+		{"just joined", true, []listedCount{{0, 7}}, time.Second, 0},
+		{"shortly before it was counted for a window", true, []listedCount{{0, 7}}, 15*time.Second - 1, 0},
+		{"counted for a window", true, []listedCount{{0, 7}}, 15 * time.Second, 7},
+		{"fewer, a moment ago", true, []listedCount{{0, 7}, {20 * time.Second, 2}}, 20 * time.Second, 7},
+		{"fewer, a window ago", true, []listedCount{{0, 7}, {20 * time.Second, 2}}, 30 * time.Second, 7},
+		{"fewer, longer ago", true, []listedCount{{0, 7}, {20 * time.Second, 2}}, 30*time.Second + 1, 2},
+		{"fewer for a moment only", true, []listedCount{{0, 7}, {20 * time.Second, 1}, {21 * time.Second, 7}}, 31 * time.Second, 7},
+		{"fewer and fewer", true, []listedCount{{0, 7}, {20 * time.Second, 5}, {25 * time.Second, 3}}, 32 * time.Second, 5},
+		{"more", true, []listedCount{{0, 7}, {20 * time.Second, 12}}, 20 * time.Second, 12},
+		{"more for a moment", true, []listedCount{{0, 7}, {20 * time.Second, 12}, {21 * time.Second, 7}}, 25 * time.Second, 12},
 		{"not known", true, nil, time.Hour, 0},
 	}
 	for _, tt := range tests {
@@ -57,7 +57,7 @@
 			if tt.joined {
 				sharers.SetJoined(start)
 			}
-			confirmed(tt.counts, tt.at, func(after time.Duration, routers int) {
+			repeatCounts(tt.counts, tt.at, func(after time.Duration, routers int) {
 				sharers.RecordCount(start.Add(after), start.Add(after), routers)
 			})
 			is.New(t).Equal(sharers.Count(start.Add(tt.at)), tt.among)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestAnOldCountDividesNothing(t *testing.T) {
+func TestStaleCountIsNotUsed(t *testing.T) {
 	start := time.Unix(1000, 0)
 	cfg := admission.SharersConfig{Window: 10 * time.Second, Lag: 5 * time.Second}
 	type told struct {
@@ -102,7 +102,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			sharers := admission.NewSharers(cfg)
 			sharers.SetJoined(start)
-			confirmed([]counted{{0, 7}}, 30*time.Second, func(after time.Duration, routers int) {
+			repeatCounts([]listedCount{{0, 7}}, 30*time.Second, func(after time.Duration, routers int) {
 				sharers.RecordCount(start.Add(after), start.Add(after), routers)
 			})
 			for _, told := range tt.told {
--- a/internal/admission/drain.go
+++ b/internal/admission/throughput.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// drainMemory is the time constant of the drain rate.
-	drainMemory = 2 * time.Second
-	// drainMinimumBusy and drainMinimumServed are the least observation that
+	// throughputMemory is the time constant of the drain rate.
+	throughputMemory = 2 * time.Second
+	// minBusyTime and minServedItems are the least observation that
 	// a rate is stated from, both after decay.
-	drainMinimumBusy   = 250 * time.Millisecond
-	drainMinimumServed = 3
-	// maxDrains bounds the pools remembered though nothing of theirs waits.
-	maxDrains = 1024
+	minBusyTime    = 250 * time.Millisecond
+	minServedItems = 3
+	// maxThroughputs bounds the pools remembered though nothing of theirs waits.
+	maxThroughputs = 1024
 	// unknownWait is stated when no drain rate is known.
 	unknownWait = time.Second
 	// minRetryAfter and maxRetryAfter bound what callers are told.
@@ -25,9 +25,9 @@
 	maxRetryAfter = time.Minute
 )
 
-// drain estimates how fast the waiting items of a pool are served: tokens and
+// throughput estimates how fast the waiting items of a pool are served: tokens and
 // items dispatched over the time that items waited, all decaying alike.
-type drain struct {
+type throughput struct {
 	waiting int
 	updated time.Time
 	busy    float64
@@ -35,34 +35,34 @@
 	items   float64
 }
 
-func (d *drain) advance(now time.Time) {
+func (d *throughput) advance(now time.Time) {
 	elapsed := now.Sub(d.updated)
 	if elapsed <= 0 {
 		return
 	}
 	d.updated = now
-	decay := math.Exp(-elapsed.Seconds() / drainMemory.Seconds())
+	decay := math.Exp(-elapsed.Seconds() / throughputMemory.Seconds())
 	d.busy *= decay
 	d.cost *= decay
 	d.items *= decay
 	if d.waiting > 0 {
-		d.busy += drainMemory.Seconds() * (1 - decay)
+		d.busy += throughputMemory.Seconds() * (1 - decay)
 	}
 }
 
-func (d *drain) enter(now time.Time) {
+func (d *throughput) enter(now time.Time) {
 	d.advance(now)
 	d.waiting++
 }
 
-func (d *drain) leave(now time.Time) {
+func (d *throughput) leave(now time.Time) {
 	d.advance(now)
 	d.waiting--
 }
 
-// served counts a dispatch. One at the moment the pool began to wait says
+// recordDispatch counts a dispatch. One at the moment the pool began to wait says
 // nothing of its rate, since no busy time stands against it.
-func (d *drain) served(now time.Time, cost float64) {
+func (d *throughput) recordDispatch(now time.Time, cost float64) {
 	d.advance(now)
 	if d.busy > 0 {
 		d.cost += cost
@@ -71,27 +71,27 @@
 }
 
 // rates returns tokens and items a second, if known.
-func (d *drain) rates(now time.Time) (cost, items float64, known bool) {
+func (d *throughput) rates(now time.Time) (cost, items float64, known bool) {
 	d.advance(now)
-	if d.busy < drainMinimumBusy.Seconds() || d.items < drainMinimumServed {
+	if d.busy < minBusyTime.Seconds() || d.items < minServedItems {
 		return 0, 0, false
 	}
 	return d.cost / d.busy, d.items / d.busy, true
 }
 
-func (q *Queue) drain(now time.Time, key PoolKey) *drain {
-	if known, found := q.drains[key]; found {
+func (q *Queue) throughputOf(now time.Time, key PoolKey) *throughput {
+	if known, found := q.throughputs[key]; found {
 		return known
 	}
-	if len(q.drains) >= maxDrains {
-		for other, forgotten := range q.drains {
-			if forgotten.waiting == 0 {
-				delete(q.drains, other)
+	if len(q.throughputs) >= maxThroughputs {
+		for other, candidate := range q.throughputs {
+			if candidate.waiting == 0 {
+				delete(q.throughputs, other)
 			}
 		}
 	}
-	created := &drain{updated: now}
-	q.drains[key] = created
+	created := &throughput{updated: now}
+	q.throughputs[key] = created
 	return created
 }
 
@@ -100,11 +100,11 @@
 // starvation bound it takes the sooner, and of the fair order and first in,
 // first out as well.
 func (q *Queue) predictedWait(now time.Time, item Item) time.Duration {
-	watched, waits := q.drains[item.Pool]
-	if !waits || watched.waiting == 0 {
+	measured, waits := q.throughputs[item.Pool]
+	if !waits || measured.waiting == 0 {
 		return 0
 	}
-	costRate, itemRate, known := watched.rates(now)
+	costRate, itemRate, known := measured.rates(now)
 	if !known {
 		return 0
 	}
@@ -155,11 +155,11 @@
 // timeToDrain is the time until everything of the item's class and above that
 // waits for its pool now would be served.
 func (q *Queue) timeToDrain(now time.Time, item Item) time.Duration {
-	watched, found := q.drains[item.Pool]
+	measured, found := q.throughputs[item.Pool]
 	if !found {
 		return unknownWait
 	}
-	rate, _, known := watched.rates(now)
+	rate, _, known := measured.rates(now)
 	if !known {
 		return unknownWait
 	}
--- a/internal/admission/windowbudget.go
+++ b/internal/admission/windowbudget.go
@@ -23,9 +23,9 @@
 const (
 	// windowSlots is the number of pieces a window is counted in; it is even.
 	windowSlots = 20
-	// repeatSlots are kept of repeats: one piece more than the window, so that a repeat
+	// retrySlots are kept of repeats: one piece more than the window, so that a repeat
 	// leaves the count only after it has left every window that it lay in.
-	repeatSlots = windowSlots + 1
+	retrySlots = windowSlots + 1
 	// requestSlots are kept of requests: the window and the one before it.
 	requestSlots = 2*windowSlots + 1
 )
@@ -41,33 +41,33 @@
 type WindowBudget struct {
 	config   WindowConfig
 	requests [requestSlots]int
-	repeats  [repeatSlots]int
-	// beganAt is when the router started, current the number of the newest piece since.
-	beganAt time.Time
-	current int64
+	retries  [retrySlots]int
+	// startedAt is when the router started, current the number of the newest piece since.
+	startedAt   time.Time
+	currentSlot int64
 }
 
 // NewWindowBudget returns a budget that has seen nothing, of a router that started at a time.
 func NewWindowBudget(config WindowConfig, startedAt time.Time) *WindowBudget {
 	config.GrowthShare = cmp.Or(config.GrowthShare, config.Share)
-	return &WindowBudget{config: config, beganAt: startedAt}
+	return &WindowBudget{config: config, startedAt: startedAt}
 }
 
 // RecordRequest counts a request that a client made.
 func (b *WindowBudget) RecordRequest(now time.Time) {
 	b.advance(now)
-	b.requests[b.current%requestSlots]++
+	b.requests[b.currentSlot%requestSlots]++
 }
 
 // Allow reports whether a repeat may leave now, and if so counts it. slack is
 // the number of repeats granted in each window without any request; it may be a
 // fraction, and may change from call to call.
 func (b *WindowBudget) Allow(now time.Time, slack float64) bool {
-	requests, repeats := b.Counts(now)
-	if float64(repeats+1) > b.earned(requests)+slack {
+	requests, retries := b.Counts(now)
+	if float64(retries+1) > b.earned(requests)+slack {
 		return false
 	}
-	b.repeats[b.current%repeatSlots]++
+	b.retries[b.currentSlot%retrySlots]++
 	return true
 }
 
@@ -75,30 +75,30 @@
 // that something may be tried that is likely to need one. The other half is for what nobody
 // foresees.
 func (b *WindowBudget) SpareForTrials(now time.Time, slack float64) bool {
-	requests, repeats := b.Counts(now)
-	return float64(2*(repeats+1)) <= b.earned(requests)+slack
+	requests, retries := b.Counts(now)
+	return float64(2*(retries+1)) <= b.earned(requests)+slack
 }
 
 // earned returns how many of the requests that count now may be repeated.
 func (b *WindowBudget) earned(requests int) float64 {
 	known := b.history()
-	steady := min(requests, known.formerWindow())
+	steady := min(requests, known.previousWindow())
 	return b.config.Share*float64(steady) + b.config.GrowthShare*float64(requests-steady)
 }
 
 // Counts returns the requests that earn a share of repeats now, and the repeats that the
 // window may hold.
-func (b *WindowBudget) Counts(now time.Time) (requests, repeats int) {
+func (b *WindowBudget) Counts(now time.Time) (requests, retries int) {
 	b.advance(now)
-	for _, count := range b.repeats {
-		repeats += count
+	for _, count := range b.retries {
+		retries += count
 	}
 	known := b.history()
-	requests = known.judged(0)
+	requests = known.counted(0)
 	for later := 1; later <= windowSlots; later++ {
-		requests = min(requests, known.judged(later))
+		requests = min(requests, known.counted(later))
 	}
-	return requests, repeats
+	return requests, retries
 }
 
 // history holds sums of the requests of the last pieces, from the oldest on: the first of
@@ -108,33 +108,33 @@
 // history returns the sums of what is known now.
 func (b *WindowBudget) history() (sums history) {
 	for index := range b.requests {
-		piece := b.current + 1 + int64(index)
-		sums[index+1] = sums[index] + b.requests[piece%requestSlots]
+		slot := b.currentSlot + 1 + int64(index)
+		sums[index+1] = sums[index] + b.requests[slot%requestSlots]
 	}
 	return sums
 }
 
-// judged returns the requests known so far that count in a window that ends so many pieces
+// counted returns the requests known so far that count in a window that ends so many pieces
 // later than now.
-func (h *history) judged(later int) int {
+func (h *history) counted(later int) int {
 	half := windowSlots / 2
-	return max(h.until(later), h.before(later-half), h.before(later-windowSlots))
+	return max(h.windowUntil(later), h.windowBefore(later-half), h.windowBefore(later-windowSlots))
 }
 
-// until returns the requests of a window that ends now or so many pieces later.
-func (h *history) until(later int) int {
+// windowUntil returns the requests of a window that ends now or so many pieces later.
+func (h *history) windowUntil(later int) int {
 	return h[requestSlots] - h[requestSlots+min(later-windowSlots, 0)]
 }
 
-// before returns the requests of a window that ends within a piece, so many after the newest
+// windowBefore returns the requests of a window that ends within a piece, so many after the newest
 // one. Those of the piece itself may have come after its end.
-func (h *history) before(later int) int {
+func (h *history) windowBefore(later int) int {
 	last := requestSlots + min(later-1, 0)
 	return h[last] - h[requestSlots+later-windowSlots]
 }
 
-// formerWindow returns the requests of the window before the one that ends now.
-func (h *history) formerWindow() int {
+// previousWindow returns the requests of the window before the one that ends now.
+func (h *history) previousWindow() int {
 	return h[requestSlots-windowSlots] - h[requestSlots-2*windowSlots]
 }
 
@@ -142,13 +142,13 @@
 func (b *WindowBudget) advance(now time.Time) {
 	// The time since the begin does not change when the wall clock is set: that must neither
 	// forget repeats that were just granted nor keep requests of long ago.
-	piece := int64(now.Sub(b.beganAt) / (b.config.Window / windowSlots))
-	if piece <= b.current {
+	slot := int64(now.Sub(b.startedAt) / (b.config.Window / windowSlots))
+	if slot <= b.currentSlot {
 		return
 	}
-	for step := max(b.current+1, piece-requestSlots+1); step <= piece; step++ {
+	for step := max(b.currentSlot+1, slot-requestSlots+1); step <= slot; step++ {
 		b.requests[step%requestSlots] = 0
-		b.repeats[step%repeatSlots] = 0
+		b.retries[step%retrySlots] = 0
 	}
-	b.current = piece
+	b.currentSlot = slot
 }
--- a/internal/admission/windowbudget_test.go
+++ b/internal/admission/windowbudget_test.go
@@ -16,7 +16,7 @@
 // slack is granted to every window of the tests.
 const slack = 3
 
-func TestOnlyTheSlackIsGrantedWithoutRequests(t *testing.T) {
+func TestOnlySlackIsGrantedWithoutRequests(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	budget := admission.NewWindowBudget(window, start)
@@ -29,7 +29,7 @@
 }
 
 // A fraction of a repeat is granted only together with requests.
-func TestAFractionOfSlackIsNoRepeat(t *testing.T) {
+func TestFractionalSlackGrantsNoRetry(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	budget := admission.NewWindowBudget(window, start)
@@ -42,11 +42,11 @@
 
 // Whatever the traffic, no sliding window holds more repeats than the share of
 // its own requests, or of those of the window before, and the slack.
-func TestEverySlidingWindowKeepsTheBound(t *testing.T) {
+func TestEverySlidingWindowStaysWithinBound(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1000, 0)
 	budget := admission.NewWindowBudget(window, start)
-	var requests, repeats []time.Time
+	var requests, retries []time.Time
 	now := start
 	for range 20_000 {
 		now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
@@ -56,7 +56,7 @@
 		budget.RecordRequest(now)
 		requests = append(requests, now)
 		for random.IntN(2) == 0 && budget.Allow(now, slack) {
-			repeats = append(repeats, now)
+			retries = append(retries, now)
 		}
 	}
 	within := func(times []time.Time, from, to time.Time) int {
@@ -65,19 +65,19 @@
 		}
 		return after(to) - after(from)
 	}
-	for _, end := range repeats {
+	for _, end := range retries {
 		begin := end.Add(-window.Window)
 		own := within(requests, begin, end)
 		earlier := within(requests, begin.Add(-window.Window), begin)
 		most := window.Share*float64(max(own, earlier)) + slack
-		if count := within(repeats, begin, end); float64(count) > most {
+		if count := within(retries, begin, end); float64(count) > most {
 			t.Fatalf("%d repeats in the window before %v, at most %g", count, end, most)
 		}
 	}
 }
 
 // Trials that are likely to need a repeat may use half of those that are granted.
-func TestHalfOfTheRepeatsAreKeptFromTrials(t *testing.T) {
+func TestTrialsUseHalfOfTheRetries(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	budget := admission.NewWindowBudget(window, start)
