--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -62,8 +62,7 @@
 	return queue, make([]Item, 0, 1)
 }
 
-// BenchmarkPumpBlocked pumps while every item is held by itself, the most work a
-// Pump can be.
+// BenchmarkPumpBlocked pumps while every item is blocked by itself, the worst case of Pump.
 func BenchmarkPumpBlocked(b *testing.B) {
 	for _, tenants := range []int{10, 1000, 23000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
--- a/internal/admission/bucket.go
+++ b/internal/admission/bucket.go
@@ -7,7 +7,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// bucket is a token bucket without a clock of its own.
+// bucket is a token bucket; callers pass the time.
 type bucket struct {
 	rate, burst, tokens float64
 	updated             time.Time
@@ -23,7 +23,7 @@
 	}
 }
 
-// take removes a token, or returns how long it takes until there is one.
+// take removes a token, or returns the time until there is one.
 func (b *bucket) take(now time.Time) (wait time.Duration, taken bool) {
 	b.refill(now)
 	if b.tokens >= 1 {
@@ -39,7 +39,7 @@
 	Share float64
 	// MinimumPerSecond is granted without any success. Default: 2.
 	MinimumPerSecond float64
-	// Burst is the most retries saved up. Default: 20.
+	// Burst is the largest balance. Default: 20.
 	Burst float64
 }
 
@@ -47,8 +47,8 @@
 	defaultRetryShare   = 0.1
 	defaultRetryMinimum = 2
 	defaultRetryBurst   = 20
-	// initialRetries is the balance of a new budget. It is small, so that
-	// routers restarted in a herd cannot retry in a herd.
+	// initialRetries is the balance of a new budget, small so that routers that restart
+	// together cannot retry together.
 	initialRetries = 1
 )
 
@@ -73,32 +73,32 @@
 	return &RetryBudget{share: config.Share, tokens: tokens}
 }
 
-// RecordSuccess earns a share of a retry.
+// RecordSuccess adds Share of a retry to the balance.
 func (b *RetryBudget) RecordSuccess(now time.Time) {
 	b.tokens.refill(now)
 	b.tokens.tokens = min(b.tokens.burst, b.tokens.tokens+b.share)
 }
 
-// Allow reports whether a retry may leave now, and if so counts it.
+// Allow reports whether a retry may be sent now, and if so counts it.
 func (b *RetryBudget) Allow(now time.Time) bool {
 	_, taken := b.tokens.take(now)
 	return taken
 }
 
-// tenantBurst is the time whose worth of requests a tenant may send at once.
+// tenantBurst is the time whose requests a tenant may send at once.
 const tenantBurst = time.Second
 
 // TenantRate limits the requests a second of one tenant at one router.
 type TenantRate struct{ tokens bucket }
 
-// NewTenantRate returns a limit; zero or less means none. A second's worth of
-// requests, at least one, may come at once.
+// NewTenantRate returns a limit; zero or less means none. The burst is one second's requests,
+// at least one.
 func NewTenantRate(requestsPerSecond float64) *TenantRate {
 	burst := max(1, requestsPerSecond*tenantBurst.Seconds())
 	return &TenantRate{bucket{rate: requestsPerSecond, burst: burst, tokens: burst}}
 }
 
-// Admit returns nil, or a RateLimited fault that says when to come back.
+// Admit returns nil, or a RateLimited fault with its RetryAfter.
 func (r *TenantRate) Admit(now time.Time, id ident.Request) *fault.Fault {
 	if r.tokens.rate <= 0 {
 		return nil
--- a/internal/admission/bursts_test.go
+++ b/internal/admission/bursts_test.go
@@ -1,10 +1,8 @@
 package admission_test
 
-// The rule on repeats takes the requests of the window that is judged, of the one before it
-// or of the one half a window before it, whichever has most. A router that grants a repeat
-// knows neither which windows the repeat will be judged in nor what comes later in them.
-// The model below draws bursts of requests and of refusals for several routers and judges
-// all sliding windows by the rule.
+// The bound on retries counts the requests of the judged window, of the one before it or of the
+// one half a window before it, whichever has most. Random bursts of requests and refusals at
+// several routers must keep it in all sliding windows.
 
 import (
 	"fmt"
@@ -19,19 +17,19 @@
 
 const (
 	burstStep = 100 * time.Millisecond
-	// burstRatio and burstSlack are what all routers together may repeat.
+	// burstRatio and burstSlack bound the retries of all routers together.
 	burstRatio = 0.2
 	burstSlack = 20
-	// stepsOfWindow is the window in steps.
+	// stepsOfWindow is the number of steps in a window.
 	stepsOfWindow = int(10 * time.Second / burstStep)
 )
 
-// traffic holds the requests and repeats of all routers in each step.
+// traffic has the requests and retries of all routers in each step.
 type traffic struct {
 	requests, retries []int
 }
 
-// within returns what lies in the window that ends with a step, so many steps earlier.
+// within returns the sum of the window that ends a number of steps earlier than end.
 func within(counts []int, end, earlier int) (total int) {
 	last := end - earlier
 	for step := max(last-stepsOfWindow+1, 0); step <= last; step++ {
@@ -40,7 +38,7 @@
 	return total
 }
 
-// worst returns the largest part of what the rule allows that was used in a window.
+// worst returns the largest part of the bound that was used in a window.
 func (m *traffic) worst() (worst float64) {
 	for end := range m.retries {
 		most := max(
@@ -52,7 +50,6 @@
 	return worst
 }
 
-// fleet is a number of routers with budgets.
 type fleet struct {
 	traffic
 	start   time.Time
@@ -67,7 +64,7 @@
 	return f
 }
 
-// step gives each router requests, and lets them repeat all that they may if engines refuse.
+// step gives each router requests, and while they are refused all retries that it is allowed.
 func (f *fleet) step(refused bool, requests func(router int) int) {
 	now := f.start.Add(time.Duration(len(f.retries)) * burstStep)
 	arrived, retried := 0, 0
@@ -84,8 +81,8 @@
 	f.requests, f.retries = append(f.requests, arrived), append(f.retries, retried)
 }
 
-// Two bursts of requests that lie nearly a window apart are in no window of the rule
-// together, if the one that is judged ends a quarter of a window after the second.
+// The retries of two bursts nearly a window apart lie together in a window that ends after the
+// second, in which only one burst counts.
 func TestTwoBurstsStayWithinBound(t *testing.T) {
 	for apart := 5; apart <= stepsOfWindow; apart += 5 {
 		t.Run(fmt.Sprint(time.Duration(apart)*burstStep), func(t *testing.T) {
@@ -99,7 +96,7 @@
 					return 0
 				})
 			}
-			t.Logf("%.2f of what may be repeated", f.worst())
+			t.Logf("%.2f of the bound on retries", f.worst())
 			is := is.New(t)
 			is.True(f.worst() <= 1)
 			is.True(f.worst() > 0.4)
@@ -107,14 +104,15 @@
 	}
 }
 
-// randomLoad is a random course of requests and refusals.
+// randomLoad is a random sequence of requests and refusals.
 type randomLoad struct {
 	*rand.Rand
 	calm, burst       float64
 	bursting, refused int
 }
 
-// next draws a step: the mean number of requests of one router, and whether they are refused.
+// next returns the mean number of requests of one router in a step, and whether they are
+// refused.
 func (d *randomLoad) next() (mean float64, refused bool) {
 	d.bursting, d.refused = d.bursting-1, d.refused-1
 	if d.bursting < -20 && d.IntN(50) == 0 {
@@ -129,7 +127,7 @@
 	return d.calm, d.refused > 0
 }
 
-// poisson draws a number of arrivals.
+// poisson returns a number of arrivals.
 func (d *randomLoad) poisson(mean float64) (count int) {
 	for left := d.ExpFloat64(); left < mean; left += d.ExpFloat64() {
 		count++
@@ -163,7 +161,7 @@
 				}
 				worst = max(worst, f.worst())
 			}
-			t.Logf("%.2f of what may be repeated", worst)
+			t.Logf("%.2f of the bound on retries", worst)
 			is := is.New(t)
 			is.True(worst <= 1)
 			is.True(worst > 0.5)
--- a/internal/admission/clock_test.go
+++ b/internal/admission/clock_test.go
@@ -1,11 +1,7 @@
 package admission_test
 
-// Users saw engines get more repeats in ten seconds than the budget grants. One way to
-// it: the pieces of the window were counted by the wall clock. When the clock was set
-// ahead, the budget forgot repeats that had just been sent and granted as many again;
-// when it was set back, the requests of long ago stayed in the window and paid for
-// repeats now. The tests below, on times whose clock was set but that are a moment
-// apart, showed both.
+// Setting the wall clock must not change the window: ahead it would drop recent retries, back
+// it would keep old requests.
 
 import (
 	"testing"
@@ -17,11 +13,11 @@
 	"github.com/fieldpond/fieldpond/internal/admission"
 )
 
-// clockSet returns a time as time.Now returns it after the wall clock was set by whole
-// seconds: its monotonic reading is the one of now.
+// clockSet returns the time that time.Now would return if the wall clock had been set: the
+// monotonic reading stays.
 func clockSet(t *testing.T, now time.Time, by time.Duration) time.Time {
 	t.Helper()
-	// The word that begins a time with a monotonic reading counts seconds from bit 30 on.
+	// The first word of a time with a monotonic reading counts seconds from bit 30 on.
 	const secondsFrom = 30
 	set := now
 	*(*uint64)(unsafe.Pointer(&set)) += uint64(by/time.Second) << secondsFrom
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -7,24 +7,24 @@
 	// MaxWaitingPerTenant is the most items of one tenant that wait.
 	// Default: a quarter of MaxWaiting, at least 1.
 	MaxWaitingPerTenant int
-	// MaxBlockedPerPump is the most items that one Pump finds to be held by
-	// themselves (ItemBlocked) before it ends early. Default: 128.
+	// MaxBlockedPerPump is the number of ItemBlocked results after which a Pump ends early.
+	// Default: 128.
 	MaxBlockedPerPump int
 }
 
 const (
 	defaultMaxWaiting        = 8192
 	defaultMaxBlockedPerPump = 128
-	// tenantDivisor is the part of MaxWaiting that one tenant may fill.
+	// tenantDivisor divides MaxWaiting to the limit of one tenant.
 	tenantDivisor = 4
-	// agingInterval is how often a pool of a class is passed over by
-	// dispatches of more urgent classes before it is due for a turn.
+	// agingInterval is the number of dispatches of more urgent classes after which a pool is
+	// due.
 	agingInterval = 16
-	// agedSpacing allows at most one due turn in so many dispatches, so that
-	// the regular order keeps three quarters of them.
+	// agedSpacing is the least number of dispatches for one of a due pool, so that the regular
+	// order keeps three quarters.
 	agedSpacing = 4
-	// maxLag bounds the service, in tokens for a weight of 1, that a tenant
-	// with waiting items can fall behind and later catch up.
+	// maxLag bounds the service, in tokens for a weight of 1, that a waiting tenant may catch
+	// up after a delay.
 	maxLag = 1 << 20
 )
 
--- a/internal/admission/floor.go
+++ b/internal/admission/floor.go
@@ -3,28 +3,25 @@
 import "time"
 
 const (
-	// floorWindow is the length of each of the two windows that the minimum
-	// is kept over.
+	// floorWindow is the length of each of the two windows of the minimum.
 	floorWindow = 30 * time.Second
-	// floorProbes is the number of attempts that end under the lowered limit
-	// at the start of a window.
+	// floorProbes is the number of attempts under the lowered limit at the start of a window.
 	floorProbes = 16
-	// floorProbeDivisor is the part of the limit that is allowed meanwhile.
+	// floorProbeDivisor divides the limit during probing.
 	floorProbeDivisor = 4
 )
 
-// latencyFloor keeps the smallest time to first token of the last 30 to 60
-// seconds, in seconds. Under lasting load every sample contains queueing at
-// the back end, so the minimum would creep up with the limit; at the start of
-// a window the limit is therefore lowered until a few attempts have ended.
+// latencyFloor is the smallest time to first token of the last 30 to 60 seconds, in seconds.
+// Under permanent load all samples include queueing at the back end and the minimum would rise
+// with the limit, so the limit is lowered at the start of each window until a few attempts have
+// ended.
 type latencyFloor struct {
 	current, previous float64
 	windowStart       time.Time
 	probesLeft        int
 }
 
-// observe takes a sample. Only attempts that started under the lowered limit
-// count as probes; those already on their way still met the full load.
+// observe adds a sample. Attempts that started before the limit was lowered are no probes.
 func (f *latencyFloor) observe(now time.Time, sample Sample) {
 	latency := sample.TimeToFirstToken.Seconds()
 	if f.windowStart.IsZero() {
@@ -50,10 +47,10 @@
 	return f.current
 }
 
-// probing reports whether the limit is to be lowered.
+// probing reports whether the limit is lowered.
 func (f *latencyFloor) probing() bool { return f.probesLeft > 0 }
 
-// lowered returns the limit while probing, and else the limit itself.
+// lowered returns the limit, lowered while probing.
 func (f *latencyFloor) lowered(limit float64, bounds LimitBounds) int {
 	if f.probing() {
 		return int(max(float64(bounds.Minimum), limit/floorProbeDivisor))
--- a/internal/admission/heap.go
+++ b/internal/admission/heap.go
@@ -5,8 +5,8 @@
 // notInHeap is the index of an element that is in no heap.
 const notInHeap = -1
 
-// indexedHeap is a binary heap whose elements know their index, so that they
-// can be moved or removed in logarithmic time. It implements heap.Interface.
+// indexedHeap is a binary heap whose elements store their index, so that they can be moved or
+// removed in logarithmic time. It implements heap.Interface.
 type indexedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -52,7 +52,7 @@
 	}
 }
 
-// moved restores the order after the item's rank changed.
+// moved restores the order after the item's rank has changed.
 func (h *indexedHeap[T]) moved(item T) {
 	if at := *h.index(item); at != notInHeap {
 		heap.Fix(h, at)
--- a/internal/admission/item.go
+++ b/internal/admission/item.go
@@ -1,8 +1,7 @@
-// Package admission decides who waits, for how long, and who goes next.
+// Package admission queues requests, limits concurrency and bounds retries.
 //
-// Everything in it is a state machine without I/O: no clock, goroutine, lock
-// or global random source. Times come in as arguments; the caller serialises
-// access.
+// All of it is state machines without I/O: no clock, goroutine, lock or global random source.
+// Callers pass the time and serialise access.
 package admission
 
 import (
@@ -16,7 +15,7 @@
 // cannot be dispatched for want of capacity, none can.
 type PoolKey string
 
-// Item is a request that waits.
+// Item is a waiting request.
 type Item struct {
 	ID     ident.Request
 	Tenant ident.Tenant
@@ -27,40 +26,40 @@
 	// Cost is the predicted work in prefill tokens; below 1 counts as 1.
 	Cost float64
 	Pool PoolKey
-	// MaxHold is the longest the item waits, from Offer on.
+	// MaxHold is the longest time that the item waits after Offer.
 	MaxHold time.Duration
 }
 
-// Refused is an item that was given up, not run, and what to answer.
+// Refused is an item that was not run, with the fault for its caller.
 type Refused struct {
 	Item  Item
 	Fault *fault.Fault
 }
 
-// Action says what became of an item in Pump.
+// Action is what happens to an item in Pump.
 type Action int
 
 const (
-	// Dispatched means the item went to a back end; it leaves the queue.
+	// Dispatched means the item was sent to a back end and leaves the queue.
 	Dispatched Action = iota
 	// PoolBlocked means no back end of the pool has capacity: the item stays,
 	// and no other item of its pool is tried in this Pump.
 	PoolBlocked
-	// ItemBlocked means this one item is held: it stays, and no other item of
-	// its tenant, class and pool is tried in this round of Pumps.
+	// ItemBlocked means the item stays, and no other item of its tenant, class and pool is
+	// tried in this round of Pumps.
 	ItemBlocked
-	// Rejected means the item is refused with the verdict's fault.
+	// Rejected means the item is refused with the result's fault.
 	Rejected
 )
 
-// Result is the answer of Pump's decide function.
+// Result is what Pump's decide function returns.
 type Result struct {
 	Action Action
-	// Fault is the answer to the caller when Action is Rejected.
+	// Fault is returned to the caller when Action is Rejected.
 	Fault *fault.Fault
 }
 
-// entry is an item in the queue and its place in the queue's structures.
+// entry is a queued item with its positions in the queue's structures.
 type entry struct {
 	item           Item
 	expires        time.Time
--- a/internal/admission/level.go
+++ b/internal/admission/level.go
@@ -6,7 +6,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// flow is the first-in first-out line of one tenant for one pool in one level.
+// flow is the first-in first-out queue of one tenant for one pool in one level.
 type flow struct {
 	tenant      *tenantShare
 	pool        *pool
@@ -16,10 +16,9 @@
 	heapIndex   int
 }
 
-// tenantShare is a tenant's account in one level. Tag is its virtual time:
-// the tokens dispatched for it, divided by its weight. The smallest tag goes
-// first. A tenant that comes back after a pause starts at the level's time,
-// so it neither saves up service nor is charged for work that was refused.
+// tenantShare is a tenant's account in one level. tag is its virtual time: the tokens
+// dispatched for it, divided by its weight. The smallest tag goes first. A tenant that was idle
+// starts at the level's time, so that it neither accumulates service nor pays for refused work.
 type tenantShare struct {
 	name      ident.Tenant
 	weight    float64
@@ -29,7 +28,7 @@
 	heapIndex int
 }
 
-// pool is one pool's waiting items in one level.
+// pool has the waiting items of one pool in one level.
 type pool struct {
 	key       PoolKey
 	level     *level
@@ -39,7 +38,7 @@
 	heapIndex int
 	// passedAtDispatch is level.passed at the last dispatch from the pool.
 	passedAtDispatch uint64
-	// starving is the pool's place in level.starving.
+	// starving is the pool's element of level.starving.
 	starving *list.Element
 	blocked  bool
 }
@@ -50,14 +49,14 @@
 	pools    map[PoolKey]*pool
 	ready    indexedHeap[*pool]
 	tenants  map[ident.Tenant]*tenantShare
-	// longest orders tenants by backlog, the longest for its weight first.
+	// longest orders tenants by backlog divided by weight, the largest first.
 	longest     indexedHeap[*tenantShare]
 	virtualTime float64
 	weight      float64
 	count       int
 	// passed counts dispatches from more urgent levels.
 	passed uint64
-	// starving lists the pools, the one that was passed most often first.
+	// starving lists the pools, the most often passed first.
 	starving *list.List
 }
 
@@ -87,7 +86,7 @@
 
 func (t *tenantShare) backlog() float64 { return float64(t.count) / t.weight }
 
-// newest returns the tenant's youngest waiting entry.
+// newest returns the tenant's latest entry.
 func (t *tenantShare) newest() *entry {
 	var newest *entry
 	for _, line := range t.flows {
@@ -164,7 +163,7 @@
 	l.refresh(line.pool)
 }
 
-// refresh puts a pool at its place among the ready ones.
+// refresh updates a pool's position among the ready ones.
 func (l *level) refresh(changed *pool) {
 	waiting := len(changed.flows.items) > 0 && !changed.blocked
 	switch {
@@ -177,7 +176,7 @@
 	}
 }
 
-// remove takes an entry out of its flow and drops what became empty.
+// remove removes an entry from its flow, and what became empty.
 func (l *level) remove(gone *entry) {
 	line := gone.flow
 	wasFirst := line.first == gone
@@ -196,7 +195,7 @@
 	}
 	l.updateTenant(line.tenant)
 	if l.count == 0 {
-		// The busy period is over: everyone starts anew.
+		// The busy period is over: all tenants start equal again.
 		l.virtualTime = 0
 		clear(l.tenants)
 	}
@@ -243,8 +242,8 @@
 	}
 }
 
-// charge accounts for a dispatch. The tenant's flows leave their heaps while
-// its tag changes, because a heap cannot hold several changed ranks at once.
+// charge accounts for a dispatch. The tenant's flows are removed from their heaps while its tag
+// changes, because a heap cannot have several changed ranks at once.
 func (l *level) charge(line *flow, cost float64) {
 	share := line.tenant
 	var moved []*flow
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Sample is what one finished attempt says of its back end.
+// Sample is the measurement of one finished attempt.
 type Sample struct {
-	// TimeToFirstToken is measured from dispatch; zero if none came.
+	// TimeToFirstToken is measured from dispatch; zero if there was no token.
 	TimeToFirstToken time.Duration
 	// ServiceTime is from dispatch to the end of the attempt.
 	ServiceTime time.Duration
 	Outcome     SampleOutcome
 }
 
-// SampleOutcome says how an attempt ended, as far as limits are concerned.
+// SampleOutcome is how an attempt ended, as far as it concerns limits.
 type SampleOutcome int
 
 const (
-	// SampleServed is an attempt that ran to its end.
+	// SampleServed is an attempt that was completed.
 	SampleServed SampleOutcome = iota
-	// SampleRefused is an attempt the back end refused for want of room, or
-	// that was late.
+	// SampleRefused is an attempt that was late or that the back end refused for lack of
+	// capacity.
 	SampleRefused
-	// SampleIgnored is an attempt whose end says nothing of load, such as one
-	// cancelled by its caller.
+	// SampleIgnored is an attempt that is no measure of load, such as one cancelled by its
+	// caller.
 	SampleIgnored
 )
 
-// Limiter bounds a router's own attempts in flight on one back end. It is not
-// safe for concurrent use. Start a new one with every new incarnation.
+// Limiter bounds a router's own attempts in flight at one back end. It is not safe for
+// concurrent use. Each incarnation needs a new one.
 type Limiter interface {
-	// Limit returns the most attempts that may be in flight; at least 1.
+	// Limit returns the largest number of attempts in flight; at least 1.
 	Limit(now time.Time) int
-	// Started tells of an attempt that left.
+	// Started records the start of an attempt.
 	Started(now time.Time)
-	// Finished tells of an attempt that ended.
+	// Finished records the end of an attempt.
 	Finished(now time.Time, sample Sample)
 }
 
-// LimitBounds are the least and the most an adaptive limit may become.
+// LimitBounds bound an adaptive limit.
 type LimitBounds struct {
 	// Initial limit. Default: 8, within the other two.
 	Initial int
@@ -71,7 +71,7 @@
 	return min(max(limit, float64(b.Minimum)), float64(b.Maximum))
 }
 
-// FixedLimiter never changes its limit.
+// FixedLimiter has a constant limit.
 type FixedLimiter struct{ limit int }
 
 // NewFixedLimiter returns a limiter at the given limit, at least 1.
@@ -80,14 +80,12 @@
 // Limit implements Limiter.
 func (f *FixedLimiter) Limit(time.Time) int { return f.limit }
 
-// batchLimit is the batch size of the usual engine. One router alone can fill
-// it; what several routers send beyond waits at the engine, which orders it by
-// priority too.
+// batchLimit is the usual batch size of an engine. What several routers send beyond it waits at
+// the engine, which orders it by priority too.
 const batchLimit = 16
 
-// NewDefaultLimiter returns the limiter that routers use: a fixed one as large
-// as an engine's batch. Limits that adapt below it push requests away from
-// where their prefix is cached; docs/design/admission.md has the figures.
+// NewDefaultLimiter returns the limiter that routers use: a fixed one of an engine's batch
+// size. Adaptive limits below it would move requests away from cached prefixes.
 func NewDefaultLimiter() Limiter { return NewFixedLimiter(batchLimit) }
 
 // Started implements Limiter.
--- a/internal/admission/limiter_gradient.go
+++ b/internal/admission/limiter_gradient.go
@@ -12,18 +12,18 @@
 	gradientTolerance = 2.0
 	// gradientFloor bounds one step down.
 	gradientFloor = 0.5
-	// gradientSmoothing is the part of a step that is taken for one sample.
+	// gradientSmoothing is the part of a step applied for one sample.
 	gradientSmoothing = 0.2
-	// gradientShortWeight weighs a new sample in the short-term average.
+	// gradientShortWeight is the weight of a new sample in the short-term average.
 	gradientShortWeight = 0.1
 	// gradientRefusalFactor shrinks the limit after a refusal.
 	gradientRefusalFactor = 0.9
 )
 
-// GradientLimiter compares a short-term average of the time to first token
-// with its floor over the last 30 to 60 seconds. Their ratio shrinks the
-// limit when queues build up at the back end; a square root of the limit is
-// allowed as queue, which makes it grow while there is none.
+// GradientLimiter compares a short-term average of the time to first token with its floor over
+// the last 30 to 60 seconds. Their ratio shrinks the limit when queues grow at the back end;
+// the square root of the limit is allowed as a queue, which makes the limit grow while there is
+// none.
 type GradientLimiter struct {
 	bounds   LimitBounds
 	limit    float64
@@ -58,8 +58,7 @@
 	}
 }
 
-// observe keeps what is measured under the lowered limit out of the
-// short-term average: it says nothing about the limit itself.
+// observe excludes samples under the lowered limit from the short-term average.
 func (g *GradientLimiter) observe(now time.Time, sample Sample) {
 	latency := sample.TimeToFirstToken.Seconds()
 	g.floor.observe(now, sample)
@@ -69,8 +68,8 @@
 	}
 }
 
-// step moves the limit. It does not grow while less than half of it is used,
-// since then the latency says nothing about more load.
+// step adjusts the limit. It does not grow while less than half of it is used, since then
+// latency does not show the effect of more load.
 func (g *GradientLimiter) step(inFlight int) {
 	gradient := min(1, max(gradientFloor, gradientTolerance*g.floor.minimum()/g.short))
 	target := g.limit*gradient + math.Sqrt(g.limit)
--- a/internal/admission/limiter_rate.go
+++ b/internal/admission/limiter_rate.go
@@ -6,21 +6,20 @@
 )
 
 const (
-	// rateWeight weighs a new sample in both moving averages.
+	// rateWeight is the weight of a new sample in both moving averages.
 	rateWeight = 0.02
-	// rateHeadroom lets the limit grow: starts are themselves bounded by the
-	// limit, so without headroom it could only shrink.
+	// rateHeadroom lets the limit grow: the limit bounds the rate of starts, so without
+	// headroom it could only shrink.
 	rateHeadroom = 1.25
 	// rateWarmup is the number of finished attempts before the estimate counts.
 	rateWarmup = 20
 )
 
-// RateTimesService estimates the useful concurrency by Little's law: the rate
-// of starts times the mean service time, both exponential moving averages,
-// plus headroom. The rate is the inverse of the mean interval, because the
-// mean of inverse intervals has no bound for irregular arrivals. The service
-// time leaves out queueing at the back end, taken as the time to first token
-// above its floor; with it the estimate would feed on its own queue.
+// RateTimesService estimates the useful concurrency by Little's law: the rate of starts times
+// the mean service time, both exponential moving averages, plus headroom. The rate is the
+// inverse of the mean interval, because the mean of inverse intervals is unbounded for
+// irregular arrivals. The service time excludes queueing at the back end, which would increase
+// the estimate again; that is the time to first token above its floor.
 type RateTimesService struct {
 	bounds    LimitBounds
 	limit     float64
@@ -75,7 +74,7 @@
 	return sample.ServiceTime.Seconds() - max(0, latency-r.floor.minimum())
 }
 
-// average moves a moving average; the first sample starts it.
+// average updates a moving average; the first sample initialises it.
 func average(mean, sample float64) float64 {
 	if mean == 0 {
 		return sample
--- a/internal/admission/limits_test.go
+++ b/internal/admission/limits_test.go
@@ -11,9 +11,9 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// drive runs a back end that serves room attempts at once in 100 ms each and
-// queues the rest, kept as full as the limiter allows, and returns the largest
-// limit of the last rounds; a limit lowered for probing is not it.
+// drive simulates a back end that serves room attempts at once in 100 ms each and queues the
+// rest, with all attempts that the limiter allows. It returns the largest limit of the last
+// rounds, which excludes lowered ones.
 func drive(limiter Limiter, room int, outcome SampleOutcome) int {
 	now, largest := start, 0
 	for round := range 2000 {
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -15,7 +15,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// TestMain fixes the seed of the random schedules, so that every run is alike.
+// TestMain fixes the seed of the random schedules, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "17"); err != nil {
 		panic(err)
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// TestEveryItemEndsExactlyOnce also checks that a pump tries every
-// pool with waiting items, lines stay in order, and nobody is held too long.
+// TestEveryItemEndsExactlyOnce also checks that a pump tries every pool with waiting items,
+// flows stay in order, and no item exceeds its hold time.
 func TestEveryItemEndsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue, now := NewQueue(Config{MaxWaiting: 20, MaxWaitingPerTenant: 8, MaxBlockedPerPump: 3}), start
@@ -104,7 +104,7 @@
 		source, err := os.ReadFile(file.Name())
 		is.NoErr(err)
 		for _, banned := range []string{"net/http", "time.Now", "time.After", "go func", "\tgo ", "math/rand", `"sync`} {
-			is.True(!strings.Contains(string(source), banned)) // everything here is a pure machine
+			is.True(!strings.Contains(string(source), banned)) // a state machine without I/O
 		}
 	}
 }
--- a/internal/admission/movedclients_test.go
+++ b/internal/admission/movedclients_test.go
@@ -1,10 +1,8 @@
 package admission_test
 
-// The bound of all routers holds for the requests of all routers together, in one window.
-// Each router earns its share by the requests of a window of its own, which ends at its last
-// repeat. When clients go from some routers to others, because those are killed, cut off or
-// told to stop, the requests of one window earn twice: those of before the move at the
-// routers that lost their clients, and those of after it at the routers that took them.
+// When routers are stopped or cut off, their clients move to others, and the requests of one
+// window earn retries twice: before the move at the old routers, after it at the new ones. Both
+// together must stay within the bound of all routers.
 
 import (
 	"testing"
@@ -13,24 +11,24 @@
 	"github.com/fieldpond/fieldpond/internal/admission"
 )
 
-// movedFleet is seven routers with the constants of the platform's adapter: a ratio of 0.2,
-// of which 0.8 is used, and a slack of 54 that eight parts are made of.
+// A fleet of movedRouters with a ratio of 0.2, of which 0.8 is used, and a slack divided by one
+// router more.
 const (
 	movedRouters  = 7
 	movedRatio    = 0.2
 	movedSlack    = 54
 	movedPart     = float64(movedSlack) / (movedRouters + 1)
-	movedPause    = 16 * time.Millisecond // 62.5 requests a second in all
-	movedRetries  = 3                     // repeats of one request, as forward.maxSends allows
-	movedRefusals = 60 * time.Second      // when two thirds of the sendings begin to be refused
+	movedPause    = 16 * time.Millisecond // between two requests of the fleet
+	movedRetries  = 3                     // retries of one request, as forward.maxSends allows
+	movedRefusals = 60 * time.Second      // when engines begin to refuse two thirds of the attempts
 )
 
 var movedWindow = admission.WindowConfig{Window: 10 * time.Second, Share: 0.8 * movedRatio, GrowthShare: 0.2 * movedRatio}
 
-// times are those of events, in order.
+// times are the times of events, in order.
 type times []time.Time
 
-// in returns how many lie after one time and not after another.
+// in returns how many lie after from and not after to.
 func (t times) in(from, to time.Time) (count int) {
 	for _, at := range t {
 		if at.After(from) && !at.After(to) {
@@ -59,16 +57,16 @@
 			start := time.Unix(1000, 0)
 			requests, retries := movedTraffic(start, tt.left, tt.after)
 			worst, at := worstAbove(requests, retries)
-			t.Logf("at most %.1f repeats above the bound, %v after refusals began", worst, at.Sub(start.Add(movedRefusals)))
+			t.Logf("at most %.1f retries above the bound, %v after refusals began", worst, at.Sub(start.Add(movedRefusals)))
 			if worst > 0 {
-				t.Errorf("%.1f repeats above the bound of all routers", worst)
+				t.Errorf("%.1f retries above the bound of all routers", worst)
 			}
 		})
 	}
 }
 
-// movedTraffic plays the fleet. Refusals begin after a minute; some time later only the left
-// routers serve all clients. It returns the requests and the repeats.
+// movedTraffic simulates the fleet: refusals begin after movedRefusals, and some time later
+// only the left routers serve all clients. It returns the requests and the retries.
 func movedTraffic(start time.Time, left int, after time.Duration) (requests, retries times) {
 	var budgets [movedRouters]*admission.WindowBudget
 	for index := range budgets {
@@ -94,7 +92,7 @@
 	return requests, retries
 }
 
-// retriesOf returns how often a request is repeated, of which engines shed two thirds.
+// retriesOf returns the number of retries of a request.
 func retriesOf(number int, budget *admission.WindowBudget, now time.Time) int {
 	for retried := range movedRetries {
 		if (number*7+retried*5)%9 >= 6 || !budget.Allow(now, movedPart) {
@@ -104,9 +102,9 @@
 	return movedRetries
 }
 
-// worstAbove returns by how much repeats are above the bound in the worst window, and when
-// that ends: the most requests count of the window, of the one before it and of the one half
-// a window before it.
+// worstAbove returns by how much retries exceed the bound in the worst window, and when that
+// ends. Of the window, the one before it and the one half a window before it the one with most
+// requests counts.
 func worstAbove(requests, retries times) (worst float64, at time.Time) {
 	for _, end := range retries {
 		begin := end.Add(-movedWindow.Window)
--- a/internal/admission/pump.go
+++ b/internal/admission/pump.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// Pump offers the waiting items to decide in fair order until nothing more
-// can go, and returns the items given up on the way: those whose hold time
-// has ended, and those that decide rejected. An item whose hold time ends at
-// now is tried once more first. decide must not call the Queue.
+// Pump offers the waiting items to decide in fair order until no more can be dispatched, and
+// returns the refused ones: those whose hold time has ended, and those rejected by decide. An
+// item whose hold time ends at now is tried once more first. decide must not call the Queue.
 //
-// Each pool is tried until its first PoolBlocked, each line of a tenant until
-// its first ItemBlocked, so a Pump without capacity costs one decision a pool.
-// After Config.MaxBlockedPerPump times ItemBlocked the Pump ends early, Unfinished
-// is true, and the next Pump goes on with the lines not tried yet.
+// Each pool is tried until its first PoolBlocked, each flow until its first ItemBlocked, so a
+// Pump without capacity costs one decision a pool. After Config.MaxBlockedPerPump times
+// ItemBlocked the Pump ends early, Unfinished is true, and the next Pump continues with the
+// flows not tried yet.
 func (q *Queue) Pump(now time.Time, decide func(*Item) Result) []Refused {
 	refused := q.expire(now, func(expires time.Time) bool { return expires.Before(now) })
 	var blockedPools []PoolKey
@@ -48,10 +47,10 @@
 	return append(refused, q.Expire(now)...)
 }
 
-// Unfinished reports whether the last Pump ended before every line was tried.
+// Unfinished reports whether the last Pump ended before all flows were tried.
 func (q *Queue) Unfinished() bool { return q.unfinished }
 
-// restoreBlockedFlows puts the lines that were set aside, and still wait, back.
+// restoreBlockedFlows makes the blocked flows that still have items ready again.
 func (q *Queue) restoreBlockedFlows() {
 	for _, line := range q.blockedFlows {
 		if line.count > 0 {
@@ -62,8 +61,7 @@
 	q.blockedFlows = q.blockedFlows[:0]
 }
 
-// next returns the item whose turn it is, and whether it is out of turn for
-// the starvation bound.
+// next returns the next item, and whether it is due by the starvation bound.
 func (q *Queue) next() (*entry, bool) {
 	if q.sinceAged >= agedSpacing-1 {
 		if due := q.mostStarved(); due != nil {
@@ -78,8 +76,7 @@
 	return nil, false
 }
 
-// mostStarved returns the first item of the pool that was passed over most
-// often, if it is due.
+// mostStarved returns the first item of the pool that was passed most often, if it is due.
 func (q *Queue) mostStarved() *entry {
 	var most *pool
 	var passedMost uint64
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -10,33 +10,31 @@
 
 // Counters counts what a Queue did.
 type Counters struct {
-	// Offered counts items offered, Dispatched those that left to a back end.
+	// Offered counts items offered, Dispatched those sent to a back end.
 	Offered, Dispatched uint64
-	// Full, Hopeless, Displaced, Expired and Rejected count refusals: queue
-	// full, hold time too short at arrival, pushed out by another item, hold
-	// time over, and refused by the decide function.
+	// Full, HoldTooShort, Displaced, Expired and Rejected count refusals: queue full, predicted
+	// wait above the hold time, displaced by another item, hold time over, and rejected by the
+	// decide function.
 	Full, HoldTooShort, Displaced, Expired, Rejected uint64
-	// Removed counts items whose caller left.
+	// Removed counts items whose caller disconnected.
 	Removed uint64
-	// Aged counts dispatches out of turn for the starvation bound.
+	// Aged counts dispatches by the starvation bound.
 	Aged uint64
 }
 
-// Queue holds items until they are dispatched or given up.
+// Queue holds items until they are dispatched or refused.
 //
-// Order. Classes go by priority. Within a class tenants share by weight,
-// counted in cost: the tenant with the least service for its weight goes
-// first. A tenant's items for one pool go first in, first out.
+// Order. Classes are ordered by priority. Within a class tenants share by weight, counted in
+// cost: the tenant with the least service for its weight goes first. A tenant's items for one
+// pool are first in, first out.
 //
-// Starvation bound. With k pools of classes waiting, a pool that is not
-// blocked gets a dispatch after at most 16 + 4k dispatches of more urgent
-// classes. At most every fourth dispatch is such a turn, so the regular order
-// keeps three quarters.
+// Starvation bound. With k pools of classes waiting, a pool that is not blocked gets a dispatch
+// after at most 16 + 4k dispatches of more urgent classes. At most every fourth dispatch is
+// such a one, so the regular order keeps three quarters.
 //
-// Bounds. Items are limited in total and by tenant. Over a limit an item of a
-// less urgent class is pushed out, or within the class one of a tenant with a
-// longer backlog for its weight; if there is none, the new item is refused.
-// Every refusal is returned at the moment it is decided.
+// Bounds. Items are limited in total and by tenant. Above a limit an item of a less urgent
+// class is displaced, or within the class one of a tenant with a longer backlog for its weight;
+// if there is none, the new item is refused. Refusals are returned at once.
 //
 // A Queue is not safe for concurrent use.
 type Queue struct {
@@ -47,9 +45,9 @@
 	perTenant   map[ident.Tenant]int
 	throughputs map[PoolKey]*throughput
 	sequence    uint64
-	// sinceAged counts dispatches since the last out of turn.
+	// sinceAged counts dispatches since the last one by the starvation bound.
 	sinceAged int
-	// blockedFlows holds the lines set aside by the current round of Pumps.
+	// blockedFlows are those blocked in the current round of Pumps.
 	blockedFlows []*flow
 	unfinished   bool
 	counters     Counters
@@ -75,8 +73,8 @@
 	}
 }
 
-// Offer adds an item, and returns the items refused because of it: perhaps
-// the item itself, perhaps one that it pushed out. Call Pump next.
+// Offer adds an item and returns the items refused because of it: the item itself or one that
+// it displaced. Call Pump next.
 func (q *Queue) Offer(now time.Time, item Item) []Refused {
 	q.counters.Offered++
 	item.Weight = orOne(item.Weight)
@@ -121,7 +119,7 @@
 	q.level(item.Priority).add(added)
 }
 
-// drop takes an entry out of every structure.
+// drop removes an entry from every structure.
 func (q *Queue) drop(now time.Time, gone *entry) {
 	item := gone.item
 	delete(q.entries, item.ID)
@@ -150,7 +148,7 @@
 	return q.perTenant[item.Tenant] >= q.config.MaxWaitingPerTenant
 }
 
-// victim returns the entry that has to make room for the item, or nil.
+// victim returns the entry to displace for the item, or nil.
 func (q *Queue) victim(item Item) *entry {
 	for _, candidate := range slices.Backward(q.levels) {
 		if candidate.count == 0 {
@@ -173,8 +171,8 @@
 	return nil
 }
 
-// longerBacklog returns the newest entry of a tenant of the item's own class
-// whose backlog stays longer for its weight even if the item is added.
+// longerBacklog returns the newest entry of the tenant of the item's class whose backlog for
+// its weight is longer even with the item added.
 func (q *Queue) longerBacklog(item Item, longest, own *tenantShare) *entry {
 	backlog := 1 / item.Weight
 	if own != nil {
@@ -191,7 +189,7 @@
 	return Refused{item, fault.New(fault.Overloaded, "%s", why).WithRetryAfter(EstimateRetryAfter(wait, item.ID))}
 }
 
-// Remove takes out an item whose caller left, and reports whether it waited.
+// Remove removes an item whose caller disconnected, and reports whether it was queued.
 func (q *Queue) Remove(now time.Time, id ident.Request) bool {
 	gone, waits := q.entries[id]
 	if waits {
@@ -201,7 +199,7 @@
 	return waits
 }
 
-// Expire gives up every item whose hold time has ended.
+// Expire refuses every item whose hold time has ended.
 func (q *Queue) Expire(now time.Time) []Refused {
 	return q.expire(now, func(expires time.Time) bool { return !expires.After(now) })
 }
@@ -233,7 +231,7 @@
 // Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Depth returns the number of waiting items of one priority.
+// Depth returns the number of waiting items of a priority.
 func (q *Queue) Depth(priority int) int {
 	for _, candidate := range q.levels {
 		if candidate.priority == priority {
@@ -243,5 +241,5 @@
 	return 0
 }
 
-// Counters returns the counters.
+// Counters returns a copy of the counters.
 func (q *Queue) Counters() Counters { return q.counters }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-// waiting offers count items like the model to the queue.
+// waiting offers a number of items like the model.
 func waiting(queue *Queue, count int, model Item) (refused []Refused) {
 	model.MaxHold = max(model.MaxHold, time.Hour)
 	for range count {
@@ -87,7 +87,7 @@
 			for index := range pools {
 				passed := place{priority, PoolKey(fmt.Sprint(index))}
 				passedOver[passed]++
-				is.True(passedOver[passed] <= agingInterval+agedSpacing*(lower*pools+1)) // the stated bound
+				is.True(passedOver[passed] <= agingInterval+agedSpacing*(lower*pools+1)) // the documented bound
 			}
 		}
 		passedOver[place{item.Priority, item.Pool}] = 0
@@ -132,7 +132,7 @@
 					}
 				}
 				is.Equal(tried, test.tried)
-				is.Equal(free, wanted) // all of the free pool went, the rest stays
+				is.Equal(free, wanted) // all of the free pool was dispatched, the rest stays
 				is.Equal(queue.Len(), 100)
 			}
 			is.Equal(len(dispatchSome(queue, start, 1000)), 100)
@@ -184,9 +184,9 @@
 	is.Equal(refused[0].Fault.Kind, fault.DeadlineExceeded)
 	is.Equal(refused[0].Fault.Ran, fault.RanNo)
 
-	queue.Offer(start, Item{ID: "now or never", Tenant: "a"})
+	queue.Offer(start, Item{ID: "dispatched", Tenant: "a"})
 	is.Equal(len(dispatchSome(queue, start, 1)), 1) // no hold time, but free capacity
-	queue.Offer(start, Item{ID: "never", Tenant: "a"})
+	queue.Offer(start, Item{ID: "expired", Tenant: "a"})
 	is.Equal(len(queue.Pump(start, func(*Item) Result { return Result{Action: PoolBlocked} })), 1)
 	is.Equal(queue.Len()+len(queue.throughputs)-1, 0)
 }
@@ -212,7 +212,7 @@
 	is.Equal(len(offer(Item{Tenant: "a", MaxHold: 200 * time.Second})), 0)
 	is.Equal(len(offer(Item{Tenant: "b", MaxHold: 5 * time.Second})), 1)                 // 30 items ahead at half the rate
 	is.Equal(len(offer(Item{Tenant: "new", MaxHold: 2 * time.Second})), 0)               // its share is free
-	is.Equal(len(offer(Item{Tenant: "a", Pool: "other", MaxHold: time.Millisecond})), 0) // nothing known
+	is.Equal(len(offer(Item{Tenant: "a", Pool: "other", MaxHold: time.Millisecond})), 0) // no rate known
 	is.Equal(len(offer(Item{Tenant: "low", Priority: 1, MaxHold: 10 * time.Second})), 0) // by the starvation bound
 	is.Equal(len(offer(Item{Tenant: "low", Priority: 1, MaxHold: time.Second})), 1)
 }
--- a/internal/admission/restarts_test.go
+++ b/internal/admission/restarts_test.go
@@ -1,11 +1,7 @@
 package admission_test
 
-// Users saw repeats beyond the bound of all routers where some were killed while engines
-// turned many requests away. A life of a router had sent the repeats that the requests of
-// its last window earned; the next life, which knew nothing of them, earned repeats anew by
-// its own requests, within the same ten seconds. In the play that showed it four of seven
-// routers were killed two and a half seconds after refusals began, and 201 repeats lay in a
-// window that allowed 200.8; without the kill it never broke.
+// A restarted router must not earn retries again for requests whose retries its last process
+// has already sent in the same window.
 
 import (
 	"testing"
@@ -19,15 +15,15 @@
 // restartWindow leaves a fifth of a ratio of 0.2 to requests that are new to a router.
 var restartWindow = admission.WindowConfig{Window: 10 * time.Second, Share: 0.16, GrowthShare: 0.04}
 
-// Every request asks for a repeat, and the router is killed again and again.
+// Every request is retried, and the router is restarted again and again.
 func TestRestartedRouterStaysWithinBound(t *testing.T) {
 	tests := []struct {
-		name  string
-		lives time.Duration
+		name   string
+		uptime time.Duration
 	}{
 		{"it is not killed", time.Hour},
-		{"killed amid refusals", 15 * time.Second},
-		{"killed amid later refusals", 35 * time.Second},
+		{"killed during refusals", 15 * time.Second},
+		{"killed during later refusals", 35 * time.Second},
 		{"killed once a window", 10 * time.Second},
 		{"killed twice a window", 5 * time.Second},
 		{"killed each second", time.Second},
@@ -37,14 +33,14 @@
 			is := is.New(t)
 			const pause = 20 * time.Millisecond
 			start := time.Unix(1000, 0)
-			begun := start
-			budget := admission.NewWindowBudget(restartWindow, begun)
+			startedAt := start
+			budget := admission.NewWindowBudget(restartWindow, startedAt)
 			var retries []time.Time
-			// Refusals come in bursts, after times in which nothing is repeated.
+			// Refusals come in bursts, after times without retries.
 			for now := start; now.Before(start.Add(time.Minute)); now = now.Add(pause) {
-				if now.Sub(begun) >= tt.lives {
-					begun = now
-					budget = admission.NewWindowBudget(restartWindow, begun)
+				if now.Sub(startedAt) >= tt.uptime {
+					startedAt = now
+					budget = admission.NewWindowBudget(restartWindow, startedAt)
 				}
 				budget.RecordRequest(now)
 				bursts := now.Sub(start)%(20*time.Second) >= 12*time.Second
@@ -52,16 +48,16 @@
 					retries = append(retries, now)
 				}
 			}
-			most := mostInWindow(retries)
+			largest := largestInWindow(retries)
 			requests := int(restartWindow.Window / pause)
-			is.True(most > 0)
-			is.True(most <= requests/5)
+			is.True(largest > 0)
+			is.True(largest <= requests/5)
 		})
 	}
 }
 
-// mostInWindow returns the most repeats that lie in one window.
-func mostInWindow(retries []time.Time) (most int) {
+// largestInWindow returns the largest number of retries in a window.
+func largestInWindow(retries []time.Time) (most int) {
 	for first := range retries {
 		count := 0
 		for _, at := range retries[first:] {
@@ -80,7 +76,7 @@
 	budget := admission.NewWindowBudget(restartWindow, start)
 	const pause = 10 * time.Millisecond
 	now := start
-	// granted returns the repeats that are granted at a time, after steady requests up to it.
+	// granted returns the retries granted at a time, after steady requests up to it.
 	granted := func(after time.Duration) (count int) {
 		for ; now.Sub(start) <= after; now = now.Add(pause) {
 			budget.RecordRequest(now)
@@ -96,8 +92,8 @@
 	first := granted(10*time.Second - pause)
 	is.True(first > 0)
 	is.True(first <= 40-16)
-	// The usual share holds after another window: until then there were fewer requests in
-	// the window before.
+	// The usual share applies after another window, since the previous window had fewer
+	// requests.
 	is.True(granted(10*time.Second+400*time.Millisecond) <= 10)
 	second := granted(20 * time.Second)
 	is.True(second > 160/2)
--- a/internal/admission/sharers.go
+++ b/internal/admission/sharers.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// SharersConfig sets a Sharers.
+// SharersConfig configures Sharers.
 type SharersConfig struct {
-	// Window is the length of the window in which a bound of the whole system holds.
+	// Window is the length of the window in which the system-wide bound holds.
 	Window time.Duration
-	// Lag is how long it may take until every router has counted one that joined, and the
-	// age up to which a count divides the bound.
+	// Lag is the time until every router has counted a new one, and the age up to which a count
+	// is used.
 	Lag time.Duration
 }
 
-// Sharers tells among how many routers a bound of the whole system over a window is
-// divided. It is not safe for concurrent use.
+// Sharers counts the routers among which a system-wide bound over a window is divided. It is
+// not safe for concurrent use.
 //
-// Invariant: routers that take a part in the same window have counted each other. A router
-// takes a part only once it has been listed for Lag and Window, and only if at no moment of
-// the last window its newest count was older than Lag. The count that it held when a window
-// began therefore has all that take a part in that window: they were listed before it was
-// read, and none leaves the list before it has taken its last part. The largest number that
-// a router held in its window is as large, and what a router's former life took, which
-// nobody remembers, has left the window before the next life takes a part.
+// Invariant: routers that use a share in the same window have counted each other. A router uses
+// a share only once it has been listed for Lag and Window, and only if during the last window
+// its newest count was never older than Lag. Its count at the begin of a window therefore
+// includes all routers that use a share in that window: they were listed before it was read,
+// and none is removed before it has used its last share. The largest count during the window is
+// at least that. What an earlier process of a router used has left the window before its
+// successor uses a share.
 type Sharers struct {
 	cfg      SharersConfig
 	joinedAt time.Time
-	// current was counted last, as of countedAt; former are the numbers held before.
+	// current is the last count, as of countedAt; previous are earlier ones.
 	current   int
 	countedAt time.Time
 	previous  []previousCount
-	// staleUntil is when a count that was too old was last replaced by another one.
+	// staleUntil is when a stale count was last replaced.
 	staleUntil time.Time
 }
 
-// previousCount is a number of routers that was held until another one was counted.
+// previousCount is a count and when it was replaced.
 type previousCount struct {
 	routers int
 	until   time.Time
 }
 
-// NewSharers returns the sharers as a router knows them that has not joined the others.
+// NewSharers returns the Sharers of a router that is not listed yet.
 func NewSharers(cfg SharersConfig) *Sharers { return &Sharers{cfg: cfg} }
 
-// SetJoined takes in that this router is surely listed since now.
+// SetJoined records that this router is listed from now on.
 func (s *Sharers) SetJoined(now time.Time) { s.joinedAt = now }
 
-// RecordCount takes in the number of routers that were listed at a time, or later. A count that
-// is not newer than the last one changes nothing.
+// RecordCount sets the number of routers that were listed at a time, or later. A count that is
+// not newer than the last one is ignored.
 func (s *Sharers) RecordCount(now, countedAt time.Time, routers int) {
 	if !countedAt.After(s.countedAt) {
 		return
@@ -64,14 +64,14 @@
 	s.dropExpired(now)
 }
 
-// Count returns the number of routers that have a part each, or 0 while this router has
-// none.
+// Count returns the number of routers that share the bound, or 0 while this router has no
+// share.
 func (s *Sharers) Count(now time.Time) int {
 	if s.joinedAt.IsZero() || now.Sub(s.joinedAt) < s.cfg.Lag+s.cfg.Window {
 		return 0
 	}
-	// Routers may have joined that an old count does not have. Some of them may have left
-	// before it was replaced, and are in no count: their parts leave the window first.
+	// New routers may be missing in a stale count, and some may even be gone before the next
+	// count: their shares must leave the window first.
 	if s.stale(now) || now.Sub(s.staleUntil) < s.cfg.Window {
 		return 0
 	}
@@ -83,10 +83,10 @@
 	return most
 }
 
-// stale reports whether the newest count is older than the others rely on.
+// stale reports whether the newest count is too old to be used.
 func (s *Sharers) stale(now time.Time) bool { return now.Sub(s.countedAt) > s.cfg.Lag }
 
-// dropExpired drops what was not held in the window any more.
+// dropExpired drops counts that were replaced before the window.
 func (s *Sharers) dropExpired(now time.Time) {
 	kept := s.previous[:0]
 	for _, earlier := range s.previous {
--- a/internal/admission/sharers_test.go
+++ b/internal/admission/sharers_test.go
@@ -15,7 +15,7 @@
 	routers int
 }
 
-// repeatCounts counts each number at its time, and again each second until the next one.
+// repeatCounts reports each count at its time and each second until the next one.
 func repeatCounts(counts []listedCount, until time.Duration, count func(after time.Duration, routers int)) {
 	for index, current := range counts {
 		end := until
@@ -40,16 +40,16 @@
 	}{
 		{"not joined", false, []listedCount{{0, 7}}, time.Hour, 0},
 		{"just joined", true, []listedCount{{0, 7}}, time.Second, 0},
-		{"shortly before it was counted for a window", true, []listedCount{{0, 7}}, 15*time.Second - 1, 0},
-		{"counted for a window", true, []listedCount{{0, 7}}, 15 * time.Second, 7},
+		{"listed for almost a window", true, []listedCount{{0, 7}}, 15*time.Second - 1, 0},
+		{"listed for a window", true, []listedCount{{0, 7}}, 15 * time.Second, 7},
 		{"fewer, a moment ago", true, []listedCount{{0, 7}, {20 * time.Second, 2}}, 20 * time.Second, 7},
 		{"fewer, a window ago", true, []listedCount{{0, 7}, {20 * time.Second, 2}}, 30 * time.Second, 7},
 		{"fewer, longer ago", true, []listedCount{{0, 7}, {20 * time.Second, 2}}, 30*time.Second + 1, 2},
 		{"fewer for a moment only", true, []listedCount{{0, 7}, {20 * time.Second, 1}, {21 * time.Second, 7}}, 31 * time.Second, 7},
-		{"fewer and fewer", true, []listedCount{{0, 7}, {20 * time.Second, 5}, {25 * time.Second, 3}}, 32 * time.Second, 5},
+		{"repeatedly fewer", true, []listedCount{{0, 7}, {20 * time.Second, 5}, {25 * time.Second, 3}}, 32 * time.Second, 5},
 		{"more", true, []listedCount{{0, 7}, {20 * time.Second, 12}}, 20 * time.Second, 12},
 		{"more for a moment", true, []listedCount{{0, 7}, {20 * time.Second, 12}, {21 * time.Second, 7}}, 25 * time.Second, 12},
-		{"not known", true, nil, time.Hour, 0},
+		{"unknown", true, nil, time.Hour, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -68,34 +68,34 @@
 func TestStaleCountIsNotUsed(t *testing.T) {
 	start := time.Unix(1000, 0)
 	cfg := admission.SharersConfig{Window: 10 * time.Second, Lag: 5 * time.Second}
-	type told struct {
+	type update struct {
 		at, age time.Duration
 		routers int
 	}
 	tests := []struct {
-		name  string
-		told  []told
-		at    time.Duration
-		among int
+		name    string
+		updates []update
+		at      time.Duration
+		among   int
 	}{
-		{"as old as all rely on", nil, 35 * time.Second, 7},
+		{"of the age limit", nil, 35 * time.Second, 7},
 		{"older", nil, 35*time.Second + 1, 0},
-		{"counted again in time", []told{{35 * time.Second, 0, 7}}, 40 * time.Second, 7},
-		{"told in time, but too old", []told{{34 * time.Second, 3 * time.Second, 7}}, 36*time.Second + 1, 0},
-		{"told once more what is known", []told{{34 * time.Second, 5 * time.Second, 7}}, 35*time.Second + 1, 0},
-		{"an older count", []told{{34 * time.Second, 6 * time.Second, 9}}, 35 * time.Second, 7},
-		{"counted again too late", []told{{35*time.Second + 1, 0, 7}}, 36 * time.Second, 0},
+		{"counted again in time", []update{{35 * time.Second, 0, 7}}, 40 * time.Second, 7},
+		{"received in time, but too old", []update{{34 * time.Second, 3 * time.Second, 7}}, 36*time.Second + 1, 0},
+		{"the same count again", []update{{34 * time.Second, 5 * time.Second, 7}}, 35*time.Second + 1, 0},
+		{"an older count", []update{{34 * time.Second, 6 * time.Second, 9}}, 35 * time.Second, 7},
+		{"counted again too late", []update{{35*time.Second + 1, 0, 7}}, 36 * time.Second, 0},
 		{
 			"counted again for less than a window",
-			[]told{{36 * time.Second, 0, 7}, {41 * time.Second, 0, 7}}, 46*time.Second - 1, 0,
+			[]update{{36 * time.Second, 0, 7}, {41 * time.Second, 0, 7}}, 46*time.Second - 1, 0,
 		},
 		{
 			"counted again for a window",
-			[]told{{36 * time.Second, 0, 7}, {41 * time.Second, 0, 7}}, 46 * time.Second, 7,
+			[]update{{36 * time.Second, 0, 7}, {41 * time.Second, 0, 7}}, 46 * time.Second, 7,
 		},
 		{
 			"more were counted before",
-			[]told{{36 * time.Second, 0, 5}, {41 * time.Second, 0, 5}}, 46 * time.Second, 7,
+			[]update{{36 * time.Second, 0, 5}, {41 * time.Second, 0, 5}}, 46 * time.Second, 7,
 		},
 	}
 	for _, tt := range tests {
@@ -105,8 +105,8 @@
 			repeatCounts([]listedCount{{0, 7}}, 30*time.Second, func(after time.Duration, routers int) {
 				sharers.RecordCount(start.Add(after), start.Add(after), routers)
 			})
-			for _, told := range tt.told {
-				sharers.RecordCount(start.Add(told.at), start.Add(told.at-told.age), told.routers)
+			for _, counted := range tt.updates {
+				sharers.RecordCount(start.Add(counted.at), start.Add(counted.at-counted.age), counted.routers)
 			}
 			is.New(t).Equal(sharers.Count(start.Add(tt.at)), tt.among)
 		})
--- a/internal/admission/throughput.go
+++ b/internal/admission/throughput.go
@@ -10,23 +10,22 @@
 )
 
 const (
-	// throughputMemory is the time constant of the drain rate.
+	// throughputMemory is the time constant of the decay.
 	throughputMemory = 2 * time.Second
-	// minBusyTime and minServedItems are the least observation that
-	// a rate is stated from, both after decay.
+	// minBusyTime and minServedItems are needed for a rate, both after decay.
 	minBusyTime    = 250 * time.Millisecond
 	minServedItems = 3
-	// maxThroughputs bounds the pools remembered though nothing of theirs waits.
+	// maxThroughputs bounds the pools remembered without waiting items.
 	maxThroughputs = 1024
-	// unknownWait is stated when no drain rate is known.
+	// unknownWait is the wait without a known rate.
 	unknownWait = time.Second
-	// minRetryAfter and maxRetryAfter bound what callers are told.
+	// minRetryAfter and maxRetryAfter bound EstimateRetryAfter.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = time.Minute
 )
 
-// throughput estimates how fast the waiting items of a pool are served: tokens and
-// items dispatched over the time that items waited, all decaying alike.
+// throughput estimates the rate at which the waiting items of a pool are dispatched: tokens and
+// items over the time in which items waited, all decaying alike.
 type throughput struct {
 	waiting int
 	updated time.Time
@@ -60,8 +59,8 @@
 	d.waiting--
 }
 
-// recordDispatch counts a dispatch. One at the moment the pool began to wait says
-// nothing of its rate, since no busy time stands against it.
+// recordDispatch counts a dispatch. One at the moment the pool began to wait is ignored, as it
+// took no busy time.
 func (d *throughput) recordDispatch(now time.Time, cost float64) {
 	d.advance(now)
 	if d.busy > 0 {
@@ -95,10 +94,9 @@
 	return created
 }
 
-// predictedWait is the shortest wait to be expected of a new item; zero if
-// nothing is known. It errs towards holding: of strict order and the
-// starvation bound it takes the sooner, and of the fair order and first in,
-// first out as well.
+// predictedWait returns the shortest expected wait of a new item, zero if unknown. It errs
+// towards holding: it returns the sooner of strict order and the starvation bound, and of fair
+// order and first in, first out.
 func (q *Queue) predictedWait(now time.Time, item Item) time.Duration {
 	measured, waits := q.throughputs[item.Pool]
 	if !waits || measured.waiting == 0 {
@@ -117,8 +115,8 @@
 	return seconds(min(strict, aged))
 }
 
-// ahead returns the cost of more urgent items of the pool, and cost and
-// number of the items of the same class that go first in fair order.
+// ahead returns the cost of more urgent items of the pool, and cost and number of the items of
+// the same class before it in fair order.
 func (q *Queue) ahead(item Item) (urgent, fairCost, fairItems float64) {
 	for _, candidate := range q.levels {
 		same, waits := candidate.pools[item.Pool]
@@ -152,8 +150,8 @@
 	return count
 }
 
-// timeToDrain is the time until everything of the item's class and above that
-// waits for its pool now would be served.
+// timeToDrain returns the time to serve all waiting items of the item's pool in its class and
+// above.
 func (q *Queue) timeToDrain(now time.Time, item Item) time.Duration {
 	measured, found := q.throughputs[item.Pool]
 	if !found {
@@ -172,14 +170,14 @@
 	return seconds(waiting / rate)
 }
 
-// seconds converts, bounding what a Duration cannot hold.
+// seconds converts to a Duration within its range.
 func seconds(value float64) time.Duration {
 	return time.Duration(min(value, math.MaxInt32) * float64(time.Second))
 }
 
-// EstimateRetryAfter returns when to come back after a wait was predicted. Up
-// to half of it is added by a hash of the request id, so that callers refused
-// together do not come back together. It is within 100 ms and one minute.
+// EstimateRetryAfter returns the Retry-After for a predicted wait. A hash of the request id
+// adds up to half of it, so that callers refused together do not retry together. It is between
+// 100 ms and one minute.
 func EstimateRetryAfter(wait time.Duration, id ident.Request) time.Duration {
 	base := min(max(wait, minRetryAfter), maxRetryAfter*2/3)
 	jitter := float64(xxhash.Sum64String(string(id))>>11) / (1 << 53)
--- a/internal/admission/windowbudget.go
+++ b/internal/admission/windowbudget.go
@@ -5,63 +5,62 @@
 	"time"
 )
 
-// WindowConfig bounds the repeats of one service at one router, so that the
-// repeats of all routers together stay under a bound on every sliding window.
+// WindowConfig bounds the retries of one service at one router, so that those of all routers
+// together stay within a bound in every sliding window.
 type WindowConfig struct {
 	// Window is the length of the sliding window.
 	Window time.Duration
-	// Share of the window's requests that may be repeated, as far as there were as many in
-	// the window before.
+	// Share of the window's requests may be retried, up to the number of requests of the
+	// previous window.
 	Share float64
-	// GrowthShare is that of the requests beyond those of the window before. Their clients may
-	// have come from another router, or from a former life of this one, which repeated Share
-	// of the same clients' requests in the same window. Both shares together must not be above
-	// the bound of all routers. Default: Share.
+	// GrowthShare applies to the requests beyond that. Their clients may come from another
+	// router or an earlier process of this one, which retried Share of their requests in the
+	// same window. Both shares together must not exceed the bound of all routers. Default:
+	// Share.
 	GrowthShare float64
 }
 
 const (
-	// windowSlots is the number of pieces a window is counted in; it is even.
+	// windowSlots is the number of slots that a window is counted in; it is even.
 	windowSlots = 20
-	// retrySlots are kept of repeats: one piece more than the window, so that a repeat
-	// leaves the count only after it has left every window that it lay in.
+	// retrySlots are one more than the window has, so that a retry is counted until it has left
+	// every window that included it.
 	retrySlots = windowSlots + 1
-	// requestSlots are kept of requests: the window and the one before it.
+	// requestSlots cover the window and the one before it.
 	requestSlots = 2*windowSlots + 1
 )
 
-// WindowBudget counts requests and repeats in a sliding window. It is not safe for
-// concurrent use.
+// WindowBudget counts requests and retries in a sliding window. It is not safe for concurrent
+// use.
 //
-// Invariant: a repeat is granted on requests that count in every window that it will lie
-// in, whenever that ends. In each one those count that lie in it, in the window before it
-// or in the one half a window before it, whichever has most. Pieces that are only in part
-// in a window do not count for requests, and count for repeats, so that the budget errs
-// towards fewer repeats.
+// Invariant: a retry is granted on requests that count in every window that will include it. In
+// each window count the requests of itself, of the window before it or of the one half a window
+// before it, whichever has most. Slots that are partly in a window count for retries but not
+// for requests, so that the budget errs towards fewer retries.
 type WindowBudget struct {
 	config   WindowConfig
 	requests [requestSlots]int
 	retries  [retrySlots]int
-	// startedAt is when the router started, current the number of the newest piece since.
+	// startedAt is when the router started; currentSlot is the number of the newest slot since.
 	startedAt   time.Time
 	currentSlot int64
 }
 
-// NewWindowBudget returns a budget that has seen nothing, of a router that started at a time.
+// NewWindowBudget returns an empty budget of a router that started at a time.
 func NewWindowBudget(config WindowConfig, startedAt time.Time) *WindowBudget {
 	config.GrowthShare = cmp.Or(config.GrowthShare, config.Share)
 	return &WindowBudget{config: config, startedAt: startedAt}
 }
 
-// RecordRequest counts a request that a client made.
+// RecordRequest counts a client's request.
 func (b *WindowBudget) RecordRequest(now time.Time) {
 	b.advance(now)
 	b.requests[b.currentSlot%requestSlots]++
 }
 
-// Allow reports whether a repeat may leave now, and if so counts it. slack is
-// the number of repeats granted in each window without any request; it may be a
-// fraction, and may change from call to call.
+// Allow reports whether a retry may be sent now, and if so counts it. slack is the number of
+// retries granted in each window without any request; it may be a fraction and vary between
+// calls.
 func (b *WindowBudget) Allow(now time.Time, slack float64) bool {
 	requests, retries := b.Counts(now)
 	if float64(retries+1) > b.earned(requests)+slack {
@@ -71,23 +70,22 @@
 	return true
 }
 
-// SpareForTrials reports whether less than half of the repeats that are granted now are used, so
-// that something may be tried that is likely to need one. The other half is for what nobody
-// foresees.
+// SpareForTrials reports whether less than half of the retries granted now are used, so that an
+// attempt that will probably need one may be made. The other half is reserved for unforeseen
+// ones.
 func (b *WindowBudget) SpareForTrials(now time.Time, slack float64) bool {
 	requests, retries := b.Counts(now)
 	return float64(2*(retries+1)) <= b.earned(requests)+slack
 }
 
-// earned returns how many of the requests that count now may be repeated.
+// earned returns how many of the counted requests may be retried.
 func (b *WindowBudget) earned(requests int) float64 {
 	known := b.history()
 	steady := min(requests, known.previousWindow())
 	return b.config.Share*float64(steady) + b.config.GrowthShare*float64(requests-steady)
 }
 
-// Counts returns the requests that earn a share of repeats now, and the repeats that the
-// window may hold.
+// Counts returns the requests that earn retries now, and the retries that count.
 func (b *WindowBudget) Counts(now time.Time) (requests, retries int) {
 	b.advance(now)
 	for _, count := range b.retries {
@@ -101,11 +99,11 @@
 	return requests, retries
 }
 
-// history holds sums of the requests of the last pieces, from the oldest on: the first of
-// them is 0, and the last one has the newest piece.
+// history has cumulative sums of the requests of the last slots, from the oldest on; the first
+// one is 0.
 type history [requestSlots + 1]int
 
-// history returns the sums of what is known now.
+// history returns the current sums.
 func (b *WindowBudget) history() (sums history) {
 	for index := range b.requests {
 		slot := b.currentSlot + 1 + int64(index)
@@ -114,34 +112,34 @@
 	return sums
 }
 
-// counted returns the requests known so far that count in a window that ends so many pieces
-// later than now.
+// counted returns the requests so far that count in a window that ends a number of slots later
+// than now.
 func (h *history) counted(later int) int {
 	half := windowSlots / 2
 	return max(h.windowUntil(later), h.windowBefore(later-half), h.windowBefore(later-windowSlots))
 }
 
-// windowUntil returns the requests of a window that ends now or so many pieces later.
+// windowUntil returns the requests of a window that ends now or a number of slots later.
 func (h *history) windowUntil(later int) int {
 	return h[requestSlots] - h[requestSlots+min(later-windowSlots, 0)]
 }
 
-// windowBefore returns the requests of a window that ends within a piece, so many after the newest
-// one. Those of the piece itself may have come after its end.
+// windowBefore returns the requests of a window that ends within a slot, a number of slots
+// after the newest one. Requests of that slot are excluded, as they may be later than its end.
 func (h *history) windowBefore(later int) int {
 	last := requestSlots + min(later-1, 0)
 	return h[last] - h[requestSlots+later-windowSlots]
 }
 
-// previousWindow returns the requests of the window before the one that ends now.
+// previousWindow returns the requests of the window before the current one.
 func (h *history) previousWindow() int {
 	return h[requestSlots-windowSlots] - h[requestSlots-2*windowSlots]
 }
 
-// advance clears the pieces that the window has moved past.
+// advance clears the slots that have left the window.
 func (b *WindowBudget) advance(now time.Time) {
-	// The time since the begin does not change when the wall clock is set: that must neither
-	// forget repeats that were just granted nor keep requests of long ago.
+	// The time since the start is monotonic: setting the wall clock must neither drop recent
+	// retries nor keep old requests.
 	slot := int64(now.Sub(b.startedAt) / (b.config.Window / windowSlots))
 	if slot <= b.currentSlot {
 		return
--- a/internal/admission/windowbudget_test.go
+++ b/internal/admission/windowbudget_test.go
@@ -13,7 +13,7 @@
 
 var window = admission.WindowConfig{Window: 10 * time.Second, Share: 0.2}
 
-// slack is granted to every window of the tests.
+// slack is granted in every window of the tests.
 const slack = 3
 
 func TestOnlySlackIsGrantedWithoutRequests(t *testing.T) {
@@ -28,7 +28,7 @@
 	is.True(budget.Allow(start.Add(11*time.Second), slack))
 }
 
-// A fraction of a repeat is granted only together with requests.
+// A fraction of a retry is granted only together with requests.
 func TestFractionalSlackGrantsNoRetry(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
@@ -40,8 +40,8 @@
 	is.True(!budget.Allow(start, 0.6))
 }
 
-// Whatever the traffic, no sliding window holds more repeats than the share of
-// its own requests, or of those of the window before, and the slack.
+// No sliding window has more retries than the share of its own requests, or of those of the
+// previous window, and the slack.
 func TestEverySlidingWindowStaysWithinBound(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	start := time.Unix(1000, 0)
@@ -51,7 +51,7 @@
 	for range 20_000 {
 		now = now.Add(time.Duration(random.IntN(40)) * time.Millisecond)
 		if now.Sub(start)/(15*time.Second)%3 == 1 {
-			now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond) // quiet spells
+			now = now.Add(time.Duration(random.IntN(400)) * time.Millisecond) // low load
 		}
 		budget.RecordRequest(now)
 		requests = append(requests, now)
@@ -69,14 +69,14 @@
 		begin := end.Add(-window.Window)
 		own := within(requests, begin, end)
 		earlier := within(requests, begin.Add(-window.Window), begin)
-		most := window.Share*float64(max(own, earlier)) + slack
-		if count := within(retries, begin, end); float64(count) > most {
-			t.Fatalf("%d repeats in the window before %v, at most %g", count, end, most)
+		allowed := window.Share*float64(max(own, earlier)) + slack
+		if count := within(retries, begin, end); float64(count) > allowed {
+			t.Fatalf("%d retries in the window before %v, at most %g", count, end, allowed)
 		}
 	}
 }
 
-// Trials that are likely to need a repeat may use half of those that are granted.
+// Trials that probably need a retry may use half of the retries.
 func TestTrialsUseHalfOfTheRetries(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
