--- a/internal/claim/batch.go
+++ b/internal/claim/batch.go
@@ -7,9 +7,9 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// claimShare is the part of a batch, in quarters, that claims may fill while
+// claimQuarters is the part of a batch, in quarters, that claims may fill while
 // outcomes wait, so that neither starves the other.
-const claimShare = 3
+const claimQuarters = 3
 
 // Advance ends the claims whose time is over and returns the transactions to
 // send now.
@@ -125,7 +125,7 @@
 	limit := c.config.MaxBatch
 	claimLimit := limit
 	if len(c.background) > 0 {
-		claimLimit = max(1, limit*claimShare/4)
+		claimLimit = max(1, limit*claimQuarters/4)
 	}
 	var chosen []*operation
 	c.claims, chosen = c.choose(c.claims, chosen, claimLimit)
@@ -196,55 +196,55 @@
 	c.counters.Unsettled++
 	for _, operation := range operations {
 		if problem.Ran != fault.RanNo {
-			operation.mayStand = true
+			operation.mayBeWritten = true
 		}
 		c.requeue(operation)
 	}
 }
 
 func (c *Core) apply(operation *operation, committed bool, row protocol.Row) {
-	judged := verdictOwn
+	resolved := resolutionOwn
 	current := operation.record
 	if committed {
-		judged = operation.judgeCommitted(row)
+		resolved = operation.resolveCommitted(row)
 	} else {
-		judged, current = operation.judgeRefused(row)
+		resolved, current = operation.resolveRejected(row)
 	}
-	if judged == verdictRetry {
+	if resolved == resolutionRetry {
 		c.requeue(operation)
 		return
 	}
 	if operation.kind == operationClaim {
-		c.answerClaim(operation, judged, current)
+		c.answerClaim(operation, resolved, current)
 		return
 	}
-	c.answerRecord(operation, judged)
+	c.answerRecord(operation, resolved)
 }
 
 // requeue puts an operation in front, since it has waited longest. A released
 // claim that stands nowhere needs no more writing.
-func (c *Core) requeue(again *operation) {
-	if again.kind == operationClaim {
-		c.claims = append([]*operation{again}, c.claims...)
+func (c *Core) requeue(retried *operation) {
+	if retried.kind == operationClaim {
+		c.claims = append([]*operation{retried}, c.claims...)
 		return
 	}
-	if !again.mayStand {
+	if !retried.mayBeWritten {
 		return
 	}
-	c.settling[again.row] = true
-	c.background = append([]*operation{again}, c.background...)
+	c.settling[retried.row] = true
+	c.background = append([]*operation{retried}, c.background...)
 }
 
-func (c *Core) answerClaim(claim *operation, judged verdict, current Record) {
+func (c *Core) answerClaim(claim *operation, resolved resolution, current Record) {
 	answer := Answer{ClaimID: claim.record.ClaimID}
-	switch judged {
-	case verdictOwn:
+	switch resolved {
+	case resolutionOwn:
 		c.counters.Granted++
 		c.held[claim.record.ClaimID] = claim
 		answer.Grant = Grant{Acquired: true, Record: claim.record}
-	case verdictReused:
+	case resolutionReused:
 		answer.Fault = fault.New(fault.KeyReused, "the key was used for another request")
-	case verdictBroken:
+	case resolutionUnreadable:
 		answer.Fault = fault.New(fault.Internal, "the claim's row cannot be decoded")
 	default:
 		c.counters.AlreadyClaimed++
@@ -253,13 +253,13 @@
 	c.answers = append(c.answers, answer)
 }
 
-func (c *Core) answerRecord(record *operation, judged verdict) {
+func (c *Core) answerRecord(record *operation, resolved resolution) {
 	delete(c.settling, record.row)
 	if !record.awaited {
 		return
 	}
 	answer := Answer{ClaimID: record.record.ClaimID, Recorded: true}
-	if judged != verdictOwn {
+	if resolved != resolutionOwn {
 		answer.Fault = fault.New(fault.Conflict, "the claim's row is no longer this claim's").WithRan(fault.RanUnknown)
 	}
 	c.answers = append(c.answers, answer)
--- a/internal/claim/core.go
+++ b/internal/claim/core.go
@@ -175,7 +175,7 @@
 // giveUp ends a claim that is not in flight. If a transaction with it may
 // have taken effect, or may yet, its release is recorded in the background.
 func (c *Core) giveUp(now time.Time, claim *operation) {
-	if !claim.mayStand {
+	if !claim.mayBeWritten {
 		return
 	}
 	claim.release()
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -26,23 +26,23 @@
 
 // transit is one transaction on its way, from a core that may have crashed.
 type transit struct {
-	router int
-	life   int
-	batch  Batch
+	router      int
+	incarnation int
+	batch       Batch
 }
 
-// world is several cores, one table and the network between them.
-type world struct {
-	t       *rapid.T
-	now     time.Time
-	step    int64
-	table   *tableModel
-	cores   []*Core
-	lives   []int
-	transit []transit
-	late    []transit
-	calls   map[string]*call
-	ended   []*call
+// simulation is several cores, one table and the network between them.
+type simulation struct {
+	t            *rapid.T
+	now          time.Time
+	step         int64
+	table        *tableModel
+	cores        []*Core
+	incarnations []int
+	transit      []transit
+	delayed      []transit
+	calls        map[string]*call
+	ended        []*call
 	// running holds, for each key, the granted claims not proved "not run".
 	running map[int]map[string]bool
 	granted map[string]int
@@ -53,8 +53,8 @@
 	keys    = 2
 )
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: time.Unix(1000, 0), table: newTableModel(), lives: make([]int, routers),
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{t: t, now: time.Unix(1000, 0), table: newTableModel(), incarnations: make([]int, routers),
 		calls: map[string]*call{}, running: map[int]map[string]bool{}, granted: map[string]int{}}
 	for router := range routers {
 		w.cores = append(w.cores, NewCore(ident.Node(fmt.Sprint(router)), Config{MaxBatch: 3}))
@@ -67,28 +67,28 @@
 
 func keyOf(index int) Key { return Key{Tenant: "t", Service: "s", IdempotencyKey: fmt.Sprint(index)} }
 
-func (w *world) pick(label string, below int) int {
+func (w *simulation) pick(label string, below int) int {
 	return rapid.IntRange(0, below-1).Draw(w.t, label)
 }
 
-func (w *world) submit() {
+func (w *simulation) submit() {
 	router, key := w.pick("router", routers), w.pick("key", keys)
 	claimID := fmt.Sprintf("%d-%d", router, w.step)
 	w.calls[claimID] = &call{key: key, claimID: claimID, started: w.step}
 	w.cores[router].Submit(w.now, claimID, keyOf(key), "digest", w.now.Add(time.Second))
 }
 
-func (w *world) advance() {
+func (w *simulation) advance() {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 600).Draw(w.t, "ms")) * time.Millisecond)
 	for router, core := range w.cores {
 		for _, batch := range core.Advance(w.now) {
-			w.transit = append(w.transit, transit{router, w.lives[router], batch})
+			w.transit = append(w.transit, transit{router, w.incarnations[router], batch})
 		}
 	}
 }
 
 // exchange lets one transaction arrive, be lost, be refused or stay behind.
-func (w *world) exchange() {
+func (w *simulation) exchange() {
 	if len(w.transit) == 0 {
 		return
 	}
@@ -97,36 +97,36 @@
 	w.transit = append(w.transit[:index], w.transit[index+1:]...)
 	lost := fault.New(fault.StoreUnavailable, "no answer").WithRan(fault.RanUnknown)
 	core := w.cores[sent.router]
-	if w.lives[sent.router] != sent.life {
+	if w.incarnations[sent.router] != sent.incarnation {
 		core = NewCore("gone", Config{})
 	}
 	switch exchange(w.pick("fate", int(commitsLate)+1)) {
-	case goesWell:
+	case succeeds:
 		core.Completed(w.now, sent.batch.ID, w.table.commit(sent.batch.Transaction), nil)
 	case lostAfterCommit:
 		w.table.commit(sent.batch.Transaction)
-		core.Completed(w.now, sent.batch.ID, protocolNothing, lost)
+		core.Completed(w.now, sent.batch.ID, noResult, lost)
 	case commitsLate:
-		w.late = append(w.late, sent)
-		core.Completed(w.now, sent.batch.ID, protocolNothing, lost)
+		w.delayed = append(w.delayed, sent)
+		core.Completed(w.now, sent.batch.ID, noResult, lost)
 	case lostBeforeCommit:
-		core.Completed(w.now, sent.batch.ID, protocolNothing, lost)
+		core.Completed(w.now, sent.batch.ID, noResult, lost)
 	default:
-		core.Completed(w.now, sent.batch.ID, protocolNothing, fault.New(fault.StoreUnavailable, "refused"))
+		core.Completed(w.now, sent.batch.ID, noResult, fault.New(fault.StoreUnavailable, "refused"))
 	}
 }
 
-func (w *world) arriveLate() {
-	if len(w.late) == 0 {
+func (w *simulation) commitDelayed() {
+	if len(w.delayed) == 0 {
 		return
 	}
-	index := w.pick("late", len(w.late))
-	w.table.commit(w.late[index].batch.Transaction)
-	w.late = append(w.late[:index], w.late[index+1:]...)
+	index := w.pick("late", len(w.delayed))
+	w.table.commit(w.delayed[index].batch.Transaction)
+	w.delayed = append(w.delayed[:index], w.delayed[index+1:]...)
 }
 
 // end abandons or settles one claim, whatever its state.
-func (w *world) end() {
+func (w *simulation) end() {
 	router, known := 0, ""
 	for _, claimID := range sortedIDs(w.calls, w.granted) {
 		if rapid.Bool().Draw(w.t, "this one") {
@@ -158,12 +158,12 @@
 	w.cores[router].Settle(w.now, known, outcome)
 }
 
-func (w *world) crash() {
+func (w *simulation) crash() {
 	if w.pick("crash", 6) != 0 {
 		return
 	}
 	router := w.pick("router", routers)
-	w.lives[router]++
+	w.incarnations[router]++
 	w.cores[router] = NewCore(ident.Node(fmt.Sprint(router)), Config{MaxBatch: 3})
 	for claimID := range w.granted {
 		if int(claimID[0]-'0') == router {
@@ -174,7 +174,7 @@
 
 // collect takes the answers and checks the promise itself: at most one claim
 // of a key is granted and not proved "not run".
-func (w *world) collect() {
+func (w *simulation) collect() {
 	for _, core := range w.cores {
 		for _, answer := range core.Answers() {
 			name := answer.ClaimID
@@ -199,10 +199,10 @@
 	}
 }
 
-func TestAtMostOneClaimRunsInAnyHistory(t *testing.T) {
+func TestAtMostOneClaimRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		steps := []func(){w.submit, w.advance, w.advance, w.exchange, w.exchange, w.arriveLate, w.end, w.crash}
+		w := newSimulation(t)
+		steps := []func(){w.submit, w.advance, w.advance, w.exchange, w.exchange, w.commitDelayed, w.end, w.crash}
 		for w.step = 1; w.step <= 150; w.step++ {
 			steps[w.pick("step", len(steps))]()
 			w.collect()
@@ -214,7 +214,7 @@
 }
 
 // history lists the calls; one without an answer may take effect at any time.
-func history(w *world) []porcupine.Operation {
+func history(w *simulation) []porcupine.Operation {
 	for _, unanswered := range w.calls {
 		unanswered.returned = math.MaxInt64
 		if !unanswered.settles {
@@ -238,7 +238,7 @@
 
 // specification is a register that holds the claim id that may run. A claim
 // that ended without an answer never takes it, though others may see its row.
-func specification(w *world) porcupine.Model {
+func specification(w *simulation) porcupine.Model {
 	unanswered := map[string]bool{}
 	for _, one := range w.ended {
 		unanswered[one.claimID] = unanswered[one.claimID] || (!one.settles && one.answer.Fault != nil)
--- a/internal/claim/manager_test.go
+++ b/internal/claim/manager_test.go
@@ -85,7 +85,7 @@
 	return script
 }
 
-func TestRepeatsAreJudgedByTheRecord(t *testing.T) {
+func TestRetryFollowsTheRecord(t *testing.T) {
 	otherTenant := booking
 	otherTenant.Tenant = "rival"
 	cases := []struct {
@@ -112,25 +112,25 @@
 				if test.outcome != "" {
 					is.NoErr(first.Finish(context.Background(), booking, grant.Record.ClaimID, Outcome{Ran: test.outcome, Status: 201}))
 				}
-				repeat, err := second.Claim(context.Background(), test.key, test.digest)
+				retry, err := second.Claim(context.Background(), test.key, test.digest)
 				is.True(test.kind == "" && err == nil || fault.Is(err, test.kind))
-				is.Equal(repeat.Acquired, test.mine)
-				is.Equal(repeat.Record.State, test.state)
+				is.Equal(retry.Acquired, test.mine)
+				is.Equal(retry.Record.State, test.state)
 			})
 		})
 	}
 }
 
-func TestFinishIsForTheHolderAndSurvivesFaults(t *testing.T) {
-	table := newFaultyTable(append([]exchange{goesWell, lostAfterCommit}, repeated(outage, 5)...)...)
+func TestOnlyHolderFinishesDespiteFaults(t *testing.T) {
+	table := newFaultyTable(append([]exchange{succeeds, lostAfterCommit}, repeated(outage, 5)...)...)
 	withManagers(t, table, func(is *is.I, first, second *Manager) {
 		grant, err := first.Claim(context.Background(), booking, "digest")
 		is.NoErr(err)
 		is.True(fault.Is(second.Finish(context.Background(), booking, grant.Record.ClaimID, Outcome{Ran: fault.RanNo}), fault.Conflict))
 		time.Sleep(24 * time.Hour) // a frozen holder: nobody took its claim over
-		repeat, err := second.Claim(context.Background(), booking, "digest")
+		retry, err := second.Claim(context.Background(), booking, "digest")
 		is.NoErr(err)
-		is.True(!repeat.Acquired)
+		is.True(!retry.Acquired)
 		is.NoErr(first.Finish(context.Background(), booking, grant.Record.ClaimID, Outcome{Ran: fault.RanYes, Status: 200}))
 		is.Equal(table.heal(booking), StateRan)
 	})
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestClaimsShareTransactionsAndAreRefusedWhenTooManyWait(t *testing.T) {
+func TestClaimsAreBatchedAndBounded(t *testing.T) {
 	is := is.New(t)
 	core, table, now := NewCore("router-1", Config{MaxBatch: 64}), newTableModel(), time.Unix(1000, 0)
 	for index := range 200 {
@@ -197,10 +197,10 @@
 	is.Equal(answers[0].Fault.RetryAfter, time.Minute)
 }
 
-func TestStopRecordsWhatWaitsAndRefusesTheRest(t *testing.T) {
+func TestStopRecordsPendingOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := newFaultyTable(append([]exchange{goesWell}, repeated(outage, 4)...)...)
+		table := newFaultyTable(append([]exchange{succeeds}, repeated(outage, 4)...)...)
 		manager := NewManager(table, "router-1", Config{})
 		ctx, cancel := context.WithCancel(context.Background())
 		go manager.Run(ctx)
--- a/internal/claim/operation.go
+++ b/internal/claim/operation.go
@@ -28,9 +28,9 @@
 	deadline time.Time
 	// awaited is true while a caller waits for the answer.
 	awaited bool
-	// mayStand is true once the row may hold this claim's id, now or later: it
+	// mayBeWritten is true once the row may hold this claim's id, now or later: it
 	// was seen there, or a transaction with it got no answer.
-	mayStand bool
+	mayBeWritten bool
 	// sentState is the state written by the transaction in flight.
 	sentState State
 }
@@ -45,71 +45,71 @@
 	o.record.State = StateNotRun
 }
 
-// verdict says what becomes of an operation after a transaction.
-type verdict int
+// resolution says what becomes of an operation after a transaction.
+type resolution int
 
 const (
-	// verdictRetry sends the operation again, as it now stands.
-	verdictRetry verdict = iota
-	// verdictOwn means the row is as this operation wants it.
-	verdictOwn
-	// verdictOther means the row belongs to another claim.
-	verdictOther
-	// verdictReused means the row was claimed for another request.
-	verdictReused
-	// verdictBroken means the row cannot be understood.
-	verdictBroken
+	// resolutionRetry sends the operation again, as it now stands.
+	resolutionRetry resolution = iota
+	// resolutionOwn means the row is as this operation wants it.
+	resolutionOwn
+	// resolutionOther means the row belongs to another claim.
+	resolutionOther
+	// resolutionReused means the row was claimed for another request.
+	resolutionReused
+	// resolutionUnreadable means the row cannot be understood.
+	resolutionUnreadable
 )
 
-// judgeCommitted works out what a committed write of the operation means.
-func (o *operation) judgeCommitted(row protocol.Row) verdict {
+// resolveCommitted works out what a committed write of the operation means.
+func (o *operation) resolveCommitted(row protocol.Row) resolution {
 	o.version = row.Version
-	o.mayStand = true
+	o.mayBeWritten = true
 	if o.sentState != o.record.State {
-		return verdictRetry
+		return resolutionRetry
 	}
-	return verdictOwn
+	return resolutionOwn
 }
 
-// judgeRefused works out what the current row of the operation's condition
+// resolveRejected works out what the current row of the operation's condition
 // means after a transaction that did not commit.
-func (o *operation) judgeRefused(row protocol.Row) (verdict, Record) {
+func (o *operation) resolveRejected(row protocol.Row) (resolution, Record) {
 	if row.Version == o.version {
-		return verdictRetry, Record{}
+		return resolutionRetry, Record{}
 	}
 	if row.Version == 0 {
-		return o.judgeVanished(), Record{}
+		return o.resolveDeleted(), Record{}
 	}
 	current, err := decodeRecord(row)
 	// Versions only rise, so a transaction still in the network can no longer
 	// commit; what stands in the row now is all there is.
-	o.mayStand = err == nil && current.ClaimID == o.record.ClaimID
+	o.mayBeWritten = err == nil && current.ClaimID == o.record.ClaimID
 	switch {
 	case err != nil:
-		return verdictBroken, current
+		return resolutionUnreadable, current
 	case current.ClaimID == o.record.ClaimID && current.State == o.record.State:
 		o.version = row.Version
-		return verdictOwn, current
+		return resolutionOwn, current
 	case current.ClaimID == o.record.ClaimID:
 		o.version = row.Version
-		return verdictRetry, current
+		return resolutionRetry, current
 	case o.kind == operationRecord:
-		return verdictOther, current
+		return resolutionOther, current
 	case current.Digest != o.record.Digest:
-		return verdictReused, current
+		return resolutionReused, current
 	case current.State == StateNotRun:
 		o.version = row.Version
-		return verdictRetry, current
+		return resolutionRetry, current
 	default:
-		return verdictOther, current
+		return resolutionOther, current
 	}
 }
 
-// judgeVanished handles a row that was there and is not any more.
-func (o *operation) judgeVanished() verdict {
+// resolveDeleted handles a row that was there and is not any more.
+func (o *operation) resolveDeleted() resolution {
 	if o.kind == operationRecord {
-		return verdictOther
+		return resolutionOther
 	}
 	o.version = 0
-	return verdictRetry
+	return resolutionRetry
 }
--- a/internal/claim/pace.go
+++ b/internal/claim/pace.go
@@ -9,9 +9,9 @@
 const (
 	// firstBackoff is the pause after the first failure in a row.
 	firstBackoff = 20 * time.Millisecond
-	// backoffShare bounds a pause to this part of the claim timeout, so that
+	// backoffDivisor bounds a pause to this part of the claim timeout, so that
 	// every claim sees at least one try.
-	backoffShare = 4
+	backoffDivisor = 4
 	// paceBurst is the most transactions sent at once after a quiet time.
 	paceBurst = 4
 )
@@ -27,7 +27,7 @@
 }
 
 func newPace(config Config) pace {
-	return pace{rate: config.TransactionsPerSecond, tokens: paceBurst, longest: config.Timeout / backoffShare}
+	return pace{rate: config.TransactionsPerSecond, tokens: paceBurst, longest: config.Timeout / backoffDivisor}
 }
 
 // next returns the earliest time a transaction may be sent.
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -17,9 +17,9 @@
 	// ClockSkew is how far the clocks of two routers may be apart; rows are kept
 	// for so much longer than the retention.
 	ClockSkew = time.Hour
-	// openRetentions is for how many retentions a row is kept whose outcome was
+	// openRetentionFactor is for how many retentions a row is kept whose outcome was
 	// never recorded: its holder may be paused, or be a suspended machine.
-	openRetentions = 4
+	openRetentionFactor = 4
 	// hexDigits are the characters of the hash that ends a row's key.
 	hexDigits = "0123456789abcdef"
 )
@@ -189,7 +189,7 @@
 	}
 	kept := s.config.Retention
 	if record.State == StateClaimed {
-		kept *= openRetentions
+		kept *= openRetentionFactor
 	}
 	return now.Sub(time.Unix(record.ClaimedAt, 0)) > kept+ClockSkew
 }
--- a/internal/claim/sweep_test.go
+++ b/internal/claim/sweep_test.go
@@ -52,8 +52,8 @@
 	request *SweepRequest
 }
 
-// sweepWorld explores claims, outcomes and sweeps over days.
-type sweepWorld struct {
+// sweepSimulation explores claims, outcomes and sweeps over days.
+type sweepSimulation struct {
 	t     *rapid.T
 	now   time.Time
 	step  int
@@ -61,12 +61,12 @@
 	peers []*sweepPeer
 	// ran holds the time of the claim that last may have run each key, again
 	// counts claims of keys that had run.
-	ran   map[int]time.Time
-	again int
+	ran    map[int]time.Time
+	reruns int
 }
 
-func newSweepWorld(t *rapid.T) *sweepWorld {
-	w := &sweepWorld{t: t, now: time.Unix(1_800_000_000, 0), table: newTableModel(), ran: map[int]time.Time{}}
+func newSweepSimulation(t *rapid.T) *sweepSimulation {
+	w := &sweepSimulation{t: t, now: time.Unix(1_800_000_000, 0), table: newTableModel(), ran: map[int]time.Time{}}
 	for index := range sweepPeers {
 		offset := time.Duration(rapid.SampledFrom([]int{-30, 0, 30}).Draw(t, "offset")) * time.Minute
 		w.peers = append(w.peers, &sweepPeer{
@@ -78,7 +78,7 @@
 }
 
 // exchange lets the core send what it has and returns its answers.
-func (w *sweepWorld) exchange(peer *sweepPeer) []Answer {
+func (w *sweepSimulation) exchange(peer *sweepPeer) []Answer {
 	w.now = w.now.Add(time.Second)
 	local := w.now.Add(peer.offset)
 	for _, batch := range peer.core.Advance(local) {
@@ -87,7 +87,7 @@
 	return peer.core.Answers()
 }
 
-func (w *sweepWorld) claim(peer *sweepPeer) {
+func (w *sweepSimulation) claim(peer *sweepPeer) {
 	w.step++
 	run := openRun{claimID: fmt.Sprint(w.step), key: rapid.IntRange(0, sweepKeys-1).Draw(w.t, "key"), since: w.now}
 	local := w.now.Add(peer.offset)
@@ -97,8 +97,8 @@
 			continue
 		}
 		if before, known := w.ran[run.key]; known {
-			w.again++
-			if run.since.Sub(before) < w.remembered(run.key) {
+			w.reruns++
+			if run.since.Sub(before) < w.retention(run.key) {
 				w.t.Fatalf("key %d ran again after %v", run.key, run.since.Sub(before))
 			}
 		}
@@ -107,12 +107,12 @@
 	}
 }
 
-// remembered returns for how long a key is promised to be remembered.
-func (w *sweepWorld) remembered(key int) time.Duration {
+// retention returns for how long a key is promised to be remembered.
+func (w *sweepSimulation) retention(key int) time.Duration {
 	for _, peer := range w.peers {
 		for _, run := range peer.open {
 			if run.key == key && run.since.Equal(w.ran[key]) {
-				return openRetentions * sweepRetention
+				return openRetentionFactor * sweepRetention
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 // settle ends the oldest open run; not run frees the key.
-func (w *sweepWorld) settle(peer *sweepPeer) {
+func (w *sweepSimulation) settle(peer *sweepPeer) {
 	if len(peer.open) == 0 {
 		return
 	}
@@ -135,7 +135,7 @@
 }
 
 // sweep makes the peer's request that is under way, or draws up the next one.
-func (w *sweepWorld) sweep(peer *sweepPeer) {
+func (w *sweepSimulation) sweep(peer *sweepPeer) {
 	local := w.now.Add(peer.offset)
 	if peer.request == nil {
 		if request, due := peer.sweep.Next(local, []string{SweepPrefix(keyOf(0))}); due {
@@ -161,9 +161,9 @@
 // the stated skew apart claim, settle and sweep, with sweeps that are paused
 // between any two steps and lose answers. In the end all rows are gone.
 func TestNoKeyRunsTwiceWithinItsRetention(t *testing.T) {
-	deleted, again := uint64(0), 0
+	deleted, reruns := uint64(0), 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSweepWorld(t)
+		w := newSweepSimulation(t)
 		for range rapid.IntRange(200, 1000).Draw(t, "steps") {
 			peer := w.peers[rapid.IntRange(0, sweepPeers-1).Draw(t, "peer")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -178,9 +178,9 @@
 				w.sweep(peer)
 			}
 		}
-		again += w.again
+		reruns += w.reruns
 		last := w.peers[0]
-		w.now = w.now.Add(openRetentions*sweepRetention + 2*ClockSkew)
+		w.now = w.now.Add(openRetentionFactor*sweepRetention + 2*ClockSkew)
 		passes := last.sweep.Counters().Passes
 		for last.sweep.Counters().Passes < passes+3 {
 			w.now = w.now.Add(time.Minute)
@@ -193,11 +193,11 @@
 			deleted += peer.sweep.Counters().Deleted
 		}
 	})
-	t.Logf("%d rows were deleted, %d keys ran again after their retention", deleted, again)
-	is.New(t).True(again > 50)
+	t.Logf("%d rows were deleted, %d keys ran again after their retention", deleted, reruns)
+	is.New(t).True(reruns > 50)
 }
 
-func TestSweepKeepsWhatIsYoungOpenOrUnreadable(t *testing.T) {
+func TestSweepDeletesOnlyExpiredRows(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	aged := func(age time.Duration, state State) []byte {
 		value, err := encodeRecord(Record{State: state, ClaimedAt: now.Add(-age).Unix()})
--- a/internal/claim/sweeper.go
+++ b/internal/claim/sweeper.go
@@ -16,8 +16,8 @@
 	// SweepLease is the name of the lease of the one router that sweeps, and
 	// the key by which contenders are chosen.
 	SweepLease = "claims/sweep"
-	// sweepTick is how often the sweeper looks whether a request is due.
-	sweepTick = 250 * time.Millisecond
+	// sweepInterval is how often the sweeper looks whether a request is due.
+	sweepInterval = 250 * time.Millisecond
 	// sweepTimeout bounds one request.
 	sweepTimeout = 5 * time.Second
 )
@@ -70,10 +70,10 @@
 	var duties sync.WaitGroup
 	duties.Go(func() { s.elector.Run(ctx) })
 	defer duties.Wait()
-	wait.Every(ctx, sweepTick, func() {
+	wait.Every(ctx, sweepInterval, func() {
 		s.elector.Contend(s.options.Contends())
 		if request, due := s.next(); due {
-			s.make(ctx, request)
+			s.perform(ctx, request)
 		}
 	})
 }
@@ -91,8 +91,8 @@
 	return s.sweep.Next(time.Now(), s.options.Prefixes())
 }
 
-// make makes one request and tells the sweep of its end.
-func (s *Sweeper) make(ctx context.Context, request SweepRequest) {
+// perform makes one request and tells the sweep of its end.
+func (s *Sweeper) perform(ctx context.Context, request SweepRequest) {
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
 	if request.Prefix != "" {
--- a/internal/claim/table_test.go
+++ b/internal/claim/table_test.go
@@ -65,7 +65,7 @@
 type exchange int
 
 const (
-	goesWell exchange = iota
+	succeeds exchange = iota
 	lostAfterCommit
 	lostBeforeCommit
 	outage
@@ -73,7 +73,7 @@
 	commitsLate
 )
 
-const lateBy = 3 * time.Second
+const commitDelay = 3 * time.Second
 
 func newFaultyTable(script ...exchange) *faultyTable {
 	return &faultyTable{model: newTableModel(), turn: make(chan struct{}, 1), script: script}
@@ -84,7 +84,7 @@
 	if f.calls <= len(f.script) {
 		return f.script[f.calls-1]
 	}
-	return goesWell
+	return succeeds
 }
 
 func (f *faultyTable) Commit(_ context.Context, transaction protocol.Transaction) (protocol.TransactionResult, error) {
@@ -102,7 +102,7 @@
 	case rateLimited:
 		return protocol.TransactionResult{}, fault.New(fault.RateLimited, "slow down").WithRetryAfter(50 * time.Millisecond)
 	case commitsLate:
-		time.AfterFunc(lateBy, func() {
+		time.AfterFunc(commitDelay, func() {
 			f.turn <- struct{}{}
 			defer func() { <-f.turn }()
 			f.model.commit(transaction)
@@ -129,7 +129,7 @@
 	return protocol.RowList{}, fault.New(fault.Internal, "not used")
 }
 
-var protocolNothing protocol.TransactionResult
+var noResult protocol.TransactionResult
 
 // sortedIDs lists the claims that can be abandoned or settled, in one order.
 func sortedIDs(calls map[string]*call, granted map[string]int) []string {
