--- a/internal/claim/batch.go
+++ b/internal/claim/batch.go
@@ -7,12 +7,11 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// claimQuarters is the part of a batch, in quarters, that claims may fill while
-// outcomes wait, so that neither starves the other.
+// claimQuarters is the part of a batch, in quarters, that claims may fill while outcomes wait,
+// so that neither starves the other.
 const claimQuarters = 3
 
-// Advance ends the claims whose time is over and returns the transactions to
-// send now.
+// Advance ends the claims whose deadline has passed and returns the transactions to send now.
 func (c *Core) Advance(now time.Time) []Batch {
 	c.expire(now)
 	var batches []Batch
@@ -28,7 +27,7 @@
 	return batches
 }
 
-// NextWake returns the next time Advance has something to do by itself.
+// NextWake returns when Advance must be called next without another event.
 func (c *Core) NextWake(now time.Time) (time.Time, bool) {
 	earliest, found := c.nextDeadline()
 	if due, some := c.nextSend(); some && len(c.inFlight) < c.config.MaxInFlight {
@@ -59,8 +58,7 @@
 	return earliest, found
 }
 
-// nextSend returns when the oldest operation whose row is free has waited for
-// its window.
+// nextSend returns when the oldest operation whose row is free has waited for Config.Window.
 func (c *Core) nextSend() (earliest time.Time, found bool) {
 	for _, queue := range [][]*operation{c.claims, c.background} {
 		for _, waiting := range queue {
@@ -83,7 +81,7 @@
 	return found && !due.After(now)
 }
 
-// expire answers the claims whose deadline has come.
+// expire answers the claims whose deadline has passed.
 func (c *Core) expire(now time.Time) {
 	kept := c.claims[:0]
 	for _, waiting := range c.claims {
@@ -114,13 +112,13 @@
 	c.answers = append(c.answers, Answer{ClaimID: claim.record.ClaimID, Fault: problem})
 }
 
-// blocked reports whether an operation must wait for another of its row. A
-// claim also waits until an earlier own claim of the row is settled.
+// blocked reports whether an operation must wait for another one of its row. A claim also waits
+// until an earlier claim of this router on the row is settled.
 func (c *Core) blocked(waiting *operation) bool {
 	return c.busy[waiting.row] || (waiting.kind == operationClaim && c.settling[waiting.row])
 }
 
-// fill moves operations on free rows from the queues into one transaction.
+// fill moves operations on free rows from the queues to one transaction.
 func (c *Core) fill() (Batch, bool) {
 	limit := c.config.MaxBatch
 	claimLimit := limit
@@ -139,7 +137,7 @@
 	for _, operation := range chosen {
 		value, err := encodeRecord(operation.record)
 		if err != nil {
-			// A Record holds only strings and integers; encoding cannot fail.
+			// A Record has only strings and integers; encoding cannot fail.
 			continue
 		}
 		operation.sentState = operation.record.State
@@ -165,8 +163,8 @@
 	return rest, chosen
 }
 
-// Completed takes the result of a transaction. A lost answer is settled by
-// sending the operations again: the conditions then show who holds the rows.
+// Completed applies the result of a transaction. After a lost answer the operations are sent
+// again: their conditions then show who holds the rows.
 func (c *Core) Completed(now time.Time, id BatchID, result protocol.TransactionResult, err error) {
 	operations, known := c.inFlight[id]
 	if !known {
@@ -190,7 +188,7 @@
 	}
 }
 
-// fail sends the operations of a transaction without an answer again.
+// fail retries the operations of a transaction without an answer.
 func (c *Core) fail(now time.Time, operations []*operation, problem *fault.Fault) {
 	c.pace.failed(now, problem)
 	c.counters.Unsettled++
@@ -221,8 +219,8 @@
 	c.answerRecord(operation, resolved)
 }
 
-// requeue puts an operation in front, since it has waited longest. A released
-// claim that stands nowhere needs no more writing.
+// requeue puts an operation at the front, since it has waited longest. A released claim that
+// was not written needs no write.
 func (c *Core) requeue(retried *operation) {
 	if retried.kind == operationClaim {
 		c.claims = append([]*operation{retried}, c.claims...)
@@ -260,7 +258,7 @@
 	}
 	answer := Answer{ClaimID: record.record.ClaimID, Recorded: true}
 	if resolved != resolutionOwn {
-		answer.Fault = fault.New(fault.Conflict, "the claim's row is no longer this claim's").WithRan(fault.RanUnknown)
+		answer.Fault = fault.New(fault.Conflict, "the row now belongs to another claim").WithRan(fault.RanUnknown)
 	}
 	c.answers = append(c.answers, answer)
 }
--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkClaim submits claims of fresh keys, 64 to a transaction, against a
-// table in memory that answers at once.
+// BenchmarkClaim submits claims of new keys, 64 to a transaction, to a table in memory that
+// answers at once.
 func BenchmarkClaim(b *testing.B) {
 	core, table, now := NewCore("router-1", Config{TransactionsPerSecond: 1e6}), newTableModel(), time.Unix(1000, 0)
 	key, index := booking, 0
@@ -32,8 +32,8 @@
 	}
 }
 
-// BenchmarkTransactions counts, in virtual time, the table's transactions for
-// one claim and its outcome at the given claims a second of one router.
+// BenchmarkTransactions counts, in virtual time, the table's transactions for one claim and its
+// outcome at different rates of claims.
 func BenchmarkTransactions(b *testing.B) {
 	for _, rate := range []int{1, 11, 100, 1000} {
 		b.Run(fmt.Sprint("claims/s=", rate), func(b *testing.B) {
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,9 +1,8 @@
-// Package claim makes a request that may not be repeated run at most once.
+// Package claim runs requests that must not be repeated at most once.
 //
-// A claim is a row in the platform's table, inserted if absent under the
-// tenant-scoped idempotency key before the first attempt leaves. A claim is
-// not a lease: nobody ever takes it over, so a paused holder cannot cause a
-// second run.
+// A claim is a row in the platform's table, inserted if absent under the tenant-scoped
+// idempotency key before the first attempt is sent. A claim is not a lease: no other router
+// ever takes it over, so a paused holder cannot cause a second run.
 package claim
 
 import (
@@ -13,11 +12,11 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Key names the work a claim is for. Keys of different tenants never meet.
+// Key identifies the work of a claim. Keys of different tenants never collide.
 type Key struct {
 	Tenant  ident.Tenant
 	Service ident.Service
-	// IdempotencyKey is as sent by the caller.
+	// IdempotencyKey is the header as sent by the caller.
 	IdempotencyKey string
 }
 
@@ -28,13 +27,13 @@
 type State string
 
 const (
-	// StateClaimed means: an attempt may have left. It stays so if the outcome is lost.
+	// StateClaimed means that an attempt may have been sent. It stays if the outcome is lost.
 	StateClaimed State = "claimed"
-	// StateNotRun means: the holder proved that nothing ran; the key may be claimed anew.
+	// StateNotRun means that the holder proved that nothing ran; the key may be claimed again.
 	StateNotRun State = "not_run"
-	// StateRan means: the back end answered; the answer may be retained.
+	// StateRan means that the back end answered; the answer may be retained.
 	StateRan State = "ran"
-	// StateUnknown means: the attempt's fate is not known and never will be by itself.
+	// StateUnknown means that it is unknown whether the attempt ran, and stays so.
 	StateUnknown State = "unknown"
 )
 
@@ -43,7 +42,7 @@
 	// ClaimID is unique to one call of Claim.
 	ClaimID string `cbor:"1,keyasint"`
 	State   State  `cbor:"2,keyasint"`
-	// Digest of the request the claim was made for.
+	// Digest is that of the claimed request.
 	Digest Digest `cbor:"3,keyasint"`
 	// Holder is the router that made the claim.
 	Holder ident.Node `cbor:"4,keyasint"`
@@ -52,16 +51,16 @@
 	// AnswerZone and AnswerKey locate the retained answer in the object store.
 	AnswerZone ident.Zone `cbor:"6,keyasint,omitempty"`
 	AnswerKey  string     `cbor:"7,keyasint,omitempty"`
-	// ClaimedAt is when the claim was made, by the holder's wall clock, in
-	// seconds since 1970. It says only when the row may be deleted.
+	// ClaimedAt is when the claim was made, by the holder's wall clock, in seconds since 1970.
+	// It is used only for the deletion of the row.
 	ClaimedAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Grant is the answer to Claim.
+// Grant is the result of Claim.
 type Grant struct {
 	// Acquired is true if this call holds the claim and may run the request once.
 	Acquired bool
-	// Record is the claim as it stands; when Mine is false it is another call's.
+	// Record is the claim; if Acquired is false it is another call's.
 	Record Record
 }
 
@@ -74,14 +73,13 @@
 	AnswerKey  string
 }
 
-// Claimer is what dispatch asks of this package.
+// Claimer claims requests and records their outcomes.
 type Claimer interface {
-	// Claim claims the key, or tells whose claim it is. Errors are *fault.Fault
-	// with Ran "no": StoreUnavailable when the store did not answer in time
-	// (the key may then stay claimed although nothing ran), KeyReused when the
-	// digest differs from the recorded one.
+	// Claim claims the key or returns the existing claim. Errors are *fault.Fault with Ran
+	// "no": StoreUnavailable if the store did not answer in time (the key may then stay claimed
+	// although nothing ran), KeyReused if the digest differs from the recorded one.
 	Claim(ctx context.Context, key Key, digest Digest) (Grant, error)
-	// Finish records the outcome of a claim held by this process. Ran "no"
-	// frees the key for a repeat.
+	// Finish records the outcome of a claim held by this process. Ran "no" frees the key for a
+	// retry.
 	Finish(ctx context.Context, key Key, claimID string, outcome Outcome) error
 }
--- a/internal/claim/config.go
+++ b/internal/claim/config.go
@@ -9,8 +9,7 @@
 type Config struct {
 	// Timeout is the longest a claim waits for the table. Default: 1s.
 	Timeout time.Duration
-	// Window is how long an operation waits for others to share its
-	// transaction. Default: 2ms.
+	// Window is how long an operation waits for others to share its transaction. Default: 2ms.
 	Window time.Duration
 	// MaxBatch is the most operations in one transaction. Default: 64.
 	MaxBatch int
--- a/internal/claim/core.go
+++ b/internal/claim/core.go
@@ -8,16 +8,16 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// BatchID names one transaction in flight.
+// BatchID identifies a transaction in flight.
 type BatchID uint64
 
-// Batch is a transaction the shell is to send.
+// Batch is a transaction to be sent by the caller of Advance.
 type Batch struct {
 	ID          BatchID
 	Transaction protocol.Transaction
 }
 
-// Answer is the end of one Submit or Settle.
+// Answer is the result of one Submit or Settle.
 type Answer struct {
 	ClaimID string
 	// Recorded is true for the answer to Settle.
@@ -29,13 +29,13 @@
 
 // Counters counts what a Core did.
 type Counters struct {
-	// Granted counts claims won, Shown claims that were another's.
+	// Granted counts claims acquired, AlreadyClaimed those held by another call.
 	Granted, AlreadyClaimed uint64
 	// Refused counts claims that ended without an answer of the table.
 	Refused uint64
-	// Released counts claims given up after they may have reached the table.
+	// Released counts claims released after they may have reached the table.
 	Released uint64
-	// Dropped counts outcomes lost because too many waited to be recorded.
+	// Dropped counts outcomes dropped because too many waited to be recorded.
 	Dropped uint64
 	// Transactions counts transactions sent, Unsettled those without an answer.
 	Transactions, Unsettled uint64
@@ -43,21 +43,20 @@
 	Waiting, Background int
 }
 
-// Core groups claims and outcomes into transactions. It is a state machine
-// without I/O: the shell tells it events and times, sends what Advance
-// returns and hands out what Answers returns. It is not safe for concurrent use.
+// Core groups claims and outcomes into transactions. It is a state machine without I/O: the
+// Manager passes events and times, sends the batches of Advance and delivers Answers. It is not
+// safe for concurrent use.
 //
-// Invariants: at most one operation of a row is in flight; a claim is granted
-// only after the table showed the row with this claim's id; a claim that was
-// given up is never granted.
+// Invariants: at most one operation of a row is in flight; a claim is granted only after the
+// table returned the row with this claim's id; a released claim is never granted.
 type Core struct {
 	config     Config
 	holder     ident.Node
 	pace       pace
 	claims     []*operation
 	background []*operation
-	// busy holds the rows in flight, settling those with an own outcome or
-	// release still to be recorded.
+	// busy has the rows in flight, settling those whose outcome or release by this router is
+	// not recorded yet.
 	busy, settling map[string]bool
 	inFlight       map[BatchID][]*operation
 	held           map[string]*operation
@@ -80,8 +79,8 @@
 	}
 }
 
-// Submit starts a claim under a claim id never used before. It is refused at
-// once if the wait for its transaction would exceed the deadline.
+// Submit starts a claim with a new claim id. It is refused at once if the predicted wait for
+// its transaction exceeds the deadline.
 func (c *Core) Submit(now time.Time, claimID string, key Key, digest Digest, deadline time.Time) {
 	wait := c.predictedWait(now)
 	if len(c.claims) >= c.config.MaxWaiting || now.Add(wait).After(deadline) {
@@ -100,37 +99,37 @@
 	})
 }
 
-// predictedWait is the time until a claim submitted now would be sent.
+// predictedWait returns the time until a claim submitted now would be sent.
 func (c *Core) predictedWait(now time.Time) time.Duration {
 	batchesAhead := len(c.claims) / c.config.MaxBatch
 	pacing := time.Duration(float64(batchesAhead) / c.config.TransactionsPerSecond * float64(time.Second))
 	return c.pace.next(now).Sub(now) + pacing
 }
 
-// Settle records the outcome of a granted claim. Unless the claim was given
-// up meanwhile, an Answer with Recorded set follows.
+// Settle records the outcome of a granted claim. Unless the claim is abandoned before, an
+// Answer with Recorded set follows.
 func (c *Core) Settle(now time.Time, claimID string, outcome Outcome) {
-	held, known := c.held[claimID]
+	claim, known := c.held[claimID]
 	if !known {
 		problem := fault.New(fault.Conflict, "claim %s is not held by this router", claimID).WithRan(outcome.Ran).
 			WithRemedy("repeat the request with the same Idempotency-Key to learn the outcome")
 		c.answers = append(c.answers, Answer{ClaimID: claimID, Recorded: true, Fault: problem})
 		return
 	}
-	held.record.State = stateOf(outcome.Ran)
-	held.record.Status = outcome.Status
-	held.record.AnswerZone = outcome.AnswerZone
-	held.record.AnswerKey = outcome.AnswerKey
-	c.record(now, held, true)
+	claim.record.State = stateOf(outcome.Ran)
+	claim.record.Status = outcome.Status
+	claim.record.AnswerZone = outcome.AnswerZone
+	claim.record.AnswerKey = outcome.AnswerKey
+	c.record(now, claim, true)
 }
 
-// Abandon gives a claim up: its caller was told that nothing ran. It may be
-// called in any state of the claim before Settle.
+// Abandon releases a claim whose caller got the answer that nothing ran. It may be called in
+// any state of the claim before Settle.
 func (c *Core) Abandon(now time.Time, claimID string) {
-	if held, known := c.held[claimID]; known {
-		held.release()
+	if claim, known := c.held[claimID]; known {
+		claim.release()
 		c.counters.Released++
-		c.record(now, held, false)
+		c.record(now, claim, false)
 		return
 	}
 	for index, waiting := range c.claims {
@@ -150,13 +149,13 @@
 	}
 }
 
-// record queues the writing of a held claim's outcome.
-func (c *Core) record(now time.Time, held *operation, awaited bool) {
-	delete(c.held, held.record.ClaimID)
-	held.kind = operationRecord
-	held.awaited = awaited
-	held.queued = now
-	c.queueBackground(held)
+// record queues the write of a held claim's outcome.
+func (c *Core) record(now time.Time, claim *operation, awaited bool) {
+	delete(c.held, claim.record.ClaimID)
+	claim.kind = operationRecord
+	claim.awaited = awaited
+	claim.queued = now
+	c.queueBackground(claim)
 }
 
 func (c *Core) queueBackground(record *operation) {
@@ -172,8 +171,8 @@
 	}
 }
 
-// giveUp ends a claim that is not in flight. If a transaction with it may
-// have taken effect, or may yet, its release is recorded in the background.
+// giveUp ends a claim that is not in flight. If a transaction with it may have taken effect, or
+// still may, its release is recorded in the background.
 func (c *Core) giveUp(now time.Time, claim *operation) {
 	if !claim.mayBeWritten {
 		return
@@ -191,7 +190,7 @@
 	return answers
 }
 
-// Counters returns the counters.
+// Counters returns a copy of the counters.
 func (c *Core) Counters() Counters {
 	counters := c.counters
 	counters.Waiting = len(c.claims)
--- a/internal/claim/fence_test.go
+++ b/internal/claim/core_test.go
@@ -14,7 +14,7 @@
 		source, err := os.ReadFile(file)
 		is.NoErr(err)
 		for _, banned := range []string{"net/http", "time.Now", "time.After", "go func", "\tgo ", "math/rand", "sync"} {
-			is.True(!strings.Contains(string(source), banned)) // the core is a pure machine
+			is.True(!strings.Contains(string(source), banned)) // the core is a state machine without I/O
 		}
 	}
 }
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -13,7 +13,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// call is one Submit or Settle of the history and how it ended.
+// call is one Submit or Settle and its result.
 type call struct {
 	key      int
 	claimID  string
@@ -24,14 +24,14 @@
 	answer   Answer
 }
 
-// transit is one transaction on its way, from a core that may have crashed.
+// transit is a transaction in flight, whose core may have crashed.
 type transit struct {
 	router      int
 	incarnation int
 	batch       Batch
 }
 
-// simulation is several cores, one table and the network between them.
+// simulation runs several cores, one table and the network between them.
 type simulation struct {
 	t            *rapid.T
 	now          time.Time
@@ -43,7 +43,7 @@
 	delayed      []transit
 	calls        map[string]*call
 	ended        []*call
-	// running holds, for each key, the granted claims not proved "not run".
+	// running has, for each key, the granted claims not proved "not run".
 	running map[int]map[string]bool
 	granted map[string]int
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// exchange lets one transaction arrive, be lost, be refused or stay behind.
+// exchange commits, loses, refuses or delays one transaction.
 func (w *simulation) exchange() {
 	if len(w.transit) == 0 {
 		return
@@ -125,7 +125,7 @@
 	w.delayed = append(w.delayed[:index], w.delayed[index+1:]...)
 }
 
-// end abandons or settles one claim, whatever its state.
+// end abandons or settles one claim in any state.
 func (w *simulation) end() {
 	router, known := 0, ""
 	for _, claimID := range sortedIDs(w.calls, w.granted) {
@@ -172,8 +172,8 @@
 	}
 }
 
-// collect takes the answers and checks the promise itself: at most one claim
-// of a key is granted and not proved "not run".
+// collect receives the answers and checks that at most one claim of a key is granted and not
+// proved "not run".
 func (w *simulation) collect() {
 	for _, core := range w.cores {
 		for _, answer := range core.Answers() {
@@ -208,12 +208,12 @@
 			w.collect()
 		}
 		if !porcupine.CheckOperations(specification(w), history(w)) {
-			t.Fatal("the history is not that of a register claimed at most once")
+			t.Fatal("the history is not linearizable as a register claimed at most once")
 		}
 	})
 }
 
-// history lists the calls; one without an answer may take effect at any time.
+// history returns the calls; one without an answer may take effect at any time.
 func history(w *simulation) []porcupine.Operation {
 	for _, unanswered := range w.calls {
 		unanswered.returned = math.MaxInt64
@@ -236,8 +236,8 @@
 	return 2*c.returned + 1
 }
 
-// specification is a register that holds the claim id that may run. A claim
-// that ended without an answer never takes it, though others may see its row.
+// specification is a register with the claim id that may run. A claim that ended without an
+// answer never gets it, though others may see its row.
 func specification(w *simulation) porcupine.Model {
 	unanswered := map[string]bool{}
 	for _, one := range w.ended {
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -10,18 +10,17 @@
 	"github.com/fieldpond/fieldpond/internal/store"
 )
 
-// drainTimeouts bounds the drain at a stop, in claim timeouts.
+// drainTimeouts bounds the drain at shutdown, in claim timeouts.
 const drainTimeouts = 2
 
-// Manager is the shell around a Core: it sends the transactions and wakes the
-// callers. It implements Claimer. Run must be running for calls to end by
-// anything but their deadline.
+// Manager runs a Core: it sends the transactions and wakes the callers. It implements Claimer.
+// Unless Run is running, calls end only by their deadline.
 type Manager struct {
 	table  store.Table
 	config Config
 	mutex  sync.Mutex
 	core   *Core
-	// claimWaiters and recordWaiters hold the callers by claim id.
+	// claimWaiters and recordWaiters are the callers by claim id.
 	claimWaiters  map[string]chan Answer
 	recordWaiters map[string]chan Answer
 	changed       chan struct{}
@@ -46,13 +45,12 @@
 	}
 }
 
-// minWait is the shortest wait between two looks. Above zero it keeps timers
-// from having run out before anybody waits for them; see fleet.Syncer.
+// minWait is the shortest timer. At zero the timer could fire before it is awaited; see
+// fleet.Syncer.
 const minWait = time.Millisecond
 
-// Run is the duty that advances the core until ctx ends. It then refuses new
-// claims, records what waits to be recorded, and returns when nothing waits
-// any more or after drainTimeouts times Config.Timeout.
+// Run advances the core until ctx ends. It then refuses new claims, records the outcomes that
+// wait, and returns when none is left or after drainTimeouts times Config.Timeout.
 func (k *Manager) Run(ctx context.Context) {
 	timer := time.NewTimer(minWait)
 	defer timer.Stop()
@@ -108,20 +106,20 @@
 	return k.abandon(claimID)
 }
 
-// abandon ends a claim whose caller left. Whatever the core answers from now
-// on reaches nobody, so the claim is released and truly not run.
+// abandon ends a claim whose caller has gone. No later answer of the core is delivered, so the
+// claim is released and did not run.
 func (k *Manager) abandon(claimID string) (Grant, error) {
 	k.mutex.Lock()
 	delete(k.claimWaiters, claimID)
 	k.core.Abandon(time.Now(), claimID)
 	k.mutex.Unlock()
 	k.signal()
-	problem := fault.New(fault.StoreUnavailable, "the caller's time ended before the table answered the claim")
+	problem := fault.New(fault.StoreUnavailable, "the caller's deadline passed before the table answered the claim")
 	return Grant{}, problem.WithRetryAfter(k.config.Timeout)
 }
 
-// Finish implements Claimer. When ctx ends first, the recording goes on in
-// the background and the error says that the store did not answer in time.
+// Finish implements Claimer. If ctx ends first, the outcome is still recorded in the background
+// and the error is that the store did not answer in time.
 func (k *Manager) Finish(ctx context.Context, _ Key, claimID string, outcome Outcome) error {
 	answered := make(chan Answer, 1)
 	k.mutex.Lock()
@@ -153,7 +151,7 @@
 	k.stopping = true
 }
 
-// idle reports whether the manager is stopping and has nothing left to do.
+// idle reports whether the manager is shutting down and all operations are done.
 func (k *Manager) idle() bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -168,8 +166,8 @@
 	return k.core.Counters()
 }
 
-// Holds reports whether this process still holds the claim: its request may
-// be running here, or its outcome is not yet settled by the caller.
+// Holds reports whether this process holds the claim: its request may be running here, or its
+// outcome is not settled by the caller yet.
 func (k *Manager) Holds(claimID string) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -203,7 +201,7 @@
 	k.signal()
 }
 
-// deliver hands out the core's answers; the mutex is held.
+// deliver sends the core's answers to the callers; the mutex is held.
 func (k *Manager) deliver() {
 	for _, answer := range k.core.Answers() {
 		waiters := k.claimWaiters
--- a/internal/claim/manager_test.go
+++ b/internal/claim/manager_test.go
@@ -16,7 +16,7 @@
 
 var booking = Key{Tenant: "muldenring", Service: "dispatch", IdempotencyKey: "order-17"}
 
-// TestMain fixes the seed of the random schedules, so that every run is alike.
+// TestMain fixes the seed of the random schedules, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "17"); err != nil {
 		panic(err)
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// withManagers runs the check in virtual time over two keepers of one table.
+// withManagers runs the check in virtual time with two managers of one table.
 func withManagers(t *testing.T, table *faultyTable, check func(is *is.I, first, second *Manager)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -44,7 +44,7 @@
 		kind   fault.Kind
 		after  State
 	}{
-		{"all well", nil, "", StateClaimed},
+		{"no fault", nil, "", StateClaimed},
 		{"answer lost after commit", []exchange{lostAfterCommit}, "", StateClaimed},
 		{"answer lost before commit", []exchange{lostBeforeCommit}, "", StateClaimed},
 		{"two answers lost", []exchange{lostBeforeCommit, lostAfterCommit}, "", StateClaimed},
@@ -52,9 +52,9 @@
 		{"rate limited", []exchange{rateLimited, rateLimited}, "", StateClaimed},
 		{"first insert commits late", []exchange{commitsLate}, "", StateClaimed},
 		{"long outage", repeated(outage, 40), fault.StoreUnavailable, ""},
-		{"answers lost for long, first committed", append([]exchange{lostAfterCommit}, repeated(outage, 40)...),
+		{"many answers lost, first committed", append([]exchange{lostAfterCommit}, repeated(outage, 40)...),
 			fault.StoreUnavailable, StateNotRun},
-		{"insert commits after the claim was given up", append([]exchange{commitsLate}, repeated(outage, 8)...),
+		{"insert commits after the claim was abandoned", append([]exchange{commitsLate}, repeated(outage, 8)...),
 			fault.StoreUnavailable, StateNotRun},
 	}
 	for _, test := range cases {
@@ -69,9 +69,9 @@
 				}
 				time.Sleep(20 * time.Second)
 				is.Equal(table.heal(booking), test.after)
-				repeat, err := second.Claim(context.Background(), booking, "digest")
+				retry, err := second.Claim(context.Background(), booking, "digest")
 				is.NoErr(err)
-				is.Equal(repeat.Acquired, test.kind != "") // what never ran can be claimed anew
+				is.Equal(retry.Acquired, test.kind != "") // what never ran can be claimed again
 			})
 		})
 	}
@@ -89,13 +89,13 @@
 	otherTenant := booking
 	otherTenant.Tenant = "rival"
 	cases := []struct {
-		name    string
-		outcome fault.Ran
-		key     Key
-		digest  Digest
-		mine    bool
-		kind    fault.Kind
-		state   State
+		name     string
+		outcome  fault.Ran
+		key      Key
+		digest   Digest
+		acquired bool
+		kind     fault.Kind
+		state    State
 	}{
 		{"claimed", "", booking, "digest", false, "", StateClaimed},
 		{"ran", fault.RanYes, booking, "digest", false, "", StateRan},
@@ -114,7 +114,7 @@
 				}
 				retry, err := second.Claim(context.Background(), test.key, test.digest)
 				is.True(test.kind == "" && err == nil || fault.Is(err, test.kind))
-				is.Equal(retry.Acquired, test.mine)
+				is.Equal(retry.Acquired, test.acquired)
 				is.Equal(retry.Record.State, test.state)
 			})
 		})
@@ -127,7 +127,7 @@
 		grant, err := first.Claim(context.Background(), booking, "digest")
 		is.NoErr(err)
 		is.True(fault.Is(second.Finish(context.Background(), booking, grant.Record.ClaimID, Outcome{Ran: fault.RanNo}), fault.Conflict))
-		time.Sleep(24 * time.Hour) // a frozen holder: nobody took its claim over
+		time.Sleep(24 * time.Hour) // a paused holder keeps its claim
 		retry, err := second.Claim(context.Background(), booking, "digest")
 		is.NoErr(err)
 		is.True(!retry.Acquired)
@@ -140,7 +140,7 @@
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		name string
-		// run takes the claim as far as the case says, then abandons it.
+		// run brings the claim to the state of the case, then abandons it.
 		run  func(core *Core, table *tableModel)
 		want State
 	}{
@@ -192,7 +192,7 @@
 	core.Answers()
 	core.Submit(now, "late", booking, "digest", now.Add(time.Second))
 	answers := core.Answers()
-	is.Equal(len(answers), 1) // refused at once, with the time to come back
+	is.Equal(len(answers), 1) // refused at once, with a Retry-After
 	is.Equal(answers[0].Fault.Kind, fault.StoreUnavailable)
 	is.Equal(answers[0].Fault.RetryAfter, time.Minute)
 }
@@ -216,6 +216,6 @@
 		_, err = manager.Claim(context.Background(), booking, "digest")
 		is.True(fault.Is(err, fault.Leaving))
 		time.Sleep(time.Minute)
-		is.Equal(table.heal(booking), StateRan) // recorded after the stop, in spite of the outage
+		is.Equal(table.heal(booking), StateRan) // recorded after shutdown, in spite of the outage
 	})
 }
--- a/internal/claim/operation.go
+++ b/internal/claim/operation.go
@@ -6,19 +6,19 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// operationKind tells a claim from the recording of an outcome.
+// operationKind is a claim or the recording of an outcome.
 type operationKind int
 
 const (
 	// operationClaim inserts a row in StateClaimed for a waiting caller.
 	operationClaim operationKind = iota
-	// operationRecord writes the outcome of an own claim; nobody may wait.
+	// operationRecord writes the outcome of an own claim, whose caller may be gone.
 	operationRecord
 )
 
-// operation is one conditional write of one row. Repeating it is harmless:
-// the row names the claim id, so a repeat after a lost answer fails on its
-// condition and is shown its own claim id.
+// operation is one conditional write of one row. A retry is harmless: the row contains the
+// claim id, so that a retry after a lost answer fails on its condition and returns its own
+// claim id.
 type operation struct {
 	kind     operationKind
 	row      string
@@ -28,40 +28,39 @@
 	deadline time.Time
 	// awaited is true while a caller waits for the answer.
 	awaited bool
-	// mayBeWritten is true once the row may hold this claim's id, now or later: it
-	// was seen there, or a transaction with it got no answer.
+	// mayBeWritten is true once the row may contain this claim's id, now or later: it was read
+	// there, or a transaction with it got no answer.
 	mayBeWritten bool
 	// sentState is the state written by the transaction in flight.
 	sentState State
 }
 
-// release turns a claim that was given up into the recording of StateNotRun
-// under the same condition. Writing it settles the claim for good: it either
-// replaces the claimed row, or takes the version that a slow insert still in
-// the network depends on.
+// release turns an abandoned claim into the recording of StateNotRun under the same condition.
+// The write settles the claim for good: it either replaces the claimed row, or uses up the
+// version that a slow insert still in the network depends on.
 func (o *operation) release() {
 	o.kind = operationRecord
 	o.awaited = false
 	o.record.State = StateNotRun
 }
 
-// resolution says what becomes of an operation after a transaction.
+// resolution is the consequence of a transaction for an operation.
 type resolution int
 
 const (
-	// resolutionRetry sends the operation again, as it now stands.
+	// resolutionRetry sends the operation again, updated.
 	resolutionRetry resolution = iota
-	// resolutionOwn means the row is as this operation wants it.
+	// resolutionOwn means the row is as this operation writes it.
 	resolutionOwn
 	// resolutionOther means the row belongs to another claim.
 	resolutionOther
 	// resolutionReused means the row was claimed for another request.
 	resolutionReused
-	// resolutionUnreadable means the row cannot be understood.
+	// resolutionUnreadable means the row cannot be decoded.
 	resolutionUnreadable
 )
 
-// resolveCommitted works out what a committed write of the operation means.
+// resolveCommitted returns the resolution after a committed write.
 func (o *operation) resolveCommitted(row protocol.Row) resolution {
 	o.version = row.Version
 	o.mayBeWritten = true
@@ -71,8 +70,8 @@
 	return resolutionOwn
 }
 
-// resolveRejected works out what the current row of the operation's condition
-// means after a transaction that did not commit.
+// resolveRejected returns the resolution after a transaction that did not commit, by the
+// current row of the operation's condition.
 func (o *operation) resolveRejected(row protocol.Row) (resolution, Record) {
 	if row.Version == o.version {
 		return resolutionRetry, Record{}
@@ -81,8 +80,8 @@
 		return o.resolveDeleted(), Record{}
 	}
 	current, err := decodeRecord(row)
-	// Versions only rise, so a transaction still in the network can no longer
-	// commit; what stands in the row now is all there is.
+	// Versions only rise, so a transaction still in the network can no longer commit; the
+	// current row is final.
 	o.mayBeWritten = err == nil && current.ClaimID == o.record.ClaimID
 	switch {
 	case err != nil:
@@ -105,7 +104,7 @@
 	}
 }
 
-// resolveDeleted handles a row that was there and is not any more.
+// resolveDeleted returns the resolution if the row was deleted.
 func (o *operation) resolveDeleted() resolution {
 	if o.kind == operationRecord {
 		return resolutionOther
--- a/internal/claim/pace.go
+++ b/internal/claim/pace.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// firstBackoff is the pause after the first failure in a row.
+	// firstBackoff is the pause after the first of consecutive failures.
 	firstBackoff = 20 * time.Millisecond
-	// backoffDivisor bounds a pause to this part of the claim timeout, so that
-	// every claim sees at least one try.
+	// backoffDivisor bounds a pause to this part of the claim timeout, so that every claim gets
+	// at least one attempt.
 	backoffDivisor = 4
-	// paceBurst is the most transactions sent at once after a quiet time.
+	// paceBurst is the most transactions sent at once after an idle time.
 	paceBurst = 4
 )
 
-// pace is the token bucket in front of the table, with pauses after failures.
+// pace is the token bucket for the table, with pauses after failures.
 type pace struct {
 	rate     float64
 	tokens   float64
--- a/internal/claim/row.go
+++ b/internal/claim/row.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// RowPrefix starts the table key of every claim.
+// RowPrefix is the prefix of the table keys of claims.
 const RowPrefix = "claim/"
 
 // hashDigits is the length of the hash that ends a row's key.
@@ -19,9 +19,8 @@
 
 // RowKey returns the table key of a claim.
 //
-// Tenant and service are path-escaped, so that no choice of names can make
-// two pairs meet. The idempotency key is hashed: callers put booking numbers
-// and names into it, which must not stand in a store outside the tenant's
+// Tenant and service are path-escaped, so that no two pairs can collide. The idempotency key is
+// hashed: callers put personal data into it, which must not be stored outside the tenant's
 // places, and a hash has a fixed length and no special characters.
 func RowKey(key Key) string {
 	digest := sha256.Sum256([]byte(key.IdempotencyKey))
@@ -40,7 +39,6 @@
 	return record, nil
 }
 
-// stateOf maps an outcome to the state recorded for it.
 func stateOf(ran fault.Ran) State {
 	switch ran {
 	case fault.RanNo:
--- a/internal/claim/sweep.go
+++ b/internal/claim/sweep.go
@@ -11,14 +11,14 @@
 
 // Bounds of what a sweep deletes.
 const (
-	// MinRetention is the shortest time for which keys are remembered, far above
-	// the time in which any request, repeat of a transaction or stop ends.
+	// MinRetention is the least Retention, longer than any request, retry of a transaction or
+	// shutdown.
 	MinRetention = time.Hour
-	// ClockSkew is how far the clocks of two routers may be apart; rows are kept
-	// for so much longer than the retention.
+	// ClockSkew is the largest difference between the clocks of two routers; it is added to the
+	// retention.
 	ClockSkew = time.Hour
-	// openRetentionFactor is for how many retentions a row is kept whose outcome was
-	// never recorded: its holder may be paused, or be a suspended machine.
+	// openRetentionFactor multiplies the retention of rows without an outcome: their holder may
+	// be paused or a suspended machine.
 	openRetentionFactor = 4
 	// hexDigits are the characters of the hash that ends a row's key.
 	hexDigits = "0123456789abcdef"
@@ -26,11 +26,10 @@
 
 // SweepConfig bounds the work of a Sweep.
 type SweepConfig struct {
-	// Retention is how long a row is kept after its claim; at least
-	// MinRetention. Default: 48h.
+	// Retention is how long a row is kept after its claim; at least MinRetention. Default: 48h.
 	Retention time.Duration
-	// PassPause is the time between the ends and the starts of two passes over
-	// all rows. Default: Retention / 24.
+	// PassPause is the time from the end of a pass over all rows to the next one. Default:
+	// Retention / 24.
 	PassPause time.Duration
 	// RequestsPerSecond bounds the requests to the table. Default: 2.
 	RequestsPerSecond float64
@@ -38,7 +37,7 @@
 	PageRows int
 	// MaxBatch is the most rows deleted by one transaction. Default: 64.
 	MaxBatch int
-	// FailurePause is waited after a request without an answer. Default: 5s.
+	// FailurePause follows a request without an answer. Default: 5s.
 	FailurePause time.Duration
 }
 
@@ -47,7 +46,7 @@
 	defaultSweepRate         = 2
 	defaultPageRows          = 200
 	defaultSweepFailurePause = 5 * time.Second
-	// passesPerRetention is how many passes begin in one retention.
+	// passesPerRetention is the number of passes that begin in one retention.
 	passesPerRetention = 24
 )
 
@@ -61,8 +60,8 @@
 	return c
 }
 
-// SweepRequest is one request to the table: a read of the rows under Prefix,
-// or, if Prefix is empty, a transaction that deletes.
+// SweepRequest is one request to the table: a read of the rows under Prefix, or, if Prefix is
+// empty, a transaction that deletes.
 type SweepRequest struct {
 	Prefix      string
 	Limit       int
@@ -71,22 +70,21 @@
 
 // SweepCounters counts what a Sweep did.
 type SweepCounters struct {
-	// Read counts rows read, Deleted rows deleted, Changed rows that were not
-	// deleted since they had changed, Failed requests without an answer, and
-	// Passes whole passes over all rows.
+	// Read counts rows read, Deleted rows deleted, Changed rows not deleted since they had
+	// changed, Failed requests without an answer, and Passes complete passes over all rows.
 	Read, Deleted, Changed, Failed, Passes uint64
 }
 
-// Sweep deletes the claim rows whose retention has passed. It is a state
-// machine without I/O and is not safe for concurrent use; the shell makes one
-// request at a time and reports its end.
+// Sweep deletes the claim rows whose retention has passed. It is a state machine without I/O
+// and is not safe for concurrent use; the Sweeper makes one request at a time and passes its
+// result.
 //
-// A row is deleted under the condition of the version that was judged. So a
-// delete that comes late, from a sweeper that was paused or has lost its lease,
-// takes away that row or nothing: versions go on rising over deletes.
+// A row is deleted on condition of the version that was read. A late delete, from a sweeper
+// that was paused or has lost its lease, therefore deletes that row or nothing: versions keep
+// rising over deletes.
 //
-// The table has no read that goes on after a key. A prefix with more rows than
-// a page is split by the next digit of the hash.
+// The table cannot continue a read after a key. A prefix with more rows than a page is split by
+// the next digit of the hash.
 type Sweep struct {
 	config   SweepConfig
 	prefixes []string
@@ -107,17 +105,16 @@
 	return row[:len(row)-hashDigits]
 }
 
-// Reset forgets the pass under way; the next one begins at once.
+// Reset aborts the current pass; the next one begins at once.
 func (s *Sweep) Reset() {
 	s.prefixes, s.expired, s.sent, s.reading, s.passing = nil, nil, nil, "", false
 	s.nextAt = time.Time{}
 }
 
-// Counters returns what was counted so far.
+// Counters returns a copy of the counters.
 func (s *Sweep) Counters() SweepCounters { return s.counters }
 
-// Next returns the request that is due, if any. A pass begins over the given
-// prefixes.
+// Next returns the request that is due, if any. A new pass covers the given prefixes.
 func (s *Sweep) Next(now time.Time, prefixes []string) (SweepRequest, bool) {
 	if s.reading != "" || s.sent != nil || now.Before(s.nextAt) {
 		return SweepRequest{}, false
@@ -154,14 +151,13 @@
 	return SweepRequest{Transaction: transaction}
 }
 
-// Listed takes in the rows under the prefix asked for, or the fault. A prefix
-// without an answer is read again.
+// Listed applies the result of a read. A prefix without an answer is read again.
 func (s *Sweep) Listed(now time.Time, list protocol.RowList, problem *fault.Fault) {
 	prefix := s.reading
 	s.reading = ""
 	switch {
 	case prefix == "":
-		return // the pass was reset meanwhile
+		return // Reset was called during the read
 	case problem != nil:
 		s.prefixes = append(s.prefixes, prefix)
 		s.fail(now, problem)
@@ -180,8 +176,8 @@
 	}
 }
 
-// isExpired reports whether a row's retention has passed, by the wall clock. A
-// row that cannot be read, or that tells no time, is kept.
+// isExpired reports whether a row's retention has passed, by the wall clock. A row that cannot
+// be read or has no time is kept.
 func (s *Sweep) isExpired(now time.Time, row protocol.Row) bool {
 	record, err := decodeRecord(row)
 	if err != nil || record.ClaimedAt <= 0 {
@@ -194,9 +190,8 @@
 	return now.Sub(time.Unix(record.ClaimedAt, 0)) > kept+ClockSkew
 }
 
-// Deleted takes in the end of a transaction. Rows that changed are left alone;
-// the others are deleted by the next one. After a lost answer the next pass
-// sees what is left.
+// Deleted applies the result of a transaction. Rows that changed are kept; the others are
+// deleted by the next one. After a lost answer the next pass reads what is left.
 func (s *Sweep) Deleted(now time.Time, result protocol.TransactionResult, problem *fault.Fault) {
 	sent := s.sent
 	s.sent = nil
--- a/internal/claim/sweep_test.go
+++ b/internal/claim/sweep_test.go
@@ -21,7 +21,7 @@
 	sweepRetention = 2 * time.Hour
 )
 
-// list returns the rows under a prefix, as the table does.
+// list returns the rows under a prefix, like the table.
 func (t *tableModel) list(prefix string, limit int) protocol.RowList {
 	var list protocol.RowList
 	for key, row := range t.rows {
@@ -42,8 +42,8 @@
 	since   time.Time
 }
 
-// sweepPeer is one router with its own clock. Every peer sweeps, without any
-// lease, and a request of its sweep may arrive at any later time.
+// sweepPeer is one router with its own clock. All peers sweep without a lease, and a request of
+// a sweep may be arbitrarily late.
 type sweepPeer struct {
 	offset  time.Duration
 	core    *Core
@@ -52,15 +52,15 @@
 	request *SweepRequest
 }
 
-// sweepSimulation explores claims, outcomes and sweeps over days.
+// sweepSimulation runs claims, outcomes and sweeps over days.
 type sweepSimulation struct {
 	t     *rapid.T
 	now   time.Time
 	step  int
 	table *tableModel
 	peers []*sweepPeer
-	// ran holds the time of the claim that last may have run each key, again
-	// counts claims of keys that had run.
+	// ran has the time of the last claim that may have run each key; reruns counts claims of
+	// keys that had run.
 	ran    map[int]time.Time
 	reruns int
 }
@@ -77,7 +77,7 @@
 	return w
 }
 
-// exchange lets the core send what it has and returns its answers.
+// exchange sends the core's transactions and returns its answers.
 func (w *sweepSimulation) exchange(peer *sweepPeer) []Answer {
 	w.now = w.now.Add(time.Second)
 	local := w.now.Add(peer.offset)
@@ -107,7 +107,7 @@
 	}
 }
 
-// retention returns for how long a key is promised to be remembered.
+// retention returns the least time for which a key must be kept.
 func (w *sweepSimulation) retention(key int) time.Duration {
 	for _, peer := range w.peers {
 		for _, run := range peer.open {
@@ -119,7 +119,7 @@
 	return sweepRetention
 }
 
-// settle ends the oldest open run; not run frees the key.
+// settle ends the oldest open run; "not run" frees the key.
 func (w *sweepSimulation) settle(peer *sweepPeer) {
 	if len(peer.open) == 0 {
 		return
@@ -134,7 +134,7 @@
 	w.exchange(peer)
 }
 
-// sweep makes the peer's request that is under way, or draws up the next one.
+// sweep sends the peer's pending request, or gets the next one.
 func (w *sweepSimulation) sweep(peer *sweepPeer) {
 	local := w.now.Add(peer.offset)
 	if peer.request == nil {
@@ -157,9 +157,9 @@
 	peer.sweep.Deleted(local, result, problem)
 }
 
-// TestNoKeyRunsTwiceWithinItsRetention lets two routers whose clocks are up to
-// the stated skew apart claim, settle and sweep, with sweeps that are paused
-// between any two steps and lose answers. In the end all rows are gone.
+// TestNoKeyRunsTwiceWithinItsRetention runs claims, outcomes and sweeps at two routers whose
+// clocks differ by up to ClockSkew, with pauses between any two steps and lost answers. All
+// rows must be deleted in the end.
 func TestNoKeyRunsTwiceWithinItsRetention(t *testing.T) {
 	deleted, reruns := uint64(0), 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -193,7 +193,7 @@
 			deleted += peer.sweep.Counters().Deleted
 		}
 	})
-	t.Logf("%d rows were deleted, %d keys ran again after their retention", deleted, reruns)
+	t.Logf("%d rows were deleted, %d keys were claimed again after their retention", deleted, reruns)
 	is.New(t).True(reruns > 50)
 }
 
@@ -222,7 +222,7 @@
 		{"old and unknown", aged(2*day+ClockSkew+time.Second, StateUnknown), true},
 		{"old and not run", aged(2*day+ClockSkew+time.Second, StateNotRun), true},
 		{"still claimed", aged(8*day, StateClaimed), false},
-		{"claimed for long", aged(8*day+ClockSkew+time.Second, StateClaimed), true},
+		{"claimed beyond the retention", aged(8*day+ClockSkew+time.Second, StateClaimed), true},
 		{"from the future", aged(-day, StateRan), false},
 		{"without a time", untimed, false},
 		{"unreadable", []byte("x"), false},
--- a/internal/claim/sweeper.go
+++ b/internal/claim/sweeper.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// SweepLease is the name of the lease of the one router that sweeps, and
-	// the key by which contenders are chosen.
+	// SweepLease is the name of the lease of the one router that sweeps, and the key by which
+	// contenders are chosen.
 	SweepLease = "claims/sweep"
-	// sweepInterval is how often the sweeper looks whether a request is due.
+	// sweepInterval is the time between two checks for a due request.
 	sweepInterval = 250 * time.Millisecond
 	// sweepTimeout bounds one request.
 	sweepTimeout = 5 * time.Second
 )
 
-// SweeperOptions joins a Sweeper to the rest of a router.
+// SweeperOptions configures a Sweeper.
 type SweeperOptions struct {
 	Node  ident.Node
 	Table store.Table
-	// Contends says whether this router shall try to hold the lease.
+	// Contends reports whether this router contends for the lease.
 	Contends func() bool
 	// Prefixes returns the prefixes of all rows, by SweepPrefix.
 	Prefixes func() []string
 	Config   SweepConfig
 }
 
-// Sweeper is the shell around a Sweep: while it holds the lease SweepLease it
-// makes the sweep's requests. Run it once.
+// Sweeper runs a Sweep: while it holds the lease SweepLease it makes the sweep's requests. Run
+// it once.
 type Sweeper struct {
 	options SweeperOptions
 	elector *lease.Elector
@@ -43,7 +43,7 @@
 	held    bool
 }
 
-// NewSweeper returns a sweeper that does nothing until Run.
+// NewSweeper returns a sweeper that is inactive until Run.
 func NewSweeper(options SweeperOptions) *Sweeper {
 	return &Sweeper{
 		options: options, sweep: NewSweep(options.Config),
@@ -51,21 +51,21 @@
 	}
 }
 
-// Held reports whether this router is the one that sweeps.
+// Held reports whether this router holds the lease.
 func (s *Sweeper) Held() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.held
 }
 
-// Counters returns what was counted so far.
+// Counters returns a copy of the counters.
 func (s *Sweeper) Counters() SweepCounters {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.sweep.Counters()
 }
 
-// Run is the duty that sweeps until ctx ends; it then hands the lease over.
+// Run sweeps until ctx ends, and then releases the lease.
 func (s *Sweeper) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { s.elector.Run(ctx) })
@@ -73,12 +73,12 @@
 	wait.Every(ctx, sweepInterval, func() {
 		s.elector.Contend(s.options.Contends())
 		if request, due := s.next(); due {
-			s.perform(ctx, request)
+			s.make(ctx, request)
 		}
 	})
 }
 
-// next returns the request that is due. Losing the lease ends a pass.
+// next returns the request that is due. Losing the lease aborts the pass.
 func (s *Sweeper) next() (SweepRequest, bool) {
 	_, err := s.elector.Held()
 	s.mutex.Lock()
@@ -91,8 +91,8 @@
 	return s.sweep.Next(time.Now(), s.options.Prefixes())
 }
 
-// perform makes one request and tells the sweep of its end.
-func (s *Sweeper) perform(ctx context.Context, request SweepRequest) {
+// make makes one request and passes its result to the sweep.
+func (s *Sweeper) make(ctx context.Context, request SweepRequest) {
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
 	if request.Prefix != "" {
--- a/internal/claim/sweeper_test.go
+++ b/internal/claim/sweeper_test.go
@@ -16,8 +16,8 @@
 	tables "github.com/fieldpond/fieldpond/standin/platform"
 )
 
-// sweptTable is a platform.Table over the stand-in's table. It counts the
-// requests of the sweep and loses the answer to each third delete.
+// sweptTable is a store.Table over the stand-in's table. It counts the requests of the sweep
+// and loses the answer to every third delete.
 type sweptTable struct {
 	mutex          sync.Mutex
 	table          *tables.Table
@@ -50,7 +50,7 @@
 	return s.table.List(prefix, limit), nil
 }
 
-// put writes claims of a service that were made so long ago.
+// put writes claims of a service with an age.
 func (s *sweptTable) put(t *testing.T, service ident.Service, count int, age time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -72,8 +72,8 @@
 	return len(s.table.List(RowPrefix, 1<<20).Rows)
 }
 
-// TestOneRouterSweeps lets two routers contend. Only the holder of the lease
-// reads, at its rate, and the other goes on when it stops.
+// TestOneRouterSweeps checks that only the holder of the lease reads, at its rate, and that the
+// other router continues when it stops.
 func TestOneRouterSweeps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -82,7 +82,7 @@
 		table.put(t, "a", 700, old) // more than a page: its prefix is split
 		table.put(t, "b", 20, old)
 		table.put(t, "b", 30, young)
-		table.put(t, "gone", 5, old) // a service that the file does not name
+		table.put(t, "gone", 5, old) // a service that is not configured
 		sweepers, stops := map[string]*Sweeper{}, map[string]context.CancelFunc{}
 		for _, node := range []string{"n1", "n2"} {
 			ctx, stop := context.WithCancel(t.Context())
@@ -95,24 +95,24 @@
 			})
 			go sweepers[node].Run(ctx)
 		}
-		const span = time.Minute
-		time.Sleep(span)
+		const runTime = time.Minute
+		time.Sleep(runTime)
 		is.True(sweepers["n1"].Held() != sweepers["n2"].Held())
-		is.True(table.lists+table.deletes <= int(defaultSweepRate*span/time.Second)+1)
+		is.True(table.lists+table.deletes <= int(defaultSweepRate*runTime/time.Second)+1)
 		is.Equal(table.left(), 30+5)
 		holder, other := "n1", "n2"
 		if sweepers["n2"].Held() {
 			holder, other = other, holder
 		}
-		is.Equal(sweepers[holder].Counters().Failed, uint64(table.deletes/3)) // lost answers were seen
+		is.Equal(sweepers[holder].Counters().Failed, uint64(table.deletes/3)) // lost answers were counted
 		is.Equal(sweepers[other].Counters(), SweepCounters{})
 		stops[holder]()
 		table.put(t, "a", 10, old)
-		time.Sleep(span)
+		time.Sleep(runTime)
 		is.True(sweepers[other].Held())
 		is.Equal(table.left(), 30+5)
 		is.Equal(sweepers[other].Counters().Passes, uint64(1))
 		stops[other]()
-		time.Sleep(span)
+		time.Sleep(runTime)
 	})
 }
--- a/internal/claim/table_test.go
+++ b/internal/claim/table_test.go
@@ -9,7 +9,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// tableModel is the table's truth: rows and versions, without any transport.
+// tableModel is a model of the table: rows and versions, without transport.
 type tableModel struct {
 	rows     map[string]protocol.Row
 	versions map[string]uint64
@@ -53,8 +53,8 @@
 	return record
 }
 
-// faultyTable is a platform.Table whose exchanges go as scripted; once the
-// script is over all goes well. The context's end is a lost answer.
+// faultyTable is a store.Table with scripted faults; after the script all calls succeed. The
+// end of the context is a lost answer.
 type faultyTable struct {
 	model  *tableModel
 	turn   chan struct{}
@@ -131,7 +131,7 @@
 
 var noResult protocol.TransactionResult
 
-// sortedIDs lists the claims that can be abandoned or settled, in one order.
+// sortedIDs returns the claims that can be abandoned or settled, in a fixed order.
 func sortedIDs(calls map[string]*call, granted map[string]int) []string {
 	var claimIDs []string
 	for name, one := range calls {
