--- a/internal/admission/level.go
+++ b/internal/admission/level.go
@@ -177,14 +177,14 @@
 }
 
 // remove removes an entry from its flow, and what became empty.
-func (l *level) remove(gone *entry) {
-	line := gone.flow
-	wasFirst := line.first == gone
-	unlink(line, gone)
+func (l *level) remove(removed *entry) {
+	line := removed.flow
+	wasFirst := line.first == removed
+	unlink(line, removed)
 	line.count--
-	line.cost -= gone.item.Cost
+	line.cost -= removed.item.Cost
 	line.pool.count--
-	line.pool.cost -= gone.item.Cost
+	line.pool.cost -= removed.item.Cost
 	line.tenant.count--
 	l.count--
 	if line.count == 0 {
@@ -201,18 +201,18 @@
 	}
 }
 
-func unlink(line *flow, gone *entry) {
-	if gone.previous != nil {
-		gone.previous.next = gone.next
+func unlink(line *flow, removed *entry) {
+	if removed.previous != nil {
+		removed.previous.next = removed.next
 	} else {
-		line.first = gone.next
+		line.first = removed.next
 	}
-	if gone.next != nil {
-		gone.next.previous = gone.previous
+	if removed.next != nil {
+		removed.next.previous = removed.previous
 	} else {
-		line.last = gone.previous
+		line.last = removed.previous
 	}
-	gone.previous, gone.next = nil, nil
+	removed.previous, removed.next = nil, nil
 }
 
 func (l *level) deactivate(line *flow) {
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -88,8 +88,8 @@
 			t.Fatalf("pool %s of %s was not tried", item.Pool, id)
 		}
 	}
-	if moment, some := queue.NextExpiry(); some && !moment.After(now) {
-		t.Fatalf("an item is held beyond %s", moment)
+	if expiry, found := queue.NextExpiry(); found && !expiry.After(now) {
+		t.Fatalf("an item is held beyond %s", expiry)
 	}
 }
 
--- a/internal/admission/pump.go
+++ b/internal/admission/pump.go
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, candidate := range q.levels {
-		if first, some := candidate.ready.top(); some {
+		if first, found := candidate.ready.top(); found {
 			return first.flows.items[0].first, false
 		}
 	}
@@ -99,8 +99,8 @@
 	return most.flows.items[0].first
 }
 
-func (q *Queue) dispatch(now time.Time, gone *entry, aged bool) {
-	from := gone.flow.pool.level
+func (q *Queue) dispatch(now time.Time, dispatched *entry, aged bool) {
+	from := dispatched.flow.pool.level
 	q.counters.Dispatched++
 	q.sinceAged = min(q.sinceAged+1, agedSpacing)
 	if aged {
@@ -112,9 +112,9 @@
 			passed.passed++
 		}
 	}
-	q.throughputOf(now, gone.item.Pool).recordDispatch(now, gone.item.Cost)
-	from.charge(gone.flow, gone.item.Cost)
-	q.drop(now, gone)
+	q.throughputOf(now, dispatched.item.Pool).recordDispatch(now, dispatched.item.Cost)
+	from.charge(dispatched.flow, dispatched.item.Cost)
+	q.drop(now, dispatched)
 }
 
 func (q *Queue) setBlocked(key PoolKey, blocked bool) {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -79,7 +79,7 @@
 	q.counters.Offered++
 	item.Weight = orOne(item.Weight)
 	item.Cost = max(1, item.Cost)
-	if _, twice := q.entries[item.ID]; twice {
+	if _, queued := q.entries[item.ID]; queued {
 		return []Refused{{item, fault.New(fault.Internal, "request %s waits already", item.ID)}}
 	}
 	if wait := q.predictedWait(now, item); wait > item.MaxHold {
@@ -120,16 +120,16 @@
 }
 
 // drop removes an entry from every structure.
-func (q *Queue) drop(now time.Time, gone *entry) {
-	item := gone.item
+func (q *Queue) drop(now time.Time, removed *entry) {
+	item := removed.item
 	delete(q.entries, item.ID)
 	q.perTenant[item.Tenant]--
 	if q.perTenant[item.Tenant] == 0 {
 		delete(q.perTenant, item.Tenant)
 	}
-	q.expiry.remove(gone)
+	q.expiry.remove(removed)
 	q.throughputOf(now, item.Pool).leave(now)
-	gone.flow.pool.level.remove(gone)
+	removed.flow.pool.level.remove(removed)
 }
 
 func (q *Queue) level(priority int) *level {
@@ -191,12 +191,12 @@
 
 // Remove removes an item whose caller disconnected, and reports whether it was queued.
 func (q *Queue) Remove(now time.Time, id ident.Request) bool {
-	gone, waits := q.entries[id]
-	if waits {
+	removed, queued := q.entries[id]
+	if queued {
 		q.counters.Removed++
-		q.drop(now, gone)
+		q.drop(now, removed)
 	}
-	return waits
+	return queued
 }
 
 // Expire refuses every item whose hold time has ended.
@@ -207,8 +207,8 @@
 func (q *Queue) expire(now time.Time, ended func(time.Time) bool) []Refused {
 	var refused []Refused
 	for {
-		first, some := q.expiry.top()
-		if !some || !ended(first.expires) {
+		first, found := q.expiry.top()
+		if !found || !ended(first.expires) {
 			return refused
 		}
 		q.counters.Expired++
@@ -221,8 +221,8 @@
 
 // NextExpiry returns when the next hold time ends.
 func (q *Queue) NextExpiry() (time.Time, bool) {
-	first, some := q.expiry.top()
-	if !some {
+	first, found := q.expiry.top()
+	if !found {
 		return time.Time{}, false
 	}
 	return first.expires, true
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -24,15 +24,15 @@
 }
 
 // dispatchSome pumps with capacity for count items and returns them.
-func dispatchSome(queue *Queue, now time.Time, count int) (gone []Item) {
+func dispatchSome(queue *Queue, now time.Time, count int) (dispatched []Item) {
 	queue.Pump(now, func(item *Item) Result {
-		if len(gone) == count {
+		if len(dispatched) == count {
 			return Result{Action: PoolBlocked}
 		}
-		gone = append(gone, *item)
+		dispatched = append(dispatched, *item)
 		return Result{Action: Dispatched}
 	})
-	return gone
+	return dispatched
 }
 
 func TestTenantsShareByWeightAndCost(t *testing.T) {
@@ -176,10 +176,10 @@
 	is := is.New(t)
 	queue := NewQueue(Config{})
 	is.Equal(len(queue.Offer(start, Item{ID: "x", Tenant: "a", MaxHold: 2 * time.Second})), 0)
-	moment, some := queue.NextExpiry()
-	is.True(some && moment.Equal(start.Add(2*time.Second)))
-	is.Equal(len(queue.Expire(moment.Add(-1))), 0)
-	refused := queue.Expire(moment)
+	expiry, found := queue.NextExpiry()
+	is.True(found && expiry.Equal(start.Add(2*time.Second)))
+	is.Equal(len(queue.Expire(expiry.Add(-1))), 0)
+	refused := queue.Expire(expiry)
 	is.Equal(len(refused), 1)
 	is.Equal(refused[0].Fault.Kind, fault.DeadlineExceeded)
 	is.Equal(refused[0].Fault.Ran, fault.RanNo)
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,4 +1,4 @@
-// Package claim runs requests that must not be repeated at most once.
+// Package claim ensures that a request that must not be repeated runs at most once.
 //
 // A claim is a row in the platform's table, inserted if absent under the tenant-scoped
 // idempotency key before the first attempt is sent. A claim is not a lease: no other router
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -69,8 +69,8 @@
 		case <-timer.C:
 		case <-k.changed:
 		}
-		wake, some := k.advance(ctx)
-		if some {
+		wake, scheduled := k.advance(ctx)
+		if scheduled {
 			timer.Reset(max(minWait, wake))
 		} else {
 			timer.Stop()
@@ -184,8 +184,8 @@
 		go k.send(ctx, batch)
 	}
 	k.deliver()
-	wake, some := k.core.NextWake(now)
-	return wake.Sub(now), some
+	wake, scheduled := k.core.NextWake(now)
+	return wake.Sub(now), scheduled
 }
 
 // send runs one transaction; there are at most Config.MaxInFlight of them.
--- a/internal/quarantine/guard/rows.go
+++ b/internal/quarantine/guard/rows.go
@@ -99,7 +99,7 @@
 
 // list reads and applies all rows. It returns the requests whose rows were removed though there
 // is evidence, and those that are quarantined from now on.
-func (r *rows) list(ctx context.Context) (gone, quarantined []quarantine.Fingerprint, err error) {
+func (r *rows) list(ctx context.Context) (removed, quarantined []quarantine.Fingerprint, err error) {
 	bounded, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	before := r.beginList()
@@ -130,12 +130,12 @@
 		delete(r.stored, request)
 		// A row that was not needed was removed by a router.
 		if r.ledger.ToStore(request) > 0 && !restored {
-			gone = append(gone, request)
+			removed = append(removed, request)
 		}
 	}
 	r.read = true
 	maps.Copy(r.stored, found)
-	return gone, quarantined, nil
+	return removed, quarantined, nil
 }
 
 // beginList records the start of a list and returns the rows stored before. Only those can be
--- a/internal/quota/denials.go
+++ b/internal/quota/denials.go
@@ -31,12 +31,12 @@
 
 // extraDelay returns the delay of a denied request beyond the time until it could be granted,
 // since others compete for it. Reservations of different amounts are not delayed.
-func (p *Pool) extraDelay(now time.Time, filling *bucket, routers int) time.Duration {
+func (p *Pool) extraDelay(now time.Time, tokens *bucket, routers int) time.Duration {
 	if p.bounds.Unit == 0 {
 		return 0
 	}
-	excess := filling.denials.add(now) - denialAllowance
-	rate := p.bounds.rate(filling.limit) * p.share(routers)
+	excess := tokens.denials.add(now) - denialAllowance
+	rate := p.bounds.rate(tokens.limit) * p.share(routers)
 	if excess <= 0 || rate <= 0 {
 		return 0
 	}
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -207,9 +207,9 @@
 // rest.
 func (p *Pool) shrink(routers int) {
 	p.baseFilled, p.baseCredits = p.filled, p.credits
-	for _, filling := range p.buckets {
-		p.refill(filling, routers)
-		filling.level = min(filling.level, p.maxLevel(filling.limit, routers))
+	for _, tokens := range p.buckets {
+		p.refill(tokens, routers)
+		tokens.level = min(tokens.level, p.maxLevel(tokens.limit, routers))
 	}
 }
 
@@ -229,19 +229,19 @@
 	if known := p.responses[key]; known != nil {
 		return known.response
 	}
-	filling := p.bucket(&request.Reservation, routers)
-	filling.usedAt = now
+	tokens := p.bucket(&request.Reservation, routers)
+	tokens.usedAt = now
 	response := AcquireResponse{ID: request.ID}
-	wait := p.wait(filling, &request.Reservation, routers)
+	wait := p.wait(tokens, &request.Reservation, routers)
 	switch {
 	case wait == 0:
 		response.Granted = true
-		filling.level -= request.Reservation.Amount
+		tokens.level -= request.Reservation.Amount
 	case p.forming(now, routers):
 		response.Forming = true
 		return response
 	default:
-		response.RetryAfter = min(wait+p.extraDelay(now, filling, routers), maxRetryAfter)
+		response.RetryAfter = min(wait+p.extraDelay(now, tokens, routers), maxRetryAfter)
 	}
 	p.responses[key] = &answeredRequest{response: response, subject: request.Reservation.Subject, amount: request.Reservation.Amount, at: now}
 	p.responseOrder = append(p.responseOrder, key)
@@ -255,10 +255,10 @@
 		return
 	}
 	known.response.Granted = false
-	if filling := p.buckets[known.subject]; filling != nil {
+	if tokens := p.buckets[known.subject]; tokens != nil {
 		// A late release must not raise a refilled bucket above its maximum.
-		most := p.maxLevel(filling.limit, p.routers)
-		filling.level = max(filling.level, min(filling.level+known.amount, most))
+		most := p.maxLevel(tokens.limit, p.routers)
+		tokens.level = max(tokens.level, min(tokens.level+known.amount, most))
 	}
 }
 
@@ -295,22 +295,22 @@
 }
 
 // wait returns the time until a reservation could be granted, 0 if it can be now.
-func (p *Pool) wait(filling *bucket, reservation *Reservation, routers int) time.Duration {
+func (p *Pool) wait(tokens *bucket, reservation *Reservation, routers int) time.Duration {
 	share := p.share(routers)
-	full := p.capacity(filling.limit, routers)
+	full := p.capacity(tokens.limit, routers)
 	needed := reservation.Amount
-	if largest := full + debtPart*p.bounds.spare(filling.limit)*share; reservation.Amount <= largest {
+	if largest := full + debtPart*p.bounds.spare(tokens.limit)*share; reservation.Amount <= largest {
 		// A request larger than the bucket waits until it is full.
 		needed = min(reservation.Amount, full)
 	}
 	if reservation.Preferred {
 		needed -= preferredPart * p.bounds.Unit
 	}
-	lacking := needed - filling.level
+	lacking := needed - tokens.level
 	if lacking <= 0 {
 		return 0
 	}
-	wait := lacking / (p.bounds.rate(filling.limit) * share)
+	wait := lacking / (p.bounds.rate(tokens.limit) * share)
 	if needed > full || math.IsInf(wait, 1) || wait > maxRetryAfter.Seconds() {
 		return maxRetryAfter
 	}
