--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -17,8 +17,8 @@
 		ledger := quarantine.NewLedger()
 		for index := range crashes {
 			at := startTime.Add(time.Duration(index) * time.Second)
-			life := ident.Incarnation("i-405d13ae6" + string(rune('a'+index)) + "@1769988000000")
-			ledger.RecordCrash(at, life, []quarantine.Fingerprint{fingerprint(0)})
+			crashed := ident.Incarnation("i-405d13ae6" + string(rune('a'+index)) + "@1769988000000")
+			ledger.RecordCrash(at, crashed, []quarantine.Fingerprint{fingerprint(0)})
 		}
 		name := map[int]string{1: "one crash", 6: "six crashes"}[crashes]
 		b.Run(name, func(b *testing.B) {
--- a/internal/quarantine/guard/maintain.go
+++ b/internal/quarantine/guard/maintain.go
@@ -18,7 +18,7 @@
 	relistInterval      = 5 * time.Second
 	quietRelistInterval = 10 * time.Minute
 	// reloadAfter is the time without confirmed contact after which the rows are read again:
-	// three failed reads of the configuration.
+	// three failed or missing reads of the configuration.
 	reloadAfter = 2400 * time.Millisecond
 )
 
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestThreeCrashesQuarantineRequest(t *testing.T) {
-	crash := func(at float64, life int) event { return event{at: at, crashed: life} }
+	crash := func(at float64, number int) event { return event{at: at, crashed: number} }
 	answered := func(at float64) event { return event{at: at, answered: true} }
 	tests := []struct {
 		name        string
