--- a/internal/admission/bursts_test.go
+++ b/internal/admission/bursts_test.go
@@ -1,10 +1,8 @@
 package admission_test
 
-// The rule on repeats takes the requests of the window that is judged, of the one before it
-// or of the one half a window before it, whichever has most. A router that grants a repeat
-// knows neither which windows the repeat will be judged in nor what comes later in them.
-// The model below draws bursts of requests and of refusals for several routers and judges
-// all sliding windows by the rule.
+// The bound on retries counts the requests of the judged window, of the one before it or of the
+// one half a window before it, whichever has most. Random bursts of requests and refusals at
+// several routers must keep it in all sliding windows.
 
 import (
 	"fmt"
@@ -19,19 +17,19 @@
 
 const (
 	burstStep = 100 * time.Millisecond
-	// burstRatio and burstSlack are what all routers together may repeat.
+	// burstRatio and burstSlack bound the retries of all routers together.
 	burstRatio = 0.2
 	burstSlack = 20
-	// stepsOfWindow is the window in steps.
+	// stepsOfWindow is the number of steps in a window.
 	stepsOfWindow = int(10 * time.Second / burstStep)
 )
 
-// traffic holds the requests and repeats of all routers in each step.
+// traffic has the requests and retries of all routers in each step.
 type traffic struct {
-	requests, repeats []int
+	requests, retries []int
 }
 
-// within returns what lies in the window that ends with a step, so many steps earlier.
+// within returns the sum of the window that ends a number of steps earlier than end.
 func within(counts []int, end, earlier int) (total int) {
 	last := end - earlier
 	for step := max(last-stepsOfWindow+1, 0); step <= last; step++ {
@@ -40,37 +38,36 @@
 	return total
 }
 
-// worst returns the largest part of what the rule allows that was used in a window.
+// worst returns the largest part of the bound that was used in a window.
 func (m *traffic) worst() (worst float64) {
-	for end := range m.repeats {
+	for end := range m.retries {
 		most := max(
 			within(m.requests, end, 0), within(m.requests, end, stepsOfWindow/2), within(m.requests, end, stepsOfWindow),
 		)
-		used := float64(within(m.repeats, end, 0)) / (burstRatio*float64(most) + burstSlack)
+		used := float64(within(m.retries, end, 0)) / (burstRatio*float64(most) + burstSlack)
 		worst = max(worst, used)
 	}
 	return worst
 }
 
-// fleetOf is a number of routers with budgets.
-type fleetOf struct {
+type fleet struct {
 	traffic
 	start   time.Time
 	budgets []*admission.WindowBudget
 }
 
-func newFleetOf(routers int) *fleetOf {
-	f := &fleetOf{start: time.Unix(1000, 0)}
+func newFleet(routers int) *fleet {
+	f := &fleet{start: time.Unix(1000, 0)}
 	for range routers {
-		f.budgets = append(f.budgets, admission.NewWindowBudget(livesWindow, f.start))
+		f.budgets = append(f.budgets, admission.NewWindowBudget(restartWindow, f.start))
 	}
 	return f
 }
 
-// step gives each router requests, and lets them repeat all that they may if engines refuse.
-func (f *fleetOf) step(refused bool, requests func(router int) int) {
-	now := f.start.Add(time.Duration(len(f.repeats)) * burstStep)
-	arrived, repeated := 0, 0
+// step gives each router requests, and while they are refused all retries that it is allowed.
+func (f *fleet) step(refused bool, requests func(router int) int) {
+	now := f.start.Add(time.Duration(len(f.retries)) * burstStep)
+	arrived, retried := 0, 0
 	for router, budget := range f.budgets {
 		count := requests(router)
 		for range count {
@@ -78,18 +75,18 @@
 		}
 		arrived += count
 		for refused && budget.Allow(now, burstSlack/float64(len(f.budgets))) {
-			repeated++
+			retried++
 		}
 	}
-	f.requests, f.repeats = append(f.requests, arrived), append(f.repeats, repeated)
+	f.requests, f.retries = append(f.requests, arrived), append(f.retries, retried)
 }
 
-// Two bursts of requests that lie nearly a window apart are in no window of the rule
-// together, if the one that is judged ends a quarter of a window after the second.
-func TestTwoBurstsEarnOneShare(t *testing.T) {
+// The retries of two bursts nearly a window apart lie together in a window that ends after the
+// second, in which only one burst counts.
+func TestTwoBurstsStayWithinBound(t *testing.T) {
 	for apart := 5; apart <= stepsOfWindow; apart += 5 {
 		t.Run(fmt.Sprint(time.Duration(apart)*burstStep), func(t *testing.T) {
-			f := newFleetOf(4)
+			f := newFleet(4)
 			first := 2 * stepsOfWindow
 			for step := range 4 * stepsOfWindow {
 				f.step(step >= first+apart, func(int) int {
@@ -99,7 +96,7 @@
 					return 0
 				})
 			}
-			t.Logf("%.2f of what may be repeated", f.worst())
+			t.Logf("%.2f of the bound on retries", f.worst())
 			is := is.New(t)
 			is.True(f.worst() <= 1)
 			is.True(f.worst() > 0.4)
@@ -107,15 +104,16 @@
 	}
 }
 
-// drawn is a random course of requests and refusals.
-type drawn struct {
+// randomLoad is a random sequence of requests and refusals.
+type randomLoad struct {
 	*rand.Rand
 	calm, burst       float64
 	bursting, refused int
 }
 
-// next draws a step: the mean number of requests of one router, and whether they are refused.
-func (d *drawn) next() (mean float64, refused bool) {
+// next returns the mean number of requests of one router in a step, and whether they are
+// refused.
+func (d *randomLoad) next() (mean float64, refused bool) {
 	d.bursting, d.refused = d.bursting-1, d.refused-1
 	if d.bursting < -20 && d.IntN(50) == 0 {
 		d.bursting = 1 + d.IntN(20)
@@ -129,15 +127,15 @@
 	return d.calm, d.refused > 0
 }
 
-// poisson draws a number of arrivals.
-func (d *drawn) poisson(mean float64) (count int) {
+// poisson returns a number of arrivals.
+func (d *randomLoad) poisson(mean float64) (count int) {
 	for left := d.ExpFloat64(); left < mean; left += d.ExpFloat64() {
 		count++
 	}
 	return count
 }
 
-func TestRandomArrivalsKeepTheRule(t *testing.T) {
+func TestRandomArrivalsStayWithinBound(t *testing.T) {
 	tests := []struct {
 		name        string
 		routers     int
@@ -155,15 +153,15 @@
 		t.Run(tt.name, func(t *testing.T) {
 			worst := 0.0
 			for seed := range uint64(8) {
-				d := &drawn{Rand: rand.New(rand.NewPCG(seed, 7)), calm: tt.calm, burst: tt.burst}
-				f := newFleetOf(tt.routers)
+				d := &randomLoad{Rand: rand.New(rand.NewPCG(seed, 7)), calm: tt.calm, burst: tt.burst}
+				f := newFleet(tt.routers)
 				for range 12 * stepsOfWindow {
 					mean, refused := d.next()
 					f.step(refused, func(int) int { return d.poisson(mean) })
 				}
 				worst = max(worst, f.worst())
 			}
-			t.Logf("%.2f of what may be repeated", worst)
+			t.Logf("%.2f of the bound on retries", worst)
 			is := is.New(t)
 			is.True(worst <= 1)
 			is.True(worst > 0.5)
--- a/internal/admission/limiter_rate.go
+++ b/internal/admission/limiter_rate.go
@@ -6,22 +6,21 @@
 )
 
 const (
-	// rateWeight weighs a new sample in both moving averages.
+	// rateWeight is the weight of a new sample in both moving averages.
 	rateWeight = 0.02
-	// rateHeadroom lets the limit grow: starts are themselves bounded by the
-	// limit, so without headroom it could only shrink.
+	// rateHeadroom lets the limit grow: the limit bounds the rate of starts, so without
+	// headroom it could only shrink.
 	rateHeadroom = 1.25
 	// rateWarmup is the number of finished attempts before the estimate counts.
 	rateWarmup = 20
 )
 
-// RateTimesService estimates the useful concurrency by Little's law: the rate
-// of starts times the mean service time, both exponential moving averages,
-// plus headroom. The rate is the inverse of the mean interval, because the
-// mean of inverse intervals has no bound for irregular arrivals. The service
-// time leaves out queueing at the back end, taken as the time to first token
-// above its floor; with it the estimate would feed on its own queue.
-type RateTimesService struct {
+// LittlesLawLimiter estimates the useful concurrency by Little's law: the rate of starts times
+// the mean service time, both exponential moving averages, plus headroom. The rate is the
+// inverse of the mean interval, because the mean of inverse intervals is unbounded for
+// irregular arrivals. The service time excludes queueing at the back end, which would increase
+// the estimate again; that is the time to first token above its floor.
+type LittlesLawLimiter struct {
 	bounds    LimitBounds
 	limit     float64
 	lastStart time.Time
@@ -31,17 +30,17 @@
 	floor     latencyFloor
 }
 
-// NewRateTimesService returns a limiter at its initial limit.
-func NewRateTimesService(bounds LimitBounds) *RateTimesService {
+// NewLittlesLawLimiter returns a limiter at its initial limit.
+func NewLittlesLawLimiter(bounds LimitBounds) *LittlesLawLimiter {
 	bounds = bounds.withDefaults()
-	return &RateTimesService{bounds: bounds, limit: float64(bounds.Initial)}
+	return &LittlesLawLimiter{bounds: bounds, limit: float64(bounds.Initial)}
 }
 
 // Limit implements Limiter.
-func (r *RateTimesService) Limit(time.Time) int { return r.floor.lowered(r.limit, r.bounds) }
+func (r *LittlesLawLimiter) Limit(time.Time) int { return r.floor.lowered(r.limit, r.bounds) }
 
 // Started implements Limiter.
-func (r *RateTimesService) Started(now time.Time) {
+func (r *LittlesLawLimiter) Started(now time.Time) {
 	if !r.lastStart.IsZero() {
 		r.interval = average(r.interval, now.Sub(r.lastStart).Seconds())
 	}
@@ -49,7 +48,7 @@
 }
 
 // Finished implements Limiter. Refused attempts shrink the limit by one.
-func (r *RateTimesService) Finished(now time.Time, sample Sample) {
+func (r *LittlesLawLimiter) Finished(now time.Time, sample Sample) {
 	switch sample.Outcome {
 	case SampleIgnored:
 		return
@@ -66,7 +65,7 @@
 	r.limit = r.bounds.clamp(math.Ceil(r.service/r.interval*rateHeadroom) + 1)
 }
 
-func (r *RateTimesService) withoutQueueing(now time.Time, sample Sample) float64 {
+func (r *LittlesLawLimiter) withoutQueueing(now time.Time, sample Sample) float64 {
 	latency := sample.TimeToFirstToken.Seconds()
 	if latency <= 0 {
 		return sample.ServiceTime.Seconds()
@@ -75,7 +74,7 @@
 	return sample.ServiceTime.Seconds() - max(0, latency-r.floor.minimum())
 }
 
-// average moves a moving average; the first sample starts it.
+// average updates a moving average; the first sample initialises it.
 func average(mean, sample float64) float64 {
 	if mean == 0 {
 		return sample
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-// waiting offers count items like the model to the queue.
+// waiting offers a number of items like the model.
 func waiting(queue *Queue, count int, model Item) (refused []Refused) {
 	model.MaxHold = max(model.MaxHold, time.Hour)
 	for range count {
@@ -24,15 +24,15 @@
 }
 
 // dispatchSome pumps with capacity for count items and returns them.
-func dispatchSome(queue *Queue, now time.Time, count int) (gone []Item) {
+func dispatchSome(queue *Queue, now time.Time, count int) (dispatched []Item) {
 	queue.Pump(now, func(item *Item) Result {
-		if len(gone) == count {
+		if len(dispatched) == count {
 			return Result{Action: PoolBlocked}
 		}
-		gone = append(gone, *item)
+		dispatched = append(dispatched, *item)
 		return Result{Action: Dispatched}
 	})
-	return gone
+	return dispatched
 }
 
 func TestTenantsShareByWeightAndCost(t *testing.T) {
@@ -49,7 +49,7 @@
 	is.True(cost["small"] > 0.95*cost["large"] && cost["small"] < 1.05*cost["large"])
 }
 
-func TestTenantsNeitherSaveUpServiceNorLoseIt(t *testing.T) {
+func TestIdleTenantGetsNoCredit(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue(Config{})
 	waiting(queue, 300, Item{Tenant: "early"})
@@ -64,7 +64,7 @@
 	is.True(late >= 19 && late <= 21)
 }
 
-func TestLowerClassesGetTheirStatedShare(t *testing.T) {
+func TestStarvationBound(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue(Config{MaxWaitingPerTenant: 8192})
 	const lower, pools = 3, 5
@@ -87,7 +87,7 @@
 			for index := range pools {
 				passed := place{priority, PoolKey(fmt.Sprint(index))}
 				passedOver[passed]++
-				is.True(passedOver[passed] <= agingInterval+agedSpacing*(lower*pools+1)) // the stated bound
+				is.True(passedOver[passed] <= agingInterval+agedSpacing*(lower*pools+1)) // the documented bound
 			}
 		}
 		passedOver[place{item.Priority, item.Pool}] = 0
@@ -96,7 +96,7 @@
 	is.True(queue.Counters().Aged > 0)
 }
 
-func TestBlockedPoolsCostOneDecisionAndHideNothing(t *testing.T) {
+func TestBlockedPoolIsTriedOnce(t *testing.T) {
 	cases := []struct {
 		name    string
 		blocked Action
@@ -108,7 +108,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			queue := NewQueue(Config{MaxHeldPerPump: 7})
+			queue := NewQueue(Config{MaxBlockedPerPump: 7})
 			for tenant := range 10 {
 				name := ident.Tenant(fmt.Sprint(tenant))
 				waiting(queue, 5, Item{Tenant: name, Pool: "stuck"})
@@ -132,7 +132,7 @@
 					}
 				}
 				is.Equal(tried, test.tried)
-				is.Equal(free, wanted) // all of the free pool went, the rest stays
+				is.Equal(free, wanted) // all of the free pool was dispatched, the rest stays
 				is.Equal(queue.Len(), 100)
 			}
 			is.Equal(len(dispatchSome(queue, start, 1000)), 100)
@@ -172,26 +172,26 @@
 	}
 }
 
-func TestHoldTimeEndsAtItsMoment(t *testing.T) {
+func TestHoldTimeExpires(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue(Config{})
 	is.Equal(len(queue.Offer(start, Item{ID: "x", Tenant: "a", MaxHold: 2 * time.Second})), 0)
-	moment, some := queue.NextExpiry()
-	is.True(some && moment.Equal(start.Add(2*time.Second)))
-	is.Equal(len(queue.Expire(moment.Add(-1))), 0)
-	refused := queue.Expire(moment)
+	expiry, found := queue.NextExpiry()
+	is.True(found && expiry.Equal(start.Add(2*time.Second)))
+	is.Equal(len(queue.Expire(expiry.Add(-1))), 0)
+	refused := queue.Expire(expiry)
 	is.Equal(len(refused), 1)
 	is.Equal(refused[0].Fault.Kind, fault.DeadlineExceeded)
 	is.Equal(refused[0].Fault.Ran, fault.RanNo)
 
-	queue.Offer(start, Item{ID: "now or never", Tenant: "a"})
+	queue.Offer(start, Item{ID: "dispatched", Tenant: "a"})
 	is.Equal(len(dispatchSome(queue, start, 1)), 1) // no hold time, but free capacity
-	queue.Offer(start, Item{ID: "never", Tenant: "a"})
+	queue.Offer(start, Item{ID: "expired", Tenant: "a"})
 	is.Equal(len(queue.Pump(start, func(*Item) Result { return Result{Action: PoolBlocked} })), 1)
-	is.Equal(queue.Len()+len(queue.drains)-1, 0)
+	is.Equal(queue.Len()+len(queue.throughputs)-1, 0)
 }
 
-func TestHopelessItemsAreRefusedAtArrival(t *testing.T) {
+func TestItemsWithTooShortHoldTimeAreRefused(t *testing.T) {
 	is := is.New(t)
 	queue := NewQueue(Config{})
 	waiting(queue, 1000, Item{Tenant: "a", Cost: 10})
@@ -212,7 +212,7 @@
 	is.Equal(len(offer(Item{Tenant: "a", MaxHold: 200 * time.Second})), 0)
 	is.Equal(len(offer(Item{Tenant: "b", MaxHold: 5 * time.Second})), 1)                 // 30 items ahead at half the rate
 	is.Equal(len(offer(Item{Tenant: "new", MaxHold: 2 * time.Second})), 0)               // its share is free
-	is.Equal(len(offer(Item{Tenant: "a", Pool: "other", MaxHold: time.Millisecond})), 0) // nothing known
+	is.Equal(len(offer(Item{Tenant: "a", Pool: "other", MaxHold: time.Millisecond})), 0) // no rate known
 	is.Equal(len(offer(Item{Tenant: "low", Priority: 1, MaxHold: 10 * time.Second})), 0) // by the starvation bound
 	is.Equal(len(offer(Item{Tenant: "low", Priority: 1, MaxHold: time.Second})), 1)
 }
--- a/internal/admission/drain.go
+++ b/internal/admission/throughput.go
@@ -10,24 +10,23 @@
 )
 
 const (
-	// drainMemory is the time constant of the drain rate.
-	drainMemory = 2 * time.Second
-	// drainMinimumBusy and drainMinimumServed are the least observation that
-	// a rate is stated from, both after decay.
-	drainMinimumBusy   = 250 * time.Millisecond
-	drainMinimumServed = 3
-	// maxDrains bounds the pools remembered though nothing of theirs waits.
-	maxDrains = 1024
-	// unknownWait is stated when no drain rate is known.
+	// throughputMemory is the time constant of the decay.
+	throughputMemory = 2 * time.Second
+	// minBusyTime and minServedItems are needed for a rate, both after decay.
+	minBusyTime    = 250 * time.Millisecond
+	minServedItems = 3
+	// maxThroughputs bounds the pools remembered without waiting items.
+	maxThroughputs = 1024
+	// unknownWait is the wait without a known rate.
 	unknownWait = time.Second
-	// minRetryAfter and maxRetryAfter bound what callers are told.
+	// minRetryAfter and maxRetryAfter bound EstimateRetryAfter.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = time.Minute
 )
 
-// drain estimates how fast the waiting items of a pool are served: tokens and
-// items dispatched over the time that items waited, all decaying alike.
-type drain struct {
+// throughput estimates the rate at which the waiting items of a pool are dispatched: tokens and
+// items over the time in which items waited, all decaying alike.
+type throughput struct {
 	waiting int
 	updated time.Time
 	busy    float64
@@ -35,34 +34,34 @@
 	items   float64
 }
 
-func (d *drain) advance(now time.Time) {
+func (d *throughput) advance(now time.Time) {
 	elapsed := now.Sub(d.updated)
 	if elapsed <= 0 {
 		return
 	}
 	d.updated = now
-	decay := math.Exp(-elapsed.Seconds() / drainMemory.Seconds())
+	decay := math.Exp(-elapsed.Seconds() / throughputMemory.Seconds())
 	d.busy *= decay
 	d.cost *= decay
 	d.items *= decay
 	if d.waiting > 0 {
-		d.busy += drainMemory.Seconds() * (1 - decay)
+		d.busy += throughputMemory.Seconds() * (1 - decay)
 	}
 }
 
-func (d *drain) enter(now time.Time) {
+func (d *throughput) enter(now time.Time) {
 	d.advance(now)
 	d.waiting++
 }
 
-func (d *drain) leave(now time.Time) {
+func (d *throughput) leave(now time.Time) {
 	d.advance(now)
 	d.waiting--
 }
 
-// served counts a dispatch. One at the moment the pool began to wait says
-// nothing of its rate, since no busy time stands against it.
-func (d *drain) served(now time.Time, cost float64) {
+// recordDispatch counts a dispatch. One at the moment the pool began to wait is ignored, as it
+// took no busy time.
+func (d *throughput) recordDispatch(now time.Time, cost float64) {
 	d.advance(now)
 	if d.busy > 0 {
 		d.cost += cost
@@ -71,40 +70,39 @@
 }
 
 // rates returns tokens and items a second, if known.
-func (d *drain) rates(now time.Time) (cost, items float64, known bool) {
+func (d *throughput) rates(now time.Time) (cost, items float64, known bool) {
 	d.advance(now)
-	if d.busy < drainMinimumBusy.Seconds() || d.items < drainMinimumServed {
+	if d.busy < minBusyTime.Seconds() || d.items < minServedItems {
 		return 0, 0, false
 	}
 	return d.cost / d.busy, d.items / d.busy, true
 }
 
-func (q *Queue) drain(now time.Time, key PoolKey) *drain {
-	if known, found := q.drains[key]; found {
+func (q *Queue) throughputOf(now time.Time, key PoolKey) *throughput {
+	if known, found := q.throughputs[key]; found {
 		return known
 	}
-	if len(q.drains) >= maxDrains {
-		for other, forgotten := range q.drains {
-			if forgotten.waiting == 0 {
-				delete(q.drains, other)
+	if len(q.throughputs) >= maxThroughputs {
+		for other, candidate := range q.throughputs {
+			if candidate.waiting == 0 {
+				delete(q.throughputs, other)
 			}
 		}
 	}
-	created := &drain{updated: now}
-	q.drains[key] = created
+	created := &throughput{updated: now}
+	q.throughputs[key] = created
 	return created
 }
 
-// predictedWait is the shortest wait to be expected of a new item; zero if
-// nothing is known. It errs towards holding: of strict order and the
-// starvation bound it takes the sooner, and of the fair order and first in,
-// first out as well.
+// predictedWait returns the shortest expected wait of a new item, zero if unknown. It errs
+// towards holding: it returns the sooner of strict order and the starvation bound, and of fair
+// order and first in, first out.
 func (q *Queue) predictedWait(now time.Time, item Item) time.Duration {
-	watched, waits := q.drains[item.Pool]
-	if !waits || watched.waiting == 0 {
+	measured, waits := q.throughputs[item.Pool]
+	if !waits || measured.waiting == 0 {
 		return 0
 	}
-	costRate, itemRate, known := watched.rates(now)
+	costRate, itemRate, known := measured.rates(now)
 	if !known {
 		return 0
 	}
@@ -117,8 +115,8 @@
 	return seconds(min(strict, aged))
 }
 
-// ahead returns the cost of more urgent items of the pool, and cost and
-// number of the items of the same class that go first in fair order.
+// ahead returns the cost of more urgent items of the pool, and cost and number of the items of
+// the same class before it in fair order.
 func (q *Queue) ahead(item Item) (urgent, fairCost, fairItems float64) {
 	for _, candidate := range q.levels {
 		same, waits := candidate.pools[item.Pool]
@@ -152,14 +150,14 @@
 	return count
 }
 
-// timeToDrain is the time until everything of the item's class and above that
-// waits for its pool now would be served.
+// timeToDrain returns the time to serve all waiting items of the item's pool in its class and
+// above.
 func (q *Queue) timeToDrain(now time.Time, item Item) time.Duration {
-	watched, found := q.drains[item.Pool]
+	measured, found := q.throughputs[item.Pool]
 	if !found {
 		return unknownWait
 	}
-	rate, _, known := watched.rates(now)
+	rate, _, known := measured.rates(now)
 	if !known {
 		return unknownWait
 	}
@@ -172,14 +170,14 @@
 	return seconds(waiting / rate)
 }
 
-// seconds converts, bounding what a Duration cannot hold.
+// seconds converts to a Duration within its range.
 func seconds(value float64) time.Duration {
 	return time.Duration(min(value, math.MaxInt32) * float64(time.Second))
 }
 
-// EstimateRetryAfter returns when to come back after a wait was predicted. Up
-// to half of it is added by a hash of the request id, so that callers refused
-// together do not come back together. It is within 100 ms and one minute.
+// EstimateRetryAfter returns the Retry-After for a predicted wait. A hash of the request id
+// adds up to half of it, so that callers refused together do not retry together. It is between
+// 100 ms and one minute.
 func EstimateRetryAfter(wait time.Duration, id ident.Request) time.Duration {
 	base := min(max(wait, minRetryAfter), maxRetryAfter*2/3)
 	jitter := float64(xxhash.Sum64String(string(id))>>11) / (1 << 53)
--- a/internal/claim/batch.go
+++ b/internal/claim/batch.go
@@ -7,12 +7,11 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// claimShare is the part of a batch, in quarters, that claims may fill while
-// outcomes wait, so that neither starves the other.
-const claimShare = 3
+// claimQuarters is the part of a batch, in quarters, that claims may fill while outcomes wait,
+// so that neither starves the other.
+const claimQuarters = 3
 
-// Advance ends the claims whose time is over and returns the transactions to
-// send now.
+// Advance ends the claims whose deadline has passed and returns the transactions to send now.
 func (c *Core) Advance(now time.Time) []Batch {
 	c.expire(now)
 	var batches []Batch
@@ -28,7 +27,7 @@
 	return batches
 }
 
-// NextWake returns the next time Advance has something to do by itself.
+// NextWake returns when Advance must be called next without another event.
 func (c *Core) NextWake(now time.Time) (time.Time, bool) {
 	earliest, found := c.nextDeadline()
 	if due, some := c.nextSend(); some && len(c.inFlight) < c.config.MaxInFlight {
@@ -59,8 +58,7 @@
 	return earliest, found
 }
 
-// nextSend returns when the oldest operation whose row is free has waited for
-// its window.
+// nextSend returns when the oldest operation whose row is free has waited for Config.Window.
 func (c *Core) nextSend() (earliest time.Time, found bool) {
 	for _, queue := range [][]*operation{c.claims, c.background} {
 		for _, waiting := range queue {
@@ -83,7 +81,7 @@
 	return found && !due.After(now)
 }
 
-// expire answers the claims whose deadline has come.
+// expire answers the claims whose deadline has passed.
 func (c *Core) expire(now time.Time) {
 	kept := c.claims[:0]
 	for _, waiting := range c.claims {
@@ -114,18 +112,18 @@
 	c.answers = append(c.answers, Answer{ClaimID: claim.record.ClaimID, Fault: problem})
 }
 
-// blocked reports whether an operation must wait for another of its row. A
-// claim also waits until an earlier own claim of the row is settled.
+// blocked reports whether an operation must wait for another one of its row. A claim also waits
+// until an earlier claim of this router on the row is settled.
 func (c *Core) blocked(waiting *operation) bool {
 	return c.busy[waiting.row] || (waiting.kind == operationClaim && c.settling[waiting.row])
 }
 
-// fill moves operations on free rows from the queues into one transaction.
+// fill moves operations on free rows from the queues to one transaction.
 func (c *Core) fill() (Batch, bool) {
 	limit := c.config.MaxBatch
 	claimLimit := limit
 	if len(c.background) > 0 {
-		claimLimit = max(1, limit*claimShare/4)
+		claimLimit = max(1, limit*claimQuarters/4)
 	}
 	var chosen []*operation
 	c.claims, chosen = c.choose(c.claims, chosen, claimLimit)
@@ -139,7 +137,7 @@
 	for _, operation := range chosen {
 		value, err := encodeRecord(operation.record)
 		if err != nil {
-			// A Record holds only strings and integers; encoding cannot fail.
+			// A Record has only strings and integers; encoding cannot fail.
 			continue
 		}
 		operation.sentState = operation.record.State
@@ -165,8 +163,8 @@
 	return rest, chosen
 }
 
-// Completed takes the result of a transaction. A lost answer is settled by
-// sending the operations again: the conditions then show who holds the rows.
+// Completed applies the result of a transaction. After a lost answer the operations are sent
+// again: their conditions then show who holds the rows.
 func (c *Core) Completed(now time.Time, id BatchID, result protocol.TransactionResult, err error) {
 	operations, known := c.inFlight[id]
 	if !known {
@@ -190,61 +188,61 @@
 	}
 }
 
-// fail sends the operations of a transaction without an answer again.
+// fail retries the operations of a transaction without an answer.
 func (c *Core) fail(now time.Time, operations []*operation, problem *fault.Fault) {
 	c.pace.failed(now, problem)
 	c.counters.Unsettled++
 	for _, operation := range operations {
 		if problem.Ran != fault.RanNo {
-			operation.mayStand = true
+			operation.mayBeWritten = true
 		}
 		c.requeue(operation)
 	}
 }
 
 func (c *Core) apply(operation *operation, committed bool, row protocol.Row) {
-	judged := verdictOwn
+	resolved := resolutionOwn
 	current := operation.record
 	if committed {
-		judged = operation.judgeCommitted(row)
+		resolved = operation.resolveCommitted(row)
 	} else {
-		judged, current = operation.judgeRefused(row)
+		resolved, current = operation.resolveRejected(row)
 	}
-	if judged == verdictRetry {
+	if resolved == resolutionRetry {
 		c.requeue(operation)
 		return
 	}
 	if operation.kind == operationClaim {
-		c.answerClaim(operation, judged, current)
+		c.answerClaim(operation, resolved, current)
 		return
 	}
-	c.answerRecord(operation, judged)
+	c.answerRecord(operation, resolved)
 }
 
-// requeue puts an operation in front, since it has waited longest. A released
-// claim that stands nowhere needs no more writing.
-func (c *Core) requeue(again *operation) {
-	if again.kind == operationClaim {
-		c.claims = append([]*operation{again}, c.claims...)
+// requeue puts an operation at the front, since it has waited longest. A released claim that
+// was not written needs no write.
+func (c *Core) requeue(retried *operation) {
+	if retried.kind == operationClaim {
+		c.claims = append([]*operation{retried}, c.claims...)
 		return
 	}
-	if !again.mayStand {
+	if !retried.mayBeWritten {
 		return
 	}
-	c.settling[again.row] = true
-	c.background = append([]*operation{again}, c.background...)
+	c.settling[retried.row] = true
+	c.background = append([]*operation{retried}, c.background...)
 }
 
-func (c *Core) answerClaim(claim *operation, judged verdict, current Record) {
+func (c *Core) answerClaim(claim *operation, resolved resolution, current Record) {
 	answer := Answer{ClaimID: claim.record.ClaimID}
-	switch judged {
-	case verdictOwn:
+	switch resolved {
+	case resolutionOwn:
 		c.counters.Granted++
 		c.held[claim.record.ClaimID] = claim
 		answer.Grant = Grant{Acquired: true, Record: claim.record}
-	case verdictReused:
+	case resolutionReused:
 		answer.Fault = fault.New(fault.KeyReused, "the key was used for another request")
-	case verdictBroken:
+	case resolutionUnreadable:
 		answer.Fault = fault.New(fault.Internal, "the claim's row cannot be decoded")
 	default:
 		c.counters.AlreadyClaimed++
@@ -253,14 +251,14 @@
 	c.answers = append(c.answers, answer)
 }
 
-func (c *Core) answerRecord(record *operation, judged verdict) {
+func (c *Core) answerRecord(record *operation, resolved resolution) {
 	delete(c.settling, record.row)
 	if !record.awaited {
 		return
 	}
 	answer := Answer{ClaimID: record.record.ClaimID, Recorded: true}
-	if judged != verdictOwn {
-		answer.Fault = fault.New(fault.Conflict, "the claim's row is no longer this claim's").WithRan(fault.RanUnknown)
+	if resolved != resolutionOwn {
+		answer.Fault = fault.New(fault.Conflict, "the row now belongs to another claim").WithRan(fault.RanUnknown)
 	}
 	c.answers = append(c.answers, answer)
 }
--- a/internal/claim/pace.go
+++ b/internal/claim/pace.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// firstBackoff is the pause after the first failure in a row.
+	// firstBackoff is the pause after the first of consecutive failures.
 	firstBackoff = 20 * time.Millisecond
-	// backoffShare bounds a pause to this part of the claim timeout, so that
-	// every claim sees at least one try.
-	backoffShare = 4
-	// paceBurst is the most transactions sent at once after a quiet time.
+	// backoffDivisor bounds a pause to this part of the claim timeout, so that every claim gets
+	// at least one attempt.
+	backoffDivisor = 4
+	// paceBurst is the most transactions sent at once after an idle time.
 	paceBurst = 4
 )
 
-// pace is the token bucket in front of the table, with pauses after failures.
+// pace is the token bucket for the table, with pauses after failures.
 type pace struct {
 	rate     float64
 	tokens   float64
@@ -27,7 +27,7 @@
 }
 
 func newPace(config Config) pace {
-	return pace{rate: config.TransactionsPerSecond, tokens: paceBurst, longest: config.Timeout / backoffShare}
+	return pace{rate: config.TransactionsPerSecond, tokens: paceBurst, longest: config.Timeout / backoffDivisor}
 }
 
 // next returns the earliest time a transaction may be sent.
--- a/internal/claim/sweep_test.go
+++ b/internal/claim/sweep_test.go
@@ -21,7 +21,7 @@
 	sweepRetention = 2 * time.Hour
 )
 
-// list returns the rows under a prefix, as the table does.
+// list returns the rows under a prefix, like the table.
 func (t *tableModel) list(prefix string, limit int) protocol.RowList {
 	var list protocol.RowList
 	for key, row := range t.rows {
@@ -42,8 +42,8 @@
 	since   time.Time
 }
 
-// sweepPeer is one router with its own clock. Every peer sweeps, without any
-// lease, and a request of its sweep may arrive at any later time.
+// sweepPeer is one router with its own clock. All peers sweep without a lease, and a request of
+// a sweep may be arbitrarily late.
 type sweepPeer struct {
 	offset  time.Duration
 	core    *Core
@@ -52,21 +52,21 @@
 	request *SweepRequest
 }
 
-// sweepWorld explores claims, outcomes and sweeps over days.
-type sweepWorld struct {
+// sweepSimulation runs claims, outcomes and sweeps over days.
+type sweepSimulation struct {
 	t     *rapid.T
 	now   time.Time
 	step  int
 	table *tableModel
 	peers []*sweepPeer
-	// ran holds the time of the claim that last may have run each key, again
-	// counts claims of keys that had run.
-	ran   map[int]time.Time
-	again int
+	// ran has the time of the last claim that may have run each key; reruns counts claims of
+	// keys that had run.
+	ran    map[int]time.Time
+	reruns int
 }
 
-func newSweepWorld(t *rapid.T) *sweepWorld {
-	w := &sweepWorld{t: t, now: time.Unix(1_800_000_000, 0), table: newTableModel(), ran: map[int]time.Time{}}
+func newSweepSimulation(t *rapid.T) *sweepSimulation {
+	w := &sweepSimulation{t: t, now: time.Unix(1_800_000_000, 0), table: newTableModel(), ran: map[int]time.Time{}}
 	for index := range sweepPeers {
 		offset := time.Duration(rapid.SampledFrom([]int{-30, 0, 30}).Draw(t, "offset")) * time.Minute
 		w.peers = append(w.peers, &sweepPeer{
@@ -77,8 +77,8 @@
 	return w
 }
 
-// exchange lets the core send what it has and returns its answers.
-func (w *sweepWorld) exchange(peer *sweepPeer) []Answer {
+// exchange sends the core's transactions and returns its answers.
+func (w *sweepSimulation) exchange(peer *sweepPeer) []Answer {
 	w.now = w.now.Add(time.Second)
 	local := w.now.Add(peer.offset)
 	for _, batch := range peer.core.Advance(local) {
@@ -87,7 +87,7 @@
 	return peer.core.Answers()
 }
 
-func (w *sweepWorld) claim(peer *sweepPeer) {
+func (w *sweepSimulation) claim(peer *sweepPeer) {
 	w.step++
 	run := openRun{claimID: fmt.Sprint(w.step), key: rapid.IntRange(0, sweepKeys-1).Draw(w.t, "key"), since: w.now}
 	local := w.now.Add(peer.offset)
@@ -97,8 +97,8 @@
 			continue
 		}
 		if before, known := w.ran[run.key]; known {
-			w.again++
-			if run.since.Sub(before) < w.remembered(run.key) {
+			w.reruns++
+			if run.since.Sub(before) < w.retention(run.key) {
 				w.t.Fatalf("key %d ran again after %v", run.key, run.since.Sub(before))
 			}
 		}
@@ -107,20 +107,20 @@
 	}
 }
 
-// remembered returns for how long a key is promised to be remembered.
-func (w *sweepWorld) remembered(key int) time.Duration {
+// retention returns the least time for which a key must be kept.
+func (w *sweepSimulation) retention(key int) time.Duration {
 	for _, peer := range w.peers {
 		for _, run := range peer.open {
 			if run.key == key && run.since.Equal(w.ran[key]) {
-				return openRetentions * sweepRetention
+				return openRetentionFactor * sweepRetention
 			}
 		}
 	}
 	return sweepRetention
 }
 
-// settle ends the oldest open run; not run frees the key.
-func (w *sweepWorld) settle(peer *sweepPeer) {
+// settle ends the oldest open run; "not run" frees the key.
+func (w *sweepSimulation) settle(peer *sweepPeer) {
 	if len(peer.open) == 0 {
 		return
 	}
@@ -134,8 +134,8 @@
 	w.exchange(peer)
 }
 
-// sweep makes the peer's request that is under way, or draws up the next one.
-func (w *sweepWorld) sweep(peer *sweepPeer) {
+// sweep sends the peer's pending request, or gets the next one.
+func (w *sweepSimulation) sweep(peer *sweepPeer) {
 	local := w.now.Add(peer.offset)
 	if peer.request == nil {
 		if request, due := peer.sweep.Next(local, []string{SweepPrefix(keyOf(0))}); due {
@@ -157,13 +157,13 @@
 	peer.sweep.Deleted(local, result, problem)
 }
 
-// TestNoKeyRunsTwiceWithinItsRetention lets two routers whose clocks are up to
-// the stated skew apart claim, settle and sweep, with sweeps that are paused
-// between any two steps and lose answers. In the end all rows are gone.
+// TestNoKeyRunsTwiceWithinItsRetention runs claims, outcomes and sweeps at two routers whose
+// clocks differ by up to ClockSkew, with pauses between any two steps and lost answers. All
+// rows must be deleted in the end.
 func TestNoKeyRunsTwiceWithinItsRetention(t *testing.T) {
-	deleted, again := uint64(0), 0
+	deleted, reruns := uint64(0), 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSweepWorld(t)
+		w := newSweepSimulation(t)
 		for range rapid.IntRange(200, 1000).Draw(t, "steps") {
 			peer := w.peers[rapid.IntRange(0, sweepPeers-1).Draw(t, "peer")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
@@ -178,9 +178,9 @@
 				w.sweep(peer)
 			}
 		}
-		again += w.again
+		reruns += w.reruns
 		last := w.peers[0]
-		w.now = w.now.Add(openRetentions*sweepRetention + 2*ClockSkew)
+		w.now = w.now.Add(openRetentionFactor*sweepRetention + 2*ClockSkew)
 		passes := last.sweep.Counters().Passes
 		for last.sweep.Counters().Passes < passes+3 {
 			w.now = w.now.Add(time.Minute)
@@ -193,11 +193,11 @@
 			deleted += peer.sweep.Counters().Deleted
 		}
 	})
-	t.Logf("%d rows were deleted, %d keys ran again after their retention", deleted, again)
-	is.New(t).True(again > 50)
+	t.Logf("%d rows were deleted, %d keys were claimed again after their retention", deleted, reruns)
+	is.New(t).True(reruns > 50)
 }
 
-func TestSweepKeepsWhatIsYoungOpenOrUnreadable(t *testing.T) {
+func TestSweepDeletesOnlyExpiredRows(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	aged := func(age time.Duration, state State) []byte {
 		value, err := encodeRecord(Record{State: state, ClaimedAt: now.Add(-age).Unix()})
@@ -222,7 +222,7 @@
 		{"old and unknown", aged(2*day+ClockSkew+time.Second, StateUnknown), true},
 		{"old and not run", aged(2*day+ClockSkew+time.Second, StateNotRun), true},
 		{"still claimed", aged(8*day, StateClaimed), false},
-		{"claimed for long", aged(8*day+ClockSkew+time.Second, StateClaimed), true},
+		{"claimed beyond the retention", aged(8*day+ClockSkew+time.Second, StateClaimed), true},
 		{"from the future", aged(-day, StateRan), false},
 		{"without a time", untimed, false},
 		{"unreadable", []byte("x"), false},
--- a/internal/claim/table_test.go
+++ b/internal/claim/table_test.go
@@ -9,7 +9,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// tableModel is the table's truth: rows and versions, without any transport.
+// tableModel is a model of the table: rows and versions, without transport.
 type tableModel struct {
 	rows     map[string]protocol.Row
 	versions map[string]uint64
@@ -53,8 +53,8 @@
 	return record
 }
 
-// faultyTable is a platform.Table whose exchanges go as scripted; once the
-// script is over all goes well. The context's end is a lost answer.
+// faultyTable is a store.Table with scripted faults; after the script all calls succeed. The
+// end of the context is a lost answer.
 type faultyTable struct {
 	model  *tableModel
 	turn   chan struct{}
@@ -65,7 +65,7 @@
 type exchange int
 
 const (
-	goesWell exchange = iota
+	succeeds exchange = iota
 	lostAfterCommit
 	lostBeforeCommit
 	outage
@@ -73,7 +73,7 @@
 	commitsLate
 )
 
-const lateBy = 3 * time.Second
+const commitDelay = 3 * time.Second
 
 func newFaultyTable(script ...exchange) *faultyTable {
 	return &faultyTable{model: newTableModel(), turn: make(chan struct{}, 1), script: script}
@@ -84,7 +84,7 @@
 	if f.calls <= len(f.script) {
 		return f.script[f.calls-1]
 	}
-	return goesWell
+	return succeeds
 }
 
 func (f *faultyTable) Commit(_ context.Context, transaction protocol.Transaction) (protocol.TransactionResult, error) {
@@ -102,7 +102,7 @@
 	case rateLimited:
 		return protocol.TransactionResult{}, fault.New(fault.RateLimited, "slow down").WithRetryAfter(50 * time.Millisecond)
 	case commitsLate:
-		time.AfterFunc(lateBy, func() {
+		time.AfterFunc(commitDelay, func() {
 			f.turn <- struct{}{}
 			defer func() { <-f.turn }()
 			f.model.commit(transaction)
@@ -129,9 +129,9 @@
 	return protocol.RowList{}, fault.New(fault.Internal, "not used")
 }
 
-var protocolNothing protocol.TransactionResult
+var noResult protocol.TransactionResult
 
-// sortedIDs lists the claims that can be abandoned or settled, in one order.
+// sortedIDs returns the claims that can be abandoned or settled, in a fixed order.
 func sortedIDs(calls map[string]*call, granted map[string]int) []string {
 	var claimIDs []string
 	for name, one := range calls {
--- /dev/null
+++ b/internal/quarantine/guard/abandoned.go
@@ -0,0 +1,69 @@
+package guard
+
+import (
+	"sync"
+	"time"
+
+	"github.com/fieldpond/fieldpond/internal/ident"
+	"github.com/fieldpond/fieldpond/internal/quarantine"
+)
+
+const (
+	// abandonedWindow is how long before its crash a back end may have begun an abandoned
+	// request. Most drop those; the others begin them once a slot is free.
+	abandonedWindow = 2 * time.Second
+	// maxAbandoned is the number of the newest abandoned attempts remembered.
+	maxAbandoned = 512
+)
+
+// abandonedAttempt is an attempt given up by this router while the back end may have been
+// running it.
+type abandonedAttempt struct {
+	incarnation ident.Incarnation
+	request     quarantine.Fingerprint
+	at          time.Time
+}
+
+// abandonedAttempts remembers the newest abandoned attempts. It is safe for concurrent use.
+type abandonedAttempts struct {
+	mu   sync.Mutex
+	all  [maxAbandoned]abandonedAttempt
+	next int
+}
+
+func (l *abandonedAttempts) add(attempt abandonedAttempt) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.all[l.next] = attempt
+	l.next = (l.next + 1) % maxAbandoned
+}
+
+// take removes and returns the requests abandoned at an incarnation shortly before its crash.
+func (l *abandonedAttempts) take(incarnation ident.Incarnation, crashedAt time.Time) []quarantine.Fingerprint {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var requests []quarantine.Fingerprint
+	for index := range l.all {
+		attempt := &l.all[index]
+		if attempt.incarnation != incarnation {
+			continue
+		}
+		if crashedAt.Sub(attempt.at) <= abandonedWindow {
+			requests = append(requests, attempt.request)
+		}
+		*attempt = abandonedAttempt{}
+	}
+	return requests
+}
+
+// has reports whether a request was abandoned at an incarnation shortly before a time.
+func (l *abandonedAttempts) has(incarnation ident.Incarnation, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for index := range l.all {
+		if attempt := &l.all[index]; attempt.incarnation == incarnation && now.Sub(attempt.at) <= abandonedWindow {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/quarantine/guard/guard.go
+++ b/internal/quarantine/guard/guard.go
@@ -1,6 +1,6 @@
-// Package guard keeps requests from back ends under which these crash, together with the other
-// routers: it is the shell around the evidence of package quarantine, and has the goroutines, the
-// checks of back ends, the news for other routers and the rows that outlive all of them.
+// Package guard keeps requests from back ends that these crash, together with the other
+// routers. It runs the goroutines around the evidence of package quarantine: checks of back
+// ends, updates to other routers and the stored rows.
 package guard
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// Config sets up a Guard.
+// Config configures a Guard.
 type Config struct {
-	// Table keeps the rows, Timeout bounds one call.
+	// Table stores the rows; Timeout bounds one call.
 	Table    store.Table
 	Timeout  time.Duration
 	Backends Backends
-	// Send sends news to all other routers. It must not block. Default: nobody is told.
+	// Send sends evidence to all other routers. It must not block. Default: none is sent.
 	Send func([]quarantine.Evidence)
-	// MaintainsRows reports whether this router writes and reads the rows for all. Default: never.
+	// MaintainsRows reports whether this router maintains the rows for all. Default: never.
 	MaintainsRows func() bool
-	// OnTrial is told what came of each question for a trial: granted, denied or failed; OnCheck
-	// what came of each check of a back end: crashed, alive or unknown.
+	// OnTrial is called with the result of each request for a trial: granted, denied or failed;
+	// OnCheck with that of each check of a back end: crashed, alive or unknown.
 	OnTrial, OnCheck func(result string)
 }
 
@@ -49,131 +49,128 @@
 	return c
 }
 
-// Guard keeps requests from back ends under which these crash. It is safe for concurrent use; a
-// nil Guard knows nothing and tells nothing.
+// Guard keeps requests from back ends that these crash. It is safe for concurrent use. A nil
+// Guard has no evidence.
 type Guard struct {
 	config    Config
 	ledger    *quarantine.Ledger
 	successes *quarantine.Successes
 	checks    *crashChecks
-	// left are the attempts that were given up: others may have seen that a life crashed.
-	left *leftAttempts
-	rows *rows
+	// abandoned attempts count if another request or router observes the crash.
+	abandoned *abandonedAttempts
+	rows      *rows
 
 	mu sync.Mutex
-	// news are the requests that are still to be told, and how often.
-	news map[quarantine.Fingerprint]int
-	// unkept are the requests whose rows this router has to bring up to date.
-	unkept map[quarantine.Fingerprint]struct{}
+	// updates are the requests whose evidence is still to be sent, and how often.
+	updates map[quarantine.Fingerprint]int
+	// staleRows are the requests whose rows this router has to update.
+	staleRows map[quarantine.Fingerprint]struct{}
 	// wake ends the pause before the rows are written.
 	wake chan struct{}
 }
 
-// New returns a guard that does nothing by itself before Run.
+// New returns a guard that is inactive until Run.
 func New(config Config) *Guard {
 	config = config.withDefaults()
 	ledger := quarantine.NewLedger()
 	g := &Guard{
-		config: config, ledger: ledger, successes: quarantine.NewSuccesses(), left: &leftAttempts{},
-		rows: newRows(config.Table, config.Timeout, ledger),
-		news: make(map[quarantine.Fingerprint]int), unkept: make(map[quarantine.Fingerprint]struct{}),
+		config: config, ledger: ledger, successes: quarantine.NewSuccesses(), abandoned: &abandonedAttempts{},
+		rows:    newRows(config.Table, config.Timeout, ledger),
+		updates: make(map[quarantine.Fingerprint]int), staleRows: make(map[quarantine.Fingerprint]struct{}),
 		wake: make(chan struct{}, 1),
 	}
 	g.checks = &crashChecks{
-		backends: config.Backends, crashed: g.crashed, result: config.OnCheck,
+		backends: config.Backends, onCrash: g.recordCrash, onResult: config.OnCheck,
 		open: make(map[ident.Incarnation]*crashCheck), ended: make(map[ident.Incarnation]time.Time),
 	}
 	return g
 }
 
-// Counts returns the number of requests that are held, and of all that are known.
-func (g *Guard) Counts() (held, suspects int) { return g.ledger.Counts() }
+// Counts returns the number of quarantined requests and of all suspects.
+func (g *Guard) Counts() (quarantined, suspects int) { return g.ledger.Counts() }
 
-// Check returns why a request may not be sent, nil if it may. A router that lately had an answer
-// to the request vouches for it.
+// Check returns why a request may not be sent, nil if it may. A recent success at this router
+// clears it.
 func (g *Guard) Check(now time.Time, request *quarantine.Subject) *quarantine.Decision {
 	if g.ledger.Empty() {
 		return nil
 	}
 	if at, found := g.successes.Last(now, &request.Identity); found {
-		g.answered(at, request)
+		g.recordSuccess(at, request)
 	}
-	return g.ledger.Judge(now, request.Fingerprint())
+	return g.ledger.Check(now, request.Fingerprint())
 }
 
-// ObserveAnswered takes in a whole success.
+// ObserveAnswered records a complete success.
 func (g *Guard) ObserveAnswered(now time.Time, request *quarantine.Subject) {
 	g.successes.Add(now, &request.Identity)
 	if !g.ledger.Empty() {
-		g.answered(now, request)
+		g.recordSuccess(now, request)
 	}
 }
 
-// answered takes in that a request was answered at a time.
-func (g *Guard) answered(at time.Time, request *quarantine.Subject) {
-	news, released := g.ledger.Answered(at, request.Fingerprint())
-	if news {
-		g.tell(request.Fingerprint())
+func (g *Guard) recordSuccess(at time.Time, request *quarantine.Subject) {
+	changed, released := g.ledger.RecordSuccess(at, request.Fingerprint())
+	if changed {
+		g.announce(request.Fingerprint())
 	}
 	if released {
 		log.WithFields(log.Fields{"fingerprint": request.Fingerprint().String(), "cause": "answered"}).Info("quarantine_ended")
-		g.keep(request.Fingerprint())
+		g.scheduleWrite(request.Fingerprint())
 	}
 }
 
-// ObserveBroken takes in an attempt that broke off.
-func (g *Guard) ObserveBroken(now time.Time, request *quarantine.Subject, at Target) {
-	if _, vouched := g.successes.Last(now, &request.Identity); vouched {
+// ObserveBroken records an attempt that broke off.
+func (g *Guard) ObserveBroken(now time.Time, request *quarantine.Subject, target Target) {
+	if _, succeeded := g.successes.Last(now, &request.Identity); succeeded {
 		return
 	}
-	g.checks.broke(now, at, request.Fingerprint())
+	g.checks.observeBroken(now, target, request.Fingerprint())
 }
 
-// ObserveAbandoned takes in an attempt that was given up by this side and may be at work there still.
-func (g *Guard) ObserveAbandoned(now time.Time, request *quarantine.Subject, at Target) {
-	if _, vouched := g.successes.Last(now, &request.Identity); vouched {
+// ObserveAbandoned records an attempt that this router gave up and that the back end may still run.
+func (g *Guard) ObserveAbandoned(now time.Time, request *quarantine.Subject, target Target) {
+	if _, succeeded := g.successes.Last(now, &request.Identity); succeeded {
 		return
 	}
-	g.left.add(leftAttempt{life: at.Incarnation, request: request.Fingerprint(), at: now})
+	g.abandoned.add(abandonedAttempt{incarnation: target.Incarnation, request: request.Fingerprint(), at: now})
 }
 
-// ObserveUnreachable takes in that a back end took no connection. Where requests were given up shortly
-// before, and no other attempt was open that could break off, this is what shows that the back end
-// crashed.
-func (g *Guard) ObserveUnreachable(now time.Time, at Target) {
-	if g.left.has(at.Incarnation, now) {
-		g.checks.broke(now, at)
+// ObserveUnreachable records that a back end accepted no connection. After abandoned requests this may
+// be the only sign of a crash.
+func (g *Guard) ObserveUnreachable(now time.Time, target Target) {
+	if g.abandoned.has(target.Incarnation, now) {
+		g.checks.observeBroken(now, target)
 	}
 }
 
-// crashed takes in that a life of a back end crashed at a time on which requests ran. Those that
-// were given up there may have run as well.
-func (g *Guard) crashed(at time.Time, life ident.Incarnation, requests []quarantine.Fingerprint) {
-	requests = append(requests, g.left.take(life, at)...)
-	log.WithFields(log.Fields{"instance": life, "requests": len(requests)}).Warn("backend_crashed")
-	g.book(at, life, requests)
+// recordCrash records the crash of an incarnation under requests, which include those abandoned
+// there.
+func (g *Guard) recordCrash(at time.Time, incarnation ident.Incarnation, requests []quarantine.Fingerprint) {
+	requests = append(requests, g.abandoned.take(incarnation, at)...)
+	log.WithFields(log.Fields{"instance": incarnation, "requests": len(requests)}).Warn("backend_crashed")
+	g.recordEvidence(at, incarnation, requests)
 }
 
-// book takes in evidence against requests, and tells the other routers.
-func (g *Guard) book(at time.Time, life ident.Incarnation, requests []quarantine.Fingerprint) {
-	held := g.ledger.Crashed(at, life, requests)
-	g.tell(requests...)
-	g.logHeld(clock.Now(), held)
-	g.keep(slices.DeleteFunc(slices.Clone(requests), func(request quarantine.Fingerprint) bool {
-		return g.ledger.ToKeep(request) == 0
+// recordEvidence adds a crash under requests and sends it to the other routers.
+func (g *Guard) recordEvidence(at time.Time, incarnation ident.Incarnation, requests []quarantine.Fingerprint) {
+	quarantined := g.ledger.RecordCrash(at, incarnation, requests)
+	g.announce(requests...)
+	g.logQuarantined(clock.Now(), quarantined)
+	g.scheduleWrite(slices.DeleteFunc(slices.Clone(requests), func(request quarantine.Fingerprint) bool {
+		return g.ledger.ToStore(request) == 0
 	})...)
 }
 
-// logHeld logs which requests are held from now on, with the evidence.
-func (g *Guard) logHeld(now time.Time, held []quarantine.Fingerprint) {
-	for _, request := range held {
-		verdict := g.ledger.Judge(now, request)
-		if verdict == nil {
+func (g *Guard) logQuarantined(now time.Time, quarantined []quarantine.Fingerprint) {
+	for _, request := range quarantined {
+		decision := g.ledger.Check(now, request)
+		if decision == nil {
 			continue
 		}
 		var instances []string
 		var ages []int64
-		for _, crash := range verdict.Crashes {
+		for _, crash := range decision.Crashes {
 			instances = append(instances, string(crash.Incarnation))
 			ages = append(ages, now.Sub(crash.At).Milliseconds())
 		}
@@ -181,27 +178,27 @@
 	}
 }
 
-// Run checks back ends, tells news and keeps the rows until ctx ends. What breaks off before it
-// runs is not taken in.
+// Run checks back ends, sends updates and maintains the rows until ctx ends. Attempts that
+// break off before are not checked.
 func (g *Guard) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { g.checks.run(ctx) })
-	loops.Go(func() { g.keepRows(ctx) })
-	wait.Every(ctx, newsInterval, func() {
-		g.tellAgain()
+	loops.Go(func() { g.maintainRows(ctx) })
+	wait.Every(ctx, updateInterval, func() {
+		g.repeatUpdates()
 		g.ledger.Forget(clock.Now())
 	})
 	loops.Wait()
 }
 
-// AcquireTrial asks for the grant of a trial that is due, and waits for it for a short time.
+// AcquireTrial requests a trial that is due, and waits a short time for it.
 func (g *Guard) AcquireTrial(ctx context.Context, request *quarantine.Subject) bool {
-	result, trials := g.rows.claimTrial(ctx, request.Fingerprint())
+	result, trials := g.rows.acquireTrial(ctx, request.Fingerprint())
 	g.config.OnTrial(string(result))
 	if result != trialGranted {
 		return false
 	}
 	log.WithFields(log.Fields{"fingerprint": request.Fingerprint().String(), "trials": trials}).Info("quarantine_trial")
-	g.tell(request.Fingerprint())
+	g.announce(request.Fingerprint())
 	return true
 }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-func TestNoWindowIsAboveTheBoundWhateverFails(t *testing.T) {
+func TestUsageStaysWithinBoundsUnderFaults(t *testing.T) {
 	const seeds = 6
-	kinds := [][]modelTrouble{nil, modelTroubles}
-	for _, trouble := range modelTroubles {
-		kinds = append(kinds, []modelTrouble{trouble})
+	kinds := [][]modelFault{nil, modelFaults}
+	for _, trouble := range modelFaults {
+		kinds = append(kinds, []modelFault{trouble})
 	}
 	for _, troubles := range kinds {
 		name := "none or all"
@@ -25,19 +25,18 @@
 				is := is.New(t)
 				m := newModel(seed, 24, modelTenants())
 				limits := limitsOf(m.tenants)
-				m.play(troubles, 24*time.Second)
-				is.Equal(m.judge(limits), nil)
-				m.calm(12 * time.Second)
+				m.run(troubles, 24*time.Second)
+				is.Equal(m.violations(limits), nil)
+				m.runWithoutFaults(12 * time.Second)
 				is.Equal(members(m.leader()), len(m.routers)) // one pool again
-				is.Equal(m.judge(limits), nil)
+				is.Equal(m.violations(limits), nil)
 			})
 		}
 	}
 }
 
-// When the leader of a pool is gone, the others are not refused while they gather at
-// the next one.
-func TestTheLossOfALeaderRefusesNobody(t *testing.T) {
+// The members of a lost leader are not denied while they join the next one.
+func TestLeaderLossDeniesNoRequests(t *testing.T) {
 	tests := []struct {
 		name    string
 		trouble func(m *model)
@@ -56,25 +55,24 @@
 				m.step(m.now > 3*time.Second)
 			}
 			for _, tenant := range m.tenants {
-				tenant.calmAsked, tenant.calmDenied = 0, 0
+				tenant.faultFreeCount, tenant.faultFreeDenied = 0, 0
 			}
 			tt.trouble(m)
 			for m.now < 14*time.Second {
 				m.step(true)
 			}
 			for _, tenant := range m.tenants {
-				t.Logf("%s: %d of %d refused", tenant.name, tenant.calmDenied, tenant.calmAsked)
-				// The router that was lost may refuse what comes through it.
-				is.True(tenant.calmDenied <= tenant.calmAsked/len(m.routers)+1)
+				t.Logf("%s: %d of %d denied", tenant.name, tenant.faultFreeDenied, tenant.faultFreeCount)
+				// The lost router may deny its own requests.
+				is.True(tenant.faultFreeDenied <= tenant.faultFreeCount/len(m.routers)+1)
 			}
-			is.Equal(m.judge(limits), nil)
+			is.Equal(m.violations(limits), nil)
 		})
 	}
 }
 
-// A fleet that was killed as a whole finds to one pool soon after it is back, although
-// most of the routers that each knows of are not what they were.
-func TestAFleetThatStartsAnewIsOnePoolSoon(t *testing.T) {
+// Most routers that each one knows have restarted too and rank behind it.
+func TestRestartedFleetFormsOnePool(t *testing.T) {
 	tests := []struct {
 		routers int
 		within  time.Duration
@@ -100,7 +98,7 @@
 	}
 }
 
-func TestATenantWithinItsLimitIsNotRefused(t *testing.T) {
+func TestTenantWithinLimitIsNotDenied(t *testing.T) {
 	tests := []struct {
 		name  string
 		alone bool
@@ -112,7 +110,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			m := newModel(3, 24, modelTenants())
-			m.alone = tt.alone
+			m.standalone = tt.alone
 			for m.now < 3*time.Second {
 				m.step(false)
 			}
@@ -120,9 +118,9 @@
 				m.step(true)
 			}
 			for _, tenant := range m.tenants {
-				is.True(tenant.calmAsked > 100)
-				share := float64(tenant.calmDenied) / float64(tenant.calmAsked)
-				t.Logf("%s: %d of %d refused", tenant.name, tenant.calmDenied, tenant.calmAsked)
+				is.True(tenant.faultFreeCount > 100)
+				share := float64(tenant.faultFreeDenied) / float64(tenant.faultFreeCount)
+				t.Logf("%s: %d of %d denied", tenant.name, tenant.faultFreeDenied, tenant.faultFreeCount)
 				is.True(share <= tt.most)
 			}
 		})
--- a/internal/quota/message_test.go
+++ b/internal/quota/message_test.go
@@ -15,7 +15,7 @@
 	AcquireResponse{ID: 3, Granted: true}, AcquireResponse{ID: 3, RetryAfter: time.Second}, Release{ID: 3},
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	for _, msg := range testMessages {
 		t.Run(fmt.Sprintf("%T", msg), func(t *testing.T) {
 			is := is.New(t)
@@ -28,8 +28,7 @@
 	}
 }
 
-// Whatever claims come, a pool grants no tenant more than the bound of a window, and no
-// amount that is not a number above zero.
+// No request of any content yields a grant beyond the bounds or of an invalid amount.
 func FuzzAgent(f *testing.F) {
 	for _, msg := range testMessages {
 		encoded, err := cbor.Marshal(Pack(msg))
@@ -55,7 +54,7 @@
 		id := agent.Acquire(now, Reservation{Subject: "other", Limit: testLimit, Version: 1, Amount: 1e9})
 		_, done := agent.Flush()
 		if len(done) != 1 || done[0].ID != id {
-			t.Fatal("no verdict")
+			t.Fatal("no result")
 		}
 		if _, granted := done[0].Result.(Granted); granted {
 			t.Fatal("granted beyond any limit")
--- a/internal/quota/pool_test.go
+++ b/internal/quota/pool_test.go
@@ -13,15 +13,15 @@
 
 var testLimit = Limit{Rate: 1000, Burst: 2000}
 
-// testBounds leave a spare of 1000: 400 are granted evenly over the window, 100 are
-// start credits, 150 are debt.
+// testBounds leave a spare of 1000: 400 are granted evenly over the window, 100 are start
+// credits, 150 are debt.
 var testBounds = Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 0}
 
 func addrOf(index int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(index + 1)}), 7000)
 }
 
-// poolOf returns a pool with a number of members out of routers, filled since a time.
+// poolOf returns a pool with a number of members out of routers.
 func poolOf(now time.Time, members, routers int, credit bool) *Pool {
 	pool := NewPool(testBounds)
 	for index := range members {
@@ -30,8 +30,8 @@
 	return pool
 }
 
-// keep keeps members for a time.
-func keep(pool *Pool, now time.Time, length time.Duration, members, routers int) time.Time {
+// keepMembers refreshes the members for a time.
+func keepMembers(pool *Pool, now time.Time, length time.Duration, members, routers int) time.Time {
 	for end := now.Add(length); now.Before(end); {
 		now = now.Add(helloInterval)
 		for index := range members {
@@ -41,21 +41,20 @@
 	return now
 }
 
-// lastID is the id of the last ask of granted.
-var lastID atomic.Uint64
+// lastRequestID is the last request ID of grantedUnits.
+var lastRequestID atomic.Uint64
 
-// granted asks for amounts of one unit until one is denied, and returns how many were
-// granted.
-func granted(pool *Pool, now time.Time, limit Limit, version uint64, routers int) int {
+// grantedUnits requests single units until one is denied, and returns the number granted.
+func grantedUnits(pool *Pool, now time.Time, limit Limit, version uint64, routers int) int {
 	for count := 0; ; count++ {
-		ask := AcquireRequest{ID: 1000 + lastID.Add(1), Reservation: Reservation{Subject: "t", Limit: limit, Version: version, Amount: 1}}
-		if !pool.Ask(now, addrOf(0), &ask, routers).Granted {
+		request := AcquireRequest{ID: 1000 + lastRequestID.Add(1), Reservation: Reservation{Subject: "t", Limit: limit, Version: version, Amount: 1}}
+		if !pool.Acquire(now, addrOf(0), &request, routers).Granted {
 			return count
 		}
 	}
 }
 
-func TestAPoolGrantsTheShareOfItsMembers(t *testing.T) {
+func TestPoolGrantsShareOfMembers(t *testing.T) {
 	tests := []struct {
 		members, routers int
 		credit           bool
@@ -76,14 +75,14 @@
 			is := is.New(t)
 			now := epoch
 			pool := poolOf(now, tt.members, tt.routers, tt.credit)
-			now = keep(pool, now, tt.filled, tt.members, tt.routers)
-			is.Equal(granted(pool, now, testLimit, 1, tt.routers), tt.want)
+			now = keepMembers(pool, now, tt.filled, tt.members, tt.routers)
+			is.Equal(grantedUnits(pool, now, testLimit, 1, tt.routers), tt.want)
 		})
 	}
 }
 
-// Routers that come and go fill no bucket beyond its capacity and the part of the spare.
-func TestWhatMembersBringIsBounded(t *testing.T) {
+// Routers that leave and join repeatedly must not fill a bucket beyond its bounds.
+func TestStartCreditsAreBounded(t *testing.T) {
 	tests := []struct {
 		name  string
 		known bool
@@ -98,90 +97,90 @@
 			now := epoch
 			pool := poolOf(now, 4, 4, false)
 			if tt.known {
-				is.Equal(granted(pool, now, testLimit, 1, 4), 0)
+				is.Equal(grantedUnits(pool, now, testLimit, 1, 4), 0)
 			}
 			for range 100 {
 				pool.Leave(now, addrOf(1), 4)
 				pool.Join(now, addrOf(1), true, 4)
 			}
-			is.Equal(granted(pool, now, testLimit, 1, 4), tt.want)
+			is.Equal(grantedUnits(pool, now, testLimit, 1, 4), tt.want)
 		})
 	}
 }
 
-// What a pool holds goes with its members: whoever leads them next grants it too.
-func TestAPoolThatLosesMembersHoldsLess(t *testing.T) {
+// The next leader of the lost members grants their share, so the pool must give it up.
+func TestPoolShrinksWithMembers(t *testing.T) {
 	tests := []struct{ left, want int }{{4, 2000}, {2, 1050}, {1, 525}}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.left), func(t *testing.T) {
 			is := is.New(t)
 			pool := poolOf(epoch, 4, 4, false)
-			is.Equal(granted(pool, epoch, testLimit, 1, 4), 0)
-			now := keep(pool, epoch, time.Minute, 4, 4)
+			is.Equal(grantedUnits(pool, epoch, testLimit, 1, 4), 0)
+			now := keepMembers(pool, epoch, time.Minute, 4, 4)
 			for index := tt.left; index < 4; index++ {
 				pool.Leave(now, addrOf(index), 4)
 			}
-			is.Equal(granted(pool, now, testLimit, 1, 4), tt.want)
+			is.Equal(grantedUnits(pool, now, testLimit, 1, 4), tt.want)
 		})
 	}
 }
 
-func TestALeaderThatStoodStillFillsNothingMeanwhile(t *testing.T) {
+func TestPausedLeaderDoesNotRefillBuckets(t *testing.T) {
 	is := is.New(t)
 	pool := poolOf(epoch, 4, 4, false)
 	now := epoch.Add(time.Minute)
-	most := int(testBounds.rate(testLimit) * memberFor.Seconds())
-	is.True(granted(pool, now, testLimit, 1, 4) <= most)
-	is.Equal(pool.Members(), 1) // who asked
+	most := int(testBounds.rate(testLimit) * memberTimeout.Seconds())
+	is.True(grantedUnits(pool, now, testLimit, 1, 4) <= most)
+	is.Equal(pool.Members(), 1) // the requester
 }
 
-func TestWhatIsGivenBackCountsOnce(t *testing.T) {
+func TestReleaseCountsOnce(t *testing.T) {
 	is := is.New(t)
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
-	now = keep(pool, now, time.Second, 4, 4)
-	ask := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Amount: 1000}}
-	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
-	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted) // the same ask, once more
-	is.Equal(granted(pool, now, testLimit, 0, 4), 102)
+	now = keepMembers(pool, now, time.Second, 4, 4)
+	request := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Amount: 1000}}
+	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
+	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted) // a retry
+	is.Equal(grantedUnits(pool, now, testLimit, 0, 4), 102)
 	for range 3 {
-		pool.Return(addrOf(0), 1)
-		pool.Return(addrOf(1), 1) // never granted
+		pool.Release(addrOf(0), 1)
+		pool.Release(addrOf(1), 1) // never granted
 	}
-	is.Equal(granted(pool, now.Add(time.Nanosecond), testLimit, 0, 4), 1000)
+	is.Equal(grantedUnits(pool, now.Add(time.Nanosecond), testLimit, 0, 4), 1000)
 }
 
-func TestANewerLimitIsTakenAtOnceAndAnOlderOneNever(t *testing.T) {
+func TestOnlyNewerLimitIsApplied(t *testing.T) {
 	is := is.New(t)
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
-	now = keep(pool, now, time.Minute, 4, 4)
-	ask := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Version: 1, Amount: 1}}
-	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
+	now = keepMembers(pool, now, time.Minute, 4, 4)
+	request := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Version: 1, Amount: 1}}
+	is.True(pool.Acquire(now, addrOf(0), &request, 4).Granted)
 	lower := Limit{Rate: 100, Burst: 200}
-	is.Equal(granted(pool, now, lower, 2, 4), 200)
-	now = keep(pool, now, time.Minute, 4, 4)
-	is.Equal(granted(pool, now, testLimit, 1, 4), 200)
+	is.Equal(grantedUnits(pool, now, lower, 2, 4), 200)
+	now = keepMembers(pool, now, time.Minute, 4, 4)
+	is.Equal(grantedUnits(pool, now, testLimit, 1, 4), 200)
 }
 
-func TestAClaimThatIsNoneIsDenied(t *testing.T) {
+func TestInvalidReservationIsDenied(t *testing.T) {
 	tests := []Reservation{
 		{Limit: testLimit, Amount: -1}, {Limit: testLimit, Amount: math.NaN()}, {Limit: testLimit, Amount: math.Inf(1)},
 		{Limit: Limit{Rate: math.NaN(), Burst: 1}, Amount: 1}, {Limit: Limit{Rate: math.Inf(1)}, Amount: 1},
 		{Limit: Limit{Rate: 1, Burst: math.Inf(1)}, Amount: 1}, {Amount: 1},
 	}
-	for _, claim := range tests {
-		t.Run(fmt.Sprint(claim), func(t *testing.T) {
+	for _, reservation := range tests {
+		t.Run(fmt.Sprint(reservation), func(t *testing.T) {
 			is := is.New(t)
 			pool := poolOf(epoch, 1, 1, false)
-			now := keep(pool, epoch, time.Minute, 1, 1)
-			is.Equal(pool.Ask(now, addrOf(0), &AcquireRequest{ID: 1, Reservation: claim}, 1), AcquireResponse{ID: 1, RetryAfter: longestDenial})
+			now := keepMembers(pool, epoch, time.Minute, 1, 1)
+			is.Equal(pool.Acquire(now, addrOf(0), &AcquireRequest{ID: 1, Reservation: reservation}, 1), AcquireResponse{ID: 1, RetryAfter: maxRetryAfter})
 			is.Equal(len(pool.buckets), 0)
 		})
 	}
 }
 
-func TestLargeRequests(t *testing.T) {
+func TestLargeReservations(t *testing.T) {
 	tests := []struct {
 		name    string
 		amount  float64
@@ -193,17 +192,17 @@
 		{"lacks a half", 1500, 900 * time.Millisecond, false, 529 * time.Millisecond},
 		{"larger than the bucket, which is full", 2140, time.Minute, true, 0},
 		{"larger than the bucket, which is not full", 2140, 900 * time.Millisecond, false, 1005 * time.Millisecond},
-		{"larger than may ever be granted", 2160, time.Minute, false, longestDenial},
+		{"larger than may ever be granted", 2160, time.Minute, false, maxRetryAfter},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			pool := poolOf(epoch, 4, 4, false)
-			now := keep(pool, epoch, tt.filled, 4, 4)
-			ask := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Amount: tt.amount}}
-			answer := pool.Ask(now, addrOf(0), &ask, 4)
-			is.Equal(answer.Granted, tt.granted)
-			is.Equal(answer.RetryAfter.Round(time.Millisecond), tt.after)
+			now := keepMembers(pool, epoch, tt.filled, 4, 4)
+			request := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Amount: tt.amount}}
+			response := pool.Acquire(now, addrOf(0), &request, 4)
+			is.Equal(response.Granted, tt.granted)
+			is.Equal(response.RetryAfter.Round(time.Millisecond), tt.after)
 		})
 	}
 }
--- a/standin/experiment/policies.go
+++ b/standin/experiment/policies.go
@@ -45,7 +45,7 @@
 	return admission.NewGradientLimiter(admission.LimitBounds{})
 }
 
-func rateLimiter() admission.Limiter { return admission.NewRateTimesService(admission.LimitBounds{}) }
+func rateLimiter() admission.Limiter { return admission.NewLittlesLawLimiter(admission.LimitBounds{}) }
 
 // lowLimit is the limit of one router on one engine in the variant with a
 // fixed limit below the engine's batch.
