--- a/internal/node/backendlimit_test.go
+++ b/internal/node/backendlimit_test.go
@@ -18,52 +18,52 @@
 	"github.com/fieldpond/fieldpond/internal/clock"
 )
 
-func TestAnEngineThatNamesALimitGetsNoMore(t *testing.T) {
+func TestAdvertisedLimitIsKept(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newLimitFleet(t, 4, 5)
 	f.limit(1.3, 0)
 	f.limit(2, 1)
 	result := f.load(32, 10*time.Second)
-	f.bounded(0, 1.3)
-	f.bounded(1, 2)
+	f.checkLimit(0, 1.3)
+	f.checkLimit(1, 2)
 	t.Logf("%d answered, %d refused", result.answered, len(result.refusals))
 	is.Equal(len(result.refusals)+result.broken, 0) // two engines have no limit
 }
 
-// servedAim is the part of all requests that is to be served while engines without limits are
+// minServed is the part of all requests that is to be served while engines without limits are
 // there.
-const servedAim = 0.97
+const minServed = 0.97
 
 // Engines with limits of all sizes get at least half of what they take while there is demand,
 // and never more than they may, whatever becomes of the routers and the store.
-func TestLimitsOfEnginesHold(t *testing.T) {
+func TestLimitsDuringFaults(t *testing.T) {
 	tests := []struct {
 		name    string
 		limits  []float64
 		routers int
 		rate    float64
-		// amid happens 4 s after the load began.
-		amid func(f *limitFleet)
-		// most are the limits that are judged, used the part of them, or of what is asked of an
+		// fault happens 4 s after the load began.
+		fault func(f *limitFleet)
+		// maxRates are the limits that are judged, used the part of them, or of what is asked of an
 		// engine if that is less, that is used at least.
-		most []float64
-		used float64
+		maxRates []float64
+		used     float64
 		// served is the part of all requests that is answered at least.
 		served float64
 	}{
-		{name: "less than one a second", limits: []float64{0.25, 0.5, unlimited, unlimited}, routers: 5, rate: 30, used: 0.5, served: servedAim},
-		{name: "many", limits: []float64{40, 10, unlimited, unlimited}, routers: 5, rate: 120, used: 0.5, served: servedAim},
+		{name: "less than one a second", limits: []float64{0.25, 0.5, unlimited, unlimited}, routers: 5, rate: 30, used: 0.5, served: minServed},
+		{name: "many", limits: []float64{40, 10, unlimited, unlimited}, routers: 5, rate: 120, used: 0.5, served: minServed},
 		{name: "all engines", limits: []float64{1.3, 1.6, 5, 9, 1.3, 2}, routers: 5, rate: 40, used: 0.7, served: 0.3},
-		{name: "it falls", limits: []float64{9, unlimited, unlimited}, routers: 5, rate: 60, served: servedAim,
-			amid: func(f *limitFleet) { f.limit(1.3, 0) }, most: []float64{9}},
-		{name: "a router leaves, another joins", limits: []float64{1.3, 5, unlimited}, routers: 5, rate: 30, served: servedAim,
-			amid: func(f *limitFleet) {
+		{name: "it falls", limits: []float64{9, unlimited, unlimited}, routers: 5, rate: 60, served: minServed,
+			fault: func(f *limitFleet) { f.limit(1.3, 0) }, maxRates: []float64{9}},
+		{name: "a router leaves, another joins", limits: []float64{1.3, 5, unlimited}, routers: 5, rate: 30, served: minServed,
+			fault: func(f *limitFleet) {
 				f.stopRouter(0)
 				f.startRouter(5)
 			}},
-		{name: "the store is down", limits: []float64{1.3, 5, unlimited}, routers: 5, rate: 30, used: 0.5, served: servedAim,
-			amid: func(f *limitFleet) { f.table.down.Store(true) }},
+		{name: "the store is down", limits: []float64{1.3, 5, unlimited}, routers: 5, rate: 30, used: 0.5, served: minServed,
+			fault: func(f *limitFleet) { f.table.down.Store(true) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -73,8 +73,8 @@
 			for index, rate := range tt.limits {
 				f.limit(rate, index)
 			}
-			if tt.amid != nil {
-				time.AfterFunc(4*time.Second, func() { tt.amid(f) })
+			if tt.fault != nil {
+				time.AfterFunc(4*time.Second, func() { tt.fault(f) })
 			}
 			begun := time.Now()
 			result := f.load(tt.rate, 12*time.Second)
@@ -86,10 +86,10 @@
 				if rate == unlimited {
 					continue
 				}
-				if index < len(tt.most) {
-					rate = tt.most[index]
+				if index < len(tt.maxRates) {
+					rate = tt.maxRates[index]
 				}
-				f.bounded(index, rate)
+				f.checkLimit(index, rate)
 				took := f.arrivedSince(index, begun.Add(time.Second))
 				asked := float64(total) / float64(len(tt.limits))
 				is.True(float64(took) >= tt.used*min(rate*11, asked)-1)
@@ -99,7 +99,7 @@
 }
 
 // An engine whose limit has fallen gets no more than the lower one allows.
-func TestALimitThatFallsHoldsAtOnce(t *testing.T) {
+func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newLimitFleet(t, 3, 5)
 	f.limit(9, 0)
@@ -114,7 +114,7 @@
 }
 
 // An engine that names no limit any more is in use again as before within 5 s.
-func TestAnEngineIsBackWhenItsLimitEnds(t *testing.T) {
+func TestEngineIsUsedWhenLimitEnds(t *testing.T) {
 	for _, rate := range []float64{0.25, 1.3} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			t.Parallel()
@@ -134,7 +134,7 @@
 }
 
 // What no engine takes is refused at once, and told when to come back.
-func TestWhatNoLimitLeavesRoomForIsRefusedAtOnce(t *testing.T) {
+func TestRequestsAboveAllLimitsAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newLimitFleet(t, 3, 3)
@@ -154,7 +154,7 @@
 
 // Routers hear of a limit before an answer tells each of them, and one that joins knows it before
 // it serves.
-func TestRoutersHearOfLimitsFromEachOther(t *testing.T) {
+func TestLimitsReachOtherRouters(t *testing.T) {
 	t.Parallel()
 	f := newLimitFleet(t, 2, 3)
 	f.limit(1.3, 0)
@@ -163,7 +163,7 @@
 	}
 	result := &limitLoad{}
 	eventually(t, func() bool {
-		result.ask(t.Context(), 0, f.router(0).forwarder)
+		result.send(t.Context(), 0, f.router(0).forwarder)
 		return knows(0)
 	})
 	eventually(t, func() bool { return knows(1) && knows(2) })
@@ -171,7 +171,7 @@
 	if !knows(3) {
 		t.Error("a router serves before it knows a limit that its peers know")
 	}
-	if count := len(f.engines[0].toldAt); count != 1 {
+	if count := len(f.engines[0].firstLimitAt); count != 1 {
 		t.Errorf("%d routers were told by the engine", count)
 	}
 }
--- a/internal/node/backendlimits.go
+++ b/internal/node/backendlimits.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// limitPlaces is the number of routers that share out the granting for back ends with
+	// limitPools is the number of routers that share out the granting for back ends with
 	// limits. Each costs every router some six small datagrams a second and as many answers,
 	// while a back end that it grants for has a limit.
-	limitPlaces = 4
-	// limitHello is the time between two hellos to each of them. A router that goes from one
+	limitPools = 4
+	// limitHelloInterval is the time between two hellos to each of them. A router that goes from one
 	// pool to another may count in both for three of them, in which a limit is exceeded by
 	// less than a quarter of what it allows in limitWindow.
-	limitHello = 300 * time.Millisecond
+	limitHelloInterval = 300 * time.Millisecond
 	// limitWindow is the window in which what back ends get is judged.
 	limitWindow = 4 * time.Second
 )
 
 // limitMessage is a message between the agents that grant for a part of the back ends.
 type limitMessage struct {
-	// Place is that of the router which leads (quota.Config.Place).
-	Place uint8          `cbor:"1,keyasint,omitempty"`
+	// Pool is that of the router which leads (quota.Config.Place).
+	Pool  uint8          `cbor:"1,keyasint,omitempty"`
 	Quota quota.Datagram `cbor:"2,keyasint"`
 }
 
@@ -42,7 +42,7 @@
 type backendLimits struct {
 	backends *backend.Registry
 	metrics  *metrics
-	places   [limitPlaces]*quotas
+	pools    [limitPools]*quotas
 }
 
 var _ forward.BackendLimits = (*backendLimits)(nil)
@@ -51,102 +51,102 @@
 // routers returns the number of all routers, 0 if it is not known.
 func newBackendLimits(self netip.AddrPort, backends *backend.Registry, routers func() int, counters *metrics) *backendLimits {
 	b := &backendLimits{backends: backends, metrics: counters}
-	for place := range b.places {
+	for index := range b.pools {
 		cfg := quota.Config{
-			Self: self, Bounds: quota.Bounds{Window: limitWindow, Unit: 1}, Place: place, HelloInterval: limitHello,
+			Self: self, Bounds: quota.Bounds{Window: limitWindow, Unit: 1}, Place: index, HelloInterval: limitHelloInterval,
 			Alone: !self.IsValid(),
 		}
-		b.places[place] = newQuotas(cfg, &quotas{
+		b.pools[index] = newQuotas(cfg, &quotas{
 			name: "back ends", send: func(quota.Envelope) {}, routers: routers,
-			count: func(*quota.Claim, quota.Verdict) {},
+			onResult: func(*quota.Claim, quota.Verdict) {},
 		})
 	}
 	return b
 }
 
 // connect sends messages by the socket of this router.
-func (b *backendLimits) connect(announcer *notices) {
-	for place, pool := range b.places {
+func (b *backendLimits) connect(socket *notices) {
+	for index, pool := range b.pools {
 		pool.send = func(envelope quota.Envelope) {
-			message := limitMessage{Place: uint8(place), Quota: *quota.Pack(envelope.Message)}
-			announcer.sendTo(envelope.To, datagram{Limit: &message})
+			message := limitMessage{Pool: uint8(index), Quota: *quota.Pack(envelope.Message)}
+			socket.sendTo(envelope.To, datagram{Limit: &message})
 		}
 	}
 }
 
-// know takes in this router's row and those of the others.
-func (b *backendLimits) know(self upstream.Peer, peers []upstream.Peer) {
-	for _, pool := range b.places {
-		pool.know(self, peers)
+// setRouters takes in this router's row and those of the others.
+func (b *backendLimits) setRouters(self upstream.Peer, peers []upstream.Peer) {
+	for _, pool := range b.pools {
+		pool.setRouters(self, peers)
 	}
 }
 
 // receive takes in a message of another router.
 func (b *backendLimits) receive(from netip.AddrPort, message *limitMessage) {
-	if msg := message.Quota.Message(); msg != nil && int(message.Place) < len(b.places) {
-		b.places[message.Place].receive(from, msg)
+	if msg := message.Quota.Message(); msg != nil && int(message.Pool) < len(b.pools) {
+		b.pools[message.Pool].receive(from, msg)
 	}
 }
 
-// placeOf returns the place of the router that grants for a back end.
-func placeOf(instance ident.Incarnation) int {
-	return int(xxhash.Sum64String(string(instance)) % limitPlaces)
+// poolOf returns the place of the router that grants for a back end.
+func poolOf(instance ident.Incarnation) int {
+	return int(xxhash.Sum64String(string(instance)) % limitPools)
 }
 
 // Take implements forward.BackendLimits.
 func (b *backendLimits) Take(ctx context.Context, choice *backend.Choice, preferred bool) quota.Verdict {
-	pool := b.places[placeOf(choice.Instance)]
-	verdict := pool.Take(ctx, quota.Claim{
+	pool := b.pools[poolOf(choice.Instance)]
+	result := pool.Take(ctx, quota.Claim{
 		Subject: quota.Subject(choice.Instance), Limit: quota.Limit{Rate: choice.Limit.Rate}, Version: choice.Limit.Sequence,
 		Amount: 1, Preferred: preferred,
 	})
-	b.metrics.limitClaims.WithLabelValues(verdictName(verdict)).Inc()
-	if _, unconfirmed := verdict.(quota.Unconfirmed); !unconfirmed && pool.shared() {
+	b.metrics.limitReservations.WithLabelValues(quotaResultName(result)).Inc()
+	if _, unconfirmed := result.(quota.Unconfirmed); !unconfirmed && pool.shared() {
 		// Others keep to the limit as well: an answer that ends it would have been told.
 		b.backends.LimitConfirmed(clock.Now(), choice.Instance)
 	}
-	return verdict
+	return result
 }
 
 // Return implements forward.BackendLimits.
 func (b *backendLimits) Return(to ident.Incarnation, grant quota.Grant) {
-	b.places[placeOf(to)].Return(grant)
+	b.pools[poolOf(to)].Return(grant)
 }
 
-// wake joins the pool for a back end at once, so that it is formed when requests come.
-func (b *backendLimits) wake(instance ident.Incarnation) {
-	pool := b.places[placeOf(instance)]
-	pool.use(pool.agent.Tick)
+// joinPool joins the pool for a back end at once, so that it is formed when requests come.
+func (b *backendLimits) joinPool(instance ident.Incarnation) {
+	pool := b.pools[poolOf(instance)]
+	pool.withAgent(pool.agent.Tick)
 }
 
 // run keeps this router in the pools for the back ends that have limits, until ctx ends.
 func (b *backendLimits) run(ctx context.Context) {
 	wait.Every(ctx, quotaTick, func() {
-		var limited [limitPlaces]bool
+		var limited [limitPools]bool
 		for _, instance := range b.backends.Limited(clock.Now()) {
-			limited[placeOf(instance)] = true
+			limited[poolOf(instance)] = true
 		}
-		for place, pool := range b.places {
-			pool.keep(limited[place])
+		for index, pool := range b.pools {
+			pool.updateMembership(limited[index])
 		}
 	})
-	for _, pool := range b.places {
-		pool.keep(false)
+	for _, pool := range b.pools {
+		pool.updateMembership(false)
 	}
 }
 
 // members returns the number of routers that are members of pools which this router leads.
 func (b *backendLimits) members() int {
 	members := 0
-	for _, pool := range b.places {
+	for _, pool := range b.pools {
 		members += pool.members()
 	}
 	return members
 }
 
-// verdictName is the name of a verdict in metrics.
-func verdictName(verdict quota.Verdict) string {
-	switch verdict.(type) {
+// quotaResultName is the name of a verdict in metrics.
+func quotaResultName(result quota.Verdict) string {
+	switch result.(type) {
 	case quota.Granted:
 		return "granted"
 	case quota.Denied:
--- a/internal/node/backendnews.go
+++ b/internal/node/backendupdates.go
@@ -20,66 +20,66 @@
 type backendNews struct {
 	backends *backend.Registry
 	limits   *backendLimits
-	// tell tells all other routers; it does nothing before this one runs.
-	tell func([]backend.News)
+	// send tells all other routers; it does nothing before this one runs.
+	send func([]backend.News)
 }
 
 var _ forward.BackendNews = (*backendNews)(nil)
 
-func newBackendNews(backends *backend.Registry, limits *backendLimits) *backendNews {
-	return &backendNews{backends: backends, limits: limits, tell: func([]backend.News) {}}
+func newBackendUpdates(backends *backend.Registry, limits *backendLimits) *backendNews {
+	return &backendNews{backends: backends, limits: limits, send: func([]backend.News) {}}
 }
 
 // Changed implements forward.BackendNews.
 func (b *backendNews) Changed(instance ident.Incarnation) {
-	news, known := b.backends.NewsOf(clock.Now(), instance)
+	update, known := b.backends.NewsOf(clock.Now(), instance)
 	if !known {
 		return
 	}
-	b.tell([]backend.News{news})
-	if news.Limited {
-		b.limits.wake(instance)
+	b.send([]backend.News{update})
+	if update.Limited {
+		b.limits.joinPool(instance)
 	}
 }
 
-// hear takes in what an answer to a report or an order says of its back end.
-func (b *backendNews) hear(instance ident.Incarnation, sentAt time.Time, said backend.Said, by backend.Source) {
-	heard := b.backends.TakeSaid(clock.Now(), instance, sentAt, said, by)
-	if heard.LimitChanged {
-		change := &heard.Limit
+// observeAdvertised takes in what an answer to a report or an order says of its back end.
+func (b *backendNews) observeAdvertised(instance ident.Incarnation, sentAt time.Time, advertised backend.Said, by backend.Source) {
+	observed := b.backends.TakeSaid(clock.Now(), instance, sentAt, advertised, by)
+	if observed.LimitChanged {
+		change := &observed.Limit
 		log.WithFields(log.Fields{
 			"instance": instance, "limited": change.Limited, "rate": change.Rate, "rate_before": change.Before,
 		}).Info("backend_limit_reported")
 	}
-	if heard.Leaving {
-		logLeaving(instance, by)
+	if observed.Leaving {
+		logDraining(instance, by)
 	}
-	if heard.Rest > 0 {
-		log.WithFields(log.Fields{"instance": instance, "by": by, "rest_ms": heard.Rest.Milliseconds()}).Info("backend_rest")
+	if observed.Rest > 0 {
+		log.WithFields(log.Fields{"instance": instance, "by": by, "rest_ms": observed.Rest.Milliseconds()}).Info("backend_rest")
 	}
-	if heard.News() {
+	if observed.News() {
 		b.Changed(instance)
 	}
 }
 
 // told takes in what other routers tell.
-func (b *backendNews) told(news []backend.News) {
+func (b *backendNews) told(updates []backend.News) {
 	if b == nil {
 		return
 	}
-	for _, learnt := range b.backends.TakeNews(clock.Now(), news) {
-		if learnt.LimitChanged {
+	for _, applied := range b.backends.TakeNews(clock.Now(), updates) {
+		if applied.LimitChanged {
 			log.WithFields(log.Fields{
-				"instance": learnt.Instance, "limited": learnt.Limited, "rate": learnt.Rate, "age_ms": learnt.Age.Milliseconds(),
+				"instance": applied.Instance, "limited": applied.Limited, "rate": applied.Rate, "age_ms": applied.Age.Milliseconds(),
 			}).Info("backend_limit_told")
-			b.limits.wake(learnt.Instance)
+			b.limits.joinPool(applied.Instance)
 		}
-		if learnt.LeavingBegan {
-			logLeaving(learnt.Instance, backend.ByRouter)
+		if applied.LeavingBegan {
+			logDraining(applied.Instance, backend.ByRouter)
 		}
 	}
 }
 
-func logLeaving(instance ident.Incarnation, by backend.Source) {
+func logDraining(instance ident.Incarnation, by backend.Source) {
 	log.WithFields(log.Fields{"instance": instance, "by": by}).Info("backend_leaving")
 }
--- a/internal/node/builds_test.go
+++ b/internal/node/builds_test.go
@@ -41,7 +41,7 @@
 
 // What an older build sends and writes is read whole, and what it would read of the same message
 // of this build is what it sent: fields were only added.
-func TestMessagesOfAnOlderBuild(t *testing.T) {
+func TestMessagesOfOlderBuild(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join(buildSamples, "*.cbor"))
 	if err != nil || len(paths) < 15 {
 		t.Fatalf("%d samples, %v", len(paths), err)
@@ -63,14 +63,14 @@
 			var before, after any
 			is.NoErr(cbor.Unmarshal(sample, &before))
 			is.NoErr(cbor.Unmarshal(encoded, &after))
-			keeps(t, name, before, after)
+			checkKept(t, name, before, after)
 		})
 	}
 }
 
-// keeps fails if a value lacks what an earlier one has, or has it changed. Zero values that are
+// checkKept fails if a value lacks what an earlier one has, or has it changed. Zero values that are
 // left out are the same.
-func keeps(t *testing.T, place string, before, after any) {
+func checkKept(t *testing.T, place string, before, after any) {
 	t.Helper()
 	switch before := before.(type) {
 	case map[any]any:
@@ -80,7 +80,7 @@
 			return
 		}
 		for key, value := range before {
-			keeps(t, place+"/"+cborKey(key), value, found[key])
+			checkKept(t, place+"/"+cborKey(key), value, found[key])
 		}
 	case []any:
 		found, is := after.([]any)
@@ -89,7 +89,7 @@
 			return
 		}
 		for index, value := range before {
-			keeps(t, place, value, found[index])
+			checkKept(t, place, value, found[index])
 		}
 	default:
 		first, _ := cbor.Marshal(before)
@@ -101,11 +101,11 @@
 }
 
 func cborKey(key any) string {
-	text, _ := cbor.Diagnose(must(cbor.Marshal(key)))
+	text, _ := cbor.Diagnose(mustMarshal(cbor.Marshal(key)))
 	return text
 }
 
-func must(encoded []byte, err error) []byte {
+func mustMarshal(encoded []byte, err error) []byte {
 	if err != nil {
 		panic(err)
 	}
@@ -113,7 +113,7 @@
 }
 
 // A datagram with fields that this build does not know is read as far as it does.
-func TestMessagesOfALaterBuild(t *testing.T) {
+func TestMessagesOfLaterBuild(t *testing.T) {
 	is := is.New(t)
 	encoded, err := cbor.Marshal(map[int]any{2: map[int]any{1: []string{"e"}, 99: "later"}, 98: "later", 97: []int{1}})
 	is.NoErr(err)
--- a/internal/node/canary.go
+++ b/internal/node/canary.go
@@ -24,16 +24,16 @@
 	// whose looks only log what has changed.
 	directTick = 100 * time.Millisecond
 	canaryTick = 250 * time.Millisecond
-	// canaryLinger is how long routers are told a final phase, so that it reaches those
+	// finalPhaseResend is how long routers are told a final phase, so that it reaches those
 	// that miss datagrams or start meanwhile; it is as long as a canary.Director tells it.
-	canaryLinger = 10 * time.Second
-	// rosterPause is the least time between two reads of the routers' rows that a rollout
+	finalPhaseResend = 10 * time.Second
+	// routersReadPause is the least time between two reads of the routers' rows that a rollout
 	// asks for: a router that has just started must be heard before a verdict.
-	rosterPause = time.Second
+	routersReadPause = time.Second
 )
 
-// holding tells whether this router holds the lease under which rollouts are directed.
-type holding interface {
+// leaseHolder tells whether this router holds the lease under which rollouts are directed.
+type leaseHolder interface {
 	Held() (lease.Grant, error)
 }
 
@@ -44,19 +44,19 @@
 	// self is where this router is told permits, peers the addresses of the others.
 	self  netip.AddrPort
 	peers func() []netip.AddrPort
-	// refresh reads the addresses of the others anew.
-	refresh  func(ctx context.Context)
-	send     func(to netip.AddrPort, told datagram)
-	lease    holding
-	backends *backend.Registry
-	states   *rolloutStates
-	metrics  *metrics
+	// refreshPeers reads the addresses of the others anew.
+	refreshPeers func(ctx context.Context)
+	send         func(to netip.AddrPort, told datagram)
+	lease        leaseHolder
+	backends     *backend.Registry
+	states       *rolloutStates
+	metrics      *metrics
 
 	bounds canary.Bounds
-	// bound is true while some attempt may not go to every release.
-	bound atomic.Bool
-	// awake has an item once there is a rollout to look after.
-	awake chan struct{}
+	// restricted is true while some attempt may not go to every release.
+	restricted atomic.Bool
+	// wakeups has an item once there is a rollout to look after.
+	wakeups chan struct{}
 
 	mu       sync.Mutex
 	gate     *canary.Gate
@@ -65,13 +65,13 @@
 	listedReleases map[ident.Service][]ident.Release
 	// busyUntil is when nothing is left to do, unless an order comes.
 	busyUntil time.Time
-	// rosterAt is when the routers' rows were last asked for, wanted whether they are to
+	// routersReadAt is when the routers' rows were last asked for, wanted whether they are to
 	// be read.
-	rosterAt time.Time
-	wanted   bool
-	trails   map[ident.Service]*rolloutTrail
-	// directing is nil while the lease is not held.
-	directing *directing
+	routersReadAt  time.Time
+	routersReadDue bool
+	logged         map[ident.Service]*loggedRollout
+	// term is nil while the lease is not held.
+	term *leaseTerm
 }
 
 var _ forward.Releases = (*canaries)(nil)
@@ -79,10 +79,10 @@
 // newCanaries returns the canaries of a router.
 func newCanaries(bounds canary.Bounds, c *canaries) *canaries {
 	c.bounds = bounds
-	c.awake = make(chan struct{}, 1)
+	c.wakeups = make(chan struct{}, 1)
 	c.gate = canary.NewGate(canary.GateConfig{Life: rand.Uint64(), Bounds: bounds})
 	c.listedReleases = make(map[ident.Service][]ident.Release)
-	c.trails = make(map[ident.Service]*rolloutTrail)
+	c.logged = make(map[ident.Service]*loggedRollout)
 	return c
 }
 
@@ -96,7 +96,7 @@
 
 // Choose implements forward.Releases.
 func (c *canaries) Choose(now time.Time, ask canary.Ask) backend.Releases {
-	if !c.bound.Load() {
+	if !c.restricted.Load() {
 		return backend.Releases{}
 	}
 	c.mu.Lock()
@@ -106,7 +106,7 @@
 
 // Stands implements forward.Releases.
 func (c *canaries) Stands(service ident.Service, allowed *backend.Releases, release ident.Release) bool {
-	if !c.bound.Load() {
+	if !c.restricted.Load() {
 		return true
 	}
 	c.mu.Lock()
@@ -142,7 +142,7 @@
 	now := clock.Now()
 	c.rollouts = rollouts
 	c.gate.Know(now, confirmedAt, rollouts.known())
-	c.changed(now)
+	c.gateChanged(now)
 }
 
 // listed takes in the back ends as they were listed at a time.
@@ -164,7 +164,7 @@
 		}
 	}
 	c.listedReleases = releases
-	c.changed(clock.Now())
+	c.gateChanged(clock.Now())
 }
 
 // releasesOf returns the releases of each service, in order.
@@ -182,55 +182,55 @@
 
 // receive takes in a datagram of a router. Those of other senders are dropped, and the
 // routers' rows are looked at again, since it may be one that has just started.
-func (c *canaries) receive(from netip.AddrPort, told *datagram) {
-	if told.Permit == nil && told.Report == nil {
+func (c *canaries) receive(from netip.AddrPort, received *datagram) {
+	if received.Permit == nil && received.Report == nil {
 		return
 	}
 	known := slices.Contains(c.peers(), from)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !known {
-		c.wantRoster()
+		c.requestRoutersRead()
 		return
 	}
 	now := clock.Now()
-	if told.Permit != nil {
-		if report := c.permitted(now, told.Permit); report != nil {
+	if received.Permit != nil {
+		if report := c.applyPermit(now, received.Permit); report != nil {
 			c.send(from, datagram{Report: report})
 		}
 	}
-	if told.Report != nil && c.directing != nil {
-		c.directing.director.Reported(now, from, told.Report)
+	if received.Report != nil && c.term != nil {
+		c.term.director.Reported(now, from, received.Report)
 	}
 }
 
-// permitted takes in a permit, and returns the report that answers it, if any.
-func (c *canaries) permitted(now time.Time, permit *canary.Permit) *canary.Report {
+// applyPermit takes in a permit, and returns the report that answers it, if any.
+func (c *canaries) applyPermit(now time.Time, permit *canary.Permit) *canary.Report {
 	c.gate.Permitted(now, permit)
-	c.note(permit.Order.Service).reason = permit.Reason
-	c.changed(now)
+	c.loggedOf(permit.Order.Service).reason = permit.Reason
+	c.gateChanged(now)
 	return c.gate.Report(now, permit.Order.Service)
 }
 
-// wantRoster asks for a read of the routers' rows; the caller holds the mutex.
-func (c *canaries) wantRoster() {
-	c.wanted = true
+// requestRoutersRead asks for a read of the routers' rows; the caller holds the mutex.
+func (c *canaries) requestRoutersRead() {
+	c.routersReadDue = true
 	c.wake()
 }
 
-// changed takes in that the gate may have changed its mind; the caller holds the mutex.
-func (c *canaries) changed(now time.Time) {
-	c.bound.Store(c.gate.Active())
-	c.logTrails(now)
+// gateChanged takes in that the gate may have changed its mind; the caller holds the mutex.
+func (c *canaries) gateChanged(now time.Time) {
+	c.restricted.Store(c.gate.Active())
+	c.logChanges(now)
 	if c.rollouts.pending() {
-		c.busyUntil = now.Add(canaryLinger)
+		c.busyUntil = now.Add(finalPhaseResend)
 		c.wake()
 	}
 }
 
 func (c *canaries) wake() {
 	select {
-	case c.awake <- struct{}{}:
+	case c.wakeups <- struct{}{}:
 	default:
 	}
 }
@@ -241,7 +241,7 @@
 		if !c.busy(clock.Now()) {
 			select {
 			case <-ctx.Done():
-			case <-c.awake:
+			case <-c.wakeups:
 			}
 		}
 		pause := canaryTick
@@ -256,7 +256,7 @@
 func (c *canaries) busy(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Before(c.busyUntil) || c.wanted
+	return now.Before(c.busyUntil) || c.routersReadDue
 }
 
 // tick does what is due, and reports whether this router directs.
@@ -272,22 +272,22 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hold(now, fence)
-	if c.directing != nil {
-		c.wanted = c.wanted || c.rollouts.pending()
+	c.setFence(now, fence)
+	if c.term != nil {
+		c.routersReadDue = c.routersReadDue || c.rollouts.pending()
 		c.direct(ctx, now, engines, routers)
 	}
-	c.readRoster(ctx, now)
-	c.changed(now)
-	return c.directing != nil
+	c.readRouters(ctx, now)
+	c.gateChanged(now)
+	return c.term != nil
 }
 
-// readRoster reads the routers' rows if that is wanted and was not done lately; the caller
+// readRouters reads the routers' rows if that is wanted and was not done lately; the caller
 // holds the mutex.
-func (c *canaries) readRoster(ctx context.Context, now time.Time) {
-	if !c.wanted || now.Sub(c.rosterAt) < rosterPause {
+func (c *canaries) readRouters(ctx context.Context, now time.Time) {
+	if !c.routersReadDue || now.Sub(c.routersReadAt) < routersReadPause {
 		return
 	}
-	c.wanted, c.rosterAt = false, now
-	go c.refresh(ctx)
+	c.routersReadDue, c.routersReadAt = false, now
+	go c.refreshPeers(ctx)
 }
--- a/internal/node/canary_test.go
+++ b/internal/node/canary_test.go
@@ -16,19 +16,19 @@
 // Whatever goes wrong in between, a good release takes over before the deadline and a bad
 // one is rolled back, within the bounds of exposure, with one verdict, and without a run
 // cut off.
-func TestARolloutUnderFailure(t *testing.T) {
+func TestRolloutDuringFaults(t *testing.T) {
 	tests := []struct {
 		name string
-		// wrong happens after the order.
-		wrong func(f *guardedFleet)
+		// fault happens after the order.
+		fault func(f *guardedFleet)
 	}{
 		{"nothing", func(*guardedFleet) {}},
 		{"the holder is killed", func(f *guardedFleet) {
 			time.Sleep(3 * time.Second)
 			f.kill("r0")
-			f.hold("", 0)
+			f.setHolder("", 0)
 			time.Sleep(2 * time.Second)
-			f.hold("r1", 2)
+			f.setHolder("r1", 2)
 		}},
 		{"two routers take themselves for the holder", func(f *guardedFleet) {
 			time.Sleep(3 * time.Second)
@@ -39,17 +39,17 @@
 		{"answers to writes are lost", func(f *guardedFleet) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.loses = []writeFault{answerLost, callLost, answerLost, callLost}
+			f.writeFaults = []writeFault{answerLost, callLost, answerLost, callLost}
 		}},
 		{"a write is done long after it was given up", func(f *guardedFleet) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.loses = []writeFault{callLost, doneLater, callLost, doneLater}
+			f.writeFaults = []writeFault{callLost, writtenLater, callLost, writtenLater}
 		}},
 		{"states are read late", func(f *guardedFleet) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.blind = time.Now().Add(3 * time.Second)
+			f.statesUnreadableUntil = time.Now().Add(3 * time.Second)
 		}},
 		{"a router starts in the middle", func(f *guardedFleet) {
 			time.Sleep(4 * time.Second)
@@ -77,10 +77,10 @@
 					f := newGuardedFleet(t, 8)
 					f.failing, f.slow = release.failing, release.slow
 					f.order(guardedDuration)
-					tt.wrong(f)
+					tt.fault(f)
 					f.sleepUntil(guardedDuration + 6*time.Second)
-					verdict := f.judge(guardedDuration, release.want == canary.RolledBack)
-					is.New(t).Equal(verdict.String(), release.want.String())
+					phase := f.check(guardedDuration, release.want == canary.RolledBack)
+					is.New(t).Equal(phase.String(), release.want.String())
 				})
 			})
 		}
@@ -96,12 +96,12 @@
 func (f *guardedFleet) cutOff(node ident.Node, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[node] = cut
+	f.partitionedFrom[node] = cut
 }
 
 // A router that hears nothing of the holder sends nothing to a release that is not proved,
 // a second after the last permit at the latest, and nothing to the old one after the end.
-func TestARouterCutOffSendsNothingUnproved(t *testing.T) {
+func TestPartitionedRouterSendsNothingUnproved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newGuardedFleet(t, 8)
@@ -112,21 +112,21 @@
 		f.sleepUntil(5100 * time.Millisecond)
 		begun := time.Now()
 		f.sleepUntil(guardedDuration + 6*time.Second)
-		is.Equal(f.judge(guardedDuration, false), canary.Succeeded)
-		is.True(f.sentTo("r5", f.verdictAt(), time.Now()) > 0) // the shared state told the verdict
-		is.Equal(f.sentTo("r5", begun, f.verdictAt()), 0)
+		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
+		is.True(f.sentTo("r5", f.finalStateAt(), time.Now()) > 0) // the shared state told the verdict
+		is.Equal(f.sentTo("r5", begun, f.finalStateAt()), 0)
 	})
 }
 
-// verdictAt returns when the operator was told of the verdict.
-func (f *guardedFleet) verdictAt() time.Time {
+// finalStateAt returns when the operator was told of the verdict.
+func (f *guardedFleet) finalStateAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told[len(f.told)-1].at
+	return f.reported[len(f.reported)-1].at
 }
 
 // A router that starts in the middle sends nothing to the target before it has a permit.
-func TestARouterThatStartsInTheMiddleWaitsForAPermit(t *testing.T) {
+func TestNewRouterWaitsForPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newGuardedFleet(t, 6)
@@ -147,36 +147,36 @@
 		is.True(served > 20) // it serves meanwhile
 		f.cutOff("late", false)
 		f.sleepUntil(guardedDuration + 6*time.Second)
-		is.Equal(f.judge(guardedDuration, false), canary.Succeeded)
+		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
 	})
 }
 
 // Without an order nothing is sent, read or written, nor once a verdict is known; and an
 // order costs no call beyond the writes, and a read of states with that of the
 // configuration.
-func TestARolloutThatIsOverCostsNothing(t *testing.T) {
+func TestIdleRolloutCostsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newGuardedFleet(t, 4)
-		before := f.lives["r1"].canaries.gate.Report(time.Now(), "s")
+		before := f.guarded["r1"].canaries.gate.Report(time.Now(), "s")
 		is.True(before == nil)
-		is.True(!f.lives["r0"].canaries.busy(time.Now()))
-		update := f.routers["r0"].follower.replica.Update(time.Now(), pullOfNothing())
+		is.True(!f.guarded["r0"].canaries.busy(time.Now()))
+		update := f.routers["r0"].follower.replica.Update(time.Now(), fullPull())
 		is.True(update.Configuration.Rollouts == nil) // nothing on the wire
 		f.order(guardedDuration)
 		f.sleepUntil(guardedDuration + 20*time.Second)
-		is.Equal(f.judge(guardedDuration, false), canary.Succeeded)
-		for node, life := range f.lives {
+		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
+		for node, life := range f.guarded {
 			if life.canaries.busy(time.Now()) {
 				t.Errorf("%s still looks after the rollout", node)
 			}
 		}
-		update = f.routers["r3"].follower.replica.Update(time.Now(), pullOfNothing())
+		update = f.routers["r3"].follower.replica.Update(time.Now(), fullPull())
 		is.Equal(update.Configuration.Rollouts.Known.States[0].Phase, canary.Succeeded)
 		f.mu.Lock()
-		f.blind = time.Now().Add(time.Hour) // whoever reads a state from now on logs it
+		f.statesUnreadableUntil = time.Now().Add(time.Hour) // whoever reads a state from now on logs it
 		f.mu.Unlock()
-		lost := recordEvents(t)
+		lost := countEvents(t)
 		time.Sleep(10 * time.Second)
 		is.Equal(lost("rollout_states_not_read"), 0)
 	})
@@ -184,12 +184,12 @@
 
 // A new release beside another one gets nothing until it is known that no order for it is
 // on its way; a service of one release never waits.
-func TestAReleaseWaitsForAnOrder(t *testing.T) {
+func TestNewReleaseWaitsForConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newGuardedFleet(t, 3)
 		f.mu.Lock()
-		f.refused = 0 // before the first list nothing can be served
+		f.unserved = 0 // before the first list nothing can be served
 		f.mu.Unlock()
 		f.store.change(func() { f.store.down = true })
 		time.Sleep(200 * time.Millisecond)
@@ -204,7 +204,7 @@
 				first = one.at
 			}
 		}
-		refused := f.refused
+		refused := f.unserved
 		f.mu.Unlock()
 		is.True(!first.IsZero())                           // without an order it serves like any
 		is.True(first.Sub(listedAt) > 10*time.Millisecond) // after a confirmation
@@ -213,7 +213,7 @@
 }
 
 // An order that is withdrawn is rolled back, also by a holder that comes after that.
-func TestAWithdrawnOrderIsRolledBack(t *testing.T) {
+func TestWithdrawnOrderIsRolledBack(t *testing.T) {
 	tests := []struct {
 		name     string
 		takeover bool
@@ -230,17 +230,17 @@
 				f.store.change(func() { f.store.reading.Orders = nil })
 				if tt.takeover {
 					time.Sleep(1500 * time.Millisecond)
-					f.hold("r2", 2)
+					f.setHolder("r2", 2)
 				}
 				f.sleepUntil(guardedDuration + 6*time.Second)
-				is.New(t).Equal(f.judge(guardedDuration, true), canary.RolledBack)
+				is.New(t).Equal(f.check(guardedDuration, true), canary.RolledBack)
 			})
 		})
 	}
 }
 
 // An order that is written again while its rollout runs goes on under the earlier deadline.
-func TestAnOrderThatIsWrittenAgainGoesOn(t *testing.T) {
+func TestRewrittenOrderKeepsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newGuardedFleet(t, 6)
@@ -251,13 +251,13 @@
 			f.store.reading.Orders = []canary.Order{{Service: "s", Target: newRelease, Duration: time.Minute, Revision: f.store.version}}
 		})
 		f.sleepUntil(guardedDuration + 6*time.Second)
-		is.Equal(f.judge(guardedDuration, false), canary.Succeeded)
+		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
 		is.True(!f.routers["r4"].follower.replica.ordered().pending())
 	})
 }
 
 // An order for another release ends the one that runs, and has a verdict of its own.
-func TestAnOrderForAnotherReleaseBeginsAnew(t *testing.T) {
+func TestOrderForAnotherReleaseReplacesRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newGuardedFleet(t, 6)
@@ -271,19 +271,19 @@
 		f.sleepUntil(guardedDuration + 9*time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		verdicts := map[ident.Release]canary.Phase{}
-		for _, told := range f.told {
+		phases := map[ident.Release]canary.Phase{}
+		for _, told := range f.reported {
 			target := told.state.Order.Target
-			is.True(!verdicts[target].Final() || verdicts[target] == told.state.Phase) // a verdict stays
-			verdicts[target] = told.state.Phase
+			is.True(!phases[target].Final() || phases[target] == told.state.Phase) // a verdict stays
+			phases[target] = told.state.Phase
 		}
-		is.Equal(verdicts, map[ident.Release]canary.Phase{newRelease: canary.RolledBack, "v3": canary.Succeeded})
+		is.Equal(phases, map[ident.Release]canary.Phase{newRelease: canary.RolledBack, "v3": canary.Succeeded})
 	})
 }
 
-func TestGuardsAllocateNothingForARequest(t *testing.T) {
+func TestCanariesDoNotAllocatePerRequest(t *testing.T) {
 	is := is.New(t)
-	c := newCanaries(guardedBounds, &canaries{metrics: newMetrics(func() reading { return reading{} })})
+	c := newCanaries(guardedBounds, &canaries{metrics: newMetrics(func() gaugeValues { return gaugeValues{} })})
 	record := recordsOf(oldRelease)
 	c.listed(time.Now(), record)
 	c.know(time.Now(), nil)
--- a/internal/node/canarybench_test.go
+++ b/internal/node/canarybench_test.go
@@ -12,16 +12,16 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// BenchmarkDirectingASecond plays a second of a rollout at its holder and at one other
+// BenchmarkRolloutSecond plays a second of a rollout at its holder and at one other
 // router, for the sizes of fleet designed for, with three routes at a few back ends of the
 // target. It reports the bytes of both a second, apart from the headers of datagrams.
-func BenchmarkDirectingASecond(b *testing.B) {
+func BenchmarkRolloutSecond(b *testing.B) {
 	for _, routers := range []int{83, 390} {
 		b.Run(fmt.Sprint(routers, " routers"), func(b *testing.B) {
 			fleet := newBenchFleet(routers)
 			b.ResetTimer()
 			for b.Loop() {
-				fleet.second()
+				fleet.playSecond()
 			}
 			b.ReportMetric(float64(fleet.permits)/float64(b.N), "permit-B/s")
 			b.ReportMetric(float64(fleet.reports)/float64(b.N), "report-B/s")
@@ -48,7 +48,7 @@
 	create := func(number int) *canaries {
 		c := newCanaries(guardedBounds, &canaries{
 			self:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 1),
-			peers: func() []netip.AddrPort { return addrs }, metrics: newMetrics(func() reading { return reading{} }),
+			peers: func() []netip.AddrPort { return addrs }, metrics: newMetrics(func() gaugeValues { return gaugeValues{} }),
 		})
 		c.listed(f.now.Add(-time.Second), records)
 		c.know(f.now, known)
@@ -56,18 +56,18 @@
 		return c
 	}
 	f.holder = create(0)
-	f.holder.send = f.pass
+	f.holder.send = f.deliver
 	for number := 1; number < routers; number++ {
 		other := create(number)
-		other.send = func(_ netip.AddrPort, told datagram) { f.reports += size(told) }
+		other.send = func(_ netip.AddrPort, told datagram) { f.reports += encodedSize(told) }
 		f.others[other.self] = other
 	}
-	f.holder.hold(f.now, 1)
-	f.holder.directing.director.Read(f.now, canary.State{Order: known.orders[0], Phase: canary.Observing, Ceiling: 1 << 20, Fence: 1}, 1)
+	f.holder.setFence(f.now, 1)
+	f.holder.term.director.Read(f.now, canary.State{Order: known.orders[0], Phase: canary.Observing, Ceiling: 1 << 20, Fence: 1}, 1)
 	return f
 }
 
-func size(told datagram) int {
+func encodedSize(told datagram) int {
 	encoded, err := cbor.Marshal(told)
 	if err != nil {
 		panic(err)
@@ -75,18 +75,18 @@
 	return len(encoded)
 }
 
-// pass hands a permit to its router, and its report to the holder.
-func (f *benchFleet) pass(to netip.AddrPort, told datagram) {
-	f.permits += size(told)
+// deliver hands a permit to its router, and its report to the holder.
+func (f *benchFleet) deliver(to netip.AddrPort, told datagram) {
+	f.permits += encodedSize(told)
 	other := f.others[to]
 	other.gate.Permitted(f.now, told.Permit)
 	report := other.gate.Report(f.now, "s")
-	f.reports += size(datagram{Report: report})
-	f.holder.directing.director.Reported(f.now, to, report)
+	f.reports += encodedSize(datagram{Report: report})
+	f.holder.term.director.Reported(f.now, to, report)
 }
 
-// second plays a second: each router serves a request of each route at either release.
-func (f *benchFleet) second() {
+// playSecond plays a second: each router serves a request of each route at either release.
+func (f *benchFleet) playSecond() {
 	records := recordsOf(oldRelease, newRelease)
 	addrs := append(f.holder.peers(), f.holder.self)
 	for range 10 {
@@ -101,10 +101,10 @@
 				})
 			}
 		}
-		f.holder.directing.observe(f.now, f.holder.rollouts, records, addrs)
-		for _, action := range f.holder.directing.director.Step(f.now) {
+		f.holder.term.observe(f.now, f.holder.rollouts, records, addrs)
+		for _, action := range f.holder.term.director.Step(f.now) {
 			if tell, told := action.(canary.Tell); told && tell.To != f.holder.self {
-				f.pass(tell.To, datagram{Permit: tell.Permit})
+				f.deliver(tell.To, datagram{Permit: tell.Permit})
 			}
 		}
 	}
--- a/internal/node/canaryjudge_test.go
+++ b/internal/node/canarycheck_test.go
@@ -8,38 +8,38 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// judge checks what holds whatever goes wrong, and returns the verdict.
-func (f *guardedFleet) judge(duration time.Duration, bad bool) canary.Phase {
+// check checks what holds whatever goes wrong, and returns the verdict.
+func (f *guardedFleet) check(duration time.Duration, bad bool) canary.Phase {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	verdict, finals := canary.Phase(0), 0
-	for _, told := range f.told {
+	final, finals := canary.Phase(0), 0
+	for _, told := range f.reported {
 		if told.state.Phase.Final() {
 			finals++
-			verdict = told.state.Phase
+			final = told.state.Phase
 			if after := told.at.Sub(f.orderedAt); after > duration {
 				f.t.Errorf("the verdict came %v after the order", after)
 			}
 		}
 	}
 	if finals != 1 {
-		f.t.Errorf("%d verdicts: %v", finals, f.told)
+		f.t.Errorf("%d verdicts: %v", finals, f.reported)
 	}
-	if len(f.told) == 0 || f.told[0].state.Phase != canary.Observing {
-		f.t.Errorf("the operator was not told that the rollout runs: %v", f.told)
+	if len(f.reported) == 0 || f.reported[0].state.Phase != canary.Observing {
+		f.t.Errorf("the operator was not told that the rollout runs: %v", f.reported)
 	}
 	if bad {
-		f.judgeExposure(duration)
+		f.checkExposure(duration)
 	}
-	if verdict == canary.Succeeded {
-		f.judgeSwitch()
+	if final == canary.Succeeded {
+		f.checkSwitch()
 	}
-	return verdict
+	return final
 }
 
-// judgeExposure checks how many requests the target got, and when.
-func (f *guardedFleet) judgeExposure(duration time.Duration) {
+// checkExposure checks how many requests the target got, and when.
+func (f *guardedFleet) checkExposure(duration time.Duration) {
 	sent, all := 0, 0
 	for _, one := range f.arrivals {
 		if one.at.Before(f.orderedAt) || one.at.After(f.orderedAt.Add(duration)) {
@@ -65,17 +65,17 @@
 	}
 }
 
-// cutOffFor is the time within which a router that hears nothing of the holder learns of a
+// partitionedDelay is the time within which a router that hears nothing of the holder learns of a
 // verdict from the shared state: two reads of the configuration, and two pulls.
-const cutOffFor = 2 * time.Second
+const partitionedDelay = 2 * time.Second
 
-// judgeSwitch checks that nothing went to the old release once its back ends had ended.
-func (f *guardedFleet) judgeSwitch() {
-	last := f.told[len(f.told)-1].at
+// checkSwitch checks that nothing went to the old release once its back ends had ended.
+func (f *guardedFleet) checkSwitch() {
+	last := f.reported[len(f.reported)-1].at
 	for _, one := range f.arrivals {
 		allowed := time.Duration(0)
-		if f.cut[one.node] {
-			allowed = cutOffFor
+		if f.partitionedFrom[one.node] {
+			allowed = partitionedDelay
 		}
 		if one.release == oldRelease && one.at.Sub(last) > allowed {
 			f.t.Errorf("%s sent to the old release %v after the verdict", one.node, one.at.Sub(last))
--- a/internal/node/canaryfleet_test.go
+++ b/internal/node/canaryfleet_test.go
@@ -27,10 +27,10 @@
 const (
 	oldRelease = ident.Release("v1")
 	newRelease = ident.Release("v2")
-	// guardedWork is the time in which a sound back end answers.
-	guardedWork = 40 * time.Millisecond
-	// guardedPause is the time between two requests at one router.
-	guardedPause = 20 * time.Millisecond
+	// answerTime is the time in which a sound back end answers.
+	answerTime = 40 * time.Millisecond
+	// requestInterval is the time between two requests at one router.
+	requestInterval = 20 * time.Millisecond
 )
 
 var guardedBounds = canary.Bounds{Share: 0.1, Slack: 50, Rollback: 5 * time.Second}
@@ -42,15 +42,15 @@
 	t *testing.T
 
 	mu      sync.Mutex
-	lives   map[ident.Node]*guardedRouter
-	started int
+	guarded map[ident.Node]*guardedRouter
+	starts  int
 	holders map[ident.Node]uint64
-	// cut routers send and get no datagrams.
-	cut map[ident.Node]bool
-	// loses says how writes of states go wrong: each takes the first one.
-	loses []writeFault
-	// blind is the time until which states cannot be read.
-	blind time.Time
+	// partitionedFrom routers send and get no datagrams.
+	partitionedFrom map[ident.Node]bool
+	// writeFaults says how writes of states go wrong: each takes the first one.
+	writeFaults []writeFault
+	// statesUnreadableUntil is the time until which states cannot be read.
+	statesUnreadableUntil time.Time
 	// failing is the part of the target's answers that are failures, slow how many times
 	// as long it takes.
 	failing, slow float64
@@ -58,11 +58,11 @@
 	pause time.Duration
 
 	orderedAt time.Time
-	told      []toldState
+	reported  []reportedState
 	arrivals  []arrival
 	badAt     []time.Time
 	open      map[ident.Release]map[ident.Node]int
-	refused   int
+	unserved  int
 }
 
 // writeFault is what goes wrong with a write of a state.
@@ -73,12 +73,12 @@
 	answerLost writeFault = iota + 1
 	// callLost is one that is not done, and not answered.
 	callLost
-	// doneLater is one that is done two seconds later if its condition still holds.
-	doneLater
+	// writtenLater is one that is done two seconds later if its condition still holds.
+	writtenLater
 )
 
-// toldState is a state that the operator was told.
-type toldState struct {
+// reportedState is a state that the operator was told.
+type reportedState struct {
 	at    time.Time
 	state canary.State
 }
@@ -105,11 +105,11 @@
 func newGuardedFleet(t *testing.T, routers int) *guardedFleet {
 	t.Helper()
 	f := &guardedFleet{
-		zone: newZone(), t: t, lives: map[ident.Node]*guardedRouter{}, holders: map[ident.Node]uint64{"r0": 1}, pause: guardedPause,
-		cut: map[ident.Node]bool{}, slow: 1,
+		zone: newZone(), t: t, guarded: map[ident.Node]*guardedRouter{}, holders: map[ident.Node]uint64{"r0": 1}, pause: requestInterval,
+		partitionedFrom: map[ident.Node]bool{}, slow: 1,
 		open: map[ident.Release]map[ident.Node]int{oldRelease: {}, newRelease: {}, "v3": {}},
 	}
-	f.guard = f.prepare
+	f.guard = f.setUpRouter
 	f.list(oldRelease)
 	for index := range routers {
 		f.start(t.Context(), ident.Node(fmt.Sprint("r", index)))
@@ -146,11 +146,11 @@
 	return records
 }
 
-// pullOfNothing asks for all that a router knows.
-func pullOfNothing() *upstream.Pull { return &upstream.Pull{} }
+// fullPull asks for all that a router knows.
+func fullPull() *upstream.Pull { return &upstream.Pull{} }
 
-// recordEvents returns how often an event was logged since.
-func recordEvents(t *testing.T) func(event string) int {
+// countEvents returns how often an event was logged since.
+func countEvents(t *testing.T) func(event string) int {
 	t.Helper()
 	kept := memory.New()
 	log.SetHandler(kept)
@@ -166,30 +166,30 @@
 	}
 }
 
-// prepare sets up the canaries of a life of a router, and its clients.
-func (f *guardedFleet) prepare(ctx context.Context, running *zoneRouter) {
+// setUpRouter sets up the canaries of a life of a router, and its clients.
+func (f *guardedFleet) setUpRouter(ctx context.Context, running *zoneRouter) {
 	follower := running.follower
 	f.mu.Lock()
-	f.started++
-	number := f.started
+	f.starts++
+	number := f.starts
 	f.mu.Unlock()
-	life := &guardedRouter{
+	router := &guardedRouter{
 		fleet: f, node: running.node, addr: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(number)),
 		backends: follower.replica.backends, random: rand.New(rand.NewPCG(uint64(number), 5)),
 	}
-	follower.roster.addr = life.addr
-	states := &rolloutStates{table: blindTable{f.store, f}, writer: f, timeout: time.Second}
-	life.canaries = newCanaries(guardedBounds, &canaries{
-		self: life.addr, peers: follower.audience.others, refresh: follower.readRoster, lease: life,
-		backends: life.backends, states: states, metrics: newMetrics(func() reading { return reading{} }),
-		send: life.send,
+	follower.roster.addr = router.addr
+	states := &rolloutStates{table: unreadableStates{f.store, f}, writer: f, timeout: time.Second}
+	router.canaries = newCanaries(guardedBounds, &canaries{
+		self: router.addr, peers: follower.audience.others, refreshPeers: follower.readRoster, lease: router,
+		backends: router.backends, states: states, metrics: newMetrics(func() gaugeValues { return gaugeValues{} }),
+		send: router.send,
 	})
-	follower.states, follower.replica.canaries = states, life.canaries
+	follower.states, follower.replica.canaries = states, router.canaries
 	f.mu.Lock()
-	f.lives[running.node] = life
+	f.guarded[running.node] = router
 	f.mu.Unlock()
-	go life.canaries.run(ctx)
-	go life.clients(ctx)
+	go router.canaries.run(ctx)
+	go router.clients(ctx)
 }
 
 // Held implements holding.
@@ -203,8 +203,8 @@
 	return lease.Grant{Fence: fence}, nil
 }
 
-// hold passes the lease on.
-func (f *guardedFleet) hold(node ident.Node, fence uint64) {
+// setHolder passes the lease on.
+func (f *guardedFleet) setHolder(node ident.Node, fence uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.holders = map[ident.Node]uint64{node: fence}
@@ -231,8 +231,8 @@
 	defer f.zone.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for node, life := range f.lives {
-		if life.addr == to && !f.cut[node] && !f.cut[from] && !f.routers[node].dead && !f.routers[from].dead {
+	for node, life := range f.guarded {
+		if life.addr == to && !f.partitionedFrom[node] && !f.partitionedFrom[from] && !f.routers[node].dead && !f.routers[from].dead {
 			return life
 		}
 	}
@@ -253,7 +253,7 @@
 // request sends one request as a forwarder does.
 func (r *guardedRouter) request(ctx context.Context) {
 	now := time.Now()
-	query := backend.Query{Service: "s", SpreadKey: r.random.Uint64(), Expected: guardedWork}
+	query := backend.Query{Service: "s", SpreadKey: r.random.Uint64(), Expected: answerTime}
 	ask := canary.Ask{Service: "s", Route: "route", First: true}
 	query.Releases = r.canaries.Choose(now, ask)
 	choice, flight, found := r.backends.Pick(now, &query)
@@ -264,7 +264,7 @@
 		choice, flight, found = r.backends.Pick(now, &query)
 	}
 	if !found {
-		r.fleet.refuse()
+		r.fleet.countUnserved()
 		return
 	}
 	if !r.canaries.Stands("s", &query.Releases, choice.Release) {
@@ -276,10 +276,10 @@
 		return
 	}
 	run := r.canaries.Sent(now, "s", choice.Record)
-	sample := canary.Sample{Route: "route", Outcome: canary.Answered, Elapsed: guardedWork, Predicted: choice.Uncached}
+	sample := canary.Sample{Route: "route", Outcome: canary.Answered, Elapsed: answerTime, Predicted: choice.Uncached}
 	bad := r.fleet.arrive(r.node, choice.Release, r.random.Float64())
 	if choice.Release == newRelease {
-		sample.Elapsed = time.Duration(r.fleet.slow * float64(guardedWork))
+		sample.Elapsed = time.Duration(r.fleet.slow * float64(answerTime))
 	}
 	outcome := backend.Answered
 	if bad {
@@ -297,10 +297,10 @@
 	}()
 }
 
-func (f *guardedFleet) refuse() {
+func (f *guardedFleet) countUnserved() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refused++
+	f.unserved++
 }
 
 // arrive notes a request at a back end, and returns whether its answer is bad.
@@ -326,22 +326,22 @@
 	ctx context.Context, transaction protocol.Transaction, told *canary.State,
 ) (protocol.TransactionResult, error) {
 	f.mu.Lock()
-	var wrong writeFault
-	if len(f.loses) > 0 {
-		wrong, f.loses = f.loses[0], f.loses[1:]
+	var injected writeFault
+	if len(f.writeFaults) > 0 {
+		injected, f.writeFaults = f.writeFaults[0], f.writeFaults[1:]
 	}
 	f.mu.Unlock()
 	lost := fault.New(fault.StoreUnavailable, "no answer").WithRan(fault.RanUnknown)
 	state := *told
-	switch wrong {
+	switch injected {
 	case callLost:
 		return protocol.TransactionResult{}, lost
-	case doneLater:
+	case writtenLater:
 		time.AfterFunc(2*time.Second, func() { _, _ = f.commit(context.WithoutCancel(ctx), transaction, state) })
 		return protocol.TransactionResult{}, lost
 	}
 	result, err := f.commit(ctx, transaction, state)
-	if wrong == answerLost {
+	if injected == answerLost {
 		return protocol.TransactionResult{}, lost
 	}
 	return result, err
@@ -354,11 +354,11 @@
 		return result, err
 	}
 	f.mu.Lock()
-	f.told = append(f.told, toldState{time.Now(), state})
+	f.reported = append(f.reported, reportedState{time.Now(), state})
 	left := 0
 	for node, open := range f.open[oldRelease] {
 		// One that is cut off from the holder learns of the switch later than that.
-		if !f.cut[node] {
+		if !f.partitionedFrom[node] {
 			left += open
 		}
 	}
@@ -375,32 +375,32 @@
 	return result, nil
 }
 
-// blindTable is the store's table, of which states cannot be read for a while.
-type blindTable struct {
+// unreadableStates is the store's table, of which states cannot be read for a while.
+type unreadableStates struct {
 	*fakeStore
 	fleet *guardedFleet
 }
 
-func (b blindTable) blind() error {
+func (b unreadableStates) readError() error {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	if time.Now().Before(b.fleet.blind) {
+	if time.Now().Before(b.fleet.statesUnreadableUntil) {
 		return fault.New(fault.StoreUnavailable, "down")
 	}
 	return nil
 }
 
 // Read implements store.Table.
-func (b blindTable) Read(ctx context.Context, key string) (protocol.Row, bool, error) {
-	if err := b.blind(); err != nil {
+func (b unreadableStates) Read(ctx context.Context, key string) (protocol.Row, bool, error) {
+	if err := b.readError(); err != nil {
 		return protocol.Row{}, false, err
 	}
 	return b.fakeStore.Read(ctx, key)
 }
 
 // List implements store.Table.
-func (b blindTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
-	if err := b.blind(); err != nil {
+func (b unreadableStates) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
+	if err := b.readError(); err != nil {
 		return protocol.RowList{}, err
 	}
 	return b.fakeStore.List(ctx, prefix, limit)
--- a/internal/node/canaryslow_test.go
+++ b/internal/node/canaryslow_test.go
@@ -13,7 +13,7 @@
 
 // A release that is slow at each answer does not pass because its holder was killed, also
 // where few requests come.
-func TestASlowReleaseIsFoundByTheNextHolder(t *testing.T) {
+func TestNextHolderRollsBackSlowRelease(t *testing.T) {
 	for _, killedAfter := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second} {
 		for _, pause := range []time.Duration{40 * time.Millisecond, 80 * time.Millisecond, 160 * time.Millisecond} {
 			t.Run(killedAfter.String()+" "+pause.String(), func(t *testing.T) {
@@ -25,11 +25,11 @@
 					f.order(guardedDuration)
 					time.Sleep(killedAfter)
 					f.kill("r0")
-					f.hold("", 0)
+					f.setHolder("", 0)
 					time.Sleep(3500 * time.Millisecond)
-					f.hold(ident.Node("r1"), 2)
+					f.setHolder(ident.Node("r1"), 2)
 					f.sleepUntil(guardedDuration + 6*time.Second)
-					is.New(t).Equal(f.judge(guardedDuration, true).String(), canary.RolledBack.String())
+					is.New(t).Equal(f.check(guardedDuration, true).String(), canary.RolledBack.String())
 				})
 			})
 		}
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -23,26 +23,26 @@
 	// version is 0 for none.
 	version uint64
 	body    []byte
-	// seenThrough is the revision of the row up to which none that the row held is newer.
+	// checkedRevision is the revision of the row up to which none that the row held is newer.
 	seenThrough uint64
-	// confirmedTo is the revision of the store at the own read that confirmed seenThrough
+	// confirmedStoreRevision is the revision of the store at the own read that confirmed checkedRevision
 	// last: the row had no other content until then. It is 0 if there was none.
-	confirmedTo uint64
-	// suspect is a later revision at which the row held none that is newer, while what it
+	confirmedStoreRevision uint64
+	// suspectRevision is a later revision at which the row held none that is newer, while what it
 	// held in between is forgotten.
-	suspect uint64
-	// unseen says that the row was believed by a router that knew none: what it held before
+	suspectRevision uint64
+	// historyUnknown says that the row was believed by a router that knew none: what it held before
 	// is not known.
-	unseen bool
+	historyUnknown bool
 }
 
-// lookBacks are how many revisions of the store a router that knew no configuration looks
+// historyDepths are how many revisions of the store a router that knew no configuration looks
 // back in the row's history, from as far as a late write can matter (some seconds of a
 // busy store) to as little as a store may keep.
-var lookBacks = []uint64{4096, 512, 64}
+var historyDepths = []uint64{4096, 512, 64}
 
-// written is one content of the row of the configuration.
-type written struct {
+// rowContent is one content of the row of the configuration.
+type rowContent struct {
 	revision uint64
 	body     []byte
 	snapshot *catalog.Snapshot
@@ -52,44 +52,44 @@
 // of the configuration.
 type configurationRead struct {
 	askedAt time.Time
-	// seenThrough is the revision up to which the row was seen through before, 0 for none;
+	// checkedRevision is the revision up to which the row was seen through before, 0 for none;
 	// row is its content now, and newest the newest one since.
-	seenThrough uint64
-	row, newest written
+	checkedRevision uint64
+	row, newest     rowContent
 	// storeRevision is that of the store at the read.
 	storeRevision uint64
-	// history is nil if all that the row held since is known.
-	history  error
-	rollouts *knownRollouts
+	// historyErr is nil if all that the row held since is known.
+	historyErr error
+	rollouts   *knownRollouts
 }
 
 // takeReading takes in a read of the store that was asked for at a time. What the row held
 // since it was last seen is asked for, since a read shows the last write that was carried
 // out, and a newer one may have stood there before it.
 func (f *follower) takeReading(ctx context.Context, askedAt time.Time, reading *Reading, rollouts *knownRollouts) error {
-	seenThrough, after, changed := f.replica.unseen(reading.Revision)
+	checkedRevision, after, changed := f.replica.historyToCheck(reading.Revision)
 	if !changed {
 		f.replica.confirmRow(askedAt, reading, rollouts)
 		return nil
 	}
-	row, err := f.replica.decoded(reading)
+	row, err := f.replica.decodeRow(reading)
 	if err != nil {
 		return err
 	}
 	read := &configurationRead{
-		askedAt: askedAt, seenThrough: seenThrough, row: row, newest: row, storeRevision: reading.StoreRevision, rollouts: rollouts,
+		askedAt: askedAt, checkedRevision: checkedRevision, row: row, newest: row, storeRevision: reading.StoreRevision, rollouts: rollouts,
 	}
-	if seenThrough != 0 {
-		read.newest, read.history = f.newestSince(ctx, after, row)
+	if checkedRevision != 0 {
+		read.newest, read.historyErr = f.newestSince(ctx, after, row)
 	}
-	f.replica.takeRead(read)
-	if errors.Is(read.history, ErrHistoryGone) {
+	f.replica.applyRead(read)
+	if errors.Is(read.historyErr, ErrHistoryGone) {
 		return nil
 	}
-	return read.history
+	return read.historyErr
 }
 
-// lookBack asks what the row held before this router believed it without knowing any other
+// orderLookback asks what the row held before this router believed it without knowing any other
 // configuration: the last write may be a late one of an older configuration. It is for the
 // router that reads the store for all, since the others learn it from that one, and does
 // not keep a router from starting.
@@ -97,38 +97,38 @@
 	if !f.readsForOthers() {
 		return
 	}
-	row, due := f.replica.unseenRow(reading)
+	row, due := f.replica.rowToCheck(reading)
 	if !due {
 		return
 	}
 	newest, err := row, error(nil)
-	for _, back := range lookBacks {
-		newest, err = f.newestSince(ctx, store.Back(row.revision, back), row)
+	for _, depth := range historyDepths {
+		newest, err = f.newestSince(ctx, store.Back(row.revision, depth), row)
 		if !errors.Is(err, ErrHistoryGone) {
 			break
 		}
 	}
 	if err == nil || errors.Is(err, ErrHistoryGone) {
-		f.replica.lookedBack(askedAt, row, newest)
+		f.replica.applyHistory(askedAt, row, newest)
 	}
 }
 
 // newestSince returns the newest configuration that the row held after a revision until
 // its present content, and whether that is known.
-func (f *follower) newestSince(ctx context.Context, after uint64, row written) (written, error) {
+func (f *follower) newestSince(ctx context.Context, after uint64, row rowContent) (rowContent, error) {
 	bounded, cancel := context.WithTimeout(ctx, f.config.ReadTimeout)
 	defer cancel()
-	held, err := f.source.Configurations(bounded, after, row.revision)
+	history, err := f.source.Configurations(bounded, after, row.revision)
 	if err != nil {
 		return row, err
 	}
 	newest, complete := row, false
-	for _, reading := range held {
+	for _, reading := range history {
 		if reading.Revision >= row.revision {
 			complete = true
 			continue
 		}
-		content, err := f.replica.decoded(&reading)
+		content, err := f.replica.decodeRow(&reading)
 		if err != nil {
 			return row, err
 		}
@@ -142,43 +142,43 @@
 	return newest, nil
 }
 
-// decoded reads a content of the row.
-func (r *replica) decoded(reading *Reading) (written, error) {
+// decodeRow reads a content of the row.
+func (r *replica) decodeRow(reading *Reading) (rowContent, error) {
 	snapshot, err := r.decode(reading.Body)
-	return written{revision: reading.Revision, body: reading.Body, snapshot: snapshot}, err
+	return rowContent{revision: reading.Revision, body: reading.Body, snapshot: snapshot}, err
 }
 
-// unseen returns the revision up to which the row is seen through, the one after which it
+// historyToCheck returns the revision up to which the row is seen through, the one after which it
 // may have held others, and whether something is to be found out about them. The second is
 // as late as possible: a store keeps its changes for some seconds, while configurations may
 // be minutes apart.
-func (r *replica) unseen(revision uint64) (seenThrough, after uint64, changed bool) {
+func (r *replica) historyToCheck(revision uint64) (checkedRevision, after uint64, changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held := &r.config
-	changed = revision > held.seenThrough && revision != held.suspect
-	return held.seenThrough, max(held.seenThrough, held.confirmedTo), changed
+	changed = revision > held.seenThrough && revision != held.suspectRevision
+	return held.seenThrough, max(held.seenThrough, held.confirmedStoreRevision), changed
 }
 
-// unseenRow returns the row of a reading, and whether it was believed without a look back.
-func (r *replica) unseenRow(reading *Reading) (row written, due bool) {
+// rowToCheck returns the row of a reading, and whether it was believed without a look back.
+func (r *replica) rowToCheck(reading *Reading) (row rowContent, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	row = written{revision: reading.Revision, body: reading.Body, snapshot: r.holder.View().Snapshot}
-	return row, r.config.unseen && reading.Revision == r.config.seenThrough
+	row = rowContent{revision: reading.Revision, body: reading.Body, snapshot: r.holder.View().Snapshot}
+	return row, r.config.historyUnknown && reading.Revision == r.config.seenThrough
 }
 
-// lookedBack takes in the newest configuration that the row held before a revision.
-func (r *replica) lookedBack(askedAt time.Time, row, newest written) {
+// applyHistory takes in the newest configuration that the row held before a revision.
+func (r *replica) applyHistory(askedAt time.Time, row, newest rowContent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.config.seenThrough != row.revision || !r.config.unseen {
+	if r.config.seenThrough != row.revision || !r.config.historyUnknown {
 		return
 	}
-	r.config.unseen = false
+	r.config.historyUnknown = false
 	if newest.snapshot.Version > r.config.version {
-		r.hold(r.node, askedAt, newest)
-		r.noteOutdated(&row, true)
+		r.adopt(r.node, askedAt, newest)
+		r.logOutdatedRow(&row, true)
 	}
 }
 
@@ -191,49 +191,49 @@
 	}
 	r.takeRollouts(askedAt, rollouts)
 	if reading.Revision == r.config.seenThrough {
-		r.config.confirmedTo = max(r.config.confirmedTo, reading.StoreRevision)
-		r.confirmHeld(r.node, askedAt)
+		r.config.confirmedStoreRevision = max(r.config.confirmedStoreRevision, reading.StoreRevision)
+		r.confirmConfiguration(r.node, askedAt)
 	}
 }
 
-// takeRead takes in what a read tells.
-func (r *replica) takeRead(read *configurationRead) {
+// applyRead takes in what a read tells.
+func (r *replica) applyRead(read *configurationRead) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held := &r.config
-	if held.seenThrough < read.seenThrough || held.seenThrough >= read.row.revision {
+	if held.seenThrough < read.checkedRevision || held.seenThrough >= read.row.revision {
 		// A peer told of another one meanwhile: what this read asked for doesn't fit on.
 		return
 	}
 	// Orders are known before the confirmation is: a release that waits for one must not
 	// pass between the two.
 	r.takeRollouts(read.askedAt, read.rollouts)
-	cameBack := store.Epoch(read.row.revision) > store.Epoch(read.seenThrough)
-	again := cameBack && read.newest.snapshot.Version == held.version
-	newer := read.newest.snapshot.Version > held.version || (again && !bytes.Equal(read.newest.body, held.body))
+	restored := store.Epoch(read.row.revision) > store.Epoch(read.checkedRevision)
+	sameVersion := restored && read.newest.snapshot.Version == held.version
+	newer := read.newest.snapshot.Version > held.version || (sameVersion && !bytes.Equal(read.newest.body, held.body))
 	switch {
-	case read.history == nil, (newer || again) && errors.Is(read.history, ErrHistoryGone):
+	case read.historyErr == nil, (newer || sameVersion) && errors.Is(read.historyErr, ErrHistoryGone):
 		// Without a history the row is believed as by a router that has just started. That is
 		// so as well where the store came back from an older copy: what the operator wrote
 		// since is written again, so that an older one than is held here confirms nothing.
 		held.seenThrough = read.row.revision
 		if newer {
-			r.hold(r.node, read.askedAt, read.newest)
-			held.unseen = read.seenThrough == 0
+			r.adopt(r.node, read.askedAt, read.newest)
+			held.historyUnknown = read.checkedRevision == 0
 		}
-		if cameBack {
-			held.suspect, held.unseen = 0, true
+		if restored {
+			held.suspectRevision, held.historyUnknown = 0, true
 		}
-		held.confirmedTo = read.storeRevision
-		r.confirmHeld(r.node, read.askedAt)
-		r.noteOutdated(&read.row, true)
-	case errors.Is(read.history, ErrHistoryGone):
+		held.confirmedStoreRevision = read.storeRevision
+		r.confirmConfiguration(r.node, read.askedAt)
+		r.logOutdatedRow(&read.row, true)
+	case errors.Is(read.historyErr, ErrHistoryGone):
 		// One that nobody saw may have replaced the one held, and taken keys away.
-		held.suspect = read.row.revision
-		r.noteOutdated(&read.row, false)
+		held.suspectRevision = read.row.revision
+		r.logOutdatedRow(&read.row, false)
 	case newer:
 		// The newer one is acted upon, but whether it is the newest is still asked.
-		r.hold(r.node, r.holder.View().ConfirmedAt, read.newest)
+		r.adopt(r.node, r.holder.View().ConfirmedAt, read.newest)
 	}
 }
 
@@ -241,18 +241,18 @@
 // tells. An empty body stands for the one held. A peer that holds an older one is behind,
 // whichever revision of the row it has met, and confirms nothing.
 func (r *replica) takeConfiguration(
-	origin ident.Node, confirmedAt time.Time, told *upstream.Configuration, rollouts *knownRollouts,
+	origin ident.Node, confirmedAt time.Time, received *upstream.Configuration, rollouts *knownRollouts,
 ) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held := &r.config
-	newer := told.Version > held.version
-	if told.Revision == 0 || told.Version < max(held.version, 1) || (newer && len(told.Body) == 0) {
+	newer := received.Version > held.version
+	if received.Revision == 0 || received.Version < max(held.version, 1) || (newer && len(received.Body) == 0) {
 		return nil
 	}
-	newest := written{}
+	newest := rowContent{}
 	if newer {
-		decoded, err := r.decoded(&Reading{Revision: told.Revision, Body: told.Body})
+		decoded, err := r.decodeRow(&Reading{Revision: received.Revision, Body: received.Body})
 		if err != nil {
 			return err
 		}
@@ -261,26 +261,26 @@
 	r.takeRollouts(confirmedAt, rollouts)
 	if newer {
 		// What its row held until then, an own read of a later one did not see through.
-		held.seenThrough, held.confirmedTo = told.Revision, 0
-		r.hold(origin, confirmedAt, newest)
+		held.seenThrough, held.confirmedStoreRevision = received.Revision, 0
+		r.adopt(origin, confirmedAt, newest)
 	}
-	held.seenThrough = max(held.seenThrough, told.Revision)
-	r.confirmHeld(origin, confirmedAt)
+	held.seenThrough = max(held.seenThrough, received.Revision)
+	r.confirmConfiguration(origin, confirmedAt)
 	return nil
 }
 
 // behind reports whether a peer holds a newer configuration than this router.
-func (r *replica) behind(told *upstream.Configuration) bool {
+func (r *replica) behind(received *upstream.Configuration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return told.Version > r.config.version
+	return received.Version > r.config.version
 }
 
-// hold puts a newer configuration in force; the caller holds the mutex, and sets up to
+// adopt puts a newer configuration in force; the caller holds the mutex, and sets up to
 // which revision the row is seen through.
-func (r *replica) hold(origin ident.Node, confirmedAt time.Time, newest written) {
+func (r *replica) adopt(origin ident.Node, confirmedAt time.Time, newest rowContent) {
 	r.config.version, r.config.body = newest.snapshot.Version, newest.body
-	r.config.suspect, r.config.unseen = 0, false
+	r.config.suspectRevision, r.config.historyUnknown = 0, false
 	r.holder.Adopt(newest.snapshot, confirmedAt)
 	log.WithFields(log.Fields{
 		"version": newest.snapshot.Version, "routes": newest.snapshot.RouteCount(), "revision": newest.revision,
@@ -289,9 +289,9 @@
 	r.confirmed(origin)
 }
 
-// confirmHeld takes in that the configuration held was the newest at a time; the caller
+// confirmConfiguration takes in that the configuration held was the newest at a time; the caller
 // holds the mutex.
-func (r *replica) confirmHeld(origin ident.Node, confirmedAt time.Time) {
+func (r *replica) confirmConfiguration(origin ident.Node, confirmedAt time.Time) {
 	view := r.holder.View()
 	r.holder.Adopt(view.Snapshot, confirmedAt)
 	if confirmedAt.After(view.ConfirmedAt) {
@@ -299,9 +299,9 @@
 	}
 }
 
-// noteOutdated logs that the row holds another configuration than the one in force; the
+// logOutdatedRow logs that the row holds another configuration than the one in force; the
 // caller holds the mutex. Each revision is met once.
-func (r *replica) noteOutdated(row *written, confirmed bool) {
+func (r *replica) logOutdatedRow(row *rowContent, confirmed bool) {
 	if confirmed && row.snapshot.Version == r.config.version {
 		return
 	}
--- a/internal/node/crashing_test.go
+++ b/internal/node/crashing_test.go
@@ -42,20 +42,20 @@
 	crashDown  = 400 * time.Millisecond
 	// crashWork is the longest time that an engine works on any other request.
 	crashWork = 300 * time.Millisecond
-	// crashPause is the time between two tries of the request, crashLearnt how long routers
+	// retryPause is the time between two tries of the request, crashPropagation how long routers
 	// have to learn of it once three engines have crashed.
-	crashPause  = 150 * time.Millisecond
-	crashLearnt = 3 * time.Second
-	// crashAllowed is how often it may reach engines after that.
-	crashAllowed = 3
+	retryPause       = 150 * time.Millisecond
+	crashPropagation = 3 * time.Second
+	// lateAllowed is how often it may reach engines after that.
+	lateAllowed = 3
 )
 
 // crashEngine is one place of an engine, with its life.
 type crashEngine struct {
 	record backend.Record
 	up     bool
-	// guilty are the bodies under way under which this life crashes.
-	guilty []string
+	// crashBodies are the bodies under way under which this life crashes.
+	crashBodies []string
 	// ended is closed when this life crashes.
 	ended chan struct{}
 }
@@ -70,21 +70,21 @@
 
 	mu      sync.Mutex
 	engines map[string]*crashEngine
-	lives   int
+	starts  int
 	// crashes and arrivals are those of each body under which engines crash.
 	crashes  map[string][]time.Time
 	arrivals map[string][]time.Time
 	routers  []*testRouter
-	// ended is the number of lives that crashed, for whichever reason.
-	ended int
+	// allCrashes is the number of lives that crashed, for whichever reason.
+	allCrashes int
 	// work is the longest time that an engine works on a request under which none crashes.
 	work time.Duration
-	// breaks has engines cut attempts off without crashing.
-	breaks bool
-	// stubborn engines go on with what is given up; patience is how long clients wait for a
+	// breaksAttempts has engines cut attempts off without crashing.
+	breaksAttempts bool
+	// ignoresCancel engines go on with what is given up; patience is how long clients wait for a
 	// request under which engines crash, 0 for as long as it takes.
-	stubborn bool
-	patience time.Duration
+	ignoresCancel bool
+	clientTimeout time.Duration
 }
 
 // testRouter is one life of a router.
@@ -93,8 +93,8 @@
 	stop      func()
 }
 
-// crashes reports whether engines crash under a body.
-func crashes(body string) bool { return strings.HasPrefix(body, crashBody) }
+// causesCrash reports whether engines crash under a body.
+func causesCrash(body string) bool { return strings.HasPrefix(body, crashBody) }
 
 func newCrashFleet(t *testing.T, engines, routers int) *crashFleet {
 	t.Helper()
@@ -109,7 +109,7 @@
 		}},
 	}
 	for index := range engines {
-		f.begin(fmt.Sprintf("10.0.0.%d:1", index+1))
+		f.startEngine(fmt.Sprintf("10.0.0.%d:1", index+1))
 	}
 	for index := range routers {
 		f.startRouter(ident.Node(fmt.Sprint("r", index)))
@@ -139,21 +139,21 @@
 	stopping.Wait()
 }
 
-// begin starts a life of the engine at an address, and lists it.
-func (f *crashFleet) begin(address string) {
+// startEngine starts a life of the engine at an address, and lists it.
+func (f *crashFleet) startEngine(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lives++
+	f.starts++
 	f.engines[address] = &crashEngine{up: true, ended: make(chan struct{}), record: backend.Record{
-		Instance: ident.Incarnation(fmt.Sprint("e", f.lives)), Service: "s", Zone: "z", Address: address, Slots: 16,
-		Models: map[ident.Model]int{model: 1}, Revision: uint64(f.lives),
+		Instance: ident.Incarnation(fmt.Sprint("e", f.starts)), Service: "s", Zone: "z", Address: address, Slots: 16,
+		Models: map[ident.Model]int{model: 1}, Revision: uint64(f.starts),
 	}}
-	f.list()
+	f.updateList()
 }
 
-// list lists the lives there are, those that crashed among them until the next one begins;
+// updateList lists the lives there are, those that crashed among them until the next one begins;
 // the caller holds the mutex.
-func (f *crashFleet) list() {
+func (f *crashFleet) updateList() {
 	records := make([]backend.Record, 0, len(f.engines))
 	for _, engine := range f.engines {
 		records = append(records, engine.record)
@@ -171,32 +171,32 @@
 	}
 	engine.up = false
 	close(engine.ended)
-	slices.Sort(engine.guilty)
-	for _, body := range slices.Compact(engine.guilty) {
+	slices.Sort(engine.crashBodies)
+	for _, body := range slices.Compact(engine.crashBodies) {
 		f.crashes[body] = append(f.crashes[body], time.Now())
 	}
-	f.ended++
-	time.AfterFunc(crashDown, func() { f.begin(engine.record.Address) })
+	f.allCrashes++
+	time.AfterFunc(crashDown, func() { f.startEngine(engine.record.Address) })
 }
 
-// reach takes in that a request arrives at an address, and returns the engine there.
-func (f *crashFleet) reach(address, body string) (crashEngine, *crashEngine) {
+// arrive takes in that a request arrives at an address, and returns the engine there.
+func (f *crashFleet) arrive(address, body string) (crashEngine, *crashEngine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	engine := f.engines[address]
-	if engine.up && crashes(body) {
+	if engine.up && causesCrash(body) {
 		f.arrivals[body] = append(f.arrivals[body], time.Now())
-		engine.guilty = append(engine.guilty, body)
+		engine.crashBodies = append(engine.crashBodies, body)
 	}
 	return *engine, engine
 }
 
-var errCrashed = &exchange.Error{Sent: true, Cause: io.ErrUnexpectedEOF}
+var errBroken = &exchange.Error{Sent: true, Cause: io.ErrUnexpectedEOF}
 
 // Send implements forward.Caller.
 func (f *crashFleet) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 	body := string(attempt.Request.Body)
-	found, engine := f.reach(attempt.Target.Address, body)
+	found, engine := f.arrive(attempt.Target.Address, body)
 	if !found.up {
 		return nil, &exchange.Error{Cause: syscall.ECONNREFUSED}
 	}
@@ -204,31 +204,31 @@
 		return f.reply(http.StatusMisdirectedRequest, forward.OtherInstance), nil
 	}
 	work := crashAfter
-	if !crashes(body) {
+	if !causesCrash(body) {
 		work += rand.N(f.work)
 	}
 	select {
 	case <-time.After(work):
 	case <-found.ended:
-		return nil, errCrashed
+		return nil, errBroken
 	case <-ctx.Done():
-		if f.stubborn && crashes(body) {
+		if f.ignoresCancel && causesCrash(body) {
 			time.AfterFunc(crashAfter, func() { f.crash(engine) })
 		}
 		return nil, &exchange.Error{Sent: true, Cause: context.Cause(ctx)}
 	}
-	if crashes(body) {
+	if causesCrash(body) {
 		f.crash(engine)
 	}
-	if crashes(body) || f.breaks {
-		return nil, errCrashed
+	if causesCrash(body) || f.breaksAttempts {
+		return nil, errBroken
 	}
 	return f.reply(http.StatusOK, forward.Genuine), nil
 }
 
-func (f *crashFleet) reply(status int, verdict forward.Verdict) *forward.Reply {
+func (f *crashFleet) reply(status int, execution forward.Verdict) *forward.Reply {
 	return &forward.Reply{
-		Status: status, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n")), Verdict: verdict,
+		Status: status, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n")), Verdict: execution,
 	}
 }
 
@@ -237,7 +237,7 @@
 
 // Report implements rollout.Engines.
 func (f *crashFleet) Report(_ context.Context, target backend.Record) (*rollout.Report, error) {
-	found, _ := f.reach(target.Address, "")
+	found, _ := f.arrive(target.Address, "")
 	switch {
 	case !found.up:
 		return nil, &exchange.Error{Cause: syscall.ECONNREFUSED}
@@ -248,37 +248,37 @@
 	}
 }
 
-// crashSink takes the end of a request.
-type crashSink struct {
+// testSink takes the end of a request.
+type testSink struct {
 	status  int
 	aborted bool
 	refusal *fault.Fault
 }
 
 // Head implements forward.Sink.
-func (s *crashSink) Head(status int, _ http.Header, _ int64) { s.status = status }
+func (s *testSink) Head(status int, _ http.Header, _ int64) { s.status = status }
 
 // Write implements forward.Sink.
-func (s *crashSink) Write([]byte) error { return nil }
+func (s *testSink) Write([]byte) error { return nil }
 
 // Flush implements forward.Sink.
-func (s *crashSink) Flush() error { return nil }
+func (s *testSink) Flush() error { return nil }
 
 // Abort implements forward.Sink.
-func (s *crashSink) Abort() { s.aborted = true }
+func (s *testSink) Abort() { s.aborted = true }
 
 // Refuse implements forward.Sink.
-func (s *crashSink) Refuse(refusal *fault.Fault) { s.refusal = refusal }
+func (s *testSink) Refuse(refusal *fault.Fault) { s.refusal = refusal }
 
-// ask sends a request with a body to a router, under an id of its own.
-func (f *crashFleet) ask(router int, body string) *crashSink {
+// send sends a request with a body to a router, under an id of its own.
+func (f *crashFleet) send(router int, body string) *testSink {
 	f.mu.Lock()
 	forwarder := f.routers[router%len(f.routers)].forwarder
 	f.mu.Unlock()
-	sink := &crashSink{}
+	sink := &testSink{}
 	ctx := f.t.Context()
-	if f.patience > 0 && crashes(body) {
-		bounded, cancel := context.WithTimeout(ctx, f.patience)
+	if f.clientTimeout > 0 && causesCrash(body) {
+		bounded, cancel := context.WithTimeout(ctx, f.clientTimeout)
 		defer cancel()
 		ctx = bounded
 	}
@@ -290,8 +290,8 @@
 	return sink
 }
 
-// crashed returns when the third engine crashed under a body, the zero time before.
-func (f *crashFleet) crashed(body string) time.Time {
+// thirdCrash returns when the third engine crashed under a body, the zero time before.
+func (f *crashFleet) thirdCrash(body string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.crashes[body]) < 3 {
@@ -303,11 +303,11 @@
 // arrivedLate returns how often a body reached engines after all routers had time to learn
 // of it.
 func (f *crashFleet) arrivedLate(body string) int {
-	third := f.crashed(body)
+	third := f.thirdCrash(body)
 	if third.IsZero() {
 		return 0
 	}
-	return f.arrivedAfter(body, third.Add(crashLearnt))
+	return f.arrivedAfter(body, third.Add(crashPropagation))
 }
 
 // arrivedAfter returns how often a body reached engines after a time.
@@ -323,39 +323,39 @@
 	return count
 }
 
-// repeatCrash sends a request under which engines crash to one router after the other, for
+// resend sends a request under which engines crash to one router after the other, for
 // a time after three have crashed, or after the first if it is held before that: it may have
 // run beside another one.
-func (f *crashFleet) repeatCrash(body string, lasting time.Duration) {
+func (f *crashFleet) resend(body string, lasting time.Duration) {
 	begun := time.Now()
 	for try := 0; ; try++ {
-		if third := f.crashed(body); !third.IsZero() && time.Since(third) > lasting {
+		if third := f.thirdCrash(body); !third.IsZero() && time.Since(third) > lasting {
 			return
 		}
-		if time.Since(begun) > lasting+crashLearnt {
+		if time.Since(begun) > lasting+crashPropagation {
 			return
 		}
-		f.ask(try, body)
-		time.Sleep(crashPause)
+		f.send(try, body)
+		time.Sleep(retryPause)
 	}
 }
 
-// bounded fails if a body reached engines more often than it may.
-func (f *crashFleet) bounded(body string) {
+// checkBound fails if a body reached engines more often than it may.
+func (f *crashFleet) checkBound(body string) {
 	f.t.Helper()
 	late := f.arrivedLate(body)
 	f.t.Logf("%d engines crashed under %q; it reached engines %d times, %d of them late",
 		len(f.crashes[body]), body, len(f.arrivals[body]), late)
-	if late > crashAllowed {
+	if late > lateAllowed {
 		f.t.Errorf("%q reached engines %d times after all routers had time to learn of it", body, late)
 	}
 }
 
-func TestARequestUnderWhichEnginesCrashIsNotSentOnAndOn(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, 16, 4)
-	f.repeatCrash(crashBody, crashLearnt+2*time.Second)
-	f.bounded(crashBody)
+	f.resend(crashBody, crashPropagation+2*time.Second)
+	f.checkBound(crashBody)
 }
 
 // rowsUnder returns the number of rows whose keys begin with a prefix.
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -18,32 +18,32 @@
 	requestFields = []string{"request", "elapsed_ms", "route", "config_version", "config_age_ms"}
 	attemptFields = []string{"attempt", "instance", "record_revision", "home", "distance", "predicted_ms", "candidates", "limits_used_up", "resting", "leaving", "elsewhere_for", "weights", "release", "releases"}
 	// Those of decisions of the budget of repeats.
-	repeatFields = []string{"request", "elapsed_ms", "service", "window_requests", "window_repeats", "slack", "sharers"}
+	retryFields = []string{"request", "elapsed_ms", "service", "window_requests", "window_repeats", "slack", "sharers"}
 	// Those of events about rollouts, and about the writing of their states.
 	rolloutFields = []string{"service", "target", "order"}
 	stateFields   = []string{"service", "phase", "version"}
 )
 
-func with(fields []string, more ...string) []string {
+func appendFields(fields []string, more ...string) []string {
 	return append(append([]string(nil), fields...), more...)
 }
 
 // Events returns every event of a node's log.
 func Events() []EventDescription {
-	return append(events(), limitAndReturnEvents()...)
+	return append(events(), backendAndStoreEvents()...)
 }
 
-// limitAndReturnEvents are those about limits of back ends and returns of the store.
-func limitAndReturnEvents() []EventDescription {
+// backendAndStoreEvents are those about limits of back ends and returns of the store.
+func backendAndStoreEvents() []EventDescription {
 	return []EventDescription{
-		{"backend_limit", with(requestFields, append(attemptFields, "limited", "rate", "rate_before")...), "An answer names another limit of its back end than was known here, or none any more (limited); rate and rate_before are requests a second, of all routers together."},
-		{"limit_denied", with(requestFields, append(attemptFields, "rate", "after_ms")...), "The back end was the best for the request, and its limit (rate, requests a second) is used up: the request goes elsewhere, and this router asks for none there for after_ms."},
+		{"backend_limit", appendFields(requestFields, append(attemptFields, "limited", "rate", "rate_before")...), "An answer names another limit of its back end than was known here, or none any more (limited); rate and rate_before are requests a second, of all routers together."},
+		{"limit_denied", appendFields(requestFields, append(attemptFields, "rate", "after_ms")...), "The back end was the best for the request, and its limit (rate, requests a second) is used up: the request goes elsewhere, and this router asks for none there for after_ms."},
 		{"backend_limit_unreadable", []string{"instance", "limit"}, "An answer names a limit of its back end that is no number of requests; what was known before holds on."},
 		{"backend_limit_reported", []string{"instance", "limited", "rate", "rate_before"}, "The report of a back end names another limit than was known here."},
 		{"backend_limit_told", []string{"instance", "limited", "rate", "age_ms"}, "Another router told of a limit of a back end, or of its end; age_ms: since an answer last confirmed it."},
-		{"backend_leaving", with(requestFields, append(attemptFields, "by")...), "A back end was heard to be about to end, by a report, an answer to an order or another router (by), or by an answer to the request that is named; it is logged once for each life, and it gets no more requests."},
+		{"backend_leaving", appendFields(requestFields, append(attemptFields, "by")...), "A back end was heard to be about to end, by a report, an answer to an order or another router (by), or by an answer to the request that is named; it is logged once for each life, and it gets no more requests."},
 		{"backend_leaving_unreadable", []string{"instance", "leaving"}, "An answer says neither that its back end leaves nor that it stays, but something else; it counts as not said."},
-		{"backend_rest", with(requestFields, append(attemptFields, "by", "rest_ms")...), "A back end refused the request that is named, or a report or an order (by), and wants nothing from this router for rest_ms."},
+		{"backend_rest", appendFields(requestFields, append(attemptFields, "by", "rest_ms")...), "A back end refused the request that is named, or a report or an order (by), and wants nothing from this router for rest_ms."},
 		{"backend_rest_unreadable", []string{"instance", "rest"}, "A refusal asks for a rest of its back end that is no number of seconds; it counts as not asked for."},
 		{"rejoined", []string{"revision", "peers", "routers"}, "The store came back from an older copy, and this router's row is there (again)."},
 		{"router_row_not_written_again", []string{"cause"}, "The store came back from an older copy, and this router's row could not be looked for, or written; it is tried again."},
@@ -106,24 +106,24 @@
 		{"quota_leader_changed", []string{"of", "from", "to"}, "Another router grants what tenants with limits may use here, or what a part of the back ends with limits may get from here (of); from and to are addresses, to is this router's own if it reaches no older one."},
 		{"version_doubted", []string{"model", "version", "ended"}, "This many engines ended while they loaded a version that no engine has: it is loaded by one engine at a time, with growing pauses, until one has it."},
 		{"order", []string{"instance", "model", "version", "fence", "sequence", "result"}, "An order was sent to an engine."},
-		{"rollout_ordered", with(rolloutFields, "duration_ms"), "An operator's order to move a service to another release was seen here; order is its revision."},
-		{"rollout_decided", with(rolloutFields, "phase", "reason", "ceiling", "fence"), "This router, which holds the lease, has written how the rollout stands; ceiling is the number of requests that may be permitted to the target."},
-		{"rollout_phase", with(rolloutFields, "phase", "reason", "requests", "sent"), "This router acts upon another phase of the rollout; requests and sent are its own, of the service and to the target."},
-		{"rollout_permit", with(rolloutFields, "permitted"), "This router has a permit of the holder that is young enough, or has lost it and sends nothing to the target."},
-		{"rollout_state_unanswered", with(stateFields, "cause"), "A write of the state had no answer: it may have been done, and is read before it is repeated."},
+		{"rollout_ordered", appendFields(rolloutFields, "duration_ms"), "An operator's order to move a service to another release was seen here; order is its revision."},
+		{"rollout_decided", appendFields(rolloutFields, "phase", "reason", "ceiling", "fence"), "This router, which holds the lease, has written how the rollout stands; ceiling is the number of requests that may be permitted to the target."},
+		{"rollout_phase", appendFields(rolloutFields, "phase", "reason", "requests", "sent"), "This router acts upon another phase of the rollout; requests and sent are its own, of the service and to the target."},
+		{"rollout_permit", appendFields(rolloutFields, "permitted"), "This router has a permit of the holder that is young enough, or has lost it and sends nothing to the target."},
+		{"rollout_state_unanswered", appendFields(stateFields, "cause"), "A write of the state had no answer: it may have been done, and is read before it is repeated."},
 		{"rollout_state_conflict", stateFields, "The state was not written, since another holder wrote it meanwhile."},
-		{"rollout_state_not_written", with(stateFields, "cause"), "The state could not be encoded."},
+		{"rollout_state_not_written", appendFields(stateFields, "cause"), "The state could not be encoded."},
 		{"rollout_state_not_read", []string{"service", "cause"}, "The state could not be read for a decision; it is read again."},
 		{"rollout_states_not_read", []string{"cause"}, "The states of rollouts could not be read for all routers; they are read again with the configuration."},
 		{"rollout_state_unreadable", []string{"row", "cause"}, "The row of a state is malformed; the rollout begins anew."},
-		{"sent", with(requestFields, attemptFields...), "An attempt leaves for a back end; predicted_ms is the expected time to its first byte, distance says whether it is in this zone, in this region or in another region."},
-		{"attempt_ended", with(requestFields, append(attemptFields, "outcome", "fingerprint", "cause")...), "An attempt is over; fingerprint, of those that broke off, is the same for each try of one request."},
-		{"answered", with(requestFields, "status", "events", "cause"), "The whole answer was passed on."},
-		{"refused", with(requestFields, "fault", "detail", "ran", "cause"), "The final answer is the router's own; ran says whether the request may have run."},
-		{"broken", with(requestFields, "events", "fault", "detail", "ran"), "An answer broke off after a part of it was passed on."},
-		{"repeat_granted", repeatFields, "The budget of repeats granted one; window_requests earn a share of repeats at this router, window_repeats are those in its window, and sharers have one part of the slack each."},
-		{"repeat_denied", repeatFields, "The budget of repeats granted none."},
-		{"client_gone", with(requestFields, "events", "cause"), "The client left."},
+		{"sent", appendFields(requestFields, attemptFields...), "An attempt leaves for a back end; predicted_ms is the expected time to its first byte, distance says whether it is in this zone, in this region or in another region."},
+		{"attempt_ended", appendFields(requestFields, append(attemptFields, "outcome", "fingerprint", "cause")...), "An attempt is over; fingerprint, of those that broke off, is the same for each try of one request."},
+		{"answered", appendFields(requestFields, "status", "events", "cause"), "The whole answer was passed on."},
+		{"refused", appendFields(requestFields, "fault", "detail", "ran", "cause"), "The final answer is the router's own; ran says whether the request may have run."},
+		{"broken", appendFields(requestFields, "events", "fault", "detail", "ran"), "An answer broke off after a part of it was passed on."},
+		{"repeat_granted", retryFields, "The budget of repeats granted one; window_requests earn a share of repeats at this router, window_repeats are those in its window, and sharers have one part of the slack each."},
+		{"repeat_denied", retryFields, "The budget of repeats granted none."},
+		{"client_gone", appendFields(requestFields, "events", "cause"), "The client left."},
 		{"log_lines_dropped", []string{"count"}, "Lines were dropped because the reader is slow."},
 	}
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -21,7 +21,7 @@
 		{Health: &health.Notice{Silent: []ident.Incarnation{"a"}, Answering: []ident.Incarnation{"b"}}},
 		{Health: &health.Notice{Queues: []health.Queue{{Instance: "a", Waiting: -1}, {Instance: "b", Waiting: 1 << 62}}}},
 		{Rollout: &rollout.Notice{Model: model, Version: 2, Loaded: []ident.Incarnation{"x"}}},
-		{Permit: &canary.Permit{Order: fuzzedOrder, Fence: 1, Phase: canary.Promoting, Clock: time.Hour, Sends: 1 << 63, Among: 1 << 30}},
+		{Permit: &canary.Permit{Order: fuzzOrder, Fence: 1, Phase: canary.Promoting, Clock: time.Hour, Sends: 1 << 63, Among: 1 << 30}},
 		{Report: &canary.Report{Service: "s", Revision: 1, Life: 7, Sent: 1 << 63, Tallies: []canary.Tally{{Route: "r", Answers: 2, Failures: 3}}}},
 		{},
 	}
@@ -40,7 +40,7 @@
 		known.Update(now, []backend.Record{
 			{Instance: "a", Service: "s", Models: models}, {Instance: "b", Service: "s", Models: models},
 		})
-		(&notices{audience: &audience{}, backends: known, canaries: fuzzedCanaries(now)}).receive(netip.AddrPort{}, encoded)
+		(&notices{audience: &audience{}, backends: known, canaries: newFuzzCanaries(now)}).receive(netip.AddrPort{}, encoded)
 		_, flight, found := known.Pick(now, &backend.Query{Service: "s", Model: model})
 		if found {
 			flight.Ended(now, backend.Abandoned)
@@ -53,19 +53,19 @@
 	})
 }
 
-var fuzzedOrder = canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}
+var fuzzOrder = canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}
 
-// fuzzedCanaries returns those of a holder that directs a rollout, and to which the sender of
+// newFuzzCanaries returns those of a holder that directs a rollout, and to which the sender of
 // the fuzzed datagram is a router of the roster.
-func fuzzedCanaries(now time.Time) *canaries {
+func newFuzzCanaries(now time.Time) *canaries {
 	c := newCanaries(guardedBounds, &canaries{
-		metrics: newMetrics(func() reading { return reading{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{{}} },
+		metrics: newMetrics(func() gaugeValues { return gaugeValues{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{{}} },
 		send: func(netip.AddrPort, datagram) {},
 	})
 	c.listed(now, recordsOf(oldRelease, newRelease))
-	c.know(now, &knownRollouts{orders: []canary.Order{fuzzedOrder}, readAt: now})
-	c.hold(now, 1)
-	c.directing.observe(now, c.rollouts, recordsOf(oldRelease, newRelease), c.peers())
-	c.directing.director.Read(now, canary.State{Order: fuzzedOrder, Phase: canary.Observing}, 1)
+	c.know(now, &knownRollouts{orders: []canary.Order{fuzzOrder}, readAt: now})
+	c.setFence(now, 1)
+	c.term.observe(now, c.rollouts, recordsOf(oldRelease, newRelease), c.peers())
+	c.term.director.Read(now, canary.State{Order: fuzzOrder, Phase: canary.Observing}, 1)
 	return c
 }
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -22,13 +22,13 @@
 	healthTick = 50 * time.Millisecond
 	// checkTimeout bounds one check: engines report without a slot, within a few ms.
 	checkTimeout = 300 * time.Millisecond
-	// toldAgain is the time between two notices of the same silent engines; it is
+	// silentResend is the time between two notices of the same silent engines; it is
 	// shorter than backend.SilentFor, so that a lost datagram does no harm.
-	toldAgain = 500 * time.Millisecond
+	silentResend = 500 * time.Millisecond
 	// queueInterval is the least time between two notices of queues.
 	queueInterval = 250 * time.Millisecond
-	// rewatch is the time between two looks at the list of engines.
-	rewatch = time.Second
+	// watchInterval is the time between two looks at the list of engines.
+	watchInterval = time.Second
 )
 
 // healthWatcher checks the engines of its zone, for all routers, while this router is
@@ -40,15 +40,15 @@
 	backends *backend.Registry
 	// holder tells the services that there are.
 	holder *catalog.Holder
-	tell   func(health.Notice)
+	notify func(health.Notice)
 
-	tracker   *health.Tracker
-	results   chan checkResult
-	checks    sync.WaitGroup
-	watchedAt time.Time
-	silent    []ident.Incarnation
-	toldAt    time.Time
-	queuesAt  time.Time
+	tracker    *health.Tracker
+	results    chan checkResult
+	checks     sync.WaitGroup
+	watchedAt  time.Time
+	silent     []ident.Incarnation
+	notifiedAt time.Time
+	queuesAt   time.Time
 }
 
 // checkResult is what came of one check.
@@ -72,7 +72,7 @@
 		case <-ctx.Done():
 			return
 		case result := <-w.results:
-			w.take(clock.Now(), result)
+			w.recordResult(clock.Now(), result)
 		case <-ticker.C:
 			w.tick(ctx, clock.Now())
 		}
@@ -81,9 +81,9 @@
 
 // tick starts the checks that are due, and tells what came of former ones.
 func (w *healthWatcher) tick(ctx context.Context, now time.Time) {
-	if now.Sub(w.watchedAt) >= rewatch {
+	if now.Sub(w.watchedAt) >= watchInterval {
 		w.watchedAt = now
-		w.tracker.Watch(now, w.watched())
+		w.tracker.Watch(now, w.enginesToCheck())
 	}
 	for _, record := range w.tracker.Due(now) {
 		if w.backends.Resting(now, record.Instance) {
@@ -92,13 +92,13 @@
 		}
 		w.checks.Go(func() { w.check(ctx, record) })
 	}
-	w.announce(now)
-	w.announceQueues(now)
-	w.announceGone()
+	w.notifySilent(now)
+	w.notifyQueues(now)
+	w.notifyGone()
 }
 
-// take takes in what came of a check.
-func (w *healthWatcher) take(now time.Time, result checkResult) {
+// recordResult takes in what came of a check.
+func (w *healthWatcher) recordResult(now time.Time, result checkResult) {
 	if result.gone {
 		w.backends.SawGone(now, result.instance)
 	}
@@ -109,9 +109,9 @@
 	w.tracker.Answered(now, result.instance, result.report.Queued)
 }
 
-// watched returns the engines to check; there are none while this router is not the
+// enginesToCheck returns the engines to check; there are none while this router is not the
 // first of its zone.
-func (w *healthWatcher) watched() []backend.Record {
+func (w *healthWatcher) enginesToCheck() []backend.Record {
 	if !w.leads() {
 		return nil
 	}
@@ -135,39 +135,39 @@
 	}
 }
 
-// announce tells which engines are silent when that changes, and again while there
+// notifySilent tells which engines are silent when that changes, and again while there
 // are any.
-func (w *healthWatcher) announce(now time.Time) {
+func (w *healthWatcher) notifySilent(now time.Time) {
 	silent := w.tracker.Silent(now)
 	changed := !slices.Equal(silent, w.silent)
-	if !changed && (len(silent) == 0 || now.Sub(w.toldAt) < toldAgain) {
+	if !changed && (len(silent) == 0 || now.Sub(w.notifiedAt) < silentResend) {
 		return
 	}
 	notice := health.Since(w.silent, silent)
 	if changed {
 		log.WithFields(log.Fields{"silent": notice.Silent, "answering": notice.Answering}).Info("engines_silent")
 	}
-	w.silent, w.toldAt = silent, now
-	w.tell(notice)
+	w.silent, w.notifiedAt = silent, now
+	w.notify(notice)
 }
 
-// announceQueues tells at which engines requests wait.
-func (w *healthWatcher) announceQueues(now time.Time) {
+// notifyQueues tells at which engines requests wait.
+func (w *healthWatcher) notifyQueues(now time.Time) {
 	if now.Sub(w.queuesAt) < queueInterval {
 		return
 	}
 	w.queuesAt = now
 	if queues := w.tracker.Queues(); len(queues) > 0 {
-		w.tell(health.Notice{Queues: queues})
+		w.notify(health.Notice{Queues: queues})
 	}
 }
 
-// announceGone tells which back ends this router found gone, by checks or by requests.
-func (w *healthWatcher) announceGone() {
+// notifyGone tells which back ends this router found gone, by checks or by requests.
+func (w *healthWatcher) notifyGone() {
 	gone := w.backends.NewlyGone()
 	if len(gone) == 0 {
 		return
 	}
 	log.WithFields(log.Fields{"gone": gone}).Info("engines_gone")
-	w.tell(health.Notice{Gone: gone})
+	w.notify(health.Notice{Gone: gone})
 }
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -22,23 +22,23 @@
 	idleEngines
 
 	mu sync.Mutex
-	// ended engines have another one at their address.
-	ended  ident.Incarnation
-	dark   map[ident.Incarnation]bool
-	queued map[ident.Incarnation]int
-	checks map[ident.Incarnation]int
+	// replaced engines have another one at their address.
+	replaced     ident.Incarnation
+	unresponsive map[ident.Incarnation]bool
+	queued       map[ident.Incarnation]int
+	checks       map[ident.Incarnation]int
 }
 
 // Report implements rollout.Engines.
 func (e *checkedEngines) Report(ctx context.Context, target backend.Record) (*rollout.Report, error) {
 	e.mu.Lock()
 	e.checks[target.Instance]++
-	dark, queued := e.dark[target.Instance], e.queued[target.Instance]
+	unresponsive, queued := e.unresponsive[target.Instance], e.queued[target.Instance]
 	e.mu.Unlock()
-	if target.Instance == e.ended {
+	if target.Instance == e.replaced {
 		return nil, rollout.ErrOtherInstance
 	}
-	if dark {
+	if unresponsive {
 		<-ctx.Done()
 		return nil, errors.New("no answer")
 	}
@@ -55,20 +55,20 @@
 	}
 }
 
-// watchFor runs a watcher of zone z for a time, and returns the newest notices. What back ends
+// runWatcher runs a watcher of zone z for a time, and returns the newest notices. What back ends
 // said before is taken in by said.
-func watchFor(
-	t *testing.T, span time.Duration, engines *checkedEngines, leads bool, said ...func(*backend.Registry),
+func runWatcher(
+	t *testing.T, span time.Duration, engines *checkedEngines, leads bool, setUp ...func(*backend.Registry),
 ) (silent []ident.Incarnation, queues []health.Queue) {
 	t.Helper()
 	known := backend.NewRegistry(backend.Config{})
 	known.Update(time.Now(), checkedRecords())
-	for _, say := range said {
-		say(known)
+	for _, prepare := range setUp {
+		prepare(known)
 	}
 	watcher := &healthWatcher{
 		zone: "z", leads: func() bool { return leads }, engines: engines, backends: known, holder: &catalog.Holder{},
-		tell: func(notice health.Notice) {
+		notify: func(notice health.Notice) {
 			if notice.Silent != nil {
 				silent = notice.Silent
 			}
@@ -83,7 +83,7 @@
 	return silent, queues
 }
 
-func TestTheFirstOfAZoneTellsWhatBecomesOfItsEngines(t *testing.T) {
+func TestFirstOfZoneReportsEngineHealth(t *testing.T) {
 	tests := []struct {
 		name   string
 		leads  bool
@@ -100,12 +100,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				engines := &checkedEngines{
-					dark: map[ident.Incarnation]bool{}, queued: map[ident.Incarnation]int{"a": 3}, checks: map[ident.Incarnation]int{},
+					unresponsive: map[ident.Incarnation]bool{}, queued: map[ident.Incarnation]int{"a": 3}, checks: map[ident.Incarnation]int{},
 				}
 				for _, instance := range tt.dark {
-					engines.dark[instance] = true
+					engines.unresponsive[instance] = true
 				}
-				silent, queues := watchFor(t, 3*time.Second, engines, tt.leads)
+				silent, queues := runWatcher(t, 3*time.Second, engines, tt.leads)
 				is.Equal(silent, tt.silent)
 				is.Equal(queues, tt.queues)
 				for _, instance := range []ident.Incarnation{"far", "leaving", "app"} {
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestAWatcherTellsWhichEnginesAreGone(t *testing.T) {
+func TestWatcherReportsGoneEnginesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := backend.NewRegistry(backend.Config{})
@@ -124,8 +124,8 @@
 		var gone []ident.Incarnation
 		watcher := &healthWatcher{
 			zone: "z", leads: func() bool { return true }, backends: known, holder: &catalog.Holder{},
-			engines: &checkedEngines{ended: "b", checks: map[ident.Incarnation]int{}},
-			tell:    func(notice health.Notice) { gone = append(gone, notice.Gone...) },
+			engines: &checkedEngines{replaced: "b", checks: map[ident.Incarnation]int{}},
+			notify:  func(notice health.Notice) { gone = append(gone, notice.Gone...) },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestALongNoticeOfQueuesIsSplit(t *testing.T) {
+func TestLongHealthNotificationIsSplit(t *testing.T) {
 	is := is.New(t)
 	notice := health.Notice{Silent: []ident.Incarnation{"s"}, Answering: []ident.Incarnation{"t"}}
 	for range 3 * noticeEngines {
@@ -154,7 +154,7 @@
 
 // An engine that wants rest is not checked meanwhile, nor told to be silent, and is checked again
 // after it.
-func TestAnEngineThatRestsIsNotChecked(t *testing.T) {
+func TestBackingOffEngineIsNotChecked(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		rest    time.Duration
@@ -164,7 +164,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				engines := &checkedEngines{checks: map[ident.Incarnation]int{}}
-				silent, _ := watchFor(t, 3*time.Second, engines, true, func(known *backend.Registry) {
+				silent, _ := runWatcher(t, 3*time.Second, engines, true, func(known *backend.Registry) {
 					now := time.Now()
 					known.TakeSaid(now, "a", now, backend.Said{Rest: tt.rest}, backend.ByAnswer)
 				})
@@ -177,7 +177,7 @@
 }
 
 // Reports and orders that are held back from an engine which rests fail as if nothing was sent.
-func TestFewReportsAndOrdersGoToAnEngineThatRests(t *testing.T) {
+func TestBackingOffEngineGetsFewReportsAndOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := backend.NewRegistry(backend.Config{})
--- a/internal/node/limitfleet_test.go
+++ b/internal/node/limitfleet_test.go
@@ -20,15 +20,15 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// What an engine with a limit may get in a window of judgedWindow: judgedFactor times what its
-// limit allows, and judgedSlack requests, from routers that passed on an answer with a limit
-// judgedLearnt before. It is judged from judgedFrom after the first such answer.
+// What an engine with a limit may get in a window of checkedWindow: allowedFactor times what its
+// limit allows, and allowedSlack requests, from routers that passed on an answer with a limit
+// limitDelay before. It is judged from checkedFrom after the first such answer.
 const (
-	judgedWindow = 4 * time.Second
-	judgedFactor = 1.5
-	judgedSlack  = 5
-	judgedLearnt = 500 * time.Millisecond
-	judgedFrom   = 3 * time.Second
+	checkedWindow = 4 * time.Second
+	allowedFactor = 1.5
+	allowedSlack  = 5
+	limitDelay    = 500 * time.Millisecond
+	checkedFrom   = 3 * time.Second
 )
 
 // fleetSlack is the number of repeats in a window that all routers may make without any request.
@@ -42,18 +42,18 @@
 type limitedEngine struct {
 	record backend.Record
 	rate   float64
-	// leaving says that answers tell that the engine leaves.
-	leaving bool
-	// refuses is the part of the requests that are not run, rest is what refusals ask for.
-	refuses float64
-	rest    time.Duration
+	// draining says that answers tell that the engine leaves.
+	draining bool
+	// refusalShare is the part of the requests that are not run, rest is what refusals ask for.
+	refusalShare float64
+	backoff      time.Duration
 	// answers are all that were given.
 	answers []fleetAnswer
-	// namedAt is when the first answer with a limit was given, toldAt when each router got
+	// limitedAt is when the first answer with a limit was given, notifiedAt when each router got
 	// its first.
-	namedAt  time.Time
-	toldAt   map[int]time.Time
-	arrivals []limitedArrival
+	limitedAt    time.Time
+	firstLimitAt map[int]time.Time
+	arrivals     []limitedArrival
 }
 
 type limitedArrival struct {
@@ -65,10 +65,10 @@
 
 // fleetAnswer is an answer to a router, and what it said of its engine.
 type fleetAnswer struct {
-	router  int
-	at      time.Time
-	leaving bool
-	rest    time.Duration
+	router   int
+	at       time.Time
+	draining bool
+	backoff  time.Duration
 }
 
 // limitFleet is a service whose engines name limits, and its routers. It implements
@@ -98,7 +98,7 @@
 		}},
 	}
 	for index := range engines {
-		f.engines = append(f.engines, &limitedEngine{rate: unlimited, toldAt: map[int]time.Time{}, record: backend.Record{
+		f.engines = append(f.engines, &limitedEngine{rate: unlimited, firstLimitAt: map[int]time.Time{}, record: backend.Record{
 			Instance: ident.Incarnation(fmt.Sprint("e", index)), Service: "s", Zone: "z", Address: fmt.Sprintf("10.0.0.%d:1", index+1),
 			Slots: 16, Models: map[ident.Model]int{model: 1}, Revision: uint64(index + 1),
 		}})
@@ -154,7 +154,7 @@
 
 // Send implements forward.Caller.
 func (c limitCaller) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
-	engine := c.fleet.arrived(c.router, attempt)
+	engine := c.fleet.arrive(c.router, attempt)
 	select {
 	case <-time.After(rand.N(c.fleet.work)):
 	case <-ctx.Done():
@@ -167,20 +167,20 @@
 func (f *limitFleet) answer(router int, engine *limitedEngine) *forward.Reply {
 	reply := &forward.Reply{
 		Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n")),
-		Verdict: forward.Genuine, Said: backend.Said{Limit: f.told(router, engine)},
+		Verdict: forward.Genuine, Said: backend.Said{Limit: f.limitFor(router, engine)},
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	reply.Said.Leaving = engine.leaving
-	if rand.Float64() < engine.refuses {
-		reply.Status, reply.Verdict, reply.Said.Rest = http.StatusServiceUnavailable, forward.NotExecuted, engine.rest
+	reply.Said.Leaving = engine.draining
+	if rand.Float64() < engine.refusalShare {
+		reply.Status, reply.Verdict, reply.Said.Rest = http.StatusServiceUnavailable, forward.NotExecuted, engine.backoff
 	}
-	engine.answers = append(engine.answers, fleetAnswer{router: router, at: time.Now(), leaving: engine.leaving, rest: reply.Said.Rest})
+	engine.answers = append(engine.answers, fleetAnswer{router: router, at: time.Now(), draining: engine.draining, backoff: reply.Said.Rest})
 	return reply
 }
 
-// arrived takes in that a request reaches an engine.
-func (f *limitFleet) arrived(router int, attempt *forward.Attempt) *limitedEngine {
+// arrive takes in that a request reaches an engine.
+func (f *limitFleet) arrive(router int, attempt *forward.Attempt) *limitedEngine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	index := slices.IndexFunc(f.engines, func(engine *limitedEngine) bool { return engine.record.Address == attempt.Target.Address })
@@ -189,18 +189,18 @@
 	return engine
 }
 
-// told returns the limit that an answer to a router names.
-func (f *limitFleet) told(router int, engine *limitedEngine) backend.ToldLimit {
+// limitFor returns the limit that an answer to a router names.
+func (f *limitFleet) limitFor(router int, engine *limitedEngine) backend.ToldLimit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if engine.rate == unlimited {
 		return backend.Unlimited{}
 	}
-	if engine.namedAt.IsZero() {
-		engine.namedAt = time.Now()
+	if engine.limitedAt.IsZero() {
+		engine.limitedAt = time.Now()
 	}
-	if _, before := engine.toldAt[router]; !before {
-		engine.toldAt[router] = time.Now()
+	if _, before := engine.firstLimitAt[router]; !before {
+		engine.firstLimitAt[router] = time.Now()
 	}
 	return backend.LimitedTo{Rate: engine.rate}
 }
@@ -239,7 +239,7 @@
 	for sent := 0; time.Since(begun) < lasting; sent++ {
 		<-ticker.C
 		if router := f.router(sent); router != nil {
-			open.Go(func() { result.ask(f.t.Context(), sent%len(f.routers), router.forwarder) })
+			open.Go(func() { result.send(f.t.Context(), sent%len(f.routers), router.forwarder) })
 		}
 	}
 	open.Wait()
@@ -253,9 +253,9 @@
 	return f.routers[request%len(f.routers)]
 }
 
-// ask sends one request to a router, each with a prompt of its own.
-func (l *limitLoad) ask(ctx context.Context, router int, forwarder *forward.Forwarder) {
-	sink, begun := &crashSink{}, time.Now()
+// send sends one request to a router, each with a prompt of its own.
+func (l *limitLoad) send(ctx context.Context, router int, forwarder *forward.Forwarder) {
+	sink, begun := &testSink{}, time.Now()
 	id := ident.NewUnique()
 	forwarder.Forward(ctx, &forward.Request{
 		ID: ident.Request(id), Method: http.MethodPost, Target: "/x", Path: "/x", Host: "h", Header: http.Header{}, Body: []byte(id),
@@ -283,12 +283,12 @@
 	var counted []time.Time
 	largest := 0
 	for _, arrival := range e.arrivals {
-		told, known := e.toldAt[arrival.router]
-		if !known || arrival.at.Before(told.Add(judgedLearnt)) {
+		limitedAt, known := e.firstLimitAt[arrival.router]
+		if !known || arrival.at.Before(limitedAt.Add(limitDelay)) {
 			continue
 		}
 		counted = append(counted, arrival.at)
-		for arrival.at.Sub(counted[0]) > judgedWindow {
+		for arrival.at.Sub(counted[0]) > checkedWindow {
 			counted = counted[1:]
 		}
 		if arrival.at.After(from) {
@@ -298,17 +298,17 @@
 	return largest
 }
 
-// bounded fails if an engine got more than its limit allows, as it was at most.
-func (f *limitFleet) bounded(index int, rate float64) {
+// checkLimit fails if an engine got more than its limit allows, as it was at most.
+func (f *limitFleet) checkLimit(index int, rate float64) {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	engine := f.engines[index]
-	allowed := judgedFactor*rate*judgedWindow.Seconds() + judgedSlack
-	largest := engine.largestWindow(engine.namedAt.Add(judgedFrom))
-	f.t.Logf("engine %d with a limit of %.2f got %d in %v, allowed %.1f", index, rate, largest, judgedWindow, allowed)
+	allowed := allowedFactor*rate*checkedWindow.Seconds() + allowedSlack
+	largest := engine.largestWindow(engine.limitedAt.Add(checkedFrom))
+	f.t.Logf("engine %d with a limit of %.2f got %d in %v, allowed %.1f", index, rate, largest, checkedWindow, allowed)
 	if float64(largest) > allowed {
-		f.t.Errorf("engine %d with a limit of %.2f got %d in %v, allowed %.1f", index, rate, largest, judgedWindow, allowed)
+		f.t.Errorf("engine %d with a limit of %.2f got %d in %v, allowed %.1f", index, rate, largest, checkedWindow, allowed)
 	}
 }
 
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -12,13 +12,13 @@
 	"github.com/fieldpond/fieldpond/internal/forward"
 )
 
-// quietLog drops what net/http logs of connections that clients broke off.
-var quietLog = stdlog.New(io.Discard, "", 0)
+// discardLog drops what net/http logs of connections that clients broke off.
+var discardLog = stdlog.New(io.Discard, "", 0)
 
-// recordTo returns what counts and logs each decision about a request.
-func recordTo(counters *metrics) func(forward.Step) {
+// stepRecorder returns what counts and logs each decision about a request.
+func stepRecorder(counters *metrics) func(forward.Step) {
 	return func(step forward.Step) {
-		counters.step(&step)
+		counters.countStep(&step)
 		logStep(&step)
 	}
 }
@@ -42,7 +42,7 @@
 		if step.Choice.UsedUp > 0 {
 			fields["limits_used_up"] = step.Choice.UsedUp
 		}
-		logPassedOver(fields, &step.Choice)
+		addSkipFields(fields, &step.Choice)
 		if step.Choice.Version > 0 {
 			fields["weights"] = step.Choice.Version
 		}
@@ -91,9 +91,9 @@
 	log.WithFields(fields).Info(string(step.Kind))
 }
 
-// logPassedOver says how many back ends said that they want no attempt, and whether this one went
+// addSkipFields says how many back ends said that they want no attempt, and whether this one went
 // elsewhere for that.
-func logPassedOver(fields log.Fields, choice *backend.Choice) {
+func addSkipFields(fields log.Fields, choice *backend.Choice) {
 	if choice.Resting > 0 {
 		fields["resting"] = choice.Resting
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -33,42 +33,42 @@
 
 // metrics are the counters of one node.
 type metrics struct {
-	registry     *telemetry.Registry
-	requests     *prometheus.CounterVec
-	attempts     *prometheus.CounterVec
-	distances    *prometheus.CounterVec
-	refusals     *prometheus.CounterVec
-	answerTime   *prometheus.HistogramVec
-	orders       *prometheus.CounterVec
-	doubts       *prometheus.CounterVec
-	dependencies *prometheus.CounterVec
-	pulls        *prometheus.CounterVec
-	watches      *prometheus.CounterVec
-	repeats      *prometheus.CounterVec
+	registry        *telemetry.Registry
+	requests        *prometheus.CounterVec
+	attempts        *prometheus.CounterVec
+	distances       *prometheus.CounterVec
+	refusals        *prometheus.CounterVec
+	answerTime      *prometheus.HistogramVec
+	orders          *prometheus.CounterVec
+	suspectVersions *prometheus.CounterVec
+	dependencies    *prometheus.CounterVec
+	pulls           *prometheus.CounterVec
+	watches         *prometheus.CounterVec
+	retries         *prometheus.CounterVec
 	// What requests of tenants with limits would use, by what came of their claims.
 	tenantGranted, tenantDenied, tenantUnconfirmed *prometheus.CounterVec
-	limitClaims                                    *prometheus.CounterVec
-	elsewhere                                      *prometheus.CounterVec
+	limitReservations                              *prometheus.CounterVec
+	attemptsElsewhere                              *prometheus.CounterVec
 	// What came of checks whether back ends crashed, and of questions for trials.
 	crashChecks, trials *prometheus.CounterVec
 
 	releaseAttempts, rolloutPhases *prometheus.CounterVec
 }
 
-// reading is the state of a node at one moment.
-type reading struct {
+// readGauges is the state of a node at one moment.
+type gaugeValues struct {
 	configurationVersion uint64
 	configurationAge     time.Duration
 	backends, inFlight   int
 	limitedBackends      int
-	leavingBackends      int
-	restingBackends      int
+	drainingBackends     int
+	backingOffBackends   int
 	leaseHeld            bool
 	readsStore           bool
 	routers, sharers     int
 	quotaMembers         int
 	limitMembers         int
-	regionsLost          int
+	unreachableRegions   int
 	linesDropped         uint64
 	silentConnections    uint64
 	clients              int
@@ -77,28 +77,28 @@
 	crashSuspects        int
 }
 
-func newMetrics(read func() reading) *metrics {
+func newMetrics(read func() gaugeValues) *metrics {
 	registry := telemetry.NewLean()
 	m := &metrics{
-		registry:     registry,
-		requests:     registry.Counter("edge_requests_total", "Requests by their end: answered, refused, broken or client_gone.", "end"),
-		attempts:     registry.Counter("edge_attempts_total", "Attempts at back ends, by outcome.", "outcome"),
-		distances:    registry.Counter("edge_attempt_distances_total", "Attempts at back ends, by their distance: zone, region or other_region.", "distance"),
-		refusals:     registry.Counter("edge_refusals_total", "Final answers of the router's own, by kind and by what ran.", "kind", "ran"),
-		answerTime:   registry.Histogram("edge_answer_seconds", "Time from the arrival of a request to the end of its answer, in seconds.", answerBuckets, "end"),
-		orders:       registry.Counter("edge_orders_total", "Orders to engines, by result.", "result"),
-		doubts:       registry.Counter("edge_versions_doubted_total", "Versions of weights under which engines ended while they loaded them, by model.", "model"),
-		dependencies: registry.Counter("edge_dependency_lost_total", "Times that reads of a dependency began to fail.", "dependency"),
-		watches:      registry.Counter("edge_naming_watches_total", "Watches of the store for versions of weights that are named, by result: news, quiet, history_gone or failed.", "result"),
-		pulls:        registry.Counter("edge_pulls_total", "Pulls of the shared state from other routers, by result.", "result"),
-		repeats:      registry.Counter("edge_repeats_total", "Repeats that were asked of the budget, by service and verdict: granted or denied.", "service", "verdict"),
+		registry:        registry,
+		requests:        registry.Counter("edge_requests_total", "Requests by their end: answered, refused, broken or client_gone.", "end"),
+		attempts:        registry.Counter("edge_attempts_total", "Attempts at back ends, by outcome.", "outcome"),
+		distances:       registry.Counter("edge_attempt_distances_total", "Attempts at back ends, by their distance: zone, region or other_region.", "distance"),
+		refusals:        registry.Counter("edge_refusals_total", "Final answers of the router's own, by kind and by what ran.", "kind", "ran"),
+		answerTime:      registry.Histogram("edge_answer_seconds", "Time from the arrival of a request to the end of its answer, in seconds.", answerBuckets, "end"),
+		orders:          registry.Counter("edge_orders_total", "Orders to engines, by result.", "result"),
+		suspectVersions: registry.Counter("edge_versions_doubted_total", "Versions of weights under which engines ended while they loaded them, by model.", "model"),
+		dependencies:    registry.Counter("edge_dependency_lost_total", "Times that reads of a dependency began to fail.", "dependency"),
+		watches:         registry.Counter("edge_naming_watches_total", "Watches of the store for versions of weights that are named, by result: news, quiet, history_gone or failed.", "result"),
+		pulls:           registry.Counter("edge_pulls_total", "Pulls of the shared state from other routers, by result.", "result"),
+		retries:         registry.Counter("edge_repeats_total", "Repeats that were asked of the budget, by service and verdict: granted or denied.", "service", "verdict"),
 
 		tenantGranted:     registry.Counter("edge_tenant_granted_total", "Requests or tokens of tenants with limits that were granted.", "tenant"),
 		tenantDenied:      registry.Counter("edge_tenant_denied_total", "Requests or tokens that were denied, since the tenant had used its limit.", "tenant"),
 		tenantUnconfirmed: registry.Counter("edge_tenant_unconfirmed_total", "Requests or tokens for which no router confirmed in time that the tenant is within its limit.", "tenant"),
 
-		elsewhere:   registry.Counter("edge_attempts_elsewhere_total", "Attempts that did not go to the back end that was expected to be the fastest, since that said that it wants rest or leaves, by reason: rest or leaving.", "reason"),
-		limitClaims: registry.Counter("edge_limit_claims_total", "Requests that were asked for at back ends with limits, by verdict: granted, denied or unconfirmed.", "verdict"),
+		attemptsElsewhere: registry.Counter("edge_attempts_elsewhere_total", "Attempts that did not go to the back end that was expected to be the fastest, since that said that it wants rest or leaves, by reason: rest or leaving.", "reason"),
+		limitReservations: registry.Counter("edge_limit_claims_total", "Requests that were asked for at back ends with limits, by verdict: granted, denied or unconfirmed.", "verdict"),
 
 		crashChecks: registry.Counter("edge_crash_checks_total", "Checks of back ends at which attempts broke off, by result: crashed, alive or unknown.", "result"),
 		trials:      registry.Counter("edge_quarantine_trials_total", "Questions whether a quarantined request may be tried once more, by result: granted, denied or failed.", "result"),
@@ -106,27 +106,27 @@
 		releaseAttempts: registry.Counter("edge_release_attempts_total", "Attempts at back ends of a service that is being moved to another release, by release and outcome.", "service", "release", "outcome"),
 		rolloutPhases:   registry.Counter("edge_rollout_phases_total", "Changes of the phase of a rollout, as this router acts upon it.", "service", "phase"),
 	}
-	group := telemetry.NewGroup(registry, func() (reading, bool) { return read(), true })
-	group.Gauge("edge_configuration_version", "Version of the configuration in force, 0 for none.", func(r reading) int { return int(r.configurationVersion) })
-	group.Gauge("edge_configuration_age_milliseconds", "Time since the configuration was last confirmed, in milliseconds.", func(r reading) int { return int(r.configurationAge.Milliseconds()) })
-	group.Gauge("edge_backends", "Back ends in the list.", func(r reading) int { return r.backends })
-	group.Gauge("edge_backends_limited", "Back ends that name a limit of the requests which they take from all routers together.", func(r reading) int { return r.limitedBackends })
-	group.Gauge("edge_backends_leaving", "Back ends in the list that are about to end, by the list's word, their own or another router's.", func(r reading) int { return r.leavingBackends })
-	group.Gauge("edge_backends_resting", "Back ends that want nothing from this router now.", func(r reading) int { return r.restingBackends })
-	group.Gauge("edge_attempts_in_flight", "Attempts under way.", func(r reading) int { return r.inFlight })
-	group.Gauge("edge_lease_held", "1 while this router holds the rollout lease.", func(r reading) int { return oneIf(r.leaseHeld) })
-	group.Gauge("edge_reads_store", "1 while this router reads the store for others.", func(r reading) int { return oneIf(r.readsStore) })
-	group.Gauge("edge_routers", "Routers in all zones, as counted last; 0 for not known.", func(r reading) int { return r.routers })
-	group.Gauge("edge_slack_sharers", "Routers among which the slack of the budget of repeats is divided; 0 while this router has no part of it.", func(r reading) int { return r.sharers })
-	group.Gauge("edge_quota_members", "Routers whose claims on the limits of tenants this router grants.", func(r reading) int { return r.quotaMembers })
-	group.Gauge("edge_limit_members", "Routers whose claims on the limits of back ends this router grants, over the parts of the back ends that it grants for.", func(r reading) int { return r.limitMembers })
-	group.Gauge("edge_quarantined_requests", "Requests that are not sent on, since back ends crashed under them.", func(r reading) int { return r.quarantined })
-	group.Gauge("edge_crash_suspects", "Requests that ran on back ends which crashed, those that are quarantined among them.", func(r reading) int { return r.crashSuspects })
-	group.Gauge("edge_client_connections", "Open connections of clients.", func(r reading) int { return r.clients })
-	group.Counter("edge_clients_refused_total", "Connections and bodies of clients turned away because a bound of connections or memory was reached.", func(r reading) uint64 { return r.clientsRefused })
-	group.Counter("edge_connections_silent_total", "Connections to back ends, the store, caches and other routers that were found silent: nothing sent on them was acknowledged.", func(r reading) uint64 { return r.silentConnections })
-	group.Gauge("edge_regions_lost", "Other regions whose back ends this router does not reach now.", func(r reading) int { return r.regionsLost })
-	group.Counter("edge_log_lines_dropped_total", "Log lines that were not written.", func(r reading) uint64 { return r.linesDropped })
+	group := telemetry.NewGroup(registry, func() (gaugeValues, bool) { return read(), true })
+	group.Gauge("edge_configuration_version", "Version of the configuration in force, 0 for none.", func(r gaugeValues) int { return int(r.configurationVersion) })
+	group.Gauge("edge_configuration_age_milliseconds", "Time since the configuration was last confirmed, in milliseconds.", func(r gaugeValues) int { return int(r.configurationAge.Milliseconds()) })
+	group.Gauge("edge_backends", "Back ends in the list.", func(r gaugeValues) int { return r.backends })
+	group.Gauge("edge_backends_limited", "Back ends that name a limit of the requests which they take from all routers together.", func(r gaugeValues) int { return r.limitedBackends })
+	group.Gauge("edge_backends_leaving", "Back ends in the list that are about to end, by the list's word, their own or another router's.", func(r gaugeValues) int { return r.drainingBackends })
+	group.Gauge("edge_backends_resting", "Back ends that want nothing from this router now.", func(r gaugeValues) int { return r.backingOffBackends })
+	group.Gauge("edge_attempts_in_flight", "Attempts under way.", func(r gaugeValues) int { return r.inFlight })
+	group.Gauge("edge_lease_held", "1 while this router holds the rollout lease.", func(r gaugeValues) int { return oneIf(r.leaseHeld) })
+	group.Gauge("edge_reads_store", "1 while this router reads the store for others.", func(r gaugeValues) int { return oneIf(r.readsStore) })
+	group.Gauge("edge_routers", "Routers in all zones, as counted last; 0 for not known.", func(r gaugeValues) int { return r.routers })
+	group.Gauge("edge_slack_sharers", "Routers among which the slack of the budget of repeats is divided; 0 while this router has no part of it.", func(r gaugeValues) int { return r.sharers })
+	group.Gauge("edge_quota_members", "Routers whose claims on the limits of tenants this router grants.", func(r gaugeValues) int { return r.quotaMembers })
+	group.Gauge("edge_limit_members", "Routers whose claims on the limits of back ends this router grants, over the parts of the back ends that it grants for.", func(r gaugeValues) int { return r.limitMembers })
+	group.Gauge("edge_quarantined_requests", "Requests that are not sent on, since back ends crashed under them.", func(r gaugeValues) int { return r.quarantined })
+	group.Gauge("edge_crash_suspects", "Requests that ran on back ends which crashed, those that are quarantined among them.", func(r gaugeValues) int { return r.crashSuspects })
+	group.Gauge("edge_client_connections", "Open connections of clients.", func(r gaugeValues) int { return r.clients })
+	group.Counter("edge_clients_refused_total", "Connections and bodies of clients turned away because a bound of connections or memory was reached.", func(r gaugeValues) uint64 { return r.clientsRefused })
+	group.Counter("edge_connections_silent_total", "Connections to back ends, the store, caches and other routers that were found silent: nothing sent on them was acknowledged.", func(r gaugeValues) uint64 { return r.silentConnections })
+	group.Gauge("edge_regions_lost", "Other regions whose back ends this router does not reach now.", func(r gaugeValues) int { return r.unreachableRegions })
+	group.Counter("edge_log_lines_dropped_total", "Log lines that were not written.", func(r gaugeValues) uint64 { return r.linesDropped })
 	group.Register()
 	return m
 }
@@ -138,28 +138,28 @@
 	return 0
 }
 
-// ends are the steps that end a request.
-var ends = map[forward.StepKind]bool{
+// finalSteps are the steps that end a request.
+var finalSteps = map[forward.StepKind]bool{
 	forward.StepAnswered: true, forward.StepRefused: true, forward.StepBroken: true, forward.StepClientGone: true,
 }
 
-// step counts a decision about a request.
-func (m *metrics) step(step *forward.Step) {
+// countStep counts a decision about a request.
+func (m *metrics) countStep(step *forward.Step) {
 	if step.Kind == forward.StepAttemptEnded {
 		m.attempts.WithLabelValues(step.Outcome.String()).Inc()
-		m.release(step)
+		m.countRelease(step)
 		m.distances.WithLabelValues(step.Choice.Distance.String()).Inc()
 	}
 	if step.Kind == forward.StepSent && step.Choice.Instead != backend.NotPassedOver {
-		m.elsewhere.WithLabelValues(string(step.Choice.Instead)).Inc()
+		m.attemptsElsewhere.WithLabelValues(string(step.Choice.Instead)).Inc()
 	}
 	switch step.Kind {
 	case forward.StepRepeatGranted:
-		m.repeats.WithLabelValues(string(step.Repeat.Service), "granted").Inc()
+		m.retries.WithLabelValues(string(step.Repeat.Service), "granted").Inc()
 	case forward.StepRepeatDenied:
-		m.repeats.WithLabelValues(string(step.Repeat.Service), "denied").Inc()
+		m.retries.WithLabelValues(string(step.Repeat.Service), "denied").Inc()
 	}
-	if !ends[step.Kind] {
+	if !finalSteps[step.Kind] {
 		return
 	}
 	m.requests.WithLabelValues(string(step.Kind)).Inc()
@@ -169,17 +169,17 @@
 	}
 }
 
-// release counts an attempt by the release of its back end while releases are bounded.
-func (m *metrics) release(step *forward.Step) {
+// countRelease counts an attempt by the release of its back end while releases are bounded.
+func (m *metrics) countRelease(step *forward.Step) {
 	if choice := &step.Choice; choice.Releases.Bounded() {
 		m.releaseAttempts.WithLabelValues(string(choice.Service), string(choice.Release), step.Outcome.String()).Inc()
 	}
 }
 
-// tenantClaim counts a claim on the limit of a tenant.
-func (m *metrics) tenantClaim(claim *quota.Claim, verdict quota.Verdict) {
+// countTenantReservation counts a claim on the limit of a tenant.
+func (m *metrics) countTenantReservation(claim *quota.Claim, result quota.Verdict) {
 	counter := m.tenantUnconfirmed
-	switch verdict.(type) {
+	switch result.(type) {
 	case quota.Granted:
 		counter = m.tenantGranted
 	case quota.Denied:
@@ -188,11 +188,11 @@
 	counter.WithLabelValues(string(claim.Subject)).Add(claim.Amount)
 }
 
-func (m *metrics) order(result rollout.Result) { m.orders.WithLabelValues(result.String()).Inc() }
+func (m *metrics) countOrder(result rollout.Result) { m.orders.WithLabelValues(result.String()).Inc() }
 
 func (m *metrics) handler() http.Handler { return m.registry.Handler() }
 
 // MetricsReference returns the reference page of a node's metrics.
 func MetricsReference() []byte {
-	return newMetrics(func() reading { return reading{} }).registry.ReferenceUnder(metricsHeader)
+	return newMetrics(func() gaugeValues { return gaugeValues{} }).registry.ReferenceUnder(metricsHeader)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -112,11 +112,11 @@
 	quotas   *quotas
 	// quarantines keeps requests from back ends under which these crash.
 	quarantines *quarantines
-	// announcer tells other routers news, nil before this one runs.
-	announcer atomic.Pointer[notices]
-	canaries  *canaries
-	limits    *backendLimits
-	news      *backendNews
+	// notifier tells other routers news, nil before this one runs.
+	notifier atomic.Pointer[notices]
+	canaries *canaries
+	limits   *backendLimits
+	updates  *backendNews
 	// engines carry reports and orders.
 	engines  *engineCalls
 	peers    *upstream.Client
@@ -138,34 +138,34 @@
 	}
 	config.Clients.Limits = n.clientLimits
 	n.clients = inbound.New(config.Clients)
-	n.metrics = newMetrics(n.read)
+	n.metrics = newMetrics(n.readGauges)
 	n.engines = &engineCalls{engines: ports.Engines, backends: n.backends}
 	n.follower = n.newFollower()
 	n.quotas = n.newQuotas()
 	n.limits = newBackendLimits(config.PeerAddr, n.backends, n.follower.replica.Routers, n.metrics)
 	n.follower.joined = func(self upstream.Peer, peers []upstream.Peer) {
-		n.quotas.know(self, peers)
-		n.limits.know(self, peers)
+		n.quotas.setRouters(self, peers)
+		n.limits.setRouters(self, peers)
 	}
-	n.news = newBackendNews(n.backends, n.limits)
-	n.follower.replica.news = n.news
+	n.updates = newBackendUpdates(n.backends, n.limits)
+	n.follower.replica.news = n.updates
 	if ports.Hear != nil {
-		ports.Hear(n.news.hear)
+		ports.Hear(n.updates.observeAdvertised)
 	}
 	n.quarantines = n.newQuarantines()
 	n.follower.guard, n.follower.replica.guard = n.quarantines.Guard, n.quarantines.Guard
-	n.guardReleases()
+	n.setUpCanaries()
 	return n
 }
 
-// guardReleases sets up what moves services to other releases, if that is asked for.
-func (n *Node) guardReleases() {
+// setUpCanaries sets up what moves services to other releases, if that is asked for.
+func (n *Node) setUpCanaries() {
 	if !n.config.Canary.Enabled() || n.ports.Rollouts == nil {
 		return
 	}
 	states := &rolloutStates{table: n.ports.Table, writer: n.ports.Rollouts, timeout: n.config.Follow.ReadTimeout}
 	n.canaries = newCanaries(n.config.Canary, &canaries{
-		self: n.config.PeerAddr, peers: n.follower.audience.others, refresh: n.follower.readRoster,
+		self: n.config.PeerAddr, peers: n.follower.audience.others, refreshPeers: n.follower.readRoster,
 		lease: n.lease, backends: n.backends, states: states, metrics: n.metrics,
 		send: func(netip.AddrPort, datagram) {},
 	})
@@ -209,8 +209,8 @@
 	return &quarantines{engines: n.engines, backends: n.backends, Guard: guard.New(guard.Config{
 		Table: n.ports.Table, Timeout: n.config.Follow.ReadTimeout, Backends: n.backends, Keeps: n.follower.readsForOthers,
 		Send: func(told []quarantine.Told) {
-			if announcer := n.announcer.Load(); announcer != nil {
-				announcer.tellQuarantine(told)
+			if socket := n.notifier.Load(); socket != nil {
+				socket.tellQuarantine(told)
 			}
 		},
 		OnTrial: func(result string) { n.metrics.trials.WithLabelValues(result).Inc() },
@@ -227,7 +227,7 @@
 			snapshot := n.holder.View().Snapshot
 			return snapshot != nil && snapshot.Limited()
 		},
-		count: n.metrics.tenantClaim,
+		onResult: n.metrics.countTenantReservation,
 	})
 }
 
@@ -239,12 +239,12 @@
 	return n.limits
 }
 
-// read returns what the gauges show.
-func (n *Node) read() reading {
+// readGauges returns what the gauges show.
+func (n *Node) readGauges() gaugeValues {
 	view := n.holder.View()
-	now := reading{backends: len(n.backends.Records()), inFlight: n.backends.InFlight()}
+	now := gaugeValues{backends: len(n.backends.Records()), inFlight: n.backends.InFlight()}
 	now.limitedBackends = len(n.backends.Limited(clock.Now()))
-	now.leavingBackends, now.restingBackends = n.backends.Wishes(clock.Now())
+	now.drainingBackends, now.backingOffBackends = n.backends.Wishes(clock.Now())
 	if view.Snapshot != nil {
 		now.configurationVersion = view.Snapshot.Version
 		now.configurationAge = view.Age(clock.Now())
@@ -255,7 +255,7 @@
 	now.sharers = n.follower.replica.Sharers()
 	now.quotaMembers, now.limitMembers = n.quotas.members(), n.limits.members()
 	now.quarantined, now.crashSuspects = n.quarantines.Counts()
-	now.regionsLost = len(n.backends.Lost(clock.Now()))
+	now.unreachableRegions = len(n.backends.Lost(clock.Now()))
 	if n.ports.LinesDropped != nil {
 		now.linesDropped = n.ports.LinesDropped()
 	}
@@ -275,24 +275,24 @@
 		return err
 	}
 	log.WithFields(log.Fields{"zone": n.config.Zone, "front": n.config.FrontAddress}).Info("started")
-	announcer, err := n.listenNotices()
+	socket, err := n.listenNotifications()
 	if err != nil {
 		servers.close()
 		return err
 	}
-	if announcer != nil {
-		announcer.quotas, announcer.guard = n.quotas, n.quarantines.Guard
-		n.announcer.Store(announcer)
-		n.quotas.send = announcer.sendQuota
-		announcer.limits, announcer.news = n.limits, n.news
-		n.limits.connect(announcer)
-		n.news.tell = announcer.tellNews
-		n.canaries.connect(announcer)
+	if socket != nil {
+		socket.quotas, socket.guard = n.quotas, n.quarantines.Guard
+		n.notifier.Store(socket)
+		n.quotas.send = socket.sendQuota
+		socket.limits, socket.news = n.limits, n.updates
+		n.limits.connect(socket)
+		n.updates.send = socket.tellNews
+		n.canaries.connect(socket)
 	}
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	var loops sync.WaitGroup
-	for _, loop := range n.loops(announcer) {
+	for _, loop := range n.loops(socket) {
 		loops.Go(func() { loop(work) })
 	}
 	group, failed := errgroup.WithContext(ctx)
@@ -308,18 +308,18 @@
 }
 
 // loops are the goroutines that run as long as the node.
-func (n *Node) loops(announcer *notices) []func(context.Context) {
+func (n *Node) loops(socket *notices) []func(context.Context) {
 	config := n.config.Rollout
 	config.OnOrder = func(order *rollout.Order, result rollout.Result) {
-		n.metrics.order(result)
+		n.metrics.countOrder(result)
 		logOrder(order, result)
 	}
 	config.OnDoubt = func(doubt rollout.Doubt) {
-		n.metrics.doubts.WithLabelValues(string(doubt.Model)).Inc()
+		n.metrics.suspectVersions.WithLabelValues(string(doubt.Model)).Inc()
 		log.WithFields(log.Fields{"model": doubt.Model, "version": doubt.Version, "ended": doubt.Ended}).Warn("version_doubted")
 	}
-	if announcer != nil && n.config.Off.On(mechanism.Notices) {
-		config.Announcer = announcer
+	if socket != nil && n.config.Off.On(mechanism.Notices) {
+		config.Announcer = socket
 	}
 	controller := rollout.NewController(config, n.lease, n.engines, n.holder, n.backends)
 	follower := n.follower
@@ -328,13 +328,13 @@
 		func(ctx context.Context) { follower.countRouters(ctx, n.holdsLease) }, n.contend, n.lease.Run, controller.Run, n.quotas.run, n.limits.run, n.sweepClients,
 		n.quarantines.Run, watchSuspensions,
 	}
-	if announcer != nil {
-		loops = append(loops, announcer.listen)
+	if socket != nil {
+		loops = append(loops, socket.listen)
 	}
-	if announcer != nil && n.config.Off.On(mechanism.SharedHealth) {
+	if socket != nil && n.config.Off.On(mechanism.SharedHealth) {
 		watcher := &healthWatcher{
 			zone: n.config.Zone, leads: follower.chain.leads, engines: n.engines,
-			backends: n.backends, holder: n.holder, tell: announcer.tellHealth,
+			backends: n.backends, holder: n.holder, notify: socket.tellHealth,
 		}
 		loops = append(loops, watcher.run)
 	}
@@ -369,9 +369,9 @@
 	return err == nil
 }
 
-// listenNotices opens the socket for notices, if this node has an address for
+// listenNotifications opens the socket for notices, if this node has an address for
 // what routers tell each other.
-func (n *Node) listenNotices() (*notices, error) {
+func (n *Node) listenNotifications() (*notices, error) {
 	if !n.config.PeerAddr.IsValid() {
 		return nil, nil
 	}
@@ -393,7 +393,7 @@
 		view.Age(clock.Sync()) <= n.config.Forward.Freshness.Keyed
 }
 
-func (n *Node) answerReady(writer http.ResponseWriter, request *http.Request) {
+func (n *Node) serveReady(writer http.ResponseWriter, request *http.Request) {
 	switch {
 	case request.URL.Path != n.config.ReadyPath:
 		writer.WriteHeader(http.StatusNotFound)
@@ -407,9 +407,9 @@
 const (
 	// closeMargin is kept before the end of the grace period.
 	closeMargin = 500 * time.Millisecond
-	// leaveMargin is the part of closeMargin in which the row may still be removed; the
+	// removeRowMargin is the part of closeMargin in which the row may still be removed; the
 	// rest is for the process to end.
-	leaveMargin = 350 * time.Millisecond
+	removeRowMargin = 350 * time.Millisecond
 )
 
 // stop ends the servers as planned.
@@ -430,7 +430,7 @@
 	}
 	// The row goes last: bounds of the whole system are divided among the routers that may
 	// still send, and those that start meanwhile count the rows.
-	leave, cancelLeave := context.WithDeadline(context.Background(), killAt.Add(leaveMargin))
-	defer cancelLeave()
-	n.follower.roster.leave(leave)
+	removal, cancelRemoval := context.WithDeadline(context.Background(), killAt.Add(removeRowMargin))
+	defer cancelRemoval()
+	n.follower.roster.leave(removal)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -20,7 +20,7 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-func gather(t *testing.T, counters *metrics) string {
+func gatherMetrics(t *testing.T, counters *metrics) string {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	counters.handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
@@ -110,7 +110,7 @@
 	t.Fatalf("the readiness check of %s never answered %d but %d", config.Node, wanted, last)
 }
 
-func TestANodeIsReadyOnceItKnowsEnough(t *testing.T) {
+func TestNodeBecomesReady(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	store.down = true
@@ -126,14 +126,14 @@
 
 // A planned stop turns the node unready first, still takes new connections for
 // a while, and finishes what is open.
-func TestAPlannedStopCutsNoRequest(t *testing.T) {
+func TestPlannedStopFinishesRequests(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	store.reading.Revision = 1
 	config, stop, ended := startNode(t, store, 300*time.Millisecond)
 	becomes(t, config, http.StatusOK)
 	answers := make(chan error, 2)
-	ask := func() {
+	send := func() {
 		response, err := http.Get("http://" + config.FrontAddress + "/")
 		if err == nil {
 			_, err = io.ReadAll(response.Body)
@@ -141,17 +141,17 @@
 		}
 		answers <- err
 	}
-	go ask()
+	go send()
 	time.Sleep(50 * time.Millisecond)
 	stop()
 	becomes(t, config, http.StatusServiceUnavailable)
-	go ask() // the entry has not noticed yet
+	go send() // the entry has not noticed yet
 	is.NoErr(<-answers)
 	is.NoErr(<-answers)
 	is.NoErr(<-ended)
 }
 
-func TestAnAddressInUseIsAnError(t *testing.T) {
+func TestAddressInUseIsAnError(t *testing.T) {
 	is := is.New(t)
 	taken, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -25,7 +25,7 @@
 	return &rollout.Report{}, e.err
 }
 
-func TestWhatAReportSaysOfALife(t *testing.T) {
+func TestProbeOfIncarnation(t *testing.T) {
 	refused := &exchange.Error{Cause: syscall.ECONNREFUSED}
 	tests := []struct {
 		name string
@@ -53,13 +53,13 @@
 				is.True(found)
 			}
 			q := &quarantines{engines: failingReports{err: tt.err}, backends: backends}
-			is.Equal(q.place(record).Look(t.Context(), now.Add(time.Second)), tt.want)
+			is.Equal(q.target(record).Look(t.Context(), now.Add(time.Second)), tt.want)
 		})
 	}
 }
 
 // What ran at a back end that is leaving, or that is not listed any more, has not crashed it.
-func TestBackEndsThatLeave(t *testing.T) {
+func TestDrainingOrUnlistedBackends(t *testing.T) {
 	is := is.New(t)
 	backends := backend.NewRegistry(backend.Config{})
 	backends.Update(time.Now(), []backend.Record{{Instance: "a", Service: "s"}, {Instance: "b", Service: "s", Draining: true}})
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -20,9 +20,9 @@
 const (
 	// quotaTick is the time between two looks at which hellos are due.
 	quotaTick = 50 * time.Millisecond
-	// askTick is the time between two looks at an answer that is awaited; answers come
+	// pendingTick is the time between two looks at an answer that is awaited; answers come
 	// within a few ms, and are asked for again after 30ms or more.
-	askTick = 15 * time.Millisecond
+	pendingTick = 15 * time.Millisecond
 )
 
 // quotas runs one quota.Agent of this router. It implements forward.Quotas.
@@ -35,13 +35,13 @@
 	routers func() int
 	// limited reports whether anything has a limit; it is used by run.
 	limited func() bool
-	// count is called with the verdict on each claim.
-	count func(claim *quota.Claim, verdict quota.Verdict)
+	// onResult is called with the verdict on each claim.
+	onResult func(claim *quota.Claim, verdict quota.Verdict)
 
 	mu      sync.Mutex
 	agent   *quota.Agent
 	leader  netip.AddrPort
-	active  bool
+	member  bool
 	waiting map[uint64]chan quota.Verdict
 }
 
@@ -49,28 +49,28 @@
 
 // Take implements forward.Quotas.
 func (q *quotas) Take(ctx context.Context, claim quota.Claim) quota.Verdict {
-	verdict := q.take(ctx, claim)
-	q.count(&claim, verdict)
-	return verdict
+	result := q.acquire(ctx, claim)
+	q.onResult(&claim, result)
+	return result
 }
 
-func (q *quotas) take(ctx context.Context, claim quota.Claim) quota.Verdict {
+func (q *quotas) acquire(ctx context.Context, claim quota.Claim) quota.Verdict {
 	decided := make(chan quota.Verdict, 1)
 	var id uint64
-	q.use(func(now time.Time) {
+	q.withAgent(func(now time.Time) {
 		id = q.agent.Take(now, claim)
 		q.waiting[id] = decided
 	})
-	ticker := time.NewTicker(askTick)
+	ticker := time.NewTicker(pendingTick)
 	defer ticker.Stop()
 	for {
 		select {
-		case verdict := <-decided:
-			return verdict
+		case result := <-decided:
+			return result
 		case <-ticker.C:
-			q.use(q.agent.Tick)
+			q.withAgent(q.agent.Tick)
 		case <-ctx.Done():
-			q.use(func(time.Time) {
+			q.withAgent(func(time.Time) {
 				q.agent.Forget(id)
 				delete(q.waiting, id)
 			})
@@ -81,16 +81,16 @@
 
 // Return implements forward.Quotas.
 func (q *quotas) Return(grant quota.Grant) {
-	q.use(func(time.Time) { q.agent.Return(grant) })
+	q.withAgent(func(time.Time) { q.agent.Return(grant) })
 }
 
 // receive takes in a message of another router.
 func (q *quotas) receive(from netip.AddrPort, msg quota.Message) {
-	q.use(func(now time.Time) { q.agent.Receive(now, from, msg) })
+	q.withAgent(func(now time.Time) { q.agent.Receive(now, from, msg) })
 }
 
-// know takes in this router's row and those of the others.
-func (q *quotas) know(self upstream.Peer, peers []upstream.Peer) {
+// setRouters takes in this router's row and those of the others.
+func (q *quotas) setRouters(self upstream.Peer, peers []upstream.Peer) {
 	older := slices.DeleteFunc(slices.Clone(peers), func(peer upstream.Peer) bool {
 		return peer.Revision >= self.Revision || peer.Node == self.Node
 	})
@@ -99,7 +99,7 @@
 	for _, peer := range older {
 		addrs = append(addrs, peer.Addr)
 	}
-	q.use(func(time.Time) { q.agent.Know(self.Revision, addrs) })
+	q.withAgent(func(time.Time) { q.agent.Know(self.Revision, addrs) })
 }
 
 // members returns the number of routers that are members of this router's pool.
@@ -111,20 +111,20 @@
 
 // run keeps this router in a pool until ctx ends, while anything has a limit.
 func (q *quotas) run(ctx context.Context) {
-	wait.Every(ctx, quotaTick, func() { q.keep(q.limited()) })
-	q.keep(false)
+	wait.Every(ctx, quotaTick, func() { q.updateMembership(q.limited()) })
+	q.updateMembership(false)
 }
 
-// keep keeps this router in a pool, or takes it out of one that is not needed any more. It is
+// updateMembership keeps this router in a pool, or takes it out of one that is not needed any more. It is
 // called by one goroutine.
-func (q *quotas) keep(limited bool) {
+func (q *quotas) updateMembership(limited bool) {
 	switch {
 	case limited:
-		q.active = true
-		q.use(q.agent.Tick)
-	case q.active:
-		q.active = false
-		q.use(func(time.Time) { q.agent.Stop() })
+		q.member = true
+		q.withAgent(q.agent.Tick)
+	case q.member:
+		q.member = false
+		q.withAgent(func(time.Time) { q.agent.Stop() })
 	}
 }
 
@@ -135,12 +135,12 @@
 	return q.agent.Shared()
 }
 
-// use uses the agent, and carries out what it wants.
-func (q *quotas) use(use func(now time.Time)) {
+// call uses the agent, and carries out what it wants.
+func (q *quotas) withAgent(call func(now time.Time)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.agent.Counted(q.routers())
-	use(clock.Now())
+	call(clock.Now())
 	out, done := q.agent.Flush()
 	for _, decision := range done {
 		if decided := q.waiting[decision.ID]; decided != nil {
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -39,12 +39,12 @@
 		cfg := quota.Config{Self: addr, Bounds: quota.Bounds{Window: 8 * time.Second, Overshoot: 0.1}}
 		router := &quotaRouter{peer: peer, quotas: newQuotas(cfg, &quotas{
 			send: socket.sendQuota, routers: func() int { return count }, limited: limited,
-			count: newMetrics(func() reading { return reading{} }).tenantClaim,
+			onResult: newMetrics(func() gaugeValues { return gaugeValues{} }).countTenantReservation,
 		})}
 		socket.quotas = router.quotas
 		ctx, stop := context.WithCancel(t.Context())
 		router.stop = stop
-		router.quotas.know(peer, peers)
+		router.quotas.setRouters(peer, peers)
 		var running sync.WaitGroup
 		running.Go(func() { socket.listen(ctx) })
 		running.Go(func() { router.quotas.run(ctx) })
@@ -58,27 +58,27 @@
 	return routers
 }
 
-func claimOf(amount float64) quota.Claim {
+func reservationOf(amount float64) quota.Claim {
 	return quota.Claim{Subject: "t", Limit: quota.Limit{Rate: 1e6, Burst: 1e6}, Version: 1, Amount: amount}
 }
 
 // Routers ask the oldest one over their sockets, and the next one when it is gone.
-func TestRoutersAskTheOldestForGrants(t *testing.T) {
+func TestOldestRouterGrantsReservations(t *testing.T) {
 	is := is.New(t)
 	routers := startQuotas(t, 4, func() bool { return true })
 	eventually(t, func() bool { return routers[0].quotas.members() == 4 })
 	for _, router := range routers {
 		eventually(t, func() bool {
-			granted, ok := router.quotas.Take(t.Context(), claimOf(1)).(quota.Granted)
+			granted, ok := router.quotas.Take(t.Context(), reservationOf(1)).(quota.Granted)
 			return ok && granted.Grant.By == routers[0].peer.Addr
 		})
 	}
-	denied, ok := routers[3].quotas.Take(t.Context(), claimOf(1e9)).(quota.Denied)
+	denied, ok := routers[3].quotas.Take(t.Context(), reservationOf(1e9)).(quota.Denied)
 	is.True(ok)
 	is.True(denied.After > 0)
 	routers[0].stop()
 	eventually(t, func() bool {
-		granted, ok := routers[3].quotas.Take(t.Context(), claimOf(1)).(quota.Granted)
+		granted, ok := routers[3].quotas.Take(t.Context(), reservationOf(1)).(quota.Granted)
 		return ok && granted.Grant.By == routers[1].peer.Addr
 	})
 	eventually(t, func() bool {
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestWithoutLimitsRoutersTellEachOtherNothing(t *testing.T) {
+func TestNoQuotaMessagesWithoutLimits(t *testing.T) {
 	is := is.New(t)
 	routers := startQuotas(t, 2, func() bool { return false })
 	time.Sleep(2 * quotaTick)
@@ -97,14 +97,14 @@
 	}
 }
 
-func TestAClaimEndsWithItsRequest(t *testing.T) {
+func TestReservationEndsWithRequest(t *testing.T) {
 	is := is.New(t)
 	routers := startQuotas(t, 1, func() bool { return true })
 	// The older router never answers.
-	routers[0].quotas.know(upstream.Peer{Node: "n0", Revision: 2}, []upstream.Peer{{Node: "x", Addr: routers[0].peer.Addr, Revision: 1}})
+	routers[0].quotas.setRouters(upstream.Peer{Node: "n0", Revision: 2}, []upstream.Peer{{Node: "x", Addr: routers[0].peer.Addr, Revision: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	routers[0].quotas.Take(ctx, claimOf(1))
+	routers[0].quotas.Take(ctx, reservationOf(1))
 	routers[0].quotas.mu.Lock()
 	defer routers[0].quotas.mu.Unlock()
 	is.Equal(len(routers[0].quotas.waiting), 0)
--- a/internal/node/reference_test.go
+++ b/internal/node/reference_test.go
@@ -94,12 +94,12 @@
 	kept := memory.New()
 	log.SetHandler(kept)
 	defer log.SetHandler(log.HandlerFunc(func(*log.Entry) error { return nil }))
-	counters := newMetrics(func() reading { return reading{} })
+	counters := newMetrics(func() gaugeValues { return gaugeValues{} })
 	step := forward.Step{
 		Kind: forward.StepAttemptEnded, Request: "r", Route: "route", ConfigurationVersion: 3, ConfigurationAge: time.Second,
 		Choice: backend.Choice{Record: backend.Record{Instance: "i"}}, Outcome: backend.Silent, Attempt: 2,
 	}
-	recorder := recordTo(counters)
+	recorder := stepRecorder(counters)
 	recorder(step)
 	recorder(forward.Step{Kind: forward.StepRefused, Request: "r", Fault: fault.New(fault.NotReady, "x")})
 	is.Equal(len(kept.Entries), 2)
@@ -107,7 +107,7 @@
 	is.Equal(kept.Entries[0].Fields["outcome"], "silent")
 	is.Equal(kept.Entries[0].Fields["config_age_ms"], int64(1000))
 	is.Equal(kept.Entries[1].Fields["ran"], fault.RanNo)
-	gathered := gather(t, counters)
+	gathered := gatherMetrics(t, counters)
 	is.True(strings.Contains(gathered, `fieldpond_edge_attempts_total{outcome="silent"} 1`))
 	is.True(strings.Contains(gathered, `fieldpond_edge_refusals_total{kind="not_ready",ran="no"} 1`))
 	is.True(strings.Contains(gathered, `fieldpond_edge_requests_total{end="refused"} 1`))
@@ -118,8 +118,8 @@
 	tests := []struct {
 		name     string
 		releases backend.Releases
-		// says is the field that tells where the attempt was allowed to go.
-		says any
+		// wantField is the field that tells where the attempt was allowed to go.
+		wantField any
 	}{
 		{"any", backend.Releases{}, nil},
 		{"on trial", backend.Releases{Only: "v2", Among: 3}, "only v2, 3 of its back ends"},
@@ -132,14 +132,14 @@
 			kept := memory.New()
 			log.SetHandler(kept)
 			defer log.SetHandler(log.HandlerFunc(func(*log.Entry) error { return nil }))
-			counters := newMetrics(func() reading { return reading{} })
-			recordTo(counters)(forward.Step{
+			counters := newMetrics(func() gaugeValues { return gaugeValues{} })
+			stepRecorder(counters)(forward.Step{
 				Kind: forward.StepAttemptEnded, Request: "r", Outcome: backend.Failed,
 				Choice: backend.Choice{Record: backend.Record{Instance: "i", Service: "s", Release: "v2"}, Releases: tt.releases},
 			})
-			is.Equal(kept.Entries[0].Fields["releases"], tt.says)
-			counted := strings.Contains(gather(t, counters), `fieldpond_edge_release_attempts_total{outcome="failed",release="v2",service="s"} 1`)
-			is.Equal(counted, tt.says != nil)
+			is.Equal(kept.Entries[0].Fields["releases"], tt.wantField)
+			counted := strings.Contains(gatherMetrics(t, counters), `fieldpond_edge_release_attempts_total{outcome="failed",release="v2",service="s"} 1`)
+			is.Equal(counted, tt.wantField != nil)
 		})
 	}
 }
--- a/internal/node/region_test.go
+++ b/internal/node/region_test.go
@@ -34,8 +34,8 @@
 	return z
 }
 
-// separate cuts a region off from the others, or from nobody, and from the store as well.
-func (z *zone) separate(lone ident.Region, store bool) {
+// partition cuts a region off from the others, or from nobody, and from the store as well.
+func (z *zone) partition(lone ident.Region, store bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.apart = func(a, b ident.Zone) bool {
@@ -46,8 +46,8 @@
 	}
 }
 
-// in returns the routers of a region.
-func (z *zone) in(place ident.Region) []*zoneRouter {
+// routersIn returns the routers of a region.
+func (z *zone) routersIn(place ident.Region) []*zoneRouter {
 	var routers []*zoneRouter
 	for _, running := range z.routers {
 		if threeRegions.Of(running.follower.roster.zone) == place {
@@ -59,13 +59,13 @@
 
 // A region that is cut off from the others for long goes on with the store, by one reader,
 // and goes back to the first router of all when it is reached again.
-func TestARegionCutOffFromTheOthersReadsTheStore(t *testing.T) {
+func TestPartitionedRegionReadsStore(t *testing.T) {
 	for _, lone := range []ident.Region{"a", "b"} { // with the first router of all, and without
 		t.Run(string(lone), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				z := startRegions(t)
-				z.separate(lone, false)
+				z.partition(lone, false)
 				time.Sleep(20 * time.Second)
 				z.adopt(5)
 				time.Sleep(1500 * time.Millisecond)
@@ -81,7 +81,7 @@
 				}
 				is.Equal(readers[lone], 1)
 				is.Equal(len(readers), 2) // the region, and one for all others
-				z.separate("", false)
+				z.partition("", false)
 				time.Sleep(20 * time.Second)
 				z.reads()
 				time.Sleep(10 * time.Second)
@@ -94,24 +94,24 @@
 
 // A region that is cut off from all, the store as well, keeps its age and does not take old
 // news for new; the others go on, and it follows them once it is reached again.
-func TestARegionCutOffFromAllKnowsHowOldItsNewsAre(t *testing.T) {
+func TestIsolatedRegionKnowsAgeOfState(t *testing.T) {
 	for _, lone := range []ident.Region{"a", "c"} {
 		t.Run(string(lone), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				z := startRegions(t)
-				z.separate(lone, true)
+				z.partition(lone, true)
 				time.Sleep(10 * time.Second)
 				z.adopt(5)
 				time.Sleep(2 * time.Second)
 				for _, place := range []ident.Region{"a", "b", "c"} {
-					for _, running := range z.in(place) {
+					for _, running := range z.routersIn(place) {
 						age := running.follower.replica.holder.View().Age(time.Now())
 						is.Equal(running.version() == 5, place != lone)
 						is.Equal(age < 2*time.Second, place != lone)
 					}
 				}
-				z.separate("", false)
+				z.partition("", false)
 				time.Sleep(2500 * time.Millisecond)
 				z.adopted(t, 5)
 			})
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -23,16 +23,16 @@
 }
 
 // rolloutsOf returns what a peer told as of a time, or nil.
-func rolloutsOf(told *upstream.Rollouts, at time.Time) *knownRollouts {
-	if told == nil {
+func rolloutsOf(received *upstream.Rollouts, at time.Time) *knownRollouts {
+	if received == nil {
 		return nil
 	}
 	known := &knownRollouts{
-		orders: told.Known.Orders, states: told.Known.States, storeTime: told.StoreTime, absent: told.Absent,
-		readAt: at.Add(-told.Age),
+		orders: received.Known.Orders, states: received.Known.States, storeTime: received.StoreTime, absent: received.Absent,
+		readAt: at.Add(-received.Age),
 	}
-	if told.StatesAge >= 0 {
-		known.statesAt = at.Add(-told.StatesAge)
+	if received.StatesAge >= 0 {
+		known.statesAt = at.Add(-received.StatesAge)
 	}
 	return known
 }
@@ -42,13 +42,13 @@
 	if k == nil {
 		return nil
 	}
-	told := &upstream.Rollouts{
+	update := &upstream.Rollouts{
 		Known: k.known(), StoreTime: k.storeTime, Absent: k.absent, Age: max(now.Sub(k.readAt), 0), StatesAge: -1,
 	}
 	if !k.statesAt.IsZero() {
-		told.StatesAge = max(now.Sub(k.statesAt), 0)
+		update.StatesAge = max(now.Sub(k.statesAt), 0)
 	}
-	return told
+	return update
 }
 
 // known returns the orders and states; there may be none.
@@ -77,7 +77,7 @@
 		return false
 	}
 	return len(k.withdrawn()) > 0 || slices.ContainsFunc(k.orders, func(order canary.Order) bool {
-		state := stateOf(k.states, order.Service)
+		state := findState(k.states, order.Service)
 		return state == nil || !state.Phase.Final() || state.Order.Revision < order.Revision
 	})
 }
@@ -101,36 +101,36 @@
 	if k == nil || other == nil {
 		return other
 	}
-	joined := *other
+	merged := *other
 	if k.readAt.After(other.readAt) {
-		joined = *k
+		merged = *k
 	}
 	older, newer := k, other
 	if older.statesAt.After(newer.statesAt) {
 		older, newer = newer, older
 	}
-	joined.states, joined.statesAt = joinStates(older.states, newer.states), newer.statesAt
-	return &joined
+	merged.states, merged.statesAt = mergeStates(older.states, newer.states), newer.statesAt
+	return &merged
 }
 
-// joinStates returns the newer states, and those of the older ones that are final or
+// mergeStates returns the newer states, and those of the older ones that are final or
 // missing among the newer.
-func joinStates(older, newer []canary.State) []canary.State {
-	joined := slices.Clone(newer)
+func mergeStates(older, newer []canary.State) []canary.State {
+	merged := slices.Clone(newer)
 	for _, state := range older {
-		known := stateOf(joined, state.Order.Service)
+		known := findState(merged, state.Order.Service)
 		switch {
 		case known == nil:
-			joined = append(joined, state)
+			merged = append(merged, state)
 		case state.Phase.Final() && state.Order.Revision >= known.Order.Revision:
 			*known = state
 		}
 	}
-	return joined
+	return merged
 }
 
-// stateOf returns the state of a service's newest rollout, or nil.
-func stateOf(states []canary.State, service ident.Service) *canary.State {
+// findState returns the state of a service's newest rollout, or nil.
+func findState(states []canary.State, service ident.Service) *canary.State {
 	for index := range states {
 		if states[index].Order.Service == service {
 			return &states[index]
--- a/internal/node/rolloutstates.go
+++ b/internal/node/rolloutstates.go
@@ -37,7 +37,7 @@
 	}
 	var states []canary.State
 	for _, row := range list.Rows {
-		if state, sound := decodeState(&row); sound {
+		if state, ok := decodeState(&row); ok {
 			states = append(states, state)
 		}
 	}
@@ -54,8 +54,8 @@
 	if err != nil || !found {
 		return none, 0, err
 	}
-	state, sound := decodeState(&row)
-	if !sound {
+	state, ok := decodeState(&row)
+	if !ok {
 		return none, row.Version, nil
 	}
 	return state, row.Version, nil
--- a/internal/node/leaveagain_test.go
+++ b/internal/node/rowremoval_test.go
@@ -12,14 +12,14 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// refusedOnce refuses the first removal of a row, as a store does that gets too many calls
+// removalRefusedOnce refuses the first removal of a row, as a store does that gets too many calls
 // for a moment; nothing was done then.
-type refusedOnce struct {
+type removalRefusedOnce struct {
 	*fakeStore
 	refused bool
 }
 
-func (t *refusedOnce) Commit(ctx context.Context, tx protocol.Transaction) (protocol.TransactionResult, error) {
+func (t *removalRefusedOnce) Commit(ctx context.Context, tx protocol.Transaction) (protocol.TransactionResult, error) {
 	if tx.Writes[0].Delete && !t.refused {
 		t.refused = true
 		return protocol.TransactionResult{}, fault.New(fault.RateLimited, "turned away")
@@ -29,22 +29,22 @@
 
 // A router that stops for good has seconds left when the store turns the removal of its row
 // away. The row must not stay: all others would count the router for good.
-func TestARouterWhoseRemovalIsTurnedAwayAsksAgain(t *testing.T) {
+func TestRefusedRowRemovalIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
 		z.guard = func(_ context.Context, running *zoneRouter) {
-			running.follower.roster.table = &refusedOnce{fakeStore: z.store}
+			running.follower.roster.table = &removalRefusedOnce{fakeStore: z.store}
 		}
 		z.start(t.Context(), "a")
 		time.Sleep(time.Second)
 		stopping := z.start(t.Context(), "b")
 		time.Sleep(10 * time.Second)
 		is.Equal(z.routers["a"].follower.replica.Routers(), 2)
-		leave, cancel := context.WithTimeout(t.Context(), 5*time.Second)
+		removal, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		z.kill("b")
-		stopping.follower.roster.leave(leave)
+		stopping.follower.roster.leave(removal)
 		time.Sleep(time.Minute)
 		if routers := z.routers["a"].follower.replica.Routers(); routers != 1 {
 			t.Errorf("%d routers are counted a minute after the other one has ended", routers)
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -36,13 +36,13 @@
 
 func (n *Node) servers() servers {
 	forwarder := forward.New(n.config.Forward, forward.Dependencies{
-		Holder: n.holder, Backends: n.backends, Caller: n.ports.Caller, Record: recordTo(n.metrics),
+		Holder: n.holder, Backends: n.backends, Caller: n.ports.Caller, Record: stepRecorder(n.metrics),
 		Routers: n.follower.replica.Routers, Sharers: n.follower.replica.Sharers, Caches: n.follower.replica.caches, Quotas: n.quotas,
-		Releases: n.releases(), Quarantine: n.quarantines, Limits: n.backendLimits(), News: n.news,
+		Releases: n.releases(), Quarantine: n.quarantines, Limits: n.backendLimits(), News: n.updates,
 	})
 	all := servers{
 		n.newFront(forwarder),
-		newServer("readiness checks", n.config.ReadyAddress, http.HandlerFunc(n.answerReady)),
+		newServer("readiness checks", n.config.ReadyAddress, http.HandlerFunc(n.serveReady)),
 	}
 	if n.config.PeerAddr.IsValid() {
 		peers := upstream.NewServer(n.follower.replica, n.follower.chain.followed)
@@ -74,7 +74,7 @@
 	return &server{
 		purpose: "client requests", clients: n.clients,
 		Server: &http.Server{
-			Addr: n.config.FrontAddress, Handler: handler, ErrorLog: quietLog,
+			Addr: n.config.FrontAddress, Handler: handler, ErrorLog: discardLog,
 			ConnContext: n.clients.ConnContext, ConnState: n.clients.ConnState,
 		},
 	}
@@ -97,7 +97,7 @@
 
 func newServer(purpose, address string, handler http.Handler) *server {
 	return &server{purpose: purpose, Server: &http.Server{
-		Addr: address, Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: quietLog,
+		Addr: address, Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLog,
 	}}
 }
 
--- a/internal/node/leave_test.go
+++ b/internal/node/shutdown_test.go
@@ -17,17 +17,17 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-func (z *zone) leave(nodes ...ident.Node) {
+func (z *zone) shutDown(nodes ...ident.Node) {
 	for _, node := range nodes {
 		z.routers[node].follower.leave()
 	}
 }
 
-func TestARouterThatJoinsWhileTheFirstOnesStopLeadsAtOnce(t *testing.T) {
+func TestJoiningRouterLeadsWhileFirstRoutersStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b")
-		z.leave("a", "b")
+		z.shutDown("a", "b")
 		joined := z.start(t.Context(), "c").follower
 		time.Sleep(100 * time.Millisecond)
 		is.True(joined.chain.leadsRegion())
@@ -41,11 +41,11 @@
 	})
 }
 
-func TestARouterThatWasThereLeadsOnceTheFirstOnesStop(t *testing.T) {
+func TestRunningRouterLeadsOnceFirstRoutersStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b", "c", "d")
-		z.leave("a", "b")
+		z.shutDown("a", "b")
 		time.Sleep(100 * time.Millisecond)
 		is.True(z.routers["c"].follower.chain.leadsRegion())
 		is.True(!z.routers["d"].follower.chain.leadsRegion())
@@ -67,12 +67,12 @@
 }
 
 // Of routers that stop together one goes on reading the store.
-func TestAStopOfAllRoutersIsNoStorm(t *testing.T) {
+func TestOneRouterReadsStoreWhileAllStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b", "c", "d", "e", "f", "g", "h")
 		for _, node := range []ident.Node{"a", "c", "e", "g", "h", "f", "d", "b"} {
-			z.leave(node)
+			z.shutDown(node)
 			time.Sleep(20 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -85,11 +85,11 @@
 }
 
 // A router whose only peers leave is supplied by them while it does not reach the store.
-func TestThoseThatLeaveSupplyARouterThatIsCutFromTheStore(t *testing.T) {
+func TestStoppingRoutersSupplyRouterWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, "a", "b")
 		z.set("b", func(r *zoneRouter) { r.cut = true })
-		z.leave("a")
+		z.shutDown("a")
 		time.Sleep(3 * time.Second)
 		z.adopt(5)
 		time.Sleep(750 * time.Millisecond)
@@ -98,22 +98,22 @@
 }
 
 // A node that is told to stop says so to those that pull from it, until it ends.
-func TestAStoppingNodeTellsThoseThatPull(t *testing.T) {
+func TestStoppingNodeAdvertisesShutdown(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	store.reading.Revision = 1
 	peer := upstream.Peer{Node: "n", Addr: netip.MustParseAddrPort(freeAddress(t))}
 	config, stop, ended := startNodeAt(t, store, 0, peer.Addr)
 	becomes(t, config, 200)
-	leaving := func() bool {
+	shuttingDown := func() bool {
 		update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{From: upstream.Peer{Node: "o", Revision: 1 << 40}})
 		is.NoErr(err)
 		return update.Leaving
 	}
-	is.True(!leaving())
+	is.True(!shuttingDown())
 	stop()
 	becomes(t, config, 503)
-	for tries := 0; !leaving(); tries++ {
+	for tries := 0; !shuttingDown(); tries++ {
 		is.True(tries < 100)
 	}
 	is.NoErr(<-ended)
