--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -30,15 +30,15 @@
 	Body   []byte
 	// Key is the client's API key, or empty.
 	Key string
-	// Wait is how long the client waits, counted from ReceivedAt; 0 means that
+	// ClientTimeout is how long the client waits, counted from ReceivedAt; 0 means that
 	// it did not say.
-	Wait       time.Duration
-	ReceivedAt time.Time
-	// Left reports whether the client has closed its side; it may be nil. It knows
+	ClientTimeout time.Duration
+	ReceivedAt    time.Time
+	// ClientGone reports whether the client has closed its side; it may be nil. It knows
 	// that at once, a context that ends with the client only a moment later.
-	Left func() bool
-	// LastEvent is the id of the last event that the client has, or empty.
-	LastEvent string
+	ClientGone func() bool
+	// LastEventID is the id of the last event that the client has, or empty.
+	LastEventID string
 	// Prompt is nil for requests that run no model.
 	Prompt *Prompt
 	// Tokens are those of the prompt and the most that may be generated, 0 if the
@@ -95,48 +95,48 @@
 	// Version is the version of the weights the attempt is meant for; 0 if it
 	// runs no model.
 	Version int
-	// LastEvent is the id of the event to continue after, or empty.
-	LastEvent string
+	// LastEventID is the id of the event to continue after, or empty.
+	LastEventID string
 	// MaxConnections bounds this router's connections to the back end.
 	MaxConnections int
-	// AckWithin is how long bytes sent may stay unacknowledged by the back end's
+	// AckTimeout is how long bytes sent may stay unacknowledged by the back end's
 	// machine before the connection counts as silent.
-	AckWithin time.Duration
+	AckTimeout time.Duration
 	// Withdrawn reports, right before the attempt leaves, that its back end wants no new work
 	// any more.
 	Withdrawn func() bool
 }
 
-// Verdict says what an answer of a back end proves.
-type Verdict uint8
+// Execution says what an answer of a back end proves.
+type Execution uint8
 
 const (
 	// Genuine is the back end's own answer, unless it breaks off.
-	Genuine Verdict = iota + 1
+	Genuine Execution = iota + 1
 	// NotExecuted proves that the back end did not and will not run the request.
 	NotExecuted
 	// OtherInstance proves the same: another back end has the address.
 	OtherInstance
 	// OtherVersion proves the same: the weights have another version.
 	OtherVersion
-	// Unsound is an answer that may not be passed on; the request may have run.
-	Unsound
+	// InvalidAnswer is an answer that may not be passed on; the request may have run.
+	InvalidAnswer
 )
 
 // Reply is the answer to an attempt. Its body must be closed; it gives io.EOF
 // only at the proven end.
 type Reply struct {
-	Status  int
-	Header  http.Header
-	Length  int64
-	Body    io.ReadCloser
-	Verdict Verdict
+	Status    int
+	Header    http.Header
+	Length    int64
+	Body      io.ReadCloser
+	Execution Execution
 	// Version is the version of the weights that answer, 0 if not told.
 	Version int
-	// Opening is how long it took to open the connection; 0 if an open one was used.
-	Opening time.Duration
-	// Said is what the answer says of the back end.
-	Said backend.Said
+	// ConnectTime is how long it took to open the connection; 0 if an open one was used.
+	ConnectTime time.Duration
+	// Advertised is what the answer says of the back end.
+	Advertised backend.Advertised
 }
 
 // Caller sends attempts. An error is an *exchange.Error.
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -74,7 +74,7 @@
 
 // plan fixes the time of the request.
 func (r *run) plan(now time.Time) {
-	wait := r.request.Wait
+	wait := r.request.ClientTimeout
 	if wait <= 0 {
 		wait = defaultWait
 	}
@@ -85,7 +85,7 @@
 	if r.endsAt.Before(now) {
 		r.endsAt = now
 	}
-	r.lastEvent = r.request.LastEvent
+	r.lastEvent = r.request.LastEventID
 	if number, err := strconv.ParseInt(r.lastEvent, 10, 64); err == nil {
 		r.lastID, r.hasLast = number, true
 	}
@@ -141,7 +141,7 @@
 }
 
 // next chooses the back end for the next attempt, if the request may be sent.
-func (r *run) next(ctx context.Context) (backend.Choice, *backend.Flight, *fault.Fault) {
+func (r *run) next(ctx context.Context) (backend.Choice, *backend.Attempt, *fault.Fault) {
 	if refusal := r.quarantined(ctx, clock.Now()); refusal != nil {
 		return backend.Choice{}, nil, refusal
 	}
@@ -256,7 +256,7 @@
 // overloadedBy reports whether the request is refused rather than sent to the best
 // back end there is.
 func (r *run) overloadedBy(choice *backend.Choice, now time.Time) bool {
-	return r.sends == 0 && r.request.Prompt != nil && r.forwarder.config.Off.On(mechanism.EarlyRefusal) &&
+	return r.sends == 0 && r.request.Prompt != nil && r.forwarder.config.Disabled.On(mechanism.EarlyRefusal) &&
 		choice.Overloaded(r.endsAt.Sub(now))
 }
 
@@ -298,16 +298,16 @@
 func (r *run) query() backend.Query {
 	query := backend.Query{
 		Service: r.service, Excluded: r.excluded, Expected: r.route.Target / usualWork,
-		SpreadKey: xxhash.Sum64String(string(r.request.ID)), AvoidDoubted: r.avoidDoubted,
+		SpreadKey: xxhash.Sum64String(string(r.request.ID)), AvoidRecentBackoff: r.avoidDoubted,
 	}
 	prompt := r.request.Prompt
 	if prompt == nil {
 		return query
 	}
 	query.Model = prompt.Model
-	for _, naming := range r.forwarder.Holder.View().Models[prompt.Model].Named {
+	for _, naming := range r.forwarder.Holder.View().Models[prompt.Model].Publications {
 		query.Expiries = append(query.Expiries, backend.Expiry{
-			Version: naming.Version, At: naming.SeenAt.Add(r.forwarder.config.VersionGrace), Uncertain: naming.Met,
+			Version: naming.Version, At: naming.SeenAt.Add(r.forwarder.config.VersionGrace), Uncertain: naming.SeenAtStart,
 		})
 	}
 	query.SharedTokens, query.OwnTokens = prompt.lengths()
@@ -329,7 +329,7 @@
 func (r *run) describe(choice *backend.Choice) *Attempt {
 	attempt := &Attempt{
 		Request: r.request, Target: choice.Record, Version: choice.Version,
-		Remaining: clock.Until(r.endsAt), LastEvent: r.lastEvent, AckWithin: r.ackWithin(),
+		Remaining: clock.Until(r.endsAt), LastEventID: r.lastEvent, AckTimeout: r.ackWithin(),
 	}
 	if r.tenant != nil {
 		attempt.Tenant = r.tenant.Name
@@ -350,14 +350,14 @@
 func (r *run) describeCache(attempt *Attempt, homeZone ident.Zone) {
 	key, shared := r.homeKey()
 	store := r.view.Snapshot.CacheStore(r.forwarder.config.Regions, homeZone, key)
-	if store == nil || !r.forwarder.config.Off.On(mechanism.CacheStore) {
+	if store == nil || !r.forwarder.config.Disabled.On(mechanism.CacheStore) {
 		return
 	}
 	attempt.FetchFrom = store.CacheStore
 	if !shared {
 		return
 	}
-	if !r.request.Prompt.mostlyShared() && r.forwarder.config.Off.On(mechanism.SharedSaves) {
+	if !r.request.Prompt.mostlyShared() && r.forwarder.config.Disabled.On(mechanism.SharedSaves) {
 		return
 	}
 	parts := r.request.Prompt.Parts
--- a/internal/forward/start.go
+++ b/internal/forward/start.go
@@ -28,13 +28,13 @@
 // awaitStart lets a request wait for the first configuration of a router that has just
 // started, for a bounded time.
 func (f *Forwarder) awaitStart(ctx context.Context, request *Request) {
-	if f.Holder.View().Snapshot != nil || !f.config.Off.On(mechanism.StartHold) {
+	if f.Holder.View().Snapshot != nil || !f.config.Disabled.On(mechanism.StartHold) {
 		return
 	}
 	now := clock.Now()
 	until := now.Add(startHold)
-	if request.Wait > 0 {
-		until = earlier(until, request.ReceivedAt.Add(request.Wait/startHoldPart))
+	if request.ClientTimeout > 0 {
+		until = earlier(until, request.ReceivedAt.Add(request.ClientTimeout/startHoldPart))
 	}
 	until = earlier(until, f.startedAt.Add(startingFor))
 	defer f.held.Add(-1)
@@ -58,8 +58,8 @@
 		return
 	}
 	until := wokeAt.Add(startHold)
-	if request.Wait > 0 {
-		until = earlier(until, wokeAt.Add(request.Wait/startHoldPart))
+	if request.ClientTimeout > 0 {
+		until = earlier(until, wokeAt.Add(request.ClientTimeout/startHoldPart))
 	}
 	for f.Holder.View().ConfirmedAt.Before(wokeAt) && clock.Now().Before(until) {
 		if !wait.For(ctx, placePause) {
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -16,12 +16,12 @@
 )
 
 // startingBench is a bench whose forwarder knows no configuration yet.
-func startingBench(off mechanism.Off) *bench {
+func startingBench(off mechanism.Disabled) *bench {
 	b := newBench(genuine(200, "ok"))
 	b.holder = &catalog.Holder{}
 	b.forwarder = forward.New(forward.Config{
-		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second}, Off: off,
-		Repeats: admission.WindowConfig{Window: 10 * time.Second, Share: 0.2},
+		Freshness: catalog.Freshness{Keyed: 4 * time.Second, Denial: time.Second}, Disabled: off,
+		Retries: admission.WindowConfig{Window: 10 * time.Second, Share: 0.2},
 	}, forward.Dependencies{
 		Holder: b.holder, Backends: b.backends, Caller: b.caller, Record: b.record, Routers: func() int { return 1 }, Sharers: func() int { return 1 }, Caches: b.caches,
 	})
@@ -48,14 +48,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := startingBench(mechanism.Off{})
+				b := startingBench(mechanism.Disabled{})
 				known := time.AfterFunc(tt.knownAfter, func() {
 					b.holder.Adopt(catalog.NewSnapshot(configuration), time.Now())
 				})
 				defer known.Stop()
 				time.Sleep(tt.arrivesAfter)
 				wanted := request("safe")
-				wanted.Wait = tt.wait
+				wanted.ClientTimeout = tt.wait
 				begun := time.Now()
 				sink := b.forward(t, wanted)
 				is.Equal(sink.status == 200, tt.served)
@@ -71,7 +71,7 @@
 func TestAClientThatLeavesDoesNotWaitForTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := startingBench(mechanism.Off{})
+		b := startingBench(mechanism.Disabled{})
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		begun := time.Now()
@@ -97,7 +97,7 @@
 func TestNoMoreThanSomeRequestsWaitForTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := startingBench(mechanism.Off{})
+		b := startingBench(mechanism.Disabled{})
 		for range 200 {
 			go b.forwarder.Forward(t.Context(), request("safe"), &fakeSink{})
 		}
--- a/internal/forward/step.go
+++ b/internal/forward/step.go
@@ -27,17 +27,17 @@
 	StepBroken StepKind = "broken"
 	// StepClientGone is a request whose client left.
 	StepClientGone StepKind = "client_gone"
-	// StepRepeatGranted and StepRepeatDenied tell what the budget of repeats said.
-	StepRepeatGranted StepKind = "repeat_granted"
-	StepRepeatDenied  StepKind = "repeat_denied"
+	// StepRetryGranted and StepRetryDenied tell what the budget of repeats said.
+	StepRetryGranted StepKind = "repeat_granted"
+	StepRetryDenied  StepKind = "repeat_denied"
 	// StepBackendLimit is an answer that changes what is believed of its back end's limit.
 	StepBackendLimit StepKind = "backend_limit"
 	// StepLimitDenied is a back end that was passed over since its limit is used up.
 	StepLimitDenied StepKind = "limit_denied"
-	// StepBackendLeaving is the first answer that says that its back end leaves.
-	StepBackendLeaving StepKind = "backend_leaving"
-	// StepBackendRest is a refusal whose back end wants nothing from this router for a time.
-	StepBackendRest StepKind = "backend_rest"
+	// StepBackendDraining is the first answer that says that its back end leaves.
+	StepBackendDraining StepKind = "backend_leaving"
+	// StepBackendBackoff is a refusal whose back end wants nothing from this router for a time.
+	StepBackendBackoff StepKind = "backend_rest"
 )
 
 // Step is one decision about a request, with what decided it.
@@ -60,24 +60,24 @@
 	Elapsed time.Duration
 	// Events is the number of stream events passed on.
 	Events int
-	// Repeat is what a repeat was granted or denied on.
-	Repeat Repeat
+	// Retry is what a repeat was granted or denied on.
+	Retry RetryState
 	// Limit is the change of a back end's limit that an answer told.
 	Limit backend.LimitChange
-	// After is for how long a back end is passed over whose limit is used up.
-	After time.Duration
-	// Rest is for how long a back end wants nothing from this router.
-	Rest  time.Duration
-	Fault *fault.Fault
-	Cause error
+	// SkippedFor is for how long a back end is passed over whose limit is used up.
+	SkippedFor time.Duration
+	// Backoff is for how long a back end wants nothing from this router.
+	Backoff time.Duration
+	Fault   *fault.Fault
+	Cause   error
 }
 
-// Repeat is the state of a service's budget of repeats at this router at one moment.
-type Repeat struct {
+// RetryState is the state of a service's budget of repeats at this router at one moment.
+type RetryState struct {
 	Service ident.Service
 	// Requests earn a share of repeats now, Repeats are those in the window, one just granted
 	// among them.
-	Requests, Repeats int
+	Requests, Retries int
 	// Slack is this router's part of the slack, of which each of Sharers has one; both are
 	// 0 while it has none.
 	Slack   float64
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -50,7 +50,7 @@
 				sent := b.caller.sent()
 				is.Equal(len(sent), c.sends)
 				if c.sends > 1 {
-					is.Equal(sent[1].LastEvent, c.after)
+					is.Equal(sent[1].LastEventID, c.after)
 				}
 				is.Equal(b.backends.InFlight(), 0)
 			})
@@ -78,10 +78,10 @@
 		is := is.New(t)
 		b := newBench(genuine(200, two+three))
 		wanted := request("resumable")
-		wanted.LastEvent = "2"
+		wanted.LastEventID = "2"
 		sink := b.forward(t, wanted)
 		is.Equal(sink.body.String(), three)
-		is.Equal(b.caller.sent()[0].LastEvent, "2")
+		is.Equal(b.caller.sent()[0].LastEventID, "2")
 	})
 }
 
--- a/internal/forward/words_test.go
+++ b/internal/forward/words_test.go
@@ -22,19 +22,19 @@
 	changed []ident.Incarnation
 }
 
-// Changed implements forward.BackendNews.
-func (f *fakeNews) Changed(instance ident.Incarnation) {
+// Notify implements forward.BackendNotifier.
+func (f *fakeNews) Notify(instance ident.Incarnation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.changed = append(f.changed, instance)
 }
 
 // saying has an answer say something of its back end.
-func saying(said backend.Said, given answer) answer {
+func saying(said backend.Advertised, given answer) answer {
 	return func(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 		reply, err := given(ctx, attempt)
 		if reply != nil {
-			reply.Said = said
+			reply.Advertised = said
 		}
 		return reply, err
 	}
@@ -42,7 +42,7 @@
 
 // What answers say of their back ends is heard at each kind of answer.
 func TestEachAnswerIsHeard(t *testing.T) {
-	said := backend.Said{Limit: backend.LimitedTo{Rate: 3}, Leaving: true, Rest: time.Minute}
+	said := backend.Advertised{Limit: backend.LimitedTo{Rate: 3}, Draining: true, Backoff: time.Minute}
 	tests := []struct {
 		name  string
 		route string
@@ -52,7 +52,7 @@
 		{"a failure", "safe", genuine(500, "no")},
 		{"a refusal", "unsafe", refusing(forward.NotExecuted)},
 		{"another version", "unsafe", refusing(forward.OtherVersion)},
-		{"one that may not be passed on", "safe", refusing(forward.Unsound)},
+		{"one that may not be passed on", "safe", refusing(forward.InvalidAnswer)},
 		{"the head of a stream", "stream", genuine(200, "id: 1\ndata: a\n\n")},
 		{"a stream that breaks off", "stream", breaking("id: 1\ndata: a\n\n")},
 	}
@@ -62,13 +62,13 @@
 				is := is.New(t)
 				b := newBench(saying(said, tt.given), genuine(200, "ok"))
 				news := &fakeNews{}
-				b.forwarder.News = news
+				b.forwarder.Notifier = news
 				b.forward(t, request(tt.route))
 				first := b.caller.sent()[0].Target.Instance
 				is.Equal(news.changed[0], first)
-				is.True(slices.Contains(b.backends.Limited(time.Now()), first))
-				is.True(b.backends.Leaving(first))
-				_, resting := b.backends.Wishes(time.Now())
+				is.True(slices.Contains(b.backends.LimitedInstances(time.Now()), first))
+				is.True(b.backends.DrainingOrUnlisted(first))
+				_, resting := b.backends.UnavailableCounts(time.Now())
 				is.True(resting >= 1)
 			})
 		})
@@ -84,7 +84,7 @@
 		late := func(_ context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
 			is.True(!attempt.Withdrawn())
 			now := time.Now()
-			b.backends.TakeSaid(now, attempt.Target.Instance, now, backend.Said{Leaving: true}, backend.ByAnswer)
+			b.backends.ObserveAdvertised(now, attempt.Target.Instance, now, backend.Advertised{Draining: true}, backend.SourceAnswer)
 			is.True(attempt.Withdrawn())
 			return nil, &exchange.Error{Cause: exchange.ErrWithdrawn}
 		}
@@ -95,7 +95,7 @@
 		is.Equal(len(sent), 2)
 		is.True(sent[0].Target.Instance != sent[1].Target.Instance)
 		for _, step := range b.steps {
-			is.True(step.Kind != forward.StepRepeatGranted)
+			is.True(step.Kind != forward.StepRetryGranted)
 		}
 	})
 }
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -94,8 +94,8 @@
 	return due
 }
 
-// Answered takes in that an engine answered a check, and how many requests wait there.
-func (t *Tracker) Answered(now time.Time, instance ident.Incarnation, waiting int) {
+// ObserveAnswer takes in that an engine answered a check, and how many requests wait there.
+func (t *Tracker) ObserveAnswer(now time.Time, instance ident.Incarnation, waiting int) {
 	known := t.engines[instance]
 	if known == nil {
 		return
@@ -104,9 +104,9 @@
 	known.checkAt = now.Add(t.cfg.Interval)
 }
 
-// Postponed takes in that an engine which wants nothing now was not checked. That says neither
+// Postpone takes in that an engine which wants nothing now was not checked. That says neither
 // that it is silent nor that it is not.
-func (t *Tracker) Postponed(now time.Time, instance ident.Incarnation) {
+func (t *Tracker) Postpone(now time.Time, instance ident.Incarnation) {
 	known := t.engines[instance]
 	if known == nil {
 		return
@@ -115,8 +115,8 @@
 	known.checkAt = now.Add(t.cfg.Interval)
 }
 
-// Missed takes in that an engine did not answer a check.
-func (t *Tracker) Missed(now time.Time, instance ident.Incarnation) {
+// ObserveMiss takes in that an engine did not answer a check.
+func (t *Tracker) ObserveMiss(now time.Time, instance ident.Incarnation) {
 	known := t.engines[instance]
 	if known == nil {
 		return
@@ -129,9 +129,9 @@
 	}
 }
 
-// Queues returns the engines at which requests wait, and those at which none does any
+// QueueUpdates returns the engines at which requests wait, and those at which none does any
 // more since the last call, by instance.
-func (t *Tracker) Queues() []Queue {
+func (t *Tracker) QueueUpdates() []Queue {
 	var queues []Queue
 	for instance, known := range t.engines {
 		if known.waiting == 0 && known.told == 0 {
@@ -172,9 +172,9 @@
 	Waiting  int
 }
 
-// Notice tells other routers what becomes of engines. It makes engines dearer for a short
+// Notification tells other routers what becomes of engines. It makes engines dearer for a short
 // time, and keeps work from those that are gone.
-type Notice struct {
+type Notification struct {
 	// Silent engines do not answer, Answering ones do again.
 	Silent    []ident.Incarnation `cbor:"1,keyasint,omitempty"`
 	Answering []ident.Incarnation `cbor:"2,keyasint,omitempty"`
@@ -183,10 +183,10 @@
 	Gone []ident.Incarnation `cbor:"4,keyasint,omitempty"`
 }
 
-// Since returns the notice of what changed from one set of silent engines to
+// NewNotification returns the notice of what changed from one set of silent engines to
 // another: those that are silent are told again each time, others once.
-func Since(before, silent []ident.Incarnation) Notice {
-	notice := Notice{Silent: silent}
+func NewNotification(before, silent []ident.Incarnation) Notification {
+	notice := Notification{Silent: silent}
 	for _, instance := range before {
 		if !slices.Contains(silent, instance) {
 			notice.Answering = append(notice.Answering, instance)
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -40,7 +40,7 @@
 		now := start.Add(after)
 		for instance, at := range missedAt {
 			if after >= at {
-				tracked.Missed(now, instance)
+				tracked.ObserveMiss(now, instance)
 				delete(missedAt, instance)
 			}
 		}
@@ -48,7 +48,7 @@
 			var index int
 			_, _ = fmt.Sscanf(string(record.Instance), "i-%d", &index)
 			if answers(index, after) {
-				tracked.Answered(now, record.Instance, 0)
+				tracked.ObserveAnswer(now, record.Instance, 0)
 			} else {
 				missedAt[record.Instance] = after + timeout
 			}
@@ -107,24 +107,24 @@
 	now := start.Add(time.Second)
 	before := tracked.Silent(now)
 	is.Equal(before, []ident.Incarnation{name(3)})
-	tracked.Answered(now, name(3), 0)
-	is.Equal(health.Since(before, tracked.Silent(now)), health.Notice{Answering: []ident.Incarnation{name(3)}})
-	is.Equal(health.Since(nil, before), health.Notice{Silent: before})
-	tracked.Missed(start, "gone")
-	tracked.Answered(start, "gone", 4)
-	is.Equal(len(tracked.Queues()), 0)
+	tracked.ObserveAnswer(now, name(3), 0)
+	is.Equal(health.NewNotification(before, tracked.Silent(now)), health.Notification{Answering: []ident.Incarnation{name(3)}})
+	is.Equal(health.NewNotification(nil, before), health.Notification{Silent: before})
+	tracked.ObserveMiss(start, "gone")
+	tracked.ObserveAnswer(start, "gone", 4)
+	is.Equal(len(tracked.QueueUpdates()), 0)
 }
 
 func TestQueuesAreToldUntilTheyEnd(t *testing.T) {
 	is := is.New(t)
 	tracked := tracker()
-	tracked.Answered(start, name(4), 7)
-	tracked.Answered(start, name(1), 2)
-	is.Equal(tracked.Queues(), []health.Queue{{Instance: name(1), Waiting: 2}, {Instance: name(4), Waiting: 7}})
-	tracked.Answered(start, name(4), 0)
-	tracked.Missed(start, name(1))
-	is.Equal(tracked.Queues(), []health.Queue{{Instance: name(1)}, {Instance: name(4)}})
-	is.Equal(len(tracked.Queues()), 0)
+	tracked.ObserveAnswer(start, name(4), 7)
+	tracked.ObserveAnswer(start, name(1), 2)
+	is.Equal(tracked.QueueUpdates(), []health.Queue{{Instance: name(1), Waiting: 2}, {Instance: name(4), Waiting: 7}})
+	tracked.ObserveAnswer(start, name(4), 0)
+	tracked.ObserveMiss(start, name(1))
+	is.Equal(tracked.QueueUpdates(), []health.Queue{{Instance: name(1)}, {Instance: name(4)}})
+	is.Equal(len(tracked.QueueUpdates()), 0)
 }
 
 // A check that is postponed says neither that the engine is silent nor that it is not, and is due
@@ -136,10 +136,10 @@
 	for after := time.Duration(0); after <= 3*time.Second; after += 10 * time.Millisecond {
 		for _, record := range tracked.Due(start.Add(after)) {
 			due++
-			tracked.Postponed(start.Add(after), record.Instance)
+			tracked.Postpone(start.Add(after), record.Instance)
 		}
 		is.Equal(len(tracked.Silent(start.Add(after))), 0)
 	}
 	is.True(due >= 6*watched)
-	is.Equal(len(tracked.Queues()), 0)
+	is.Equal(len(tracked.QueueUpdates()), 0)
 }
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -67,15 +67,15 @@
 	}
 }
 
-// Off is a set of mechanisms that are switched off; the zero value leaves all on.
-type Off struct{ names []Name }
+// Disabled is a set of mechanisms that are switched off; the zero value leaves all on.
+type Disabled struct{ names []Name }
 
 // Without reads a set from names of mechanisms. Its error names those there are.
-func Without(names []string) (Off, error) {
-	var off Off
+func Without(names []string) (Disabled, error) {
+	var off Disabled
 	for _, name := range names {
 		if !slices.Contains(All(), Name(name)) {
-			return Off{}, fault.New(fault.InvalidSettings, "there is no mechanism %q; there are %s", name, list())
+			return Disabled{}, fault.New(fault.InvalidSettings, "there is no mechanism %q; there are %s", name, list())
 		}
 		off.names = append(off.names, Name(name))
 	}
@@ -83,7 +83,7 @@
 }
 
 // On reports whether a mechanism is on.
-func (o Off) On(name Name) bool { return !slices.Contains(o.names, name) }
+func (o Disabled) On(name Name) bool { return !slices.Contains(o.names, name) }
 
 // list returns the names of all mechanisms for a message.
 func list() string {
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -11,7 +11,7 @@
 
 func TestMechanismsAreSwitchedOffByName(t *testing.T) {
 	is := is.New(t)
-	var none mechanism.Off
+	var none mechanism.Disabled
 	for _, name := range mechanism.All() {
 		is.True(none.On(name))
 		off, err := mechanism.Without([]string{string(name)})
--- a/internal/node/advertised_test.go
+++ b/internal/node/advertised_test.go
@@ -181,7 +181,7 @@
 	f := newLimitFleet(t, 2, 3)
 	f.changeEngine(0, func(engine *limitedEngine) { engine.draining = true })
 	draining := f.engines[0].record.Instance
-	knows := func(index int) bool { return f.router(index).forwarder.Backends.Leaving(draining) }
+	knows := func(index int) bool { return f.router(index).forwarder.Backends.DrainingOrUnlisted(draining) }
 	result := &limitLoad{}
 	eventually(t, func() bool {
 		result.send(t.Context(), 0, f.router(0).forwarder)
@@ -208,7 +208,7 @@
 	begun := time.Now()
 	f.load(30, time.Second)
 	for index := range 3 {
-		f.router(index).forwarder.Backends.TakeSaid(clock.Now(), former.Instance, clock.Now(), backend.Said{Leaving: true}, backend.ByAnswer)
+		f.router(index).forwarder.Backends.ObserveAdvertised(clock.Now(), former.Instance, clock.Now(), backend.Advertised{Draining: true}, backend.SourceAnswer)
 	}
 	f.load(30, 3*time.Second)
 	routers := make(map[int]bool)
--- a/internal/node/audience.go
+++ b/internal/node/audience.go
@@ -33,11 +33,11 @@
 // only.
 const relaysPerZone = 2
 
-// audience is whom a router tells notices. Where there are several regions a notice
+// recipients is whom a router tells notices. Where there are several regions a notice
 // crosses to each region and to each zone once, in place of once for each router: on a
 // fleet of 76 routers in six zones, 5 datagrams leave a zone in place of 63. Where there is
 // one region each router is told directly. It is safe for concurrent use.
-type audience struct {
+type recipients struct {
 	node    ident.Node
 	zone    ident.Zone
 	regions region.Map
@@ -54,7 +54,7 @@
 }
 
 // know takes in the routers.
-func (a *audience) know(peers []upstream.Peer) {
+func (a *recipients) know(peers []upstream.Peer) {
 	peers = slices.DeleteFunc(slices.Clone(peers), func(peer upstream.Peer) bool { return peer.Node == a.node })
 	slices.SortFunc(peers, upstream.ByRevision)
 	a.mu.Lock()
@@ -80,24 +80,24 @@
 }
 
 // others returns the addresses of the other routers, as known last.
-func (a *audience) others() []netip.AddrPort {
+func (a *recipients) others() []netip.AddrPort {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.all
 }
 
 // count returns the number of the other routers.
-func (a *audience) count() int {
+func (a *recipients) count() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.all)
 }
 
 // tell returns the messages that carry a notice of this router to all others.
-func (a *audience) tell() []message {
+func (a *recipients) tell() []message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.regions.Several() {
+	if !a.regions.HasMultiple() {
 		return direct(a.all)
 	}
 	a.turn++
@@ -110,10 +110,10 @@
 
 // again returns the messages that carry the notice that was told last to the next relays,
 // if there are any.
-func (a *audience) again() []message {
+func (a *recipients) again() []message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.regions.Several() {
+	if !a.regions.HasMultiple() {
 		return nil
 	}
 	a.turn++
@@ -128,7 +128,7 @@
 }
 
 // passOn returns the messages that carry on a notice that came with a scope.
-func (a *audience) passOn(wanted scope) []message {
+func (a *recipients) passOn(wanted scope) []message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch wanted {
@@ -143,7 +143,7 @@
 }
 
 // regional returns the messages to the routers of this region; the caller holds the mutex.
-func (a *audience) regional() []message {
+func (a *recipients) regional() []message {
 	messages := direct(a.near)
 	for _, relays := range a.zones {
 		messages = append(messages, message{to: relays[a.turn%len(relays)], scope: toZone})
--- a/internal/node/audience_test.go
+++ b/internal/node/audience_test.go
@@ -15,7 +15,7 @@
 // placed is a router of a test fleet.
 type placed struct {
 	upstream.Peer
-	audience *audience
+	audience *recipients
 }
 
 // fleetOf returns routers of these zones, so many of each, that all know each other.
@@ -32,7 +32,7 @@
 	}
 	var routers []placed
 	for _, peer := range peers {
-		told := &audience{node: peer.Node, zone: peer.Zone, regions: regions}
+		told := &recipients{node: peer.Node, zone: peer.Zone, regions: regions}
 		told.know(peers)
 		routers = append(routers, placed{Peer: peer, audience: told})
 	}
--- a/internal/node/backendlimit_test.go
+++ b/internal/node/backendlimit_test.go
@@ -159,7 +159,7 @@
 	f := newLimitFleet(t, 2, 3)
 	f.limit(1.3, 0)
 	knows := func(index int) bool {
-		return slices.Contains(f.router(index).forwarder.Backends.Limited(clock.Now()), f.engines[0].record.Instance)
+		return slices.Contains(f.router(index).forwarder.Backends.LimitedInstances(clock.Now()), f.engines[0].record.Instance)
 	}
 	result := &limitLoad{}
 	eventually(t, func() bool {
--- a/internal/node/backendlimits.go
+++ b/internal/node/backendlimits.go
@@ -54,18 +54,18 @@
 	for index := range b.pools {
 		cfg := quota.Config{
 			Self: self, Bounds: quota.Bounds{Window: limitWindow, Unit: 1}, Place: index, HelloInterval: limitHelloInterval,
-			Alone: !self.IsValid(),
+			Standalone: !self.IsValid(),
 		}
 		b.pools[index] = newQuotas(cfg, &quotas{
 			name: "back ends", send: func(quota.Envelope) {}, routers: routers,
-			onResult: func(*quota.Claim, quota.Verdict) {},
+			onResult: func(*quota.Reservation, quota.Result) {},
 		})
 	}
 	return b
 }
 
 // connect sends messages by the socket of this router.
-func (b *backendLimits) connect(socket *notices) {
+func (b *backendLimits) connect(socket *notifier) {
 	for index, pool := range b.pools {
 		pool.send = func(envelope quota.Envelope) {
 			message := limitMessage{Pool: uint8(index), Quota: *quota.Pack(envelope.Message)}
@@ -93,24 +93,24 @@
 	return int(xxhash.Sum64String(string(instance)) % limitPools)
 }
 
-// Take implements forward.BackendLimits.
-func (b *backendLimits) Take(ctx context.Context, choice *backend.Choice, preferred bool) quota.Verdict {
+// Acquire implements forward.BackendLimits.
+func (b *backendLimits) Acquire(ctx context.Context, choice *backend.Choice, preferred bool) quota.Result {
 	pool := b.pools[poolOf(choice.Instance)]
-	result := pool.Take(ctx, quota.Claim{
+	result := pool.Acquire(ctx, quota.Reservation{
 		Subject: quota.Subject(choice.Instance), Limit: quota.Limit{Rate: choice.Limit.Rate}, Version: choice.Limit.Sequence,
 		Amount: 1, Preferred: preferred,
 	})
 	b.metrics.limitReservations.WithLabelValues(quotaResultName(result)).Inc()
 	if _, unconfirmed := result.(quota.Unconfirmed); !unconfirmed && pool.shared() {
 		// Others keep to the limit as well: an answer that ends it would have been told.
-		b.backends.LimitConfirmed(clock.Now(), choice.Instance)
+		b.backends.ConfirmLimit(clock.Now(), choice.Instance)
 	}
 	return result
 }
 
-// Return implements forward.BackendLimits.
-func (b *backendLimits) Return(to ident.Incarnation, grant quota.Grant) {
-	b.pools[poolOf(to)].Return(grant)
+// Release implements forward.BackendLimits.
+func (b *backendLimits) Release(to ident.Incarnation, grant quota.Grant) {
+	b.pools[poolOf(to)].Release(grant)
 }
 
 // joinPool joins the pool for a back end at once, so that it is formed when requests come.
@@ -123,7 +123,7 @@
 func (b *backendLimits) run(ctx context.Context) {
 	wait.Every(ctx, quotaTick, func() {
 		var limited [limitPools]bool
-		for _, instance := range b.backends.Limited(clock.Now()) {
+		for _, instance := range b.backends.LimitedInstances(clock.Now()) {
 			limited[poolOf(instance)] = true
 		}
 		for index, pool := range b.pools {
@@ -145,7 +145,7 @@
 }
 
 // quotaResultName is the name of a verdict in metrics.
-func quotaResultName(result quota.Verdict) string {
+func quotaResultName(result quota.Result) string {
 	switch result.(type) {
 	case quota.Granted:
 		return "granted"
--- a/internal/node/backendupdates.go
+++ b/internal/node/backendupdates.go
@@ -11,71 +11,71 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// newsPart bounds the back ends in one datagram.
-const newsPart = 20
+// updatesPerDatagram bounds the back ends in one datagram.
+const updatesPerDatagram = 20
 
-// backendNews carries what back ends say of themselves between routers: their limits, and that
+// backendUpdates carries what back ends say of themselves between routers: their limits, and that
 // they leave. Each change is told once, and again to routers that pull and know something else.
-// It implements forward.BackendNews.
-type backendNews struct {
+// It implements forward.BackendNotifier.
+type backendUpdates struct {
 	backends *backend.Registry
 	limits   *backendLimits
 	// send tells all other routers; it does nothing before this one runs.
-	send func([]backend.News)
+	send func([]backend.StateUpdate)
 }
 
-var _ forward.BackendNews = (*backendNews)(nil)
+var _ forward.BackendNotifier = (*backendUpdates)(nil)
 
-func newBackendUpdates(backends *backend.Registry, limits *backendLimits) *backendNews {
-	return &backendNews{backends: backends, limits: limits, send: func([]backend.News) {}}
+func newBackendUpdates(backends *backend.Registry, limits *backendLimits) *backendUpdates {
+	return &backendUpdates{backends: backends, limits: limits, send: func([]backend.StateUpdate) {}}
 }
 
-// Changed implements forward.BackendNews.
-func (b *backendNews) Changed(instance ident.Incarnation) {
-	update, known := b.backends.NewsOf(clock.Now(), instance)
+// Notify implements forward.BackendNotifier.
+func (b *backendUpdates) Notify(instance ident.Incarnation) {
+	update, known := b.backends.StateUpdateOf(clock.Now(), instance)
 	if !known {
 		return
 	}
-	b.send([]backend.News{update})
+	b.send([]backend.StateUpdate{update})
 	if update.Limited {
 		b.limits.joinPool(instance)
 	}
 }
 
 // observeAdvertised takes in what an answer to a report or an order says of its back end.
-func (b *backendNews) observeAdvertised(instance ident.Incarnation, sentAt time.Time, advertised backend.Said, by backend.Source) {
-	observed := b.backends.TakeSaid(clock.Now(), instance, sentAt, advertised, by)
+func (b *backendUpdates) observeAdvertised(instance ident.Incarnation, sentAt time.Time, advertised backend.Advertised, by backend.Source) {
+	observed := b.backends.ObserveAdvertised(clock.Now(), instance, sentAt, advertised, by)
 	if observed.LimitChanged {
 		change := &observed.Limit
 		log.WithFields(log.Fields{
-			"instance": instance, "limited": change.Limited, "rate": change.Rate, "rate_before": change.Before,
+			"instance": instance, "limited": change.Limited, "rate": change.Rate, "rate_before": change.PreviousRate,
 		}).Info("backend_limit_reported")
 	}
-	if observed.Leaving {
+	if observed.DrainBegan {
 		logDraining(instance, by)
 	}
-	if observed.Rest > 0 {
-		log.WithFields(log.Fields{"instance": instance, "by": by, "rest_ms": observed.Rest.Milliseconds()}).Info("backend_rest")
+	if observed.Backoff > 0 {
+		log.WithFields(log.Fields{"instance": instance, "by": by, "rest_ms": observed.Backoff.Milliseconds()}).Info("backend_rest")
 	}
-	if observed.News() {
-		b.Changed(instance)
+	if observed.ConcernsPeers() {
+		b.Notify(instance)
 	}
 }
 
-// told takes in what other routers tell.
-func (b *backendNews) told(updates []backend.News) {
+// applyUpdates takes in what other routers tell.
+func (b *backendUpdates) applyUpdates(updates []backend.StateUpdate) {
 	if b == nil {
 		return
 	}
-	for _, applied := range b.backends.TakeNews(clock.Now(), updates) {
+	for _, applied := range b.backends.ApplyUpdates(clock.Now(), updates) {
 		if applied.LimitChanged {
 			log.WithFields(log.Fields{
 				"instance": applied.Instance, "limited": applied.Limited, "rate": applied.Rate, "age_ms": applied.Age.Milliseconds(),
 			}).Info("backend_limit_told")
 			b.limits.joinPool(applied.Instance)
 		}
-		if applied.LeavingBegan {
-			logDraining(applied.Instance, backend.ByRouter)
+		if applied.DrainBegan {
+			logDraining(applied.Instance, backend.SourcePeer)
 		}
 	}
 }
--- a/internal/node/builds_test.go
+++ b/internal/node/builds_test.go
@@ -27,9 +27,9 @@
 	case "router_row":
 		return new(routerRow)
 	case "naming_row":
-		return new(namingRow)
+		return new(publicationRow)
 	case "naming_mark":
-		return new(namingMark)
+		return new(publicationMark)
 	case "lease_row":
 		return new(lease.Record)
 	case "state_row":
--- a/internal/node/canary.go
+++ b/internal/node/canary.go
@@ -87,7 +87,7 @@
 }
 
 // connect lets permits and reports pass through the socket for notices.
-func (c *canaries) connect(socket *notices) {
+func (c *canaries) connect(socket *notifier) {
 	if c != nil {
 		socket.canaries = c
 		c.send = socket.sendTo
@@ -104,14 +104,14 @@
 	return c.gate.Choose(now, ask)
 }
 
-// Stands implements forward.Releases.
-func (c *canaries) Stands(service ident.Service, allowed *backend.Releases, release ident.Release) bool {
+// StillAllowed implements forward.Releases.
+func (c *canaries) StillAllowed(service ident.Service, allowed *backend.Releases, release ident.Release) bool {
 	if !c.restricted.Load() {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gate.Stands(service, allowed, release)
+	return c.gate.StillAllowed(service, allowed, release)
 }
 
 // Declined implements forward.Releases.
@@ -135,8 +135,8 @@
 	c.gate.Ended(now, run, sample)
 }
 
-// know takes in what a configuration confirmed at a time tells of rollouts.
-func (c *canaries) know(confirmedAt time.Time, rollouts *knownRollouts) {
+// setRollouts takes in what a configuration confirmed at a time tells of rollouts.
+func (c *canaries) setRollouts(confirmedAt time.Time, rollouts *knownRollouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
@@ -145,8 +145,8 @@
 	c.gateChanged(now)
 }
 
-// listed takes in the back ends as they were listed at a time.
-func (c *canaries) listed(listedAt time.Time, records []backend.Record) {
+// applyList takes in the back ends as they were listed at a time.
+func (c *canaries) applyList(listedAt time.Time, records []backend.Record) {
 	if c == nil {
 		return
 	}
--- a/internal/node/canary_test.go
+++ b/internal/node/canary_test.go
@@ -252,7 +252,7 @@
 		})
 		f.sleepUntil(guardedDuration + 6*time.Second)
 		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
-		is.True(!f.routers["r4"].follower.replica.ordered().pending())
+		is.True(!f.routers["r4"].follower.replica.currentRollouts().pending())
 	})
 }
 
@@ -285,13 +285,13 @@
 	is := is.New(t)
 	c := newCanaries(guardedBounds, &canaries{metrics: newMetrics(func() gaugeValues { return gaugeValues{} })})
 	record := recordsOf(oldRelease)
-	c.listed(time.Now(), record)
-	c.know(time.Now(), nil)
+	c.applyList(time.Now(), record)
+	c.setRollouts(time.Now(), nil)
 	now := time.Now()
 	ask := canary.Ask{Service: "s", Route: "route", First: true}
 	allocs := testing.AllocsPerRun(500, func() {
 		releases := c.Choose(now, ask)
-		if releases.Bounded() {
+		if releases.Restricted() {
 			t.Error("a service of one release is bounded")
 		}
 		c.Ended(now, c.Sent(now, "s", record[0]), canary.Sample{Route: "route", Outcome: canary.Answered})
--- a/internal/node/canarybench_test.go
+++ b/internal/node/canarybench_test.go
@@ -50,8 +50,8 @@
 			self:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 1),
 			peers: func() []netip.AddrPort { return addrs }, metrics: newMetrics(func() gaugeValues { return gaugeValues{} }),
 		})
-		c.listed(f.now.Add(-time.Second), records)
-		c.know(f.now, known)
+		c.applyList(f.now.Add(-time.Second), records)
+		c.setRollouts(f.now, known)
 		addrs = append(addrs, c.self)
 		return c
 	}
--- a/internal/node/canaryfleet_test.go
+++ b/internal/node/canaryfleet_test.go
@@ -109,7 +109,7 @@
 		partitionedFrom: map[ident.Node]bool{}, slow: 1,
 		open: map[ident.Release]map[ident.Node]int{oldRelease: {}, newRelease: {}, "v3": {}},
 	}
-	f.guard = f.setUpRouter
+	f.beforeStart = f.setUpRouter
 	f.list(oldRelease)
 	for index := range routers {
 		f.start(t.Context(), ident.Node(fmt.Sprint("r", index)))
@@ -177,10 +177,10 @@
 		fleet: f, node: running.node, addr: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(number)),
 		backends: follower.replica.backends, random: rand.New(rand.NewPCG(uint64(number), 5)),
 	}
-	follower.roster.addr = router.addr
+	follower.routerList.addr = router.addr
 	states := &rolloutStates{table: unreadableStates{f.store, f}, writer: f, timeout: time.Second}
 	router.canaries = newCanaries(guardedBounds, &canaries{
-		self: router.addr, peers: follower.audience.others, refreshPeers: follower.readRoster, lease: router,
+		self: router.addr, peers: follower.recipients.others, refreshPeers: follower.readRouters, lease: router,
 		backends: router.backends, states: states, metrics: newMetrics(func() gaugeValues { return gaugeValues{} }),
 		send: router.send,
 	})
@@ -219,7 +219,7 @@
 	}
 	time.AfterFunc(time.Millisecond, func() {
 		if receiver := r.fleet.receiver(r.node, to); receiver != nil {
-			arriving := &notices{audience: &audience{}, backends: receiver.backends, canaries: receiver.canaries}
+			arriving := &notifier{recipients: &recipients{}, backends: receiver.backends, canaries: receiver.canaries}
 			arriving.receive(r.addr, encoded)
 		}
 	})
@@ -267,8 +267,8 @@
 		r.fleet.countUnserved()
 		return
 	}
-	if !r.canaries.Stands("s", &query.Releases, choice.Release) {
-		flight.Ended(now, backend.Abandoned)
+	if !r.canaries.StillAllowed("s", &query.Releases, choice.Release) {
+		flight.End(now, backend.Abandoned)
 		if query.Releases.Only != "" {
 			r.canaries.Declined("s")
 		}
@@ -276,7 +276,7 @@
 		return
 	}
 	run := r.canaries.Sent(now, "s", choice.Record)
-	sample := canary.Sample{Route: "route", Outcome: canary.Answered, Elapsed: answerTime, Predicted: choice.Uncached}
+	sample := canary.Sample{Route: "route", Outcome: canary.Answered, Elapsed: answerTime, Predicted: choice.PredictedUncached}
 	bad := r.fleet.arrive(r.node, choice.Release, r.random.Float64())
 	if choice.Release == newRelease {
 		sample.Elapsed = time.Duration(r.fleet.slow * float64(answerTime))
@@ -291,8 +291,8 @@
 		case <-time.After(sample.Elapsed):
 		}
 		r.fleet.depart(r.node, choice.Release, bad)
-		flight.Heard(time.Now())
-		flight.Ended(time.Now(), outcome)
+		flight.ObserveBytes(time.Now())
+		flight.End(time.Now(), outcome)
 		r.canaries.Ended(time.Now(), run, sample)
 	}()
 }
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -24,7 +24,7 @@
 	version uint64
 	body    []byte
 	// checkedRevision is the revision of the row up to which none that the row held is newer.
-	seenThrough uint64
+	checkedRevision uint64
 	// confirmedStoreRevision is the revision of the store at the own read that confirmed checkedRevision
 	// last: the row had no other content until then. It is 0 if there was none.
 	confirmedStoreRevision uint64
@@ -63,10 +63,10 @@
 	rollouts   *knownRollouts
 }
 
-// takeReading takes in a read of the store that was asked for at a time. What the row held
+// applyReading takes in a read of the store that was asked for at a time. What the row held
 // since it was last seen is asked for, since a read shows the last write that was carried
 // out, and a newer one may have stood there before it.
-func (f *follower) takeReading(ctx context.Context, askedAt time.Time, reading *Reading, rollouts *knownRollouts) error {
+func (f *follower) applyReading(ctx context.Context, askedAt time.Time, reading *Reading, rollouts *knownRollouts) error {
 	checkedRevision, after, changed := f.replica.historyToCheck(reading.Revision)
 	if !changed {
 		f.replica.confirmRow(askedAt, reading, rollouts)
@@ -93,7 +93,7 @@
 // configuration: the last write may be a late one of an older configuration. It is for the
 // router that reads the store for all, since the others learn it from that one, and does
 // not keep a router from starting.
-func (f *follower) lookBack(ctx context.Context, askedAt time.Time, reading *Reading) {
+func (f *follower) checkHistory(ctx context.Context, askedAt time.Time, reading *Reading) {
 	if !f.readsForOthers() {
 		return
 	}
@@ -156,8 +156,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held := &r.config
-	changed = revision > held.seenThrough && revision != held.suspectRevision
-	return held.seenThrough, max(held.seenThrough, held.confirmedStoreRevision), changed
+	changed = revision > held.checkedRevision && revision != held.suspectRevision
+	return held.checkedRevision, max(held.checkedRevision, held.confirmedStoreRevision), changed
 }
 
 // rowToCheck returns the row of a reading, and whether it was believed without a look back.
@@ -165,14 +165,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	row = rowContent{revision: reading.Revision, body: reading.Body, snapshot: r.holder.View().Snapshot}
-	return row, r.config.historyUnknown && reading.Revision == r.config.seenThrough
+	return row, r.config.historyUnknown && reading.Revision == r.config.checkedRevision
 }
 
 // applyHistory takes in the newest configuration that the row held before a revision.
 func (r *replica) applyHistory(askedAt time.Time, row, newest rowContent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.config.seenThrough != row.revision || !r.config.historyUnknown {
+	if r.config.checkedRevision != row.revision || !r.config.historyUnknown {
 		return
 	}
 	r.config.historyUnknown = false
@@ -186,11 +186,11 @@
 func (r *replica) confirmRow(askedAt time.Time, reading *Reading, rollouts *knownRollouts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if reading.Revision == 0 || reading.Revision < r.config.seenThrough {
+	if reading.Revision == 0 || reading.Revision < r.config.checkedRevision {
 		return
 	}
-	r.takeRollouts(askedAt, rollouts)
-	if reading.Revision == r.config.seenThrough {
+	r.applyRollouts(askedAt, rollouts)
+	if reading.Revision == r.config.checkedRevision {
 		r.config.confirmedStoreRevision = max(r.config.confirmedStoreRevision, reading.StoreRevision)
 		r.confirmConfiguration(r.node, askedAt)
 	}
@@ -201,13 +201,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held := &r.config
-	if held.seenThrough < read.checkedRevision || held.seenThrough >= read.row.revision {
+	if held.checkedRevision < read.checkedRevision || held.checkedRevision >= read.row.revision {
 		// A peer told of another one meanwhile: what this read asked for doesn't fit on.
 		return
 	}
 	// Orders are known before the confirmation is: a release that waits for one must not
 	// pass between the two.
-	r.takeRollouts(read.askedAt, read.rollouts)
+	r.applyRollouts(read.askedAt, read.rollouts)
 	restored := store.Epoch(read.row.revision) > store.Epoch(read.checkedRevision)
 	sameVersion := restored && read.newest.snapshot.Version == held.version
 	newer := read.newest.snapshot.Version > held.version || (sameVersion && !bytes.Equal(read.newest.body, held.body))
@@ -216,7 +216,7 @@
 		// Without a history the row is believed as by a router that has just started. That is
 		// so as well where the store came back from an older copy: what the operator wrote
 		// since is written again, so that an older one than is held here confirms nothing.
-		held.seenThrough = read.row.revision
+		held.checkedRevision = read.row.revision
 		if newer {
 			r.adopt(r.node, read.askedAt, read.newest)
 			held.historyUnknown = read.checkedRevision == 0
@@ -237,10 +237,10 @@
 	}
 }
 
-// takeConfiguration takes in a configuration that was the newest at confirmedAt, as a peer
+// applyConfiguration takes in a configuration that was the newest at confirmedAt, as a peer
 // tells. An empty body stands for the one held. A peer that holds an older one is behind,
 // whichever revision of the row it has met, and confirms nothing.
-func (r *replica) takeConfiguration(
+func (r *replica) applyConfiguration(
 	origin ident.Node, confirmedAt time.Time, received *upstream.Configuration, rollouts *knownRollouts,
 ) error {
 	r.mu.Lock()
@@ -258,13 +258,13 @@
 		}
 		newest = decoded
 	}
-	r.takeRollouts(confirmedAt, rollouts)
+	r.applyRollouts(confirmedAt, rollouts)
 	if newer {
 		// What its row held until then, an own read of a later one did not see through.
-		held.seenThrough, held.confirmedStoreRevision = received.Revision, 0
+		held.checkedRevision, held.confirmedStoreRevision = received.Revision, 0
 		r.adopt(origin, confirmedAt, newest)
 	}
-	held.seenThrough = max(held.seenThrough, received.Revision)
+	held.checkedRevision = max(held.checkedRevision, received.Revision)
 	r.confirmConfiguration(origin, confirmedAt)
 	return nil
 }
@@ -286,7 +286,7 @@
 		"version": newest.snapshot.Version, "routes": newest.snapshot.RouteCount(), "revision": newest.revision,
 		"read_ms": clock.Since(confirmedAt).Milliseconds(), "origin": origin,
 	}).Info("configuration_adopted")
-	r.confirmed(origin)
+	r.bumpConfirmation(origin)
 }
 
 // confirmConfiguration takes in that the configuration held was the newest at a time; the caller
@@ -295,7 +295,7 @@
 	view := r.holder.View()
 	r.holder.Adopt(view.Snapshot, confirmedAt)
 	if confirmedAt.After(view.ConfirmedAt) {
-		r.confirmed(origin)
+		r.bumpConfirmation(origin)
 	}
 }
 
--- a/internal/node/crashing_test.go
+++ b/internal/node/crashing_test.go
@@ -226,9 +226,9 @@
 	return f.reply(http.StatusOK, forward.Genuine), nil
 }
 
-func (f *crashFleet) reply(status int, execution forward.Verdict) *forward.Reply {
+func (f *crashFleet) reply(status int, execution forward.Execution) *forward.Reply {
 	return &forward.Reply{
-		Status: status, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n")), Verdict: execution,
+		Status: status, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n")), Execution: execution,
 	}
 }
 
@@ -284,7 +284,7 @@
 	}
 	forwarder.Forward(ctx, &forward.Request{
 		ID: ident.Request(ident.NewUnique()), Method: http.MethodPost, Target: "/x", Path: "/x", Host: "h", Header: http.Header{},
-		Body: []byte(body), Wait: 4 * time.Second, ReceivedAt: time.Now(),
+		Body: []byte(body), ClientTimeout: 4 * time.Second, ReceivedAt: time.Now(),
 		Prompt: &forward.Prompt{Model: model, Parts: []forward.Part{{ID: body, Tokens: 10}}},
 	}, sink)
 	return sink
--- a/internal/node/director.go
+++ b/internal/node/director.go
@@ -82,9 +82,9 @@
 // can have been there.
 func (d *leaseTerm) observe(now time.Time, rollouts *knownRollouts, engines []backend.Record, routers []netip.AddrPort) {
 	origin := rollouts.readAt.Add(-rollouts.storeTime)
-	if newest := rollouts.newest(); newest > d.newestRevision {
+	if newest := rollouts.newestRevision(); newest > d.newestRevision {
 		d.newestRevision = newest
-		absent := rollouts.absent
+		absent := rollouts.absentAt
 		if absent == 0 {
 			absent = max(rollouts.storeTime-orderLookback, 0)
 		}
--- a/internal/node/enginecalls.go
+++ b/internal/node/enginecalls.go
@@ -19,7 +19,7 @@
 
 // Order implements rollout.Engines.
 func (c *engineCalls) Order(ctx context.Context, order *rollout.Order) rollout.Result {
-	if !c.backends.MayCall(clock.Sync(), order.Target.Instance) {
+	if !c.backends.AllowCall(clock.Sync(), order.Target.Instance) {
 		return rollout.NotSent
 	}
 	return c.engines.Order(ctx, order)
@@ -27,8 +27,8 @@
 
 // Report implements rollout.Engines.
 func (c *engineCalls) Report(ctx context.Context, target backend.Record) (*rollout.Report, error) {
-	if !c.backends.MayCall(clock.Sync(), target.Instance) {
-		return nil, rollout.ErrAtRest
+	if !c.backends.AllowCall(clock.Sync(), target.Instance) {
+		return nil, rollout.ErrBackoff
 	}
 	return c.engines.Report(ctx, target)
 }
--- a/internal/node/epoch.go
+++ b/internal/node/epoch.go
@@ -21,15 +21,15 @@
 	rejoinedWithin = 15 * time.Second
 )
 
-// epochCount is the count of a port, or that of a store which never comes back from an older
+// optionalEpochs is the count of a port, or that of a store which never comes back from an older
 // copy if there is none.
-type epochCount struct{ port Epochs }
+type optionalEpochs struct{ port Epochs }
 
 // counts reports whether there is a port.
-func (e epochCount) counts() bool { return e.port != nil }
+func (e optionalEpochs) counts() bool { return e.port != nil }
 
 // Epoch returns the newest epoch.
-func (e epochCount) Epoch() uint64 {
+func (e optionalEpochs) Epoch() uint64 {
 	if e.port == nil {
 		return 0
 	}
@@ -37,17 +37,17 @@
 }
 
 // First is that of Epochs.
-func (e epochCount) First() (first uint64, known bool) {
+func (e optionalEpochs) First() (first uint64, known bool) {
 	if e.port == nil {
 		return 0, false
 	}
 	return e.port.First()
 }
 
-// Begin is that of Epochs.
-func (e epochCount) Begin(first uint64) {
+// ObserveFirst is that of Epochs.
+func (e optionalEpochs) ObserveFirst(first uint64) {
 	if e.port != nil {
-		e.port.Begin(first)
+		e.port.ObserveFirst(first)
 	}
 }
 
@@ -60,7 +60,7 @@
 			now := clock.Now()
 			log.WithFields(log.Fields{"epoch": epoch}).Info("store_epoch_seen")
 			f.replica.cameBack(now)
-			f.replica.backends.CameBack(now)
+			f.replica.backends.StoreRestored(now)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 // takeEpoch takes in what a peer tells of the store's epochs.
 func (f *follower) takeEpoch(update *upstream.Update) {
 	if update.FirstEra > 0 {
-		f.epochs.Begin(update.FirstEra - 1)
+		f.epochs.ObserveFirst(update.FirstEra - 1)
 	}
 	for known := f.peersEpoch.Load(); update.Epoch > known; known = f.peersEpoch.Load() {
 		f.peersEpoch.CompareAndSwap(known, update.Epoch)
@@ -76,15 +76,15 @@
 	f.noteEpoch()
 }
 
-// keepRow writes this router's row again when the store came back without it, until ctx ends.
-func (f *follower) keepRow(ctx context.Context) {
+// maintainRow writes this router's row again when the store came back without it, until ctx ends.
+func (f *follower) maintainRow(ctx context.Context) {
 	wait.Every(ctx, rejoinLook, func() {
 		f.noteEpoch()
-		if !f.chain.joined() || f.roster.current(f.seenEpoch.Load()) {
+		if !f.chain.joined() || f.routerList.current(f.seenEpoch.Load()) {
 			return
 		}
 		askedAt := clock.Now()
-		self, peers, routers, err := f.roster.rejoin(ctx)
+		self, peers, routers, err := f.routerList.rejoin(ctx)
 		if err != nil {
 			log.WithFields(log.Fields{"cause": err.Error()}).Warn("router_row_not_written_again")
 			return
@@ -98,10 +98,10 @@
 
 // takeRoster takes in this router's row and those of the others.
 func (f *follower) takeRoster(askedAt time.Time, self upstream.Peer, peers []upstream.Peer, routers int) {
-	f.audience.know(peers)
+	f.recipients.know(peers)
 	f.replica.counted(askedAt, routers)
-	if f.joined != nil {
-		f.joined(self, peers)
+	if f.onJoined != nil {
+		f.onJoined(self, peers)
 	}
 	f.chain.use(func(chain *upstream.Chain) { chain.Join(self, peers) })
 }
--- a/internal/node/epoch_test.go
+++ b/internal/node/epoch_test.go
@@ -70,7 +70,7 @@
 
 func (c *countedEpochs) Epoch() uint64         { return c.epoch.Load() }
 func (c *countedEpochs) First() (uint64, bool) { return 3, true }
-func (c *countedEpochs) Begin(uint64)          {}
+func (c *countedEpochs) ObserveFirst(uint64)   {}
 
 func TestARouterWritesItsRowAgainOnlyIfItIsLost(t *testing.T) {
 	tests := []struct {
@@ -81,7 +81,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			table := &epochTable{fakeStore: newFakeStore()}
-			r := &roster{table: table, timeout: time.Second, node: "n", zone: "z", life: "1", epochs: epochCount{&countedEpochs{}}}
+			r := &routerList{table: table, timeout: time.Second, node: "n", zone: "z", incarnation: "1", epochs: optionalEpochs{&countedEpochs{}}}
 			self, _, _, err := r.join(t.Context())
 			is.NoErr(err)
 			is.True(r.current(0))
@@ -136,7 +136,7 @@
 		is := is.New(t)
 		f := newFollower(newFakeStore())
 		counted := &countedEpochs{}
-		f.epochs = epochCount{counted}
+		f.epochs = optionalEpochs{counted}
 		f.replica.counted(time.Now(), 7)
 		time.Sleep(time.Second)
 		counted.epoch.Store(1)
@@ -162,10 +162,10 @@
 	is.Equal(f.seenEpoch.Load(), uint64(2))
 	is.True(!f.knowsReturns(&upstream.Update{Epoch: 1}))
 	is.True(f.knowsReturns(&upstream.Update{Epoch: 2})) // this router knows of no era itself
-	f.epochs = epochCount{&countedEpochs{}}
+	f.epochs = optionalEpochs{&countedEpochs{}}
 	is.True(!f.knowsReturns(&upstream.Update{Epoch: 2}))
 	is.True(f.knowsReturns(&upstream.Update{Epoch: 2, FirstEra: 4}))
-	f.replica.epochs = epochCount{&countedEpochs{}}
+	f.replica.epochs = optionalEpochs{&countedEpochs{}}
 	told := f.replica.Update(time.Now(), &upstream.Pull{From: upstream.Peer{Node: ident.Node("m")}})
 	is.Equal(told.FirstEra, uint64(4))
 }
--- a/internal/node/firstcut_test.go
+++ b/internal/node/firstcut_test.go
@@ -27,14 +27,14 @@
 }
 
 func (t *reachedTable) Commit(ctx context.Context, tx protocol.Transaction) (protocol.TransactionResult, error) {
-	if err := t.router.ask(); err != nil {
+	if err := t.router.countRead(); err != nil {
 		return protocol.TransactionResult{}, err
 	}
 	return t.fakeStore.Commit(ctx, tx)
 }
 
 func (t *reachedTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
-	if err := t.router.ask(); err != nil {
+	if err := t.router.countRead(); err != nil {
 		return protocol.RowList{}, err
 	}
 	return t.fakeStore.List(ctx, prefix, limit)
@@ -63,12 +63,12 @@
 				f := newReachedFleet(tt.holder)
 				f.upInTurn(t, tt.nodes[0])
 				time.Sleep(time.Minute)
-				f.set(tt.cut, func(r *zoneRouter) { r.cut = true })
+				f.changeRouter(tt.cut, func(r *zoneRouter) { r.cutOff = true })
 				time.Sleep(3 * time.Second)
-				f.adopt(5)
+				f.writeConfiguration(5)
 				f.upInTurn(t, tt.nodes[1])
 				time.Sleep(30 * time.Second)
-				f.adopted(t, 5) // all are supplied meanwhile
+				f.requireVersion(t, 5) // all are supplied meanwhile
 				f.count(t, 10)
 				t.Logf("at most %d repeats in a window, %d may be", f.most(), greedySlack)
 				is.True(f.most() <= greedySlack)
@@ -81,11 +81,11 @@
 // the store. The holder of the lease, if there is one, counts the routers as well.
 func newReachedFleet(holder ident.Node) *fleet {
 	f := &fleet{zone: newZone()}
-	f.guard = func(ctx context.Context, running *zoneRouter) {
+	f.beforeStart = func(ctx context.Context, running *zoneRouter) {
 		if running.node == holder {
 			go running.follower.countRouters(ctx, func() bool { return true })
 		}
-		running.follower.roster.table = &reachedTable{f.store, running}
+		running.follower.routerList.table = &reachedTable{f.store, running}
 	}
 	return f
 }
@@ -111,12 +111,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b", "c", "d")
-		z.adopt(5)
+		z.writeConfiguration(5)
 		time.Sleep(10 * time.Second)
-		z.set("a", func(r *zoneRouter) { r.cut = true })
+		z.changeRouter("a", func(r *zoneRouter) { r.cutOff = true })
 		time.Sleep(5 * time.Second)
 		is.Equal(z.contenders(), []ident.Node{"a", "b"})
-		z.set("a", func(r *zoneRouter) { r.cut = false })
+		z.changeRouter("a", func(r *zoneRouter) { r.cutOff = false })
 		time.Sleep(5 * time.Second)
 		is.Equal(z.contenders(), []ident.Node{"a"})
 	})
--- a/internal/node/firstcutnaming_test.go
+++ b/internal/node/firstcutnaming_test.go
@@ -20,7 +20,7 @@
 }
 
 func (f *forgetfulStore) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	if err := f.call(&f.watches); err != nil {
+	if err := f.countCall(&f.watches); err != nil {
 		return Changes{}, err
 	}
 	if after < f.kept.Load() {
@@ -41,7 +41,7 @@
 				fault, kept := &atomic.Bool{}, &atomic.Uint64{}
 				startForgetful(t, z, fault, kept)
 				time.Sleep(10 * time.Second)
-				z.set(cut, func(r *zoneRouter) { r.cut = true })
+				z.changeRouter(cut, func(r *zoneRouter) { r.cutOff = true })
 				time.Sleep(5 * time.Second)
 				fault.Store(true)
 				z.store.name(3, 2)
@@ -52,7 +52,7 @@
 				changes, err := z.store.Changes(t.Context(), 0, time.Millisecond)
 				is.New(t).NoErr(err)
 				kept.Store(changes.StoreRevision)
-				z.set(cut, func(r *zoneRouter) { r.cut = false })
+				z.changeRouter(cut, func(r *zoneRouter) { r.cutOff = false })
 				time.Sleep(time.Minute)
 				z.know(t, 3)
 			})
@@ -63,9 +63,9 @@
 // startForgetful starts three routers before a store that leaves changes out while it is at
 // fault, and keeps none of before a revision.
 func startForgetful(t *testing.T, z *zone, fault *atomic.Bool, kept *atomic.Uint64) {
-	z.guard = func(_ context.Context, running *zoneRouter) {
+	z.beforeStart = func(_ context.Context, running *zoneRouter) {
 		running.follower.source = &forgetfulStore{deafForAWhile{running, fault}, kept}
-		running.follower.roster.table = &reachedTable{z.store, running}
+		running.follower.routerList.table = &reachedTable{z.store, running}
 	}
 	for _, node := range []ident.Node{"a", "b", "c"} {
 		z.start(t.Context(), node)
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -22,11 +22,11 @@
 // from the moment it was asked for, so that neither a pause of the process nor a
 // slow answer makes old news look new.
 type follower struct {
-	source  Source
-	replica *replica
-	config  FollowConfig
-	namings *namings
-	roster  *roster
+	source       Source
+	replica      *replica
+	config       FollowConfig
+	publications *publicationStore
+	routerList   *routerList
 	// states reads the states of rollouts; it is nil where no service is moved to another
 	// release under guard.
 	states *rolloutStates
@@ -34,14 +34,14 @@
 	guard  *guard.Guard
 	client puller
 	chain  *chainGuard
-	// audience is kept up to date with the routers there are.
-	audience *audience
-	// joined is called with this router's row and those of all, once it is written.
-	joined func(self upstream.Peer, peers []upstream.Peer)
-	// lost is called each time a dependency is lost.
-	lost func(name string)
-	// pulled is called with the result of each pull, watchResult with that of each watch.
-	pulled, watchResult func(result string)
+	// recipients is kept up to date with the routers there are.
+	recipients *recipients
+	// onJoined is called with this router's row and those of all, once it is written.
+	onJoined func(self upstream.Peer, peers []upstream.Peer)
+	// onLost is called each time a dependency is lost.
+	onLost func(name string)
+	// pulled is called with the result of each pull, onWatched with that of each watch.
+	onPulled, onWatched func(result string)
 	// startedAt is when this router began to follow.
 	startedAt time.Time
 	// looked is true after the first read of the configuration.
@@ -53,7 +53,7 @@
 	notRecalled atomic.Bool
 	// epochs counts the returns of the store from an older copy; peersEpoch is the newest one
 	// that a peer told, seenEpoch the newest of which this router took notice.
-	epochs                epochCount
+	epochs                optionalEpochs
 	peersEpoch, seenEpoch atomic.Uint64
 	// outdated are the versions below the newest that rows named last, by model.
 	outdated map[ident.Model]int
@@ -100,7 +100,7 @@
 
 // followConfiguration reads the configuration from the store until ctx ends.
 func (f *follower) followConfiguration(ctx context.Context) {
-	seen := &dependency{name: "configuration", count: f.lost}
+	seen := &dependency{name: "configuration", count: f.onLost}
 	due := func(now time.Time) time.Duration {
 		confirmedAt := f.startedAt
 		if view := f.replica.holder.View(); view.Snapshot != nil {
@@ -133,11 +133,11 @@
 	f.rowsKnownAt = askedAt
 	f.replica.rowsRead(askedAt, &reading)
 	rollouts := f.orders(askedAt, f.replica.holder.View().ConfirmedAt, &reading)
-	err = f.takeReading(ctx, askedAt, &reading, rollouts)
+	err = f.applyReading(ctx, askedAt, &reading, rollouts)
 	if err == nil {
-		f.lookBack(ctx, askedAt, &reading)
+		f.checkHistory(ctx, askedAt, &reading)
 	}
-	if err == nil && f.replica.ordered().pending() {
+	if err == nil && f.replica.currentRollouts().pending() {
 		f.readStates(ctx)
 	}
 	return err
@@ -146,18 +146,18 @@
 // orders returns the orders of a read with the states that are known, or nil if there is
 // none. A rollout whose order is withdrawn stays known until it is over.
 func (f *follower) orders(askedAt, confirmedAt time.Time, reading *Reading) *knownRollouts {
-	known := f.replica.ordered()
+	known := f.replica.currentRollouts()
 	if f.states == nil || (len(reading.Orders) == 0 && !known.pending()) {
 		return nil
 	}
 	orders := &knownRollouts{orders: reading.Orders, storeTime: reading.StoreTime, readAt: askedAt}
 	switch {
-	case orders.newest() <= known.newest():
-		orders.absent = known.absent
+	case orders.newestRevision() <= known.newestRevision():
+		orders.absentAt = known.absentAt
 	case !confirmedAt.IsZero():
 		// When the configuration was last confirmed, by whichever router, the order was
 		// not there.
-		orders.absent = max(reading.StoreTime-askedAt.Sub(confirmedAt), 0)
+		orders.absentAt = max(reading.StoreTime-askedAt.Sub(confirmedAt), 0)
 	}
 	return orders
 }
@@ -186,16 +186,16 @@
 	}
 	for model, version := range reading.Models {
 		f.noteOutdated(model, version)
-		naming := catalog.Naming{Version: version, SeenAt: since, Met: !known}
-		if !f.replica.holder.Named(model, naming) {
+		naming := catalog.Publication{Version: version, SeenAt: since, SeenAtStart: !known}
+		if !f.replica.holder.Published(model, naming) {
 			continue
 		}
 		age := askedAt.Sub(since)
 		log.WithFields(log.Fields{
-			"model": model, "version": version, "met": naming.Met, "age_ms": age.Milliseconds(),
+			"model": model, "version": version, "met": naming.SeenAtStart, "age_ms": age.Milliseconds(),
 		}).Info("version_named")
 		if known {
-			f.namings.keep(ctx, model, version, namingRow{FirstSeen: max(reading.StoreTime-age, 0)})
+			f.publications.keep(ctx, model, version, publicationRow{FirstSeen: max(reading.StoreTime-age, 0)})
 		}
 	}
 }
@@ -237,7 +237,7 @@
 
 // recallNamings takes in what other routers kept of the versions of a model.
 func (f *follower) recallNamings(ctx context.Context, askedAt time.Time, storeTime time.Duration, model ident.Model) (kept, error) {
-	found, err := f.namings.find(ctx, model, storeTime, askedAt)
+	found, err := f.publications.find(ctx, model, storeTime, askedAt)
 	if err != nil {
 		return kept{}, err
 	}
@@ -248,7 +248,7 @@
 
 // followBackends reads the list of back ends from the store until ctx ends.
 func (f *follower) followBackends(ctx context.Context) {
-	seen := &dependency{name: "backends", count: f.lost}
+	seen := &dependency{name: "backends", count: f.onLost}
 	due := func(now time.Time) time.Duration {
 		return f.due(f.config.BackendInterval) - f.replica.listAge(now, f.startedAt)
 	}
@@ -265,7 +265,7 @@
 		}
 		f.noteEpoch()
 		records = slices.Clone(records)
-		f.replica.backends.KeepDraining(records)
+		f.replica.backends.MarkDraining(records)
 		f.replica.takeList(f.replica.node, askedAt, wholeList(records))
 		return nil
 	})
--- a/internal/node/follower_test.go
+++ b/internal/node/follower_test.go
@@ -43,7 +43,7 @@
 
 // fakeNaming is a change of the store that named a version.
 type fakeNaming struct {
-	NamedWeights
+	PublishedWeights
 	revision uint64
 }
 
@@ -99,7 +99,7 @@
 		s.changed = make(chan struct{})
 		for _, version := range versions {
 			s.version++
-			s.history = append(s.history, fakeNaming{NamedWeights{Model: model, Version: version}, s.version})
+			s.history = append(s.history, fakeNaming{PublishedWeights{Model: model, Version: version}, s.version})
 			s.reading.Models = map[ident.Model]int{model: version}
 		}
 	})
@@ -126,7 +126,7 @@
 			return Changes{}, err
 		}
 		changes, changed, err := s.changesAfter(after)
-		if err != nil || len(changes.Named) > 0 || waited {
+		if err != nil || len(changes.Published) > 0 || waited {
 			return changes, err
 		}
 		select {
@@ -149,7 +149,7 @@
 	changes := Changes{StoreRevision: s.version, StoreTime: s.now()}
 	for _, named := range s.history {
 		if named.revision > after {
-			changes.Named = append(changes.Named, named.NamedWeights)
+			changes.Published = append(changes.Published, named.PublishedWeights)
 		}
 	}
 	return changes, s.changed, nil
@@ -226,12 +226,12 @@
 	chain := newChainGuard(upstream.Config{})
 	chain.use(func(chain *upstream.Chain) { chain.Join(upstream.Peer{Node: "n", Revision: 1}, nil) })
 	return &follower{
-		source:  store,
-		replica: newReplica("n", &catalog.Holder{}, backend.NewRegistry(backend.Config{}), store.Decode, admission.SharersConfig{}),
-		namings: &namings{table: store, timeout: time.Second},
-		chain:   chain,
-		lost:    func(string) {},
-		pulled:  func(string) {}, watchResult: func(string) {},
+		source:       store,
+		replica:      newReplica("n", &catalog.Holder{}, backend.NewRegistry(backend.Config{}), store.Decode, admission.SharersConfig{}),
+		publications: &publicationStore{table: store, timeout: time.Second},
+		chain:        chain,
+		onLost:       func(string) {},
+		onPulled:     func(string) {}, onWatched: func(string) {},
 		startedAt: time.Now(),
 		config: FollowConfig{
 			ConfigurationInterval: 600 * time.Millisecond, BackendInterval: 500 * time.Millisecond,
@@ -318,16 +318,16 @@
 		time.Sleep(time.Second)
 		store.change(func() { store.reading.Models = map[ident.Model]int{model: 2} })
 		time.Sleep(time.Second)
-		is.True(!first.replica.holder.View().Models[model].Named[0].Met)
+		is.True(!first.replica.holder.View().Models[model].Publications[0].SeenAtStart)
 		time.Sleep(5 * time.Second)
 		second := newFollower(store)
 		go second.followConfiguration(t.Context())
 		time.Sleep(10 * time.Millisecond)
 		named := second.replica.holder.View().Models[model]
 		is.Equal(named.Version, 2)
-		is.True(!named.Named[0].Met)
-		is.True(time.Since(named.Named[0].SeenAt) >= 5*time.Second)
-		is.True(time.Since(named.Named[0].SeenAt) <= 7*time.Second)
+		is.True(!named.Publications[0].SeenAtStart)
+		is.True(time.Since(named.Publications[0].SeenAt) >= 5*time.Second)
+		is.True(time.Since(named.Publications[0].SeenAt) <= 7*time.Second)
 	})
 }
 
@@ -339,7 +339,7 @@
 		follower := newFollower(store)
 		go follower.followConfiguration(t.Context())
 		time.Sleep(time.Second)
-		is.True(follower.replica.holder.View().Models[model].Named[0].Met)
+		is.True(follower.replica.holder.View().Models[model].Publications[0].SeenAtStart)
 		is.Equal(len(store.rows), 0) // its time is not claimed to be known
 	})
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -18,9 +18,9 @@
 // that were listed may still be chosen.
 func FuzzDatagram(f *testing.F) {
 	seeds := []datagram{
-		{Health: &health.Notice{Silent: []ident.Incarnation{"a"}, Answering: []ident.Incarnation{"b"}}},
-		{Health: &health.Notice{Queues: []health.Queue{{Instance: "a", Waiting: -1}, {Instance: "b", Waiting: 1 << 62}}}},
-		{Rollout: &rollout.Notice{Model: model, Version: 2, Loaded: []ident.Incarnation{"x"}}},
+		{Health: &health.Notification{Silent: []ident.Incarnation{"a"}, Answering: []ident.Incarnation{"b"}}},
+		{Health: &health.Notification{Queues: []health.Queue{{Instance: "a", Waiting: -1}, {Instance: "b", Waiting: 1 << 62}}}},
+		{Rollout: &rollout.Notification{Model: model, Version: 2, Loaded: []ident.Incarnation{"x"}}},
 		{Permit: &canary.Permit{Order: fuzzOrder, Fence: 1, Phase: canary.Promoting, Clock: time.Hour, Sends: 1 << 63, Among: 1 << 30}},
 		{Report: &canary.Report{Service: "s", Revision: 1, Life: 7, Sent: 1 << 63, Tallies: []canary.Tally{{Route: "r", Answers: 2, Failures: 3}}}},
 		{},
@@ -37,13 +37,13 @@
 		now := time.Now()
 		known := backend.NewRegistry(backend.Config{})
 		models := map[ident.Model]int{model: 1}
-		known.Update(now, []backend.Record{
+		known.ApplyList(now, []backend.Record{
 			{Instance: "a", Service: "s", Models: models}, {Instance: "b", Service: "s", Models: models},
 		})
-		(&notices{audience: &audience{}, backends: known, canaries: newFuzzCanaries(now)}).receive(netip.AddrPort{}, encoded)
+		(&notifier{recipients: &recipients{}, backends: known, canaries: newFuzzCanaries(now)}).receive(netip.AddrPort{}, encoded)
 		_, flight, found := known.Pick(now, &backend.Query{Service: "s", Model: model})
 		if found {
-			flight.Ended(now, backend.Abandoned)
+			flight.End(now, backend.Abandoned)
 			return
 		}
 		var told datagram
@@ -62,8 +62,8 @@
 		metrics: newMetrics(func() gaugeValues { return gaugeValues{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{{}} },
 		send: func(netip.AddrPort, datagram) {},
 	})
-	c.listed(now, recordsOf(oldRelease, newRelease))
-	c.know(now, &knownRollouts{orders: []canary.Order{fuzzOrder}, readAt: now})
+	c.applyList(now, recordsOf(oldRelease, newRelease))
+	c.setRollouts(now, &knownRollouts{orders: []canary.Order{fuzzOrder}, readAt: now})
 	c.setFence(now, 1)
 	c.term.observe(now, c.rollouts, recordsOf(oldRelease, newRelease), c.peers())
 	c.term.director.Read(now, canary.State{Order: fuzzOrder, Phase: canary.Observing}, 1)
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -23,7 +23,7 @@
 	// checkTimeout bounds one check: engines report without a slot, within a few ms.
 	checkTimeout = 300 * time.Millisecond
 	// silentResend is the time between two notices of the same silent engines; it is
-	// shorter than backend.SilentFor, so that a lost datagram does no harm.
+	// shorter than backend.PeerSilentFor, so that a lost datagram does no harm.
 	silentResend = 500 * time.Millisecond
 	// queueInterval is the least time between two notices of queues.
 	queueInterval = 250 * time.Millisecond
@@ -40,7 +40,7 @@
 	backends *backend.Registry
 	// holder tells the services that there are.
 	holder *catalog.Holder
-	notify func(health.Notice)
+	notify func(health.Notification)
 
 	tracker    *health.Tracker
 	results    chan checkResult
@@ -86,8 +86,8 @@
 		w.tracker.Watch(now, w.enginesToCheck())
 	}
 	for _, record := range w.tracker.Due(now) {
-		if w.backends.Resting(now, record.Instance) {
-			w.tracker.Postponed(now, record.Instance)
+		if w.backends.BackingOff(now, record.Instance) {
+			w.tracker.Postpone(now, record.Instance)
 			continue
 		}
 		w.checks.Go(func() { w.check(ctx, record) })
@@ -100,13 +100,13 @@
 // recordResult takes in what came of a check.
 func (w *healthWatcher) recordResult(now time.Time, result checkResult) {
 	if result.gone {
-		w.backends.SawGone(now, result.instance)
+		w.backends.ObserveGone(now, result.instance)
 	}
 	if result.report == nil {
-		w.tracker.Missed(now, result.instance)
+		w.tracker.ObserveMiss(now, result.instance)
 		return
 	}
-	w.tracker.Answered(now, result.instance, result.report.Queued)
+	w.tracker.ObserveAnswer(now, result.instance, result.report.Queued)
 }
 
 // enginesToCheck returns the engines to check; there are none while this router is not the
@@ -143,7 +143,7 @@
 	if !changed && (len(silent) == 0 || now.Sub(w.notifiedAt) < silentResend) {
 		return
 	}
-	notice := health.Since(w.silent, silent)
+	notice := health.NewNotification(w.silent, silent)
 	if changed {
 		log.WithFields(log.Fields{"silent": notice.Silent, "answering": notice.Answering}).Info("engines_silent")
 	}
@@ -157,8 +157,8 @@
 		return
 	}
 	w.queuesAt = now
-	if queues := w.tracker.Queues(); len(queues) > 0 {
-		w.notify(health.Notice{Queues: queues})
+	if queues := w.tracker.QueueUpdates(); len(queues) > 0 {
+		w.notify(health.Notification{Queues: queues})
 	}
 }
 
@@ -169,5 +169,5 @@
 		return
 	}
 	log.WithFields(log.Fields{"gone": gone}).Info("engines_gone")
-	w.notify(health.Notice{Gone: gone})
+	w.notify(health.Notification{Gone: gone})
 }
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -62,13 +62,13 @@
 ) (silent []ident.Incarnation, queues []health.Queue) {
 	t.Helper()
 	known := backend.NewRegistry(backend.Config{})
-	known.Update(time.Now(), checkedRecords())
+	known.ApplyList(time.Now(), checkedRecords())
 	for _, prepare := range setUp {
 		prepare(known)
 	}
 	watcher := &healthWatcher{
 		zone: "z", leads: func() bool { return leads }, engines: engines, backends: known, holder: &catalog.Holder{},
-		notify: func(notice health.Notice) {
+		notify: func(notice health.Notification) {
 			if notice.Silent != nil {
 				silent = notice.Silent
 			}
@@ -120,12 +120,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := backend.NewRegistry(backend.Config{})
-		known.Update(time.Now(), checkedRecords())
+		known.ApplyList(time.Now(), checkedRecords())
 		var gone []ident.Incarnation
 		watcher := &healthWatcher{
 			zone: "z", leads: func() bool { return true }, backends: known, holder: &catalog.Holder{},
 			engines: &checkedEngines{replaced: "b", checks: map[ident.Incarnation]int{}},
-			notify:  func(notice health.Notice) { gone = append(gone, notice.Gone...) },
+			notify:  func(notice health.Notification) { gone = append(gone, notice.Gone...) },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
@@ -136,14 +136,14 @@
 
 func TestLongHealthNotificationIsSplit(t *testing.T) {
 	is := is.New(t)
-	notice := health.Notice{Silent: []ident.Incarnation{"s"}, Answering: []ident.Incarnation{"t"}}
-	for range 3 * noticeEngines {
+	notice := health.Notification{Silent: []ident.Incarnation{"s"}, Answering: []ident.Incarnation{"t"}}
+	for range 3 * enginesPerNotification {
 		notice.Queues = append(notice.Queues, health.Queue{Instance: "i", Waiting: 1})
 		notice.Gone = append(notice.Gone, "g")
 	}
-	var joined health.Notice
+	var joined health.Notification
 	for _, part := range splitHealth(notice) {
-		is.True(len(part.Silent)+len(part.Answering)+len(part.Queues)+len(part.Gone) <= noticeEngines)
+		is.True(len(part.Silent)+len(part.Answering)+len(part.Queues)+len(part.Gone) <= enginesPerNotification)
 		joined.Gone = append(joined.Gone, part.Gone...)
 		joined.Silent = append(joined.Silent, part.Silent...)
 		joined.Answering = append(joined.Answering, part.Answering...)
@@ -166,7 +166,7 @@
 				engines := &checkedEngines{checks: map[ident.Incarnation]int{}}
 				silent, _ := runWatcher(t, 3*time.Second, engines, true, func(known *backend.Registry) {
 					now := time.Now()
-					known.TakeSaid(now, "a", now, backend.Said{Rest: tt.rest}, backend.ByAnswer)
+					known.ObserveAdvertised(now, "a", now, backend.Advertised{Backoff: tt.rest}, backend.SourceAnswer)
 				})
 				is.Equal(silent, nil)
 				is.Equal(engines.checks["a"] > 0, tt.checked)
@@ -181,15 +181,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := backend.NewRegistry(backend.Config{})
-		known.Update(time.Now(), checkedRecords())
+		known.ApplyList(time.Now(), checkedRecords())
 		now := time.Now()
-		known.TakeSaid(now, "a", now, backend.Said{Rest: time.Minute}, backend.ByAnswer)
+		known.ObserveAdvertised(now, "a", now, backend.Advertised{Backoff: time.Minute}, backend.SourceAnswer)
 		engines := &checkedEngines{checks: map[ident.Incarnation]int{}}
 		calls := &engineCalls{engines: engines, backends: known}
 		target := checkedRecords()[0]
 		failed := 0
 		for range 5 {
-			if _, err := calls.Report(t.Context(), target); errors.Is(err, rollout.ErrAtRest) {
+			if _, err := calls.Report(t.Context(), target); errors.Is(err, rollout.ErrBackoff) {
 				failed++
 			}
 		}
--- a/internal/node/history_test.go
+++ b/internal/node/history_test.go
@@ -11,7 +11,7 @@
 
 // Configurations implements Source.
 func (r *zoneRouter) Configurations(ctx context.Context, after, until uint64) ([]Reading, error) {
-	if err := r.ask(); err != nil {
+	if err := r.countRead(); err != nil {
 		return nil, err
 	}
 	return r.zone.store.Configurations(ctx, after, until)
--- a/internal/node/laterow_test.go
+++ b/internal/node/laterow_test.go
@@ -43,7 +43,7 @@
 			value, err := cbor.Marshal(routerRow{Life: tt.life})
 			is.NoErr(err)
 			late := &echoTable{Table: table}
-			first := &roster{table: late, timeout: time.Second, node: "n", zone: "z", life: "1"}
+			first := &routerList{table: late, timeout: time.Second, node: "n", zone: "z", incarnation: "1"}
 			late.after = func() {
 				_, err := table.Commit(t.Context(), protocol.Transaction{Writes: []protocol.Write{{Key: first.key(), Value: value}}})
 				is.NoErr(err)
--- a/internal/node/limitfleet_test.go
+++ b/internal/node/limitfleet_test.go
@@ -167,15 +167,15 @@
 func (f *limitFleet) answer(router int, engine *limitedEngine) *forward.Reply {
 	reply := &forward.Reply{
 		Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n")),
-		Verdict: forward.Genuine, Said: backend.Said{Limit: f.limitFor(router, engine)},
+		Execution: forward.Genuine, Advertised: backend.Advertised{Limit: f.limitFor(router, engine)},
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	reply.Said.Leaving = engine.draining
+	reply.Advertised.Draining = engine.draining
 	if rand.Float64() < engine.refusalShare {
-		reply.Status, reply.Verdict, reply.Said.Rest = http.StatusServiceUnavailable, forward.NotExecuted, engine.backoff
+		reply.Status, reply.Execution, reply.Advertised.Backoff = http.StatusServiceUnavailable, forward.NotExecuted, engine.backoff
 	}
-	engine.answers = append(engine.answers, fleetAnswer{router: router, at: time.Now(), draining: engine.draining, backoff: reply.Said.Rest})
+	engine.answers = append(engine.answers, fleetAnswer{router: router, at: time.Now(), draining: engine.draining, backoff: reply.Advertised.Backoff})
 	return reply
 }
 
@@ -190,7 +190,7 @@
 }
 
 // limitFor returns the limit that an answer to a router names.
-func (f *limitFleet) limitFor(router int, engine *limitedEngine) backend.ToldLimit {
+func (f *limitFleet) limitFor(router int, engine *limitedEngine) backend.AdvertisedLimit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if engine.rate == unlimited {
@@ -259,7 +259,7 @@
 	id := ident.NewUnique()
 	forwarder.Forward(ctx, &forward.Request{
 		ID: ident.Request(id), Method: http.MethodPost, Target: "/x", Path: "/x", Host: "h", Header: http.Header{}, Body: []byte(id),
-		Wait: 4 * time.Second, ReceivedAt: begun,
+		ClientTimeout: 4 * time.Second, ReceivedAt: begun,
 		Prompt: &forward.Prompt{Model: model, Parts: []forward.Part{{ID: string(id), Tokens: 10}}},
 	}, sink)
 	l.mu.Lock()
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -39,14 +39,14 @@
 		fields["distance"] = step.Choice.Distance.String()
 		fields["predicted_ms"] = step.Choice.Predicted.Milliseconds()
 		fields["candidates"] = step.Choice.Candidates
-		if step.Choice.UsedUp > 0 {
-			fields["limits_used_up"] = step.Choice.UsedUp
+		if step.Choice.LimitSkips > 0 {
+			fields["limits_used_up"] = step.Choice.LimitSkips
 		}
 		addSkipFields(fields, &step.Choice)
 		if step.Choice.Version > 0 {
 			fields["weights"] = step.Choice.Version
 		}
-		if releases := &step.Choice.Releases; releases.Bounded() {
+		if releases := &step.Choice.Releases; releases.Restricted() {
 			fields["release"] = step.Choice.Release
 			fields["releases"] = describeReleases(releases)
 		}
@@ -63,22 +63,22 @@
 	if step.Events != 0 {
 		fields["events"] = step.Events
 	}
-	if repeat := &step.Repeat; repeat.Service != "" {
+	if repeat := &step.Retry; repeat.Service != "" {
 		fields["service"] = repeat.Service
-		fields["window_requests"], fields["window_repeats"] = repeat.Requests, repeat.Repeats
+		fields["window_requests"], fields["window_repeats"] = repeat.Requests, repeat.Retries
 		fields["slack"], fields["sharers"] = math.Round(repeat.Slack*100)/100, repeat.Sharers
 	}
 	if step.Kind == forward.StepBackendLimit {
-		fields["limited"], fields["rate"], fields["rate_before"] = step.Limit.Limited, step.Limit.Rate, step.Limit.Before
+		fields["limited"], fields["rate"], fields["rate_before"] = step.Limit.Limited, step.Limit.Rate, step.Limit.PreviousRate
 	}
 	if step.Kind == forward.StepLimitDenied {
-		fields["after_ms"], fields["rate"] = step.After.Milliseconds(), step.Choice.Limit.Rate
+		fields["after_ms"], fields["rate"] = step.SkippedFor.Milliseconds(), step.Choice.Limit.Rate
 	}
-	if step.Kind == forward.StepBackendLeaving || step.Kind == forward.StepBackendRest {
-		fields["by"] = backend.ByAnswer
+	if step.Kind == forward.StepBackendDraining || step.Kind == forward.StepBackendBackoff {
+		fields["by"] = backend.SourceAnswer
 	}
-	if step.Kind == forward.StepBackendRest {
-		fields["rest_ms"] = step.Rest.Milliseconds()
+	if step.Kind == forward.StepBackendBackoff {
+		fields["rest_ms"] = step.Backoff.Milliseconds()
 	}
 	if step.Fault != nil {
 		fields["fault"] = step.Fault.Kind
@@ -94,14 +94,14 @@
 // addSkipFields says how many back ends said that they want no attempt, and whether this one went
 // elsewhere for that.
 func addSkipFields(fields log.Fields, choice *backend.Choice) {
-	if choice.Resting > 0 {
-		fields["resting"] = choice.Resting
+	if choice.BackoffSkips > 0 {
+		fields["resting"] = choice.BackoffSkips
 	}
-	if choice.Leaving > 0 {
-		fields["leaving"] = choice.Leaving
+	if choice.DrainingSkips > 0 {
+		fields["leaving"] = choice.DrainingSkips
 	}
-	if choice.Instead != backend.NotPassedOver {
-		fields["elsewhere_for"] = choice.Instead
+	if choice.FasterSkip != backend.SkipNone {
+		fields["elsewhere_for"] = choice.FasterSkip
 	}
 }
 
@@ -109,9 +109,9 @@
 func describeReleases(releases *backend.Releases) string {
 	switch {
 	case releases.Only == "":
-		return fmt.Sprintf("all but %v", releases.Not)
-	case releases.Among > 0:
-		return fmt.Sprintf("only %s, %d of its back ends", releases.Only, releases.Among)
+		return fmt.Sprintf("all but %v", releases.Excluded)
+	case releases.MaxBackends > 0:
+		return fmt.Sprintf("only %s, %d of its back ends", releases.Only, releases.MaxBackends)
 	default:
 		return fmt.Sprintf("only %s", releases.Only)
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -150,14 +150,14 @@
 		m.countRelease(step)
 		m.distances.WithLabelValues(step.Choice.Distance.String()).Inc()
 	}
-	if step.Kind == forward.StepSent && step.Choice.Instead != backend.NotPassedOver {
-		m.attemptsElsewhere.WithLabelValues(string(step.Choice.Instead)).Inc()
+	if step.Kind == forward.StepSent && step.Choice.FasterSkip != backend.SkipNone {
+		m.attemptsElsewhere.WithLabelValues(string(step.Choice.FasterSkip)).Inc()
 	}
 	switch step.Kind {
-	case forward.StepRepeatGranted:
-		m.retries.WithLabelValues(string(step.Repeat.Service), "granted").Inc()
-	case forward.StepRepeatDenied:
-		m.retries.WithLabelValues(string(step.Repeat.Service), "denied").Inc()
+	case forward.StepRetryGranted:
+		m.retries.WithLabelValues(string(step.Retry.Service), "granted").Inc()
+	case forward.StepRetryDenied:
+		m.retries.WithLabelValues(string(step.Retry.Service), "denied").Inc()
 	}
 	if !finalSteps[step.Kind] {
 		return
@@ -171,13 +171,13 @@
 
 // countRelease counts an attempt by the release of its back end while releases are bounded.
 func (m *metrics) countRelease(step *forward.Step) {
-	if choice := &step.Choice; choice.Releases.Bounded() {
+	if choice := &step.Choice; choice.Releases.Restricted() {
 		m.releaseAttempts.WithLabelValues(string(choice.Service), string(choice.Release), step.Outcome.String()).Inc()
 	}
 }
 
 // countTenantReservation counts a claim on the limit of a tenant.
-func (m *metrics) countTenantReservation(claim *quota.Claim, result quota.Verdict) {
+func (m *metrics) countTenantReservation(claim *quota.Reservation, result quota.Result) {
 	counter := m.tenantUnconfirmed
 	switch result.(type) {
 	case quota.Granted:
--- a/internal/node/namingages_test.go
+++ b/internal/node/namingages_test.go
@@ -16,11 +16,11 @@
 // sends one to an engine with a version of them.
 func (r *zoneRouter) sendsTo(version int, grace time.Duration) bool {
 	known := backend.NewRegistry(backend.Config{})
-	known.Update(time.Now(), []backend.Record{{Instance: "e", Service: "s", Revision: 1, Models: map[ident.Model]int{model: version}}})
+	known.ApplyList(time.Now(), []backend.Record{{Instance: "e", Service: "s", Revision: 1, Models: map[ident.Model]int{model: version}}})
 	query := &backend.Query{Service: "s", Model: model}
-	for _, naming := range r.follower.replica.holder.View().Models[model].Named {
+	for _, naming := range r.follower.replica.holder.View().Models[model].Publications {
 		query.Expiries = append(query.Expiries, backend.Expiry{
-			Version: naming.Version, At: naming.SeenAt.Add(grace), Uncertain: naming.Met,
+			Version: naming.Version, At: naming.SeenAt.Add(grace), Uncertain: naming.SeenAtStart,
 		})
 	}
 	_, _, found := known.Pick(time.Now(), query)
@@ -49,7 +49,7 @@
 		started := z.start(t.Context(), "b")
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(started.newest().Version, 4)
-		is.True(!started.newest().Met)
+		is.True(!started.newest().SeenAtStart)
 		is.True(time.Since(started.newest().SeenAt) >= 5*time.Second)
 		is.True(!started.sendsTo(2, grace)) // version 3 was named 6.5 s ago
 		is.True(started.sendsTo(3, grace))
@@ -81,8 +81,8 @@
 			naming := started.newest()
 			is.Equal(naming.Version, 3)
 			is.True(lists.Load() < 0) // the rows were read
-			if age := time.Since(naming.SeenAt); naming.Met || age < 10*time.Second {
-				t.Errorf("with %d refusals the version, named 11 s ago, counts as %v old, met: %t", refusals, age, naming.Met)
+			if age := time.Since(naming.SeenAt); naming.SeenAtStart || age < 10*time.Second {
+				t.Errorf("with %d refusals the version, named 11 s ago, counts as %v old, met: %t", refusals, age, naming.SeenAtStart)
 			}
 		})
 	}
--- a/internal/node/namingfakes_test.go
+++ b/internal/node/namingfakes_test.go
@@ -31,7 +31,7 @@
 	is := is.New(t)
 	z := newNamedZone()
 	fault := &atomic.Bool{}
-	z.guard = func(_ context.Context, running *zoneRouter) {
+	z.beforeStart = func(_ context.Context, running *zoneRouter) {
 		running.follower.source = source(running, fault)
 	}
 	first := z.start(t.Context(), "a")
@@ -55,7 +55,7 @@
 		}
 		for _, version := range versions {
 			s.version++
-			s.history = append(s.history, fakeNaming{NamedWeights{Model: named, Version: version}, s.version})
+			s.history = append(s.history, fakeNaming{PublishedWeights{Model: named, Version: version}, s.version})
 			models[named] = version
 		}
 		s.reading.Models = models
@@ -144,7 +144,7 @@
 func (d *deafForAWhile) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
 	changes, err := d.zoneRouter.Changes(ctx, after, hold)
 	if err == nil && d.deaf.Load() {
-		changes.Named = nil
+		changes.Published = nil
 	}
 	return changes, err
 }
--- a/internal/node/namingfaults_test.go
+++ b/internal/node/namingfaults_test.go
@@ -45,8 +45,8 @@
 		second := z.start(t.Context(), "b-2")
 		time.Sleep(3 * time.Second)
 		z.mu.Lock()
-		z.apart = func(a, b ident.Zone) bool { return a != b }
-		z.routers["b-2"].cut = true
+		z.partitioned = func(a, b ident.Zone) bool { return a != b }
+		z.routers["b-2"].cutOff = true
 		z.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		z.store.name(3, 2)
@@ -54,8 +54,8 @@
 		z.store.forget(z.store.revision())
 		z.kill("a-1")
 		z.mu.Lock()
-		z.apart = nil
-		z.routers["b-2"].cut = false
+		z.partitioned = nil
+		z.routers["b-2"].cutOff = false
 		z.mu.Unlock()
 		time.Sleep(time.Minute)
 		is.Equal(second.newest().Version, 3)
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
-		z.apart = func(a, b ident.Zone) bool { return a != b }
+		z.partitioned = func(a, b ident.Zone) bool { return a != b }
 		z.store.name(2)
 		for _, node := range []ident.Node{"a-1", "b-2", "c-3", "d-4", "e-5", "f-6", "g-7", "h-8"} {
 			z.start(t.Context(), node)
@@ -215,7 +215,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newNamedZone()
-		z.guard = func(_ context.Context, running *zoneRouter) {
+		z.beforeStart = func(_ context.Context, running *zoneRouter) {
 			running.follower.source = &hastyAnswers{running}
 		}
 		z.start(t.Context(), "a")
@@ -239,7 +239,7 @@
 		time.Sleep(3 * time.Second)
 		z.mu.Lock()
 		z.routers["a-1"].stop() // no loop runs, yet it is not known to be dead
-		z.routers["a-1"].cut = true
+		z.routers["a-1"].cutOff = true
 		z.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
 		z.store.name(3)
@@ -259,7 +259,7 @@
 		is := is.New(t)
 		z := newNamedZone()
 		refuse := &atomic.Bool{}
-		z.guard = func(_ context.Context, running *zoneRouter) {
+		z.beforeStart = func(_ context.Context, running *zoneRouter) {
 			running.follower.source = &refusedWatch{running, refuse}
 		}
 		first := z.start(t.Context(), "a")
@@ -314,7 +314,7 @@
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(started.newest().Version, 4)
 		// Nobody saw when it was named, but the mark tells up to when it was not.
-		is.True(!started.newest().Met)
+		is.True(!started.newest().SeenAtStart)
 		is.True(started.newest().SeenAt.Sub(namedAt) <= watchTolerance)
 		is.True(namedAt.Sub(started.newest().SeenAt) <= 2*markInterval)
 		is.Equal(z.watches(), 3) // with the second question about what was told
@@ -333,7 +333,7 @@
 		started := z.start(t.Context(), "b")
 		time.Sleep(time.Second)
 		is.Equal(started.newest().Version, 2)
-		is.True(started.newest().Met)
+		is.True(started.newest().SeenAtStart)
 		is.True(time.Since(started.newest().SeenAt) >= time.Minute) // at least as old
 	})
 }
--- a/internal/node/namingmark.go
+++ b/internal/node/namingmark.go
@@ -25,18 +25,18 @@
 	maxMarks = 100
 )
 
-// namingMark tells up to when every version of a model's weights that was named is kept. A
+// publicationMark tells up to when every version of a model's weights that was named is kept. A
 // router that starts while no other one is there has no memory to ask: without the mark it
 // took a version that was named meanwhile for one named just then, and let requests begin on
 // older weights for up to 4.8 s longer than they may, in 5 of 6 plays of a day with seven
 // routers and one such version.
-type namingMark struct {
+type publicationMark struct {
 	// StoreTime is the store's own time.
 	StoreTime time.Duration `cbor:"1,keyasint"`
 }
 
-// markNamings keeps the marks while this router reads the store for others, until ctx ends.
-func (f *follower) markNamings(ctx context.Context) {
+// markPublications keeps the marks while this router reads the store for others, until ctx ends.
+func (f *follower) markPublications(ctx context.Context) {
 	marked := time.Duration(0)
 	wait.Every(ctx, markInterval, func() {
 		// Time at which the store was not read does not count.
@@ -44,7 +44,7 @@
 		if readAt == marked || !f.watches() || !f.readsForOthers() || !f.allKept() {
 			return
 		}
-		if err := f.namings.mark(ctx, f.replica.holder.View().Models, readAt); err != nil {
+		if err := f.publications.mark(ctx, f.replica.holder.View().Models, readAt); err != nil {
 			log.WithFields(log.Fields{"cause": err.Error()}).Warn("namings_not_marked")
 			return
 		}
@@ -54,12 +54,12 @@
 
 // allKept reports whether there are rows of all versions that are known, as far as this router
 // knows: what a peer told may have been kept by nobody, if that ended, until the rows are read.
-func (f *follower) allKept() bool { return !f.notRecalled.Load() && !f.namings.writing() }
+func (f *follower) allKept() bool { return !f.notRecalled.Load() && !f.publications.writing() }
 
 // mark writes the marks of models, as many in one call as it may hold. A mark that is written
 // late, over a newer one, only makes what is named after it count as older.
-func (n *namings) mark(ctx context.Context, models map[ident.Model]catalog.NamedVersion, storeTime time.Duration) error {
-	value, err := cbor.Marshal(namingMark{StoreTime: storeTime})
+func (n *publicationStore) mark(ctx context.Context, models map[ident.Model]catalog.PublishedVersion, storeTime time.Duration) error {
+	value, err := cbor.Marshal(publicationMark{StoreTime: storeTime})
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 }
 
 // commit writes some rows.
-func (n *namings) commit(ctx context.Context, writes []protocol.Write) error {
+func (n *publicationStore) commit(ctx context.Context, writes []protocol.Write) error {
 	bounded, cancel := context.WithTimeout(ctx, n.timeout)
 	defer cancel()
 	_, err := n.table.Commit(bounded, protocol.Transaction{Writes: writes})
@@ -85,7 +85,7 @@
 
 // readMark returns the store's time that a mark tells, 0 if the row is none.
 func readMark(value []byte) time.Duration {
-	var mark namingMark
+	var mark publicationMark
 	if err := cbor.Unmarshal(value, &mark); err != nil {
 		log.WithFields(log.Fields{"cause": err.Error()}).Warn("naming_mark_unreadable")
 		return 0
@@ -95,7 +95,7 @@
 
 // writing reports whether rows of namings are not written yet: versions named before may
 // then not be kept.
-func (n *namings) writing() bool {
+func (n *publicationStore) writing() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.pending) > 0
--- a/internal/node/namingmark_test.go
+++ b/internal/node/namingmark_test.go
@@ -49,7 +49,7 @@
 				is.Equal(naming.Version, tt.named[len(tt.named)-1])
 				is.True(!naming.SeenAt.After(namedAt))
 				is.True(namedAt.Sub(naming.SeenAt) <= 4*time.Second)
-				is.True(!naming.Met)
+				is.True(!naming.SeenAtStart)
 			})
 		})
 	}
--- a/internal/node/namingmarkfaults_test.go
+++ b/internal/node/namingmarkfaults_test.go
@@ -43,7 +43,7 @@
 		time.Sleep(15 * time.Second)
 		naming := started.newest()
 		is.Equal(naming.Version, 3)
-		t.Log(naming.SeenAt.Sub(namedAt), naming.Met)
+		t.Log(naming.SeenAt.Sub(namedAt), naming.SeenAtStart)
 		is.True(!naming.SeenAt.After(namedAt))
 	})
 }
@@ -71,7 +71,7 @@
 			for _, one := range started {
 				naming := one.newest()
 				is.Equal(naming.Version, 3)
-				t.Log(one.node, naming.SeenAt.Sub(namedAt), naming.Met)
+				t.Log(one.node, naming.SeenAt.Sub(namedAt), naming.SeenAtStart)
 				is.True(!naming.SeenAt.After(namedAt))
 			}
 		})
@@ -118,7 +118,7 @@
 				is := is.New(t)
 				z := newNamedZone()
 				freeze, thawAt := &atomic.Bool{}, &atomic.Int64{}
-				z.guard = func(_ context.Context, running *zoneRouter) {
+				z.beforeStart = func(_ context.Context, running *zoneRouter) {
 					running.follower.source = &frozenInACall{running, freeze, thawAt, loses}
 				}
 				started := z.start(t.Context(), "a")
@@ -131,7 +131,7 @@
 				time.Sleep(8 * time.Second)
 				naming := started.newest()
 				is.Equal(naming.Version, 3)
-				t.Log(naming.SeenAt.Sub(namedAt), naming.Met)
+				t.Log(naming.SeenAt.Sub(namedAt), naming.SeenAtStart)
 				is.True(naming.SeenAt.Sub(namedAt) <= watchTolerance)
 			})
 		})
@@ -176,8 +176,8 @@
 			time.Sleep(4 * time.Second)
 			started := z.start(t.Context(), "c")
 			time.Sleep(2 * time.Second)
-			naming := started.follower.replica.holder.View().Models[otherModel].Named[0]
-			t.Log(naming.SeenAt.Sub(namedAt), naming.Met)
+			naming := started.follower.replica.holder.View().Models[otherModel].Publications[0]
+			t.Log(naming.SeenAt.Sub(namedAt), naming.SeenAtStart)
 			is.True(!naming.SeenAt.After(namedAt))
 		})
 	}
@@ -192,8 +192,8 @@
 		started := z.start(t.Context(), "c")
 		time.Sleep(5 * time.Second)
 		naming := started.newest()
-		t.Log(naming.SeenAt.Sub(namedAt), naming.Met)
+		t.Log(naming.SeenAt.Sub(namedAt), naming.SeenAtStart)
 		is.Equal(naming.Version, 3)
-		is.True(naming.Met || !naming.SeenAt.After(namedAt)) // its age must not count as known
+		is.True(naming.SeenAtStart || !naming.SeenAt.After(namedAt)) // its age must not count as known
 	})
 }
--- a/internal/node/namingpause_test.go
+++ b/internal/node/namingpause_test.go
@@ -38,7 +38,7 @@
 		return Changes{}, fault.New(fault.RateLimited, "refused")
 	}
 	changes, err := p.zoneRouter.Changes(ctx, after, hold)
-	if p.paused(ctx, err == nil && names(changes.Named, 3)) && p.loses {
+	if p.paused(ctx, err == nil && names(changes.Published, 3)) && p.loses {
 		return Changes{}, fault.New(fault.StoreUnavailable, "no answer")
 	}
 	return changes, err
@@ -50,7 +50,7 @@
 	return reading, err
 }
 
-func names(named []NamedWeights, version int) bool {
+func names(named []PublishedWeights, version int) bool {
 	for _, one := range named {
 		if one.Version == version {
 			return true
@@ -79,7 +79,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				z := newNamedZone()
-				z.guard = func(_ context.Context, running *zoneRouter) {
+				z.beforeStart = func(_ context.Context, running *zoneRouter) {
 					source := tt.source
 					source.zoneRouter, source.left = running, &atomic.Int32{}
 					source.left.Store(1)
@@ -91,7 +91,7 @@
 				namedAt := time.Now()
 				time.Sleep(tt.source.pause + 3*time.Second)
 				is.Equal(first.newest().Version, 3)
-				is.True(!first.newest().Met)
+				is.True(!first.newest().SeenAtStart)
 				is.True(first.newest().SeenAt.Sub(namedAt) <= tt.within)
 				is.True(namedAt.Sub(first.newest().SeenAt) <= watchHold)
 			})
@@ -114,7 +114,7 @@
 		lists := &atomic.Int32{}
 		lists.Store(1)
 		z.namingTable = &refusingTable{fakeStore: z.store, noList: namingPrefix, failLists: lists}
-		z.guard = func(_ context.Context, running *zoneRouter) {
+		z.beforeStart = func(_ context.Context, running *zoneRouter) {
 			left := &atomic.Int32{}
 			left.Store(1)
 			running.follower.source = &pausedAfterNews{zoneRouter: running, left: left, pause: 5 * time.Second}
@@ -122,7 +122,7 @@
 		started := z.start(t.Context(), "b")
 		time.Sleep(10 * time.Second)
 		is.Equal(started.newest().Version, 3)
-		is.True(!started.newest().Met)
+		is.True(!started.newest().SeenAtStart)
 		is.True(started.newest().SeenAt.Sub(namedAt).Abs() <= 20*time.Millisecond)
 	})
 }
--- a/internal/node/namingrecheck.go
+++ b/internal/node/namingrecheck.go
@@ -96,7 +96,7 @@
 // tellsNewer reports whether changes tell a newer version than the newest known one.
 func (s *namingSession) tellsNewer(changes *Changes) bool {
 	models := s.replica.holder.View().Models
-	return slices.ContainsFunc(changes.Named, func(named NamedWeights) bool {
+	return slices.ContainsFunc(changes.Published, func(named PublishedWeights) bool {
 		return named.Version > models[named.Model].Version
 	})
 }
--- a/internal/node/namings.go
+++ b/internal/node/namings.go
@@ -24,8 +24,8 @@
 // version first, so that a router which starts later knows how old it is.
 const namingPrefix = "naming/"
 
-// namingRow is the value of a naming row.
-type namingRow struct {
+// publicationRow is the value of a naming row.
+type publicationRow struct {
 	// FirstSeen is the store's own time at which the version was first seen.
 	FirstSeen time.Duration `cbor:"1,keyasint"`
 	// Watched is the store's revision up to which all earlier namings were known then, 0 if
@@ -45,15 +45,15 @@
 	maxNamings = 500
 )
 
-// namings keeps and finds the times at which versions were named. It is safe for concurrent
+// publicationStore keeps and finds the times at which versions were named. It is safe for concurrent
 // use.
-type namings struct {
+type publicationStore struct {
 	table   store.Table
 	timeout time.Duration
 
 	mu sync.Mutex
 	// pending are the rows that are being written, by key.
-	pending map[string]namingRow
+	pending map[string]publicationRow
 }
 
 func namingKey(model ident.Model, version int) string {
@@ -63,7 +63,7 @@
 // keep has the row of a version written that this router knows to be named, unless another
 // router did before. It is tried until that is done, or ctx ends, without holding up the
 // caller.
-func (n *namings) keep(ctx context.Context, model ident.Model, version int, row namingRow) {
+func (n *publicationStore) keep(ctx context.Context, model ident.Model, version int, row publicationRow) {
 	key := namingKey(model, version)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,14 +71,14 @@
 		return
 	}
 	if n.pending == nil {
-		n.pending = make(map[string]namingRow)
+		n.pending = make(map[string]publicationRow)
 	}
 	n.pending[key] = row
 	go n.write(ctx, key)
 }
 
 // write writes a pending row.
-func (n *namings) write(ctx context.Context, key string) {
+func (n *publicationStore) write(ctx context.Context, key string) {
 	defer n.written(key)
 	for pause := namingPause; ; pause = min(2*pause, maxNamingPause) {
 		err := n.tryWrite(ctx, key)
@@ -94,7 +94,7 @@
 	}
 }
 
-func (n *namings) tryWrite(ctx context.Context, key string) error {
+func (n *publicationStore) tryWrite(ctx context.Context, key string) error {
 	value, err := cbor.Marshal(n.claim(key))
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 // claim returns a pending row as it may be written now. A router that starts from its row
 // asks only for changes after the revision that it names, so that all earlier namings must
 // have rows: it names none beyond those of the other pending rows.
-func (n *namings) claim(key string) namingRow {
+func (n *publicationStore) claim(key string) publicationRow {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	row := n.pending[key]
@@ -121,7 +121,7 @@
 	return row
 }
 
-func (n *namings) written(key string) {
+func (n *publicationStore) written(key string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.pending, key)
@@ -130,7 +130,7 @@
 // kept is what the rows of a model's versions tell.
 type kept struct {
 	// namings are the versions, oldest first.
-	namings []catalog.Naming
+	namings []catalog.Publication
 	// watched is the store's revision up to which all namings are among them, as far as the
 	// rows tell.
 	watched uint64
@@ -140,15 +140,15 @@
 }
 
 // lacks returns those of the known versions of which there is no row.
-func (k *kept) lacks(known []catalog.Naming) []catalog.Naming {
-	return slices.DeleteFunc(slices.Clone(known), func(naming catalog.Naming) bool {
-		return slices.ContainsFunc(k.namings, func(found catalog.Naming) bool { return found.Version == naming.Version })
+func (k *kept) lacks(known []catalog.Publication) []catalog.Publication {
+	return slices.DeleteFunc(slices.Clone(known), func(naming catalog.Publication) bool {
+		return slices.ContainsFunc(k.namings, func(found catalog.Publication) bool { return found.Version == naming.Version })
 	})
 }
 
 // find returns the kept namings of a model. storeTime is the store's time at the moment
 // localTime here.
-func (n *namings) find(ctx context.Context, model ident.Model, storeTime time.Duration, localTime time.Time) (kept, error) {
+func (n *publicationStore) find(ctx context.Context, model ident.Model, storeTime time.Duration, localTime time.Time) (kept, error) {
 	bounded, cancel := context.WithTimeout(ctx, n.timeout)
 	defer cancel()
 	prefix := namingPrefix + string(model) + "/"
@@ -163,14 +163,14 @@
 			continue
 		}
 		version, err := strconv.Atoi(strings.TrimPrefix(row.Key, prefix))
-		var read namingRow
+		var read publicationRow
 		if err != nil || cbor.Unmarshal(row.Value, &read) != nil {
 			continue
 		}
 		age := max(storeTime-read.FirstSeen, 0)
-		found.namings = append(found.namings, catalog.Naming{Version: version, SeenAt: localTime.Add(-age), Met: read.Met})
+		found.namings = append(found.namings, catalog.Publication{Version: version, SeenAt: localTime.Add(-age), SeenAtStart: read.Met})
 		found.watched = max(found.watched, read.Watched)
 	}
-	slices.SortFunc(found.namings, func(a, b catalog.Naming) int { return cmp.Compare(a.Version, b.Version) })
+	slices.SortFunc(found.namings, func(a, b catalog.Publication) int { return cmp.Compare(a.Version, b.Version) })
 	return found, nil
 }
--- a/internal/node/namingsearch_test.go
+++ b/internal/node/namingsearch_test.go
@@ -25,7 +25,7 @@
 			z.store.name(3, 2)
 			questions := &atomic.Int32{}
 			questions.Store(late)
-			z.guard = func(_ context.Context, running *zoneRouter) {
+			z.beforeStart = func(_ context.Context, running *zoneRouter) {
 				running.follower.source = &slowSearch{running, questions}
 			}
 			started := z.start(t.Context(), "a")
@@ -42,13 +42,13 @@
 		is := is.New(t)
 		z := newNamedZone()
 		named := &atomic.Bool{}
-		z.guard = func(_ context.Context, running *zoneRouter) {
+		z.beforeStart = func(_ context.Context, running *zoneRouter) {
 			running.follower.source = &namedAmidRecheck{running, named}
 		}
 		first := z.start(t.Context(), "a")
 		time.Sleep(5 * time.Second)
 		is.True(named.Load())
 		is.Equal(first.newest().Version, 3)
-		is.True(!first.newest().Met)
+		is.True(!first.newest().SeenAtStart)
 	})
 }
--- a/internal/node/namingstale_test.go
+++ b/internal/node/namingstale_test.go
@@ -97,7 +97,7 @@
 				z.store.name(3)
 				namedAt := time.Now()
 				time.Sleep(away)
-				z.guard = func(_ context.Context, running *zoneRouter) {
+				z.beforeStart = func(_ context.Context, running *zoneRouter) {
 					told := func() { is.NoErr(running.follower.take(stale, knownAt)) }
 					running.follower.source = &scriptedRows{zoneRouter: running, reads: tt.reads(told)}
 				}
@@ -118,7 +118,7 @@
 		is := is.New(t)
 		z := newNamedZone()
 		source := &scriptedRows{}
-		z.guard = func(_ context.Context, running *zoneRouter) {
+		z.beforeStart = func(_ context.Context, running *zoneRouter) {
 			source.zoneRouter = running
 			running.follower.source = source
 		}
--- a/internal/node/namingwatch.go
+++ b/internal/node/namingwatch.go
@@ -69,14 +69,14 @@
 	return max(answeredAt-w.storeTime-asked-watchTolerance, 0), true
 }
 
-// watchNamings takes in every version of weights that is named, in the order of the writes,
+// watchPublications takes in every version of weights that is named, in the order of the writes,
 // while this router reads the store itself, until ctx ends.
 //
 // The rows do not tell which version is the newest: a write that the store did not answer
 // may be carried out seconds later, over a newer one, which then stood in its row for an
 // instant between two reads. Of plays of two days with such writes, 7 of 72 ended with
 // engines on older weights for good without the watch, and 0 of 48 with it.
-func (f *follower) watchNamings(ctx context.Context) {
+func (f *follower) watchPublications(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.watches() {
 			f.watchWhileReading(ctx)
@@ -125,7 +125,7 @@
 	}
 	took, toldAt := clock.Since(askedAt), s.replica.toldAt(askedAt, changes.StoreTime)
 	news := s.takeChanges(ctx, from, toldAt, clock.Since(s.askingSince), &changes)
-	s.watchResult(watchResults[news])
+	s.onWatched(watchResults[news])
 	if !s.recalled && clock.Since(s.recalledAt) >= recallInterval {
 		s.recalled = s.recall(ctx, toldAt, changes.StoreTime)
 		s.recalledAt = clock.Now()
@@ -160,12 +160,12 @@
 		s.askingSince = clock.Now()
 	}
 	if !errors.Is(err, ErrHistoryGone) {
-		s.watchResult(watchFailed)
+		s.onWatched(watchFailed)
 		wait.For(ctx, s.pause)
 		s.pause = min(2*s.pause, maxWatchPause)
 		return
 	}
-	s.watchResult(watchGone)
+	s.onWatched(watchGone)
 	from, to := s.replica.passForgotten()
 	s.recalled, s.recheck.dueAt = false, clock.Now()
 	log.WithFields(log.Fields{"from": from, "to": to, "cause": err.Error()}).Info("namings_forgotten")
@@ -188,19 +188,19 @@
 func (f *follower) takeNamed(
 	ctx context.Context, after uint64, toldAt time.Time, age time.Duration, known bool, changes *Changes,
 ) bool {
-	naming := catalog.Naming{SeenAt: toldAt.Add(-age), Met: !known}
-	row := namingRow{FirstSeen: changes.StoreTime - age, Watched: after, Met: naming.Met}
+	naming := catalog.Publication{SeenAt: toldAt.Add(-age), SeenAtStart: !known}
+	row := publicationRow{FirstSeen: changes.StoreTime - age, Watched: after, Met: naming.SeenAtStart}
 	news := false
-	for _, named := range changes.Named {
+	for _, named := range changes.Published {
 		naming.Version = named.Version
-		if !f.replica.holder.Named(named.Model, naming) {
+		if !f.replica.holder.Published(named.Model, naming) {
 			continue
 		}
 		news = true
 		log.WithFields(log.Fields{
-			"model": named.Model, "version": named.Version, "met": naming.Met, "age_ms": clock.Since(naming.SeenAt).Milliseconds(),
+			"model": named.Model, "version": named.Version, "met": naming.SeenAtStart, "age_ms": clock.Since(naming.SeenAt).Milliseconds(),
 		}).Info("version_named")
-		f.namings.keep(ctx, named.Model, named.Version, row)
+		f.publications.keep(ctx, named.Model, named.Version, row)
 	}
 	return news
 }
@@ -211,14 +211,14 @@
 // storeTime is the store's time at the moment localTime here.
 func (f *follower) recall(ctx context.Context, localTime time.Time, storeTime time.Duration) bool {
 	for model, known := range f.replica.holder.View().Models {
-		found, err := f.namings.find(ctx, model, storeTime, localTime)
+		found, err := f.publications.find(ctx, model, storeTime, localTime)
 		if err != nil {
 			return false
 		}
 		f.takeKept(model, &found)
-		for _, naming := range found.lacks(known.Named) {
-			f.namings.keep(ctx, model, naming.Version, namingRow{
-				FirstSeen: storeTime - localTime.Sub(naming.SeenAt), Met: naming.Met,
+		for _, naming := range found.lacks(known.Publications) {
+			f.publications.keep(ctx, model, naming.Version, publicationRow{
+				FirstSeen: storeTime - localTime.Sub(naming.SeenAt), Met: naming.SeenAtStart,
 			})
 		}
 	}
@@ -228,7 +228,7 @@
 // takeKept takes in what the rows of a model's versions tell.
 func (f *follower) takeKept(model ident.Model, found *kept) {
 	for _, naming := range found.namings {
-		if f.replica.holder.Named(model, naming) {
+		if f.replica.holder.Published(model, naming) {
 			log.WithFields(log.Fields{
 				"model": model, "version": naming.Version, "age_ms": clock.Since(naming.SeenAt).Milliseconds(),
 			}).Info("version_recalled")
--- a/internal/node/namingwatch_test.go
+++ b/internal/node/namingwatch_test.go
@@ -14,12 +14,12 @@
 )
 
 // newest returns the newest version of the model that a router knows.
-func (r *zoneRouter) newest() catalog.Naming {
+func (r *zoneRouter) newest() catalog.Publication {
 	known := r.follower.replica.holder.View().Models[model]
-	if len(known.Named) == 0 {
-		return catalog.Naming{}
+	if len(known.Publications) == 0 {
+		return catalog.Publication{}
 	}
-	return known.Named[len(known.Named)-1]
+	return known.Publications[len(known.Publications)-1]
 }
 
 // lateTable is a table whose writes fail until a time.
@@ -50,7 +50,7 @@
 		for _, router := range routers {
 			naming := router.newest()
 			is.Equal(naming.Version, 3)
-			is.True(!naming.Met)
+			is.True(!naming.SeenAtStart)
 			is.True(naming.SeenAt.Sub(namedAt).Abs() <= 20*time.Millisecond)
 		}
 		z.watches()
@@ -76,7 +76,7 @@
 		time.Sleep(time.Second)
 		naming := started.newest()
 		is.Equal(naming.Version, 3)
-		is.True(!naming.Met)
+		is.True(!naming.SeenAtStart)
 		is.True(time.Since(naming.SeenAt) >= time.Minute)
 	})
 }
@@ -88,8 +88,8 @@
 		store := newFakeStore()
 		begun := time.Now()
 		table := &lateTable{fakeStore: store, downUntil: begun.Add(10 * time.Second)}
-		namings := &namings{table: table, timeout: time.Second}
-		namings.keep(t.Context(), model, 3, namingRow{FirstSeen: time.Second})
+		namings := &publicationStore{table: table, timeout: time.Second}
+		namings.keep(t.Context(), model, 3, publicationRow{FirstSeen: time.Second})
 		is.Equal(time.Since(begun), time.Duration(0)) // nobody waits for it
 		time.Sleep(13 * time.Second)
 		found, err := namings.find(t.Context(), model, 20*time.Second, time.Now())
@@ -123,7 +123,7 @@
 		// It counts as old as it may be, but for the tolerance.
 		is.True(naming.SeenAt.Sub(namedAt) <= watchTolerance)
 		is.True(namedAt.Sub(naming.SeenAt) <= watchHold)
-		is.True(!naming.Met)
+		is.True(!naming.SeenAtStart)
 	})
 }
 
@@ -167,7 +167,7 @@
 		started := z.start(t.Context(), "a")
 		time.Sleep(5 * time.Second)
 		is.Equal(started.newest().Version, 3)
-		is.True(started.newest().Met) // nobody saw when it was named
+		is.True(started.newest().SeenAtStart) // nobody saw when it was named
 		z.watches()
 		time.Sleep(time.Minute)
 		is.True(z.watches() <= 160) // what is forgotten is given up
@@ -201,7 +201,7 @@
 
 func TestNamingsOfWhichThereIsNoRow(t *testing.T) {
 	is := is.New(t)
-	rows := kept{namings: []catalog.Naming{{Version: 2}, {Version: 4}}}
-	is.Equal(rows.lacks([]catalog.Naming{{Version: 2}, {Version: 3}}), []catalog.Naming{{Version: 3}})
+	rows := kept{namings: []catalog.Publication{{Version: 2}, {Version: 4}}}
+	is.Equal(rows.lacks([]catalog.Publication{{Version: 2}, {Version: 3}}), []catalog.Publication{{Version: 3}})
 	is.Equal(len(rows.lacks(nil)), 0)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,14 +47,14 @@
 	MetricsAddress, MetricsPath string
 	// PeerAddr is where other routers pull the shared state.
 	PeerAddr netip.AddrPort
-	// LeavingServes is backend.Config.LeavingServes.
-	LeavingServes time.Duration
-	Follow        FollowConfig
-	Forward       forward.Config
-	// Off are the mechanisms that are switched off.
-	Off     mechanism.Off
-	Lease   lease.Config
-	Rollout rollout.ControllerConfig
+	// DrainServeTime is backend.Config.DrainServeTime.
+	DrainServeTime time.Duration
+	Follow         FollowConfig
+	Forward        forward.Config
+	// Disabled are the mechanisms that are switched off.
+	Disabled mechanism.Disabled
+	Lease    lease.Config
+	Rollout  rollout.ControllerConfig
 	// Canary bounds what a release that is being tried may get; the zero value means that
 	// no service is moved to another release under guard.
 	Canary canary.Bounds
@@ -62,11 +62,11 @@
 	Clients inbound.Config
 	// Quota says by how much tenants may be above their limits.
 	Quota quota.Bounds
-	// Grace is the time from the request to stop until the process is killed.
-	Grace time.Duration
-	// Unready is how long a stopping node still takes new connections, until
+	// GracePeriod is the time from the request to stop until the process is killed.
+	GracePeriod time.Duration
+	// ShutdownDelay is how long a stopping node still takes new connections, until
 	// those who hand clients to it have noticed.
-	Unready time.Duration
+	ShutdownDelay time.Duration
 }
 
 // Ports are what a node needs of the outside.
@@ -76,9 +76,9 @@
 	Table   store.Table
 	Caller  forward.Caller
 	Engines rollout.Engines
-	// Hear has what answers to reports and orders say of their back ends told to an ear; it may
+	// OnAdvertised has what answers to reports and orders say of their back ends told to an ear; it may
 	// be nil.
-	Hear func(ear backend.Ear)
+	OnAdvertised func(ear backend.AdvertisedFunc)
 	// Caches may be nil: what the stores of kept prompt caches hold is unknown then.
 	Caches CacheReader
 	// Epochs may be nil: the store never comes back from an older copy then.
@@ -113,10 +113,10 @@
 	// quarantines keeps requests from back ends under which these crash.
 	quarantines *quarantines
 	// notifier tells other routers news, nil before this one runs.
-	notifier atomic.Pointer[notices]
+	notifier atomic.Pointer[notifier]
 	canaries *canaries
 	limits   *backendLimits
-	updates  *backendNews
+	updates  *backendUpdates
 	// engines carry reports and orders.
 	engines  *engineCalls
 	peers    *upstream.Client
@@ -131,7 +131,7 @@
 		ports:  ports,
 		holder: &catalog.Holder{},
 		backends: backend.NewRegistry(backend.Config{
-			Zone: config.Zone, Regions: config.Regions, Off: config.Off, LeavingServes: config.LeavingServes,
+			Zone: config.Zone, Regions: config.Regions, Disabled: config.Disabled, DrainServeTime: config.DrainServeTime,
 		}),
 		peers: upstream.NewClient(),
 		lease: lease.NewElector(ports.Table, config.Lease, rolloutLease, config.Node),
@@ -143,14 +143,14 @@
 	n.follower = n.newFollower()
 	n.quotas = n.newQuotas()
 	n.limits = newBackendLimits(config.PeerAddr, n.backends, n.follower.replica.Routers, n.metrics)
-	n.follower.joined = func(self upstream.Peer, peers []upstream.Peer) {
+	n.follower.onJoined = func(self upstream.Peer, peers []upstream.Peer) {
 		n.quotas.setRouters(self, peers)
 		n.limits.setRouters(self, peers)
 	}
 	n.updates = newBackendUpdates(n.backends, n.limits)
-	n.follower.replica.news = n.updates
-	if ports.Hear != nil {
-		ports.Hear(n.updates.observeAdvertised)
+	n.follower.replica.updates = n.updates
+	if ports.OnAdvertised != nil {
+		ports.OnAdvertised(n.updates.observeAdvertised)
 	}
 	n.quarantines = n.newQuarantines()
 	n.follower.guard, n.follower.replica.guard = n.quarantines.Guard, n.quarantines.Guard
@@ -165,7 +165,7 @@
 	}
 	states := &rolloutStates{table: n.ports.Table, writer: n.ports.Rollouts, timeout: n.config.Follow.ReadTimeout}
 	n.canaries = newCanaries(n.config.Canary, &canaries{
-		self: n.config.PeerAddr, peers: n.follower.audience.others, refreshPeers: n.follower.readRoster,
+		self: n.config.PeerAddr, peers: n.follower.recipients.others, refreshPeers: n.follower.readRouters,
 		lease: n.lease, backends: n.backends, states: states, metrics: n.metrics,
 		send: func(netip.AddrPort, datagram) {},
 	})
@@ -176,41 +176,41 @@
 // the next count, and state older than StaleAfter is not lived on.
 func (c *Config) sharers() admission.SharersConfig {
 	return admission.SharersConfig{
-		Window: c.Forward.Repeats.Window, Lag: c.Follow.RosterInterval + c.Follow.Chain.StaleAfter,
+		Window: c.Forward.Retries.Window, Lag: c.Follow.RosterInterval + c.Follow.Chain.StaleAfter,
 	}
 }
 
 func (n *Node) newFollower() *follower {
 	follow := n.config.Follow
-	epochs := epochCount{port: n.ports.Epochs}
+	epochs := optionalEpochs{port: n.ports.Epochs}
 	replica := newReplica(n.config.Node, n.holder, n.backends, n.ports.Source.Decode, n.config.sharers())
 	replica.epochs = epochs
 	return &follower{
-		epochs:  epochs,
-		source:  n.ports.Source,
-		replica: replica,
-		config:  follow,
-		namings: &namings{table: n.ports.Table, timeout: follow.ReadTimeout},
-		roster: &roster{
+		epochs:       epochs,
+		source:       n.ports.Source,
+		replica:      replica,
+		config:       follow,
+		publications: &publicationStore{table: n.ports.Table, timeout: follow.ReadTimeout},
+		routerList: &routerList{
 			table: n.ports.Table, timeout: follow.ReadTimeout / 2,
-			node: n.config.Node, zone: n.config.Zone, addr: n.config.PeerAddr, life: ident.NewUnique(), epochs: epochs,
+			node: n.config.Node, zone: n.config.Zone, addr: n.config.PeerAddr, incarnation: ident.NewUnique(), epochs: epochs,
 		},
-		audience:    &audience{node: n.config.Node, zone: n.config.Zone, regions: n.config.Regions},
-		client:      n.peers,
-		chain:       newChainGuard(follow.Chain),
-		lost:        func(name string) { n.metrics.dependencies.WithLabelValues(name).Inc() },
-		pulled:      func(result string) { n.metrics.pulls.WithLabelValues(result).Inc() },
-		watchResult: func(result string) { n.metrics.watches.WithLabelValues(result).Inc() },
-		startedAt:   clock.Now(),
+		recipients: &recipients{node: n.config.Node, zone: n.config.Zone, regions: n.config.Regions},
+		client:     n.peers,
+		chain:      newChainGuard(follow.Chain),
+		onLost:     func(name string) { n.metrics.dependencies.WithLabelValues(name).Inc() },
+		onPulled:   func(result string) { n.metrics.pulls.WithLabelValues(result).Inc() },
+		onWatched:  func(result string) { n.metrics.watches.WithLabelValues(result).Inc() },
+		startedAt:  clock.Now(),
 	}
 }
 
 func (n *Node) newQuarantines() *quarantines {
 	return &quarantines{engines: n.engines, backends: n.backends, Guard: guard.New(guard.Config{
-		Table: n.ports.Table, Timeout: n.config.Follow.ReadTimeout, Backends: n.backends, Keeps: n.follower.readsForOthers,
-		Send: func(told []quarantine.Told) {
+		Table: n.ports.Table, Timeout: n.config.Follow.ReadTimeout, Backends: n.backends, MaintainsRows: n.follower.readsForOthers,
+		Send: func(told []quarantine.Evidence) {
 			if socket := n.notifier.Load(); socket != nil {
-				socket.tellQuarantine(told)
+				socket.sendCrashEvidence(told)
 			}
 		},
 		OnTrial: func(result string) { n.metrics.trials.WithLabelValues(result).Inc() },
@@ -220,7 +220,7 @@
 
 func (n *Node) newQuotas() *quotas {
 	cfg := quota.Config{Self: n.config.PeerAddr, Bounds: n.config.Quota}
-	cfg.Alone = !n.config.PeerAddr.IsValid() || !n.config.Off.On(mechanism.SharedQuotas)
+	cfg.Standalone = !n.config.PeerAddr.IsValid() || !n.config.Disabled.On(mechanism.SharedQuotas)
 	return newQuotas(cfg, &quotas{
 		name: "tenants", send: func(quota.Envelope) {}, routers: n.follower.replica.Routers,
 		limited: func() bool {
@@ -233,7 +233,7 @@
 
 // backendLimits returns what keeps back ends within their limits, nil if that is switched off.
 func (n *Node) backendLimits() forward.BackendLimits {
-	if !n.config.Off.On(mechanism.BackendLimits) {
+	if !n.config.Disabled.On(mechanism.BackendLimits) {
 		return nil
 	}
 	return n.limits
@@ -243,8 +243,8 @@
 func (n *Node) readGauges() gaugeValues {
 	view := n.holder.View()
 	now := gaugeValues{backends: len(n.backends.Records()), inFlight: n.backends.InFlight()}
-	now.limitedBackends = len(n.backends.Limited(clock.Now()))
-	now.drainingBackends, now.backingOffBackends = n.backends.Wishes(clock.Now())
+	now.limitedBackends = len(n.backends.LimitedInstances(clock.Now()))
+	now.drainingBackends, now.backingOffBackends = n.backends.UnavailableCounts(clock.Now())
 	if view.Snapshot != nil {
 		now.configurationVersion = view.Snapshot.Version
 		now.configurationAge = view.Age(clock.Now())
@@ -255,7 +255,7 @@
 	now.sharers = n.follower.replica.Sharers()
 	now.quotaMembers, now.limitMembers = n.quotas.members(), n.limits.members()
 	now.quarantined, now.crashSuspects = n.quarantines.Counts()
-	now.unreachableRegions = len(n.backends.Lost(clock.Now()))
+	now.unreachableRegions = len(n.backends.UnreachableRegions(clock.Now()))
 	if n.ports.LinesDropped != nil {
 		now.linesDropped = n.ports.LinesDropped()
 	}
@@ -284,9 +284,9 @@
 		socket.quotas, socket.guard = n.quotas, n.quarantines.Guard
 		n.notifier.Store(socket)
 		n.quotas.send = socket.sendQuota
-		socket.limits, socket.news = n.limits, n.updates
+		socket.limits, socket.updates = n.limits, n.updates
 		n.limits.connect(socket)
-		n.updates.send = socket.tellNews
+		n.updates.send = socket.sendStateUpdates
 		n.canaries.connect(socket)
 	}
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
@@ -308,45 +308,45 @@
 }
 
 // loops are the goroutines that run as long as the node.
-func (n *Node) loops(socket *notices) []func(context.Context) {
+func (n *Node) loops(socket *notifier) []func(context.Context) {
 	config := n.config.Rollout
 	config.OnOrder = func(order *rollout.Order, result rollout.Result) {
 		n.metrics.countOrder(result)
 		logOrder(order, result)
 	}
-	config.OnDoubt = func(doubt rollout.Doubt) {
+	config.OnDoubt = func(doubt rollout.SuspectVersion) {
 		n.metrics.suspectVersions.WithLabelValues(string(doubt.Model)).Inc()
 		log.WithFields(log.Fields{"model": doubt.Model, "version": doubt.Version, "ended": doubt.Ended}).Warn("version_doubted")
 	}
-	if socket != nil && n.config.Off.On(mechanism.Notices) {
+	if socket != nil && n.config.Disabled.On(mechanism.Notices) {
 		config.Announcer = socket
 	}
 	controller := rollout.NewController(config, n.lease, n.engines, n.holder, n.backends)
 	follower := n.follower
 	loops := []func(context.Context){
-		follower.followConfiguration, follower.followBackends, follower.followPeers, follower.watchNamings, follower.markNamings, follower.keepRow,
+		follower.followConfiguration, follower.followBackends, follower.followPeers, follower.watchPublications, follower.markPublications, follower.maintainRow,
 		func(ctx context.Context) { follower.countRouters(ctx, n.holdsLease) }, n.contend, n.lease.Run, controller.Run, n.quotas.run, n.limits.run, n.sweepClients,
-		n.quarantines.Run, watchSuspensions,
+		n.quarantines.Run, logSuspensions,
 	}
 	if socket != nil {
 		loops = append(loops, socket.listen)
 	}
-	if socket != nil && n.config.Off.On(mechanism.SharedHealth) {
+	if socket != nil && n.config.Disabled.On(mechanism.SharedHealth) {
 		watcher := &healthWatcher{
 			zone: n.config.Zone, leads: follower.chain.leads, engines: n.engines,
-			backends: n.backends, holder: n.holder, notify: socket.tellHealth,
+			backends: n.backends, holder: n.holder, notify: socket.notifyHealth,
 		}
 		loops = append(loops, watcher.run)
 	}
 	if n.canaries != nil {
 		loops = append(loops, n.canaries.run)
 	}
-	if n.ports.Caches != nil && n.config.Off.On(mechanism.CacheIndex) {
+	if n.ports.Caches != nil && n.config.Disabled.On(mechanism.CacheIndex) {
 		caches := &cacheFollower{reads: follower.chain.leadsRegion, reader: n.ports.Caches, index: follower.replica.caches, holder: n.holder}
 		loops = append(loops, caches.run)
 	}
-	if n.config.Regions.Several() {
-		loops = append(loops, n.watchRegions)
+	if n.config.Regions.HasMultiple() {
+		loops = append(loops, n.logLostRegions)
 	}
 	return append(loops, n.ports.Loops...)
 }
@@ -371,11 +371,11 @@
 
 // listenNotifications opens the socket for notices, if this node has an address for
 // what routers tell each other.
-func (n *Node) listenNotifications() (*notices, error) {
+func (n *Node) listenNotifications() (*notifier, error) {
 	if !n.config.PeerAddr.IsValid() {
 		return nil, nil
 	}
-	return listenNotices(n.config.PeerAddr, n.backends, n.follower.audience)
+	return listenNotifications(n.config.PeerAddr, n.backends, n.follower.recipients)
 }
 
 func logOrder(order *rollout.Order, result rollout.Result) {
@@ -414,12 +414,12 @@
 
 // stop ends the servers as planned.
 func (n *Node) stop(servers servers) {
-	killAt := time.Now().Add(n.config.Grace - closeMargin)
+	killAt := time.Now().Add(n.config.GracePeriod - closeMargin)
 	n.stopping.Store(true)
 	n.lease.Contend(false)
-	n.follower.leave()
+	n.follower.advertiseShutdown()
 	log.WithFields(log.Fields{"in_flight": n.backends.InFlight()}).Info("stopping")
-	time.Sleep(n.config.Unready)
+	time.Sleep(n.config.ShutdownDelay)
 	ctx, cancel := context.WithDeadline(context.Background(), killAt)
 	defer cancel()
 	if err := servers[0].Shutdown(ctx); err != nil {
@@ -432,5 +432,5 @@
 	// still send, and those that start meanwhile count the rows.
 	removal, cancelRemoval := context.WithDeadline(context.Background(), killAt.Add(removeRowMargin))
 	defer cancelRemoval()
-	n.follower.roster.leave(removal)
+	n.follower.routerList.leave(removal)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -60,8 +60,8 @@
 			ConfigurationInterval: 20 * time.Millisecond, BackendInterval: 20 * time.Millisecond,
 			ReadTimeout: time.Second, RetryPause: 10 * time.Millisecond, RosterInterval: time.Second,
 		},
-		Forward: forward.Config{Freshness: catalog.Freshness{Keyed: time.Minute}},
-		Grace:   5 * time.Second, Unready: 150 * time.Millisecond,
+		Forward:     forward.Config{Freshness: catalog.Freshness{Keyed: time.Minute}},
+		GracePeriod: 5 * time.Second, ShutdownDelay: 150 * time.Millisecond,
 	}
 	running := New(config, Ports{
 		Source: store, Table: store, Engines: idleEngines{},
@@ -81,8 +81,8 @@
 	return config, cancel, ended
 }
 
-// status asks an address until it answers.
-func status(t *testing.T, address, path string) int {
+// getStatus asks an address until it answers.
+func getStatus(t *testing.T, address, path string) int {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 200 {
@@ -97,12 +97,12 @@
 	return 0
 }
 
-// becomes waits until the readiness check answers with a status.
-func becomes(t *testing.T, config Config, wanted int) {
+// waitForReadyStatus waits until the readiness check answers with a status.
+func waitForReadyStatus(t *testing.T, config Config, wanted int) {
 	t.Helper()
 	last := 0
 	for range 400 {
-		if last = status(t, config.ReadyAddress, config.ReadyPath); last == wanted {
+		if last = getStatus(t, config.ReadyAddress, config.ReadyPath); last == wanted {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -115,11 +115,11 @@
 	store := newFakeStore()
 	store.down = true
 	config, stop, ended := startNode(t, store, 0)
-	is.Equal(status(t, config.ReadyAddress, config.ReadyPath), http.StatusServiceUnavailable)
-	is.Equal(status(t, config.ReadyAddress, "/other"), http.StatusNotFound)
+	is.Equal(getStatus(t, config.ReadyAddress, config.ReadyPath), http.StatusServiceUnavailable)
+	is.Equal(getStatus(t, config.ReadyAddress, "/other"), http.StatusNotFound)
 	store.change(func() { store.down, store.reading.Revision = false, 1 })
-	becomes(t, config, http.StatusOK)
-	is.Equal(status(t, config.MetricsAddress, config.MetricsPath), http.StatusOK)
+	waitForReadyStatus(t, config, http.StatusOK)
+	is.Equal(getStatus(t, config.MetricsAddress, config.MetricsPath), http.StatusOK)
 	stop()
 	is.NoErr(<-ended)
 }
@@ -131,7 +131,7 @@
 	store := newFakeStore()
 	store.reading.Revision = 1
 	config, stop, ended := startNode(t, store, 300*time.Millisecond)
-	becomes(t, config, http.StatusOK)
+	waitForReadyStatus(t, config, http.StatusOK)
 	answers := make(chan error, 2)
 	send := func() {
 		response, err := http.Get("http://" + config.FrontAddress + "/")
@@ -144,7 +144,7 @@
 	go send()
 	time.Sleep(50 * time.Millisecond)
 	stop()
-	becomes(t, config, http.StatusServiceUnavailable)
+	waitForReadyStatus(t, config, http.StatusServiceUnavailable)
 	go send() // the entry has not noticed yet
 	is.NoErr(<-answers)
 	is.NoErr(<-answers)
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -24,90 +24,90 @@
 	// maxDatagramBytes bounds what is read of a datagram: a report of answers by route
 	// and back end (canary.Report) may be longer than a notice, which takes 1,400.
 	maxDatagramBytes = 4096
-	// noticeEngines bounds the engines named in one notice.
-	noticeEngines = 40
+	// enginesPerNotification bounds the engines named in one notice.
+	enginesPerNotification = 40
 )
 
-// notices carries notices to all routers, as datagrams without an answer: those of
+// notifier carries notices to all routers, as datagrams without an answer: those of
 // the holder of the lease about engines that change, and those of the first router of
 // each zone about engines that are silent or full. It implements rollout.Announcer.
-type notices struct {
+type notifier struct {
 	socket   *net.UDPConn
 	backends *backend.Registry
-	// audience are the routers that are told.
-	audience *audience
+	// recipients are the routers that are told.
+	recipients *recipients
 	// quotas takes in what other routers tell of limits; it may be nil.
 	quotas *quotas
 	// limits takes in messages about grants of requests to back ends; it may be nil.
 	limits *backendLimits
-	// news takes in what other routers know of back ends; it may be nil.
-	news *backendNews
+	// updates takes in what other routers know of back ends; it may be nil.
+	updates *backendUpdates
 	// guard takes in evidence of crashes; it may be nil.
 	guard *guard.Guard
 	// canaries takes in permits and reports of rollouts; it may be nil.
 	canaries *canaries
 }
 
-var _ rollout.Announcer = (*notices)(nil)
+var _ rollout.Announcer = (*notifier)(nil)
 
 // datagram is what routers tell each other; one of the first three fields is set.
 type datagram struct {
-	Rollout *rollout.Notice `cbor:"1,keyasint,omitempty"`
-	Health  *health.Notice  `cbor:"2,keyasint,omitempty"`
-	Quota   *quota.Datagram `cbor:"3,keyasint,omitempty"`
-	Permit  *canary.Permit  `cbor:"4,keyasint,omitempty"`
-	Report  *canary.Report  `cbor:"5,keyasint,omitempty"`
+	Rollout *rollout.Notification `cbor:"1,keyasint,omitempty"`
+	Health  *health.Notification  `cbor:"2,keyasint,omitempty"`
+	Quota   *quota.Datagram       `cbor:"3,keyasint,omitempty"`
+	Permit  *canary.Permit        `cbor:"4,keyasint,omitempty"`
+	Report  *canary.Report        `cbor:"5,keyasint,omitempty"`
 	// Quarantine tells of requests under which back ends crashed.
-	Quarantine []quarantine.Told `cbor:"7,keyasint,omitempty"`
+	Quarantine []quarantine.Evidence `cbor:"7,keyasint,omitempty"`
 	// News tells what back ends said of themselves, Limit is about grants of requests to them.
-	News  []backend.News `cbor:"8,keyasint,omitempty"`
-	Limit *limitMessage  `cbor:"9,keyasint,omitempty"`
+	News  []backend.StateUpdate `cbor:"8,keyasint,omitempty"`
+	Limit *limitMessage         `cbor:"9,keyasint,omitempty"`
 	// Scope says to whom the receiver passes the notice on.
 	Scope scope `cbor:"6,keyasint,omitempty"`
 }
 
-// listenNotices opens the socket for notices at an address.
-func listenNotices(addr netip.AddrPort, backends *backend.Registry, told *audience) (*notices, error) {
+// listenNotifications opens the socket for notices at an address.
+func listenNotifications(addr netip.AddrPort, backends *backend.Registry, told *recipients) (*notifier, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for notices")
 	}
-	return &notices{socket: socket, backends: backends, audience: told}, nil
+	return &notifier{socket: socket, backends: backends, recipients: told}, nil
 }
 
 // Announce implements rollout.Announcer.
-func (n *notices) Announce(notice rollout.Notice) {
+func (n *notifier) Announce(notice rollout.Notification) {
 	n.take(&notice)
 	for _, part := range splitNotice(notice) {
 		// It is told once only, so that it goes by two relays where there are some.
 		n.send(datagram{Rollout: &part})
-		n.carry(datagram{Rollout: &part}, n.audience.again())
+		n.carry(datagram{Rollout: &part}, n.recipients.again())
 	}
 }
 
-// tellHealth tells all routers, this one included, what checks of engines found.
-func (n *notices) tellHealth(notice health.Notice) {
+// notifyHealth tells all routers, this one included, what checks of engines found.
+func (n *notifier) notifyHealth(notice health.Notification) {
 	n.takeHealth(&notice)
 	for _, part := range splitHealth(notice) {
 		n.send(datagram{Health: &part})
 	}
 }
 
-// tellQuarantine tells all other routers of requests under which back ends crashed.
-func (n *notices) tellQuarantine(told []quarantine.Told) { n.send(datagram{Quarantine: told}) }
+// sendCrashEvidence tells all other routers of requests under which back ends crashed.
+func (n *notifier) sendCrashEvidence(told []quarantine.Evidence) { n.send(datagram{Quarantine: told}) }
 
-// tellNews tells all other routers what back ends said of themselves.
-func (n *notices) tellNews(news []backend.News) {
-	for part := range slices.Chunk(news, newsPart) {
+// sendStateUpdates tells all other routers what back ends said of themselves.
+func (n *notifier) sendStateUpdates(news []backend.StateUpdate) {
+	for part := range slices.Chunk(news, updatesPerDatagram) {
 		n.send(datagram{News: part})
 	}
 }
 
 // send sends a datagram to all other routers.
-func (n *notices) send(told datagram) { n.carry(told, n.audience.tell()) }
+func (n *notifier) send(told datagram) { n.carry(told, n.recipients.tell()) }
 
 // carry sends a datagram as the messages say.
-func (n *notices) carry(told datagram, messages []message) {
+func (n *notifier) carry(told datagram, messages []message) {
 	var encoded [toRegion + 1][]byte
 	for _, message := range messages {
 		if encoded[message.scope] == nil {
@@ -125,12 +125,12 @@
 }
 
 // sendQuota sends a message about the limits of tenants to one router.
-func (n *notices) sendQuota(envelope quota.Envelope) {
+func (n *notifier) sendQuota(envelope quota.Envelope) {
 	n.sendTo(envelope.To, datagram{Quota: quota.Pack(envelope.Message)})
 }
 
 // sendTo sends a datagram to one router.
-func (n *notices) sendTo(to netip.AddrPort, told datagram) {
+func (n *notifier) sendTo(to netip.AddrPort, told datagram) {
 	encoded, err := cbor.Marshal(told)
 	if err != nil {
 		log.WithFields(log.Fields{"cause": err.Error()}).Warn("notice_not_sent")
@@ -141,11 +141,11 @@
 }
 
 // splitHealth returns notices that fit into a datagram each.
-func splitHealth(notice health.Notice) []health.Notice {
-	var parts []health.Notice
+func splitHealth(notice health.Notification) []health.Notification {
+	var parts []health.Notification
 	for len(notice.Silent)+len(notice.Answering)+len(notice.Queues)+len(notice.Gone) > 0 {
-		var part health.Notice
-		room := noticeEngines
+		var part health.Notification
+		room := enginesPerNotification
 		part.Silent, notice.Silent, room = splitOff(notice.Silent, room)
 		part.Answering, notice.Answering, room = splitOff(notice.Answering, room)
 		part.Queues, notice.Queues, room = splitOff(notice.Queues, room)
@@ -156,13 +156,13 @@
 }
 
 // splitNotice returns notices that fit into a datagram each.
-func splitNotice(notice rollout.Notice) []rollout.Notice {
-	var parts []rollout.Notice
+func splitNotice(notice rollout.Notification) []rollout.Notification {
+	var parts []rollout.Notification
 	for len(notice.Loading)+len(notice.Loaded)+len(notice.Unsettled)+len(notice.Emptying) > 0 {
-		part := rollout.Notice{
+		part := rollout.Notification{
 			Model: notice.Model, Version: notice.Version, LoadTime: notice.LoadTime, EmptyTime: notice.EmptyTime,
 		}
-		room := noticeEngines
+		room := enginesPerNotification
 		part.Loading, notice.Loading, room = splitOff(notice.Loading, room)
 		part.Loaded, notice.Loaded, room = splitOff(notice.Loaded, room)
 		part.Unsettled, notice.Unsettled, room = splitOff(notice.Unsettled, room)
@@ -179,7 +179,7 @@
 }
 
 // listen takes in notices until ctx ends.
-func (n *notices) listen(ctx context.Context) {
+func (n *notifier) listen(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = n.socket.Close() })
 	defer stop()
 	buffer := make([]byte, maxDatagramBytes)
@@ -196,14 +196,14 @@
 }
 
 // receive takes in a datagram; one that cannot be read is no notice of a router.
-func (n *notices) receive(from netip.AddrPort, encoded []byte) {
+func (n *notifier) receive(from netip.AddrPort, encoded []byte) {
 	var told datagram
 	if cbor.Unmarshal(encoded, &told) != nil {
 		return
 	}
 	// Only notices are passed on: permits, reports and messages about limits count by their
 	// sender, and would come from a router of the roster once this one has sent them.
-	n.carry(datagram{Rollout: told.Rollout, Health: told.Health, Quarantine: told.Quarantine, News: told.News}, n.audience.passOn(told.Scope))
+	n.carry(datagram{Rollout: told.Rollout, Health: told.Health, Quarantine: told.Quarantine, News: told.News}, n.recipients.passOn(told.Scope))
 	if told.Rollout != nil {
 		n.take(told.Rollout)
 	}
@@ -213,7 +213,7 @@
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	// Routers that started together know each other a count of the routers later: what they
 	// could not tell is answered to who can tell them.
-	if lacks := n.guard.Take(clock.Now(), told.Quarantine); len(lacks) > 0 {
+	if lacks := n.guard.Merge(clock.Now(), told.Quarantine); len(lacks) > 0 {
 		n.sendTo(from, datagram{Quarantine: lacks})
 	}
 	if told.Quota != nil && n.quotas != nil {
@@ -221,7 +221,7 @@
 			n.quotas.receive(from, msg)
 		}
 	}
-	n.news.told(told.News)
+	n.updates.applyUpdates(told.News)
 	if n.limits != nil && told.Limit != nil {
 		n.limits.receive(from, told.Limit)
 	}
@@ -231,30 +231,30 @@
 }
 
 // takeHealth takes in which engines are silent and at which requests wait.
-func (n *notices) takeHealth(notice *health.Notice) {
+func (n *notifier) takeHealth(notice *health.Notification) {
 	now := clock.Now()
-	n.backends.ToldSilent(now, notice.Silent)
-	n.backends.ToldAnswering(notice.Answering)
-	n.backends.ToldGone(now, notice.Gone)
+	n.backends.PeerSilent(now, notice.Silent)
+	n.backends.PeerAnswering(notice.Answering)
+	n.backends.PeerGone(now, notice.Gone)
 	for _, queue := range notice.Queues {
-		n.backends.ToldQueue(now, queue.Instance, queue.Waiting)
+		n.backends.PeerQueue(now, queue.Instance, queue.Waiting)
 	}
 }
 
 // take takes in a notice.
-func (n *notices) take(notice *rollout.Notice) {
+func (n *notifier) take(notice *rollout.Notification) {
 	now := clock.Now()
 	for _, instance := range notice.Loading {
-		n.backends.Loading(now, instance, notice.Model, notice.Version, notice.LoadTime)
+		n.backends.MarkLoading(now, instance, notice.Model, notice.Version, notice.LoadTime)
 	}
 	for _, instance := range notice.Emptying {
-		n.backends.Loading(now, instance, notice.Model, notice.Version, notice.EmptyTime+notice.LoadTime)
+		n.backends.MarkLoading(now, instance, notice.Model, notice.Version, notice.EmptyTime+notice.LoadTime)
 	}
 	for _, instance := range notice.Loaded {
-		n.backends.VersionSeen(instance, notice.Model, notice.Version)
+		n.backends.ObserveVersion(instance, notice.Model, notice.Version)
 	}
 	for _, instance := range notice.Unsettled {
-		n.backends.NotLoading(instance, notice.Model, notice.Version)
+		n.backends.CancelLoading(instance, notice.Model, notice.Version)
 	}
 	log.WithFields(log.Fields{
 		"model": notice.Model, "version": notice.Version, "loading": notice.Loading, "loaded": notice.Loaded,
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -29,11 +29,11 @@
 				Instance: ident.Incarnation(fmt.Sprintf("i-%03d", index)), Service: "s", Models: map[ident.Model]int{model: 1},
 			})
 		}
-		known.Update(time.Now(), records)
+		known.ApplyList(time.Now(), records)
 		return known
 	}
-	open := func(known *backend.Registry, peers ...netip.AddrPort) *notices {
-		opened, err := listenNotices(netip.MustParseAddrPort("127.0.0.1:0"), known, audienceOf(peers...))
+	open := func(known *backend.Registry, peers ...netip.AddrPort) *notifier {
+		opened, err := listenNotifications(netip.MustParseAddrPort("127.0.0.1:0"), known, recipientsOf(peers...))
 		is.NoErr(err)
 		go opened.listen(t.Context())
 		return opened
@@ -44,7 +44,7 @@
 	holder := open(own, addr)
 	_, err := holder.socket.WriteToUDPAddrPort([]byte("no notice"), addr)
 	is.NoErr(err)
-	notice := rollout.Notice{Model: model, Version: 2}
+	notice := rollout.Notification{Model: model, Version: 2}
 	for _, record := range own.Records() {
 		notice.Loading = append(notice.Loading, record.Instance)
 	}
@@ -54,20 +54,20 @@
 		eventually(t, func() bool {
 			_, flight, found := known.Pick(time.Now(), query)
 			if found {
-				flight.Ended(time.Now(), backend.Abandoned)
+				flight.End(time.Now(), backend.Abandoned)
 			}
 			return !found
 		})
 	}
-	holder.Announce(rollout.Notice{Model: model, Version: 2, Loaded: []ident.Incarnation{"i-007"}})
+	holder.Announce(rollout.Notification{Model: model, Version: 2, Loaded: []ident.Incarnation{"i-007"}})
 	eventually(t, func() bool {
 		choice, flight, found := other.Pick(time.Now(), query)
 		if found {
-			flight.Ended(time.Now(), backend.Abandoned)
+			flight.End(time.Now(), backend.Abandoned)
 		}
 		return found && choice.Instance == "i-007" && choice.Version == 2
 	})
-	holder.Announce(rollout.Notice{Model: model, Version: 2, Unsettled: []ident.Incarnation{"i-009"}})
+	holder.Announce(rollout.Notification{Model: model, Version: 2, Unsettled: []ident.Incarnation{"i-009"}})
 	query.Excluded = []ident.Incarnation{"i-007"}
 	eventually(t, func() bool {
 		choice, _, found := other.Pick(time.Now(), query)
@@ -79,37 +79,37 @@
 	is := is.New(t)
 	listed := func() *backend.Registry {
 		known := backend.NewRegistry(backend.Config{})
-		known.Update(time.Now(), []backend.Record{
+		known.ApplyList(time.Now(), []backend.Record{
 			{Instance: "a", Service: "s", Models: map[ident.Model]int{model: 1}},
 			{Instance: "b", Service: "s", Models: map[ident.Model]int{model: 1}},
 		})
 		return known
 	}
-	other, err := listenNotices(netip.MustParseAddrPort("127.0.0.1:0"), listed(), audienceOf())
+	other, err := listenNotifications(netip.MustParseAddrPort("127.0.0.1:0"), listed(), recipientsOf())
 	is.NoErr(err)
 	go other.listen(t.Context())
 	addr := other.socket.LocalAddr().(interface{ AddrPort() netip.AddrPort }).AddrPort()
-	teller, err := listenNotices(netip.MustParseAddrPort("127.0.0.1:0"), listed(), audienceOf(addr))
+	teller, err := listenNotifications(netip.MustParseAddrPort("127.0.0.1:0"), listed(), recipientsOf(addr))
 	is.NoErr(err)
 	defer func() { _ = teller.socket.Close() }()
 	tests := []struct {
 		name   string
-		notice health.Notice
+		notice health.Notification
 		want   ident.Incarnation
 	}{
-		{"a silent engine", health.Notice{Silent: []ident.Incarnation{"a"}}, "b"},
-		{"one that answers, and a queue at the other", health.Notice{
+		{"a silent engine", health.Notification{Silent: []ident.Incarnation{"a"}}, "b"},
+		{"one that answers, and a queue at the other", health.Notification{
 			Answering: []ident.Incarnation{"a"}, Queues: []health.Queue{{Instance: "b", Waiting: 9}},
 		}, "a"},
-		{"a back end that is gone", health.Notice{Gone: []ident.Incarnation{"a"}}, "b"},
+		{"a back end that is gone", health.Notification{Gone: []ident.Incarnation{"a"}}, "b"},
 	}
 	for _, tt := range tests {
-		teller.tellHealth(tt.notice)
+		teller.notifyHealth(tt.notice)
 		for _, known := range []*backend.Registry{teller.backends, other.backends} {
 			eventually(t, func() bool {
 				choice, flight, found := known.Pick(time.Now(), &backend.Query{Service: "s", Model: model})
 				if found {
-					flight.Ended(time.Now(), backend.Abandoned)
+					flight.End(time.Now(), backend.Abandoned)
 				}
 				return found && choice.Instance == tt.want
 			})
@@ -117,13 +117,13 @@
 	}
 }
 
-// audienceOf returns the audience that routers at these addresses are.
-func audienceOf(addrs ...netip.AddrPort) *audience {
+// recipientsOf returns the audience that routers at these addresses are.
+func recipientsOf(addrs ...netip.AddrPort) *recipients {
 	var peers []upstream.Peer
 	for index, addr := range addrs {
 		peers = append(peers, upstream.Peer{Node: ident.Node(fmt.Sprint("n", index)), Addr: addr})
 	}
-	told := &audience{}
+	told := &recipients{}
 	told.know(peers)
 	return told
 }
@@ -138,11 +138,11 @@
 	is.NoErr(err)
 	defer func() { _ = peer.Close() }()
 	addr := peer.LocalAddr().(*net.UDPAddr).AddrPort()
-	relay, err := listenNotices(local, backend.NewRegistry(backend.Config{}), audienceOf(addr))
+	relay, err := listenNotifications(local, backend.NewRegistry(backend.Config{}), recipientsOf(addr))
 	is.NoErr(err)
 	defer func() { _ = relay.socket.Close() }()
 	encoded, err := cbor.Marshal(datagram{
-		Health: &health.Notice{Silent: []ident.Incarnation{"i-001"}},
+		Health: &health.Notification{Silent: []ident.Incarnation{"i-001"}},
 		Permit: &canary.Permit{Fence: 1, Phase: canary.Succeeded}, Report: &canary.Report{Service: "s"},
 		Quota: &quota.Datagram{}, Scope: toZone,
 	})
@@ -163,9 +163,9 @@
 func TestEmptiedEnginesGetNoNewWork(t *testing.T) {
 	is := is.New(t)
 	known := backend.NewRegistry(backend.Config{})
-	known.Update(time.Now(), []backend.Record{{Instance: "a", Service: "s", Models: map[ident.Model]int{model: 1}}})
-	told := &notices{backends: known, audience: audienceOf()}
-	told.Announce(rollout.Notice{
+	known.ApplyList(time.Now(), []backend.Record{{Instance: "a", Service: "s", Models: map[ident.Model]int{model: 1}}})
+	told := &notifier{backends: known, recipients: recipientsOf()}
+	told.Announce(rollout.Notification{
 		Model: model, Version: 2, Emptying: []ident.Incarnation{"a"}, EmptyTime: time.Minute, LoadTime: time.Hour,
 	})
 	tests := []struct {
@@ -197,7 +197,7 @@
 
 func TestALongNoticeIsSplit(t *testing.T) {
 	is := is.New(t)
-	notice := rollout.Notice{Model: model, Version: 2, LoadTime: time.Second, EmptyTime: time.Millisecond}
+	notice := rollout.Notification{Model: model, Version: 2, LoadTime: time.Second, EmptyTime: time.Millisecond}
 	for index := range 95 {
 		notice.Loading = append(notice.Loading, ident.Incarnation(fmt.Sprint("l", index)))
 	}
@@ -210,9 +210,9 @@
 	for index := range 55 {
 		notice.Emptying = append(notice.Emptying, ident.Incarnation(fmt.Sprint("e", index)))
 	}
-	var joined rollout.Notice
+	var joined rollout.Notification
 	for _, part := range splitNotice(notice) {
-		is.True(len(part.Loading)+len(part.Loaded)+len(part.Unsettled)+len(part.Emptying) <= noticeEngines)
+		is.True(len(part.Loading)+len(part.Loaded)+len(part.Unsettled)+len(part.Emptying) <= enginesPerNotification)
 		is.Equal(part.LoadTime, notice.LoadTime)
 		is.Equal(part.EmptyTime, notice.EmptyTime)
 		joined.Emptying = append(joined.Emptying, part.Emptying...)
@@ -224,5 +224,5 @@
 	is.Equal(joined.Loaded, notice.Loaded)
 	is.Equal(joined.Unsettled, notice.Unsettled)
 	is.Equal(joined.Emptying, notice.Emptying)
-	is.Equal(len(splitNotice(rollout.Notice{})), 0)
+	is.Equal(len(splitNotice(rollout.Notification{})), 0)
 }
--- a/internal/node/pull.go
+++ b/internal/node/pull.go
@@ -75,8 +75,8 @@
 	return joined
 }
 
-// followed takes in that a peer pulls from this router.
-func (g *chainGuard) followed(peer upstream.Peer) {
+// observeFollower takes in that a peer pulls from this router.
+func (g *chainGuard) observeFollower(peer upstream.Peer) {
 	g.use(func(chain *upstream.Chain) { chain.Followed(peer) })
 }
 
@@ -135,10 +135,10 @@
 
 // join writes this router's row, and reports whether ctx is still open.
 func (f *follower) join(ctx context.Context) bool {
-	seen := &dependency{name: "router row", count: f.lost}
+	seen := &dependency{name: "router row", count: f.onLost}
 	for ctx.Err() == nil {
 		askedAt := clock.Now()
-		self, peers, routers, err := f.roster.join(ctx)
+		self, peers, routers, err := f.routerList.join(ctx)
 		seen.saw(err)
 		if err == nil {
 			f.noteEpoch()
@@ -152,9 +152,9 @@
 	return false
 }
 
-// leave takes in that this router is about to end: those that pull from it learn that, and
+// advertiseShutdown takes in that this router is about to end: those that pull from it learn that, and
 // the first one of them that stays takes its place.
-func (f *follower) leave() {
+func (f *follower) advertiseShutdown() {
 	f.chain.use(func(chain *upstream.Chain) { chain.Leave() })
 	f.replica.leave()
 }
@@ -171,7 +171,7 @@
 	pull := &upstream.Pull{Confirmation: confirmation}
 	pull.Configuration, pull.List = f.replica.holds()
 	pull.Quarantine = f.guard.Digest()
-	pull.News = backend.NewsDigest(f.replica.backends.News(clock.Now()))
+	pull.News = backend.UpdatesDigest(f.replica.backends.StateUpdates(clock.Now()))
 	// What caches hold can wait until this router can serve.
 	if f.replica.knows() {
 		pull.Caches, pull.CacheHeld = true, f.replica.caches.Positions()
@@ -185,7 +185,7 @@
 	if f.wants(update, result) {
 		err = f.take(update, at)
 	}
-	f.pulled(resultName(result))
+	f.onPulled(resultName(result))
 	if err != nil {
 		log.WithFields(log.Fields{"peer": peer.Node, "cause": err.Error()}).Warn("pull_failed")
 		result = upstream.Failed{}
@@ -247,13 +247,13 @@
 	f.looked.Store(true)
 	f.takeEpoch(update)
 	// It comes first, so that a router that starts knows it before it serves.
-	f.guard.Take(at, update.Quarantine)
+	f.guard.Merge(at, update.Quarantine)
 	for _, naming := range update.Configuration.Namings {
 		f.takeNaming(&naming, at)
 	}
 	configuration := &update.Configuration
-	err := f.replica.takeConfiguration(
-		update.Origin, at.Add(-configuration.Age), configuration, rolloutsOf(configuration.Rollouts, at),
+	err := f.replica.applyConfiguration(
+		update.Origin, at.Add(-configuration.Age), configuration, peerRollouts(configuration.Rollouts, at),
 	)
 	if err != nil {
 		return err
@@ -261,7 +261,7 @@
 	f.replica.takeList(update.Origin, at.Add(-update.List.Age), &update.List)
 	f.replica.caches.Take(at, update.Caches)
 	// The list of back ends comes first: a limit of one that is not listed is passed over.
-	f.replica.news.told(update.News)
+	f.replica.updates.applyUpdates(update.News)
 	if told := configuration.Watched; told != nil {
 		// The namings up to this revision were taken in before it is.
 		f.replica.watchedUpTo(watched{revision: told.Revision, storeTime: told.StoreTime}, false)
@@ -272,9 +272,9 @@
 	return nil
 }
 
-func (f *follower) takeNaming(told *upstream.Naming, at time.Time) {
-	naming := catalog.Naming{Version: told.Version, SeenAt: at.Add(-told.Age), Met: told.Met}
-	if f.replica.holder.Named(told.Model, naming) {
+func (f *follower) takeNaming(told *upstream.Publication, at time.Time) {
+	naming := catalog.Publication{Version: told.Version, SeenAt: at.Add(-told.Age), SeenAtStart: told.Met}
+	if f.replica.holder.Published(told.Model, naming) {
 		log.WithFields(log.Fields{
 			"model": told.Model, "version": told.Version, "age_ms": told.Age.Milliseconds(), "met": told.Met,
 		}).Info("version_named")
@@ -294,24 +294,24 @@
 		// count failed, must not wait for an interval of its own: the others take no part of
 		// the slack of repeats while their count is old.
 		due := f.readsForOthers() && (rested || f.replica.countAge(now) >= least)
-		changed := f.chain.relays() && f.replica.Routers() != f.audience.count()+1
+		changed := f.chain.relays() && f.replica.Routers() != f.recipients.count()+1
 		if !due && !(rested && (holds() || changed)) {
 			return
 		}
 		triedAt = now
-		f.readRoster(ctx)
+		f.readRouters(ctx)
 	})
 }
 
-// readRoster reads the rows of the routers.
-func (f *follower) readRoster(ctx context.Context) {
+// readRouters reads the rows of the routers.
+func (f *follower) readRouters(ctx context.Context) {
 	readAt := clock.Now()
-	peers, routers, err := f.roster.read(ctx)
+	peers, routers, err := f.routerList.read(ctx)
 	if err != nil {
 		log.WithFields(log.Fields{"cause": err.Error()}).Warn("routers_not_counted")
 		return
 	}
 	f.noteEpoch()
 	f.replica.counted(readAt, routers)
-	f.audience.know(peers)
+	f.recipients.know(peers)
 }
--- a/internal/node/pull_test.go
+++ b/internal/node/pull_test.go
@@ -23,9 +23,9 @@
 		total, by := z.reads()
 		is.Equal(by["a"], total)
 		is.True(total <= 36) // 10s / 0.7s + 10s / 0.5s, and the ends
-		z.adopt(5)
+		z.writeConfiguration(5)
 		time.Sleep(750 * time.Millisecond)
-		z.adopted(t, 5)
+		z.requireVersion(t, 5)
 		z.store.change(func() {
 			z.store.records = append(z.store.records, backend.Record{Instance: "b", Service: "s", Revision: 2})
 		})
@@ -44,15 +44,15 @@
 		time.Sleep(10 * time.Second)
 		total, by := z.reads()
 		is.Equal(by["a-x"], total)
-		z.adopt(5)
+		z.writeConfiguration(5)
 		time.Sleep(750 * time.Millisecond)
-		z.adopted(t, 5)
+		z.requireVersion(t, 5)
 		z.kill("a-x")
 		time.Sleep(3 * time.Second)
 		z.reads()
-		z.adopt(6)
+		z.writeConfiguration(6)
 		time.Sleep(1500 * time.Millisecond)
-		z.adopted(t, 6)
+		z.requireVersion(t, 6)
 		time.Sleep(10 * time.Second)
 		total, by = z.reads()
 		is.Equal(by["b-y"], total)
@@ -75,7 +75,7 @@
 		}
 		startAll()
 		time.Sleep(time.Second)
-		z.adopted(t, 1)
+		z.requireVersion(t, 1)
 		total, _ := z.reads()
 		is.True(total <= 3*2) // the first of each zone, if at all
 		for i := range routers {
@@ -83,7 +83,7 @@
 		}
 		startAll()
 		time.Sleep(time.Second)
-		z.adopted(t, 1)
+		z.requireVersion(t, 1)
 		total, _ = z.reads()
 		t.Logf("%d reads after the restart", total)
 		is.True(total <= routers/2)
@@ -122,7 +122,7 @@
 		}
 		z.start(t.Context(), "d")
 		time.Sleep(startPatience + startStagger + startPause)
-		z.adopted(t, 1)
+		z.requireVersion(t, 1)
 	})
 }
 
@@ -146,7 +146,7 @@
 	}{
 		{"killed", func(_ context.Context, z *zone) { z.kill("a") }},
 		{"two killed", func(_ context.Context, z *zone) { z.kill("a"); z.kill("b") }},
-		{"cut from the store", func(_ context.Context, z *zone) { z.set("a", func(r *zoneRouter) { r.cut = true }) }},
+		{"cut from the store", func(_ context.Context, z *zone) { z.changeRouter("a", func(r *zoneRouter) { r.cutOff = true }) }},
 		{"restarted", func(ctx context.Context, z *zone) { z.kill("a"); z.start(ctx, "a") }},
 		{"all restarted", func(ctx context.Context, z *zone) {
 			for _, node := range []ident.Node{"d", "c", "b", "a"} {
@@ -156,7 +156,7 @@
 		}},
 		{"most cut from the store", func(_ context.Context, z *zone) {
 			for _, node := range []ident.Node{"a", "b", "c"} {
-				z.set(node, func(r *zoneRouter) { r.cut = true })
+				z.changeRouter(node, func(r *zoneRouter) { r.cutOff = true })
 			}
 		}},
 	}
@@ -166,13 +166,13 @@
 				z := startZone(t, "a", "b", "c", "d")
 				tt.hit(t.Context(), z)
 				time.Sleep(3 * time.Second) // those who pull have found out
-				z.adopt(7)
+				z.writeConfiguration(7)
 				time.Sleep(2 * time.Second)
-				z.adopted(t, 7)
+				z.requireVersion(t, 7)
 				time.Sleep(time.Minute)
-				z.adopt(9)
+				z.writeConfiguration(9)
 				time.Sleep(2 * time.Second)
-				z.adopted(t, 9)
+				z.requireVersion(t, 9)
 			})
 		})
 	}
@@ -193,9 +193,9 @@
 		is.True(by["n00"] >= 80) // the reader tries often
 		is.True(total-by["n00"] <= 19*20)
 		z.store.change(func() { z.store.down = false })
-		z.adopt(3)
+		z.writeConfiguration(3)
 		time.Sleep(time.Second)
-		z.adopted(t, 3)
+		z.requireVersion(t, 3)
 	})
 }
 
@@ -208,21 +208,21 @@
 		time.Sleep(10 * time.Second)
 		late := z.start(t.Context(), "c")
 		time.Sleep(5 * time.Second)
-		first := z.routers["a"].follower.replica.holder.View().Models[model].Named[0]
+		first := z.routers["a"].follower.replica.holder.View().Models[model].Publications[0]
 		for _, node := range []ident.Node{"b", "c"} {
-			named := z.routers[node].follower.replica.holder.View().Models[model].Named[0]
+			named := z.routers[node].follower.replica.holder.View().Models[model].Publications[0]
 			is.Equal(named.Version, 2)
 			is.True(!named.SeenAt.After(first.SeenAt.Add(time.Second)))
 		}
-		is.True(!late.follower.replica.holder.View().Models[model].Named[0].Met)
+		is.True(!late.follower.replica.holder.View().Models[model].Publications[0].SeenAtStart)
 	})
 }
 
 func TestARouterLeavesItsOwnRowOnly(t *testing.T) {
 	is := is.New(t)
 	table := newFakeStore()
-	first := &roster{table: table, timeout: time.Second, node: "n", zone: "z", life: "1"}
-	second := &roster{table: table, timeout: time.Second, node: "n", zone: "z", life: "2"}
+	first := &routerList{table: table, timeout: time.Second, node: "n", zone: "z", incarnation: "1"}
+	second := &routerList{table: table, timeout: time.Second, node: "n", zone: "z", incarnation: "2"}
 	_, _, _, err := first.join(t.Context())
 	is.NoErr(err)
 	_, _, routers, err := second.join(t.Context())
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -22,40 +22,40 @@
 
 var _ forward.Quarantine = (*quarantines)(nil)
 
-// Broke implements forward.Quarantine.
-func (q *quarantines) Broke(now time.Time, request *quarantine.Subject, at backend.Record) {
-	q.Guard.Broke(now, request, q.target(at))
+// ObserveBroken implements forward.Quarantine.
+func (q *quarantines) ObserveBroken(now time.Time, request *quarantine.Subject, at backend.Record) {
+	q.Guard.ObserveBroken(now, request, q.target(at))
 }
 
-// Left implements forward.Quarantine.
-func (q *quarantines) Left(now time.Time, request *quarantine.Subject, at backend.Record) {
-	q.Guard.Left(now, request, q.target(at))
+// ObserveAbandoned implements forward.Quarantine.
+func (q *quarantines) ObserveAbandoned(now time.Time, request *quarantine.Subject, at backend.Record) {
+	q.Guard.ObserveAbandoned(now, request, q.target(at))
 }
 
-// Unreached implements forward.Quarantine.
-func (q *quarantines) Unreached(now time.Time, at backend.Record) {
-	q.Guard.Unreached(now, q.target(at))
+// ObserveUnreachable implements forward.Quarantine.
+func (q *quarantines) ObserveUnreachable(now time.Time, at backend.Record) {
+	q.Guard.ObserveUnreachable(now, q.target(at))
 }
 
 // target returns the life of a back end that a record names.
-func (q *quarantines) target(at backend.Record) guard.Place {
-	return guard.Place{Life: at.Instance, Look: func(ctx context.Context, brokenAt time.Time) guard.Sign {
+func (q *quarantines) target(at backend.Record) guard.Target {
+	return guard.Target{Incarnation: at.Instance, Probe: func(ctx context.Context, brokenAt time.Time) guard.ProbeResult {
 		return q.probe(ctx, at, brokenAt)
 	}}
 }
 
 // look asks a back end once what became of its life. While older attempts of this router are open
 // there, its process runs: a crash breaks all connections.
-func (q *quarantines) probe(ctx context.Context, at backend.Record, brokenAt time.Time) guard.Sign {
+func (q *quarantines) probe(ctx context.Context, at backend.Record, brokenAt time.Time) guard.ProbeResult {
 	_, err := q.engines.Report(ctx, at)
 	switch {
 	case err == nil:
-		return guard.SignAlive
+		return guard.ProbeAlive
 	case errors.Is(err, rollout.ErrOtherInstance):
-		return guard.SignEnded
-	case errors.Is(err, syscall.ECONNREFUSED) && !q.backends.InFlightSince(at.Instance, brokenAt):
-		return guard.SignRefused
+		return guard.ProbeEnded
+	case errors.Is(err, syscall.ECONNREFUSED) && !q.backends.InFlightBefore(at.Instance, brokenAt):
+		return guard.ProbeRefused
 	default:
-		return guard.SignNone
+		return guard.ProbeInconclusive
 	}
 }
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -32,14 +32,14 @@
 		err  error
 		// open says that an attempt from before is open there.
 		open bool
-		want guard.Sign
+		want guard.ProbeResult
 	}{
-		{"it answers", nil, false, guard.SignAlive},
-		{"another life answers", rollout.ErrOtherInstance, false, guard.SignEnded},
-		{"connections are refused", refused, false, guard.SignRefused},
-		{"refused while an older attempt is open", refused, true, guard.SignNone},
-		{"silence", context.DeadlineExceeded, false, guard.SignNone},
-		{"a reset", &exchange.Error{Sent: true, Cause: syscall.ECONNRESET}, false, guard.SignNone},
+		{"it answers", nil, false, guard.ProbeAlive},
+		{"another life answers", rollout.ErrOtherInstance, false, guard.ProbeEnded},
+		{"connections are refused", refused, false, guard.ProbeRefused},
+		{"refused while an older attempt is open", refused, true, guard.ProbeInconclusive},
+		{"silence", context.DeadlineExceeded, false, guard.ProbeInconclusive},
+		{"a reset", &exchange.Error{Sent: true, Cause: syscall.ECONNRESET}, false, guard.ProbeInconclusive},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -47,13 +47,13 @@
 			now := time.Now()
 			backends := backend.NewRegistry(backend.Config{})
 			record := backend.Record{Instance: "e", Service: "s", Slots: 4}
-			backends.Update(now, []backend.Record{record})
+			backends.ApplyList(now, []backend.Record{record})
 			if tt.open {
 				_, _, found := backends.Pick(now, &backend.Query{Service: "s"})
 				is.True(found)
 			}
 			q := &quarantines{engines: failingReports{err: tt.err}, backends: backends}
-			is.Equal(q.target(record).Look(t.Context(), now.Add(time.Second)), tt.want)
+			is.Equal(q.target(record).Probe(t.Context(), now.Add(time.Second)), tt.want)
 		})
 	}
 }
@@ -62,8 +62,8 @@
 func TestDrainingOrUnlistedBackends(t *testing.T) {
 	is := is.New(t)
 	backends := backend.NewRegistry(backend.Config{})
-	backends.Update(time.Now(), []backend.Record{{Instance: "a", Service: "s"}, {Instance: "b", Service: "s", Draining: true}})
-	is.True(!backends.Leaving("a"))
-	is.True(backends.Leaving("b"))
-	is.True(backends.Leaving("c"))
+	backends.ApplyList(time.Now(), []backend.Record{{Instance: "a", Service: "s"}, {Instance: "b", Service: "s", Draining: true}})
+	is.True(!backends.DrainingOrUnlisted("a"))
+	is.True(backends.DrainingOrUnlisted("b"))
+	is.True(backends.DrainingOrUnlisted("c"))
 }
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -36,29 +36,29 @@
 	// limited reports whether anything has a limit; it is used by run.
 	limited func() bool
 	// onResult is called with the verdict on each claim.
-	onResult func(claim *quota.Claim, verdict quota.Verdict)
+	onResult func(claim *quota.Reservation, verdict quota.Result)
 
 	mu      sync.Mutex
 	agent   *quota.Agent
 	leader  netip.AddrPort
 	member  bool
-	waiting map[uint64]chan quota.Verdict
+	waiting map[uint64]chan quota.Result
 }
 
 var _ forward.Quotas = (*quotas)(nil)
 
-// Take implements forward.Quotas.
-func (q *quotas) Take(ctx context.Context, claim quota.Claim) quota.Verdict {
+// Acquire implements forward.Quotas.
+func (q *quotas) Acquire(ctx context.Context, claim quota.Reservation) quota.Result {
 	result := q.acquire(ctx, claim)
 	q.onResult(&claim, result)
 	return result
 }
 
-func (q *quotas) acquire(ctx context.Context, claim quota.Claim) quota.Verdict {
-	decided := make(chan quota.Verdict, 1)
+func (q *quotas) acquire(ctx context.Context, claim quota.Reservation) quota.Result {
+	decided := make(chan quota.Result, 1)
 	var id uint64
 	q.withAgent(func(now time.Time) {
-		id = q.agent.Take(now, claim)
+		id = q.agent.Acquire(now, claim)
 		q.waiting[id] = decided
 	})
 	ticker := time.NewTicker(pendingTick)
@@ -71,7 +71,7 @@
 			q.withAgent(q.agent.Tick)
 		case <-ctx.Done():
 			q.withAgent(func(time.Time) {
-				q.agent.Forget(id)
+				q.agent.Cancel(id)
 				delete(q.waiting, id)
 			})
 			return quota.Unconfirmed{}
@@ -79,9 +79,9 @@
 	}
 }
 
-// Return implements forward.Quotas.
-func (q *quotas) Return(grant quota.Grant) {
-	q.withAgent(func(time.Time) { q.agent.Return(grant) })
+// Release implements forward.Quotas.
+func (q *quotas) Release(grant quota.Grant) {
+	q.withAgent(func(time.Time) { q.agent.Release(grant) })
 }
 
 // receive takes in a message of another router.
@@ -99,7 +99,7 @@
 	for _, peer := range older {
 		addrs = append(addrs, peer.Addr)
 	}
-	q.withAgent(func(time.Time) { q.agent.Know(self.Revision, addrs) })
+	q.withAgent(func(time.Time) { q.agent.SetRouters(self.Revision, addrs) })
 }
 
 // members returns the number of routers that are members of this router's pool.
@@ -139,13 +139,13 @@
 func (q *quotas) withAgent(call func(now time.Time)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.agent.Counted(q.routers())
+	q.agent.SetRouterCount(q.routers())
 	call(clock.Now())
 	out, done := q.agent.Flush()
 	for _, decision := range done {
 		if decided := q.waiting[decision.ID]; decided != nil {
 			delete(q.waiting, decision.ID)
-			decided <- decision.Verdict
+			decided <- decision.Result
 		}
 	}
 	for _, envelope := range out {
@@ -161,6 +161,6 @@
 func newQuotas(cfg quota.Config, q *quotas) *quotas {
 	cfg.FirstID = rand.Uint64() >> 1
 	q.agent = quota.NewAgent(cfg)
-	q.waiting = make(map[uint64]chan quota.Verdict)
+	q.waiting = make(map[uint64]chan quota.Result)
 	return q
 }
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -29,7 +29,7 @@
 	var routers []*quotaRouter
 	var peers []upstream.Peer
 	for index := range count {
-		socket, err := listenNotices(netip.MustParseAddrPort("127.0.0.1:0"), backend.NewRegistry(backend.Config{}), audienceOf())
+		socket, err := listenNotifications(netip.MustParseAddrPort("127.0.0.1:0"), backend.NewRegistry(backend.Config{}), recipientsOf())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,8 +58,8 @@
 	return routers
 }
 
-func reservationOf(amount float64) quota.Claim {
-	return quota.Claim{Subject: "t", Limit: quota.Limit{Rate: 1e6, Burst: 1e6}, Version: 1, Amount: amount}
+func reservationOf(amount float64) quota.Reservation {
+	return quota.Reservation{Subject: "t", Limit: quota.Limit{Rate: 1e6, Burst: 1e6}, Version: 1, Amount: amount}
 }
 
 // Routers ask the oldest one over their sockets, and the next one when it is gone.
@@ -69,17 +69,17 @@
 	eventually(t, func() bool { return routers[0].quotas.members() == 4 })
 	for _, router := range routers {
 		eventually(t, func() bool {
-			granted, ok := router.quotas.Take(t.Context(), reservationOf(1)).(quota.Granted)
-			return ok && granted.Grant.By == routers[0].peer.Addr
+			granted, ok := router.quotas.Acquire(t.Context(), reservationOf(1)).(quota.Granted)
+			return ok && granted.Grant.Leader == routers[0].peer.Addr
 		})
 	}
-	denied, ok := routers[3].quotas.Take(t.Context(), reservationOf(1e9)).(quota.Denied)
+	denied, ok := routers[3].quotas.Acquire(t.Context(), reservationOf(1e9)).(quota.Denied)
 	is.True(ok)
-	is.True(denied.After > 0)
+	is.True(denied.RetryAfter > 0)
 	routers[0].stop()
 	eventually(t, func() bool {
-		granted, ok := routers[3].quotas.Take(t.Context(), reservationOf(1)).(quota.Granted)
-		return ok && granted.Grant.By == routers[1].peer.Addr
+		granted, ok := routers[3].quotas.Acquire(t.Context(), reservationOf(1)).(quota.Granted)
+		return ok && granted.Grant.Leader == routers[1].peer.Addr
 	})
 	eventually(t, func() bool {
 		// The others notice by hellos, some hundred ms apart.
@@ -104,7 +104,7 @@
 	routers[0].quotas.setRouters(upstream.Peer{Node: "n0", Revision: 2}, []upstream.Peer{{Node: "x", Addr: routers[0].peer.Addr, Revision: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	routers[0].quotas.Take(ctx, reservationOf(1))
+	routers[0].quotas.Acquire(ctx, reservationOf(1))
 	routers[0].quotas.mu.Lock()
 	defer routers[0].quotas.mu.Unlock()
 	is.Equal(len(routers[0].quotas.waiting), 0)
--- a/internal/node/reference_test.go
+++ b/internal/node/reference_test.go
@@ -41,8 +41,8 @@
 	logged := map[string]bool{"log_lines_dropped": true}
 	for _, kind := range []forward.StepKind{
 		forward.StepRefused, forward.StepSent, forward.StepAttemptEnded, forward.StepAnswered, forward.StepBroken, forward.StepClientGone,
-		forward.StepRepeatGranted, forward.StepRepeatDenied, forward.StepBackendLimit, forward.StepLimitDenied,
-		forward.StepBackendLeaving, forward.StepBackendRest,
+		forward.StepRetryGranted, forward.StepRetryDenied, forward.StepBackendLimit, forward.StepLimitDenied,
+		forward.StepBackendDraining, forward.StepBackendBackoff,
 	} {
 		logged[string(kind)] = true
 	}
@@ -122,9 +122,9 @@
 		wantField any
 	}{
 		{"any", backend.Releases{}, nil},
-		{"on trial", backend.Releases{Only: "v2", Among: 3}, "only v2, 3 of its back ends"},
+		{"on trial", backend.Releases{Only: "v2", MaxBackends: 3}, "only v2, 3 of its back ends"},
 		{"promoted", backend.Releases{Only: "v2"}, "only v2"},
-		{"rolled back", backend.Releases{Not: []ident.Release{"v1"}}, "all but [v1]"},
+		{"rolled back", backend.Releases{Excluded: []ident.Release{"v1"}}, "all but [v1]"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/node/region_test.go
+++ b/internal/node/region_test.go
@@ -38,11 +38,11 @@
 func (z *zone) partition(lone ident.Region, store bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.apart = func(a, b ident.Zone) bool {
+	z.partitioned = func(a, b ident.Zone) bool {
 		return lone != "" && (threeRegions.Of(a) == lone) != (threeRegions.Of(b) == lone)
 	}
 	for _, running := range z.routers {
-		running.cut = store && lone != "" && threeRegions.Of(running.follower.roster.zone) == lone
+		running.cutOff = store && lone != "" && threeRegions.Of(running.follower.routerList.zone) == lone
 	}
 }
 
@@ -50,7 +50,7 @@
 func (z *zone) routersIn(place ident.Region) []*zoneRouter {
 	var routers []*zoneRouter
 	for _, running := range z.routers {
-		if threeRegions.Of(running.follower.roster.zone) == place {
+		if threeRegions.Of(running.follower.routerList.zone) == place {
 			routers = append(routers, running)
 		}
 	}
@@ -67,16 +67,16 @@
 				z := startRegions(t)
 				z.partition(lone, false)
 				time.Sleep(20 * time.Second)
-				z.adopt(5)
+				z.writeConfiguration(5)
 				time.Sleep(1500 * time.Millisecond)
-				z.adopted(t, 5)
+				z.requireVersion(t, 5)
 				z.reads()
 				time.Sleep(20 * time.Second)
 				_, by := z.reads()
 				readers := map[ident.Region]int{}
 				for node, reads := range by {
 					if reads > 10 {
-						readers[threeRegions.Of(z.routers[node].follower.roster.zone)]++
+						readers[threeRegions.Of(z.routers[node].follower.routerList.zone)]++
 					}
 				}
 				is.Equal(readers[lone], 1)
@@ -102,7 +102,7 @@
 				z := startRegions(t)
 				z.partition(lone, true)
 				time.Sleep(10 * time.Second)
-				z.adopt(5)
+				z.writeConfiguration(5)
 				time.Sleep(2 * time.Second)
 				for _, place := range []ident.Region{"a", "b", "c"} {
 					for _, running := range z.routersIn(place) {
@@ -113,7 +113,7 @@
 				}
 				z.partition("", false)
 				time.Sleep(2500 * time.Millisecond)
-				z.adopted(t, 5)
+				z.requireVersion(t, 5)
 			})
 		})
 	}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -33,11 +33,11 @@
 	// to another release under guard.
 	canaries *canaries
 	// epochs counts the returns of the store from an older copy.
-	epochs epochCount
+	epochs optionalEpochs
 	// guard knows the requests that are held; it may be nil.
 	guard *guard.Guard
-	// news takes in what back ends said of themselves; it may be nil.
-	news *backendNews
+	// updates takes in what back ends said of themselves; it may be nil.
+	updates *backendUpdates
 
 	mu   sync.Mutex
 	self upstream.Peer
@@ -118,7 +118,7 @@
 	view := r.holder.View()
 	update := &upstream.Update{
 		Revision: r.self.Revision, Confirmation: r.confirmation, Origin: r.origin, Routers: r.routers,
-		Configuration: upstream.Configuration{Revision: r.config.seenThrough, Version: r.config.version},
+		Configuration: upstream.Configuration{Revision: r.config.checkedRevision, Version: r.config.version},
 		List:          upstream.List{Digest: r.list.digest},
 		Leaving:       r.leaving,
 		Epoch:         r.epochs.Epoch(),
@@ -132,7 +132,7 @@
 	if r.config.version != 0 {
 		update.Configuration.Age = view.Age(now)
 		update.Configuration.Namings = toldNamings(now, view)
-		update.Configuration.Rollouts = r.rollouts.told(now)
+		update.Configuration.Rollouts = r.rollouts.forPeer(now)
 		update.Configuration.Watched = toldWatched(r.watched)
 	}
 	if r.config.version != pull.Configuration {
@@ -146,9 +146,9 @@
 		update.List.Base, update.List.Records, update.List.Removed = r.list.since(pull.List)
 	}
 	if r.guard != nil {
-		update.Quarantine = r.guard.ToldSince(now, pull.Quarantine)
+		update.Quarantine = r.guard.EvidenceSince(now, pull.Quarantine)
 	}
-	if news := r.backends.News(now); backend.NewsDigest(news) != pull.News {
+	if news := r.backends.StateUpdates(now); backend.UpdatesDigest(news) != pull.News {
 		update.News = news
 	}
 	if pull.Caches {
@@ -157,12 +157,12 @@
 	return update
 }
 
-func toldNamings(now time.Time, view catalog.View) []upstream.Naming {
-	var told []upstream.Naming
+func toldNamings(now time.Time, view catalog.View) []upstream.Publication {
+	var told []upstream.Publication
 	for _, model := range slices.Sorted(maps.Keys(view.Models)) {
-		for _, naming := range view.Models[model].Named {
-			told = append(told, upstream.Naming{
-				Model: model, Version: naming.Version, Age: now.Sub(naming.SeenAt), Met: naming.Met,
+		for _, naming := range view.Models[model].Publications {
+			told = append(told, upstream.Publication{
+				Model: model, Version: naming.Version, Age: now.Sub(naming.SeenAt), Met: naming.SeenAtStart,
 			})
 		}
 	}
@@ -181,7 +181,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.self = self
-	r.sharers.Joined(clock.Now())
+	r.sharers.SetJoined(clock.Now())
 }
 
 // rejoined takes in this router's own row as it is in a store that came back from an older copy.
@@ -196,7 +196,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leastUntil = now.Add(rejoinedWithin)
-	r.confirmed(r.origin)
+	r.bumpConfirmation(r.origin)
 }
 
 // leave tells the peers, those that wait at once, that this router is about to end.
@@ -204,7 +204,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
-	r.confirmed(r.origin)
+	r.bumpConfirmation(r.origin)
 }
 
 // ownOrigin reports whether the newest confirmation was read by this router.
@@ -237,7 +237,7 @@
 		routers = max(routers, r.routers)
 	}
 	r.routers, r.countedAt = routers, readAt
-	r.sharers.Counted(clock.Now(), readAt, routers)
+	r.sharers.RecordCount(clock.Now(), readAt, routers)
 }
 
 // countAge returns the age of the number of routers.
@@ -259,7 +259,7 @@
 func (r *replica) Sharers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sharers.Among(clock.Now())
+	return r.sharers.Count(clock.Now())
 }
 
 // toldWatched returns what is told to a peer.
@@ -286,7 +286,7 @@
 		r.watched = watched{revision: known.revision, storeTime: max(known.storeTime, r.watched.storeTime)}
 	}
 	if news {
-		r.confirmed(r.origin)
+		r.bumpConfirmation(r.origin)
 	}
 }
 
@@ -325,16 +325,16 @@
 	return from, r.watched.revision
 }
 
-// takeRollouts takes in what a configuration that was confirmed at a time told of rollouts;
+// applyRollouts takes in what a configuration that was confirmed at a time told of rollouts;
 // the caller holds the mutex.
-func (r *replica) takeRollouts(confirmedAt time.Time, told *knownRollouts) {
+func (r *replica) applyRollouts(confirmedAt time.Time, told *knownRollouts) {
 	if r.canaries == nil {
 		return
 	}
 	if told != nil || r.rollouts == nil || confirmedAt.After(r.rollouts.readAt) {
-		r.rollouts = r.rollouts.joined(told)
+		r.rollouts = r.rollouts.merge(told)
 	}
-	r.canaries.know(confirmedAt, r.rollouts)
+	r.canaries.setRollouts(confirmedAt, r.rollouts)
 }
 
 // takeStates takes in the states of rollouts as they were read at a time.
@@ -346,13 +346,13 @@
 	}
 	told := *r.rollouts
 	told.states, told.statesAt = states, readAt
-	r.rollouts = r.rollouts.joined(&told)
-	r.canaries.know(r.rollouts.readAt, r.rollouts)
-	r.confirmed(r.origin)
+	r.rollouts = r.rollouts.merge(&told)
+	r.canaries.setRollouts(r.rollouts.readAt, r.rollouts)
+	r.bumpConfirmation(r.origin)
 }
 
-// ordered returns the rollouts that are known.
-func (r *replica) ordered() *knownRollouts {
+// currentRollouts returns the rollouts that are known.
+func (r *replica) currentRollouts() *knownRollouts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rollouts
@@ -367,19 +367,19 @@
 	}
 	switch {
 	case list.Digest == r.list.digest:
-		logBackends(r.backends.Confirm(listedAt))
+		logBackends(r.backends.ConfirmList(listedAt))
 	case !list.Told || !r.list.take(list):
 		return
 	default:
-		logBackends(r.backends.Update(listedAt, r.list.records))
-		r.canaries.listed(listedAt, r.list.records)
+		logBackends(r.backends.ApplyList(listedAt, r.list.records))
+		r.canaries.applyList(listedAt, r.list.records)
 	}
 	r.listedAt = listedAt
-	r.confirmed(origin)
+	r.bumpConfirmation(origin)
 }
 
-// confirmed tells the peers that wait; the caller holds the mutex.
-func (r *replica) confirmed(origin ident.Node) {
+// bumpConfirmation tells the peers that wait; the caller holds the mutex.
+func (r *replica) bumpConfirmation(origin ident.Node) {
 	if r.origin != origin {
 		r.origin, r.originSince = origin, clock.Now()
 	}
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -16,19 +16,19 @@
 	states []canary.State
 	// storeTime is the store's own time at readAt, when the orders were read; at absent
 	// the newest of them was not there yet, 0 if that is not known.
-	storeTime, absent time.Duration
-	readAt            time.Time
+	storeTime, absentAt time.Duration
+	readAt              time.Time
 	// statesAt is when the states were read, zero if they were not.
 	statesAt time.Time
 }
 
-// rolloutsOf returns what a peer told as of a time, or nil.
-func rolloutsOf(received *upstream.Rollouts, at time.Time) *knownRollouts {
+// peerRollouts returns what a peer told as of a time, or nil.
+func peerRollouts(received *upstream.Rollouts, at time.Time) *knownRollouts {
 	if received == nil {
 		return nil
 	}
 	known := &knownRollouts{
-		orders: received.Known.Orders, states: received.Known.States, storeTime: received.StoreTime, absent: received.Absent,
+		orders: received.Known.Orders, states: received.Known.States, storeTime: received.StoreTime, absentAt: received.Absent,
 		readAt: at.Add(-received.Age),
 	}
 	if received.StatesAge >= 0 {
@@ -37,13 +37,13 @@
 	return known
 }
 
-// told returns what is told to a peer, nil where there is no order.
-func (k *knownRollouts) told(now time.Time) *upstream.Rollouts {
+// forPeer returns what is told to a peer, nil where there is no order.
+func (k *knownRollouts) forPeer(now time.Time) *upstream.Rollouts {
 	if k == nil {
 		return nil
 	}
 	update := &upstream.Rollouts{
-		Known: k.known(), StoreTime: k.storeTime, Absent: k.absent, Age: max(now.Sub(k.readAt), 0), StatesAge: -1,
+		Known: k.known(), StoreTime: k.storeTime, Absent: k.absentAt, Age: max(now.Sub(k.readAt), 0), StatesAge: -1,
 	}
 	if !k.statesAt.IsZero() {
 		update.StatesAge = max(now.Sub(k.statesAt), 0)
@@ -59,8 +59,8 @@
 	return canary.Known{Orders: k.orders, States: k.states}
 }
 
-// newest returns the revision of the newest order, 0 for none.
-func (k *knownRollouts) newest() uint64 {
+// newestRevision returns the revision of the newest order, 0 for none.
+func (k *knownRollouts) newestRevision() uint64 {
 	revision := uint64(0)
 	if k != nil {
 		for _, order := range k.orders {
@@ -95,9 +95,9 @@
 	return services
 }
 
-// joined returns what two routers' reads tell together: the newer orders, and the newer
+// merge returns what two routers' reads tell together: the newer orders, and the newer
 // states. A final phase stays, whichever told it.
-func (k *knownRollouts) joined(other *knownRollouts) *knownRollouts {
+func (k *knownRollouts) merge(other *knownRollouts) *knownRollouts {
 	if k == nil || other == nil {
 		return other
 	}
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -39,11 +39,11 @@
 			is := is.New(t)
 			older := &knownRollouts{states: tt.older, readAt: at.Add(time.Second), statesAt: at, orders: []canary.Order{testOrder("s", 9)}}
 			newer := &knownRollouts{states: tt.newer, readAt: at, statesAt: at.Add(time.Second)}
-			for _, merged := range []*knownRollouts{older.joined(newer), newer.joined(older)} {
+			for _, merged := range []*knownRollouts{older.merge(newer), newer.merge(older)} {
 				is.Equal(merged.states, tt.want)
 				is.Equal(len(merged.orders), 1) // the newer orders, whoever read the newer states
 			}
-			is.Equal((*knownRollouts)(nil).joined(newer), newer)
+			is.Equal((*knownRollouts)(nil).merge(newer), newer)
 		})
 	}
 }
@@ -73,12 +73,12 @@
 	now := time.Unix(1000, 0)
 	known := &knownRollouts{
 		orders: []canary.Order{testOrder("s", 3)}, states: []canary.State{testState("s", 2, canary.RolledBack)},
-		storeTime: 7 * time.Second, absent: 6 * time.Second, readAt: now.Add(-300 * time.Millisecond), statesAt: now.Add(-time.Second),
+		storeTime: 7 * time.Second, absentAt: 6 * time.Second, readAt: now.Add(-300 * time.Millisecond), statesAt: now.Add(-time.Second),
 	}
-	is.Equal(rolloutsOf(known.told(now), now), known)
+	is.Equal(peerRollouts(known.forPeer(now), now), known)
 	known.statesAt = time.Time{}
-	is.Equal(rolloutsOf(known.told(now), now), known)
-	is.True(rolloutsOf((*knownRollouts)(nil).told(now), now) == nil)
+	is.Equal(peerRollouts(known.forPeer(now), now), known)
+	is.True(peerRollouts((*knownRollouts)(nil).forPeer(now), now) == nil)
 }
 
 // A row that cannot be read counts as a rollout that has not begun, under its version.
@@ -110,8 +110,8 @@
 		metrics: newMetrics(func() gaugeValues { return gaugeValues{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{peer} },
 		send: func(to netip.AddrPort, _ datagram) { answered = append(answered, to) },
 	})
-	c.listed(time.Now(), recordsOf(oldRelease, newRelease))
-	c.know(time.Now(), &knownRollouts{orders: []canary.Order{{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}}, readAt: time.Now()})
+	c.applyList(time.Now(), recordsOf(oldRelease, newRelease))
+	c.setRollouts(time.Now(), &knownRollouts{orders: []canary.Order{{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}}, readAt: time.Now()})
 	permit := &canary.Permit{
 		Order: canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}, Fence: 1, Phase: canary.Succeeded,
 		Proved: []ident.Release{oldRelease},
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -36,25 +36,25 @@
 	FirstEra uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// roster keeps this router's row, and reads those of the others.
-type roster struct {
-	table   store.Table
-	timeout time.Duration
-	node    ident.Node
-	zone    ident.Zone
-	addr    netip.AddrPort
-	life    string
-	epochs  epochCount
+// routerList keeps this router's row, and reads those of the others.
+type routerList struct {
+	table       store.Table
+	timeout     time.Duration
+	node        ident.Node
+	zone        ident.Zone
+	addr        netip.AddrPort
+	incarnation string
+	epochs      optionalEpochs
 
 	mu  sync.Mutex
 	row protocol.Row
 }
 
-func (r *roster) key() string { return routerPrefix + string(r.zone) + "/" + string(r.node) }
+func (r *routerList) key() string { return routerPrefix + string(r.zone) + "/" + string(r.node) }
 
 // join writes this router's row and returns it with those of all routers and
 // their number, read after the write.
-func (r *roster) join(ctx context.Context) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
+func (r *routerList) join(ctx context.Context) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
 	if _, known := r.epochs.First(); !known && r.epochs.counts() {
 		// From when on epochs are counted stands in the rows of those that joined before.
 		if _, _, err := r.read(ctx); err != nil {
@@ -70,7 +70,7 @@
 
 // rejoin is join for a router whose row the store may have lost: it is written only then, so
 // that the order of the routers stays.
-func (r *roster) rejoin(ctx context.Context) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
+func (r *routerList) rejoin(ctx context.Context) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
 	bounded, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	row, _, err := r.table.Read(bounded, r.key())
@@ -84,15 +84,15 @@
 }
 
 // current reports whether this router's row was seen since the store came back.
-func (r *roster) current(epoch uint64) bool {
+func (r *routerList) current(epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return store.Epoch(r.row.Version) >= epoch
 }
 
 // write writes this router's row.
-func (r *roster) write(ctx context.Context) (protocol.Row, error) {
-	row := routerRow{Addr: r.addr, Life: r.life}
+func (r *routerList) write(ctx context.Context) (protocol.Row, error) {
+	row := routerRow{Addr: r.addr, Life: r.incarnation}
 	if first, known := r.epochs.First(); known {
 		row.FirstEra = first + 1
 	}
@@ -110,7 +110,7 @@
 }
 
 // written takes in this router's row, and reads those of all routers.
-func (r *roster) written(ctx context.Context, row protocol.Row) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
+func (r *routerList) written(ctx context.Context, row protocol.Row) (self upstream.Peer, peers []upstream.Peer, routers int, err error) {
 	r.mu.Lock()
 	r.row = row
 	r.mu.Unlock()
@@ -121,7 +121,7 @@
 
 // read returns the routers of all zones whose rows are sound, and the number of
 // rows.
-func (r *roster) read(ctx context.Context) (peers []upstream.Peer, routers int, err error) {
+func (r *routerList) read(ctx context.Context) (peers []upstream.Peer, routers int, err error) {
 	bounded, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	list, err := r.table.List(bounded, routerPrefix, maxRouters)
@@ -135,7 +135,7 @@
 			continue
 		}
 		if read.FirstEra > 0 {
-			r.epochs.Begin(read.FirstEra - 1)
+			r.epochs.ObserveFirst(read.FirstEra - 1)
 		}
 		peers = append(peers, upstream.Peer{
 			Node: ident.Node(name), Zone: ident.Zone(zone), Addr: read.Addr, Revision: row.Version,
@@ -155,7 +155,7 @@
 // leave removes this router's row, unless a later life has written it anew. A removal that
 // the store turns away is tried again: others would count the router for good, and all
 // bounds that are divided by their number would be too small.
-func (r *roster) leave(ctx context.Context) {
+func (r *routerList) leave(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, leaveFor)
 	defer cancel()
 	for {
@@ -172,7 +172,7 @@
 
 // removeOwn removes this router's row once. A write of its own that was carried out late may
 // have changed the row's revision: then it is removed as the refusal tells it.
-func (r *roster) removeOwn(ctx context.Context) error {
+func (r *routerList) removeOwn(ctx context.Context) error {
 	r.mu.Lock()
 	row := r.row
 	r.mu.Unlock()
@@ -189,7 +189,7 @@
 }
 
 // remove removes a row at its revision.
-func (r *roster) remove(ctx context.Context, row protocol.Row) (protocol.TransactionResult, error) {
+func (r *routerList) remove(ctx context.Context, row protocol.Row) (protocol.TransactionResult, error) {
 	return r.table.Commit(ctx, protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: row.Key, Version: row.Version}},
 		Writes:     []protocol.Write{{Key: row.Key, Delete: true}},
@@ -205,7 +205,7 @@
 }
 
 // owns reports whether a row is there and was written by this life of the router.
-func (r *roster) owns(row protocol.Row) bool {
+func (r *routerList) owns(row protocol.Row) bool {
 	var written routerRow
-	return row.Version != 0 && cbor.Unmarshal(row.Value, &written) == nil && written.Life == r.life
+	return row.Version != 0 && cbor.Unmarshal(row.Value, &written) == nil && written.Life == r.incarnation
 }
--- a/internal/node/rowremoval_test.go
+++ b/internal/node/rowremoval_test.go
@@ -33,8 +33,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newZone()
-		z.guard = func(_ context.Context, running *zoneRouter) {
-			running.follower.roster.table = &removalRefusedOnce{fakeStore: z.store}
+		z.beforeStart = func(_ context.Context, running *zoneRouter) {
+			running.follower.routerList.table = &removalRefusedOnce{fakeStore: z.store}
 		}
 		z.start(t.Context(), "a")
 		time.Sleep(time.Second)
@@ -44,7 +44,7 @@
 		removal, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		z.kill("b")
-		stopping.follower.roster.leave(removal)
+		stopping.follower.routerList.leave(removal)
 		time.Sleep(time.Minute)
 		if routers := z.routers["a"].follower.replica.Routers(); routers != 1 {
 			t.Errorf("%d routers are counted a minute after the other one has ended", routers)
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -38,14 +38,14 @@
 	forwarder := forward.New(n.config.Forward, forward.Dependencies{
 		Holder: n.holder, Backends: n.backends, Caller: n.ports.Caller, Record: stepRecorder(n.metrics),
 		Routers: n.follower.replica.Routers, Sharers: n.follower.replica.Sharers, Caches: n.follower.replica.caches, Quotas: n.quotas,
-		Releases: n.releases(), Quarantine: n.quarantines, Limits: n.backendLimits(), News: n.updates,
+		Releases: n.releases(), Quarantine: n.quarantines, Limits: n.backendLimits(), Notifier: n.updates,
 	})
 	all := servers{
 		n.newFront(forwarder),
 		newServer("readiness checks", n.config.ReadyAddress, http.HandlerFunc(n.serveReady)),
 	}
 	if n.config.PeerAddr.IsValid() {
-		peers := upstream.NewServer(n.follower.replica, n.follower.chain.followed)
+		peers := upstream.NewServer(n.follower.replica, n.follower.chain.observeFollower)
 		all = append(all, newServer("pulls of other routers", n.config.PeerAddr.String(), peers))
 	}
 	if n.config.MetricsAddress != "" {
--- a/internal/node/sharers_test.go
+++ b/internal/node/sharers_test.go
@@ -36,8 +36,8 @@
 	store := newFakeStore()
 	store.reading.Revision = 1
 	config, stop, ended := startNode(t, store, 0)
-	becomes(t, config, 200)
-	reader := &roster{table: store, timeout: time.Second}
+	waitForReadyStatus(t, config, 200)
+	reader := &routerList{table: store, timeout: time.Second}
 	counted := func() int {
 		_, routers, err := reader.read(t.Context())
 		is.NoErr(err)
@@ -50,9 +50,9 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	stop()
-	becomes(t, config, 503)
+	waitForReadyStatus(t, config, 503)
 	is.Equal(counted(), 1)
-	is.Equal(status(t, config.FrontAddress, "/"), 200)
+	is.Equal(getStatus(t, config.FrontAddress, "/"), 200)
 	is.NoErr(<-ended)
 	is.Equal(counted(), 0)
 }
@@ -101,7 +101,7 @@
 func (f *fleet) restart(t *testing.T, running *zoneRouter, end func(), serves, pause time.Duration) {
 	time.Sleep(serves)
 	end()
-	running.follower.roster.leave(t.Context())
+	running.follower.routerList.leave(t.Context())
 	time.Sleep(pause)
 	f.up(t, running.node)
 }
@@ -174,7 +174,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		config := Config{
-			Forward: forward.Config{Repeats: admission.WindowConfig{Window: 10 * time.Second}},
+			Forward: forward.Config{Retries: admission.WindowConfig{Window: 10 * time.Second}},
 			Follow:  FollowConfig{RosterInterval: 5 * time.Second, Chain: upstream.Config{StaleAfter: time.Second}},
 		}
 		replica := New(config, Ports{Source: newFakeStore()}).follower.replica
@@ -211,7 +211,7 @@
 		}
 		end()
 		if planned {
-			running.follower.roster.leave(t.Context())
+			running.follower.routerList.leave(t.Context())
 		}
 	}
 }
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -19,7 +19,7 @@
 
 func (z *zone) shutDown(nodes ...ident.Node) {
 	for _, node := range nodes {
-		z.routers[node].follower.leave()
+		z.routers[node].follower.advertiseShutdown()
 	}
 }
 
@@ -32,10 +32,10 @@
 		time.Sleep(100 * time.Millisecond)
 		is.True(joined.chain.leadsRegion())
 		is.True(joined.chain.reads())
-		z.adopted(t, 1)
-		z.adopt(5)
+		z.requireVersion(t, 1)
+		z.writeConfiguration(5)
 		time.Sleep(750 * time.Millisecond)
-		z.adopted(t, 5)
+		z.requireVersion(t, 5)
 		time.Sleep(zoneSharers.Lag)
 		is.Equal(joined.replica.Routers(), 3) // those that stop may still send
 	})
@@ -88,12 +88,12 @@
 func TestStoppingRoutersSupplyRouterWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, "a", "b")
-		z.set("b", func(r *zoneRouter) { r.cut = true })
+		z.changeRouter("b", func(r *zoneRouter) { r.cutOff = true })
 		z.shutDown("a")
 		time.Sleep(3 * time.Second)
-		z.adopt(5)
+		z.writeConfiguration(5)
 		time.Sleep(750 * time.Millisecond)
-		z.adopted(t, 5)
+		z.requireVersion(t, 5)
 	})
 }
 
@@ -104,7 +104,7 @@
 	store.reading.Revision = 1
 	peer := upstream.Peer{Node: "n", Addr: netip.MustParseAddrPort(freeAddress(t))}
 	config, stop, ended := startNodeAt(t, store, 0, peer.Addr)
-	becomes(t, config, 200)
+	waitForReadyStatus(t, config, 200)
 	shuttingDown := func() bool {
 		update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{From: upstream.Peer{Node: "o", Revision: 1 << 40}})
 		is.NoErr(err)
@@ -112,7 +112,7 @@
 	}
 	is.True(!shuttingDown())
 	stop()
-	becomes(t, config, 503)
+	waitForReadyStatus(t, config, 503)
 	for tries := 0; !shuttingDown(); tries++ {
 		is.True(tries < 100)
 	}
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -34,17 +34,17 @@
 	StoreRevision uint64
 }
 
-// NamedWeights is a version of a model's weights that a write of the operator named.
-type NamedWeights struct {
+// PublishedWeights is a version of a model's weights that a write of the operator named.
+type PublishedWeights struct {
 	Model   ident.Model
 	Version int
 }
 
 // Changes are writes of the operator, in the order in which the store carried them out.
 type Changes struct {
-	// Named holds each version of weights that was named, also those whose rows were
+	// Published holds each version of weights that was named, also those whose rows were
 	// written over since.
-	Named []NamedWeights
+	Published []PublishedWeights
 	// StoreRevision is the store's newest revision: all changes up to it were told.
 	StoreRevision uint64
 	// StoreTime is the store's own steady time at the answer.
@@ -82,8 +82,8 @@
 	// First names the beginning of epoch 0, in the store's own count; it is known once an
 	// answer showed one.
 	First() (first uint64, known bool)
-	// Begin takes in the first of another router. The lowest is that of all.
-	Begin(first uint64)
+	// ObserveFirst takes in the first of another router. The lowest is that of all.
+	ObserveFirst(first uint64)
 }
 
 // RolloutStore writes how rollouts stand.
