--- a/internal/node/stalecount_test.go
+++ b/internal/node/stalecount_test.go
@@ -29,7 +29,7 @@
 // List implements store.Table.
 func (c *cutTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
 	c.router.zone.mu.Lock()
-	cut := c.router.cut
+	cut := c.router.cutOff
 	c.router.zone.mu.Unlock()
 	if cut {
 		return protocol.RowList{}, errors.New("cut off")
@@ -40,8 +40,8 @@
 // newCutFleet returns a fleet whose routers, when cut off, cannot read the rows either.
 func newCutFleet() *fleet {
 	f := &fleet{zone: newZone()}
-	f.guard = func(_ context.Context, running *zoneRouter) {
-		running.follower.roster.table = &cutTable{Table: f.store, router: running}
+	f.beforeStart = func(_ context.Context, running *zoneRouter) {
+		running.follower.routerList.table = &cutTable{Table: f.store, router: running}
 	}
 	return f
 }
@@ -74,16 +74,16 @@
 func TestARouterThatIsCutOffGrantsNothingFromTheSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCutFleet()
-		f.apart = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
+		f.partitioned = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
 		for _, node := range []ident.Node{"a", "b", "c-far"} {
 			f.up(t, node)
 			time.Sleep(20 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		f.set("c-far", func(r *zoneRouter) { r.cut = true })
+		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = true })
 		f.join(t, 8)
 		time.Sleep(time.Minute)
-		f.set("c-far", func(r *zoneRouter) { r.cut = false })
+		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = false })
 		time.Sleep(time.Minute)
 		f.keepsTheSlack(t)
 	})
@@ -94,20 +94,20 @@
 func TestARouterThatIsBackAwaitsAWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCutFleet()
-		f.apart = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
+		f.partitioned = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
 		far := f.upQuiet(t, "c-far", 60*time.Second+34*time.Second)
 		f.up(t, "a")
 		time.Sleep(time.Minute)
-		f.set("c-far", func(r *zoneRouter) { r.cut = true })
+		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = true })
 		for _, node := range []ident.Node{"d", "e", "f", "g"} {
 			running, end := f.up(t, node)
 			time.AfterFunc(30*time.Second, func() {
 				end()
-				running.follower.roster.leave(context.Background())
+				running.follower.routerList.leave(context.Background())
 			})
 		}
 		time.Sleep(31 * time.Second)
-		f.set("c-far", func(r *zoneRouter) { r.cut = false })
+		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = false })
 		time.Sleep(time.Minute)
 		if far.follower.replica.Sharers() == 0 {
 			t.Error("the router that is back has no part of the slack")
--- a/internal/node/testrouter_test.go
+++ b/internal/node/testrouter_test.go
@@ -28,9 +28,9 @@
 		},
 		Forward: forward.Config{
 			Freshness: catalog.Freshness{Keyed: time.Minute, Denial: time.Minute},
-			Repeats:   admission.WindowConfig{Window: 10 * time.Second, Share: 0.2},
+			Retries:   admission.WindowConfig{Window: 10 * time.Second, Share: 0.2},
 		},
-		Grace: time.Second, Unready: time.Millisecond,
+		GracePeriod: time.Second, ShutdownDelay: time.Millisecond,
 	}
 	for _, change := range changes {
 		change(&config)
@@ -55,6 +55,6 @@
 		<-ended
 	})
 	t.Cleanup(stop)
-	becomes(t, config, http.StatusOK)
+	waitForReadyStatus(t, config, http.StatusOK)
 	return &testRouter{forwarder: forwarder, stop: stop}
 }
--- a/internal/node/watches.go
+++ b/internal/node/watches.go
@@ -16,11 +16,11 @@
 // than a region is passed over.
 const regionInterval = 500 * time.Millisecond
 
-// watchRegions logs which regions are lost, whenever that changes, until ctx ends.
-func (n *Node) watchRegions(ctx context.Context) {
+// logLostRegions logs which regions are lost, whenever that changes, until ctx ends.
+func (n *Node) logLostRegions(ctx context.Context) {
 	var before []ident.Region
 	wait.Every(ctx, regionInterval, func() {
-		lost := n.backends.Lost(clock.Now())
+		lost := n.backends.UnreachableRegions(clock.Now())
 		if !slices.Equal(lost, before) {
 			log.WithFields(log.Fields{"lost": lost, "before": before}).Warn("regions_lost")
 		}
@@ -28,9 +28,9 @@
 	})
 }
 
-// watchSuspensions looks whether this process stood still, beside the looks that are made before
+// logSuspensions looks whether this process stood still, beside the looks that are made before
 // decisions, and logs suspensions of the machine, until ctx ends.
-func watchSuspensions(ctx context.Context) {
+func logSuspensions(ctx context.Context) {
 	before := clock.Suspended()
 	defer clock.Watch()()
 	wait.Every(ctx, clock.WatchInterval, func() {
--- a/internal/node/zone_test.go
+++ b/internal/node/zone_test.go
@@ -28,15 +28,15 @@
 	// namingTable is where routers that start keep namings.
 	namingTable store.Table
 	// guard, if set, prepares each life of a router before it runs.
-	guard func(ctx context.Context, running *zoneRouter)
+	beforeStart func(ctx context.Context, running *zoneRouter)
 
 	// regions tells the regions of the routers' zones.
 	regions region.Map
 
 	mu      sync.Mutex
 	routers map[ident.Node]*zoneRouter
-	// apart tells which zones do not reach each other; nil means that all do.
-	apart func(a, b ident.Zone) bool
+	// partitioned tells which zones do not reach each other; nil means that all do.
+	partitioned func(a, b ident.Zone) bool
 }
 
 // zoneSharers are those of a zone's routers: a count each 5s, and state of 1.4s at most.
@@ -50,8 +50,8 @@
 	// reads counts the calls to the store that this router made, watches those that wait for
 	// its changes.
 	reads, watches int
-	// cut routers do not reach the store, dead ones answer no pull.
-	cut, dead bool
+	// cutOff routers do not reach the store, dead ones answer no pull.
+	cutOff, dead bool
 }
 
 func newZone() *zone {
@@ -69,18 +69,18 @@
 	running := &zoneRouter{zone: z, node: node}
 	ctx, running.stop = context.WithCancel(ctx)
 	running.follower = &follower{
-		source:  running,
-		replica: newReplica(node, &catalog.Holder{}, backend.NewRegistry(backend.Config{}), z.store.Decode, zoneSharers),
-		namings: &namings{table: z.namingTable, timeout: time.Second},
-		roster: &roster{
+		source:       running,
+		replica:      newReplica(node, &catalog.Holder{}, backend.NewRegistry(backend.Config{}), z.store.Decode, zoneSharers),
+		publications: &publicationStore{table: z.namingTable, timeout: time.Second},
+		routerList: &routerList{
 			table: z.store, timeout: time.Second, node: node, zone: ident.Zone("z" + place),
-			addr: netip.MustParseAddrPort("10.0.0.1:1"), life: fmt.Sprint(time.Now()),
+			addr: netip.MustParseAddrPort("10.0.0.1:1"), incarnation: fmt.Sprint(time.Now()),
 		},
-		audience: &audience{node: node},
-		client:   running,
-		chain:    newChainGuard(upstream.Config{Stagger: 700 * time.Millisecond, StaleAfter: 1400 * time.Millisecond, Regions: z.regions}),
-		lost:     func(string) {},
-		pulled:   func(string) {}, watchResult: func(string) {},
+		recipients: &recipients{node: node},
+		client:     running,
+		chain:      newChainGuard(upstream.Config{Stagger: 700 * time.Millisecond, StaleAfter: 1400 * time.Millisecond, Regions: z.regions}),
+		onLost:     func(string) {},
+		onPulled:   func(string) {}, onWatched: func(string) {},
 		startedAt: time.Now(),
 		config: FollowConfig{
 			ConfigurationInterval: 700 * time.Millisecond, BackendInterval: 500 * time.Millisecond,
@@ -90,19 +90,19 @@
 	z.mu.Lock()
 	z.routers[node] = running
 	z.mu.Unlock()
-	if z.guard != nil {
-		z.guard(ctx, running)
+	if z.beforeStart != nil {
+		z.beforeStart(ctx, running)
 	}
 	go running.follower.followConfiguration(ctx)
 	go running.follower.followBackends(ctx)
 	go running.follower.followPeers(ctx)
-	go running.follower.watchNamings(ctx)
-	go running.follower.markNamings(ctx)
+	go running.follower.watchPublications(ctx)
+	go running.follower.markPublications(ctx)
 	go running.follower.countRouters(ctx, func() bool { return false })
 	return running
 }
 
-func (z *zone) set(node ident.Node, change func(*zoneRouter)) {
+func (z *zone) changeRouter(node ident.Node, change func(*zoneRouter)) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	change(z.routers[node])
@@ -110,7 +110,7 @@
 
 // kill ends a router without a planned stop.
 func (z *zone) kill(node ident.Node) {
-	z.set(node, func(r *zoneRouter) {
+	z.changeRouter(node, func(r *zoneRouter) {
 		r.dead = true
 		r.stop()
 	})
@@ -141,14 +141,14 @@
 	return total
 }
 
-func (r *zoneRouter) ask() error { return r.call(&r.reads) }
+func (r *zoneRouter) countRead() error { return r.countCall(&r.reads) }
 
-// call counts a call to the store.
-func (r *zoneRouter) call(count *int) error {
+// countCall counts a call to the store.
+func (r *zoneRouter) countCall(count *int) error {
 	r.zone.mu.Lock()
 	defer r.zone.mu.Unlock()
 	*count++
-	if r.cut {
+	if r.cutOff {
 		return errors.New("cut off")
 	}
 	return nil
@@ -156,7 +156,7 @@
 
 // Configuration implements Source.
 func (r *zoneRouter) Configuration(ctx context.Context) (Reading, error) {
-	if err := r.ask(); err != nil {
+	if err := r.countRead(); err != nil {
 		return Reading{}, err
 	}
 	return r.zone.store.Configuration(ctx)
@@ -167,7 +167,7 @@
 
 // Changes implements Source.
 func (r *zoneRouter) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	if err := r.call(&r.watches); err != nil {
+	if err := r.countCall(&r.watches); err != nil {
 		return Changes{}, err
 	}
 	return r.zone.store.Changes(ctx, after, hold)
@@ -175,7 +175,7 @@
 
 // Backends implements Source.
 func (r *zoneRouter) Backends(ctx context.Context) ([]backend.Record, error) {
-	if err := r.ask(); err != nil {
+	if err := r.countRead(); err != nil {
 		return nil, err
 	}
 	return r.zone.store.Backends(ctx)
@@ -186,7 +186,7 @@
 	r.zone.mu.Lock()
 	asked := r.zone.routers[peer.Node]
 	dead := asked == nil || asked.dead
-	apart := r.zone.apart != nil && r.zone.apart(pull.From.Zone, peer.Zone)
+	apart := r.zone.partitioned != nil && r.zone.partitioned(pull.From.Zone, peer.Zone)
 	r.zone.mu.Unlock()
 	if apart {
 		wait.For(ctx, 250*time.Millisecond)
@@ -197,7 +197,7 @@
 		return nil, time.Time{}, errors.New("refused")
 	}
 	askedAt := time.Now()
-	asked.follower.chain.followed(pull.From)
+	asked.follower.chain.observeFollower(pull.From)
 	if !upstream.Hold(ctx, asked.follower.replica, pull) {
 		return nil, time.Time{}, ctx.Err()
 	}
@@ -231,14 +231,14 @@
 	return z
 }
 
-func (z *zone) adopt(version uint64) {
+func (z *zone) writeConfiguration(version uint64) {
 	z.store.change(func() {
 		z.store.reading.Revision, z.store.snapshot.Version = z.store.reading.Revision+1, version
 	})
 }
 
-// adopted fails unless all routers that are up have a version.
-func (z *zone) adopted(t *testing.T, version uint64) {
+// requireVersion fails unless all routers that are up have a version.
+func (z *zone) requireVersion(t *testing.T, version uint64) {
 	t.Helper()
 	z.mu.Lock()
 	defer z.mu.Unlock()
--- a/internal/placement/core.go
+++ b/internal/placement/core.go
@@ -212,25 +212,25 @@
 
 // Reported takes in a load report.
 func (c *Core) Reported(now time.Time, engine ident.Engine, report protocol.LoadReport) Effects {
-	c.changed(c.registry.Reported(now, engine, report))
+	c.changed(c.registry.ObserveReport(now, engine, report))
 	return c.pump(now)
 }
 
 // ReportFailed takes in that a load report could not be read.
 func (c *Core) ReportFailed(now time.Time, engine ident.Engine) Effects {
-	c.changed(c.registry.ReportFailed(engine))
+	c.changed(c.registry.ObserveReportFailure(engine))
 	return c.pump(now)
 }
 
 // LeavingSeen takes in a sign that an engine is leaving.
 func (c *Core) LeavingSeen(now time.Time, engine ident.Engine, incarnation ident.Incarnation) Effects {
-	c.changed(c.registry.LeavingSeen(now, engine, incarnation))
+	c.changed(c.registry.ObserveDraining(now, engine, incarnation))
 	return c.pump(now)
 }
 
 // Listed takes in a machine list: for each engine, whether its machine leaves.
 func (c *Core) Listed(now time.Time, leaving map[ident.Engine]bool) Effects {
-	c.changed(c.registry.Listed(now, leaving))
+	c.changed(c.registry.ApplyMachineList(now, leaving))
 	return c.pump(now)
 }
 
@@ -254,7 +254,7 @@
 // but never that a dead engine lives or that a life has been replaced.
 func (c *Core) heard(engine ident.Engine, incarnation ident.Incarnation) {
 	if c.registry.Incarnation(engine) == "" {
-		c.changed(c.registry.SeenIncarnation(engine, incarnation))
+		c.changed(c.registry.ObserveIncarnation(engine, incarnation))
 	}
 }
 
@@ -278,7 +278,7 @@
 			delete(c.limiters, change.Engine)
 		case endpoint.ChangeLoaded:
 			c.config.Beliefs.WeightsChanged(change.Engine)
-		case endpoint.ChangeLeaving:
+		case endpoint.ChangeDraining:
 			// A leaving engine keeps its cache and gets no new work.
 		}
 	}
@@ -291,7 +291,7 @@
 	c.refuse(c.config.Queue.Expire(now))
 	if len(c.waiting) > 0 {
 		c.setLimits(now)
-		c.refuse(c.config.Queue.Pump(now, func(item *admission.Item) admission.Verdict {
+		c.refuse(c.config.Queue.Pump(now, func(item *admission.Item) admission.Result {
 			return c.decide(now, c.waiting[item.ID])
 		}))
 	}
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -19,7 +19,7 @@
 const noEngineRetryAfter = 2 * time.Second
 
 // decide asks the scheduler about one waiting job.
-func (c *Core) decide(now time.Time, job *Job) admission.Verdict {
+func (c *Core) decide(now time.Time, job *Job) admission.Result {
 	c.snapshot.Now = now
 	c.snapshot.Endpoints = c.registry.Endpoints(now)
 	c.snapshot.Generation = c.registry.Generation()
@@ -33,16 +33,16 @@
 	switch decision.Action {
 	case framework.Dispatch:
 		c.place(now, job, decision)
-		return admission.Verdict{Action: admission.Dispatched}
+		return admission.Result{Action: admission.Dispatched}
 	case framework.Hold:
 		c.Counters.Held++
-		return admission.Verdict{Action: c.heldAction(job, decision.Reason)}
+		return admission.Result{Action: c.heldAction(job, decision.Reason)}
 	default:
-		if c.registry.Undecided(job.Request.Zones) {
+		if c.registry.AwaitingReports(job.Request.Zones) {
 			c.Counters.Held++
-			return admission.Verdict{Action: admission.ItemBlocked}
+			return admission.Result{Action: admission.ItemBlocked}
 		}
-		return admission.Verdict{Action: admission.Rejected, Fault: fault.New(fault.NoPermittedEngine,
+		return admission.Result{Action: admission.Rejected, Fault: fault.New(fault.NoPermittedEngine,
 			"no engine is left for service %q (filter %s)", job.Request.Service, decision.Reason).
 			WithRetryAfter(noEngineRetryAfter)}
 	}
@@ -89,7 +89,7 @@
 	}
 	uncached := max(0, job.Request.PromptTokens-int(chosen.CreditTokens))
 	c.registry.Sent(now, copied.Engine, job.Key, uncached)
-	c.registry.Considered(now, copied.Engine)
+	c.registry.MarkCandidate(now, copied.Engine)
 	c.config.Beliefs.Dispatched(now, copied.Engine, copied.Incarnation, job.Request.Chains[chosen.Version])
 	if limiter := c.limiter(copied.Engine); limiter != nil {
 		limiter.Started(now)
@@ -167,11 +167,11 @@
 		return c.pump(now)
 	}
 	delete(c.flights, key)
-	if !c.registry.At(flight.engine, flight.address) {
+	if !c.registry.HasAddress(flight.engine, flight.address) {
 		return c.pump(now)
 	}
 	c.registry.Ended(now, flight.engine, key)
-	c.changed(c.registry.SeenIncarnation(flight.engine, result.Incarnation))
+	c.changed(c.registry.ObserveIncarnation(flight.engine, result.Incarnation))
 	if limiter := c.limiters[flight.engine]; limiter != nil {
 		limiter.Finished(now, sampleOf(result))
 	}
@@ -181,9 +181,9 @@
 	}
 	switch {
 	case result.Unreachable:
-		c.changed(c.registry.Unreachable(flight.engine))
+		c.changed(c.registry.ObserveUnreachable(flight.engine))
 	case result.Refusal == protocol.RefusalLeaving:
-		c.changed(c.registry.LeavingSeen(now, flight.engine, result.Incarnation))
+		c.changed(c.registry.ObserveDraining(now, flight.engine, result.Incarnation))
 	}
 	return c.pump(now)
 }
--- a/internal/placement/directory.go
+++ b/internal/placement/directory.go
@@ -129,7 +129,7 @@
 		c.config.Directory.Incarnation(change.Engine, "")
 	case endpoint.ChangeRemoved:
 		c.config.Directory.Remove(change.Engine)
-	case endpoint.ChangeLeaving, endpoint.ChangeLoaded:
+	case endpoint.ChangeDraining, endpoint.ChangeLoaded:
 		// Neither moves a block: versions are part of the block hashes.
 	}
 }
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -109,7 +109,7 @@
 			return
 		case <-d.commands.Ready():
 		case <-d.news.Ready():
-		case <-d.poller.Answers().Ready():
+		case <-d.poller.Results().Ready():
 		case <-polls.C:
 			d.poll(time.Now())
 		case <-wake.C:
@@ -130,8 +130,8 @@
 	for run, ok := d.commands.Pop(); ok; run, ok = d.commands.Pop() {
 		d.apply(run(time.Now()))
 	}
-	for answer, ok := d.poller.Answers().Pop(); ok; answer, ok = d.poller.Answers().Pop() {
-		if !d.core.Registry().At(answer.Engine, answer.Address) {
+	for answer, ok := d.poller.Results().Pop(); ok; answer, ok = d.poller.Results().Pop() {
+		if !d.core.Registry().HasAddress(answer.Engine, answer.Address) {
 			continue
 		}
 		if answer.Err != nil {
@@ -146,7 +146,7 @@
 }
 
 func (d *Runner) poll(now time.Time) {
-	d.poller.Ask(d.core.Registry().Due(now, d.config.PollInterval, d.config.PollsPerTick))
+	d.poller.Enqueue(d.core.Registry().Due(now, d.config.PollInterval, d.config.PollsPerTick))
 	d.apply(d.core.Tick(now))
 }
 
--- a/internal/quarantine/guard/checks.go
+++ b/internal/quarantine/guard/checks.go
@@ -33,51 +33,51 @@
 	endedKept = 30 * time.Second
 )
 
-// Sign is what one look at a back end found of a life of it.
-type Sign uint8
+// ProbeResult is what one look at a back end found of a life of it.
+type ProbeResult uint8
 
 const (
-	// SignNone proves nothing: no answer, or one that does not tell.
-	SignNone Sign = iota
-	// SignAlive is an answer of the same life.
-	SignAlive
-	// SignRefused is a connection that was refused as none is to a process that runs. Where a
-	// back end bounds its connections, it is SignNone while an attempt of this router from before
+	// ProbeInconclusive proves nothing: no answer, or one that does not tell.
+	ProbeInconclusive ProbeResult = iota
+	// ProbeAlive is an answer of the same life.
+	ProbeAlive
+	// ProbeRefused is a connection that was refused as none is to a process that runs. Where a
+	// back end bounds its connections, it is ProbeInconclusive while an attempt of this router from before
 	// the break is open there: a crash breaks all connections.
-	SignRefused
-	// SignEnded is an answer of another life.
-	SignEnded
+	ProbeRefused
+	// ProbeEnded is an answer of another life.
+	ProbeEnded
 )
 
-// Place is one life of a back end at which an attempt was made.
-type Place struct {
-	Life ident.Incarnation
-	// Look asks the back end once what became of that life, where an attempt broke off at a
+// Target is one life of a back end at which an attempt was made.
+type Target struct {
+	Incarnation ident.Incarnation
+	// Probe asks the back end once what became of that life, where an attempt broke off at a
 	// time. It must come back once ctx ends.
-	Look func(ctx context.Context, brokeAt time.Time) Sign
+	Probe func(ctx context.Context, brokeAt time.Time) ProbeResult
 }
 
 // Backends is what a router knows of its back ends. Its methods are safe for concurrent use.
 type Backends interface {
-	// Leaving reports whether a life has ended as planned or is about to.
-	Leaving(life ident.Incarnation) bool
-	// SawGone takes in that a life has ended.
-	SawGone(now time.Time, life ident.Incarnation)
+	// DrainingOrUnlisted reports whether a life has ended as planned or is about to.
+	DrainingOrUnlisted(life ident.Incarnation) bool
+	// ObserveGone takes in that a life has ended.
+	ObserveGone(now time.Time, life ident.Incarnation)
 }
 
 // crashCheck is the question whether one life of a back end has ended.
 type crashCheck struct {
-	place   Place
+	place   Target
 	brokeAt time.Time
 	// requests were running there, as far as their attempts have broken off so far.
 	requests map[quarantine.Fingerprint]struct{}
 }
 
 // look asks the back end once.
-func (c *crashCheck) look(ctx context.Context) Sign {
+func (c *crashCheck) look(ctx context.Context) ProbeResult {
 	bounded, cancel := context.WithTimeout(ctx, lookTimeout)
 	defer cancel()
-	return c.place.Look(bounded, c.brokeAt)
+	return c.place.Probe(bounded, c.brokeAt)
 }
 
 func (c *crashCheck) add(requests []quarantine.Fingerprint) {
@@ -113,11 +113,11 @@
 
 // broke takes in that attempts of requests broke off at a back end, and checks it. One that was
 // leaving has ended as planned: that says nothing against what ran there.
-func (c *crashChecks) broke(now time.Time, at Place, requests ...quarantine.Fingerprint) {
-	if c.backends.Leaving(at.Life) {
+func (c *crashChecks) broke(now time.Time, at Target, requests ...quarantine.Fingerprint) {
+	if c.backends.DrainingOrUnlisted(at.Incarnation) {
 		return
 	}
-	life := at.Life
+	life := at.Incarnation
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if endedAt, ended := c.ended[life]; ended && now.Sub(endedAt) < endedKept {
@@ -146,21 +146,21 @@
 			break
 		}
 		switch check.look(ctx) {
-		case SignAlive:
+		case ProbeAlive:
 			c.finish(life, "alive", false)
 			return
-		case SignEnded:
+		case ProbeEnded:
 			refusals = refusalsToEnd
-		case SignRefused:
+		case ProbeRefused:
 			refusals++
-		case SignNone:
+		case ProbeInconclusive:
 			refusals = 0
 		}
 		if refusals >= refusalsToEnd {
 			requests := c.finish(life, "crashed", true)
 			// Nothing more is sent to that life. What reached the next one under the old name
 			// would count as running on the life that has ended.
-			c.backends.SawGone(clock.Now(), life)
+			c.backends.ObserveGone(clock.Now(), life)
 			c.crashed(check.brokeAt, life, requests)
 			return
 		}
--- a/internal/quarantine/guard/guard.go
+++ b/internal/quarantine/guard/guard.go
@@ -25,9 +25,9 @@
 	Timeout  time.Duration
 	Backends Backends
 	// Send sends news to all other routers. It must not block. Default: nobody is told.
-	Send func([]quarantine.Told)
-	// Keeps reports whether this router writes and reads the rows for all. Default: never.
-	Keeps func() bool
+	Send func([]quarantine.Evidence)
+	// MaintainsRows reports whether this router writes and reads the rows for all. Default: never.
+	MaintainsRows func() bool
 	// OnTrial is told what came of each question for a trial: granted, denied or failed; OnCheck
 	// what came of each check of a back end: crashed, alive or unknown.
 	OnTrial, OnCheck func(result string)
@@ -35,10 +35,10 @@
 
 func (c Config) withDefaults() Config {
 	if c.Send == nil {
-		c.Send = func([]quarantine.Told) {}
+		c.Send = func([]quarantine.Evidence) {}
 	}
-	if c.Keeps == nil {
-		c.Keeps = func() bool { return false }
+	if c.MaintainsRows == nil {
+		c.MaintainsRows = func() bool { return false }
 	}
 	if c.OnTrial == nil {
 		c.OnTrial = func(string) {}
@@ -89,9 +89,9 @@
 // Counts returns the number of requests that are held, and of all that are known.
 func (g *Guard) Counts() (held, suspects int) { return g.ledger.Counts() }
 
-// Judge returns why a request may not be sent, nil if it may. A router that lately had an answer
+// Check returns why a request may not be sent, nil if it may. A router that lately had an answer
 // to the request vouches for it.
-func (g *Guard) Judge(now time.Time, request *quarantine.Subject) *quarantine.Verdict {
+func (g *Guard) Check(now time.Time, request *quarantine.Subject) *quarantine.Decision {
 	if g.ledger.Empty() {
 		return nil
 	}
@@ -101,8 +101,8 @@
 	return g.ledger.Judge(now, request.Fingerprint())
 }
 
-// Answered takes in a whole success.
-func (g *Guard) Answered(now time.Time, request *quarantine.Subject) {
+// ObserveAnswered takes in a whole success.
+func (g *Guard) ObserveAnswered(now time.Time, request *quarantine.Subject) {
 	g.successes.Add(now, &request.Identity)
 	if !g.ledger.Empty() {
 		g.answered(now, request)
@@ -121,27 +121,27 @@
 	}
 }
 
-// Broke takes in an attempt that broke off.
-func (g *Guard) Broke(now time.Time, request *quarantine.Subject, at Place) {
+// ObserveBroken takes in an attempt that broke off.
+func (g *Guard) ObserveBroken(now time.Time, request *quarantine.Subject, at Target) {
 	if _, vouched := g.successes.Last(now, &request.Identity); vouched {
 		return
 	}
 	g.checks.broke(now, at, request.Fingerprint())
 }
 
-// Left takes in an attempt that was given up by this side and may be at work there still.
-func (g *Guard) Left(now time.Time, request *quarantine.Subject, at Place) {
+// ObserveAbandoned takes in an attempt that was given up by this side and may be at work there still.
+func (g *Guard) ObserveAbandoned(now time.Time, request *quarantine.Subject, at Target) {
 	if _, vouched := g.successes.Last(now, &request.Identity); vouched {
 		return
 	}
-	g.left.add(leftAttempt{life: at.Life, request: request.Fingerprint(), at: now})
+	g.left.add(leftAttempt{life: at.Incarnation, request: request.Fingerprint(), at: now})
 }
 
-// Unreached takes in that a back end took no connection. Where requests were given up shortly
+// ObserveUnreachable takes in that a back end took no connection. Where requests were given up shortly
 // before, and no other attempt was open that could break off, this is what shows that the back end
 // crashed.
-func (g *Guard) Unreached(now time.Time, at Place) {
-	if g.left.has(at.Life, now) {
+func (g *Guard) ObserveUnreachable(now time.Time, at Target) {
+	if g.left.has(at.Incarnation, now) {
 		g.checks.broke(now, at)
 	}
 }
@@ -174,7 +174,7 @@
 		var instances []string
 		var ages []int64
 		for _, crash := range verdict.Crashes {
-			instances = append(instances, string(crash.Life))
+			instances = append(instances, string(crash.Incarnation))
 			ages = append(ages, now.Sub(crash.At).Milliseconds())
 		}
 		log.WithFields(log.Fields{"fingerprint": request.String(), "instances": instances, "ages_ms": ages}).Warn("quarantine_began")
@@ -194,8 +194,8 @@
 	loops.Wait()
 }
 
-// Try asks for the grant of a trial that is due, and waits for it for a short time.
-func (g *Guard) Try(ctx context.Context, request *quarantine.Subject) bool {
+// AcquireTrial asks for the grant of a trial that is due, and waits for it for a short time.
+func (g *Guard) AcquireTrial(ctx context.Context, request *quarantine.Subject) bool {
 	result, trials := g.rows.claimTrial(ctx, request.Fingerprint())
 	g.config.OnTrial(string(result))
 	if result != trialGranted {
--- a/internal/quarantine/guard/guard_test.go
+++ b/internal/quarantine/guard/guard_test.go
@@ -12,7 +12,7 @@
 func TestEvidenceOfAllRoutersHoldsARequestEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 3, always(SignRefused))
+		w := newWards(t, 3, always(ProbeRefused))
 		w.crash(0, "guilty", 0)
 		w.crash(1, "guilty", 1)
 		is.Equal(w.held("guilty"), 0)
@@ -28,16 +28,16 @@
 func TestOnlyLivesThatEndedAreEvidence(t *testing.T) {
 	tests := []struct {
 		name    string
-		found   Sign
+		found   ProbeResult
 		engines []int
 		held    int
 	}{
-		{"refused connections", SignRefused, []int{0, 1, 2}, 1},
-		{"other lives", SignEnded, []int{0, 1, 2}, 1},
-		{"the same lives answer", SignAlive, []int{0, 1, 2}, 0},
-		{"silence", SignNone, []int{0, 1, 2}, 0},
-		{"one that was draining", SignRefused, []int{0, 1, 8}, 0},
-		{"one that was not listed", SignRefused, []int{0, 1, 9}, 0},
+		{"refused connections", ProbeRefused, []int{0, 1, 2}, 1},
+		{"other lives", ProbeEnded, []int{0, 1, 2}, 1},
+		{"the same lives answer", ProbeAlive, []int{0, 1, 2}, 0},
+		{"silence", ProbeInconclusive, []int{0, 1, 2}, 0},
+		{"one that was draining", ProbeRefused, []int{0, 1, 8}, 0},
+		{"one that was not listed", ProbeRefused, []int{0, 1, 9}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -63,26 +63,26 @@
 		held  int
 	}{
 		{"an attempt of another request breaks off", func(w *wards, engine int) {
-			w.all[0].Broke(time.Now(), asked(fmt.Sprint("beside ", engine)), w.place(engine))
+			w.all[0].ObserveBroken(time.Now(), asked(fmt.Sprint("beside ", engine)), w.place(engine))
 		}, 100 * time.Millisecond, 2},
 		{"it breaks off at another router", func(w *wards, engine int) {
-			w.all[1].Broke(time.Now(), asked(fmt.Sprint("beside ", engine)), w.place(engine))
+			w.all[1].ObserveBroken(time.Now(), asked(fmt.Sprint("beside ", engine)), w.place(engine))
 		}, 100 * time.Millisecond, 2},
-		{"it takes no connection", func(w *wards, engine int) { w.all[0].Unreached(time.Now(), w.place(engine)) }, 100 * time.Millisecond, 2},
+		{"it takes no connection", func(w *wards, engine int) { w.all[0].ObserveUnreachable(time.Now(), w.place(engine)) }, 100 * time.Millisecond, 2},
 		{"another one takes no connection", func(w *wards, _ int) {
-			w.all[0].Unreached(time.Now(), w.place(7))
+			w.all[0].ObserveUnreachable(time.Now(), w.place(7))
 		}, 100 * time.Millisecond, 0},
 		{"long after", func(w *wards, engine int) {
-			w.all[0].Broke(time.Now(), asked(fmt.Sprint("beside ", engine)), w.place(engine))
+			w.all[0].ObserveBroken(time.Now(), asked(fmt.Sprint("beside ", engine)), w.place(engine))
 		}, 5 * time.Second, 0},
 		{"nothing shows", func(*wards, int) {}, 100 * time.Millisecond, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWards(t, 2, always(SignRefused))
+				w := newWards(t, 2, always(ProbeRefused))
 				for engine := range 3 {
-					w.all[0].Left(time.Now(), asked("x"), w.place(engine))
+					w.all[0].ObserveAbandoned(time.Now(), asked("x"), w.place(engine))
 					time.Sleep(tt.after)
 					tt.seen(w, engine)
 					time.Sleep(time.Second)
@@ -98,14 +98,14 @@
 func TestAnAnswerVouchesForItsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 2, always(SignRefused))
+		w := newWards(t, 2, always(ProbeRefused))
 		time.Sleep(time.Millisecond)
-		w.all[0].Answered(time.Now(), asked("hot"))
+		w.all[0].ObserveAnswered(time.Now(), asked("hot"))
 		w.crash(0, "hot", 0, 1, 2, 3)
 		is.Equal(w.held("hot"), 0)
 		// Another router had no answer, and is told by the one that had.
 		w.crash(1, "hot", 4, 5, 6)
-		is.Equal(w.all[0].Judge(time.Now(), asked("hot")), nil)
+		is.Equal(w.all[0].Check(time.Now(), asked("hot")), nil)
 		is.Equal(w.held("hot"), 0)
 	})
 }
@@ -114,15 +114,15 @@
 func TestAWrongVerdictIsLiftedByATrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 3, always(SignRefused))
+		w := newWards(t, 3, always(ProbeRefused))
 		w.crash(0, "innocent", 0, 1, 2)
 		time.Sleep(time.Second)
-		is.True(!w.all[1].Judge(time.Now(), asked("innocent")).TrialDue)
+		is.True(!w.all[1].Check(time.Now(), asked("innocent")).TrialDue)
 		time.Sleep(10 * time.Second)
-		is.True(w.all[1].Judge(time.Now(), asked("innocent")).TrialDue)
-		is.True(w.all[1].Try(t.Context(), asked("innocent")))
-		is.True(!w.all[2].Try(t.Context(), asked("innocent")))
-		w.all[1].Answered(time.Now(), asked("innocent"))
+		is.True(w.all[1].Check(time.Now(), asked("innocent")).TrialDue)
+		is.True(w.all[1].AcquireTrial(t.Context(), asked("innocent")))
+		is.True(!w.all[2].AcquireTrial(t.Context(), asked("innocent")))
+		w.all[1].ObserveAnswered(time.Now(), asked("innocent"))
 		is.Equal(w.held("innocent"), 0)
 		time.Sleep(3 * time.Second)
 		is.Equal(w.store.count(), 0)
@@ -133,7 +133,7 @@
 func TestTrialsAreBoundedOverAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 4, always(SignRefused))
+		w := newWards(t, 4, always(ProbeRefused))
 		// One router learns nothing of what the others try.
 		w.deafen(3, true)
 		w.crash(0, "guilty", 0, 1, 2)
@@ -143,9 +143,9 @@
 		for range 600 {
 			time.Sleep(time.Second)
 			for _, q := range w.all {
-				verdict := q.Judge(time.Now(), asked("guilty"))
+				verdict := q.Check(time.Now(), asked("guilty"))
 				is.True(verdict != nil)
-				if verdict.TrialDue && q.Try(t.Context(), asked("guilty")) {
+				if verdict.TrialDue && q.AcquireTrial(t.Context(), asked("guilty")) {
 					trials++
 				}
 			}
--- a/internal/quarantine/guard/keep.go
+++ b/internal/quarantine/guard/keep.go
@@ -25,8 +25,8 @@
 // keepTold has the rows brought up to date at once of requests of which another router told, by
 // the router that keeps the rows and by those that just told of evidence themselves: none of them
 // may have known all of it before, and all may end at the next moment.
-func (g *Guard) keepTold(told []quarantine.Told) {
-	keeps := g.config.Keeps()
+func (g *Guard) keepTold(told []quarantine.Evidence) {
+	keeps := g.config.MaintainsRows()
 	for _, one := range told {
 		if g.rows.lacks(one.Request) && (keeps || g.telling(one.Request)) {
 			g.keep(one.Request)
@@ -64,7 +64,7 @@
 		case <-g.wake:
 		case <-time.After(keepInterval):
 		}
-		if g.config.Keeps() {
+		if g.config.MaintainsRows() {
 			if g.rows.relistDue(clock.Now()) {
 				g.relist(ctx)
 			}
--- a/internal/quarantine/guard/news.go
+++ b/internal/quarantine/guard/news.go
@@ -19,8 +19,8 @@
 	newsMost  = 200
 )
 
-// Take takes in what another router told as of a time, and returns what that one lacks.
-func (g *Guard) Take(at time.Time, told []quarantine.Told) (lacks []quarantine.Told) {
+// Merge takes in what another router told as of a time, and returns what that one lacks.
+func (g *Guard) Merge(at time.Time, told []quarantine.Evidence) (lacks []quarantine.Evidence) {
 	if g == nil || len(told) == 0 {
 		return nil
 	}
@@ -45,15 +45,15 @@
 
 // crashedElsewhere books crashes of which another router told as of a time on the requests that
 // were given up here at the same lives.
-func (g *Guard) crashedElsewhere(at time.Time, told []quarantine.Told) {
+func (g *Guard) crashedElsewhere(at time.Time, told []quarantine.Evidence) {
 	for _, one := range told {
 		for _, crash := range one.Crashes {
 			if crash.Age > leftFor {
 				continue
 			}
 			crashedAt := at.Add(-crash.Age)
-			if requests := g.left.take(crash.Life, crashedAt); len(requests) > 0 {
-				g.book(crashedAt, crash.Life, requests)
+			if requests := g.left.take(crash.Incarnation, crashedAt); len(requests) > 0 {
+				g.book(crashedAt, crash.Incarnation, requests)
 			}
 		}
 	}
@@ -67,8 +67,8 @@
 	return g.ledger.Digest()
 }
 
-// ToldSince returns what a peer is told that knows something of requests that are held.
-func (g *Guard) ToldSince(now time.Time, digest uint64) []quarantine.Told {
+// EvidenceSince returns what a peer is told that knows something of requests that are held.
+func (g *Guard) EvidenceSince(now time.Time, digest uint64) []quarantine.Evidence {
 	if g.ledger.Digest() == digest {
 		return nil
 	}
@@ -91,7 +91,7 @@
 // sendNews sends what is known of requests.
 func (g *Guard) sendNews(requests []quarantine.Fingerprint) {
 	now := clock.Now()
-	var part []quarantine.Told
+	var part []quarantine.Evidence
 	for _, request := range requests[:min(len(requests), newsMost)] {
 		if told, known := g.ledger.Tell(now, request); known {
 			part = append(part, told)
--- a/internal/quarantine/guard/rows.go
+++ b/internal/quarantine/guard/rows.go
@@ -42,8 +42,8 @@
 // rowValue is the value of a row.
 type rowValue struct {
 	// StoreTime is the store's own time as of which the ages in Told count.
-	StoreTime time.Duration   `cbor:"1,keyasint"`
-	Told      quarantine.Told `cbor:"2,keyasint"`
+	StoreTime time.Duration       `cbor:"1,keyasint"`
+	Told      quarantine.Evidence `cbor:"2,keyasint"`
 }
 
 // rows keeps the evidence against requests in the store, and grants trials by conditional
@@ -170,7 +170,7 @@
 	if storeTime > kept.StoreTime {
 		at = now.Add(kept.StoreTime - storeTime)
 	}
-	held, _ := r.ledger.Take(at, []quarantine.Told{kept.Told})
+	held, _ := r.ledger.Take(at, []quarantine.Evidence{kept.Told})
 	return held
 }
 
@@ -249,7 +249,7 @@
 	return kept.Told.Kept()
 }
 
-func writeOf(storeTime time.Duration, told quarantine.Told) (protocol.Write, error) {
+func writeOf(storeTime time.Duration, told quarantine.Evidence) (protocol.Write, error) {
 	value, err := cbor.Marshal(rowValue{StoreTime: storeTime, Told: told})
 	return protocol.Write{Key: rowKey(told.Request), Value: value}, err
 }
--- a/internal/quarantine/guard/rows_test.go
+++ b/internal/quarantine/guard/rows_test.go
@@ -15,9 +15,9 @@
 func TestAllRoutersEndAtTheThirdCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 3, always(SignRefused))
+		w := newWards(t, 3, always(ProbeRefused))
 		ctx, kill := context.WithCancel(t.Context())
-		former := newWards(t, 0, always(SignRefused))
+		former := newWards(t, 0, always(ProbeRefused))
 		former.store, former.table = w.store, &fakeTable{rows: w.store}
 		for range 3 {
 			former.start(ctx)
@@ -34,8 +34,8 @@
 		late, engine := 0, 3
 		for range 60 {
 			q := w.all[late%3]
-			verdict := q.Judge(time.Now(), asked("guilty"))
-			if verdict == nil || (verdict.TrialDue && q.Try(t.Context(), asked("guilty"))) {
+			verdict := q.Check(time.Now(), asked("guilty"))
+			if verdict == nil || (verdict.TrialDue && q.AcquireTrial(t.Context(), asked("guilty"))) {
 				late++
 				w.crash(late%3, "guilty", engine)
 				engine++
@@ -51,7 +51,7 @@
 func TestEvidenceThatIsPutTogetherLaterIsKeptAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 3, always(SignRefused))
+		w := newWards(t, 3, always(ProbeRefused))
 		w.deafen(0, true)
 		w.deafen(2, true)
 		w.crash(1, "x", 0)
@@ -67,7 +67,7 @@
 func TestARowThatAnotherRouterWroteHoldsUpNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 2, always(SignRefused))
+		w := newWards(t, 2, always(ProbeRefused))
 		w.deafen(0, true)
 		conflicts := 0
 		w.table.refuse = func(string) bool {
@@ -76,7 +76,7 @@
 		}
 		for engine := range 2 {
 			for _, body := range []string{"a", "b", "c"} {
-				w.all[1].Broke(time.Now(), asked(body), w.place(engine))
+				w.all[1].ObserveBroken(time.Now(), asked(body), w.place(engine))
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -90,14 +90,14 @@
 		name string
 		then func(w *wards)
 	}{
-		{"answered", func(w *wards) { w.all[1].Answered(time.Now(), asked("x")) }},
+		{"answered", func(w *wards) { w.all[1].ObserveAnswered(time.Now(), asked("x")) }},
 		{"forgotten", func(*wards) { time.Sleep(11 * time.Minute) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWards(t, 2, always(SignRefused))
+				w := newWards(t, 2, always(ProbeRefused))
 				w.crash(1, "x", 0)
 				time.Sleep(3 * time.Second)
 				is.Equal(w.store.count(), 0)
@@ -116,12 +116,12 @@
 func TestNoTrialIsGrantedWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 2, always(SignRefused))
+		w := newWards(t, 2, always(ProbeRefused))
 		w.table.down.Store(true)
 		w.crash(0, "guilty", 0, 1, 2)
 		time.Sleep(time.Minute)
 		is.Equal(w.held("guilty"), 2)
-		is.True(!w.all[0].Try(t.Context(), asked("guilty")))
+		is.True(!w.all[0].AcquireTrial(t.Context(), asked("guilty")))
 		w.table.down.Store(false)
 		time.Sleep(5 * time.Second)
 		is.Equal(w.store.count(), 1)
@@ -132,7 +132,7 @@
 func TestAStoreThatComesBackWithoutARowLiftsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 2, always(SignRefused))
+		w := newWards(t, 2, always(ProbeRefused))
 		empty := w.store.Copy()
 		for engine := range 3 {
 			w.crash(0, "guilty", engine)
@@ -152,7 +152,7 @@
 func TestAnOperatorLiftsAVerdict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 3, always(SignRefused))
+		w := newWards(t, 3, always(ProbeRefused))
 		w.crash(1, "x", 0, 1, 2)
 		time.Sleep(6 * time.Second)
 		is.Equal(w.store.count(), 1)
@@ -170,7 +170,7 @@
 func TestARowThatIsNewerThanTheListLiftsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 2, always(SignRefused))
+		w := newWards(t, 2, always(ProbeRefused))
 		w.table.down.Store(true)
 		w.crash(1, "guilty", 0, 1, 2)
 		time.Sleep(11 * time.Second)
@@ -178,7 +178,7 @@
 		meanwhile := func() {
 			w.table.down.Store(false)
 			is.NoErr(w.all[1].rows.update(t.Context(), asked("guilty").Fingerprint()))
-			granted.Store(w.all[0].Try(t.Context(), asked("guilty")))
+			granted.Store(w.all[0].AcquireTrial(t.Context(), asked("guilty")))
 		}
 		w.table.listed.Store(&meanwhile)
 		time.Sleep(6 * time.Second)
@@ -191,7 +191,7 @@
 func TestARowThatCannotBeReadIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 1, always(SignRefused))
+		w := newWards(t, 1, always(ProbeRefused))
 		w.crash(0, "x", 0, 1, 2)
 		time.Sleep(time.Second)
 		w.store.change(func() {
@@ -203,8 +203,8 @@
 		})
 		next := w.start(t.Context())
 		next.Load(t.Context(), 0)
-		is.True(next.Judge(time.Now(), asked("x")) != nil)
-		is.True(next.Judge(time.Now(), asked("y")) == nil)
+		is.True(next.Check(time.Now(), asked("x")) != nil)
+		is.True(next.Check(time.Now(), asked("y")) == nil)
 	})
 }
 
@@ -213,15 +213,15 @@
 func TestARouterThatWasCutOffReadsTheRowsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 3, always(SignRefused))
+		w := newWards(t, 3, always(ProbeRefused))
 		w.all[1].Load(t.Context(), 0)
 		w.deafen(1, true)
 		w.crash(0, "guilty", 0, 1, 2)
 		time.Sleep(time.Second)
 		w.all[1].Load(t.Context(), time.Second)
-		is.True(w.all[1].Judge(time.Now(), asked("guilty")) == nil)
+		is.True(w.all[1].Check(time.Now(), asked("guilty")) == nil)
 		w.all[1].Load(t.Context(), 5*time.Second)
-		is.True(w.all[1].Judge(time.Now(), asked("guilty")) != nil)
+		is.True(w.all[1].Check(time.Now(), asked("guilty")) != nil)
 	})
 }
 
@@ -230,7 +230,7 @@
 func TestTheKeeperRemovesARowThatWasLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWards(t, 2, always(SignRefused))
+		w := newWards(t, 2, always(ProbeRefused))
 		w.crash(0, "innocent", 0, 1, 2)
 		time.Sleep(time.Second)
 		is.Equal(w.store.count(), 1)
--- a/internal/quarantine/guard/wards_test.go
+++ b/internal/quarantine/guard/wards_test.go
@@ -14,18 +14,20 @@
 )
 
 // lookOf is what a look at a life finds.
-type lookOf func(life ident.Incarnation) Sign
+type lookOf func(life ident.Incarnation) ProbeResult
 
-func always(sign Sign) lookOf { return func(ident.Incarnation) Sign { return sign } }
+func always(sign ProbeResult) lookOf { return func(ident.Incarnation) ProbeResult { return sign } }
 
 // fakeBackends are engines e0 to e8, of which the last one is leaving, and no other.
 type fakeBackends struct{}
 
-// Leaving implements Backends.
-func (fakeBackends) Leaving(life ident.Incarnation) bool { return life < "e0" || life > "e7" }
+// DrainingOrUnlisted implements Backends.
+func (fakeBackends) DrainingOrUnlisted(life ident.Incarnation) bool {
+	return life < "e0" || life > "e7"
+}
 
-// SawGone implements Backends.
-func (fakeBackends) SawGone(time.Time, ident.Incarnation) {}
+// ObserveGone implements Backends.
+func (fakeBackends) ObserveGone(time.Time, ident.Incarnation) {}
 
 // wards are the quarantines of some routers before one store, in virtual time.
 type wards struct {
@@ -54,8 +56,8 @@
 	index := len(w.all)
 	var g *Guard
 	g = New(Config{
-		Table: w.table, Timeout: time.Second, Backends: fakeBackends{}, Keeps: func() bool { return index == 0 },
-		Send: func(told []quarantine.Told) { w.send(index, g, told) },
+		Table: w.table, Timeout: time.Second, Backends: fakeBackends{}, MaintainsRows: func() bool { return index == 0 },
+		Send: func(told []quarantine.Evidence) { w.send(index, g, told) },
 	})
 	w.mu.Lock()
 	w.all = append(w.all, g)
@@ -73,22 +75,22 @@
 }
 
 // send hands news of a router to the others, and later what these answer to it.
-func (w *wards) send(from int, teller *Guard, told []quarantine.Told) {
+func (w *wards) send(from int, teller *Guard, told []quarantine.Evidence) {
 	w.mu.Lock()
 	all, deaf := w.all, maps.Clone(w.deaf)
 	w.mu.Unlock()
 	for other, receiver := range all {
 		if other != from && !deaf[other] {
-			lacks := receiver.Take(time.Now(), told)
-			time.AfterFunc(time.Millisecond, func() { teller.Take(time.Now(), lacks) })
+			lacks := receiver.Merge(time.Now(), told)
+			time.AfterFunc(time.Millisecond, func() { teller.Merge(time.Now(), lacks) })
 		}
 	}
 }
 
 // place is a life of an engine.
-func (w *wards) place(engine int) Place {
+func (w *wards) place(engine int) Target {
 	life := ident.Incarnation(fmt.Sprint("e", engine))
-	return Place{Life: life, Look: func(context.Context, time.Time) Sign { return w.look(life) }}
+	return Target{Incarnation: life, Probe: func(context.Context, time.Time) ProbeResult { return w.look(life) }}
 }
 
 func asked(body string) *quarantine.Subject {
@@ -98,7 +100,7 @@
 // crash has a router see attempts of a request break off at engines.
 func (w *wards) crash(router int, body string, engines ...int) {
 	for _, engine := range engines {
-		w.all[router].Broke(time.Now(), asked(body), w.place(engine))
+		w.all[router].ObserveBroken(time.Now(), asked(body), w.place(engine))
 	}
 	time.Sleep(200 * time.Millisecond)
 }
@@ -107,7 +109,7 @@
 func (w *wards) held(body string) int {
 	count := 0
 	for _, q := range w.all {
-		if q.Judge(time.Now(), asked(body)) != nil {
+		if q.Check(time.Now(), asked(body)) != nil {
 			count++
 		}
 	}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -36,8 +36,8 @@
 
 // Crash is the end of a life that a request ran on.
 type Crash struct {
-	Life ident.Incarnation
-	At   time.Time
+	Incarnation ident.Incarnation
+	At          time.Time
 }
 
 // suspect is what is known of one request.
@@ -79,7 +79,7 @@
 
 // add takes in a crash. A life ends once, when the first router saw it.
 func (s *suspect) add(crash Crash) {
-	place := slices.IndexFunc(s.crashes, func(known Crash) bool { return known.Life == crash.Life })
+	place := slices.IndexFunc(s.crashes, func(known Crash) bool { return known.Incarnation == crash.Incarnation })
 	switch {
 	case place < 0:
 		s.crashes = append(s.crashes, crash)
@@ -148,7 +148,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, request := range requests {
-		l.known(at, request).add(Crash{Life: life, At: at})
+		l.known(at, request).add(Crash{Incarnation: life, At: at})
 		held = l.announce(request, held)
 	}
 	return held
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -87,7 +87,7 @@
 		}
 		whole := quarantine.NewLedger()
 		play(whole, all)
-		var told []quarantine.Told
+		var told []quarantine.Evidence
 		for _, e := range all {
 			one := quarantine.NewLedger()
 			play(one, []event{{at: e.at, crash: e.crash}})
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	ledger := quarantine.NewLedger()
 	play(ledger, []event{{at: 1, crash: 1}, {at: 2, crash: 2}, {at: 3, crash: 3}})
-	at := func(seconds float64) *quarantine.Verdict {
+	at := func(seconds float64) *quarantine.Decision {
 		return ledger.Judge(begin.Add(time.Duration(seconds*float64(time.Second))), fingerprint(0))
 	}
 	is.True(!at(12.9).TrialDue)
@@ -144,10 +144,10 @@
 	play(one, []event{{at: 1, crash: 1}, {at: 2, crash: 2}})
 	play(two, []event{{at: 3, crash: 3}})
 	told, _ := two.Tell(begin.Add(4*time.Second), fingerprint(0))
-	_, more := one.Take(begin.Add(4*time.Second), []quarantine.Told{told})
+	_, more := one.Take(begin.Add(4*time.Second), []quarantine.Evidence{told})
 	is.Equal(len(more), 1)
 	told, _ = one.Tell(begin.Add(4*time.Second), fingerprint(0))
-	held, more := two.Take(begin.Add(4*time.Second), []quarantine.Told{told})
+	held, more := two.Take(begin.Add(4*time.Second), []quarantine.Evidence{told})
 	is.Equal(len(held), 1)
 	is.Equal(len(more), 0)
 }
@@ -192,5 +192,5 @@
 	play(ledger, []event{{at: 3, crash: 1}, {at: 4, crash: 2}, {at: 5, crash: 3}, {at: 6, crash: 4}, {at: 7, crash: 5}, {at: 8, crash: 6}})
 	verdict := ledger.Judge(begin.Add(time.Minute), fingerprint(0))
 	play(ledger, []event{{at: 2, crash: 6}})
-	is.Equal(verdict.Crashes[0].Life, life(1))
+	is.Equal(verdict.Crashes[0].Incarnation, life(1))
 }
--- a/internal/quarantine/verdict.go
+++ b/internal/quarantine/verdict.go
@@ -23,8 +23,8 @@
 // deployment): the second one has time.
 var trialPauses = [maxTrials]time.Duration{10 * time.Second, 10 * time.Minute}
 
-// Verdict says why a request is not sent on.
-type Verdict struct {
+// Decision says why a request is not sent on.
+type Decision struct {
 	Request Fingerprint
 	// Crashes are the lives that ended under it with no success in between.
 	Crashes []Crash
@@ -36,19 +36,19 @@
 }
 
 // String says why the request is held, to its callers.
-func (v *Verdict) String() string {
+func (v *Decision) String() string {
 	return fmt.Sprintf("%d back ends crashed while they ran this request, which has the fingerprint %s", len(v.Crashes), v.Request)
 }
 
 // Judge returns the verdict on a request, nil if it may be sent.
-func (l *Ledger) Judge(now time.Time, request Fingerprint) *Verdict {
+func (l *Ledger) Judge(now time.Time, request Fingerprint) *Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known := l.suspects[request]
 	if known == nil || !known.held() {
 		return nil
 	}
-	verdict := &Verdict{Request: request, Crashes: slices.Clone(known.counted()), Trials: known.trials, RetryAfter: HeldRetryAfter}
+	verdict := &Decision{Request: request, Crashes: slices.Clone(known.counted()), Trials: known.trials, RetryAfter: HeldRetryAfter}
 	if due, more := known.trialAfter(); more {
 		verdict.TrialDue = !now.Before(due)
 		verdict.RetryAfter = max(due.Sub(now), leastRetryAfter)
--- a/internal/quota/agent.go
+++ b/internal/quota/agent.go
@@ -13,9 +13,9 @@
 	// FirstID is the first of this agent's ids, which must differ from those of its
 	// former lives.
 	FirstID uint64
-	// Alone keeps the router in a pool of its own: each router then grants its equal
+	// Standalone keeps the router in a pool of its own: each router then grants its equal
 	// share of every limit without a word to the others.
-	Alone bool
+	Standalone bool
 	// Place is the place, among the routers that are up from the oldest on, of the one that
 	// leads. Agents with other places share out the work of leading.
 	Place int
@@ -60,7 +60,7 @@
 
 // pending is a claim that waits for its verdict.
 type pending struct {
-	claim Claim
+	claim Reservation
 	// to was asked at askedAt for the tries-th time; leaders counts those asked.
 	to             netip.AddrPort
 	askedAt        time.Time
@@ -81,15 +81,15 @@
 	return agent
 }
 
-// Know takes in this router's revision in the list of routers and the addresses of
+// SetRouters takes in this router's revision in the list of routers and the addresses of
 // those with lower ones, the lowest first.
-func (a *Agent) Know(revision uint64, older []netip.AddrPort) {
+func (a *Agent) SetRouters(revision uint64, older []netip.AddrPort) {
 	a.revision = revision
 	a.ranking.Know(revision, older)
 }
 
-// Counted takes in the number of all routers, 0 if it is not known.
-func (a *Agent) Counted(routers int) { a.routers = routers }
+// SetRouterCount takes in the number of all routers, 0 if it is not known.
+func (a *Agent) SetRouterCount(routers int) { a.routers = routers }
 
 // sharers returns the number of routers that share the limits.
 func (a *Agent) sharers() int {
@@ -112,7 +112,7 @@
 
 // Tick takes in the time: hellos that are due, and answers that did not come.
 func (a *Agent) Tick(now time.Time) {
-	if !a.cfg.Alone {
+	if !a.cfg.Standalone {
 		for _, envelope := range a.ranking.Due(now) {
 			a.hello(now, envelope)
 		}
@@ -166,8 +166,8 @@
 	}
 }
 
-// Take asks for the grant of a claim and returns the ID of the decision to come.
-func (a *Agent) Take(now time.Time, claim Claim) uint64 {
+// Acquire asks for the grant of a claim and returns the ID of the decision to come.
+func (a *Agent) Acquire(now time.Time, claim Reservation) uint64 {
 	a.nextID++
 	a.ask(now, a.nextID, &pending{claim: claim})
 	return a.nextID
@@ -183,7 +183,7 @@
 	}
 	waiting.tries++
 	waiting.askedAt = now
-	ask := Ask{ID: id, Claim: waiting.claim}
+	ask := AcquireRequest{ID: id, Reservation: waiting.claim}
 	a.asks[id] = waiting
 	if a.leader == a.cfg.Self {
 		answer := a.pool.Ask(now, a.cfg.Self, &ask, a.sharers())
@@ -204,15 +204,15 @@
 	}
 	a.follow(now)
 	if waiting.to != a.leader && waiting.leaders >= leadersEach {
-		a.Forget(id)
-		a.done = append(a.done, Decision{ID: id, Verdict: Unconfirmed{}})
+		a.Cancel(id)
+		a.done = append(a.done, Decision{ID: id, Result: Unconfirmed{}})
 		return
 	}
 	a.ask(now, id, waiting)
 }
 
-// Forget drops a claim whose request has ended.
-func (a *Agent) Forget(id uint64) {
+// Cancel drops a claim whose request has ended.
+func (a *Agent) Cancel(id uint64) {
 	if waiting := a.asks[id]; waiting != nil {
 		a.withdraw(id, waiting)
 		delete(a.asks, id)
@@ -222,17 +222,17 @@
 // withdraw gives back what a leader may have granted that is not awaited any more.
 func (a *Agent) withdraw(id uint64, waiting *pending) {
 	if waiting.to.IsValid() {
-		a.Return(Grant{By: waiting.to, ID: id})
+		a.Release(Grant{Leader: waiting.to, ID: id})
 	}
 }
 
-// Return gives back the grant of a request that did not run.
-func (a *Agent) Return(grant Grant) {
-	if grant.By == a.cfg.Self {
+// Release gives back the grant of a request that did not run.
+func (a *Agent) Release(grant Grant) {
+	if grant.Leader == a.cfg.Self {
 		a.pool.Return(a.cfg.Self, grant.ID)
 		return
 	}
-	a.out = append(a.out, Envelope{To: grant.By, Message: Return{ID: grant.ID}})
+	a.out = append(a.out, Envelope{To: grant.Leader, Message: Release{ID: grant.ID}})
 }
 
 // Receive takes in a message.
@@ -244,8 +244,8 @@
 		if msg.Member && !a.pool.outdated(from, Leave{Hello: msg.Number}) {
 			a.pool.Join(now, from, msg.StartCredit, a.sharers())
 		}
-		a.out = append(a.out, Envelope{To: from, Message: Welcome{Number: msg.Number, Revision: a.revision}})
-	case Welcome:
+		a.out = append(a.out, Envelope{To: from, Message: HelloAck{Number: msg.Number, Revision: a.revision}})
+	case HelloAck:
 		if from == a.leader && msg.Number != 0 {
 			a.startCredit = false
 		}
@@ -254,18 +254,18 @@
 	case Leave:
 		a.pool.Leave(now, from, a.sharers())
 		a.pool.said(now, from, msg)
-	case Ask:
+	case AcquireRequest:
 		answer := a.pool.Ask(now, from, &msg, a.sharers())
 		a.out = append(a.out, Envelope{To: from, Message: answer})
-	case Answer:
+	case AcquireResponse:
 		a.answered(now, from, &msg)
-	case Return:
+	case Release:
 		a.pool.Return(from, msg.ID)
 	}
 }
 
 // answered takes in an answer, unless it came before or is not awaited any more.
-func (a *Agent) answered(now time.Time, from netip.AddrPort, answer *Answer) {
+func (a *Agent) answered(now time.Time, from netip.AddrPort, answer *AcquireResponse) {
 	waiting := a.asks[answer.ID]
 	if waiting == nil || waiting.to != from {
 		return
@@ -279,12 +279,12 @@
 }
 
 // decide gives the verdict that an answer means.
-func (a *Agent) decide(by netip.AddrPort, answer Answer) {
-	verdict := Verdict(Denied{After: answer.After})
+func (a *Agent) decide(by netip.AddrPort, answer AcquireResponse) {
+	verdict := Result(Denied{RetryAfter: answer.RetryAfter})
 	if answer.Granted {
-		verdict = Granted{Grant: Grant{By: by, ID: answer.ID}}
+		verdict = Granted{Grant: Grant{Leader: by, ID: answer.ID}}
 	}
-	a.done = append(a.done, Decision{ID: answer.ID, Verdict: verdict})
+	a.done = append(a.done, Decision{ID: answer.ID, Result: verdict})
 }
 
 // Stop leaves the pool, as the router stops.
@@ -295,7 +295,7 @@
 }
 
 // goodbye returns the message that this router is no member any more.
-func (a *Agent) goodbye() Leave { return Leave{Hello: a.ranking.number, Ask: a.nextID} }
+func (a *Agent) goodbye() Leave { return Leave{Hello: a.ranking.number, AcquireRequest: a.nextID} }
 
 // Flush returns the messages to send and the decisions made since the last call.
 func (a *Agent) Flush() ([]Envelope, []Decision) {
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -20,7 +20,7 @@
 			b.ReportAllocs()
 			for index := range b.N {
 				now = now.Add(250 * time.Microsecond)
-				ask := Ask{ID: uint64(index), Claim: Claim{
+				ask := AcquireRequest{ID: uint64(index), Reservation: Reservation{
 					Subject: names[index%len(names)], Limit: Limit{Rate: 1e6, Burst: 1e6}, Version: 1, Amount: 9000,
 				}}
 				pool.Ask(now, addrOf(index%size.routers), &ask, size.routers)
@@ -35,7 +35,7 @@
 		b.Run(fmt.Sprint(tenants, " tenants"), func(b *testing.B) {
 			pool := poolOf(epoch, 100, 100, false)
 			for index := range tenants {
-				ask := Ask{ID: uint64(index), Claim: Claim{Subject: Subject(fmt.Sprint(index)), Limit: testLimit, Amount: 1}}
+				ask := AcquireRequest{ID: uint64(index), Reservation: Reservation{Subject: Subject(fmt.Sprint(index)), Limit: testLimit, Amount: 1}}
 				pool.Ask(epoch, addrOf(0), &ask, 100)
 			}
 			for b.Loop() {
@@ -48,7 +48,7 @@
 
 // BenchmarkMessage encodes and decodes one ask, and reports its length.
 func BenchmarkMessage(b *testing.B) {
-	ask := Ask{ID: 1 << 62, Claim: Claim{Subject: "jeye930", Limit: Limit{Rate: 573606, Burst: 573606}, Version: 7, Amount: 9190}}
+	ask := AcquireRequest{ID: 1 << 62, Reservation: Reservation{Subject: "jeye930", Limit: Limit{Rate: 573606, Burst: 573606}, Version: 7, Amount: 9190}}
 	for b.Loop() {
 		encoded, err := cbor.Marshal(Pack(ask))
 		if err != nil {
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -24,8 +24,8 @@
 	Revision uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Welcome answers a Hello.
-type Welcome struct {
+// HelloAck answers a Hello.
+type HelloAck struct {
 	Number uint64 `cbor:"1,keyasint"`
 	// Revision tells how old the answering router is among all; it is 0 until known.
 	Revision uint64 `cbor:"2,keyasint"`
@@ -34,15 +34,15 @@
 // Leave says that its sender is no member any more. What it sent before may arrive later.
 type Leave struct {
 	// Hello and Ask are the numbers of the last ones that it sent to anyone before.
-	Hello uint64 `cbor:"1,keyasint,omitempty"`
-	Ask   uint64 `cbor:"2,keyasint,omitempty"`
+	Hello          uint64 `cbor:"1,keyasint,omitempty"`
+	AcquireRequest uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // Subject is whose limit is claimed: a tenant by its name, or one life of a back end.
 type Subject string
 
-// Claim is what a request would use of a limit.
-type Claim struct {
+// Reservation is what a request would use of a limit.
+type Reservation struct {
 	Subject Subject `cbor:"1,keyasint"`
 	Limit   Limit   `cbor:"2,keyasint"`
 	// Version orders the limits of a subject; the highest is in force.
@@ -54,49 +54,49 @@
 
 // sound reports whether the claim may be counted: what another router tells may be
 // anything.
-func (c *Claim) sound() bool {
+func (c *Reservation) sound() bool {
 	finite := func(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
 	return finite(c.Amount) && finite(c.Limit.Rate) && finite(c.Limit.Burst) && c.Limit.Limited()
 }
 
-// Ask asks the leader of a pool to grant a claim. It is repeated with the same ID if no
+// AcquireRequest asks the leader of a pool to grant a claim. It is repeated with the same ID if no
 // answer comes.
-type Ask struct {
-	ID    uint64 `cbor:"1,keyasint"`
-	Claim Claim  `cbor:"2,keyasint"`
+type AcquireRequest struct {
+	ID          uint64      `cbor:"1,keyasint"`
+	Reservation Reservation `cbor:"2,keyasint"`
 }
 
-// Answer answers an Ask.
-type Answer struct {
+// AcquireResponse answers an Ask.
+type AcquireResponse struct {
 	ID      uint64 `cbor:"1,keyasint"`
 	Granted bool   `cbor:"2,keyasint,omitempty"`
-	// After is the time until the claim could be granted, if it is denied.
-	After time.Duration `cbor:"3,keyasint,omitempty"`
+	// RetryAfter is the time until the claim could be granted, if it is denied.
+	RetryAfter time.Duration `cbor:"3,keyasint,omitempty"`
 	// Forming says that neither is decided, since members of the pool are still coming:
 	// the claim is to be asked for again.
 	Forming bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Return gives back what was granted for a request that did not run.
-type Return struct {
+// Release gives back what was granted for a request that did not run.
+type Release struct {
 	ID uint64 `cbor:"1,keyasint"`
 }
 
-func (Hello) message()   {}
-func (Welcome) message() {}
-func (Leave) message()   {}
-func (Ask) message()     {}
-func (Answer) message()  {}
-func (Return) message()  {}
+func (Hello) message()           {}
+func (HelloAck) message()        {}
+func (Leave) message()           {}
+func (AcquireRequest) message()  {}
+func (AcquireResponse) message() {}
+func (Release) message()         {}
 
 // Datagram carries one message; exactly one field is set.
 type Datagram struct {
-	Hello   *Hello   `cbor:"1,keyasint,omitempty"`
-	Welcome *Welcome `cbor:"2,keyasint,omitempty"`
-	Leave   *Leave   `cbor:"3,keyasint,omitempty"`
-	Ask     *Ask     `cbor:"4,keyasint,omitempty"`
-	Answer  *Answer  `cbor:"5,keyasint,omitempty"`
-	Return  *Return  `cbor:"6,keyasint,omitempty"`
+	Hello           *Hello           `cbor:"1,keyasint,omitempty"`
+	HelloAck        *HelloAck        `cbor:"2,keyasint,omitempty"`
+	Leave           *Leave           `cbor:"3,keyasint,omitempty"`
+	AcquireRequest  *AcquireRequest  `cbor:"4,keyasint,omitempty"`
+	AcquireResponse *AcquireResponse `cbor:"5,keyasint,omitempty"`
+	Release         *Release         `cbor:"6,keyasint,omitempty"`
 }
 
 // Pack returns the datagram of a message.
@@ -104,16 +104,16 @@
 	switch msg := msg.(type) {
 	case Hello:
 		return &Datagram{Hello: &msg}
-	case Welcome:
-		return &Datagram{Welcome: &msg}
+	case HelloAck:
+		return &Datagram{HelloAck: &msg}
 	case Leave:
 		return &Datagram{Leave: &msg}
-	case Ask:
-		return &Datagram{Ask: &msg}
-	case Answer:
-		return &Datagram{Answer: &msg}
-	case Return:
-		return &Datagram{Return: &msg}
+	case AcquireRequest:
+		return &Datagram{AcquireRequest: &msg}
+	case AcquireResponse:
+		return &Datagram{AcquireResponse: &msg}
+	case Release:
+		return &Datagram{Release: &msg}
 	}
 	return &Datagram{}
 }
@@ -123,16 +123,16 @@
 	switch {
 	case d.Hello != nil:
 		return *d.Hello
-	case d.Welcome != nil:
-		return *d.Welcome
+	case d.HelloAck != nil:
+		return *d.HelloAck
 	case d.Leave != nil:
 		return *d.Leave
-	case d.Ask != nil:
-		return *d.Ask
-	case d.Answer != nil:
-		return *d.Answer
-	case d.Return != nil:
-		return *d.Return
+	case d.AcquireRequest != nil:
+		return *d.AcquireRequest
+	case d.AcquireResponse != nil:
+		return *d.AcquireResponse
+	case d.Release != nil:
+		return *d.Release
 	}
 	return nil
 }
@@ -145,21 +145,21 @@
 
 // Grant is the permission to run one request.
 type Grant struct {
-	// By leads the pool that granted, as ID.
-	By netip.AddrPort
-	ID uint64
+	// Leader leads the pool that granted, as ID.
+	Leader netip.AddrPort
+	ID     uint64
 }
 
-// Verdict is what came of a claim: Granted, Denied or Unconfirmed.
-type Verdict interface{ verdict() }
+// Result is what came of a claim: Granted, Denied or Unconfirmed.
+type Result interface{ verdict() }
 
 // Granted allows the request.
 type Granted struct{ Grant Grant }
 
 // Denied refuses it, since the tenant has used its limit.
 type Denied struct {
-	// After is the time until the tenant may use as much.
-	After time.Duration
+	// RetryAfter is the time until the tenant may use as much.
+	RetryAfter time.Duration
 }
 
 // Unconfirmed says that no leader of a pool answered in time.
@@ -171,6 +171,6 @@
 
 // Decision is the verdict on the claim with an ID.
 type Decision struct {
-	ID      uint64
-	Verdict Verdict
+	ID     uint64
+	Result Result
 }
--- a/internal/quota/message_test.go
+++ b/internal/quota/message_test.go
@@ -10,9 +10,9 @@
 )
 
 var testMessages = []Message{
-	Hello{Member: true, StartCredit: true, Number: 7}, Welcome{Number: 7, Revision: 9}, Leave{},
-	Ask{ID: 3, Claim: Claim{Subject: "t", Limit: testLimit, Version: 4, Amount: 9.5}},
-	Answer{ID: 3, Granted: true}, Answer{ID: 3, After: time.Second}, Return{ID: 3},
+	Hello{Member: true, StartCredit: true, Number: 7}, HelloAck{Number: 7, Revision: 9}, Leave{},
+	AcquireRequest{ID: 3, Reservation: Reservation{Subject: "t", Limit: testLimit, Version: 4, Amount: 9.5}},
+	AcquireResponse{ID: 3, Granted: true}, AcquireResponse{ID: 3, RetryAfter: time.Second}, Release{ID: 3},
 }
 
 func TestMessagesSurviveTheWire(t *testing.T) {
@@ -44,7 +44,7 @@
 			return
 		}
 		agent := NewAgent(Config{Self: addrOf(0), Bounds: testBounds})
-		agent.Counted(2)
+		agent.SetRouterCount(2)
 		now := epoch
 		for range 3 {
 			agent.Tick(now)
@@ -52,12 +52,12 @@
 			now = now.Add(helloInterval)
 		}
 		agent.Flush()
-		id := agent.Take(now, Claim{Subject: "other", Limit: testLimit, Version: 1, Amount: 1e9})
+		id := agent.Acquire(now, Reservation{Subject: "other", Limit: testLimit, Version: 1, Amount: 1e9})
 		_, done := agent.Flush()
 		if len(done) != 1 || done[0].ID != id {
 			t.Fatal("no verdict")
 		}
-		if _, granted := done[0].Verdict.(Granted); granted {
+		if _, granted := done[0].Result.(Granted); granted {
 			t.Fatal("granted beyond any limit")
 		}
 	})
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -110,15 +110,15 @@
 	m.revision++
 	router.revision = m.revision
 	router.waiting, router.inbox = make(map[uint64]*modelRequest), nil
-	router.agent = NewAgent(Config{Self: router.addr, Bounds: m.bounds, FirstID: m.random.Uint64() >> 1, Alone: m.alone, Place: m.place, HelloInterval: m.hello})
+	router.agent = NewAgent(Config{Self: router.addr, Bounds: m.bounds, FirstID: m.random.Uint64() >> 1, Standalone: m.alone, Place: m.place, HelloInterval: m.hello})
 	older := slices.DeleteFunc(slices.Clone(m.routers), func(other *modelRouter) bool { return other == router || other.revision == 0 })
 	slices.SortFunc(older, func(a, b *modelRouter) int { return cmp.Compare(a.revision, b.revision) })
 	var addrs []netip.AddrPort
 	for _, other := range older {
 		addrs = append(addrs, other.addr)
 	}
-	router.agent.Know(router.revision, addrs)
-	router.agent.Counted(len(m.routers))
+	router.agent.SetRouters(router.revision, addrs)
+	router.agent.SetRouterCount(len(m.routers))
 }
 
 func (m *model) time() time.Time { return epoch.Add(m.now) }
@@ -153,7 +153,7 @@
 		return
 	}
 	delete(router.waiting, decision.ID)
-	granted, ok := decision.Verdict.(Granted)
+	granted, ok := decision.Result.(Granted)
 	if req.calm && m.now > m.troubled {
 		req.tenant.calmAsked++
 		if !ok {
@@ -163,7 +163,7 @@
 	switch {
 	case !ok:
 	case m.random.IntN(10) == 0:
-		router.agent.Return(granted.Grant)
+		router.agent.Release(granted.Grant)
 	default:
 		req.tenant.ran = append(req.tenant.ran, usage{at: m.now, amount: req.amount})
 	}
@@ -218,8 +218,8 @@
 			if m.bounds.Unit > 0 {
 				amount = m.bounds.Unit
 			}
-			claim := Claim{Subject: Subject(tenant.name), Limit: tenant.limit, Version: tenant.version, Amount: amount, Preferred: tenant.preferred && m.random.IntN(2) == 0}
-			id := router.agent.Take(m.time(), claim)
+			claim := Reservation{Subject: Subject(tenant.name), Limit: tenant.limit, Version: tenant.version, Amount: amount, Preferred: tenant.preferred && m.random.IntN(2) == 0}
+			id := router.agent.Acquire(m.time(), claim)
 			router.waiting[id] = &modelRequest{tenant: tenant, amount: amount, calm: tenant.hot == 0}
 			m.flush(router)
 		}
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -75,7 +75,7 @@
 
 // answered is an ask that was answered.
 type answered struct {
-	answer  Answer
+	answer  AcquireResponse
 	subject Subject
 	amount  float64
 	at      time.Time
@@ -178,7 +178,7 @@
 // outdated reports whether a router had sent a hello or an ask before it left.
 func (p *Pool) outdated(from netip.AddrPort, sent Leave) bool {
 	left, found := p.goodbyes[from]
-	return found && sent.Hello <= left.leave.Hello && sent.Ask <= left.leave.Ask
+	return found && sent.Hello <= left.leave.Hello && sent.AcquireRequest <= left.leave.AcquireRequest
 }
 
 // bucketFor is how long a bucket of units is kept that nobody claims from: back ends come and
@@ -221,11 +221,11 @@
 
 // Ask answers an ask of a router, which counts as a member from then on. The same ask
 // gets the same answer.
-func (p *Pool) Ask(now time.Time, from netip.AddrPort, ask *Ask, routers int) Answer {
-	if !ask.Claim.sound() {
-		return Answer{ID: ask.ID, After: longestDenial}
+func (p *Pool) Ask(now time.Time, from netip.AddrPort, ask *AcquireRequest, routers int) AcquireResponse {
+	if !ask.Reservation.sound() {
+		return AcquireResponse{ID: ask.ID, RetryAfter: longestDenial}
 	}
-	if p.outdated(from, Leave{Ask: ask.ID}) {
+	if p.outdated(from, Leave{AcquireRequest: ask.ID}) {
 		p.advance(now, routers)
 	} else {
 		p.Join(now, from, false, routers)
@@ -235,21 +235,21 @@
 	if known := p.answers[key]; known != nil {
 		return known.answer
 	}
-	filling := p.bucket(&ask.Claim, routers)
+	filling := p.bucket(&ask.Reservation, routers)
 	filling.usedAt = now
-	answer := Answer{ID: ask.ID}
-	after := p.wait(filling, &ask.Claim, routers)
+	answer := AcquireResponse{ID: ask.ID}
+	after := p.wait(filling, &ask.Reservation, routers)
 	switch {
 	case after == 0:
 		answer.Granted = true
-		filling.level -= ask.Claim.Amount
+		filling.level -= ask.Reservation.Amount
 	case p.forming(now, routers):
 		answer.Forming = true
 		return answer
 	default:
-		answer.After = min(after+p.yield(now, filling, routers), longestDenial)
+		answer.RetryAfter = min(after+p.yield(now, filling, routers), longestDenial)
 	}
-	p.answers[key] = &answered{answer: answer, subject: ask.Claim.Subject, amount: ask.Claim.Amount, at: now}
+	p.answers[key] = &answered{answer: answer, subject: ask.Reservation.Subject, amount: ask.Reservation.Amount, at: now}
 	p.order = append(p.order, key)
 	return answer
 }
@@ -269,7 +269,7 @@
 }
 
 // bucket returns the bucket of a claim's tenant, filled up to now.
-func (p *Pool) bucket(claim *Claim, routers int) *bucket {
+func (p *Pool) bucket(claim *Reservation, routers int) *bucket {
 	known := p.buckets[claim.Subject]
 	if known == nil {
 		known = &bucket{limit: claim.Limit, version: claim.Version, filled: p.baseFilled, credits: p.baseCredits}
@@ -301,7 +301,7 @@
 }
 
 // wait returns the time until a claim could be granted, 0 if it can be now.
-func (p *Pool) wait(filling *bucket, claim *Claim, routers int) time.Duration {
+func (p *Pool) wait(filling *bucket, claim *Reservation, routers int) time.Duration {
 	share := p.share(routers)
 	full := p.full(filling.limit, routers)
 	needed := claim.Amount
--- a/internal/quota/pool_test.go
+++ b/internal/quota/pool_test.go
@@ -48,7 +48,7 @@
 // granted.
 func granted(pool *Pool, now time.Time, limit Limit, version uint64, routers int) int {
 	for count := 0; ; count++ {
-		ask := Ask{ID: 1000 + lastID.Add(1), Claim: Claim{Subject: "t", Limit: limit, Version: version, Amount: 1}}
+		ask := AcquireRequest{ID: 1000 + lastID.Add(1), Reservation: Reservation{Subject: "t", Limit: limit, Version: version, Amount: 1}}
 		if !pool.Ask(now, addrOf(0), &ask, routers).Granted {
 			return count
 		}
@@ -140,7 +140,7 @@
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
 	now = keep(pool, now, time.Second, 4, 4)
-	ask := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: 1000}}
+	ask := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Amount: 1000}}
 	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
 	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted) // the same ask, once more
 	is.Equal(granted(pool, now, testLimit, 0, 4), 102)
@@ -156,7 +156,7 @@
 	now := epoch
 	pool := poolOf(now, 4, 4, false)
 	now = keep(pool, now, time.Minute, 4, 4)
-	ask := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Version: 1, Amount: 1}}
+	ask := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Version: 1, Amount: 1}}
 	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
 	lower := Limit{Rate: 100, Burst: 200}
 	is.Equal(granted(pool, now, lower, 2, 4), 200)
@@ -165,7 +165,7 @@
 }
 
 func TestAClaimThatIsNoneIsDenied(t *testing.T) {
-	tests := []Claim{
+	tests := []Reservation{
 		{Limit: testLimit, Amount: -1}, {Limit: testLimit, Amount: math.NaN()}, {Limit: testLimit, Amount: math.Inf(1)},
 		{Limit: Limit{Rate: math.NaN(), Burst: 1}, Amount: 1}, {Limit: Limit{Rate: math.Inf(1)}, Amount: 1},
 		{Limit: Limit{Rate: 1, Burst: math.Inf(1)}, Amount: 1}, {Amount: 1},
@@ -175,7 +175,7 @@
 			is := is.New(t)
 			pool := poolOf(epoch, 1, 1, false)
 			now := keep(pool, epoch, time.Minute, 1, 1)
-			is.Equal(pool.Ask(now, addrOf(0), &Ask{ID: 1, Claim: claim}, 1), Answer{ID: 1, After: longestDenial})
+			is.Equal(pool.Ask(now, addrOf(0), &AcquireRequest{ID: 1, Reservation: claim}, 1), AcquireResponse{ID: 1, RetryAfter: longestDenial})
 			is.Equal(len(pool.buckets), 0)
 		})
 	}
@@ -200,10 +200,10 @@
 			is := is.New(t)
 			pool := poolOf(epoch, 4, 4, false)
 			now := keep(pool, epoch, tt.filled, 4, 4)
-			ask := Ask{ID: 1, Claim: Claim{Subject: "t", Limit: testLimit, Amount: tt.amount}}
+			ask := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "t", Limit: testLimit, Amount: tt.amount}}
 			answer := pool.Ask(now, addrOf(0), &ask, 4)
 			is.Equal(answer.Granted, tt.granted)
-			is.Equal(answer.After.Round(time.Millisecond), tt.after)
+			is.Equal(answer.RetryAfter.Round(time.Millisecond), tt.after)
 		})
 	}
 }
--- a/internal/quota/ranking.go
+++ b/internal/quota/ranking.go
@@ -249,7 +249,7 @@
 
 // Welcomed takes in a welcome. A router that has restarted since is younger than this
 // one now, and leads it no more.
-func (r *Ranking) Welcomed(now time.Time, from netip.AddrPort, welcome *Welcome) {
+func (r *Ranking) Welcomed(now time.Time, from netip.AddrPort, welcome *HelloAck) {
 	known := r.find(from)
 	if known == nil || known.asked != welcome.Number || welcome.Number == 0 {
 		return
--- a/internal/quota/ranking_test.go
+++ b/internal/quota/ranking_test.go
@@ -14,7 +14,7 @@
 	for end := now.Add(length); now.Before(end); now = now.Add(step) {
 		for _, envelope := range ranking.Due(now) {
 			if revision, up := revisions[envelope.To]; up {
-				welcome := Welcome{Number: envelope.Message.(Hello).Number, Revision: revision}
+				welcome := HelloAck{Number: envelope.Message.(Hello).Number, Revision: revision}
 				ranking.Welcomed(now.Add(time.Millisecond), envelope.To, &welcome)
 			}
 		}
@@ -87,7 +87,7 @@
 			ranking := NewRanking(addrOf(100))
 			ranking.Know(100, []netip.AddrPort{addrOf(0)})
 			hello := ranking.Due(epoch)[0].Message.(Hello)
-			ranking.Welcomed(epoch.Add(tt.trip), addrOf(0), &Welcome{Number: hello.Number, Revision: 1})
+			ranking.Welcomed(epoch.Add(tt.trip), addrOf(0), &HelloAck{Number: hello.Number, Revision: 1})
 			is.Equal(ranking.Patience(addrOf(0)), tt.want)
 			is.Equal(ranking.Patience(addrOf(1)), leastPatience)
 		})
--- a/internal/quota/units_test.go
+++ b/internal/quota/units_test.go
@@ -135,7 +135,7 @@
 				pool.Join(epoch, addrOf(index), false, 4)
 			}
 			now := keep(pool, epoch, 600*time.Millisecond, 4, 4)
-			ask := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1, Preferred: tt.preferred}}
+			ask := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1, Preferred: tt.preferred}}
 			is.Equal(pool.Ask(now, addrOf(0), &ask, 4).Granted, tt.granted)
 		})
 	}
@@ -155,7 +155,7 @@
 				pool.Join(epoch, addrOf(index), false, tt.routers)
 			}
 			now := keep(pool, epoch, time.Minute, tt.members, tt.routers)
-			ask := Ask{ID: 1, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1.3}, Amount: 1}}
+			ask := AcquireRequest{ID: 1, Reservation: Reservation{Subject: "e", Limit: Limit{Rate: 1.3}, Amount: 1}}
 			is.Equal(pool.Ask(now, addrOf(0), &ask, tt.routers).Granted, tt.granted)
 		})
 	}
@@ -171,12 +171,12 @@
 	}
 	now := keep(pool, epoch, 3*time.Second, 4, 4)
 	for id := range uint64(5) {
-		ask := Ask{ID: id, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
+		ask := AcquireRequest{ID: id, Reservation: Reservation{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
 		is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
 		now = keep(pool, now, 1200*time.Millisecond, 4, 4)
 		pool.Return(addrOf(0), id)
 	}
-	ask := Ask{ID: 100, Claim: Claim{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
+	ask := AcquireRequest{ID: 100, Reservation: Reservation{Subject: "e", Limit: Limit{Rate: 1}, Amount: 1}}
 	is.True(pool.Ask(now, addrOf(0), &ask, 4).Granted)
 	ask.ID++
 	is.True(!pool.Ask(now, addrOf(0), &ask, 4).Granted)
--- a/internal/region/region.go
+++ b/internal/region/region.go
@@ -24,8 +24,8 @@
 // Same reports whether two zones lie in one region.
 func (m Map) Same(a, b ident.Zone) bool { return a == b || m.Of(a) == m.Of(b) }
 
-// Several reports whether the zones that are named lie in more than one region.
-func (m Map) Several() bool {
+// HasMultiple reports whether the zones that are named lie in more than one region.
+func (m Map) HasMultiple() bool {
 	var first ident.Region
 	known := false
 	for _, region := range m.zones {
--- a/internal/region/region_test.go
+++ b/internal/region/region_test.go
@@ -43,7 +43,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			is.New(t).Equal(region.NewMap(tt.zones).Several(), tt.want)
+			is.New(t).Equal(region.NewMap(tt.zones).HasMultiple(), tt.want)
 		})
 	}
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -41,7 +41,7 @@
 	// OnOrder is told each order with its result. It must not block.
 	OnOrder func(order *Order, result Result)
 	// OnDoubt is told each version that came to be doubted. It must not block; nil tells nobody.
-	OnDoubt func(doubt Doubt)
+	OnDoubt func(doubt SuspectVersion)
 	// Emptying has engines emptied before their orders; it needs an Announcer.
 	Emptying bool
 	// Announcer tells other routers which engines are about to change; nil tells
@@ -155,7 +155,7 @@
 	calm := make(map[ident.Service]float64)
 	for _, record := range records {
 		if _, known := calm[record.Service]; !known && len(record.Models) > 0 {
-			calm[record.Service] = c.backends.Calm(now, record.Service)
+			calm[record.Service] = c.backends.Headroom(now, record.Service)
 		}
 	}
 	return calm
@@ -183,7 +183,7 @@
 	if c.config.Announcer == nil || result == Accepted {
 		return
 	}
-	c.config.Announcer.Announce(Notice{
+	c.config.Announcer.Announce(Notification{
 		Model: order.Model, Version: order.Version, Unsettled: []ident.Incarnation{order.Target.Instance},
 	})
 }
@@ -227,6 +227,6 @@
 		return
 	}
 	for model, version := range report.Versions {
-		c.backends.VersionSeen(target.Instance, model, version)
+		c.backends.ObserveVersion(target.Instance, model, version)
 	}
 }
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -55,7 +55,7 @@
 	return e.fleet.report(target.Instance), nil
 }
 
-func (e *fleetEngines) Announce(notice rollout.Notice) {
+func (e *fleetEngines) Announce(notice rollout.Notification) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loadTime = max(e.loadTime, notice.LoadTime)
@@ -81,9 +81,9 @@
 		is := is.New(t)
 		engines := &fleetEngines{fleet: newFleet(7), silent: "i-03"}
 		holder := &catalog.Holder{}
-		holder.Named(model, catalog.Naming{Version: 2, SeenAt: time.Now()})
+		holder.Published(model, catalog.Publication{Version: 2, SeenAt: time.Now()})
 		known := backend.NewRegistry(backend.Config{})
-		known.Update(time.Now(), engines.fleet.records())
+		known.ApplyList(time.Now(), engines.fleet.records())
 		controller := rollout.NewController(rollout.ControllerConfig{
 			Planner: config, Announcer: engines, OnOrder: func(*rollout.Order, rollout.Result) {},
 		}, heldLease{}, engines, holder, known)
@@ -122,9 +122,9 @@
 				engines := &fleetEngines{fleet: newFleet(1)}
 				engines.fleet.active = 2
 				holder := &catalog.Holder{}
-				holder.Named(model, catalog.Naming{Version: 2, SeenAt: time.Now()})
+				holder.Published(model, catalog.Publication{Version: 2, SeenAt: time.Now()})
 				known := backend.NewRegistry(backend.Config{})
-				known.Update(time.Now(), engines.fleet.records())
+				known.ApplyList(time.Now(), engines.fleet.records())
 				controller := rollout.NewController(rollout.ControllerConfig{
 					Planner: config, Announcer: engines, Emptying: tt.emptying, OnOrder: func(*rollout.Order, rollout.Result) {},
 				}, heldLease{}, engines, holder, known)
@@ -148,7 +148,7 @@
 		engines := &fleetEngines{fleet: newFleet(2)}
 		holder := &catalog.Holder{}
 		holder.Adopt(catalog.NewSnapshot(catalog.Content{Version: 1, Services: []catalog.Service{{Name: "s"}}}), time.Now())
-		holder.Named(model, catalog.Naming{Version: 2, SeenAt: time.Now()})
+		holder.Published(model, catalog.Publication{Version: 2, SeenAt: time.Now()})
 		records := engines.fleet.records()
 		for index := range records {
 			records[index].Service = "s"
@@ -157,7 +157,7 @@
 			}
 		}
 		known := backend.NewRegistry(backend.Config{})
-		known.Update(time.Now(), records)
+		known.ApplyList(time.Now(), records)
 		controller := rollout.NewController(rollout.ControllerConfig{
 			Planner: config, OnOrder: func(*rollout.Order, rollout.Result) {},
 		}, heldLease{}, engines, holder, known)
--- a/internal/rollout/crashes.go
+++ b/internal/rollout/crashes.go
@@ -29,8 +29,8 @@
 	version int
 }
 
-// Doubt says that engines ended while they loaded a version that no engine has.
-type Doubt struct {
+// SuspectVersion says that engines ended while they loaded a version that no engine has.
+type SuspectVersion struct {
 	Model   ident.Model
 	Version int
 	// Ended is the number of engines that did.
@@ -112,14 +112,14 @@
 }
 
 // Doubts returns the versions that came to be doubted since the last call.
-func (p *Planner) Doubts() []Doubt {
-	var doubts []Doubt
+func (p *Planner) Doubts() []SuspectVersion {
+	var doubts []SuspectVersion
 	for loaded, known := range p.doubts {
 		if known.ended < crashesToDoubt || known.told {
 			continue
 		}
 		known.told = true
-		doubts = append(doubts, Doubt{Model: loaded.model, Version: loaded.version, Ended: known.ended})
+		doubts = append(doubts, SuspectVersion{Model: loaded.model, Version: loaded.version, Ended: known.ended})
 	}
 	return doubts
 }
--- a/internal/rollout/crashing_test.go
+++ b/internal/rollout/crashing_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-func (f *crashingFleet) play(planner *rollout.Planner, models map[ident.Model]catalog.NamedVersion, from, to time.Duration) {
+func (f *crashingFleet) play(planner *rollout.Planner, models map[ident.Model]catalog.PublishedVersion, from, to time.Duration) {
 	for at := from; at < to; at += 100 * time.Millisecond {
 		f.advance(at)
 		now := start.Add(at)
@@ -146,13 +146,13 @@
 	is := is.New(t)
 	f := newCrashingFleet(18, func(version int, _ time.Duration) bool { return version == 2 })
 	planner := rollout.NewPlanner(rollout.Config{Deadline: 8 * time.Second})
-	models := named(catalog.Naming{Version: 2, SeenAt: start})
+	models := named(catalog.Publication{Version: 2, SeenAt: start})
 	f.play(planner, models, 0, time.Minute)
 	t.Logf("%d engines crashed in a minute, %d were away at once", f.ended, f.away)
 	is.True(f.ended <= 16)
 	is.True(f.away <= 6)
 	// The version that replaces it is loaded by all in time.
-	models = named(catalog.Naming{Version: 2, SeenAt: start}, catalog.Naming{Version: 3, SeenAt: start.Add(time.Minute)})
+	models = named(catalog.Publication{Version: 2, SeenAt: start}, catalog.Publication{Version: 3, SeenAt: start.Add(time.Minute)})
 	f.play(planner, models, time.Minute, time.Minute+8*time.Second)
 	is.Equal(f.newest(3), 18)
 }
@@ -163,7 +163,7 @@
 	is := is.New(t)
 	f := newCrashingFleet(18, func(_ int, at time.Duration) bool { return at < 900*time.Millisecond })
 	planner := rollout.NewPlanner(rollout.Config{Deadline: 8 * time.Second})
-	f.play(planner, named(catalog.Naming{Version: 2, SeenAt: start}), 0, 6*time.Second)
+	f.play(planner, named(catalog.Publication{Version: 2, SeenAt: start}), 0, 6*time.Second)
 	t.Logf("%d engines crashed, %d of 18 have the version", f.ended, f.newest(2))
 	is.True(f.ended >= 3)
 	is.Equal(f.newest(2), 18)
--- a/internal/rollout/emptying_test.go
+++ b/internal/rollout/emptying_test.go
@@ -58,7 +58,7 @@
 // its order leaves.
 func untilOrdered(planner *rollout.Planner, runs, waits time.Duration) (time.Duration, rollout.Action) {
 	engines := newFleet(1)
-	models := named(catalog.Naming{Version: 2, SeenAt: start})
+	models := named(catalog.Publication{Version: 2, SeenAt: start})
 	for at := time.Duration(0); at < 2*time.Second; at += 100 * time.Millisecond {
 		planner.Observe(engines.records(), models)
 		for _, action := range planner.Plan(start.Add(at), 7) {
@@ -87,7 +87,7 @@
 	config.Deadline = time.Minute
 	config.Emptying = 600 * time.Millisecond
 	planner := rollout.NewPlanner(config)
-	models := named(catalog.Naming{Version: 2, SeenAt: start})
+	models := named(catalog.Publication{Version: 2, SeenAt: start})
 	away := map[ident.Incarnation]bool{}
 	for at := time.Duration(0); at < 600*time.Millisecond; at += 100 * time.Millisecond {
 		planner.Observe(engines.records(), models)
@@ -125,7 +125,7 @@
 			config := config
 			config.Emptying = 600 * time.Millisecond
 			planner := rollout.NewPlanner(config)
-			models := named(catalog.Naming{Version: 2, SeenAt: start})
+			models := named(catalog.Publication{Version: 2, SeenAt: start})
 			told := 0
 			for at := time.Duration(0); at < 1500*time.Millisecond; at += 100 * time.Millisecond {
 				now := start.Add(at)
--- a/internal/rollout/loadtimes_test.go
+++ b/internal/rollout/loadtimes_test.go
@@ -56,7 +56,7 @@
 func change(planner *rollout.Planner, engines *fleet, version int, load time.Duration) int {
 	const name = ident.Incarnation("i-00")
 	from := start.Add(time.Duration(version) * time.Minute)
-	models := named(catalog.Naming{Version: version, SeenAt: from})
+	models := named(catalog.Publication{Version: version, SeenAt: from})
 	var order *rollout.Order
 	var orderedAt time.Time
 	reports := 0
--- a/internal/rollout/notice.go
+++ b/internal/rollout/notice.go
@@ -6,9 +6,9 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Notice tells other routers what becomes of engines, ahead of the list of back
+// Notification tells other routers what becomes of engines, ahead of the list of back
 // ends. It decides nothing: a notice that is lost costs a refusal.
-type Notice struct {
+type Notification struct {
 	Model   ident.Model `cbor:"1,keyasint"`
 	Version int         `cbor:"2,keyasint"`
 	// Loading are about to take the version, and refuse work until they have it.
@@ -28,13 +28,13 @@
 
 // Announcer tells notices to all routers, this one included. It must not block.
 type Announcer interface {
-	Announce(notice Notice)
+	Announce(notice Notification)
 }
 
 // notices gathers what is to be told, one notice a version.
 type notices struct {
 	order []noticeKey
-	by    map[noticeKey]*Notice
+	by    map[noticeKey]*Notification
 	// loadTime is how long engines that load mostly take.
 	loadTime time.Duration
 }
@@ -44,13 +44,13 @@
 	version int
 }
 
-func (n *notices) of(model ident.Model, version int) *Notice {
+func (n *notices) of(model ident.Model, version int) *Notification {
 	key := noticeKey{model, version}
 	if n.by == nil {
-		n.by = make(map[noticeKey]*Notice)
+		n.by = make(map[noticeKey]*Notification)
 	}
 	if n.by[key] == nil {
-		n.by[key] = &Notice{Model: model, Version: version}
+		n.by[key] = &Notification{Model: model, Version: version}
 		n.order = append(n.order, key)
 	}
 	return n.by[key]
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -48,8 +48,8 @@
 // which has therefore ended.
 var ErrOtherInstance = errors.New("another engine answers at the address")
 
-// ErrAtRest says that a report was not asked for, since the engine wants nothing now.
-var ErrAtRest = errors.New("the engine wants rest")
+// ErrBackoff says that a report was not asked for, since the engine wants nothing now.
+var ErrBackoff = errors.New("the engine wants rest")
 
 // Report is what an engine told about itself.
 type Report struct {
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -114,7 +114,7 @@
 type Planner struct {
 	config   Config
 	engines  map[ident.Incarnation]*progress
-	models   map[ident.Model]catalog.NamedVersion
+	models   map[ident.Model]catalog.PublishedVersion
 	counters Counters
 	// loaded are the engines whose orders were settled since the last Loaded.
 	loaded []Loaded
@@ -148,7 +148,7 @@
 func (p *Planner) Counters() Counters { return p.counters }
 
 // Observe takes in the newest list of back ends and the named versions.
-func (p *Planner) Observe(records []backend.Record, models map[ident.Model]catalog.NamedVersion) {
+func (p *Planner) Observe(records []backend.Record, models map[ident.Model]catalog.PublishedVersion) {
 	p.models = models
 	p.noteEnds(records)
 	engines := make(map[ident.Incarnation]*progress, len(records))
@@ -294,7 +294,7 @@
 	var wanted need
 	behind := false
 	for model, version := range engine.versions {
-		for _, naming := range p.models[model].Named {
+		for _, naming := range p.models[model].Publications {
 			if naming.Version <= version {
 				continue
 			}
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -64,12 +64,12 @@
 	return &rollout.Report{Versions: map[ident.Model]int{model: f.versions[name]}, Sequence: f.orders[name], Active: f.active}
 }
 
-func named(namings ...catalog.Naming) map[ident.Model]catalog.NamedVersion {
-	return map[ident.Model]catalog.NamedVersion{model: {Version: namings[len(namings)-1].Version, Named: namings}}
+func named(namings ...catalog.Publication) map[ident.Model]catalog.PublishedVersion {
+	return map[ident.Model]catalog.PublishedVersion{model: {Version: namings[len(namings)-1].Version, Publications: namings}}
 }
 
 // play runs the planner against the fleet in steps of 100ms.
-func play(planner *rollout.Planner, engines *fleet, models map[ident.Model]catalog.NamedVersion, from, to time.Duration) {
+func play(planner *rollout.Planner, engines *fleet, models map[ident.Model]catalog.PublishedVersion, from, to time.Duration) {
 	for at := from; at < to; at += 100 * time.Millisecond {
 		now := start.Add(at)
 		planner.Observe(engines.records(), models)
@@ -87,7 +87,7 @@
 	is := is.New(t)
 	engines := newFleet(6)
 	planner := rollout.NewPlanner(config)
-	play(planner, engines, named(catalog.Naming{Version: 2, SeenAt: start}), 0, 8*time.Second)
+	play(planner, engines, named(catalog.Publication{Version: 2, SeenAt: start}), 0, 8*time.Second)
 	for _, version := range engines.versions {
 		is.Equal(version, 2)
 	}
@@ -99,9 +99,9 @@
 	engines := newFleet(2)
 	planner := rollout.NewPlanner(config)
 	models := named(
-		catalog.Naming{Version: 2, SeenAt: start},
-		catalog.Naming{Version: 3, SeenAt: start.Add(time.Second)},
-		catalog.Naming{Version: 5, SeenAt: start.Add(2 * time.Second)},
+		catalog.Publication{Version: 2, SeenAt: start},
+		catalog.Publication{Version: 3, SeenAt: start.Add(time.Second)},
+		catalog.Publication{Version: 5, SeenAt: start.Add(2 * time.Second)},
 	)
 	play(planner, engines, models, 2*time.Second, 8*time.Second)
 	is.Equal(engines.loads, 2)
@@ -117,7 +117,7 @@
 			is := is.New(t)
 			engines := newFleet(tt.engines)
 			planner := rollout.NewPlanner(rollout.Config{Deadline: 20 * time.Second})
-			models := named(catalog.Naming{Version: 2, SeenAt: start})
+			models := named(catalog.Publication{Version: 2, SeenAt: start})
 			planner.Observe(engines.records(), models)
 			reports := planner.Plan(start, 7)
 			is.Equal(len(reports), tt.want)
@@ -140,7 +140,7 @@
 	patient := config
 	patient.Patient = true
 	planner := rollout.NewPlanner(patient)
-	models := named(catalog.Naming{Version: 2, SeenAt: start})
+	models := named(catalog.Publication{Version: 2, SeenAt: start})
 	play(planner, engines, models, 0, 5*time.Second)
 	is.Equal(engines.loads, 0) // one round and the margin need 2s of 8s
 	play(planner, engines, models, 5*time.Second, 8*time.Second)
@@ -151,7 +151,7 @@
 	is := is.New(t)
 	engines := newFleet(6)
 	planner := rollout.NewPlanner(config)
-	planner.Observe(engines.records(), named(catalog.Naming{Version: 2, SeenAt: start}))
+	planner.Observe(engines.records(), named(catalog.Publication{Version: 2, SeenAt: start}))
 	late := start.Add(7 * time.Second)
 	actions := planner.Plan(late, 7)
 	is.Equal(len(actions), 2)               // six rounds of one second fit into what the margin leaves
@@ -164,7 +164,7 @@
 	is := is.New(t)
 	engines := newFleet(1)
 	planner := rollout.NewPlanner(config)
-	models := named(catalog.Naming{Version: 2, SeenAt: start.Add(-7 * time.Second)})
+	models := named(catalog.Publication{Version: 2, SeenAt: start.Add(-7 * time.Second)})
 	var lost *rollout.Order
 	repeats := 0
 	for at := time.Duration(0); at < 4*time.Second; at += 100 * time.Millisecond {
@@ -205,7 +205,7 @@
 			is := is.New(t)
 			engines := newFleet(1)
 			planner := rollout.NewPlanner(config)
-			models := named(catalog.Naming{Version: 2, SeenAt: start.Add(-8 * time.Second)})
+			models := named(catalog.Publication{Version: 2, SeenAt: start.Add(-8 * time.Second)})
 			failed := false
 			for at := time.Duration(0); at <= c.again+300*time.Millisecond; at += 100 * time.Millisecond {
 				now := start.Add(at)
@@ -232,7 +232,7 @@
 	planner := rollout.NewPlanner(config)
 	records := newFleet(1).records()
 	records[0].Draining = true
-	planner.Observe(records, named(catalog.Naming{Version: 2, SeenAt: start}))
+	planner.Observe(records, named(catalog.Publication{Version: 2, SeenAt: start}))
 	is.Equal(len(planner.Plan(start.Add(7*time.Second), 7)), 0)
 }
 
@@ -242,7 +242,7 @@
 	engines := newFleet(8)
 	silent := map[ident.Incarnation]bool{"i-00": true, "i-01": true, "i-02": true}
 	planner := rollout.NewPlanner(config)
-	models := named(catalog.Naming{Version: 2, SeenAt: start})
+	models := named(catalog.Publication{Version: 2, SeenAt: start})
 	asked := 0
 	for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
 		now := start.Add(at)
@@ -276,7 +276,7 @@
 		done  time.Duration
 	}
 	var running []change // a load takes 0.6s of the second that is planned for
-	models := named(catalog.Naming{Version: 2, SeenAt: start})
+	models := named(catalog.Publication{Version: 2, SeenAt: start})
 	for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
 		now := start.Add(at)
 		kept := running[:0]
@@ -312,7 +312,7 @@
 func TestAnEngineIsNotOrderedWhileItCarriesOutAnotherOrder(t *testing.T) {
 	is := is.New(t)
 	planner := rollout.NewPlanner(config)
-	models := named(catalog.Naming{Version: 2, SeenAt: start})
+	models := named(catalog.Publication{Version: 2, SeenAt: start})
 	records := []backend.Record{{Instance: "i", Models: map[ident.Model]int{model: 1}}}
 	report := &rollout.Report{Versions: map[ident.Model]int{model: 1}, Sequence: 1, Busy: true}
 	for at := time.Duration(0); at < 4*time.Second; at += 100 * time.Millisecond {
--- a/internal/router/applications.go
+++ b/internal/router/applications.go
@@ -119,12 +119,12 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.calls[name]--
-	p.health.SeenIncarnation(backendName(name), result.Incarnation)
+	p.health.ObserveIncarnation(backendName(name), result.Incarnation)
 	switch {
 	case result.Outcome == dispatch.OutcomeUnreachable:
-		p.health.Unreachable(backendName(name))
+		p.health.ObserveUnreachable(backendName(name))
 	case result.Refusal == protocol.RefusalLeaving:
-		p.changed(p.health.LeavingSeen(time.Now(), backendName(name), result.Incarnation))
+		p.changed(p.health.ObserveDraining(time.Now(), backendName(name), result.Incarnation))
 	}
 }
 
@@ -134,7 +134,7 @@
 	for _, application := range compiled.Document.Applications {
 		targets = append(targets, endpoint.Target{
 			Engine: backendName(application.Name), Address: application.Address, Zone: application.Zone,
-			Leaving: application.State == fleet.BackendLeaving,
+			Draining: application.State == fleet.BackendLeaving,
 		})
 	}
 	p.mutex.Lock()
@@ -146,7 +146,7 @@
 func (p *applicationPlacer) leavingSeen(name ident.Application, incarnation ident.Incarnation) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.changed(p.health.LeavingSeen(time.Now(), backendName(name), incarnation))
+	p.changed(p.health.ObserveDraining(time.Now(), backendName(name), incarnation))
 }
 
 // listed takes in a machine list: for each application, whether its machine
@@ -158,13 +158,13 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.changed(p.health.Listed(time.Now(), named))
+	p.changed(p.health.ApplyMachineList(time.Now(), named))
 }
 
 // changed tells the first sign that an application is leaving to onLeaving.
 func (p *applicationPlacer) changed(changes []endpoint.Change) {
 	for _, change := range changes {
-		if change.Kind == endpoint.ChangeLeaving {
+		if change.Kind == endpoint.ChangeDraining {
 			p.onLeaving(ident.Application(change.Engine), change.Incarnation)
 		}
 	}
@@ -175,17 +175,17 @@
 	now := time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for answer, ok := poller.Answers().Pop(); ok; answer, ok = poller.Answers().Pop() {
-		if !p.health.At(answer.Engine, answer.Address) {
+	for answer, ok := poller.Results().Pop(); ok; answer, ok = poller.Results().Pop() {
+		if !p.health.HasAddress(answer.Engine, answer.Address) {
 			continue
 		}
 		if answer.Err != nil {
-			p.health.ReportFailed(answer.Engine)
+			p.health.ObserveReportFailure(answer.Engine)
 			continue
 		}
-		p.changed(p.health.Reported(now, answer.Engine, answer.Report))
+		p.changed(p.health.ObserveReport(now, answer.Engine, answer.Report))
 	}
-	poller.Ask(p.health.Due(now, interval, budget))
+	poller.Enqueue(p.health.Due(now, interval, budget))
 }
 
 // status returns what is known of every application.
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -36,7 +36,7 @@
 			Engine:          configured.Name,
 			Address:         configured.Address,
 			Zone:            configured.Zone,
-			Leaving:         configured.State == fleet.BackendLeaving,
+			Draining:        configured.State == fleet.BackendLeaving,
 			PrefillPerToken: assumedPrefill(compiled, configured),
 		})
 	}
@@ -79,7 +79,7 @@
 		entry.Info("engine answers again")
 	case endpoint.ChangeDead:
 		entry.Warn("engine believed dead")
-	case endpoint.ChangeLeaving:
+	case endpoint.ChangeDraining:
 		entry.Info("engine leaving")
 		r.broadcastLeaving(string(change.Engine), change.Incarnation)
 	case endpoint.ChangeLoaded:
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -58,9 +58,9 @@
 
 func (r *Router) registerDispatch() {
 	group := telemetry.NewGroup(r.telemetry, func() (*dispatch.Counters, bool) { return &r.dispatch.Counters, true })
-	group.Counter("stream_events_crossed_total", "Events of another request, attempt, incarnation or stream; dropped.", func(c *dispatch.Counters) uint64 { return c.Crossed.Load() })
-	group.Counter("stream_events_late_total", "Events of an attempt that was over; dropped.", func(c *dispatch.Counters) uint64 { return c.Late.Load() })
-	group.Counter("stream_events_repeated_total", "Events that had been taken before; dropped.", func(c *dispatch.Counters) uint64 { return c.Repeated.Load() })
+	group.Counter("stream_events_crossed_total", "Events of another request, attempt, incarnation or stream; dropped.", func(c *dispatch.Counters) uint64 { return c.Misrouted.Load() })
+	group.Counter("stream_events_late_total", "Events of an attempt that was over; dropped.", func(c *dispatch.Counters) uint64 { return c.StaleAttempt.Load() })
+	group.Counter("stream_events_repeated_total", "Events that had been taken before; dropped.", func(c *dispatch.Counters) uint64 { return c.Duplicate.Load() })
 	group.Counter("stream_gaps_total", "Breaks because an event of a stream was missing.", func(c *dispatch.Counters) uint64 { return c.Gaps.Load() })
 	group.Counter("stream_stalls_total", "Breaks because no event came in time.", func(c *dispatch.Counters) uint64 { return c.Stalls.Load() })
 	group.Counter("stream_resumes_total", "Streams resumed on the same incarnation.", func(c *dispatch.Counters) uint64 { return c.Resumes.Load() })
@@ -86,7 +86,7 @@
 func (r *Router) registerClaims() {
 	group := telemetry.NewGroup(r.telemetry, func() (claim.Counters, bool) { return r.claims.Counters(), true })
 	group.Counter("claims_granted_total", "Claims won by this router.", func(c claim.Counters) uint64 { return c.Granted })
-	group.Counter("claims_shown_total", "Claims that stood already: a repeat, or another router's.", func(c claim.Counters) uint64 { return c.Shown })
+	group.Counter("claims_shown_total", "Claims that stood already: a repeat, or another router's.", func(c claim.Counters) uint64 { return c.AlreadyClaimed })
 	group.Counter("claims_refused_total", "Claims without an answer of the table in time; their requests did not run.", func(c claim.Counters) uint64 { return c.Refused })
 	group.Counter("claims_released_total", "Claims given up after they may have reached the table.", func(c claim.Counters) uint64 { return c.Released })
 	group.Counter("claim_outcomes_dropped_total", "Outcomes not recorded because too many waited for the table.", func(c claim.Counters) uint64 { return c.Dropped })
--- a/internal/router/metricsplacement.go
+++ b/internal/router/metricsplacement.go
@@ -43,7 +43,7 @@
 
 func refusedByQueue(p placement.Reading) map[string]float64 {
 	return map[string]float64{
-		"full": float64(p.Queue.Full), "hopeless": float64(p.Queue.Hopeless), "displaced": float64(p.Queue.Displaced),
+		"full": float64(p.Queue.Full), "hopeless": float64(p.Queue.HoldTooShort), "displaced": float64(p.Queue.Displaced),
 		"expired": float64(p.Queue.Expired), "rejected": float64(p.Queue.Rejected),
 	}
 }
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -86,7 +86,7 @@
 	return &placement.Job{
 		Key:     placement.AttemptKeyOf(job.ID, ident.Attempt(p.sequence.Add(1))),
 		Weight:  shareOf(compiled, job.Tenant),
-		MaxHold: max(0, time.Until(job.HoldUntil)),
+		MaxHold: max(0, time.Until(job.PlacementDeadline)),
 		Request: framework.Request{
 			ID:                  job.ID,
 			Tenant:              job.Tenant,
@@ -130,15 +130,15 @@
 	key := wanted.Key
 	namespace := prefix.Namespace{Tenant: job.Tenant, Model: job.Model, Version: chosen.Version, Adapter: job.Adapter}
 	return dispatch.Placement{
-		Engine:       chosen.Endpoint.Engine,
-		Address:      chosen.Endpoint.Address,
-		Incarnation:  chosen.Endpoint.Incarnation,
-		Zone:         chosen.Endpoint.Zone,
-		Model:        job.Model,
-		Version:      chosen.Version,
-		Adapter:      job.Adapter,
-		Salt:         namespace.Salt(),
-		CreditTokens: chosen.CreditTokens,
+		Engine:               chosen.Endpoint.Engine,
+		Address:              chosen.Endpoint.Address,
+		Incarnation:          chosen.Endpoint.Incarnation,
+		Zone:                 chosen.Endpoint.Zone,
+		Model:                job.Model,
+		Version:              chosen.Version,
+		Adapter:              job.Adapter,
+		Salt:                 namespace.Salt(),
+		ExpectedCachedTokens: chosen.CreditTokens,
 		Started: func(incarnation ident.Incarnation, usage protocol.Usage) {
 			p.duty.Started(key, incarnation, usage)
 		},
--- a/internal/router/placer_test.go
+++ b/internal/router/placer_test.go
@@ -120,7 +120,7 @@
 				})
 				job := &dispatch.Job{
 					ID: "r", Tenant: "t", Service: "s", Model: "m", Versions: []ident.ModelVersion{"v1"},
-					Prompt: strings.Repeat("long shared prompt ", 20), HoldUntil: time.Now().Add(5 * time.Second),
+					Prompt: strings.Repeat("long shared prompt ", 20), PlacementDeadline: time.Now().Add(5 * time.Second),
 				}
 				if test.prepare != nil {
 					test.prepare(job)
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -36,20 +36,20 @@
 
 // quarantineNews is what one router tells another one of requests under which engines crashed.
 type quarantineNews struct {
-	Told []quarantine.Told `cbor:"1,keyasint,omitempty"`
+	Told []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
 	// Digest names what the teller knows of requests that are held, as guard.Guard.Digest does.
 	Digest uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // quarantineReply is what the teller lacks.
 type quarantineReply struct {
-	Told []quarantine.Told `cbor:"1,keyasint,omitempty"`
+	Told []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
 }
 
 // quarantineCall is one call that is to be made.
 type quarantineCall struct {
 	address string
-	told    []quarantine.Told
+	told    []quarantine.Evidence
 }
 
 // quarantines implements dispatch.Quarantine.
@@ -82,7 +82,7 @@
 		leaving: make(map[ident.Engine]ident.Incarnation),
 	}
 	config.Backends, config.Send = q, q.send
-	config.Keeps = func() bool {
+	config.MaintainsRows = func() bool {
 		owners := view().Owners("quarantine", 1)
 		return len(owners) > 0 && owners[0].Node == self
 	}
@@ -103,42 +103,42 @@
 	return ident.Incarnation(name) + "/" + incarnation
 }
 
-// Broke implements dispatch.Quarantine.
-func (q *quarantines) Broke(now time.Time, request *quarantine.Subject, at dispatch.Placement) {
-	q.Guard.Broke(now, request, q.place(&at))
+// ObserveBroken implements dispatch.Quarantine.
+func (q *quarantines) ObserveBroken(now time.Time, request *quarantine.Subject, at dispatch.Placement) {
+	q.Guard.ObserveBroken(now, request, q.place(&at))
 }
 
-// Left implements dispatch.Quarantine.
-func (q *quarantines) Left(now time.Time, request *quarantine.Subject, at dispatch.Placement) {
-	q.Guard.Left(now, request, q.place(&at))
+// ObserveAbandoned implements dispatch.Quarantine.
+func (q *quarantines) ObserveAbandoned(now time.Time, request *quarantine.Subject, at dispatch.Placement) {
+	q.Guard.ObserveAbandoned(now, request, q.place(&at))
 }
 
-// Unreached implements dispatch.Quarantine.
-func (q *quarantines) Unreached(now time.Time, at dispatch.Placement) {
-	q.Guard.Unreached(now, q.place(&at))
+// ObserveUnreachable implements dispatch.Quarantine.
+func (q *quarantines) ObserveUnreachable(now time.Time, at dispatch.Placement) {
+	q.Guard.ObserveUnreachable(now, q.place(&at))
 }
 
 // place returns the life of an engine that a placement names. Engines bound their work, not their
 // connections, so that a refused one means that no process listens, whatever is open there.
-func (q *quarantines) place(at *dispatch.Placement) guard.Place {
+func (q *quarantines) place(at *dispatch.Placement) guard.Target {
 	address, incarnation := at.Address, at.Incarnation
-	return guard.Place{Life: lifeOf(at.Engine, incarnation), Look: func(ctx context.Context, _ time.Time) guard.Sign {
+	return guard.Target{Incarnation: lifeOf(at.Engine, incarnation), Probe: func(ctx context.Context, _ time.Time) guard.ProbeResult {
 		report, err := q.engines.Load(ctx, address)
 		switch {
 		case err == nil && report.Incarnation == incarnation:
-			return guard.SignAlive
+			return guard.ProbeAlive
 		case err == nil:
-			return guard.SignEnded
+			return guard.ProbeEnded
 		case errors.Is(err, syscall.ECONNREFUSED):
-			return guard.SignRefused
+			return guard.ProbeRefused
 		default:
-			return guard.SignNone
+			return guard.ProbeInconclusive
 		}
 	}}
 }
 
-// Leaving implements guard.Backends.
-func (q *quarantines) Leaving(life ident.Incarnation) bool {
+// DrainingOrUnlisted implements guard.Backends.
+func (q *quarantines) DrainingOrUnlisted(life ident.Incarnation) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, leaving := range q.leaving {
@@ -149,16 +149,16 @@
 	return false
 }
 
-// SawGone implements guard.Backends. Each call names the life that it is meant for, so that
+// ObserveGone implements guard.Backends. Each call names the life that it is meant for, so that
 // nothing reaches the next one under the name of this one.
-func (q *quarantines) SawGone(time.Time, ident.Incarnation) {}
+func (q *quarantines) ObserveGone(time.Time, ident.Incarnation) {}
 
 // engineChanged takes in which lives leave.
 func (q *quarantines) engineChanged(change endpoint.Change) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	switch change.Kind {
-	case endpoint.ChangeLeaving:
+	case endpoint.ChangeDraining:
 		q.leaving[change.Engine] = lifeOf(change.Engine, change.Incarnation)
 	case endpoint.ChangeRemoved:
 		delete(q.leaving, change.Engine)
@@ -177,7 +177,7 @@
 }
 
 // send queues news for all other routers; it never blocks.
-func (q *quarantines) send(told []quarantine.Told) {
+func (q *quarantines) send(told []quarantine.Evidence) {
 	for _, address := range q.others() {
 		q.calls.Push(quarantineCall{address, slices.Clone(told)})
 	}
@@ -215,13 +215,13 @@
 	defer cancel()
 	var reply quarantineReply
 	if err := q.peers.Call(bounded, address, methodQuarantine, news, &reply); err == nil {
-		q.Take(clock.Now(), reply.Told)
+		q.Merge(clock.Now(), reply.Told)
 	}
 }
 
 // serve takes in news of another router, and returns what that one lacks.
 func (q *quarantines) serve(_ context.Context, news quarantineNews) (quarantineReply, error) {
 	now := clock.Now()
-	lacks := q.Take(now, news.Told)
-	return quarantineReply{Told: append(lacks, q.ToldSince(now, news.Digest)...)}, nil
+	lacks := q.Merge(now, news.Told)
+	return quarantineReply{Told: append(lacks, q.EvidenceSince(now, news.Digest)...)}, nil
 }
--- a/internal/router/quarantine_test.go
+++ b/internal/router/quarantine_test.go
@@ -127,7 +127,7 @@
 func heldBy(q *quarantines, body string, meanwhile func()) bool {
 	for range 300 {
 		meanwhile()
-		if q.Judge(time.Now(), crashSubject(body)) != nil {
+		if q.Check(time.Now(), crashSubject(body)) != nil {
 			return true
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -151,10 +151,10 @@
 		is.True(heldBy(q, "guilty", func() {
 			// Again and again, as the duties of a router may not have begun.
 			for index, teller := range f.all {
-				teller.Broke(time.Now(), crashSubject("guilty"), crashPlacement(fmt.Sprint("e", index)))
+				teller.ObserveBroken(time.Now(), crashSubject("guilty"), crashPlacement(fmt.Sprint("e", index)))
 			}
 		}))
-		is.True(q.Judge(time.Now(), crashSubject("other")) == nil)
+		is.True(q.Check(time.Now(), crashSubject("other")) == nil)
 	}
 	late := f.start(reports{})
 	is.True(heldBy(late, "guilty", func() {}))
@@ -165,18 +165,18 @@
 	tests := []struct {
 		name  string
 		looks reports
-		want  guard.Sign
+		want  guard.ProbeResult
 	}{
-		{"the same life", reports{incarnation: "1"}, guard.SignAlive},
-		{"another life", reports{incarnation: "2"}, guard.SignEnded},
-		{"refused", reports{err: refused}, guard.SignRefused},
-		{"silence", reports{err: context.DeadlineExceeded}, guard.SignNone},
+		{"the same life", reports{incarnation: "1"}, guard.ProbeAlive},
+		{"another life", reports{incarnation: "2"}, guard.ProbeEnded},
+		{"refused", reports{err: refused}, guard.ProbeRefused},
+		{"silence", reports{err: context.DeadlineExceeded}, guard.ProbeInconclusive},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			q := &quarantines{engines: tt.looks}
 			placement := crashPlacement("e")
-			is.New(t).Equal(q.place(&placement).Look(t.Context(), time.Now()), tt.want)
+			is.New(t).Equal(q.place(&placement).Probe(t.Context(), time.Now()), tt.want)
 		})
 	}
 }
@@ -187,16 +187,16 @@
 	defer client.CloseIdle()
 	q := &quarantines{engines: client}
 	placement := crashPlacement(addrtest.Free(t).String())
-	is.New(t).Equal(q.place(&placement).Look(t.Context(), time.Now()), guard.SignRefused)
+	is.New(t).Equal(q.place(&placement).Probe(t.Context(), time.Now()), guard.ProbeRefused)
 }
 
 // An engine that told that it leaves has ended as planned.
 func TestAnEngineThatLeavesHasNotCrashed(t *testing.T) {
 	is := is.New(t)
 	q := &quarantines{leaving: make(map[ident.Engine]ident.Incarnation)}
-	q.engineChanged(endpoint.Change{Kind: endpoint.ChangeLeaving, Engine: "e", Incarnation: "1"})
-	is.True(q.Leaving(lifeOf("e", "1")))
-	is.True(!q.Leaving(lifeOf("e", "2")))
+	q.engineChanged(endpoint.Change{Kind: endpoint.ChangeDraining, Engine: "e", Incarnation: "1"})
+	is.True(q.DrainingOrUnlisted(lifeOf("e", "1")))
+	is.True(!q.DrainingOrUnlisted(lifeOf("e", "2")))
 	q.engineChanged(endpoint.Change{Kind: endpoint.ChangeRemoved, Engine: "e"})
-	is.True(!q.Leaving(lifeOf("e", "1")))
+	is.True(!q.DrainingOrUnlisted(lifeOf("e", "1")))
 }
--- a/internal/router/runner.go
+++ b/internal/router/runner.go
@@ -96,7 +96,7 @@
 func (b *retryBudgets) Success(service ident.Service) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.of(service).Succeeded(time.Now())
+	b.of(service).RecordSuccess(time.Now())
 }
 
 func (b *retryBudgets) of(service ident.Service) *admission.RetryBudget {
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -64,7 +64,7 @@
 	}
 	report.Applications = r.apps.status(time.Now())
 	claims := r.claims.Counters()
-	report.Claims = status.Claims{Granted: claims.Granted, Shown: claims.Shown, Refused: claims.Refused, Waiting: claims.Waiting}
+	report.Claims = status.Claims{Granted: claims.Granted, Shown: claims.AlreadyClaimed, Refused: claims.Refused, Waiting: claims.Waiting}
 	gossip := r.members.Counters()
 	report.Gossip = status.Gossip{
 		BytesSent: gossip.BytesSent, BytesReceived: gossip.BytesReceived, Refused: gossip.Refused, Unsent: gossip.Unsent,
--- a/internal/upstream/chain.go
+++ b/internal/upstream/chain.go
@@ -144,7 +144,7 @@
 		case peer.Revision >= self.Revision || peer.Node == self.Node:
 		case peer.Zone == self.Zone:
 			c.near = append(c.near, &link{peer: peer})
-		case c.cfg.Regions.Several() && c.cfg.Regions.Same(peer.Zone, self.Zone):
+		case c.cfg.Regions.HasMultiple() && c.cfg.Regions.Same(peer.Zone, self.Zone):
 			c.regional = append(c.regional, &link{peer: peer})
 		default:
 			c.far = append(c.far, &link{peer: peer})
@@ -325,7 +325,7 @@
 }
 
 // Regional reports whether the routers are in several regions.
-func (c *Chain) Regional() bool { return c.cfg.Regions.Several() }
+func (c *Chain) Regional() bool { return c.cfg.Regions.HasMultiple() }
 
 // Joined reports whether this router has a row.
 func (c *Chain) Joined() bool { return c.joined }
--- a/internal/upstream/pull_test.go
+++ b/internal/upstream/pull_test.go
@@ -146,7 +146,7 @@
 		{"from the future", answer(http.StatusOK, &upstream.Update{Configuration: upstream.Configuration{Age: -time.Second}})},
 		{"a list from the future", answer(http.StatusOK, &upstream.Update{List: upstream.List{Age: -time.Second}})},
 		{"a naming from the future", answer(http.StatusOK, &upstream.Update{
-			Configuration: upstream.Configuration{Namings: []upstream.Naming{{Age: -time.Second}}},
+			Configuration: upstream.Configuration{Namings: []upstream.Publication{{Age: -time.Second}}},
 		})},
 	}
 	for _, tt := range tests {
--- a/internal/upstream/update.go
+++ b/internal/upstream/update.go
@@ -50,9 +50,9 @@
 	// Caches tell what stores of prompt caches hold, to those who asked.
 	Caches []promptcache.Update `cbor:"8,keyasint,omitempty"`
 	// Quarantine tells of requests that are held, if the asker knows something else of them.
-	Quarantine []quarantine.Told `cbor:"11,keyasint,omitempty"`
+	Quarantine []quarantine.Evidence `cbor:"11,keyasint,omitempty"`
 	// News tells what back ends said of themselves, if the asker knows something else of them.
-	News []backend.News `cbor:"12,keyasint,omitempty"`
+	News []backend.StateUpdate `cbor:"12,keyasint,omitempty"`
 	// Epoch is the newest of the store that the peer saw (store.Revision), FirstEra one more
 	// than the beginning of epoch 0 in the store's own count, 0 if that is not known.
 	Epoch    uint64 `cbor:"13,keyasint,omitempty"`
@@ -76,7 +76,7 @@
 	Age  time.Duration `cbor:"3,keyasint"`
 	// Namings are the versions of weights that were named, oldest first for
 	// each model.
-	Namings []Naming `cbor:"4,keyasint,omitempty"`
+	Namings []Publication `cbor:"4,keyasint,omitempty"`
 	// Rollouts is nil where no service is being moved to another release, or was.
 	Rollouts *Rollouts `cbor:"5,keyasint,omitempty"`
 	// Watched is nil if it is not known up to where Namings holds every version.
@@ -105,8 +105,8 @@
 	StatesAge time.Duration `cbor:"5,keyasint"`
 }
 
-// Naming is a named version of a model's weights.
-type Naming struct {
+// Publication is a named version of a model's weights.
+type Publication struct {
 	Model   ident.Model   `cbor:"1,keyasint"`
 	Version int           `cbor:"2,keyasint"`
 	Age     time.Duration `cbor:"3,keyasint"`
--- a/proofs/leaving_test.go
+++ b/proofs/leaving_test.go
@@ -48,7 +48,7 @@
 
 // tell spreads a router's first sign that an engine is leaving.
 func (w *leavingWorld) tell(node *simnet.Node, change endpoint.Change) {
-	if change.Kind != endpoint.ChangeLeaving {
+	if change.Kind != endpoint.ChangeDraining {
 		return
 	}
 	w.network.Do(node, func(machine *membership.Machine, now time.Time) {
@@ -85,7 +85,7 @@
 // file puts a fleet file in force at a router that states the engine leaving.
 func (w *leavingWorld) file(router *simulatedRouter) {
 	targets := w.targets()
-	targets[0].Leaving = true
+	targets[0].Draining = true
 	w.take(router, router.core.Configure(w.now, targets))
 }
 
--- a/standin/experiment/attempt.go
+++ b/standin/experiment/attempt.go
@@ -108,7 +108,7 @@
 }
 
 func (a *attempt) completed() {
-	a.router.budget.Succeeded(a.exchange.simulation.clock.now)
+	a.router.budget.RecordSuccess(a.exchange.simulation.clock.now)
 	a.finish(placement.Result{Incarnation: a.incarnation})
 	a.exchange.end(OutcomeAnswered)
 }
