--- a/internal/node/advertised_test.go
+++ b/internal/node/advertised_test.go
@@ -1,17 +1,7 @@
 package node
 
-// Users saw two things of engines that had said something of themselves in their answers. An
-// engine that leaves says so in all of them: two routers that had passed on such an answer sent
-// it another request 12 s later. The store was away meanwhile, so that the list of engines still
-// said that it was ready. And an engine that turns requests away may ask for some seconds of
-// rest: routers sent it a request about each second all the same, and it turned away each of
-// them, so that requests for whose repeat nothing was left were lost.
-//
-// No router read either word: leaving was known by the list alone, and after a refusal a router
-// rested for a time of its own, 0.25 to 0.8 s. Once answers were read for both words, the logs of
-// these tests proved it: each router knew that the engine leaves within a second, and what rest it
-// wanted with each refusal, and sent it as many requests as before. Heeding the first word left
-// the tests of the second failing: two omissions of one class.
+// Guards against requests to engines that advertise in their answers that they are draining,
+// while the instance list still has them as ready, or that asked for a back-off.
 
 import (
 	"testing"
@@ -24,24 +14,24 @@
 )
 
 const (
-	// drainDelay is how long after it has passed on an answer that says that an engine
-	// leaves a router may still send it requests.
+	// drainDelay is how long a router may still send requests to an engine after its first
+	// answer that advertised draining.
 	drainDelay = 2 * time.Second
-	// backoffDelay is how long after a refusal the rest that it asks for must be kept to, and
-	// backoffSlack the number of requests that may come all the same.
+	// backoffDelay is the time from a refusal until its back-off must be kept, backoffSlack
+	// the number of requests that one router may still send during it.
 	backoffDelay = 500 * time.Millisecond
 	backoffSlack = 2
 )
 
-// changeEngine changes what an engine does from its next answer on.
+// changeEngine changes the behavior of an engine from its next answer on.
 func (f *limitFleet) changeEngine(index int, change func(engine *limitedEngine)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f.engines[index])
 }
 
-// lateAfterDrain returns the number of requests that reached an engine too late, from routers
-// that had passed on an answer which says that it leaves.
+// lateAfterDrain returns the number of requests that reached an engine more than drainDelay
+// after their router's first answer that advertised draining.
 func (f *limitFleet) lateAfterDrain(index int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,8 +50,8 @@
 	return late
 }
 
-// mostDuringBackoff returns the most requests that one router sent to an engine within a rest that it
-// had asked that router for.
+// mostDuringBackoff returns the most requests that one router sent to an engine during a
+// back-off that the engine had asked it for.
 func (f *limitFleet) mostDuringBackoff(index int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,8 +72,8 @@
 	return most
 }
 
-// earliestBackoffEnd returns when the first of the rests ends that all engines had asked a router for
-// before a time; it reports whether all had.
+// earliestBackoffEnd returns when the first engine's back-off for a router ends, and whether
+// all engines are backing off for it at a time.
 func (f *limitFleet) earliestBackoffEnd(router int, at time.Time) (earliest time.Time, all bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,74 +97,74 @@
 // promptRefusal is the time within which a request that cannot be served is refused.
 const promptRefusal = 200 * time.Millisecond
 
-// slowRefusals returns the number of refusals that came late, or told no time to come back.
+// slowRefusals returns the number of refusals that came late or had no Retry-After.
 func (l *limitLoad) slowRefusals() int {
 	slow := 0
 	for _, refusal := range l.refusals {
-		if refusal.after > promptRefusal || refusal.retryAfter <= 0 {
+		if refusal.latency > promptRefusal || refusal.retryAfter <= 0 {
 			slow++
 		}
 	}
 	return slow
 }
 
-// Whatever becomes of the store and of the row of an engine, nothing but its next life takes back
-// that it leaves.
+// An engine that advertised draining gets no more requests, whatever its row holds: only its
+// next incarnation does.
 func TestDrainingEngineGetsNoRequests(t *testing.T) {
 	nothing := func(*limitFleet) {}
 	tests := []struct {
-		name    string
-		leaving []int
+		name     string
+		draining []int
 		// fault happens a second after the load began.
 		fault func(f *limitFleet)
-		// served is the part of all requests that is answered at least.
+		// served is the least share of all requests that is answered.
 		served float64
 	}{
-		{name: "the list says that it is ready", leaving: []int{0}, served: 1, fault: nothing},
-		{name: "the store is down", leaving: []int{0}, served: 1, fault: func(f *limitFleet) {
+		{name: "listed as ready", draining: []int{0}, served: 1, fault: nothing},
+		{name: "the store is down", draining: []int{0}, served: 1, fault: func(f *limitFleet) {
 			f.store.change(func() { f.store.down = true })
 		}},
-		{name: "its row is written anew", leaving: []int{0}, served: 1, fault: func(f *limitFleet) {
+		{name: "its row is written again", draining: []int{0}, served: 1, fault: func(f *limitFleet) {
 			f.store.change(func() { f.store.records[0].Revision = 100 })
 		}},
-		{name: "its row goes and comes back", leaving: []int{0}, served: 1, fault: func(f *limitFleet) {
+		{name: "its row is removed and added again", draining: []int{0}, served: 1, fault: func(f *limitFleet) {
 			row := f.store.records[0]
 			f.store.change(func() { f.store.records = f.store.records[1:] })
 			time.AfterFunc(time.Second, func() {
 				f.store.change(func() { f.store.records = append([]backend.Record{row}, f.store.records...) })
 			})
 		}},
-		{name: "an answer no longer says so", leaving: []int{0}, served: 1, fault: func(f *limitFleet) {
+		{name: "answers no longer advertise it", draining: []int{0}, served: 1, fault: func(f *limitFleet) {
 			f.changeEngine(0, func(engine *limitedEngine) { engine.draining = false })
 		}},
-		{name: "all but one leave", leaving: []int{0, 1, 2}, served: 1, fault: nothing},
-		{name: "all leave", leaving: []int{0, 1, 2, 3}, fault: nothing},
+		{name: "all but one drain", draining: []int{0, 1, 2}, served: 1, fault: nothing},
+		{name: "all drain", draining: []int{0, 1, 2, 3}, fault: nothing},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			f := newLimitFleet(t, 4, 5)
-			for _, index := range tt.leaving {
+			for _, index := range tt.draining {
 				f.changeEngine(index, func(engine *limitedEngine) { engine.draining = true })
 			}
 			time.AfterFunc(time.Second, func() { tt.fault(f) })
 			result := f.load(40, 6*time.Second)
 			total := result.answered + result.broken + len(result.refusals)
-			for _, index := range tt.leaving {
+			for _, index := range tt.draining {
 				late := f.lateAfterDrain(index)
-				t.Logf("%d requests to engine %d after it said that it leaves; %d of %d answered", late, index, result.answered, total)
+				t.Logf("%d late requests to draining engine %d; %d of %d answered", late, index, result.answered, total)
 				is.Equal(late, 0)
 			}
 			is.Equal(result.broken, 0)
 			is.True(float64(result.answered) >= tt.served*float64(total))
-			is.True(result.slowRefusals() <= len(result.refusals)/50) // nothing waits for what does not come
+			is.True(result.slowRefusals() <= len(result.refusals)/50) // requests do not wait for draining engines
 		})
 	}
 }
 
-// Routers hear from each other that an engine leaves before an answer tells each of them, and one
-// that joins knows it before it serves.
+// Routers learn from each other that an engine is draining, and one that joins knows it before
+// it serves.
 func TestDrainReachesOtherRouters(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -190,10 +180,11 @@
 	eventually(t, func() bool { return knows(1) && knows(2) })
 	f.startRouter(3)
 	is.True(knows(3))
-	is.Equal(len(f.engines[0].answers), 1) // no other router was told by the engine
+	is.Equal(len(f.engines[0].answers), 1) // no other router got an answer of the engine
 }
 
-// An engine that starts again is used by all routers, though words of its former life come late.
+// A restarted engine is used by all routers, although an answer of its former incarnation
+// arrives late.
 func TestNextIncarnationOfDrainedEngineIsUsed(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -220,40 +211,40 @@
 	is.Equal(len(routers), 3)
 }
 
-// An engine that wants rest gets it, and what it would have got is served by the others.
+// An engine gets the back-off that it asks for, and the others serve its requests.
 func TestBackoffIsKept(t *testing.T) {
 	tests := []struct {
 		name    string
 		engines int
-		// part is the part of the requests that the resting ones refuse.
-		part    float64
-		resting []int
-		rest    time.Duration
-		// served is the part of all requests that is answered at least.
+		// part is the share of requests that the engines backing off refuse.
+		part       float64
+		backingOff []int
+		backoff    time.Duration
+		// served is the least share of all requests that is answered.
 		served float64
 	}{
-		{name: "one", engines: 4, part: 1, resting: []int{0}, rest: 3 * time.Second, served: minServed},
-		{name: "for long", engines: 4, part: 1, resting: []int{0}, rest: time.Minute, served: minServed},
-		{name: "a fraction", engines: 4, part: 1, resting: []int{0}, rest: 1700 * time.Millisecond, served: minServed},
-		{name: "half of them", engines: 4, part: 1, resting: []int{0, 1}, rest: 3 * time.Second, served: minServed},
-		{name: "half of six, for most requests", engines: 6, part: 0.7, resting: []int{0, 1, 2}, rest: 1700 * time.Millisecond, served: minServed},
-		{name: "half of six, for a short time", engines: 6, part: 0.7, resting: []int{0, 1, 2}, rest: 800 * time.Millisecond, served: minServed},
-		{name: "all", engines: 4, part: 1, resting: []int{0, 1, 2, 3}, rest: 3 * time.Second},
+		{name: "one", engines: 4, part: 1, backingOff: []int{0}, backoff: 3 * time.Second, served: minServed},
+		{name: "for long", engines: 4, part: 1, backingOff: []int{0}, backoff: time.Minute, served: minServed},
+		{name: "a fraction", engines: 4, part: 1, backingOff: []int{0}, backoff: 1700 * time.Millisecond, served: minServed},
+		{name: "half of them", engines: 4, part: 1, backingOff: []int{0, 1}, backoff: 3 * time.Second, served: minServed},
+		{name: "half of six, for most requests", engines: 6, part: 0.7, backingOff: []int{0, 1, 2}, backoff: 1700 * time.Millisecond, served: minServed},
+		{name: "half of six, for a short time", engines: 6, part: 0.7, backingOff: []int{0, 1, 2}, backoff: 800 * time.Millisecond, served: minServed},
+		{name: "all", engines: 4, part: 1, backingOff: []int{0, 1, 2, 3}, backoff: 3 * time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			f := newLimitFleet(t, tt.engines, 5)
-			f.load(40, 3*time.Second) // repeats are earned by requests
-			for _, index := range tt.resting {
-				f.changeEngine(index, func(engine *limitedEngine) { engine.refusalShare, engine.backoff = tt.part, tt.rest })
+			f.load(40, 3*time.Second) // requests earn retries
+			for _, index := range tt.backingOff {
+				f.changeEngine(index, func(engine *limitedEngine) { engine.refusalShare, engine.backoff = tt.part, tt.backoff })
 			}
 			result := f.load(40, 8*time.Second)
 			total := result.answered + result.broken + len(result.refusals)
-			for _, index := range tt.resting {
+			for _, index := range tt.backingOff {
 				most := f.mostDuringBackoff(index)
-				t.Logf("at most %d requests of one router within a rest of engine %d; %d of %d answered", most, index, result.answered, total)
+				t.Logf("at most %d requests of one router during a back-off of engine %d; %d of %d answered", most, index, result.answered, total)
 				is.True(most <= backoffSlack)
 			}
 			if tt.served > 0 {
@@ -267,7 +258,7 @@
 	}
 }
 
-// An engine whose rest is over is used again at once.
+// An engine is used again at once when its back-off ends.
 func TestEngineIsUsedWhenBackoffEnds(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -281,11 +272,12 @@
 	f.load(40, 3*time.Second)
 	count := f.arrivedSince(0, back)
 	total := count + f.arrivedSince(1, back) + f.arrivedSince(2, back)
-	t.Logf("%d of %d requests in the 3 s from 1.5 s after its last refusal may have come", count, total)
+	t.Logf("%d of %d requests in the 3 s from 1.5 s after its last possible refusal", count, total)
 	is.True(count >= total/6) // half of an equal share
 }
 
-// What comes while all engines rest is refused at once, and told when the first is back.
+// Requests are refused at once while all engines are backing off, with a Retry-After at the end
+// of the first back-off.
 func TestRequestsDuringBackoffOfAllAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -296,20 +288,20 @@
 	result := f.load(30, 8*time.Second)
 	checked, slow, wrong := 0, 0, 0
 	for _, refusal := range result.refusals {
-		received := refusal.at.Add(-refusal.after)
+		received := refusal.at.Add(-refusal.latency)
 		end, all := f.earliestBackoffEnd(refusal.router, received)
 		if !all || end.Sub(refusal.at) < promptRefusal {
 			continue
 		}
 		checked++
-		if refusal.after > promptRefusal {
+		if refusal.latency > promptRefusal {
 			slow++
 		}
-		if back := refusal.at.Add(refusal.retryAfter); back.Before(end.Add(-promptRefusal)) || back.After(end.Add(time.Second)) {
+		if retryAt := refusal.at.Add(refusal.retryAfter); retryAt.Before(end.Add(-promptRefusal)) || retryAt.After(end.Add(time.Second)) {
 			wrong++
 		}
 	}
-	t.Logf("of %d refusals while all rest %d were slow, %d told another time", checked, slow, wrong)
+	t.Logf("of %d refusals while all were backing off %d were slow, %d had a wrong Retry-After", checked, slow, wrong)
 	is.True(checked > 100)
 	is.True(slow <= checked/50)
 	is.True(wrong <= checked/50)
--- a/internal/node/backendlimit_test.go
+++ b/internal/node/backendlimit_test.go
@@ -1,11 +1,7 @@
 package node
 
-// Users saw engines that had named a limit in their answers get as many requests as before:
-// 13 in 4 s where the limit was 1.3 a second. Two of 18 engines named one; six of seven
-// routers sent there, none of them more than three requests in those seconds. No router read
-// what the answers named, and none would have kept the limit by heeding it alone: one request
-// of each router is more than such a limit allows. Once answers were read, the logs of a test
-// proved both: each router knew the limit, and the engine got as many requests as before.
+// Guards against engines that get more requests than the limit that they advertise: routers
+// must keep it together, since one request of each may already exceed it.
 
 import (
 	"fmt"
@@ -31,12 +27,12 @@
 	is.Equal(len(result.refusals)+result.broken, 0) // two engines have no limit
 }
 
-// minServed is the part of all requests that is to be served while engines without limits are
-// there.
+// minServed is the share of all requests that must be served while there are engines without
+// limits.
 const minServed = 0.97
 
-// Engines with limits of all sizes get at least half of what they take while there is demand,
-// and never more than they may, whatever becomes of the routers and the store.
+// Engines with limits of all sizes get at least half of what they allow while there is demand,
+// and never more than they allow, also when routers or the store fail.
 func TestLimitsDuringFaults(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -45,11 +41,11 @@
 		rate    float64
 		// fault happens 4 s after the load began.
 		fault func(f *limitFleet)
-		// maxRates are the limits that are judged, used the part of them, or of what is asked of an
-		// engine if that is less, that is used at least.
+		// maxRates are the greatest limits, if others than limits; used is the least share of a
+		// limit, or of the demand if that is less, that is used.
 		maxRates []float64
 		used     float64
-		// served is the part of all requests that is answered at least.
+		// served is the least share of all requests that is answered.
 		served float64
 	}{
 		{name: "less than one a second", limits: []float64{0.25, 0.5, unlimited, unlimited}, routers: 5, rate: 30, used: 0.5, served: minServed},
@@ -57,7 +53,7 @@
 		{name: "all engines", limits: []float64{1.3, 1.6, 5, 9, 1.3, 2}, routers: 5, rate: 40, used: 0.7, served: 0.3},
 		{name: "it falls", limits: []float64{9, unlimited, unlimited}, routers: 5, rate: 60, served: minServed,
 			fault: func(f *limitFleet) { f.limit(1.3, 0) }, maxRates: []float64{9}},
-		{name: "a router leaves, another joins", limits: []float64{1.3, 5, unlimited}, routers: 5, rate: 30, served: minServed,
+		{name: "a router stops, another joins", limits: []float64{1.3, 5, unlimited}, routers: 5, rate: 30, served: minServed,
 			fault: func(f *limitFleet) {
 				f.stopRouter(0)
 				f.startRouter(5)
@@ -98,7 +94,7 @@
 	}
 }
 
-// An engine whose limit has fallen gets no more than the lower one allows.
+// An engine that lowers its limit gets no more than the lower one allows.
 func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	t.Parallel()
 	f := newLimitFleet(t, 3, 5)
@@ -113,7 +109,7 @@
 	}
 }
 
-// An engine that names no limit any more is in use again as before within 5 s.
+// An engine that advertises no limit any more is fully used again within 5 s.
 func TestEngineIsUsedWhenLimitEnds(t *testing.T) {
 	for _, rate := range []float64{0.25, 1.3} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -133,7 +129,7 @@
 	}
 }
 
-// What no engine takes is refused at once, and told when to come back.
+// Requests for which no limit leaves room are refused at once, with a Retry-After.
 func TestRequestsAboveAllLimitsAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -144,7 +140,7 @@
 	slow := 0
 	for _, refusal := range result.refusals {
 		is.True(refusal.retryAfter > 0)
-		if refusal.after > 200*time.Millisecond {
+		if refusal.latency > 200*time.Millisecond {
 			slow++
 		}
 	}
@@ -152,8 +148,7 @@
 	is.True(slow <= len(result.refusals)/50)
 }
 
-// Routers hear of a limit before an answer tells each of them, and one that joins knows it before
-// it serves.
+// Routers learn of a limit from each other, and one that joins knows it before it serves.
 func TestLimitsReachOtherRouters(t *testing.T) {
 	t.Parallel()
 	f := newLimitFleet(t, 2, 3)
@@ -172,6 +167,6 @@
 		t.Error("a router serves before it knows a limit that its peers know")
 	}
 	if count := len(f.engines[0].firstLimitAt); count != 1 {
-		t.Errorf("%d routers were told by the engine", count)
+		t.Errorf("%d routers learned the limit from the engine", count)
 	}
 }
--- a/internal/node/backendlimits.go
+++ b/internal/node/backendlimits.go
@@ -17,28 +17,25 @@
 )
 
 const (
-	// limitPools is the number of routers that share out the granting for back ends with
-	// limits. Each costs every router some six small datagrams a second and as many answers,
-	// while a back end that it grants for has a limit.
+	// limitPools is the number of pools among which the back ends with limits are divided, each
+	// led by one router.
 	limitPools = 4
-	// limitHelloInterval is the time between two hellos to each of them. A router that goes from one
-	// pool to another may count in both for three of them, in which a limit is exceeded by
-	// less than a quarter of what it allows in limitWindow.
+	// limitHelloInterval is the time between two hellos to a leader. It is short, as a router
+	// that changes its leader may be counted by both for three of them.
 	limitHelloInterval = 300 * time.Millisecond
-	// limitWindow is the window in which what back ends get is judged.
+	// limitWindow is the window over which limits of back ends apply.
 	limitWindow = 4 * time.Second
 )
 
-// limitMessage is a message between the agents that grant for a part of the back ends.
+// limitMessage is a message between the agents of one pool.
 type limitMessage struct {
-	// Pool is that of the router which leads (quota.Config.Place).
+	// Pool is the place of the pool's leader (quota.Config.Place).
 	Pool  uint8          `cbor:"1,keyasint,omitempty"`
 	Quota quota.Datagram `cbor:"2,keyasint"`
 }
 
-// backendLimits keeps back ends within the limits that they name: it claims each request from
-// the router that grants for its back end. It sends nothing while no limit is known. It
-// implements forward.BackendLimits.
+// backendLimits keeps back ends within their advertised limits: it reserves each request at
+// the leader of the back end's pool. It sends nothing while no limit is known.
 type backendLimits struct {
 	backends *backend.Registry
 	metrics  *metrics
@@ -47,8 +44,8 @@
 
 var _ forward.BackendLimits = (*backendLimits)(nil)
 
-// newBackendLimits returns the limits of back ends as the router at an address keeps them;
-// routers returns the number of all routers, 0 if it is not known.
+// newBackendLimits returns the limits of back ends for the router at an address; routers
+// returns the number of all routers, 0 if unknown.
 func newBackendLimits(self netip.AddrPort, backends *backend.Registry, routers func() int, counters *metrics) *backendLimits {
 	b := &backendLimits{backends: backends, metrics: counters}
 	for index := range b.pools {
@@ -64,7 +61,7 @@
 	return b
 }
 
-// connect sends messages by the socket of this router.
+// connect sets the socket over which messages are sent.
 func (b *backendLimits) connect(socket *notifier) {
 	for index, pool := range b.pools {
 		pool.send = func(envelope quota.Envelope) {
@@ -74,21 +71,21 @@
 	}
 }
 
-// setRouters takes in this router's row and those of the others.
+// setRouters sets this router's row and those of the others.
 func (b *backendLimits) setRouters(self upstream.Peer, peers []upstream.Peer) {
 	for _, pool := range b.pools {
 		pool.setRouters(self, peers)
 	}
 }
 
-// receive takes in a message of another router.
+// receive handles a message of another router.
 func (b *backendLimits) receive(from netip.AddrPort, message *limitMessage) {
 	if msg := message.Quota.Message(); msg != nil && int(message.Pool) < len(b.pools) {
 		b.pools[message.Pool].receive(from, msg)
 	}
 }
 
-// poolOf returns the place of the router that grants for a back end.
+// poolOf returns the index of a back end's pool.
 func poolOf(instance ident.Incarnation) int {
 	return int(xxhash.Sum64String(string(instance)) % limitPools)
 }
@@ -102,7 +99,7 @@
 	})
 	b.metrics.limitReservations.WithLabelValues(quotaResultName(result)).Inc()
 	if _, unconfirmed := result.(quota.Unconfirmed); !unconfirmed && pool.shared() {
-		// Others keep to the limit as well: an answer that ends it would have been told.
+		// Other routers share the limit, and would have reported its end.
 		b.backends.ConfirmLimit(clock.Now(), choice.Instance)
 	}
 	return result
@@ -113,13 +110,13 @@
 	b.pools[poolOf(to)].Release(grant)
 }
 
-// joinPool joins the pool for a back end at once, so that it is formed when requests come.
+// joinPool joins the pool of a back end at once, so that it exists before requests arrive.
 func (b *backendLimits) joinPool(instance ident.Incarnation) {
 	pool := b.pools[poolOf(instance)]
 	pool.withAgent(pool.agent.Tick)
 }
 
-// run keeps this router in the pools for the back ends that have limits, until ctx ends.
+// run keeps this router in the pools of the back ends that have limits, until ctx ends.
 func (b *backendLimits) run(ctx context.Context) {
 	wait.Every(ctx, quotaTick, func() {
 		var limited [limitPools]bool
@@ -135,7 +132,7 @@
 	}
 }
 
-// members returns the number of routers that are members of pools which this router leads.
+// members returns the number of members of all pools that this router leads.
 func (b *backendLimits) members() int {
 	members := 0
 	for _, pool := range b.pools {
@@ -144,7 +141,7 @@
 	return members
 }
 
-// quotaResultName is the name of a verdict in metrics.
+// quotaResultName returns the metric label of a result.
 func quotaResultName(result quota.Result) string {
 	switch result.(type) {
 	case quota.Granted:
--- a/internal/node/backendupdates.go
+++ b/internal/node/backendupdates.go
@@ -11,16 +11,14 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// updatesPerDatagram bounds the back ends in one datagram.
 const updatesPerDatagram = 20
 
-// backendUpdates carries what back ends say of themselves between routers: their limits, and that
-// they leave. Each change is told once, and again to routers that pull and know something else.
-// It implements forward.BackendNotifier.
+// backendUpdates exchanges with other routers which limits back ends advertise and which are
+// draining. Each change is sent once, and again to routers that pull with another digest.
 type backendUpdates struct {
 	backends *backend.Registry
 	limits   *backendLimits
-	// send tells all other routers; it does nothing before this one runs.
+	// send sends updates to all other routers; it does nothing before this one runs.
 	send func([]backend.StateUpdate)
 }
 
@@ -42,7 +40,7 @@
 	}
 }
 
-// observeAdvertised takes in what an answer to a report or an order says of its back end.
+// observeAdvertised applies what a back end advertised in an answer to a report or an order.
 func (b *backendUpdates) observeAdvertised(instance ident.Incarnation, sentAt time.Time, advertised backend.Advertised, by backend.Source) {
 	observed := b.backends.ObserveAdvertised(clock.Now(), instance, sentAt, advertised, by)
 	if observed.LimitChanged {
@@ -62,7 +60,7 @@
 	}
 }
 
-// applyUpdates takes in what other routers tell.
+// applyUpdates applies updates of other routers.
 func (b *backendUpdates) applyUpdates(updates []backend.StateUpdate) {
 	if b == nil {
 		return
--- a/internal/node/builds_test.go
+++ b/internal/node/builds_test.go
@@ -14,10 +14,10 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// buildSamples are messages and rows as routers of an older build encode them.
+// buildSamples holds messages and rows as encoded by an older build.
 const buildSamples = "testdata/build-ab711e7"
 
-// sampleOf returns where a sample is decoded, by its name; datagrams have many names.
+// sampleOf returns a value of the type of a sample; names of no other type are datagrams.
 func sampleOf(name string) any {
 	switch name {
 	case "pull":
@@ -39,8 +39,8 @@
 	}
 }
 
-// What an older build sends and writes is read whole, and what it would read of the same message
-// of this build is what it sent: fields were only added.
+// Messages and rows of an older build are decoded completely, and encoded again they keep all
+// of their fields: fields may only be added.
 func TestMessagesOfOlderBuild(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join(buildSamples, "*.cbor"))
 	if err != nil || len(paths) < 15 {
@@ -68,34 +68,34 @@
 	}
 }
 
-// checkKept fails if a value lacks what an earlier one has, or has it changed. Zero values that are
-// left out are the same.
-func checkKept(t *testing.T, place string, before, after any) {
+// checkKept fails if a part of an earlier value is missing or changed in a later one. A missing
+// zero value is equal.
+func checkKept(t *testing.T, path string, before, after any) {
 	t.Helper()
 	switch before := before.(type) {
 	case map[any]any:
 		found, is := after.(map[any]any)
 		if !is {
-			t.Errorf("%s: %v became %v", place, before, after)
+			t.Errorf("%s: %v became %v", path, before, after)
 			return
 		}
 		for key, value := range before {
-			checkKept(t, place+"/"+cborKey(key), value, found[key])
+			checkKept(t, path+"/"+cborKey(key), value, found[key])
 		}
 	case []any:
 		found, is := after.([]any)
 		if !is || len(found) != len(before) {
-			t.Errorf("%s: %v became %v", place, before, after)
+			t.Errorf("%s: %v became %v", path, before, after)
 			return
 		}
 		for index, value := range before {
-			checkKept(t, place, value, found[index])
+			checkKept(t, path, value, found[index])
 		}
 	default:
 		first, _ := cbor.Marshal(before)
 		second, _ := cbor.Marshal(after)
 		if string(first) != string(second) {
-			t.Errorf("%s: %v became %v", place, before, after)
+			t.Errorf("%s: %v became %v", path, before, after)
 		}
 	}
 }
@@ -112,12 +112,12 @@
 	return encoded
 }
 
-// A datagram with fields that this build does not know is read as far as it does.
+// Unknown fields of a datagram of a later build are ignored.
 func TestMessagesOfLaterBuild(t *testing.T) {
 	is := is.New(t)
 	encoded, err := cbor.Marshal(map[int]any{2: map[int]any{1: []string{"e"}, 99: "later"}, 98: "later", 97: []int{1}})
 	is.NoErr(err)
-	var told datagram
-	is.NoErr(cbor.Unmarshal(encoded, &told))
-	is.Equal(len(told.Health.Silent), 1)
+	var decoded datagram
+	is.NoErr(cbor.Unmarshal(encoded, &decoded))
+	is.Equal(len(decoded.Health.Silent), 1)
 }
--- a/internal/node/canary.go
+++ b/internal/node/canary.go
@@ -19,54 +19,52 @@
 )
 
 const (
-	// directTick is the time between two looks at what is due while this router directs a
-	// rollout: a few in the time between two permits. canaryTick is that at the others,
-	// whose looks only log what has changed.
+	// directTick is the time between two ticks while this router directs a rollout, a few in
+	// the time between two permits; canaryTick is that at other routers, which only log.
 	directTick = 100 * time.Millisecond
 	canaryTick = 250 * time.Millisecond
-	// finalPhaseResend is how long routers are told a final phase, so that it reaches those
-	// that miss datagrams or start meanwhile; it is as long as a canary.Director tells it.
+	// finalPhaseResend is how long a final phase is sent, so that it reaches routers that lost
+	// datagrams or start during it; as long as a canary.Director sends it.
 	finalPhaseResend = 10 * time.Second
-	// routersReadPause is the least time between two reads of the routers' rows that a rollout
-	// asks for: a router that has just started must be heard before a verdict.
+	// routersReadPause is the least time between two reads of the routers' rows for a rollout.
+	// They are read because a router that has just started must report before a decision.
 	routersReadPause = time.Second
 )
 
-// leaseHolder tells whether this router holds the lease under which rollouts are directed.
+// leaseHolder reports whether this router holds the lease under which rollouts are directed.
 type leaseHolder interface {
 	Held() (lease.Grant, error)
 }
 
 // canaries is this router's part in moving services to other releases: it runs a
-// canary.Gate, and a canary.Director while the lease is held. It implements
-// forward.Releases.
+// canary.Gate, and a canary.Director while it holds the lease.
 type canaries struct {
-	// self is where this router is told permits, peers the addresses of the others.
+	// self is the address of this router, peers returns those of the others.
 	self  netip.AddrPort
 	peers func() []netip.AddrPort
-	// refreshPeers reads the addresses of the others anew.
+	// refreshPeers reads the addresses of the others from the store.
 	refreshPeers func(ctx context.Context)
-	send         func(to netip.AddrPort, told datagram)
+	send         func(to netip.AddrPort, sent datagram)
 	lease        leaseHolder
 	backends     *backend.Registry
 	states       *rolloutStates
 	metrics      *metrics
 
 	bounds canary.Bounds
-	// restricted is true while some attempt may not go to every release.
+	// restricted is true while some attempts may not go to every release.
 	restricted atomic.Bool
-	// wakeups has an item once there is a rollout to look after.
+	// wakeups receives an item when run has something to do.
 	wakeups chan struct{}
 
 	mu       sync.Mutex
 	gate     *canary.Gate
 	rollouts *knownRollouts
-	// listedReleases are those that the gate was told of each service.
+	// listedReleases are the releases of each service, as last passed to the gate.
 	listedReleases map[ident.Service][]ident.Release
-	// busyUntil is when nothing is left to do, unless an order comes.
+	// busyUntil is when run may sleep, unless an order comes.
 	busyUntil time.Time
-	// routersReadAt is when the routers' rows were last asked for, wanted whether they are to
-	// be read.
+	// routersReadAt is when a read of the routers' rows last began; routersReadDue is true if
+	// another one is requested.
 	routersReadAt  time.Time
 	routersReadDue bool
 	logged         map[ident.Service]*loggedRollout
@@ -76,7 +74,7 @@
 
 var _ forward.Releases = (*canaries)(nil)
 
-// newCanaries returns the canaries of a router.
+// newCanaries completes and returns c.
 func newCanaries(bounds canary.Bounds, c *canaries) *canaries {
 	c.bounds = bounds
 	c.wakeups = make(chan struct{}, 1)
@@ -86,7 +84,7 @@
 	return c
 }
 
-// connect lets permits and reports pass through the socket for notices.
+// connect sets the socket over which permits and reports pass; c may be nil.
 func (c *canaries) connect(socket *notifier) {
 	if c != nil {
 		socket.canaries = c
@@ -135,7 +133,7 @@
 	c.gate.Ended(now, run, sample)
 }
 
-// setRollouts takes in what a configuration confirmed at a time tells of rollouts.
+// setRollouts sets the rollouts as of a configuration that was confirmed at a time.
 func (c *canaries) setRollouts(confirmedAt time.Time, rollouts *knownRollouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +143,7 @@
 	c.gateChanged(now)
 }
 
-// applyList takes in the back ends as they were listed at a time.
+// applyList applies the back ends as they were listed at a time; c may be nil.
 func (c *canaries) applyList(listedAt time.Time, records []backend.Record) {
 	if c == nil {
 		return
@@ -167,7 +165,7 @@
 	c.gateChanged(clock.Now())
 }
 
-// releasesOf returns the releases of each service, in order.
+// releasesOf returns the sorted releases of each service.
 func releasesOf(records []backend.Record) map[ident.Service][]ident.Release {
 	releases := make(map[ident.Service][]ident.Release)
 	for index := range records {
@@ -180,8 +178,8 @@
 	return releases
 }
 
-// receive takes in a datagram of a router. Those of other senders are dropped, and the
-// routers' rows are looked at again, since it may be one that has just started.
+// receive handles a permit or a report. One of an unknown sender is dropped and the routers'
+// rows are read again, since the sender may have just started.
 func (c *canaries) receive(from netip.AddrPort, received *datagram) {
 	if received.Permit == nil && received.Report == nil {
 		return
@@ -204,7 +202,8 @@
 	}
 }
 
-// applyPermit takes in a permit, and returns the report that answers it, if any.
+// applyPermit applies a permit and returns the report that answers it, if any; the caller
+// holds the mutex.
 func (c *canaries) applyPermit(now time.Time, permit *canary.Permit) *canary.Report {
 	c.gate.Permitted(now, permit)
 	c.loggedOf(permit.Order.Service).reason = permit.Reason
@@ -212,13 +211,13 @@
 	return c.gate.Report(now, permit.Order.Service)
 }
 
-// requestRoutersRead asks for a read of the routers' rows; the caller holds the mutex.
+// requestRoutersRead requests a read of the routers' rows; the caller holds the mutex.
 func (c *canaries) requestRoutersRead() {
 	c.routersReadDue = true
 	c.wake()
 }
 
-// gateChanged takes in that the gate may have changed its mind; the caller holds the mutex.
+// gateChanged updates and logs what follows from the gate's state; the caller holds the mutex.
 func (c *canaries) gateChanged(now time.Time) {
 	c.restricted.Store(c.gate.Active())
 	c.logChanges(now)
@@ -235,7 +234,7 @@
 	}
 }
 
-// run looks after rollouts until ctx ends. Without one it sleeps.
+// run follows rollouts until ctx ends. Without one it sleeps.
 func (c *canaries) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !c.busy(clock.Now()) {
@@ -252,14 +251,14 @@
 	}
 }
 
-// busy reports whether there is a rollout to look after.
+// busy reports whether run has something to do.
 func (c *canaries) busy(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Before(c.busyUntil) || c.routersReadDue
 }
 
-// tick does what is due, and reports whether this router directs.
+// tick does what is due, and reports whether this router holds the lease.
 func (c *canaries) tick(ctx context.Context, now time.Time) (directs bool) {
 	fence := uint64(0)
 	if grant, err := c.lease.Held(); err == nil {
@@ -282,8 +281,8 @@
 	return c.term != nil
 }
 
-// readRouters reads the routers' rows if that is wanted and was not done lately; the caller
-// holds the mutex.
+// readRouters starts a due read of the routers' rows, routersReadPause after the last one at
+// the earliest; the caller holds the mutex.
 func (c *canaries) readRouters(ctx context.Context, now time.Time) {
 	if !c.routersReadDue || now.Sub(c.routersReadAt) < routersReadPause {
 		return
--- a/internal/node/canary_test.go
+++ b/internal/node/canary_test.go
@@ -13,9 +13,8 @@
 
 const guardedDuration = 14 * time.Second
 
-// Whatever goes wrong in between, a good release takes over before the deadline and a bad
-// one is rolled back, within the bounds of exposure, with one verdict, and without a run
-// cut off.
+// During faults a good release is promoted before the deadline and a bad one is rolled back,
+// within the bounds of exposure, with one final state and without breaking a request.
 func TestRolloutDuringFaults(t *testing.T) {
 	tests := []struct {
 		name string
@@ -30,7 +29,7 @@
 			time.Sleep(2 * time.Second)
 			f.setHolder("r1", 2)
 		}},
-		{"two routers take themselves for the holder", func(f *guardedFleet) {
+		{"two routers believe to hold the lease", func(f *guardedFleet) {
 			time.Sleep(3 * time.Second)
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -41,12 +40,12 @@
 			defer f.mu.Unlock()
 			f.writeFaults = []writeFault{answerLost, callLost, answerLost, callLost}
 		}},
-		{"a write is done long after it was given up", func(f *guardedFleet) {
+		{"a write is applied long after its timeout", func(f *guardedFleet) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.writeFaults = []writeFault{callLost, writtenLater, callLost, writtenLater}
 		}},
-		{"states are read late", func(f *guardedFleet) {
+		{"states are unreadable for 3 s", func(f *guardedFleet) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.statesUnreadableUntil = time.Now().Add(3 * time.Second)
@@ -55,7 +54,7 @@
 			time.Sleep(4 * time.Second)
 			f.start(f.t.Context(), "late")
 		}},
-		{"a router is cut off from the others", func(f *guardedFleet) {
+		{"a router is partitioned from the others", func(f *guardedFleet) {
 			time.Sleep(3 * time.Second)
 			f.cutOff("r3", true)
 		}},
@@ -87,20 +86,20 @@
 	}
 }
 
-// sleepUntil sleeps to a time after the order.
+// sleepUntil sleeps until a time after the order.
 func (f *guardedFleet) sleepUntil(after time.Duration) {
 	time.Sleep(time.Until(f.orderedAt.Add(after)))
 }
 
-// cutOff lets no datagram pass to or from a router.
+// cutOff sets whether datagrams to and from a router are lost.
 func (f *guardedFleet) cutOff(node ident.Node, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.partitionedFrom[node] = cut
 }
 
-// A router that hears nothing of the holder sends nothing to a release that is not proved,
-// a second after the last permit at the latest, and nothing to the old one after the end.
+// A router partitioned from the holder sends nothing to an unproved release from a second
+// after its last permit, and nothing to the old one after the end.
 func TestPartitionedRouterSendsNothingUnproved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -113,19 +112,19 @@
 		begun := time.Now()
 		f.sleepUntil(guardedDuration + 6*time.Second)
 		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
-		is.True(f.sentTo("r5", f.finalStateAt(), time.Now()) > 0) // the shared state told the verdict
+		is.True(f.sentTo("r5", f.finalStateAt(), time.Now()) > 0) // the final state came with the shared state
 		is.Equal(f.sentTo("r5", begun, f.finalStateAt()), 0)
 	})
 }
 
-// finalStateAt returns when the operator was told of the verdict.
+// finalStateAt returns when the final state was reported to the operator.
 func (f *guardedFleet) finalStateAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reported[len(f.reported)-1].at
 }
 
-// A router that starts in the middle sends nothing to the target before it has a permit.
+// A router that starts during a rollout sends nothing to the target before it has a permit.
 func TestNewRouterWaitsForPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -144,16 +143,14 @@
 			}
 		}
 		f.mu.Unlock()
-		is.True(served > 20) // it serves meanwhile
+		is.True(served > 20) // by the old release
 		f.cutOff("late", false)
 		f.sleepUntil(guardedDuration + 6*time.Second)
 		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
 	})
 }
 
-// Without an order nothing is sent, read or written, nor once a verdict is known; and an
-// order costs no call beyond the writes, and a read of states with that of the
-// configuration.
+// Without an order, and after the end of a rollout, nothing is sent and no state is read.
 func TestIdleRolloutCostsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -166,15 +163,15 @@
 		f.order(guardedDuration)
 		f.sleepUntil(guardedDuration + 20*time.Second)
 		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
-		for node, life := range f.guarded {
-			if life.canaries.busy(time.Now()) {
-				t.Errorf("%s still looks after the rollout", node)
+		for node, router := range f.guarded {
+			if router.canaries.busy(time.Now()) {
+				t.Errorf("%s is still busy with the rollout", node)
 			}
 		}
 		update = f.routers["r3"].follower.replica.Update(time.Now(), fullPull())
 		is.Equal(update.Configuration.Rollouts.Known.States[0].Phase, canary.Succeeded)
 		f.mu.Lock()
-		f.statesUnreadableUntil = time.Now().Add(time.Hour) // whoever reads a state from now on logs it
+		f.statesUnreadableUntil = time.Now().Add(time.Hour) // a read of states is logged from now on
 		f.mu.Unlock()
 		lost := countEvents(t)
 		time.Sleep(10 * time.Second)
@@ -182,8 +179,8 @@
 	})
 }
 
-// A new release beside another one gets nothing until it is known that no order for it is
-// on its way; a service of one release never waits.
+// A new release beside another one gets nothing until a confirmation shows that there is no
+// order for it; a service of one release never waits.
 func TestNewReleaseWaitsForConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -206,13 +203,13 @@
 		}
 		refused := f.unserved
 		f.mu.Unlock()
-		is.True(!first.IsZero())                           // without an order it serves like any
+		is.True(!first.IsZero())                           // without an order it is used
 		is.True(first.Sub(listedAt) > 10*time.Millisecond) // after a confirmation
 		is.Equal(refused, 0)
 	})
 }
 
-// An order that is withdrawn is rolled back, also by a holder that comes after that.
+// A withdrawn order is rolled back, also by a holder that takes over later.
 func TestWithdrawnOrderIsRolledBack(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -239,7 +236,7 @@
 	}
 }
 
-// An order that is written again while its rollout runs goes on under the earlier deadline.
+// An order that is rewritten during its rollout keeps the earlier deadline.
 func TestRewrittenOrderKeepsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -256,7 +253,7 @@
 	})
 }
 
-// An order for another release ends the one that runs, and has a verdict of its own.
+// An order for another release ends the running rollout and gets a final state of its own.
 func TestOrderForAnotherReleaseReplacesRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -272,10 +269,10 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		phases := map[ident.Release]canary.Phase{}
-		for _, told := range f.reported {
-			target := told.state.Order.Target
-			is.True(!phases[target].Final() || phases[target] == told.state.Phase) // a verdict stays
-			phases[target] = told.state.Phase
+		for _, report := range f.reported {
+			target := report.state.Order.Target
+			is.True(!phases[target].Final() || phases[target] == report.state.Phase) // a final phase stays
+			phases[target] = report.state.Phase
 		}
 		is.Equal(phases, map[ident.Release]canary.Phase{newRelease: canary.RolledBack, "v3": canary.Succeeded})
 	})
@@ -292,7 +289,7 @@
 	allocs := testing.AllocsPerRun(500, func() {
 		releases := c.Choose(now, ask)
 		if releases.Restricted() {
-			t.Error("a service of one release is bounded")
+			t.Error("a service of one release is restricted")
 		}
 		c.Ended(now, c.Sent(now, "s", record[0]), canary.Sample{Route: "route", Outcome: canary.Answered})
 	})
--- a/internal/node/canarybench_test.go
+++ b/internal/node/canarybench_test.go
@@ -12,9 +12,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// BenchmarkRolloutSecond plays a second of a rollout at its holder and at one other
-// router, for the sizes of fleet designed for, with three routes at a few back ends of the
-// target. It reports the bytes of both a second, apart from the headers of datagrams.
+// BenchmarkRolloutSecond simulates a second of a rollout at its holder and all other routers,
+// with three routes. It reports the bytes of permits and reports, without headers of datagrams.
 func BenchmarkRolloutSecond(b *testing.B) {
 	for _, routers := range []int{83, 390} {
 		b.Run(fmt.Sprint(routers, " routers"), func(b *testing.B) {
@@ -30,7 +29,7 @@
 	}
 }
 
-// benchFleet is a holder, and as many gates as there are other routers.
+// benchFleet is a holder of the lease and the other routers.
 type benchFleet struct {
 	holder           *canaries
 	others           map[netip.AddrPort]*canaries
@@ -59,7 +58,7 @@
 	f.holder.send = f.deliver
 	for number := 1; number < routers; number++ {
 		other := create(number)
-		other.send = func(_ netip.AddrPort, told datagram) { f.reports += encodedSize(told) }
+		other.send = func(_ netip.AddrPort, sent datagram) { f.reports += encodedSize(sent) }
 		f.others[other.self] = other
 	}
 	f.holder.setFence(f.now, 1)
@@ -67,25 +66,26 @@
 	return f
 }
 
-func encodedSize(told datagram) int {
-	encoded, err := cbor.Marshal(told)
+func encodedSize(sent datagram) int {
+	encoded, err := cbor.Marshal(sent)
 	if err != nil {
 		panic(err)
 	}
 	return len(encoded)
 }
 
-// deliver hands a permit to its router, and its report to the holder.
-func (f *benchFleet) deliver(to netip.AddrPort, told datagram) {
-	f.permits += encodedSize(told)
+// deliver passes a permit to its router, and the router's report to the holder.
+func (f *benchFleet) deliver(to netip.AddrPort, sent datagram) {
+	f.permits += encodedSize(sent)
 	other := f.others[to]
-	other.gate.Permitted(f.now, told.Permit)
+	other.gate.Permitted(f.now, sent.Permit)
 	report := other.gate.Report(f.now, "s")
 	f.reports += encodedSize(datagram{Report: report})
 	f.holder.term.director.Reported(f.now, to, report)
 }
 
-// playSecond plays a second: each router serves a request of each route at either release.
+// playSecond simulates a second, in which each router serves requests of each route at both
+// releases.
 func (f *benchFleet) playSecond() {
 	records := recordsOf(oldRelease, newRelease)
 	addrs := append(f.holder.peers(), f.holder.self)
@@ -103,8 +103,8 @@
 		}
 		f.holder.term.observe(f.now, f.holder.rollouts, records, addrs)
 		for _, action := range f.holder.term.director.Step(f.now) {
-			if tell, told := action.(canary.Tell); told && tell.To != f.holder.self {
-				f.deliver(tell.To, datagram{Permit: tell.Permit})
+			if permit, ok := action.(canary.Tell); ok && permit.To != f.holder.self {
+				f.deliver(permit.To, datagram{Permit: permit.Permit})
 			}
 		}
 	}
--- a/internal/node/canarycheck_test.go
+++ b/internal/node/canarycheck_test.go
@@ -8,26 +8,26 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// check checks what holds whatever goes wrong, and returns the verdict.
+// check checks the invariants of a rollout, and returns the final phase.
 func (f *guardedFleet) check(duration time.Duration, bad bool) canary.Phase {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	final, finals := canary.Phase(0), 0
-	for _, told := range f.reported {
-		if told.state.Phase.Final() {
+	for _, report := range f.reported {
+		if report.state.Phase.Final() {
 			finals++
-			final = told.state.Phase
-			if after := told.at.Sub(f.orderedAt); after > duration {
-				f.t.Errorf("the verdict came %v after the order", after)
+			final = report.state.Phase
+			if after := report.at.Sub(f.orderedAt); after > duration {
+				f.t.Errorf("the final state came %v after the order", after)
 			}
 		}
 	}
 	if finals != 1 {
-		f.t.Errorf("%d verdicts: %v", finals, f.reported)
+		f.t.Errorf("%d final states: %v", finals, f.reported)
 	}
 	if len(f.reported) == 0 || f.reported[0].state.Phase != canary.Observing {
-		f.t.Errorf("the operator was not told that the rollout runs: %v", f.reported)
+		f.t.Errorf("the first state reported to the operator is not observing: %v", f.reported)
 	}
 	if bad {
 		f.checkExposure(duration)
@@ -38,7 +38,8 @@
 	return final
 }
 
-// checkExposure checks how many requests the target got, and when.
+// checkExposure checks how many requests a bad target got, and that none came later than the
+// rollback time after its 50th bad answer.
 func (f *guardedFleet) checkExposure(duration time.Duration) {
 	sent, all := 0, 0
 	for _, one := range f.arrivals {
@@ -65,11 +66,11 @@
 	}
 }
 
-// partitionedDelay is the time within which a router that hears nothing of the holder learns of a
-// verdict from the shared state: two reads of the configuration, and two pulls.
+// partitionedDelay is the time within which a router partitioned from the holder learns of a
+// final state from the shared state: two reads of the configuration, and two pulls.
 const partitionedDelay = 2 * time.Second
 
-// checkSwitch checks that nothing went to the old release once its back ends had ended.
+// checkSwitch checks that nothing went to the old release after the final state.
 func (f *guardedFleet) checkSwitch() {
 	last := f.reported[len(f.reported)-1].at
 	for _, one := range f.arrivals {
@@ -78,13 +79,13 @@
 			allowed = partitionedDelay
 		}
 		if one.release == oldRelease && one.at.Sub(last) > allowed {
-			f.t.Errorf("%s sent to the old release %v after the verdict", one.node, one.at.Sub(last))
+			f.t.Errorf("%s sent to the old release %v after the final state", one.node, one.at.Sub(last))
 			return
 		}
 	}
 }
 
-// sentTo returns how many requests a router sent to the target in a span.
+// sentTo returns how many requests a router sent to the target between two times.
 func (f *guardedFleet) sentTo(node ident.Node, from, to time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/node/canaryfleet_test.go
+++ b/internal/node/canaryfleet_test.go
@@ -27,7 +27,7 @@
 const (
 	oldRelease = ident.Release("v1")
 	newRelease = ident.Release("v2")
-	// answerTime is the time in which a sound back end answers.
+	// answerTime is the time in which a healthy back end answers.
 	answerTime = 40 * time.Millisecond
 	// requestInterval is the time between two requests at one router.
 	requestInterval = 20 * time.Millisecond
@@ -35,7 +35,7 @@
 
 var guardedBounds = canary.Bounds{Share: 0.1, Slack: 50, Rollback: 5 * time.Second}
 
-// guardedFleet is a zone of routers that move a service to another release, in virtual
+// guardedFleet is a group of routers that move a service to another release, in virtual
 // time. Datagrams take a millisecond.
 type guardedFleet struct {
 	*zone
@@ -45,14 +45,13 @@
 	guarded map[ident.Node]*guardedRouter
 	starts  int
 	holders map[ident.Node]uint64
-	// partitionedFrom routers send and get no datagrams.
+	// partitionedFrom are the routers that neither send nor receive datagrams.
 	partitionedFrom map[ident.Node]bool
-	// writeFaults says how writes of states go wrong: each takes the first one.
-	writeFaults []writeFault
-	// statesUnreadableUntil is the time until which states cannot be read.
+	// writeFaults are the faults of the next writes of states, in order.
+	writeFaults           []writeFault
 	statesUnreadableUntil time.Time
-	// failing is the part of the target's answers that are failures, slow how many times
-	// as long it takes.
+	// failing is the share of the target's answers that are failures, slow the factor of its
+	// answer time.
 	failing, slow float64
 	// pause is the time between two requests at one router.
 	pause time.Duration
@@ -65,19 +64,20 @@
 	unserved  int
 }
 
-// writeFault is what goes wrong with a write of a state.
+// writeFault is a fault of a write of a state.
 type writeFault uint8
 
 const (
-	// answerLost is a write that is done, and not answered.
+	// answerLost is a write that is applied, but not answered.
 	answerLost writeFault = iota + 1
-	// callLost is one that is not done, and not answered.
+	// callLost is one that is neither applied nor answered.
 	callLost
-	// writtenLater is one that is done two seconds later if its condition still holds.
+	// writtenLater is one that is not answered, and applied two seconds later if its condition
+	// still holds.
 	writtenLater
 )
 
-// reportedState is a state that the operator was told.
+// reportedState is a state that was reported to the operator.
 type reportedState struct {
 	at    time.Time
 	state canary.State
@@ -90,7 +90,7 @@
 	release ident.Release
 }
 
-// guardedRouter is one life of a router of the fleet.
+// guardedRouter is one incarnation of a router of the fleet.
 type guardedRouter struct {
 	fleet    *guardedFleet
 	node     ident.Node
@@ -100,8 +100,8 @@
 	random   *rand.Rand
 }
 
-// newGuardedFleet starts routers r0, r1, ..., of which the first holds the lease, with four
-// back ends of the old release.
+// newGuardedFleet starts routers r0, r1, ..., of which r0 holds the lease, with four back ends
+// of the old release.
 func newGuardedFleet(t *testing.T, routers int) *guardedFleet {
 	t.Helper()
 	f := &guardedFleet{
@@ -119,12 +119,12 @@
 	return f
 }
 
-// list lists four back ends of each of some releases.
+// list lists four back ends of each release, and no others.
 func (f *guardedFleet) list(releases ...ident.Release) {
 	f.store.change(func() { f.store.records = recordsOf(releases...) })
 }
 
-// unlist drops the back ends of a release.
+// unlist removes the back ends of a release from the list.
 func (f *guardedFleet) unlist(release ident.Release) {
 	f.store.change(func() {
 		f.store.records = slices.DeleteFunc(slices.Clone(f.store.records), func(record backend.Record) bool {
@@ -133,7 +133,7 @@
 	})
 }
 
-// recordsOf returns four back ends of each of some releases.
+// recordsOf returns four back ends of each release.
 func recordsOf(releases ...ident.Release) []backend.Record {
 	var records []backend.Record
 	for _, release := range releases {
@@ -146,10 +146,10 @@
 	return records
 }
 
-// fullPull asks for all that a router knows.
+// fullPull requests the whole shared state of a router.
 func fullPull() *upstream.Pull { return &upstream.Pull{} }
 
-// countEvents returns how often an event was logged since.
+// countEvents returns a function that returns how often an event was logged since the call.
 func countEvents(t *testing.T) func(event string) int {
 	t.Helper()
 	kept := memory.New()
@@ -166,7 +166,7 @@
 	}
 }
 
-// setUpRouter sets up the canaries of a life of a router, and its clients.
+// setUpRouter sets up the canaries and the clients of a router that starts.
 func (f *guardedFleet) setUpRouter(ctx context.Context, running *zoneRouter) {
 	follower := running.follower
 	f.mu.Lock()
@@ -192,7 +192,7 @@
 	go router.clients(ctx)
 }
 
-// Held implements holding.
+// Held implements leaseHolder.
 func (r *guardedRouter) Held() (lease.Grant, error) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
@@ -203,16 +203,16 @@
 	return lease.Grant{Fence: fence}, nil
 }
 
-// setHolder passes the lease on.
+// setHolder gives the lease to a router.
 func (f *guardedFleet) setHolder(node ident.Node, fence uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.holders = map[ident.Node]uint64{node: fence}
 }
 
-// send sends a datagram as it would pass through a socket.
-func (r *guardedRouter) send(to netip.AddrPort, told datagram) {
-	encoded, err := cbor.Marshal(told)
+// send delivers an encoded datagram as a socket would.
+func (r *guardedRouter) send(to netip.AddrPort, sent datagram) {
+	encoded, err := cbor.Marshal(sent)
 	if err != nil || len(encoded) > maxDatagramBytes {
 		r.fleet.t.Errorf("a datagram of %d bytes: %v", len(encoded), err)
 		return
@@ -225,15 +225,15 @@
 	})
 }
 
-// receiver returns the router at an address, or nil if nothing passes to it.
+// receiver returns the router at an address, or nil if it is unreachable.
 func (f *guardedFleet) receiver(from ident.Node, to netip.AddrPort) *guardedRouter {
 	f.zone.mu.Lock()
 	defer f.zone.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for node, life := range f.guarded {
-		if life.addr == to && !f.partitionedFrom[node] && !f.partitionedFrom[from] && !f.routers[node].dead && !f.routers[from].dead {
-			return life
+	for node, router := range f.guarded {
+		if router.addr == to && !f.partitionedFrom[node] && !f.partitionedFrom[from] && !f.routers[node].dead && !f.routers[from].dead {
+			return router
 		}
 	}
 	return nil
@@ -250,7 +250,7 @@
 	}
 }
 
-// request sends one request as a forwarder does.
+// request sends one request as a forwarder would.
 func (r *guardedRouter) request(ctx context.Context) {
 	now := time.Now()
 	query := backend.Query{Service: "s", SpreadKey: r.random.Uint64(), Expected: answerTime}
@@ -303,7 +303,7 @@
 	f.unserved++
 }
 
-// arrive notes a request at a back end, and returns whether its answer is bad.
+// arrive records a request at a back end, and returns whether its answer is a failure.
 func (f *guardedFleet) arrive(node ident.Node, release ident.Release, chance float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -323,7 +323,7 @@
 
 // CommitRollout implements RolloutStore.
 func (f *guardedFleet) CommitRollout(
-	ctx context.Context, transaction protocol.Transaction, told *canary.State,
+	ctx context.Context, transaction protocol.Transaction, written *canary.State,
 ) (protocol.TransactionResult, error) {
 	f.mu.Lock()
 	var injected writeFault
@@ -332,7 +332,7 @@
 	}
 	f.mu.Unlock()
 	lost := fault.New(fault.StoreUnavailable, "no answer").WithRan(fault.RanUnknown)
-	state := *told
+	state := *written
 	switch injected {
 	case callLost:
 		return protocol.TransactionResult{}, lost
@@ -347,7 +347,7 @@
 	return result, err
 }
 
-// commit writes a state, and carries out what the operator does on a final one.
+// commit writes a state, and updates the list as an operator does after a final one.
 func (f *guardedFleet) commit(ctx context.Context, transaction protocol.Transaction, state canary.State) (protocol.TransactionResult, error) {
 	result, err := f.store.Commit(ctx, transaction)
 	if err != nil || !result.Committed {
@@ -357,7 +357,7 @@
 	f.reported = append(f.reported, reportedState{time.Now(), state})
 	left := 0
 	for node, open := range f.open[oldRelease] {
-		// One that is cut off from the holder learns of the switch later than that.
+		// A partitioned router learns of the switch later.
 		if !f.partitionedFrom[node] {
 			left += open
 		}
@@ -366,7 +366,7 @@
 	switch state.Phase {
 	case canary.Succeeded:
 		if left > 0 {
-			f.t.Errorf("%d runs on the old release were cut off", left)
+			f.t.Errorf("%d requests on the old release were broken", left)
 		}
 		f.list(state.Order.Target)
 	case canary.RolledBack:
@@ -375,7 +375,7 @@
 	return result, nil
 }
 
-// unreadableStates is the store's table, of which states cannot be read for a while.
+// unreadableStates is the store's table, from which states cannot be read for a while.
 type unreadableStates struct {
 	*fakeStore
 	fleet *guardedFleet
@@ -406,7 +406,7 @@
 	return b.fakeStore.List(ctx, prefix, limit)
 }
 
-// order orders the target for a time; its back ends are listed a second later.
+// order orders the move to the target within a time; its back ends are listed a second later.
 func (f *guardedFleet) order(duration time.Duration) {
 	f.mu.Lock()
 	f.orderedAt = time.Now()
--- a/internal/node/canaryslow_test.go
+++ b/internal/node/canaryslow_test.go
@@ -11,8 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// A release that is slow at each answer does not pass because its holder was killed, also
-// where few requests come.
+// A slow release is rolled back although the holder was killed, also with few requests.
 func TestNextHolderRollsBackSlowRelease(t *testing.T) {
 	for _, killedAfter := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second} {
 		for _, pause := range []time.Duration{40 * time.Millisecond, 80 * time.Millisecond, 160 * time.Millisecond} {
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -17,27 +17,27 @@
 )
 
 // heldConfiguration is the newest configuration that a router knows. Configurations are
-// ordered by their own version: the revision of the store's row rises also with an older
-// one that the store writes late.
+// ordered by their own version, since a late write of an older one raises the row's revision
+// as well.
 type heldConfiguration struct {
 	// version is 0 for none.
 	version uint64
 	body    []byte
-	// checkedRevision is the revision of the row up to which none that the row held is newer.
+	// checkedRevision is the row's revision up to which it held no newer configuration.
 	checkedRevision uint64
-	// confirmedStoreRevision is the revision of the store at the own read that confirmed checkedRevision
-	// last: the row had no other content until then. It is 0 if there was none.
+	// confirmedStoreRevision is the store's revision at the last read of this router that found
+	// the row at checkedRevision, 0 for none.
 	confirmedStoreRevision uint64
-	// suspectRevision is a later revision at which the row held none that is newer, while what it
-	// held in between is forgotten.
+	// suspectRevision is a later revision at which the row held no newer configuration, while
+	// the store has forgotten what it held in between.
 	suspectRevision uint64
-	// historyUnknown says that the row was believed by a router that knew none: what it held before
-	// is not known.
+	// historyUnknown is true if the configuration was adopted without the row's earlier content,
+	// since this router knew none before.
 	historyUnknown bool
 }
 
-// historyDepths are how many revisions of the store a router that knew no configuration looks
-// back in the row's history, from as far as a late write can matter (some seconds of a
+// historyDepths are the numbers of revisions of the store, tried in turn, for which checkHistory
+// reads the row's history: from as far back as a late write can matter (some seconds of a
 // busy store) to as little as a store may keep.
 var historyDepths = []uint64{4096, 512, 64}
 
@@ -48,24 +48,23 @@
 	snapshot *catalog.Snapshot
 }
 
-// configurationRead is what a read of the store, with the history that it asked for, tells
-// of the configuration.
+// configurationRead is the result of a read of the configuration and its history.
 type configurationRead struct {
 	askedAt time.Time
-	// checkedRevision is the revision up to which the row was seen through before, 0 for none;
-	// row is its content now, and newest the newest one since.
+	// checkedRevision is that of the configuration held before the read, 0 for none; row is the
+	// row's content at the read, and newest the newest content since checkedRevision.
 	checkedRevision uint64
 	row, newest     rowContent
-	// storeRevision is that of the store at the read.
+	// storeRevision is the store's revision at the read.
 	storeRevision uint64
-	// historyErr is nil if all that the row held since is known.
+	// historyErr is nil if all content since checkedRevision is known.
 	historyErr error
 	rollouts   *knownRollouts
 }
 
-// applyReading takes in a read of the store that was asked for at a time. What the row held
-// since it was last seen is asked for, since a read shows the last write that was carried
-// out, and a newer one may have stood there before it.
+// applyReading applies a read of the store that began at askedAt. If the row has changed, its
+// history since the last read is read as well: the last write may be a late one of an older
+// configuration.
 func (f *follower) applyReading(ctx context.Context, askedAt time.Time, reading *Reading, rollouts *knownRollouts) error {
 	checkedRevision, after, changed := f.replica.historyToCheck(reading.Revision)
 	if !changed {
@@ -89,10 +88,9 @@
 	return read.historyErr
 }
 
-// orderLookback asks what the row held before this router believed it without knowing any other
-// configuration: the last write may be a late one of an older configuration. It is for the
-// router that reads the store for all, since the others learn it from that one, and does
-// not keep a router from starting.
+// checkHistory reads what the row held before this router adopted it without knowing another
+// configuration: the last write may be a late one of an older configuration. Only the router
+// that reads the store for others does so. An error does not keep a router from starting.
 func (f *follower) checkHistory(ctx context.Context, askedAt time.Time, reading *Reading) {
 	if !f.readsForOthers() {
 		return
@@ -113,8 +111,8 @@
 	}
 }
 
-// newestSince returns the newest configuration that the row held after a revision until
-// its present content, and whether that is known.
+// newestSince returns the newest configuration that the row held after a revision, its present
+// content included, and an error unless the whole history is known.
 func (f *follower) newestSince(ctx context.Context, after uint64, row rowContent) (rowContent, error) {
 	bounded, cancel := context.WithTimeout(ctx, f.config.ReadTimeout)
 	defer cancel()
@@ -137,21 +135,19 @@
 		}
 	}
 	if !complete {
-		return newest, fault.New(fault.StoreUnavailable, "the store did not tell all that the configuration's row held")
+		return newest, fault.New(fault.StoreUnavailable, "the store returned an incomplete history of the configuration's row")
 	}
 	return newest, nil
 }
 
-// decodeRow reads a content of the row.
 func (r *replica) decodeRow(reading *Reading) (rowContent, error) {
 	snapshot, err := r.decode(reading.Body)
 	return rowContent{revision: reading.Revision, body: reading.Body, snapshot: snapshot}, err
 }
 
-// historyToCheck returns the revision up to which the row is seen through, the one after which it
-// may have held others, and whether something is to be found out about them. The second is
-// as late as possible: a store keeps its changes for some seconds, while configurations may
-// be minutes apart.
+// historyToCheck returns the checked revision, the revision after which the history is to be
+// read, and whether the row has changed. The second is as late as possible: a store keeps its
+// changes for some seconds, while configurations may be minutes apart.
 func (r *replica) historyToCheck(revision uint64) (checkedRevision, after uint64, changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,7 +156,7 @@
 	return held.checkedRevision, max(held.checkedRevision, held.confirmedStoreRevision), changed
 }
 
-// rowToCheck returns the row of a reading, and whether it was believed without a look back.
+// rowToCheck returns the row of a reading, and whether it was adopted with unknown history.
 func (r *replica) rowToCheck(reading *Reading) (row rowContent, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,7 +164,7 @@
 	return row, r.config.historyUnknown && reading.Revision == r.config.checkedRevision
 }
 
-// applyHistory takes in the newest configuration that the row held before a revision.
+// applyHistory applies the newest configuration of the history of a row.
 func (r *replica) applyHistory(askedAt time.Time, row, newest rowContent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,7 +178,7 @@
 	}
 }
 
-// confirmRow takes in that the row had a revision which was met before.
+// confirmRow applies a reading of a row whose revision is known.
 func (r *replica) confirmRow(askedAt time.Time, reading *Reading, rollouts *knownRollouts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,26 +192,25 @@
 	}
 }
 
-// applyRead takes in what a read tells.
 func (r *replica) applyRead(read *configurationRead) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held := &r.config
 	if held.checkedRevision < read.checkedRevision || held.checkedRevision >= read.row.revision {
-		// A peer told of another one meanwhile: what this read asked for doesn't fit on.
+		// A peer supplied another one during the read, whose history is not the one read.
 		return
 	}
-	// Orders are known before the confirmation is: a release that waits for one must not
-	// pass between the two.
+	// Orders go first: a release that waits for the confirmation must not be used before
+	// its order is known.
 	r.applyRollouts(read.askedAt, read.rollouts)
 	restored := store.Epoch(read.row.revision) > store.Epoch(read.checkedRevision)
 	sameVersion := restored && read.newest.snapshot.Version == held.version
 	newer := read.newest.snapshot.Version > held.version || (sameVersion && !bytes.Equal(read.newest.body, held.body))
 	switch {
 	case read.historyErr == nil, (newer || sameVersion) && errors.Is(read.historyErr, ErrHistoryGone):
-		// Without a history the row is believed as by a router that has just started. That is
-		// so as well where the store came back from an older copy: what the operator wrote
-		// since is written again, so that an older one than is held here confirms nothing.
+		// A newer row is adopted even without its history, as by a router that has just
+		// started. So is one of the same version from a restored store; an older one confirms
+		// nothing, since the operator writes the lost ones again.
 		held.checkedRevision = read.row.revision
 		if newer {
 			r.adopt(r.node, read.askedAt, read.newest)
@@ -228,18 +223,18 @@
 		r.confirmConfiguration(r.node, read.askedAt)
 		r.logOutdatedRow(&read.row, true)
 	case errors.Is(read.historyErr, ErrHistoryGone):
-		// One that nobody saw may have replaced the one held, and taken keys away.
+		// An unobserved configuration may have replaced the held one and revoked keys.
 		held.suspectRevision = read.row.revision
 		r.logOutdatedRow(&read.row, false)
 	case newer:
-		// The newer one is acted upon, but whether it is the newest is still asked.
+		// The newer one is used, but not confirmed: its history is read again.
 		r.adopt(r.node, r.holder.View().ConfirmedAt, read.newest)
 	}
 }
 
-// applyConfiguration takes in a configuration that was the newest at confirmedAt, as a peer
-// tells. An empty body stands for the one held. A peer that holds an older one is behind,
-// whichever revision of the row it has met, and confirms nothing.
+// applyConfiguration applies a peer's configuration, which was the newest at confirmedAt. An
+// empty body means the version held here. An older one confirms nothing, whatever its row's
+// revision.
 func (r *replica) applyConfiguration(
 	origin ident.Node, confirmedAt time.Time, received *upstream.Configuration, rollouts *knownRollouts,
 ) error {
@@ -260,7 +255,7 @@
 	}
 	r.applyRollouts(confirmedAt, rollouts)
 	if newer {
-		// What its row held until then, an own read of a later one did not see through.
+		// The history before its revision was not read here.
 		held.checkedRevision, held.confirmedStoreRevision = received.Revision, 0
 		r.adopt(origin, confirmedAt, newest)
 	}
@@ -276,8 +271,8 @@
 	return received.Version > r.config.version
 }
 
-// adopt puts a newer configuration in force; the caller holds the mutex, and sets up to
-// which revision the row is seen through.
+// adopt puts a newer configuration in force; the caller holds the mutex and sets
+// checkedRevision.
 func (r *replica) adopt(origin ident.Node, confirmedAt time.Time, newest rowContent) {
 	r.config.version, r.config.body = newest.snapshot.Version, newest.body
 	r.config.suspectRevision, r.config.historyUnknown = 0, false
@@ -289,8 +284,8 @@
 	r.bumpConfirmation(origin)
 }
 
-// confirmConfiguration takes in that the configuration held was the newest at a time; the caller
-// holds the mutex.
+// confirmConfiguration records that the configuration held was the newest at a time; the
+// caller holds the mutex.
 func (r *replica) confirmConfiguration(origin ident.Node, confirmedAt time.Time) {
 	view := r.holder.View()
 	r.holder.Adopt(view.Snapshot, confirmedAt)
@@ -299,8 +294,8 @@
 	}
 }
 
-// logOutdatedRow logs that the row holds another configuration than the one in force; the
-// caller holds the mutex. Each revision is met once.
+// logOutdatedRow logs that the row holds another configuration than the one in force, once
+// for each revision; the caller holds the mutex.
 func (r *replica) logOutdatedRow(row *rowContent, confirmed bool) {
 	if confirmed && row.snapshot.Version == r.config.version {
 		return
--- a/internal/node/crashing_test.go
+++ b/internal/node/crashing_test.go
@@ -1,13 +1,7 @@
 package node
 
-// Users saw engines crash one after the other, 22 of 18 places in eleven seconds, and with
-// each the streams of other callers break off. One request was sent again and again, under
-// a new id each time and to whichever router was next. Each router sent it on to an engine
-// as a request never seen before, the engine began it and crashed, and nobody kept what the
-// two had to do with each other. The logs of those seconds proved it: at each crash the
-// request that had been sent last was a first attempt without an event, at routers that
-// changed. In the test below attempts that break off log a fingerprint of what was asked for,
-// and it is the same at all 30 crashes, where three and three more may be.
+// Guards against one request that crashes engine after engine, since its client sends it again
+// under new ids to different routers.
 
 import (
 	"context"
@@ -36,31 +30,31 @@
 const (
 	// crashBody is the body of the request under which engines crash.
 	crashBody = "crash"
-	// crashAfter is how long an engine has worked on it when it crashes, crashDown how long
-	// it takes until the next life of the engine serves.
+	// crashAfter is the time until an engine crashes under it, crashDown the time until the
+	// next incarnation of the engine serves.
 	crashAfter = 30 * time.Millisecond
 	crashDown  = 400 * time.Millisecond
-	// crashWork is the longest time that an engine works on any other request.
+	// crashWork is the longest time that an engine needs for any other request.
 	crashWork = 300 * time.Millisecond
-	// retryPause is the time between two tries of the request, crashPropagation how long routers
-	// have to learn of it once three engines have crashed.
+	// retryPause is the time between two sends of the request, crashPropagation the time from
+	// the third crash until all routers must quarantine it.
 	retryPause       = 150 * time.Millisecond
 	crashPropagation = 3 * time.Second
-	// lateAllowed is how often it may reach engines after that.
+	// lateAllowed is how often it may reach engines after that, for trials.
 	lateAllowed = 3
 )
 
-// crashEngine is one place of an engine, with its life.
+// crashEngine is one incarnation of an engine.
 type crashEngine struct {
 	record backend.Record
 	up     bool
-	// crashBodies are the bodies under way under which this life crashes.
+	// crashBodies are the bodies in flight that make this incarnation crash.
 	crashBodies []string
-	// ended is closed when this life crashes.
+	// ended is closed when this incarnation crashes.
 	ended chan struct{}
 }
 
-// crashFleet is a service whose engines crash under one request, and its routers. It
+// crashFleet is a service whose engines crash under some requests, and its routers. It
 // implements forward.Caller and rollout.Engines.
 type crashFleet struct {
 	t     *testing.T
@@ -71,29 +65,29 @@
 	mu      sync.Mutex
 	engines map[string]*crashEngine
 	starts  int
-	// crashes and arrivals are those of each body under which engines crash.
+	// crashes and arrivals are the times of each body that makes engines crash.
 	crashes  map[string][]time.Time
 	arrivals map[string][]time.Time
 	routers  []*testRouter
-	// allCrashes is the number of lives that crashed, for whichever reason.
+	// allCrashes is the number of incarnations that crashed, for any reason.
 	allCrashes int
-	// work is the longest time that an engine works on a request under which none crashes.
+	// work is the longest time that an engine needs for a request that makes none crash.
 	work time.Duration
-	// breaksAttempts has engines cut attempts off without crashing.
+	// breaksAttempts makes engines break attempts without crashing.
 	breaksAttempts bool
-	// ignoresCancel engines go on with what is given up; patience is how long clients wait for a
-	// request under which engines crash, 0 for as long as it takes.
+	// ignoresCancel makes engines continue cancelled requests; clientTimeout is that of clients
+	// for a request that makes engines crash, 0 for none.
 	ignoresCancel bool
 	clientTimeout time.Duration
 }
 
-// testRouter is one life of a router.
+// testRouter is one incarnation of a router.
 type testRouter struct {
 	forwarder *forward.Forwarder
 	stop      func()
 }
 
-// causesCrash reports whether engines crash under a body.
+// causesCrash reports whether a body makes engines crash.
 func causesCrash(body string) bool { return strings.HasPrefix(body, crashBody) }
 
 func newCrashFleet(t *testing.T, engines, routers int) *crashFleet {
@@ -126,7 +120,7 @@
 	f.routers = append(f.routers, started)
 }
 
-// stopRouters ends all routers.
+// stopRouters stops all routers.
 func (f *crashFleet) stopRouters() {
 	f.mu.Lock()
 	routers := f.routers
@@ -139,7 +133,7 @@
 	stopping.Wait()
 }
 
-// startEngine starts a life of the engine at an address, and lists it.
+// startEngine starts an incarnation of the engine at an address, and lists it.
 func (f *crashFleet) startEngine(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,8 +145,8 @@
 	f.updateList()
 }
 
-// updateList lists the lives there are, those that crashed among them until the next one begins;
-// the caller holds the mutex.
+// updateList lists the newest incarnation of each engine, crashed ones included; the caller
+// holds the mutex.
 func (f *crashFleet) updateList() {
 	records := make([]backend.Record, 0, len(f.engines))
 	for _, engine := range f.engines {
@@ -161,8 +155,8 @@
 	f.store.change(func() { f.store.records = records })
 }
 
-// crash ends the life of an engine under the bodies that run there; the next one begins some
-// time later.
+// crash ends an incarnation, and records that under the bodies in flight there; the next one
+// starts after crashDown.
 func (f *crashFleet) crash(engine *crashEngine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -179,7 +173,7 @@
 	time.AfterFunc(crashDown, func() { f.startEngine(engine.record.Address) })
 }
 
-// arrive takes in that a request arrives at an address, and returns the engine there.
+// arrive records a request at an address, and returns a copy of the engine there and the engine.
 func (f *crashFleet) arrive(address, body string) (crashEngine, *crashEngine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -248,7 +242,7 @@
 	}
 }
 
-// testSink takes the end of a request.
+// testSink records the end of a request.
 type testSink struct {
 	status  int
 	aborted bool
@@ -270,7 +264,7 @@
 // Refuse implements forward.Sink.
 func (s *testSink) Refuse(refusal *fault.Fault) { s.refusal = refusal }
 
-// send sends a request with a body to a router, under an id of its own.
+// send sends a request with a body to a router, under a new id.
 func (f *crashFleet) send(router int, body string) *testSink {
 	f.mu.Lock()
 	forwarder := f.routers[router%len(f.routers)].forwarder
@@ -290,7 +284,7 @@
 	return sink
 }
 
-// thirdCrash returns when the third engine crashed under a body, the zero time before.
+// thirdCrash returns when the third engine crashed under a body, zero if it has not.
 func (f *crashFleet) thirdCrash(body string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -300,8 +294,8 @@
 	return f.crashes[body][2]
 }
 
-// arrivedLate returns how often a body reached engines after all routers had time to learn
-// of it.
+// arrivedLate returns how often a body reached engines later than crashPropagation after the
+// third crash.
 func (f *crashFleet) arrivedLate(body string) int {
 	third := f.thirdCrash(body)
 	if third.IsZero() {
@@ -323,9 +317,9 @@
 	return count
 }
 
-// resend sends a request under which engines crash to one router after the other, for
-// a time after three have crashed, or after the first if it is held before that: it may have
-// run beside another one.
+// resend sends a request that makes engines crash to one router after the other, for a time
+// after the third crash. As it may be quarantined earlier, it stops crashPropagation later
+// at the latest.
 func (f *crashFleet) resend(body string, lasting time.Duration) {
 	begun := time.Now()
 	for try := 0; ; try++ {
@@ -340,14 +334,14 @@
 	}
 }
 
-// checkBound fails if a body reached engines more often than it may.
+// checkBound fails if a body reached engines more than lateAllowed times too late.
 func (f *crashFleet) checkBound(body string) {
 	f.t.Helper()
 	late := f.arrivedLate(body)
 	f.t.Logf("%d engines crashed under %q; it reached engines %d times, %d of them late",
 		len(f.crashes[body]), body, len(f.arrivals[body]), late)
 	if late > lateAllowed {
-		f.t.Errorf("%q reached engines %d times after all routers had time to learn of it", body, late)
+		f.t.Errorf("%q reached engines %d times after all routers should have quarantined it", body, late)
 	}
 }
 
@@ -371,7 +365,7 @@
 	return count
 }
 
-// failingTable is a table that may be down.
+// failingTable is a table that can be made unavailable.
 type failingTable struct {
 	*fakeStore
 	down atomic.Bool
--- a/internal/node/crashingfaults_test.go
+++ b/internal/node/crashingfaults_test.go
@@ -15,18 +15,18 @@
 	"github.com/fieldpond/fieldpond/internal/quarantine/guard"
 )
 
-// clientLoad counts what became of the requests of some clients.
+// clientLoad counts the requests of some clients by result.
 type clientLoad struct {
-	asked, served, quarantined atomic.Int64
+	requests, served, quarantined atomic.Int64
 }
 
-// share returns the part of the requests that were served.
+// share returns the share of requests that were served.
 func (c *clientLoad) share() float64 {
-	return float64(c.served.Load()) / float64(max(c.asked.Load(), 1))
+	return float64(c.served.Load()) / float64(max(c.requests.Load(), 1))
 }
 
-// run has clients ask until ctx ends, each as often as it is answered; what breaks off is tried
-// once more. body names a request; the requests of the first seconds are not counted.
+// run starts clients that send requests one after the other until ctx ends, and retry each
+// once. body returns the body of a request; those before countFrom are not counted.
 func (c *clientLoad) run(ctx context.Context, f *crashFleet, clients int, countFrom time.Time, body func(client, count int) string) *sync.WaitGroup {
 	var clientLoops sync.WaitGroup
 	for client := range clients {
@@ -42,7 +42,7 @@
 				if time.Now().Before(countFrom) || ctx.Err() != nil {
 					continue
 				}
-				c.asked.Add(1)
+				c.requests.Add(1)
 				if sink.status == 200 && !sink.aborted {
 					c.served.Add(1)
 				}
@@ -58,15 +58,15 @@
 	}
 }
 
-// Two requests under which engines crash come to all routers at once, again and again; what
-// runs beside them is served, and is not taken for one of them.
+// While two requests make engines crash, others that run beside them are served and not
+// quarantined.
 func TestOtherRequestsAreServedDuringCrashes(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, 16, 4)
 	ctx, cancel := context.WithCancel(t.Context())
 	others := &clientLoad{}
 	loops := others.run(ctx, f, 24, time.Now().Add(3*time.Second), func(client, count int) string {
-		return fmt.Sprint("innocent ", client, " ", count)
+		return fmt.Sprint("other ", client, " ", count)
 	})
 	var crashing sync.WaitGroup
 	for _, body := range []string{crashBody + " a", crashBody + " b"} {
@@ -79,14 +79,14 @@
 	loops.Wait()
 	f.checkBound(crashBody + " a")
 	f.checkBound(crashBody + " b")
-	t.Logf("%d innocent requests after 3 s, %.3f served; %d held", others.asked.Load(), others.share(), others.quarantined.Load())
+	t.Logf("%d other requests after 3 s, %.3f served; %d quarantined", others.requests.Load(), others.share(), others.quarantined.Load())
 	if others.share() < 0.97 || others.quarantined.Load() > 0 {
-		t.Error("innocent requests were not served")
+		t.Error("other requests were not served")
 	}
 }
 
-// Engines crash for reasons of their own, a third of them at once, while all clients ask for
-// the same: a request that is often asked runs on each engine that crashes.
+// A frequent request runs on each engine that crashes for other reasons, a third of them at
+// once, and is not quarantined for that.
 func TestFrequentRequestIsNotQuarantined(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, 15, 4)
@@ -105,13 +105,13 @@
 		}
 	}
 	loops.Wait()
-	t.Logf("%d requests, %.3f served; %d held; %d crashes", hot.asked.Load(), hot.share(), hot.quarantined.Load(), f.allCrashes)
+	t.Logf("%d requests, %.3f served; %d quarantined; %d crashes", hot.requests.Load(), hot.share(), hot.quarantined.Load(), f.allCrashes)
 	if hot.share() < 0.95 || hot.quarantined.Load() > 0 {
-		t.Error("a request that is often asked was held for guilty")
+		t.Error("a frequent request was quarantined or not served")
 	}
 }
 
-// What was learnt outlives all routers.
+// A quarantine survives the restart of all routers.
 func TestQuarantineSurvivesRestartOfAllRouters(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, 16, 4)
@@ -125,7 +125,7 @@
 	is.New(t).Equal(f.arrivedAfter(crashBody, restarted), 0)
 }
 
-// A router that joins later knows what the others learnt.
+// A router that joins later knows the quarantined requests.
 func TestNewRouterKnowsQuarantine(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, 16, 3)
@@ -138,7 +138,7 @@
 	is.New(t).Equal(f.arrivedAfter(crashBody, joined), 0)
 }
 
-// The request comes to all routers at the same moment, again and again.
+// The request is sent to all routers at the same time, repeatedly.
 func TestConcurrentCrashingRequestIsBounded(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, 24, 4)
@@ -152,7 +152,7 @@
 	f.checkBound(crashBody)
 }
 
-// Routers tell each other while the store is down, for reads and for their own rows.
+// Routers exchange evidence while the store is down.
 func TestCrashingRequestIsBoundedWithoutStore(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, 16, 4)
@@ -160,10 +160,10 @@
 	f.table.down.Store(true)
 	f.resend(crashBody, crashPropagation+time.Second)
 	f.checkBound(crashBody)
-	is.New(t).Equal(f.store.rowsUnder(guard.RowPrefix), 0) // nothing could be kept
+	is.New(t).Equal(f.store.rowsUnder(guard.RowPrefix), 0) // nothing could be stored
 }
 
-// Attempts that break off at engines which live on are no evidence, however many they are.
+// Attempts that break off at engines that keep running are no evidence of a crash.
 func TestBrokenAttemptsDoNotQuarantine(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -175,8 +175,8 @@
 	}
 }
 
-// Clients leave before the engine crashes, which goes on with what was given up: no attempt of
-// the request breaks off. Other requests that run there do.
+// If clients disconnect before the engine crashes, which continues the request, only attempts
+// of other requests break off.
 func TestCrashingRequestIsBoundedWhenClientsDisconnect(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, 16, 4)
@@ -184,14 +184,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	others := &clientLoad{}
 	loops := others.run(ctx, f, 24, time.Now().Add(3*time.Second), func(client, count int) string {
-		return fmt.Sprint("innocent ", client, " ", count)
+		return fmt.Sprint("other ", client, " ", count)
 	})
 	f.resend(crashBody, crashPropagation+2*time.Second)
 	cancel()
 	loops.Wait()
 	f.checkBound(crashBody)
-	t.Logf("%d innocent requests after 3 s, %.3f served; %d held", others.asked.Load(), others.share(), others.quarantined.Load())
+	t.Logf("%d other requests after 3 s, %.3f served; %d quarantined", others.requests.Load(), others.share(), others.quarantined.Load())
 	if others.share() < 0.97 || others.quarantined.Load() > 0 {
-		t.Error("innocent requests were not served")
+		t.Error("other requests were not served")
 	}
 }
--- a/internal/node/director.go
+++ b/internal/node/director.go
@@ -14,25 +14,24 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// orderLookback is how long before a read an order is taken to have been written that nobody
-// looked for before: a router is supplied by others within this time after its start.
+// orderLookback is how long before its first read an order is assumed to have been written,
+// if no earlier read is known: a new router is supplied by others within this time.
 const orderLookback = 3 * time.Second
 
-// leaseTerm is what a router does while it holds the lease.
+// leaseTerm is the state of one holding of the lease.
 type leaseTerm struct {
 	fence    uint64
 	director *canary.Director
-	// newestRevision is the revision of the newest order that the director was told.
+	// newestRevision is the revision of the newest order that was passed to the director.
 	newestRevision uint64
-	// withdrawnReadAt is when the states of withdrawn orders were last read for it.
+	// withdrawnReadAt is when states of withdrawn orders were last read.
 	withdrawnReadAt time.Time
 }
 
-// withdrawnReadInterval is the time between two reads of a state whose order is withdrawn.
 const withdrawnReadInterval = time.Second
 
-// setFence takes in the fence of the lease, 0 while it is not held; the caller holds the mutex.
-// Each holding has a director of its own, which reads what the one before has written.
+// setFence sets the fence of the lease, 0 while it is not held; the caller holds the mutex.
+// Each term has its own director, which reads what the previous one has written.
 func (c *canaries) setFence(now time.Time, fence uint64) {
 	if c.term != nil && c.term.fence == fence {
 		return
@@ -45,8 +44,7 @@
 	c.term.director.Hold(now, fence)
 }
 
-// direct lets the director decide, and carries out what it wants; the caller holds the
-// mutex.
+// direct runs one step of the director and its actions; the caller holds the mutex.
 func (c *canaries) direct(ctx context.Context, now time.Time, engines []backend.Record, routers []netip.AddrPort) {
 	if c.rollouts == nil {
 		return
@@ -66,8 +64,8 @@
 	}
 }
 
-// readWithdrawn reads the states of rollouts that have not ended and whose orders are
-// withdrawn: a director that comes later would not ask for them; the caller holds the mutex.
+// readWithdrawn reads the states of unfinished rollouts whose orders are withdrawn, as a new
+// director would not ask for them; the caller holds the mutex.
 func (c *canaries) readWithdrawn(ctx context.Context, now time.Time) {
 	if now.Sub(c.term.withdrawnReadAt) < withdrawnReadInterval {
 		return
@@ -78,8 +76,8 @@
 	}
 }
 
-// observe tells the director what was read. Of a new order it learns first since when it
-// can have been there.
+// observe passes to the director what was read. If there is a new order it first passes the
+// other orders, as of the latest time at which the new one was absent.
 func (d *leaseTerm) observe(now time.Time, rollouts *knownRollouts, engines []backend.Record, routers []netip.AddrPort) {
 	origin := rollouts.readAt.Add(-rollouts.storeTime)
 	if newest := rollouts.newestRevision(); newest > d.newestRevision {
@@ -96,7 +94,7 @@
 	d.director.Observe(now, now.Sub(origin), rollouts.orders, engines, routers)
 }
 
-// sendPermit sends a permit to a router, which may be this one.
+// sendPermit sends a permit to a router, or applies it if this is the router.
 func (c *canaries) sendPermit(now time.Time, action *canary.Tell) {
 	if action.To != c.self {
 		c.send(action.To, datagram{Permit: action.Permit})
@@ -107,7 +105,7 @@
 	}
 }
 
-// fetch reads the row of a state for the director.
+// readState reads a rollout's state for the director.
 func (c *canaries) readState(ctx context.Context, term *leaseTerm, service ident.Service) {
 	state, version, err := c.states.read(ctx, service)
 	if err != nil {
@@ -119,7 +117,7 @@
 	term.director.Read(clock.Now(), state, version)
 }
 
-// writeState writes a state for the director, if the lease is still held.
+// writeState writes a state for the director, if the lease is still held under its fence.
 func (c *canaries) writeState(ctx context.Context, term *leaseTerm, action *canary.Write) {
 	result := canary.WriteResult(canary.Conflict{})
 	if grant, err := c.lease.Held(); err == nil && grant.Fence == term.fence {
--- a/internal/node/enginecalls.go
+++ b/internal/node/enginecalls.go
@@ -8,8 +8,8 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// engineCalls sends reports and orders to engines, but for those that want nothing now. All calls
-// that are no requests pass it.
+// engineCalls sends reports and orders to engines, except to those that are backing off. All
+// calls other than requests go through it.
 type engineCalls struct {
 	engines  rollout.Engines
 	backends *backend.Registry
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -14,8 +14,8 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// Whatever comes as a datagram breaks nothing; unless it tells of new weights, engines
-// that were listed may still be chosen.
+// No datagram causes a panic, and none but a rollout notification makes all listed engines
+// unavailable.
 func FuzzDatagram(f *testing.F) {
 	seeds := []datagram{
 		{Health: &health.Notification{Silent: []ident.Incarnation{"a"}, Answering: []ident.Incarnation{"b"}}},
@@ -46,17 +46,17 @@
 			flight.End(now, backend.Abandoned)
 			return
 		}
-		var told datagram
-		if cbor.Unmarshal(encoded, &told) != nil || told.Rollout == nil {
-			t.Fatal("a datagram shut all engines out")
+		var decoded datagram
+		if cbor.Unmarshal(encoded, &decoded) != nil || decoded.Rollout == nil {
+			t.Fatal("a datagram made all engines unavailable")
 		}
 	})
 }
 
 var fuzzOrder = canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}
 
-// newFuzzCanaries returns those of a holder that directs a rollout, and to which the sender of
-// the fuzzed datagram is a router of the roster.
+// newFuzzCanaries returns the canaries of a router that directs a rollout and knows the sender
+// of the fuzzed datagram as a peer.
 func newFuzzCanaries(now time.Time) *canaries {
 	c := newCanaries(guardedBounds, &canaries{
 		metrics: newMetrics(func() gaugeValues { return gaugeValues{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{{}} },
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// healthTick is the time between two looks at which checks are due.
+	// healthTick is the time between two searches for due checks.
 	healthTick = 50 * time.Millisecond
 	// checkTimeout bounds one check: engines report without a slot, within a few ms.
 	checkTimeout = 300 * time.Millisecond
-	// silentResend is the time between two notices of the same silent engines; it is
+	// silentResend is the time between two notifications of the same silent engines; it is
 	// shorter than backend.PeerSilentFor, so that a lost datagram does no harm.
 	silentResend = 500 * time.Millisecond
-	// queueInterval is the least time between two notices of queues.
+	// queueInterval is the least time between two notifications of queues.
 	queueInterval = 250 * time.Millisecond
-	// watchInterval is the time between two looks at the list of engines.
+	// watchInterval is the time between two updates of the engines to check.
 	watchInterval = time.Second
 )
 
@@ -38,7 +38,7 @@
 	leads    func() bool
 	engines  rollout.Engines
 	backends *backend.Registry
-	// holder tells the services that there are.
+	// holder holds the configured services.
 	holder *catalog.Holder
 	notify func(health.Notification)
 
@@ -51,12 +51,12 @@
 	queuesAt   time.Time
 }
 
-// checkResult is what came of one check.
+// checkResult is the result of one check.
 type checkResult struct {
 	instance ident.Incarnation
-	// report is nil if none came.
+	// report is nil if the check failed.
 	report *rollout.Report
-	// gone says that another back end answered.
+	// gone is true if another incarnation answered.
 	gone bool
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// tick starts the checks that are due, and tells what came of former ones.
+// tick starts the checks that are due, and notifies other routers of earlier results.
 func (w *healthWatcher) tick(ctx context.Context, now time.Time) {
 	if now.Sub(w.watchedAt) >= watchInterval {
 		w.watchedAt = now
@@ -97,7 +97,6 @@
 	w.notifyGone()
 }
 
-// recordResult takes in what came of a check.
 func (w *healthWatcher) recordResult(now time.Time, result checkResult) {
 	if result.gone {
 		w.backends.ObserveGone(now, result.instance)
@@ -126,7 +125,7 @@
 	defer cancel()
 	report, err := w.engines.Report(bounded, record)
 	if err != nil {
-		// Why does not matter here; announce logs which engines are silent.
+		// The cause is not used; notifySilent logs which engines are silent.
 		report = nil
 	}
 	select {
@@ -135,23 +134,23 @@
 	}
 }
 
-// notifySilent tells which engines are silent when that changes, and again while there
-// are any.
+// notifySilent notifies other routers of the silent engines on each change, and repeats that
+// while there are any.
 func (w *healthWatcher) notifySilent(now time.Time) {
 	silent := w.tracker.Silent(now)
 	changed := !slices.Equal(silent, w.silent)
 	if !changed && (len(silent) == 0 || now.Sub(w.notifiedAt) < silentResend) {
 		return
 	}
-	notice := health.NewNotification(w.silent, silent)
+	notification := health.NewNotification(w.silent, silent)
 	if changed {
-		log.WithFields(log.Fields{"silent": notice.Silent, "answering": notice.Answering}).Info("engines_silent")
+		log.WithFields(log.Fields{"silent": notification.Silent, "answering": notification.Answering}).Info("engines_silent")
 	}
 	w.silent, w.notifiedAt = silent, now
-	w.notify(notice)
+	w.notify(notification)
 }
 
-// notifyQueues tells at which engines requests wait.
+// notifyQueues notifies other routers of engines at which requests wait.
 func (w *healthWatcher) notifyQueues(now time.Time) {
 	if now.Sub(w.queuesAt) < queueInterval {
 		return
@@ -162,7 +161,7 @@
 	}
 }
 
-// notifyGone tells which back ends this router found gone, by checks or by requests.
+// notifyGone notifies other routers of back ends that checks or requests found gone.
 func (w *healthWatcher) notifyGone() {
 	gone := w.backends.NewlyGone()
 	if len(gone) == 0 {
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -17,12 +17,12 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// checkedEngines report how many requests wait; those that are dark answer nothing.
+// checkedEngines report how many requests wait; unresponsive ones do not answer.
 type checkedEngines struct {
 	idleEngines
 
 	mu sync.Mutex
-	// replaced engines have another one at their address.
+	// replaced is an engine whose address answers as another incarnation.
 	replaced     ident.Incarnation
 	unresponsive map[ident.Incarnation]bool
 	queued       map[ident.Incarnation]int
@@ -45,7 +45,7 @@
 	return &rollout.Report{Queued: queued}, nil
 }
 
-// checkedRecords are engines of two zones, one that leaves, and an application.
+// checkedRecords are engines of two zones, one of them draining, and an application.
 func checkedRecords() []backend.Record {
 	models := map[ident.Model]int{model: 1}
 	return []backend.Record{
@@ -55,8 +55,8 @@
 	}
 }
 
-// runWatcher runs a watcher of zone z for a time, and returns the newest notices. What back ends
-// said before is taken in by said.
+// runWatcher runs a watcher of zone z for a time, and returns what its last notifications held.
+// setUp prepares the registry.
 func runWatcher(
 	t *testing.T, span time.Duration, engines *checkedEngines, leads bool, setUp ...func(*backend.Registry),
 ) (silent []ident.Incarnation, queues []health.Queue) {
@@ -68,12 +68,12 @@
 	}
 	watcher := &healthWatcher{
 		zone: "z", leads: func() bool { return leads }, engines: engines, backends: known, holder: &catalog.Holder{},
-		notify: func(notice health.Notification) {
-			if notice.Silent != nil {
-				silent = notice.Silent
+		notify: func(notification health.Notification) {
+			if notification.Silent != nil {
+				silent = notification.Silent
 			}
-			if notice.Queues != nil {
-				queues = notice.Queues
+			if notification.Queues != nil {
+				queues = notification.Queues
 			}
 		},
 	}
@@ -85,15 +85,15 @@
 
 func TestFirstOfZoneReportsEngineHealth(t *testing.T) {
 	tests := []struct {
-		name   string
-		leads  bool
-		dark   []ident.Incarnation
-		silent []ident.Incarnation
-		queues []health.Queue
+		name         string
+		leads        bool
+		unresponsive []ident.Incarnation
+		silent       []ident.Incarnation
+		queues       []health.Queue
 	}{
-		{name: "first of the zone", leads: true, dark: []ident.Incarnation{"b", "far"}, silent: []ident.Incarnation{"b"}, queues: []health.Queue{{Instance: "a", Waiting: 3}}},
-		{name: "not the first", dark: []ident.Incarnation{"b"}},
-		{name: "cut off itself", leads: true, dark: []ident.Incarnation{"a", "b", "c"}},
+		{name: "first of the zone", leads: true, unresponsive: []ident.Incarnation{"b", "far"}, silent: []ident.Incarnation{"b"}, queues: []health.Queue{{Instance: "a", Waiting: 3}}},
+		{name: "not the first", unresponsive: []ident.Incarnation{"b"}},
+		{name: "all unresponsive", leads: true, unresponsive: []ident.Incarnation{"a", "b", "c"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 				engines := &checkedEngines{
 					unresponsive: map[ident.Incarnation]bool{}, queued: map[ident.Incarnation]int{"a": 3}, checks: map[ident.Incarnation]int{},
 				}
-				for _, instance := range tt.dark {
+				for _, instance := range tt.unresponsive {
 					engines.unresponsive[instance] = true
 				}
 				silent, queues := runWatcher(t, 3*time.Second, engines, tt.leads)
@@ -125,7 +125,7 @@
 		watcher := &healthWatcher{
 			zone: "z", leads: func() bool { return true }, backends: known, holder: &catalog.Holder{},
 			engines: &checkedEngines{replaced: "b", checks: map[ident.Incarnation]int{}},
-			notify:  func(notice health.Notification) { gone = append(gone, notice.Gone...) },
+			notify:  func(notification health.Notification) { gone = append(gone, notification.Gone...) },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
@@ -136,37 +136,37 @@
 
 func TestLongHealthNotificationIsSplit(t *testing.T) {
 	is := is.New(t)
-	notice := health.Notification{Silent: []ident.Incarnation{"s"}, Answering: []ident.Incarnation{"t"}}
+	notification := health.Notification{Silent: []ident.Incarnation{"s"}, Answering: []ident.Incarnation{"t"}}
 	for range 3 * enginesPerNotification {
-		notice.Queues = append(notice.Queues, health.Queue{Instance: "i", Waiting: 1})
-		notice.Gone = append(notice.Gone, "g")
+		notification.Queues = append(notification.Queues, health.Queue{Instance: "i", Waiting: 1})
+		notification.Gone = append(notification.Gone, "g")
 	}
-	var joined health.Notification
-	for _, part := range splitHealth(notice) {
+	var merged health.Notification
+	for _, part := range splitHealth(notification) {
 		is.True(len(part.Silent)+len(part.Answering)+len(part.Queues)+len(part.Gone) <= enginesPerNotification)
-		joined.Gone = append(joined.Gone, part.Gone...)
-		joined.Silent = append(joined.Silent, part.Silent...)
-		joined.Answering = append(joined.Answering, part.Answering...)
-		joined.Queues = append(joined.Queues, part.Queues...)
+		merged.Gone = append(merged.Gone, part.Gone...)
+		merged.Silent = append(merged.Silent, part.Silent...)
+		merged.Answering = append(merged.Answering, part.Answering...)
+		merged.Queues = append(merged.Queues, part.Queues...)
 	}
-	is.Equal(joined, notice)
+	is.Equal(merged, notification)
 }
 
-// An engine that wants rest is not checked meanwhile, nor told to be silent, and is checked again
-// after it.
+// An engine that is backing off is neither checked nor reported silent, and is checked again
+// after the back-off.
 func TestBackingOffEngineIsNotChecked(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		rest    time.Duration
+		backoff time.Duration
 		checked bool
-	}{{"all the time", time.Minute, false}, {"for a second", time.Second, true}} {
+	}{{"for the whole test", time.Minute, false}, {"for a second", time.Second, true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				engines := &checkedEngines{checks: map[ident.Incarnation]int{}}
 				silent, _ := runWatcher(t, 3*time.Second, engines, true, func(known *backend.Registry) {
 					now := time.Now()
-					known.ObserveAdvertised(now, "a", now, backend.Advertised{Backoff: tt.rest}, backend.SourceAnswer)
+					known.ObserveAdvertised(now, "a", now, backend.Advertised{Backoff: tt.backoff}, backend.SourceAnswer)
 				})
 				is.Equal(silent, nil)
 				is.Equal(engines.checks["a"] > 0, tt.checked)
@@ -176,7 +176,7 @@
 	}
 }
 
-// Reports and orders that are held back from an engine which rests fail as if nothing was sent.
+// Reports and orders withheld from an engine that is backing off fail as not sent.
 func TestBackingOffEngineGetsFewReportsAndOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/node/limitfleet_test.go
+++ b/internal/node/limitfleet_test.go
@@ -20,9 +20,9 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// What an engine with a limit may get in a window of checkedWindow: allowedFactor times what its
-// limit allows, and allowedSlack requests, from routers that passed on an answer with a limit
-// limitDelay before. It is judged from checkedFrom after the first such answer.
+// An engine with a limit may get allowedFactor times what its limit allows plus allowedSlack
+// requests in a window of checkedWindow. Requests of a router count from limitDelay after its
+// first answer with a limit, windows from checkedFrom after the first such answer of all.
 const (
 	checkedWindow = 4 * time.Second
 	allowedFactor = 1.5
@@ -31,26 +31,26 @@
 	checkedFrom   = 3 * time.Second
 )
 
-// fleetSlack is the number of repeats in a window that all routers may make without any request.
+// fleetSlack is the slack of the retry budget of all routers together, in retries per window.
 const fleetSlack = 54
 
-// unlimited is the rate of an engine that names no limit.
+// unlimited is the rate of an engine that advertises no limit.
 const unlimited = -1
 
-// limitedEngine is an engine that may name a limit, say that it leaves or refuse what reaches
-// it, and what reached it.
+// limitedEngine is an engine that may advertise a limit or that it is draining, or refuse
+// requests, and a record of its requests.
 type limitedEngine struct {
 	record backend.Record
 	rate   float64
-	// draining says that answers tell that the engine leaves.
+	// draining is true if answers advertise that the engine is draining.
 	draining bool
-	// refusalShare is the part of the requests that are not run, rest is what refusals ask for.
+	// refusalShare is the share of requests that are refused, backoff what refusals ask for.
 	refusalShare float64
 	backoff      time.Duration
-	// answers are all that were given.
+	// answers are all answers so far.
 	answers []fleetAnswer
-	// limitedAt is when the first answer with a limit was given, notifiedAt when each router got
-	// its first.
+	// limitedAt is when the first answer with a limit was given, firstLimitAt when each
+	// router got its first.
 	limitedAt    time.Time
 	firstLimitAt map[int]time.Time
 	arrivals     []limitedArrival
@@ -59,11 +59,11 @@
 type limitedArrival struct {
 	router int
 	at     time.Time
-	// receivedAt is when the request came from its client.
+	// receivedAt is when the router received the request from its client.
 	receivedAt time.Time
 }
 
-// fleetAnswer is an answer to a router, and what it said of its engine.
+// fleetAnswer is an answer to a router, and what it advertised of its engine.
 type fleetAnswer struct {
 	router   int
 	at       time.Time
@@ -71,8 +71,7 @@
 	backoff  time.Duration
 }
 
-// limitFleet is a service whose engines name limits, and its routers. It implements
-// rollout.Engines.
+// limitFleet is a service of limitedEngines, and its routers. It implements rollout.Engines.
 type limitFleet struct {
 	t     *testing.T
 	store *fakeStore
@@ -114,7 +113,7 @@
 	return f
 }
 
-// startRouter starts the router with an index, also one that was stopped.
+// startRouter starts, or restarts, the router with an index.
 func (f *limitFleet) startRouter(index int) {
 	f.t.Helper()
 	caller := limitCaller{fleet: f, router: index}
@@ -137,7 +136,7 @@
 	router.stop()
 }
 
-// limit has engines name a limit from their next answers on, or none.
+// limit sets the limit that engines advertise from their next answers on, or unlimited.
 func (f *limitFleet) limit(rate float64, engines ...int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,7 +162,7 @@
 	return c.fleet.answer(c.router, engine), nil
 }
 
-// answer returns what an engine answers to a router.
+// answer returns the answer of an engine to a router.
 func (f *limitFleet) answer(router int, engine *limitedEngine) *forward.Reply {
 	reply := &forward.Reply{
 		Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n")),
@@ -179,7 +178,7 @@
 	return reply
 }
 
-// arrive takes in that a request reaches an engine.
+// arrive records a request at an engine.
 func (f *limitFleet) arrive(router int, attempt *forward.Attempt) *limitedEngine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,7 +188,7 @@
 	return engine
 }
 
-// limitFor returns the limit that an answer to a router names.
+// limitFor returns the limit that an answer to a router advertises.
 func (f *limitFleet) limitFor(router int, engine *limitedEngine) backend.AdvertisedLimit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -213,23 +212,23 @@
 	return &rollout.Report{Versions: map[ident.Model]int{model: 1}}, nil
 }
 
-// limitLoad is what came of requests that clients sent.
+// limitLoad counts the requests of clients by result.
 type limitLoad struct {
 	mu               sync.Mutex
 	answered, broken int
 	refusals         []limitRefusal
 }
 
-// limitRefusal is a refusal of the routers' own.
+// limitRefusal is a refusal by a router.
 type limitRefusal struct {
-	router            int
-	at                time.Time
-	after, retryAfter time.Duration
-	detail            string
+	router              int
+	at                  time.Time
+	latency, retryAfter time.Duration
+	detail              string
 }
 
-// load sends requests at a rate a second, each through the next router that runs, until a
-// time has passed, and returns once all have ended.
+// load sends requests at a rate a second for a time, to the running routers in turn, and
+// returns once all have ended.
 func (f *limitFleet) load(rate float64, lasting time.Duration) *limitLoad {
 	result := &limitLoad{}
 	var open sync.WaitGroup
@@ -246,14 +245,14 @@
 	return result
 }
 
-// router returns the router for a request, nil while that does not run.
+// router returns the router for a request, nil if it is stopped.
 func (f *limitFleet) router(request int) *testRouter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.routers[request%len(f.routers)]
 }
 
-// send sends one request to a router, each with a prompt of its own.
+// send sends one request with a unique prompt to a router.
 func (l *limitLoad) send(ctx context.Context, router int, forwarder *forward.Forwarder) {
 	sink, begun := &testSink{}, time.Now()
 	id := ident.NewUnique()
@@ -267,7 +266,7 @@
 	switch {
 	case sink.refusal != nil:
 		l.refusals = append(l.refusals, limitRefusal{
-			router: router, at: time.Now(), after: time.Since(begun), retryAfter: sink.refusal.RetryAfter,
+			router: router, at: time.Now(), latency: time.Since(begun), retryAfter: sink.refusal.RetryAfter,
 			detail: sink.refusal.Detail,
 		})
 	case sink.aborted:
@@ -277,14 +276,14 @@
 	}
 }
 
-// largestWindow returns the most requests that reached an engine in a window which ends
-// after a time, from routers that were told its limit.
+// largestWindow returns the most requests that reached an engine in a window that ends after
+// a time, from routers that know its limit.
 func (e *limitedEngine) largestWindow(from time.Time) int {
 	var counted []time.Time
 	largest := 0
 	for _, arrival := range e.arrivals {
-		limitedAt, known := e.firstLimitAt[arrival.router]
-		if !known || arrival.at.Before(limitedAt.Add(limitDelay)) {
+		learnedAt, known := e.firstLimitAt[arrival.router]
+		if !known || arrival.at.Before(learnedAt.Add(limitDelay)) {
 			continue
 		}
 		counted = append(counted, arrival.at)
@@ -298,7 +297,7 @@
 	return largest
 }
 
-// checkLimit fails if an engine got more than its limit allows, as it was at most.
+// checkLimit fails if an engine got more than its greatest limit allows.
 func (f *limitFleet) checkLimit(index int, rate float64) {
 	f.t.Helper()
 	f.mu.Lock()
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -12,10 +12,10 @@
 	"github.com/fieldpond/fieldpond/internal/forward"
 )
 
-// discardLog drops what net/http logs of connections that clients broke off.
+// discardLog drops log lines of net/http about connections that clients aborted.
 var discardLog = stdlog.New(io.Discard, "", 0)
 
-// stepRecorder returns what counts and logs each decision about a request.
+// stepRecorder returns a function that counts and logs each decision about a request.
 func stepRecorder(counters *metrics) func(forward.Step) {
 	return func(step forward.Step) {
 		counters.countStep(&step)
@@ -63,10 +63,10 @@
 	if step.Events != 0 {
 		fields["events"] = step.Events
 	}
-	if repeat := &step.Retry; repeat.Service != "" {
-		fields["service"] = repeat.Service
-		fields["window_requests"], fields["window_repeats"] = repeat.Requests, repeat.Retries
-		fields["slack"], fields["sharers"] = math.Round(repeat.Slack*100)/100, repeat.Sharers
+	if retry := &step.Retry; retry.Service != "" {
+		fields["service"] = retry.Service
+		fields["window_requests"], fields["window_repeats"] = retry.Requests, retry.Retries
+		fields["slack"], fields["sharers"] = math.Round(retry.Slack*100)/100, retry.Sharers
 	}
 	if step.Kind == forward.StepBackendLimit {
 		fields["limited"], fields["rate"], fields["rate_before"] = step.Limit.Limited, step.Limit.Rate, step.Limit.PreviousRate
@@ -91,8 +91,8 @@
 	log.WithFields(fields).Info(string(step.Kind))
 }
 
-// addSkipFields says how many back ends said that they want no attempt, and whether this one went
-// elsewhere for that.
+// addSkipFields adds how many back ends were skipped as backing off or draining, and why a
+// faster one was, if any.
 func addSkipFields(fields log.Fields, choice *backend.Choice) {
 	if choice.BackoffSkips > 0 {
 		fields["resting"] = choice.BackoffSkips
@@ -105,7 +105,7 @@
 	}
 }
 
-// describeReleases says which releases an attempt was allowed to go to.
+// describeReleases describes the releases that an attempt was allowed to go to.
 func describeReleases(releases *backend.Releases) string {
 	switch {
 	case releases.Only == "":
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -28,7 +28,7 @@
 |---|---|---|---|
 `
 
-// answerBuckets are the bounds, in seconds, of the time to a final answer.
+// answerBuckets are the bounds of edge_answer_seconds.
 var answerBuckets = []float64{0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8}
 
 // metrics are the counters of one node.
@@ -45,17 +45,17 @@
 	pulls           *prometheus.CounterVec
 	watches         *prometheus.CounterVec
 	retries         *prometheus.CounterVec
-	// What requests of tenants with limits would use, by what came of their claims.
+	// Amounts of reservations on the limits of tenants, by result.
 	tenantGranted, tenantDenied, tenantUnconfirmed *prometheus.CounterVec
 	limitReservations                              *prometheus.CounterVec
 	attemptsElsewhere                              *prometheus.CounterVec
-	// What came of checks whether back ends crashed, and of questions for trials.
+	// Checks whether back ends crashed, and requests for trials, by result.
 	crashChecks, trials *prometheus.CounterVec
 
 	releaseAttempts, rolloutPhases *prometheus.CounterVec
 }
 
-// readGauges is the state of a node at one moment.
+// gaugeValues is the state of a node at one moment.
 type gaugeValues struct {
 	configurationVersion uint64
 	configurationAge     time.Duration
@@ -138,12 +138,10 @@
 	return 0
 }
 
-// finalSteps are the steps that end a request.
 var finalSteps = map[forward.StepKind]bool{
 	forward.StepAnswered: true, forward.StepRefused: true, forward.StepBroken: true, forward.StepClientGone: true,
 }
 
-// countStep counts a decision about a request.
 func (m *metrics) countStep(step *forward.Step) {
 	if step.Kind == forward.StepAttemptEnded {
 		m.attempts.WithLabelValues(step.Outcome.String()).Inc()
@@ -169,15 +167,15 @@
 	}
 }
 
-// countRelease counts an attempt by the release of its back end while releases are bounded.
+// countRelease counts an attempt by the release of its back end while releases are restricted.
 func (m *metrics) countRelease(step *forward.Step) {
 	if choice := &step.Choice; choice.Releases.Restricted() {
 		m.releaseAttempts.WithLabelValues(string(choice.Service), string(choice.Release), step.Outcome.String()).Inc()
 	}
 }
 
-// countTenantReservation counts a claim on the limit of a tenant.
-func (m *metrics) countTenantReservation(claim *quota.Reservation, result quota.Result) {
+// countTenantReservation counts the amount of a reservation by its result.
+func (m *metrics) countTenantReservation(reservation *quota.Reservation, result quota.Result) {
 	counter := m.tenantUnconfirmed
 	switch result.(type) {
 	case quota.Granted:
@@ -185,7 +183,7 @@
 	case quota.Denied:
 		counter = m.tenantDenied
 	}
-	counter.WithLabelValues(string(claim.Subject)).Add(claim.Amount)
+	counter.WithLabelValues(string(reservation.Subject)).Add(reservation.Amount)
 }
 
 func (m *metrics) countOrder(result rollout.Result) { m.orders.WithLabelValues(result.String()).Inc() }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,19 +31,18 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// Config sets one node.
+// Config is the configuration of one node.
 type Config struct {
 	Node ident.Node
 	Zone ident.Zone
-	// Regions tells the region of each zone; the zero Map means that there is one.
+	// Regions maps zones to regions; the zero Map means that there is one region.
 	Regions region.Map
-	// FrontAddress takes client requests, ReadyAddress the readiness checks of
-	// whatever hands clients to this node; both are host:port.
+	// FrontAddress receives client requests, ReadyAddress the readiness checks of load
+	// balancers; both are host:port.
 	FrontAddress, ReadyAddress string
-	// ReadyPath is the path of the readiness check.
-	ReadyPath string
-	// MetricsAddress (host:port) and MetricsPath are where the metrics are
-	// served; an empty address means nowhere.
+	ReadyPath                  string
+	// MetricsAddress (host:port) and MetricsPath are where metrics are served; an empty
+	// address disables them.
 	MetricsAddress, MetricsPath string
 	// PeerAddr is where other routers pull the shared state.
 	PeerAddr netip.AddrPort
@@ -55,49 +54,49 @@
 	Disabled mechanism.Disabled
 	Lease    lease.Config
 	Rollout  rollout.ControllerConfig
-	// Canary bounds what a release that is being tried may get; the zero value means that
-	// no service is moved to another release under guard.
+	// Canary bounds the requests to a release on trial; the zero value disables canary
+	// rollouts.
 	Canary canary.Bounds
 	// Clients bounds the connections of clients; its Limits are set by the node.
 	Clients inbound.Config
-	// Quota says by how much tenants may be above their limits.
+	// Quota bounds by how much tenants may exceed their limits.
 	Quota quota.Bounds
 	// GracePeriod is the time from the request to stop until the process is killed.
 	GracePeriod time.Duration
-	// ShutdownDelay is how long a stopping node still takes new connections, until
-	// those who hand clients to it have noticed.
+	// ShutdownDelay is how long a stopping node still accepts new connections, until load
+	// balancers have noticed.
 	ShutdownDelay time.Duration
 }
 
-// Ports are what a node needs of the outside.
+// Ports are the external dependencies of a node.
 type Ports struct {
 	Source Source
-	// Table's row versions rise with every transaction, over all keys.
+	// Table's row versions increase with every transaction, across all keys.
 	Table   store.Table
 	Caller  forward.Caller
 	Engines rollout.Engines
-	// OnAdvertised has what answers to reports and orders say of their back ends told to an ear; it may
-	// be nil.
-	OnAdvertised func(ear backend.AdvertisedFunc)
-	// Caches may be nil: what the stores of kept prompt caches hold is unknown then.
+	// OnAdvertised sets a function that is called with what back ends advertise in answers
+	// to reports and orders; it may be nil.
+	OnAdvertised func(observer backend.AdvertisedFunc)
+	// Caches may be nil: the content of stores of prompt caches is unknown then.
 	Caches CacheReader
-	// Epochs may be nil: the store never comes back from an older copy then.
+	// Epochs may be nil if the store is never restored from an older copy.
 	Epochs Epochs
-	// Rollouts writes how rollouts stand; it may be nil where Config.Canary is not set.
+	// Rollouts writes the states of rollouts; it may be nil if Config.Canary is not set.
 	Rollouts RolloutStore
-	// Front returns the handler of client requests. closing reports whether
-	// connections are to end after their answer; clients holds the bounds of bodies.
+	// Front returns the handler of client requests. closing reports whether connections are
+	// to be closed after their answer; clients bounds the bodies.
 	Front func(forwarder *forward.Forwarder, holder *catalog.Holder, closing func() bool, clients *inbound.Clients) http.Handler
 	// Loops run until the node has stopped.
 	Loops []func(ctx context.Context)
 	// LinesDropped returns the number of log lines dropped; it may be nil.
 	LinesDropped func() uint64
-	// SilentConnections returns how many connections of the other ports were found
-	// silent; it may be nil.
+	// SilentConnections returns how many connections of the other ports were found silent;
+	// it may be nil.
 	SilentConnections func() uint64
 }
 
-// rolloutLease names the lease under which one node changes engines.
+// rolloutLease is the name of the lease under which one node sends orders to engines.
 const rolloutLease = "rollout"
 
 // Node is one router process.
@@ -110,14 +109,14 @@
 	metrics  *metrics
 	follower *follower
 	quotas   *quotas
-	// quarantines keeps requests from back ends under which these crash.
+	// quarantines withholds requests under which back ends crash.
 	quarantines *quarantines
-	// notifier tells other routers news, nil before this one runs.
+	// notifier is nil before the node runs, or without a PeerAddr.
 	notifier atomic.Pointer[notifier]
 	canaries *canaries
 	limits   *backendLimits
 	updates  *backendUpdates
-	// engines carry reports and orders.
+	// engines sends reports and orders.
 	engines  *engineCalls
 	peers    *upstream.Client
 	clients  *inbound.Clients
@@ -158,7 +157,7 @@
 	return n
 }
 
-// setUpCanaries sets up what moves services to other releases, if that is asked for.
+// setUpCanaries sets up canary rollouts, if they are enabled.
 func (n *Node) setUpCanaries() {
 	if !n.config.Canary.Enabled() || n.ports.Rollouts == nil {
 		return
@@ -172,8 +171,8 @@
 	n.follower.states, n.follower.replica.canaries = states, n.canaries
 }
 
-// sharers returns how the slack of repeats is divided. A router that joined is counted at
-// the next count, and state older than StaleAfter is not lived on.
+// sharers configures how the slack of retries is divided. The lag is the time until a new
+// router is counted everywhere: the next count, and the greatest age of pulled state.
 func (c *Config) sharers() admission.SharersConfig {
 	return admission.SharersConfig{
 		Window: c.Forward.Retries.Window, Lag: c.Follow.RosterInterval + c.Follow.Chain.StaleAfter,
@@ -208,9 +207,9 @@
 func (n *Node) newQuarantines() *quarantines {
 	return &quarantines{engines: n.engines, backends: n.backends, Guard: guard.New(guard.Config{
 		Table: n.ports.Table, Timeout: n.config.Follow.ReadTimeout, Backends: n.backends, MaintainsRows: n.follower.readsForOthers,
-		Send: func(told []quarantine.Evidence) {
+		Send: func(evidence []quarantine.Evidence) {
 			if socket := n.notifier.Load(); socket != nil {
-				socket.sendCrashEvidence(told)
+				socket.sendCrashEvidence(evidence)
 			}
 		},
 		OnTrial: func(result string) { n.metrics.trials.WithLabelValues(result).Inc() },
@@ -231,7 +230,7 @@
 	})
 }
 
-// backendLimits returns what keeps back ends within their limits, nil if that is switched off.
+// backendLimits returns the limits of back ends, nil if they are disabled.
 func (n *Node) backendLimits() forward.BackendLimits {
 	if !n.config.Disabled.On(mechanism.BackendLimits) {
 		return nil
@@ -239,7 +238,6 @@
 	return n.limits
 }
 
-// readGauges returns what the gauges show.
 func (n *Node) readGauges() gaugeValues {
 	view := n.holder.View()
 	now := gaugeValues{backends: len(n.backends.Records()), inFlight: n.backends.InFlight()}
@@ -267,8 +265,8 @@
 	return now
 }
 
-// Run runs the node until ctx ends, and then stops it: it turns unready, goes
-// on serving until that was noticed, and finishes the open requests.
+// Run runs the node until ctx ends, then stops it: the node turns unready, serves for
+// ShutdownDelay, and finishes the open requests.
 func (n *Node) Run(ctx context.Context) error {
 	servers := n.servers()
 	if err := servers.listen(); err != nil {
@@ -307,7 +305,7 @@
 	return group.Wait()
 }
 
-// loops are the goroutines that run as long as the node.
+// loops returns the functions that run as long as the node, each in a goroutine.
 func (n *Node) loops(socket *notifier) []func(context.Context) {
 	config := n.config.Rollout
 	config.OnOrder = func(order *rollout.Order, result rollout.Result) {
@@ -354,10 +352,10 @@
 // contendInterval is the time between two decisions to contend for the lease.
 const contendInterval = 200 * time.Millisecond
 
-// contend lets this router contend for the lease while it is the first of its region, or of
-// its zone if there is one region, or reads in place of one that is cut off: a few routers
-// are enough, and each contender costs calls. A holder goes on, so that the lease does not
-// change hands without need.
+// contend lets this router contend for the lease while it is the first of its region (of its
+// zone if there is one region), or reads the store in place of a partitioned one: each
+// contender costs calls, and a few are enough. A holder keeps contending, so that the lease
+// does not change hands needlessly.
 func (n *Node) contend(ctx context.Context) {
 	wait.Every(ctx, contendInterval, func() {
 		n.lease.Contend(!n.stopping.Load() && (n.holdsLease() || n.follower.contends()))
@@ -369,8 +367,7 @@
 	return err == nil
 }
 
-// listenNotifications opens the socket for notices, if this node has an address for
-// what routers tell each other.
+// listenNotifications opens the socket for notifications; it returns nil without a PeerAddr.
 func (n *Node) listenNotifications() (*notifier, error) {
 	if !n.config.PeerAddr.IsValid() {
 		return nil, nil
@@ -385,8 +382,8 @@
 	}).Info("order")
 }
 
-// Ready reports whether the node can serve: it knows a configuration that may
-// still be acted on and a list of back ends, has room for clients, and is not stopping.
+// Ready reports whether the node can serve: it has a configuration that is fresh enough and an
+// instance list, has room for clients, and is not stopping.
 func (n *Node) Ready() bool {
 	view := n.holder.View()
 	return !n.stopping.Load() && !n.clients.Full() && view.Snapshot != nil && !n.backends.ListedAt().IsZero() &&
@@ -405,14 +402,13 @@
 }
 
 const (
-	// closeMargin is kept before the end of the grace period.
+	// closeMargin is the time between the end of requests and the end of the grace period.
 	closeMargin = 500 * time.Millisecond
-	// removeRowMargin is the part of closeMargin in which the row may still be removed; the
-	// rest is for the process to end.
+	// removeRowMargin is the part of closeMargin in which the row may be removed; in the rest
+	// the process exits.
 	removeRowMargin = 350 * time.Millisecond
 )
 
-// stop ends the servers as planned.
 func (n *Node) stop(servers servers) {
 	killAt := time.Now().Add(n.config.GracePeriod - closeMargin)
 	n.stopping.Store(true)
@@ -428,8 +424,8 @@
 	for _, server := range servers {
 		_ = server.Close()
 	}
-	// The row goes last: bounds of the whole system are divided among the routers that may
-	// still send, and those that start meanwhile count the rows.
+	// The row is removed last: global bounds are divided among all routers that may still
+	// send, and starting routers count them by their rows.
 	removal, cancelRemoval := context.WithDeadline(context.Background(), killAt.Add(removeRowMargin))
 	defer cancelRemoval()
 	n.follower.routerList.leave(removal)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -27,7 +27,7 @@
 	return recorder.Body.String()
 }
 
-// idleEngines never has anything to order.
+// idleEngines sends no orders, and its reports are empty.
 type idleEngines struct{}
 
 // Order implements rollout.Engines.
@@ -44,13 +44,13 @@
 	return addrtest.Free(t).String()
 }
 
-// startNode runs a node whose front answers after a pause.
+// startNode runs a node whose front handler answers after a pause.
 func startNode(t *testing.T, store *fakeStore, pause time.Duration) (config Config, stop func(), ended chan error) {
 	t.Helper()
 	return startNodeAt(t, store, pause, netip.AddrPort{})
 }
 
-// startNodeAt runs such a node that takes pulls at an address.
+// startNodeAt is startNode for a node that serves pulls at an address.
 func startNodeAt(t *testing.T, store *fakeStore, pause time.Duration, peerAddr netip.AddrPort) (config Config, stop func(), ended chan error) {
 	t.Helper()
 	config = Config{
@@ -81,7 +81,7 @@
 	return config, cancel, ended
 }
 
-// getStatus asks an address until it answers.
+// getStatus retries a request until it is answered, and returns the status.
 func getStatus(t *testing.T, address, path string) int {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -124,8 +124,8 @@
 	is.NoErr(<-ended)
 }
 
-// A planned stop turns the node unready first, still takes new connections for
-// a while, and finishes what is open.
+// A stopping node first turns unready, still accepts new connections for a while, and finishes
+// open requests.
 func TestPlannedStopFinishesRequests(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
@@ -145,7 +145,7 @@
 	time.Sleep(50 * time.Millisecond)
 	stop()
 	waitForReadyStatus(t, config, http.StatusServiceUnavailable)
-	go send() // the entry has not noticed yet
+	go send() // load balancers have not noticed yet
 	is.NoErr(<-answers)
 	is.NoErr(<-answers)
 	is.NoErr(<-ended)
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -13,7 +13,7 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// quarantines keeps requests from back ends under which these crash, as forward.Quarantine.
+// quarantines withholds requests under which back ends crash.
 type quarantines struct {
 	*guard.Guard
 	engines  rollout.Engines
@@ -37,15 +37,15 @@
 	q.Guard.ObserveUnreachable(now, q.target(at))
 }
 
-// target returns the life of a back end that a record names.
+// target returns the incarnation of a record and how to probe it.
 func (q *quarantines) target(at backend.Record) guard.Target {
 	return guard.Target{Incarnation: at.Instance, Probe: func(ctx context.Context, brokenAt time.Time) guard.ProbeResult {
 		return q.probe(ctx, at, brokenAt)
 	}}
 }
 
-// look asks a back end once what became of its life. While older attempts of this router are open
-// there, its process runs: a crash breaks all connections.
+// probe asks a back end once whether its incarnation still runs. A refused connection proves
+// nothing while an older attempt is open there: a crash breaks all connections.
 func (q *quarantines) probe(ctx context.Context, at backend.Record, brokenAt time.Time) guard.ProbeResult {
 	_, err := q.engines.Report(ctx, at)
 	switch {
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -14,7 +14,7 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// failingReports are engines whose reports fail in one way, or come.
+// failingReports are engines whose reports fail with err, or succeed if it is nil.
 type failingReports struct {
 	idleEngines
 	err error
@@ -30,12 +30,12 @@
 	tests := []struct {
 		name string
 		err  error
-		// open says that an attempt from before is open there.
+		// open is true if an older attempt is open there.
 		open bool
 		want guard.ProbeResult
 	}{
 		{"it answers", nil, false, guard.ProbeAlive},
-		{"another life answers", rollout.ErrOtherInstance, false, guard.ProbeEnded},
+		{"another incarnation answers", rollout.ErrOtherInstance, false, guard.ProbeEnded},
 		{"connections are refused", refused, false, guard.ProbeRefused},
 		{"refused while an older attempt is open", refused, true, guard.ProbeInconclusive},
 		{"silence", context.DeadlineExceeded, false, guard.ProbeInconclusive},
@@ -58,7 +58,7 @@
 	}
 }
 
-// What ran at a back end that is leaving, or that is not listed any more, has not crashed it.
+// The end of a back end that is draining or unlisted is no crash.
 func TestDrainingOrUnlistedBackends(t *testing.T) {
 	is := is.New(t)
 	backends := backend.NewRegistry(backend.Config{})
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	// quotaTick is the time between two looks at which hellos are due.
+	// quotaTick is the time between two checks which hellos are due.
 	quotaTick = 50 * time.Millisecond
-	// pendingTick is the time between two looks at an answer that is awaited; answers come
-	// within a few ms, and are asked for again after 30ms or more.
+	// pendingTick is the time between two checks whether an unanswered reservation is to be
+	// requested again.
 	pendingTick = 15 * time.Millisecond
 )
 
-// quotas runs one quota.Agent of this router. It implements forward.Quotas.
+// quotas runs one quota.Agent of this router.
 type quotas struct {
-	// name says in the log what has the limits.
+	// name is the subject of the limits, for the log.
 	name string
 	// send sends a message to another router; it may be nil if there are none.
 	send func(quota.Envelope)
-	// routers returns the number of all routers, 0 if it is not known.
+	// routers returns the number of all routers, 0 if unknown.
 	routers func() int
 	// limited reports whether anything has a limit; it is used by run.
 	limited func() bool
-	// onResult is called with the verdict on each claim.
-	onResult func(claim *quota.Reservation, verdict quota.Result)
+	// onResult is called with the result of each reservation.
+	onResult func(reservation *quota.Reservation, result quota.Result)
 
 	mu      sync.Mutex
 	agent   *quota.Agent
@@ -48,17 +48,17 @@
 var _ forward.Quotas = (*quotas)(nil)
 
 // Acquire implements forward.Quotas.
-func (q *quotas) Acquire(ctx context.Context, claim quota.Reservation) quota.Result {
-	result := q.acquire(ctx, claim)
-	q.onResult(&claim, result)
+func (q *quotas) Acquire(ctx context.Context, reservation quota.Reservation) quota.Result {
+	result := q.acquire(ctx, reservation)
+	q.onResult(&reservation, result)
 	return result
 }
 
-func (q *quotas) acquire(ctx context.Context, claim quota.Reservation) quota.Result {
+func (q *quotas) acquire(ctx context.Context, reservation quota.Reservation) quota.Result {
 	decided := make(chan quota.Result, 1)
 	var id uint64
 	q.withAgent(func(now time.Time) {
-		id = q.agent.Acquire(now, claim)
+		id = q.agent.Acquire(now, reservation)
 		q.waiting[id] = decided
 	})
 	ticker := time.NewTicker(pendingTick)
@@ -84,12 +84,12 @@
 	q.withAgent(func(time.Time) { q.agent.Release(grant) })
 }
 
-// receive takes in a message of another router.
+// receive handles a message of another router.
 func (q *quotas) receive(from netip.AddrPort, msg quota.Message) {
 	q.withAgent(func(now time.Time) { q.agent.Receive(now, from, msg) })
 }
 
-// setRouters takes in this router's row and those of the others.
+// setRouters sets this router's row and those of the others. Only older ones may lead the pool.
 func (q *quotas) setRouters(self upstream.Peer, peers []upstream.Peer) {
 	older := slices.DeleteFunc(slices.Clone(peers), func(peer upstream.Peer) bool {
 		return peer.Revision >= self.Revision || peer.Node == self.Node
@@ -115,8 +115,8 @@
 	q.updateMembership(false)
 }
 
-// updateMembership keeps this router in a pool, or takes it out of one that is not needed any more. It is
-// called by one goroutine.
+// updateMembership keeps this router in a pool while anything is limited, and leaves the pool
+// after that. It is called by one goroutine.
 func (q *quotas) updateMembership(limited bool) {
 	switch {
 	case limited:
@@ -135,7 +135,8 @@
 	return q.agent.Shared()
 }
 
-// call uses the agent, and carries out what it wants.
+// withAgent calls a function that uses the agent, then delivers the agent's decisions and
+// messages.
 func (q *quotas) withAgent(call func(now time.Time)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -157,7 +158,7 @@
 	}
 }
 
-// newQuotas returns the quotas of a router.
+// newQuotas completes and returns q.
 func newQuotas(cfg quota.Config, q *quotas) *quotas {
 	cfg.FirstID = rand.Uint64() >> 1
 	q.agent = quota.NewAgent(cfg)
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -16,14 +16,14 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// quotaRouter is a router with its socket, as far as limits go.
+// quotaRouter is the part of a router that handles quotas, with its socket.
 type quotaRouter struct {
 	peer   upstream.Peer
 	quotas *quotas
 	stop   context.CancelFunc
 }
 
-// startQuotas starts routers that know those that joined before them.
+// startQuotas starts routers that each know the older ones.
 func startQuotas(t *testing.T, count int, limited func() bool) []*quotaRouter {
 	t.Helper()
 	var routers []*quotaRouter
@@ -48,7 +48,7 @@
 		var running sync.WaitGroup
 		running.Go(func() { socket.listen(ctx) })
 		running.Go(func() { router.quotas.run(ctx) })
-		// What they log must not meet another test's log.
+		// They must not log during another test.
 		t.Cleanup(func() {
 			stop()
 			running.Wait()
@@ -62,7 +62,7 @@
 	return quota.Reservation{Subject: "t", Limit: quota.Limit{Rate: 1e6, Burst: 1e6}, Version: 1, Amount: amount}
 }
 
-// Routers ask the oldest one over their sockets, and the next one when it is gone.
+// Reservations are granted by the oldest router over sockets, and by the next one after its end.
 func TestOldestRouterGrantsReservations(t *testing.T) {
 	is := is.New(t)
 	routers := startQuotas(t, 4, func() bool { return true })
@@ -82,7 +82,7 @@
 		return ok && granted.Grant.Leader == routers[1].peer.Addr
 	})
 	eventually(t, func() bool {
-		// The others notice by hellos, some hundred ms apart.
+		// The others notice it with their hellos, some hundred ms apart.
 		time.Sleep(quotaTick / 10)
 		return routers[1].quotas.members() == 3
 	})
--- a/internal/node/reference_test.go
+++ b/internal/node/reference_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Every event that the code logs is described, and every described one logged.
+// Every event that the code logs is described, and every described one is logged.
 func TestEventsAreDescribed(t *testing.T) {
 	is := is.New(t)
 	described := map[string]bool{}
@@ -67,7 +67,7 @@
 	}
 }
 
-// collectEvents notes the texts given to Info and Warn.
+// collectEvents adds the literal arguments of Info and Warn.
 func collectEvents(t *testing.T, path string, logged map[string]bool) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -113,12 +113,12 @@
 	is.True(strings.Contains(gathered, `fieldpond_edge_requests_total{end="refused"} 1`))
 }
 
-// Attempts are told apart by release while releases are bounded, and only then.
+// Attempts are counted and logged by release only while releases are restricted.
 func TestAttemptsAreCountedByRelease(t *testing.T) {
 	tests := []struct {
 		name     string
 		releases backend.Releases
-		// wantField is the field that tells where the attempt was allowed to go.
+		// wantField is the field "releases".
 		wantField any
 	}{
 		{"any", backend.Releases{}, nil},
--- a/internal/node/region_test.go
+++ b/internal/node/region_test.go
@@ -17,15 +17,15 @@
 	"za1": "a", "za2": "a", "zb1": "b", "zb2": "b", "zc1": "c", "zc2": "c",
 })
 
-// startRegions starts routers of all three regions, the first of all in zone za1, and lets
-// them settle.
+// startRegions starts routers of all three regions, the first of all in zone za1, and waits
+// until their roles are stable.
 func startRegions(t *testing.T) *zone {
 	t.Helper()
 	z := newZone()
 	z.regions = threeRegions
 	for number := range 4 {
-		for _, place := range []string{"a1", "b1", "c1", "a2", "b2", "c2"} {
-			z.start(t.Context(), ident.Node(fmt.Sprintf("%d-%s", number, place)))
+		for _, suffix := range []string{"a1", "b1", "c1", "a2", "b2", "c2"} {
+			z.start(t.Context(), ident.Node(fmt.Sprintf("%d-%s", number, suffix)))
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
@@ -34,38 +34,39 @@
 	return z
 }
 
-// partition cuts a region off from the others, or from nobody, and from the store as well.
-func (z *zone) partition(lone ident.Region, store bool) {
+// partition partitions a region from the others, or none if it is empty, and from the store as
+// well if store is set.
+func (z *zone) partition(isolated ident.Region, store bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.partitioned = func(a, b ident.Zone) bool {
-		return lone != "" && (threeRegions.Of(a) == lone) != (threeRegions.Of(b) == lone)
+		return isolated != "" && (threeRegions.Of(a) == isolated) != (threeRegions.Of(b) == isolated)
 	}
 	for _, running := range z.routers {
-		running.cutOff = store && lone != "" && threeRegions.Of(running.follower.routerList.zone) == lone
+		running.cutOff = store && isolated != "" && threeRegions.Of(running.follower.routerList.zone) == isolated
 	}
 }
 
 // routersIn returns the routers of a region.
-func (z *zone) routersIn(place ident.Region) []*zoneRouter {
+func (z *zone) routersIn(wanted ident.Region) []*zoneRouter {
 	var routers []*zoneRouter
 	for _, running := range z.routers {
-		if threeRegions.Of(running.follower.routerList.zone) == place {
+		if threeRegions.Of(running.follower.routerList.zone) == wanted {
 			routers = append(routers, running)
 		}
 	}
 	return routers
 }
 
-// A region that is cut off from the others for long goes on with the store, by one reader,
-// and goes back to the first router of all when it is reached again.
+// A partitioned region reads the store by one router, and pulls from the first router of all
+// again after the partition.
 func TestPartitionedRegionReadsStore(t *testing.T) {
-	for _, lone := range []ident.Region{"a", "b"} { // with the first router of all, and without
-		t.Run(string(lone), func(t *testing.T) {
+	for _, isolated := range []ident.Region{"a", "b"} { // with the first router of all, and without
+		t.Run(string(isolated), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				z := startRegions(t)
-				z.partition(lone, false)
+				z.partition(isolated, false)
 				time.Sleep(20 * time.Second)
 				z.writeConfiguration(5)
 				time.Sleep(1500 * time.Millisecond)
@@ -79,7 +80,7 @@
 						readers[threeRegions.Of(z.routers[node].follower.routerList.zone)]++
 					}
 				}
-				is.Equal(readers[lone], 1)
+				is.Equal(readers[isolated], 1)
 				is.Equal(len(readers), 2) // the region, and one for all others
 				z.partition("", false)
 				time.Sleep(20 * time.Second)
@@ -92,23 +93,23 @@
 	}
 }
 
-// A region that is cut off from all, the store as well, keeps its age and does not take old
-// news for new; the others go on, and it follows them once it is reached again.
+// A region without the others and the store knows the age of its state; the others continue,
+// and it follows them again after the partition.
 func TestIsolatedRegionKnowsAgeOfState(t *testing.T) {
-	for _, lone := range []ident.Region{"a", "c"} {
-		t.Run(string(lone), func(t *testing.T) {
+	for _, isolated := range []ident.Region{"a", "c"} {
+		t.Run(string(isolated), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				z := startRegions(t)
-				z.partition(lone, true)
+				z.partition(isolated, true)
 				time.Sleep(10 * time.Second)
 				z.writeConfiguration(5)
 				time.Sleep(2 * time.Second)
 				for _, place := range []ident.Region{"a", "b", "c"} {
 					for _, running := range z.routersIn(place) {
 						age := running.follower.replica.holder.View().Age(time.Now())
-						is.Equal(running.version() == 5, place != lone)
-						is.Equal(age < 2*time.Second, place != lone)
+						is.Equal(running.version() == 5, place != isolated)
+						is.Equal(age < 2*time.Second, place != isolated)
 					}
 				}
 				z.partition("", false)
--- a/internal/node/rolloutlog.go
+++ b/internal/node/rolloutlog.go
@@ -9,16 +9,16 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// loggedRollout is what was logged last of a service's rollout.
+// loggedRollout is what was last logged of a service's rollout.
 type loggedRollout struct {
 	revision  uint64
 	phase     canary.Phase
 	permitted bool
-	// reason says what decided a final phase, as the holder told it.
+	// reason is why a final phase was decided, as reported by the lease's holder.
 	reason string
 }
 
-// loggedOf returns the trail of a service.
+// loggedOf returns what was logged of a service, and adds it if there is none.
 func (c *canaries) loggedOf(service ident.Service) *loggedRollout {
 	last := c.logged[service]
 	if last == nil {
@@ -28,7 +28,7 @@
 	return last
 }
 
-// logChanges logs what has changed on this router; the caller holds the mutex.
+// logChanges logs changes of all rollouts on this router; the caller holds the mutex.
 func (c *canaries) logChanges(now time.Time) {
 	if c.rollouts == nil {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// logChange logs what has changed of one order: that it is there, its phase as this router
-// acts upon it, and whether this router may send anything to its target.
+// logChange logs changes of one rollout: a new order, its phase as this router applies it,
+// and whether this router may send requests to the target.
 func (c *canaries) logChange(now time.Time, order *canary.Order) {
 	last := c.loggedOf(order.Service)
 	fields := log.Fields{"service": order.Service, "target": order.Target, "order": order.Revision}
@@ -71,7 +71,7 @@
 	}).Info("rollout_phase")
 }
 
-// logWritten logs a state that this router has written as the holder of the lease.
+// logWritten logs a state that this router has written as holder of the lease.
 func (c *canaries) logWritten(fence uint64, state *canary.State) {
 	log.WithFields(log.Fields{
 		"service": state.Order.Service, "target": state.Order.Target, "order": state.Order.Revision,
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -9,20 +9,20 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// knownRollouts is what a router knows of the operator's orders and of their states, as
-// some router read them. It is immutable.
+// knownRollouts are the operator's orders and their states, as read by some router. It is
+// immutable.
 type knownRollouts struct {
 	orders []canary.Order
 	states []canary.State
-	// storeTime is the store's own time at readAt, when the orders were read; at absent
-	// the newest of them was not there yet, 0 if that is not known.
+	// storeTime is the store's own time at readAt, when the orders were read; at absentAt, a
+	// time of the store as well, the newest order was not there yet, 0 if unknown.
 	storeTime, absentAt time.Duration
 	readAt              time.Time
 	// statesAt is when the states were read, zero if they were not.
 	statesAt time.Time
 }
 
-// peerRollouts returns what a peer told as of a time, or nil.
+// peerRollouts returns the rollouts received from a peer at a time, or nil.
 func peerRollouts(received *upstream.Rollouts, at time.Time) *knownRollouts {
 	if received == nil {
 		return nil
@@ -37,7 +37,7 @@
 	return known
 }
 
-// forPeer returns what is told to a peer, nil where there is no order.
+// forPeer returns the rollouts as sent to a peer, nil if there are none.
 func (k *knownRollouts) forPeer(now time.Time) *upstream.Rollouts {
 	if k == nil {
 		return nil
@@ -51,7 +51,7 @@
 	return update
 }
 
-// known returns the orders and states; there may be none.
+// known returns the orders and states; k may be nil.
 func (k *knownRollouts) known() canary.Known {
 	if k == nil {
 		return canary.Known{}
@@ -70,8 +70,8 @@
 	return revision
 }
 
-// pending reports whether an order has no final state that is known, or a rollout has not
-// ended though its order is withdrawn.
+// pending reports whether an order has no known final state, or a rollout whose order is
+// withdrawn has not ended.
 func (k *knownRollouts) pending() bool {
 	if k == nil {
 		return false
@@ -82,7 +82,7 @@
 	})
 }
 
-// withdrawn returns the services whose rollouts have not ended and have no order any more.
+// withdrawn returns the services whose unfinished rollouts have no order any more.
 func (k *knownRollouts) withdrawn() []ident.Service {
 	var services []ident.Service
 	for index := range k.states {
@@ -95,8 +95,8 @@
 	return services
 }
 
-// merge returns what two routers' reads tell together: the newer orders, and the newer
-// states. A final phase stays, whichever told it.
+// merge returns the newer orders and the newer states of two reads. A final phase of either
+// is kept. If k or other is nil, it returns other.
 func (k *knownRollouts) merge(other *knownRollouts) *knownRollouts {
 	if k == nil || other == nil {
 		return other
@@ -113,8 +113,8 @@
 	return &merged
 }
 
-// mergeStates returns the newer states, and those of the older ones that are final or
-// missing among the newer.
+// mergeStates returns the newer states, with older ones that are final or missing among the
+// newer.
 func mergeStates(older, newer []canary.State) []canary.State {
 	merged := slices.Clone(newer)
 	for _, state := range older {
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -13,7 +13,6 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// testState returns the state of a service's rollout.
 func testState(service ident.Service, revision uint64, phase canary.Phase) canary.State {
 	return canary.State{Order: canary.Order{Service: service, Target: "v2", Revision: revision}, Phase: phase}
 }
@@ -30,8 +29,8 @@
 		want         []canary.State
 	}{
 		{"the newer phase", []canary.State{testState("s", 1, canary.Observing)}, []canary.State{testState("s", 1, canary.Promoting)}, []canary.State{testState("s", 1, canary.Promoting)}},
-		{"a verdict stays", []canary.State{testState("s", 1, canary.RolledBack)}, []canary.State{testState("s", 1, canary.Promoting)}, []canary.State{testState("s", 1, canary.RolledBack)}},
-		{"a verdict ends with the next order", []canary.State{testState("s", 1, canary.RolledBack)}, []canary.State{testState("s", 2, canary.Observing)}, []canary.State{testState("s", 2, canary.Observing)}},
+		{"a final phase stays", []canary.State{testState("s", 1, canary.RolledBack)}, []canary.State{testState("s", 1, canary.Promoting)}, []canary.State{testState("s", 1, canary.RolledBack)}},
+		{"a final phase ends with the next order", []canary.State{testState("s", 1, canary.RolledBack)}, []canary.State{testState("s", 2, canary.Observing)}, []canary.State{testState("s", 2, canary.Observing)}},
 		{"a state that one read lacks", []canary.State{testState("t", 1, canary.Succeeded)}, []canary.State{testState("s", 2, canary.Observing)}, []canary.State{testState("s", 2, canary.Observing), testState("t", 1, canary.Succeeded)}},
 	}
 	for _, tt := range tests {
@@ -41,7 +40,7 @@
 			newer := &knownRollouts{states: tt.newer, readAt: at, statesAt: at.Add(time.Second)}
 			for _, merged := range []*knownRollouts{older.merge(newer), newer.merge(older)} {
 				is.Equal(merged.states, tt.want)
-				is.Equal(len(merged.orders), 1) // the newer orders, whoever read the newer states
+				is.Equal(len(merged.orders), 1) // the newer orders, whichever read has the newer states
 			}
 			is.Equal((*knownRollouts)(nil).merge(newer), newer)
 		})
@@ -56,18 +55,18 @@
 	}{
 		{"nothing", nil, false},
 		{"an order without a state", &knownRollouts{orders: []canary.Order{testOrder("s", 1)}}, true},
-		{"a rollout that runs", &knownRollouts{orders: []canary.Order{testOrder("s", 1)}, states: []canary.State{testState("s", 1, canary.Promoting)}}, true},
-		{"one that is over", &knownRollouts{orders: []canary.Order{testOrder("s", 1)}, states: []canary.State{testState("s", 1, canary.Succeeded)}}, false},
-		{"an order after one that is over", &knownRollouts{orders: []canary.Order{testOrder("s", 2)}, states: []canary.State{testState("s", 1, canary.Succeeded)}}, true},
-		{"one that runs without its order", &knownRollouts{states: []canary.State{testState("s", 1, canary.Observing)}}, true},
-		{"one that is over without its order", &knownRollouts{states: []canary.State{testState("s", 1, canary.RolledBack)}}, false},
+		{"a running rollout", &knownRollouts{orders: []canary.Order{testOrder("s", 1)}, states: []canary.State{testState("s", 1, canary.Promoting)}}, true},
+		{"a finished rollout", &knownRollouts{orders: []canary.Order{testOrder("s", 1)}, states: []canary.State{testState("s", 1, canary.Succeeded)}}, false},
+		{"an order after a finished rollout", &knownRollouts{orders: []canary.Order{testOrder("s", 2)}, states: []canary.State{testState("s", 1, canary.Succeeded)}}, true},
+		{"a running rollout with a withdrawn order", &knownRollouts{states: []canary.State{testState("s", 1, canary.Observing)}}, true},
+		{"a finished rollout with a withdrawn order", &knownRollouts{states: []canary.State{testState("s", 1, canary.RolledBack)}}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) { is.New(t).Equal(tt.known.pending(), tt.want) })
 	}
 }
 
-// What passes to a peer is the same there, as of the same times.
+// Rollouts received by a peer equal those sent, as of the same times.
 func TestRolloutsRoundTripToPeer(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -81,7 +80,7 @@
 	is.True(peerRollouts((*knownRollouts)(nil).forPeer(now), now) == nil)
 }
 
-// A row that cannot be read counts as a rollout that has not begun, under its version.
+// An unreadable row counts as a rollout that has not begun, with the row's version.
 func TestUnreadableStateIsOverwritten(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
@@ -101,7 +100,7 @@
 	is.Equal(len(listed), 0)
 }
 
-// Whoever is not of the roster permits nothing, and asks for a look at the roster.
+// A permit of an unknown sender is dropped, and the router list is read again.
 func TestPermitOfUnknownSenderIsDropped(t *testing.T) {
 	is := is.New(t)
 	peer, stranger := netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
@@ -116,15 +115,15 @@
 		Order: canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}, Fence: 1, Phase: canary.Succeeded,
 		Proved: []ident.Release{oldRelease},
 	}
-	choice := func() backend.Releases { return c.Choose(time.Now(), canary.Ask{Service: "s", First: true}) }
+	allowed := func() backend.Releases { return c.Choose(time.Now(), canary.Ask{Service: "s", First: true}) }
 	c.receive(stranger, &datagram{Permit: permit})
-	releases := choice()
+	releases := allowed()
 	is.True(!releases.Allows(newRelease))
 	is.True(releases.Allows(oldRelease))
 	is.True(c.routersReadDue)
 	is.Equal(len(answered), 0)
 	c.receive(peer, &datagram{Permit: permit})
-	releases = choice()
+	releases = allowed()
 	is.True(releases.Allows(newRelease))
 	is.True(!releases.Allows(oldRelease))
 	is.Equal(answered, []netip.AddrPort{peer})
--- a/internal/node/rolloutstates.go
+++ b/internal/node/rolloutstates.go
@@ -13,11 +13,9 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// statePrefix is the begin of the keys of the states of rollouts, which go on with the
-// service: its newest rollout has one row.
+// statePrefix precedes the service in the key of its newest rollout's state.
 const statePrefix = "canary/"
 
-// maxRolloutStates bounds the states that are read.
 const maxRolloutStates = 500
 
 // rolloutStates keeps the states of rollouts in the store.
@@ -27,7 +25,7 @@
 	timeout time.Duration
 }
 
-// list returns the states of all services.
+// list returns the readable states of all services.
 func (s *rolloutStates) list(ctx context.Context) ([]canary.State, error) {
 	bounded, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
@@ -44,8 +42,8 @@
 	return states, nil
 }
 
-// read returns the state of one service and the version of its row, 0 if there is none. A
-// row that cannot be read counts as a rollout that has not begun, and is written over.
+// read returns the state of one service and the version of its row, 0 if there is none. An
+// unreadable row counts as a rollout that has not begun, and is overwritten.
 func (s *rolloutStates) read(ctx context.Context, service ident.Service) (canary.State, uint64, error) {
 	bounded, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
@@ -61,9 +59,9 @@
 	return state, row.Version, nil
 }
 
-// write writes a state under the condition that its row still has a version, and tells the
-// operator. A write that came to nothing for sure counts as unanswered as well: either way
-// the row is read before it is written again.
+// write writes a state and reports it to the operator, on the condition that its row still
+// has a version. A write that certainly failed counts as unanswered too: either way the row
+// is read before it is written again.
 func (s *rolloutStates) write(ctx context.Context, state *canary.State, version uint64) canary.WriteResult {
 	bounded, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
@@ -91,7 +89,7 @@
 	return canary.Stored{Version: result.Rows[0].Version}
 }
 
-// decodeState reads the row of a state.
+// decodeState decodes a row, and reports whether it is readable.
 func decodeState(row *protocol.Row) (canary.State, bool) {
 	var state canary.State
 	if err := cbor.Unmarshal(row.Value, &state); err != nil {
--- a/internal/node/rowremoval_test.go
+++ b/internal/node/rowremoval_test.go
@@ -12,8 +12,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// removalRefusedOnce refuses the first removal of a row, as a store does that gets too many calls
-// for a moment; nothing was done then.
+// removalRefusedOnce refuses the first removal of a row, as a store does that limits its calls.
 type removalRefusedOnce struct {
 	*fakeStore
 	refused bool
@@ -22,13 +21,13 @@
 func (t *removalRefusedOnce) Commit(ctx context.Context, tx protocol.Transaction) (protocol.TransactionResult, error) {
 	if tx.Writes[0].Delete && !t.refused {
 		t.refused = true
-		return protocol.TransactionResult{}, fault.New(fault.RateLimited, "turned away")
+		return protocol.TransactionResult{}, fault.New(fault.RateLimited, "rate limit exceeded")
 	}
 	return t.fakeStore.Commit(ctx, tx)
 }
 
-// A router that stops for good has seconds left when the store turns the removal of its row
-// away. The row must not stay: all others would count the router for good.
+// A stopping router retries the removal of its row if the store refuses it: a row that stays
+// would be counted by all others for good.
 func TestRefusedRowRemovalIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// idleTimeout is how long a resting connection is kept that is not a client's.
+	// idleTimeout bounds how long an idle connection is kept, except those of clients.
 	idleTimeout = 2 * time.Minute
 	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 30 * time.Second
 )
 
-// server is one HTTP server of a node with what it listens on.
+// server is one HTTP server of a node and its listener.
 type server struct {
 	*http.Server
 	purpose  string
 	listener net.Listener
-	// clients bounds the connections; it is nil at servers that clients do not reach.
+	// clients bounds the connections; it is nil except at the server of client requests.
 	clients *inbound.Clients
 }
 
-// servers are the HTTP servers of a node; the first takes client requests.
+// servers are the HTTP servers of a node; the first serves client requests.
 type servers []*server
 
 func (n *Node) servers() servers {
@@ -56,7 +56,7 @@
 	return all
 }
 
-// releases returns what guards services that are moved to another release, if anything.
+// releases returns the canaries, nil if canary rollouts are disabled.
 func (n *Node) releases() forward.Releases {
 	if n.canaries == nil {
 		return nil
@@ -64,8 +64,8 @@
 	return n.canaries
 }
 
-// newFront returns the server of client requests. Its connections are bounded by
-// what keeps them, so that net/http sets no deadlines on them.
+// newFront returns the server of client requests. Its connections are bounded by n.clients
+// in place of the timeouts of net/http.
 func (n *Node) newFront(forwarder *forward.Forwarder) *server {
 	var handler http.Handler
 	if n.ports.Front != nil {
@@ -80,13 +80,12 @@
 	}
 }
 
-// sweepClients closes the connections of clients that rest for too long, until ctx
-// ends.
+// sweepClients closes client connections that are idle for too long, until ctx ends.
 func (n *Node) sweepClients(ctx context.Context) {
 	wait.Every(ctx, inbound.SweepInterval, func() { n.clients.Sweep(clock.Now()) })
 }
 
-// clientLimits returns the bounds that the configuration in force sets on clients.
+// clientLimits returns the limits of clients in the configuration in force.
 func (n *Node) clientLimits() inbound.Limits {
 	snapshot := n.holder.View().Snapshot
 	if snapshot == nil {
@@ -101,7 +100,7 @@
 	}}
 }
 
-// listen opens all listeners, or none.
+// listen opens all listeners; if one fails it closes the others.
 func (s servers) listen() error {
 	for index, opening := range s {
 		listener, err := net.Listen("tcp4", opening.Addr)
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// close closes the listeners of servers that do not serve yet.
+// close closes the listeners of servers that are not serving yet.
 func (s servers) close() {
 	for _, opened := range s {
 		_ = opened.listener.Close()
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -1,9 +1,7 @@
 package node
 
-// Users lost requests on days on which routers are restarted in turn: a router that
-// joined while the first one of its zone stopped took that one for a peer that is up, since
-// it answers pulls to its end. It did not contend for the lease, and the one that stopped
-// did not either: nobody gave orders for seconds.
+// Guards against a time without a holder of the lease: a router that is shutting down still
+// answers pulls, but its peers must not count on it as the first of the zone.
 
 import (
 	"net/netip"
@@ -37,7 +35,7 @@
 		time.Sleep(750 * time.Millisecond)
 		z.requireVersion(t, 5)
 		time.Sleep(zoneSharers.Lag)
-		is.Equal(joined.replica.Routers(), 3) // those that stop may still send
+		is.Equal(joined.replica.Routers(), 3) // stopping routers may still send
 	})
 }
 
@@ -66,7 +64,7 @@
 	})
 }
 
-// Of routers that stop together one goes on reading the store.
+// Of routers that stop together only one reads the store.
 func TestOneRouterReadsStoreWhileAllStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -84,7 +82,7 @@
 	})
 }
 
-// A router whose only peers leave is supplied by them while it does not reach the store.
+// Peers that are shutting down supply a router that does not reach the store.
 func TestStoppingRoutersSupplyRouterWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, "a", "b")
@@ -97,7 +95,7 @@
 	})
 }
 
-// A node that is told to stop says so to those that pull from it, until it ends.
+// A stopping node advertises that to routers that pull from it, until it ends.
 func TestStoppingNodeAdvertisesShutdown(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
--- a/internal/node/testrouter_test.go
+++ b/internal/node/testrouter_test.go
@@ -15,8 +15,8 @@
 	"github.com/fieldpond/fieldpond/internal/inbound"
 )
 
-// startRouter runs a router until the test ends, and returns once it can serve. It takes
-// requests by its forwarder, and none from the network. Changes are made to its configuration.
+// startRouter runs a router until the test ends, and returns once it is ready. It receives
+// requests through its forwarder only. changes modify its configuration.
 func startRouter(t *testing.T, node ident.Node, ports Ports, changes ...func(*Config)) *testRouter {
 	t.Helper()
 	config := Config{
--- a/internal/node/zone_test.go
+++ b/internal/node/zone_test.go
@@ -21,25 +21,25 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// zone is a group of routers before one store, in virtual time. Pulls are
-// direct calls, held back for as long as a Server would.
+// zone is a group of routers of one or more zones with one store, in virtual time. Pulls are
+// direct calls, held for as long as a Server would.
 type zone struct {
 	store *fakeStore
-	// namingTable is where routers that start keep namings.
+	// namingTable is the table for publications of routers that start.
 	namingTable store.Table
-	// guard, if set, prepares each life of a router before it runs.
+	// beforeStart, if set, is called with each router before it runs.
 	beforeStart func(ctx context.Context, running *zoneRouter)
 
-	// regions tells the regions of the routers' zones.
+	// regions are the regions of the routers' zones.
 	regions region.Map
 
 	mu      sync.Mutex
 	routers map[ident.Node]*zoneRouter
-	// partitioned tells which zones do not reach each other; nil means that all do.
+	// partitioned reports whether two zones do not reach each other; nil means that all do.
 	partitioned func(a, b ident.Zone) bool
 }
 
-// zoneSharers are those of a zone's routers: a count each 5s, and state of 1.4s at most.
+// zoneSharers fits the timing of a zone's routers: a count each 5s, and state of 1.4s at most.
 var zoneSharers = admission.SharersConfig{Window: 10 * time.Second, Lag: 6400 * time.Millisecond}
 
 type zoneRouter struct {
@@ -47,10 +47,10 @@
 	node     ident.Node
 	follower *follower
 	stop     context.CancelFunc
-	// reads counts the calls to the store that this router made, watches those that wait for
-	// its changes.
+	// reads counts the calls of this router to the store, watches those that wait for
+	// changes.
 	reads, watches int
-	// cutOff routers do not reach the store, dead ones answer no pull.
+	// A cutOff router does not reach the store, a dead one answers no pull.
 	cutOff, dead bool
 }
 
@@ -62,10 +62,10 @@
 	return z
 }
 
-// start starts a life of a router; its zone is named by the first letter after a
-// dash, if there is one.
+// start starts a router; its zone is "z" and what follows the dash in its name, if there is
+// one.
 func (z *zone) start(ctx context.Context, node ident.Node) *zoneRouter {
-	_, place, _ := strings.Cut(string(node), "-")
+	_, suffix, _ := strings.Cut(string(node), "-")
 	running := &zoneRouter{zone: z, node: node}
 	ctx, running.stop = context.WithCancel(ctx)
 	running.follower = &follower{
@@ -73,7 +73,7 @@
 		replica:      newReplica(node, &catalog.Holder{}, backend.NewRegistry(backend.Config{}), z.store.Decode, zoneSharers),
 		publications: &publicationStore{table: z.namingTable, timeout: time.Second},
 		routerList: &routerList{
-			table: z.store, timeout: time.Second, node: node, zone: ident.Zone("z" + place),
+			table: z.store, timeout: time.Second, node: node, zone: ident.Zone("z" + suffix),
 			addr: netip.MustParseAddrPort("10.0.0.1:1"), incarnation: fmt.Sprint(time.Now()),
 		},
 		recipients: &recipients{node: node},
@@ -108,7 +108,7 @@
 	change(z.routers[node])
 }
 
-// kill ends a router without a planned stop.
+// kill ends a router without a shutdown.
 func (z *zone) kill(node ident.Node) {
 	z.changeRouter(node, func(r *zoneRouter) {
 		r.dead = true
@@ -116,7 +116,7 @@
 	})
 }
 
-// reads returns the calls to the store since the last look.
+// reads returns and resets the counts of calls to the store.
 func (z *zone) reads() (total int, by map[ident.Node]int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -129,7 +129,7 @@
 	return total, by
 }
 
-// watches returns the calls that waited for changes of the store since the last look.
+// watches returns and resets the count of calls that waited for changes of the store.
 func (z *zone) watches() int {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -149,7 +149,7 @@
 	defer r.zone.mu.Unlock()
 	*count++
 	if r.cutOff {
-		return errors.New("cut off")
+		return errors.New("store unreachable")
 	}
 	return nil
 }
@@ -209,7 +209,7 @@
 
 var _ store.Table = (*fakeStore)(nil)
 
-// version returns the version in force at a router.
+// version returns the version of the configuration in force at a router, 0 for none.
 func (r *zoneRouter) version() uint64 {
 	snapshot := r.follower.replica.holder.View().Snapshot
 	if snapshot == nil {
@@ -218,7 +218,7 @@
 	return snapshot.Version
 }
 
-// startZone starts routers one after the other and lets them settle.
+// startZone starts routers one after the other and waits until their roles are stable.
 func startZone(t *testing.T, nodes ...ident.Node) *zone {
 	t.Helper()
 	z := newZone()
@@ -237,7 +237,7 @@
 	})
 }
 
-// requireVersion fails unless all routers that are up have a version.
+// requireVersion fails unless all live routers have a version of the configuration.
 func (z *zone) requireVersion(t *testing.T, version uint64) {
 	t.Helper()
 	z.mu.Lock()
