--- /dev/null
+++ b/internal/node/backendupdates.go
@@ -0,0 +1,83 @@
+package node
+
+import (
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/fieldpond/fieldpond/internal/backend"
+	"github.com/fieldpond/fieldpond/internal/clock"
+	"github.com/fieldpond/fieldpond/internal/forward"
+	"github.com/fieldpond/fieldpond/internal/ident"
+)
+
+const updatesPerDatagram = 20
+
+// backendUpdates exchanges with other routers which limits back ends advertise and which are
+// draining. Each change is sent once, and again to routers that pull with another digest.
+type backendUpdates struct {
+	backends *backend.Registry
+	limits   *backendLimits
+	// send sends updates to all other routers; it does nothing before this one runs.
+	send func([]backend.StateUpdate)
+}
+
+var _ forward.BackendNotifier = (*backendUpdates)(nil)
+
+func newBackendUpdates(backends *backend.Registry, limits *backendLimits) *backendUpdates {
+	return &backendUpdates{backends: backends, limits: limits, send: func([]backend.StateUpdate) {}}
+}
+
+// Notify implements forward.BackendNotifier.
+func (b *backendUpdates) Notify(instance ident.Incarnation) {
+	update, known := b.backends.StateUpdateOf(clock.Now(), instance)
+	if !known {
+		return
+	}
+	b.send([]backend.StateUpdate{update})
+	if update.Limited {
+		b.limits.joinPool(instance)
+	}
+}
+
+// observeAdvertised applies what a back end advertised in an answer to a report or an order.
+func (b *backendUpdates) observeAdvertised(instance ident.Incarnation, sentAt time.Time, advertised backend.Advertised, by backend.Source) {
+	observed := b.backends.ObserveAdvertised(clock.Now(), instance, sentAt, advertised, by)
+	if observed.LimitChanged {
+		change := &observed.Limit
+		log.WithFields(log.Fields{
+			"instance": instance, "limited": change.Limited, "rate": change.Rate, "rate_before": change.PreviousRate,
+		}).Info("backend_limit_reported")
+	}
+	if observed.DrainBegan {
+		logDraining(instance, by)
+	}
+	if observed.Backoff > 0 {
+		log.WithFields(log.Fields{"instance": instance, "by": by, "rest_ms": observed.Backoff.Milliseconds()}).Info("backend_rest")
+	}
+	if observed.ConcernsPeers() {
+		b.Notify(instance)
+	}
+}
+
+// applyUpdates applies updates of other routers.
+func (b *backendUpdates) applyUpdates(updates []backend.StateUpdate) {
+	if b == nil {
+		return
+	}
+	for _, applied := range b.backends.ApplyUpdates(clock.Now(), updates) {
+		if applied.LimitChanged {
+			log.WithFields(log.Fields{
+				"instance": applied.Instance, "limited": applied.Limited, "rate": applied.Rate, "age_ms": applied.Age.Milliseconds(),
+			}).Info("backend_limit_told")
+			b.limits.joinPool(applied.Instance)
+		}
+		if applied.DrainBegan {
+			logDraining(applied.Instance, backend.SourcePeer)
+		}
+	}
+}
+
+func logDraining(instance ident.Incarnation, by backend.Source) {
+	log.WithFields(log.Fields{"instance": instance, "by": by}).Info("backend_leaving")
+}
--- a/internal/node/canary.go
+++ b/internal/node/canary.go
@@ -19,74 +19,72 @@
 )
 
 const (
-	// directTick is the time between two looks at what is due while this router directs a
-	// rollout: a few in the time between two permits. canaryTick is that at the others,
-	// whose looks only log what has changed.
+	// directTick is the time between two ticks while this router directs a rollout, a few in
+	// the time between two permits; canaryTick is that at other routers, which only log.
 	directTick = 100 * time.Millisecond
 	canaryTick = 250 * time.Millisecond
-	// canaryLinger is how long routers are told a final phase, so that it reaches those
-	// that miss datagrams or start meanwhile; it is as long as a canary.Director tells it.
-	canaryLinger = 10 * time.Second
-	// rosterPause is the least time between two reads of the routers' rows that a rollout
-	// asks for: a router that has just started must be heard before a verdict.
-	rosterPause = time.Second
+	// finalPhaseResend is how long a final phase is sent, so that it reaches routers that lost
+	// datagrams or start during it; as long as a canary.Director sends it.
+	finalPhaseResend = 10 * time.Second
+	// routersReadPause is the least time between two reads of the routers' rows for a rollout.
+	// They are read because a router that has just started must report before a decision.
+	routersReadPause = time.Second
 )
 
-// holding tells whether this router holds the lease under which rollouts are directed.
-type holding interface {
+// leaseHolder reports whether this router holds the lease under which rollouts are directed.
+type leaseHolder interface {
 	Held() (lease.Grant, error)
 }
 
 // canaries is this router's part in moving services to other releases: it runs a
-// canary.Gate, and a canary.Director while the lease is held. It implements
-// forward.Releases.
+// canary.Gate, and a canary.Director while it holds the lease.
 type canaries struct {
-	// self is where this router is told permits, peers the addresses of the others.
+	// self is the address of this router, peers returns those of the others.
 	self  netip.AddrPort
 	peers func() []netip.AddrPort
-	// refresh reads the addresses of the others anew.
-	refresh  func(ctx context.Context)
-	send     func(to netip.AddrPort, told datagram)
-	lease    holding
-	backends *backend.Registry
-	states   *rolloutStates
-	metrics  *metrics
+	// refreshPeers reads the addresses of the others from the store.
+	refreshPeers func(ctx context.Context)
+	send         func(to netip.AddrPort, sent datagram)
+	lease        leaseHolder
+	backends     *backend.Registry
+	states       *rolloutStates
+	metrics      *metrics
 
 	bounds canary.Bounds
-	// bound is true while some attempt may not go to every release.
-	bound atomic.Bool
-	// awake has an item once there is a rollout to look after.
-	awake chan struct{}
+	// restricted is true while some attempts may not go to every release.
+	restricted atomic.Bool
+	// wakeups receives an item when run has something to do.
+	wakeups chan struct{}
 
 	mu       sync.Mutex
 	gate     *canary.Gate
 	rollouts *knownRollouts
-	// listedReleases are those that the gate was told of each service.
+	// listedReleases are the releases of each service, as last passed to the gate.
 	listedReleases map[ident.Service][]ident.Release
-	// busyUntil is when nothing is left to do, unless an order comes.
+	// busyUntil is when run may sleep, unless an order comes.
 	busyUntil time.Time
-	// rosterAt is when the routers' rows were last asked for, wanted whether they are to
-	// be read.
-	rosterAt time.Time
-	wanted   bool
-	trails   map[ident.Service]*rolloutTrail
-	// directing is nil while the lease is not held.
-	directing *directing
+	// routersReadAt is when a read of the routers' rows last began; routersReadDue is true if
+	// another one is requested.
+	routersReadAt  time.Time
+	routersReadDue bool
+	logged         map[ident.Service]*loggedRollout
+	// term is nil while the lease is not held.
+	term *leaseTerm
 }
 
 var _ forward.Releases = (*canaries)(nil)
 
-// newCanaries returns the canaries of a router.
+// newCanaries completes and returns c.
 func newCanaries(bounds canary.Bounds, c *canaries) *canaries {
 	c.bounds = bounds
-	c.awake = make(chan struct{}, 1)
+	c.wakeups = make(chan struct{}, 1)
 	c.gate = canary.NewGate(canary.GateConfig{Life: rand.Uint64(), Bounds: bounds})
 	c.listedReleases = make(map[ident.Service][]ident.Release)
-	c.trails = make(map[ident.Service]*rolloutTrail)
+	c.logged = make(map[ident.Service]*loggedRollout)
 	return c
 }
 
-// connect lets permits and reports pass through the socket for notices.
+// connect sets the socket over which permits and reports pass; c may be nil.
 func (c *canaries) connect(socket *notifier) {
 	if c != nil {
 		socket.canaries = c
@@ -96,7 +94,7 @@
 
 // Choose implements forward.Releases.
 func (c *canaries) Choose(now time.Time, ask canary.Ask) backend.Releases {
-	if !c.bound.Load() {
+	if !c.restricted.Load() {
 		return backend.Releases{}
 	}
 	c.mu.Lock()
@@ -106,7 +104,7 @@
 
 // StillAllowed implements forward.Releases.
 func (c *canaries) StillAllowed(service ident.Service, allowed *backend.Releases, release ident.Release) bool {
-	if !c.bound.Load() {
+	if !c.restricted.Load() {
 		return true
 	}
 	c.mu.Lock()
@@ -135,17 +133,17 @@
 	c.gate.Ended(now, run, sample)
 }
 
-// setRollouts takes in what a configuration confirmed at a time tells of rollouts.
+// setRollouts sets the rollouts as of a configuration that was confirmed at a time.
 func (c *canaries) setRollouts(confirmedAt time.Time, rollouts *knownRollouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
 	c.rollouts = rollouts
 	c.gate.Know(now, confirmedAt, rollouts.known())
-	c.changed(now)
+	c.gateChanged(now)
 }
 
-// applyList takes in the back ends as they were listed at a time.
+// applyList applies the back ends as they were listed at a time; c may be nil.
 func (c *canaries) applyList(listedAt time.Time, records []backend.Record) {
 	if c == nil {
 		return
@@ -164,10 +162,10 @@
 		}
 	}
 	c.listedReleases = releases
-	c.changed(clock.Now())
+	c.gateChanged(clock.Now())
 }
 
-// releasesOf returns the releases of each service, in order.
+// releasesOf returns the sorted releases of each service.
 func releasesOf(records []backend.Record) map[ident.Service][]ident.Release {
 	releases := make(map[ident.Service][]ident.Release)
 	for index := range records {
@@ -180,68 +178,69 @@
 	return releases
 }
 
-// receive takes in a datagram of a router. Those of other senders are dropped, and the
-// routers' rows are looked at again, since it may be one that has just started.
-func (c *canaries) receive(from netip.AddrPort, told *datagram) {
-	if told.Permit == nil && told.Report == nil {
+// receive handles a permit or a report. One of an unknown sender is dropped and the routers'
+// rows are read again, since the sender may have just started.
+func (c *canaries) receive(from netip.AddrPort, received *datagram) {
+	if received.Permit == nil && received.Report == nil {
 		return
 	}
 	known := slices.Contains(c.peers(), from)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !known {
-		c.wantRoster()
+		c.requestRoutersRead()
 		return
 	}
 	now := clock.Now()
-	if told.Permit != nil {
-		if report := c.permitted(now, told.Permit); report != nil {
+	if received.Permit != nil {
+		if report := c.applyPermit(now, received.Permit); report != nil {
 			c.send(from, datagram{Report: report})
 		}
 	}
-	if told.Report != nil && c.directing != nil {
-		c.directing.director.Reported(now, from, told.Report)
+	if received.Report != nil && c.term != nil {
+		c.term.director.Reported(now, from, received.Report)
 	}
 }
 
-// permitted takes in a permit, and returns the report that answers it, if any.
-func (c *canaries) permitted(now time.Time, permit *canary.Permit) *canary.Report {
+// applyPermit applies a permit and returns the report that answers it, if any; the caller
+// holds the mutex.
+func (c *canaries) applyPermit(now time.Time, permit *canary.Permit) *canary.Report {
 	c.gate.Permitted(now, permit)
-	c.note(permit.Order.Service).reason = permit.Reason
-	c.changed(now)
+	c.loggedOf(permit.Order.Service).reason = permit.Reason
+	c.gateChanged(now)
 	return c.gate.Report(now, permit.Order.Service)
 }
 
-// wantRoster asks for a read of the routers' rows; the caller holds the mutex.
-func (c *canaries) wantRoster() {
-	c.wanted = true
+// requestRoutersRead requests a read of the routers' rows; the caller holds the mutex.
+func (c *canaries) requestRoutersRead() {
+	c.routersReadDue = true
 	c.wake()
 }
 
-// changed takes in that the gate may have changed its mind; the caller holds the mutex.
-func (c *canaries) changed(now time.Time) {
-	c.bound.Store(c.gate.Active())
-	c.logTrails(now)
+// gateChanged updates and logs what follows from the gate's state; the caller holds the mutex.
+func (c *canaries) gateChanged(now time.Time) {
+	c.restricted.Store(c.gate.Active())
+	c.logChanges(now)
 	if c.rollouts.pending() {
-		c.busyUntil = now.Add(canaryLinger)
+		c.busyUntil = now.Add(finalPhaseResend)
 		c.wake()
 	}
 }
 
 func (c *canaries) wake() {
 	select {
-	case c.awake <- struct{}{}:
+	case c.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// run looks after rollouts until ctx ends. Without one it sleeps.
+// run follows rollouts until ctx ends. Without one it sleeps.
 func (c *canaries) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !c.busy(clock.Now()) {
 			select {
 			case <-ctx.Done():
-			case <-c.awake:
+			case <-c.wakeups:
 			}
 		}
 		pause := canaryTick
@@ -252,14 +251,14 @@
 	}
 }
 
-// busy reports whether there is a rollout to look after.
+// busy reports whether run has something to do.
 func (c *canaries) busy(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Before(c.busyUntil) || c.wanted
+	return now.Before(c.busyUntil) || c.routersReadDue
 }
 
-// tick does what is due, and reports whether this router directs.
+// tick does what is due, and reports whether this router holds the lease.
 func (c *canaries) tick(ctx context.Context, now time.Time) (directs bool) {
 	fence := uint64(0)
 	if grant, err := c.lease.Held(); err == nil {
@@ -272,22 +271,22 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hold(now, fence)
-	if c.directing != nil {
-		c.wanted = c.wanted || c.rollouts.pending()
+	c.setFence(now, fence)
+	if c.term != nil {
+		c.routersReadDue = c.routersReadDue || c.rollouts.pending()
 		c.direct(ctx, now, engines, routers)
 	}
-	c.readRoster(ctx, now)
-	c.changed(now)
-	return c.directing != nil
+	c.readRouters(ctx, now)
+	c.gateChanged(now)
+	return c.term != nil
 }
 
-// readRouters reads the routers' rows if that is wanted and was not done lately; the caller
-// holds the mutex.
-func (c *canaries) readRoster(ctx context.Context, now time.Time) {
-	if !c.wanted || now.Sub(c.rosterAt) < rosterPause {
+// readRouters starts a due read of the routers' rows, routersReadPause after the last one at
+// the earliest; the caller holds the mutex.
+func (c *canaries) readRouters(ctx context.Context, now time.Time) {
+	if !c.routersReadDue || now.Sub(c.routersReadAt) < routersReadPause {
 		return
 	}
-	c.wanted, c.rosterAt = false, now
-	go c.refresh(ctx)
+	c.routersReadDue, c.routersReadAt = false, now
+	go c.refreshPeers(ctx)
 }
--- a/internal/node/canarybench_test.go
+++ b/internal/node/canarybench_test.go
@@ -12,16 +12,15 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// BenchmarkDirectingASecond plays a second of a rollout at its holder and at one other
-// router, for the sizes of fleet designed for, with three routes at a few back ends of the
-// target. It reports the bytes of both a second, apart from the headers of datagrams.
-func BenchmarkDirectingASecond(b *testing.B) {
+// BenchmarkRolloutSecond simulates a second of a rollout at its holder and all other routers,
+// with three routes. It reports the bytes of permits and reports, without headers of datagrams.
+func BenchmarkRolloutSecond(b *testing.B) {
 	for _, routers := range []int{83, 390} {
 		b.Run(fmt.Sprint(routers, " routers"), func(b *testing.B) {
 			fleet := newBenchFleet(routers)
 			b.ResetTimer()
 			for b.Loop() {
-				fleet.second()
+				fleet.playSecond()
 			}
 			b.ReportMetric(float64(fleet.permits)/float64(b.N), "permit-B/s")
 			b.ReportMetric(float64(fleet.reports)/float64(b.N), "report-B/s")
@@ -30,7 +29,7 @@
 	}
 }
 
-// benchFleet is a holder, and as many gates as there are other routers.
+// benchFleet is a holder of the lease and the other routers.
 type benchFleet struct {
 	holder           *canaries
 	others           map[netip.AddrPort]*canaries
@@ -48,7 +47,7 @@
 	create := func(number int) *canaries {
 		c := newCanaries(guardedBounds, &canaries{
 			self:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 1),
-			peers: func() []netip.AddrPort { return addrs }, metrics: newMetrics(func() reading { return reading{} }),
+			peers: func() []netip.AddrPort { return addrs }, metrics: newMetrics(func() gaugeValues { return gaugeValues{} }),
 		})
 		c.applyList(f.now.Add(-time.Second), records)
 		c.setRollouts(f.now, known)
@@ -56,37 +55,38 @@
 		return c
 	}
 	f.holder = create(0)
-	f.holder.send = f.pass
+	f.holder.send = f.deliver
 	for number := 1; number < routers; number++ {
 		other := create(number)
-		other.send = func(_ netip.AddrPort, told datagram) { f.reports += size(told) }
+		other.send = func(_ netip.AddrPort, sent datagram) { f.reports += encodedSize(sent) }
 		f.others[other.self] = other
 	}
-	f.holder.hold(f.now, 1)
-	f.holder.directing.director.Read(f.now, canary.State{Order: known.orders[0], Phase: canary.Observing, Ceiling: 1 << 20, Fence: 1}, 1)
+	f.holder.setFence(f.now, 1)
+	f.holder.term.director.Read(f.now, canary.State{Order: known.orders[0], Phase: canary.Observing, Ceiling: 1 << 20, Fence: 1}, 1)
 	return f
 }
 
-func size(told datagram) int {
-	encoded, err := cbor.Marshal(told)
+func encodedSize(sent datagram) int {
+	encoded, err := cbor.Marshal(sent)
 	if err != nil {
 		panic(err)
 	}
 	return len(encoded)
 }
 
-// pass hands a permit to its router, and its report to the holder.
-func (f *benchFleet) pass(to netip.AddrPort, told datagram) {
-	f.permits += size(told)
+// deliver passes a permit to its router, and the router's report to the holder.
+func (f *benchFleet) deliver(to netip.AddrPort, sent datagram) {
+	f.permits += encodedSize(sent)
 	other := f.others[to]
-	other.gate.Permitted(f.now, told.Permit)
+	other.gate.Permitted(f.now, sent.Permit)
 	report := other.gate.Report(f.now, "s")
-	f.reports += size(datagram{Report: report})
-	f.holder.directing.director.Reported(f.now, to, report)
+	f.reports += encodedSize(datagram{Report: report})
+	f.holder.term.director.Reported(f.now, to, report)
 }
 
-// second plays a second: each router serves a request of each route at either release.
-func (f *benchFleet) second() {
+// playSecond simulates a second, in which each router serves requests of each route at both
+// releases.
+func (f *benchFleet) playSecond() {
 	records := recordsOf(oldRelease, newRelease)
 	addrs := append(f.holder.peers(), f.holder.self)
 	for range 10 {
@@ -101,10 +101,10 @@
 				})
 			}
 		}
-		f.holder.directing.observe(f.now, f.holder.rollouts, records, addrs)
-		for _, action := range f.holder.directing.director.Step(f.now) {
-			if tell, told := action.(canary.Tell); told && tell.To != f.holder.self {
-				f.pass(tell.To, datagram{Permit: tell.Permit})
+		f.holder.term.observe(f.now, f.holder.rollouts, records, addrs)
+		for _, action := range f.holder.term.director.Step(f.now) {
+			if permit, ok := action.(canary.Tell); ok && permit.To != f.holder.self {
+				f.deliver(permit.To, datagram{Permit: permit.Permit})
 			}
 		}
 	}
--- a/internal/node/canaryfleet_test.go
+++ b/internal/node/canaryfleet_test.go
@@ -27,58 +27,58 @@
 const (
 	oldRelease = ident.Release("v1")
 	newRelease = ident.Release("v2")
-	// guardedWork is the time in which a sound back end answers.
-	guardedWork = 40 * time.Millisecond
-	// guardedPause is the time between two requests at one router.
-	guardedPause = 20 * time.Millisecond
+	// answerTime is the time in which a healthy back end answers.
+	answerTime = 40 * time.Millisecond
+	// requestInterval is the time between two requests at one router.
+	requestInterval = 20 * time.Millisecond
 )
 
 var guardedBounds = canary.Bounds{Share: 0.1, Slack: 50, Rollback: 5 * time.Second}
 
-// guardedFleet is a zone of routers that move a service to another release, in virtual
+// guardedFleet is a group of routers that move a service to another release, in virtual
 // time. Datagrams take a millisecond.
 type guardedFleet struct {
 	*zone
 	t *testing.T
 
 	mu      sync.Mutex
-	lives   map[ident.Node]*guardedRouter
-	started int
+	guarded map[ident.Node]*guardedRouter
+	starts  int
 	holders map[ident.Node]uint64
-	// cut routers send and get no datagrams.
-	cut map[ident.Node]bool
-	// loses says how writes of states go wrong: each takes the first one.
-	loses []writeFault
-	// blind is the time until which states cannot be read.
-	blind time.Time
-	// failing is the part of the target's answers that are failures, slow how many times
-	// as long it takes.
+	// partitionedFrom are the routers that neither send nor receive datagrams.
+	partitionedFrom map[ident.Node]bool
+	// writeFaults are the faults of the next writes of states, in order.
+	writeFaults           []writeFault
+	statesUnreadableUntil time.Time
+	// failing is the share of the target's answers that are failures, slow the factor of its
+	// answer time.
 	failing, slow float64
 	// pause is the time between two requests at one router.
 	pause time.Duration
 
 	orderedAt time.Time
-	told      []toldState
+	reported  []reportedState
 	arrivals  []arrival
 	badAt     []time.Time
 	open      map[ident.Release]map[ident.Node]int
-	refused   int
+	unserved  int
 }
 
-// writeFault is what goes wrong with a write of a state.
+// writeFault is a fault of a write of a state.
 type writeFault uint8
 
 const (
-	// answerLost is a write that is done, and not answered.
+	// answerLost is a write that is applied, but not answered.
 	answerLost writeFault = iota + 1
-	// callLost is one that is not done, and not answered.
+	// callLost is one that is neither applied nor answered.
 	callLost
-	// doneLater is one that is done two seconds later if its condition still holds.
-	doneLater
+	// writtenLater is one that is not answered, and applied two seconds later if its condition
+	// still holds.
+	writtenLater
 )
 
-// toldState is a state that the operator was told.
-type toldState struct {
+// reportedState is a state that was reported to the operator.
+type reportedState struct {
 	at    time.Time
 	state canary.State
 }
@@ -90,7 +90,7 @@
 	release ident.Release
 }
 
-// guardedRouter is one life of a router of the fleet.
+// guardedRouter is one incarnation of a router of the fleet.
 type guardedRouter struct {
 	fleet    *guardedFleet
 	node     ident.Node
@@ -100,16 +100,16 @@
 	random   *rand.Rand
 }
 
-// newGuardedFleet starts routers r0, r1, ..., of which the first holds the lease, with four
-// back ends of the old release.
+// newGuardedFleet starts routers r0, r1, ..., of which r0 holds the lease, with four back ends
+// of the old release.
 func newGuardedFleet(t *testing.T, routers int) *guardedFleet {
 	t.Helper()
 	f := &guardedFleet{
-		zone: newZone(), t: t, lives: map[ident.Node]*guardedRouter{}, holders: map[ident.Node]uint64{"r0": 1}, pause: guardedPause,
-		cut: map[ident.Node]bool{}, slow: 1,
+		zone: newZone(), t: t, guarded: map[ident.Node]*guardedRouter{}, holders: map[ident.Node]uint64{"r0": 1}, pause: requestInterval,
+		partitionedFrom: map[ident.Node]bool{}, slow: 1,
 		open: map[ident.Release]map[ident.Node]int{oldRelease: {}, newRelease: {}, "v3": {}},
 	}
-	f.beforeStart = f.prepare
+	f.beforeStart = f.setUpRouter
 	f.list(oldRelease)
 	for index := range routers {
 		f.start(t.Context(), ident.Node(fmt.Sprint("r", index)))
@@ -119,12 +119,12 @@
 	return f
 }
 
-// list lists four back ends of each of some releases.
+// list lists four back ends of each release, and no others.
 func (f *guardedFleet) list(releases ...ident.Release) {
 	f.store.change(func() { f.store.records = recordsOf(releases...) })
 }
 
-// unlist drops the back ends of a release.
+// unlist removes the back ends of a release from the list.
 func (f *guardedFleet) unlist(release ident.Release) {
 	f.store.change(func() {
 		f.store.records = slices.DeleteFunc(slices.Clone(f.store.records), func(record backend.Record) bool {
@@ -133,7 +133,7 @@
 	})
 }
 
-// recordsOf returns four back ends of each of some releases.
+// recordsOf returns four back ends of each release.
 func recordsOf(releases ...ident.Release) []backend.Record {
 	var records []backend.Record
 	for _, release := range releases {
@@ -146,11 +146,11 @@
 	return records
 }
 
-// pullOfNothing asks for all that a router knows.
-func pullOfNothing() *upstream.Pull { return &upstream.Pull{} }
+// fullPull requests the whole shared state of a router.
+func fullPull() *upstream.Pull { return &upstream.Pull{} }
 
-// recordEvents returns how often an event was logged since.
-func recordEvents(t *testing.T) func(event string) int {
+// countEvents returns a function that returns how often an event was logged since the call.
+func countEvents(t *testing.T) func(event string) int {
 	t.Helper()
 	kept := memory.New()
 	log.SetHandler(kept)
@@ -166,33 +166,33 @@
 	}
 }
 
-// prepare sets up the canaries of a life of a router, and its clients.
-func (f *guardedFleet) prepare(ctx context.Context, running *zoneRouter) {
+// setUpRouter sets up the canaries and the clients of a router that starts.
+func (f *guardedFleet) setUpRouter(ctx context.Context, running *zoneRouter) {
 	follower := running.follower
 	f.mu.Lock()
-	f.started++
-	number := f.started
+	f.starts++
+	number := f.starts
 	f.mu.Unlock()
-	life := &guardedRouter{
+	router := &guardedRouter{
 		fleet: f, node: running.node, addr: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(number)),
 		backends: follower.replica.backends, random: rand.New(rand.NewPCG(uint64(number), 5)),
 	}
-	follower.routerList.addr = life.addr
-	states := &rolloutStates{table: blindTable{f.store, f}, writer: f, timeout: time.Second}
-	life.canaries = newCanaries(guardedBounds, &canaries{
-		self: life.addr, peers: follower.recipients.others, refresh: follower.readRouters, lease: life,
-		backends: life.backends, states: states, metrics: newMetrics(func() reading { return reading{} }),
-		send: life.send,
+	follower.routerList.addr = router.addr
+	states := &rolloutStates{table: unreadableStates{f.store, f}, writer: f, timeout: time.Second}
+	router.canaries = newCanaries(guardedBounds, &canaries{
+		self: router.addr, peers: follower.recipients.others, refreshPeers: follower.readRouters, lease: router,
+		backends: router.backends, states: states, metrics: newMetrics(func() gaugeValues { return gaugeValues{} }),
+		send: router.send,
 	})
-	follower.states, follower.replica.canaries = states, life.canaries
+	follower.states, follower.replica.canaries = states, router.canaries
 	f.mu.Lock()
-	f.lives[running.node] = life
+	f.guarded[running.node] = router
 	f.mu.Unlock()
-	go life.canaries.run(ctx)
-	go life.clients(ctx)
+	go router.canaries.run(ctx)
+	go router.clients(ctx)
 }
 
-// Held implements holding.
+// Held implements leaseHolder.
 func (r *guardedRouter) Held() (lease.Grant, error) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
@@ -203,16 +203,16 @@
 	return lease.Grant{Fence: fence}, nil
 }
 
-// hold passes the lease on.
-func (f *guardedFleet) hold(node ident.Node, fence uint64) {
+// setHolder gives the lease to a router.
+func (f *guardedFleet) setHolder(node ident.Node, fence uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.holders = map[ident.Node]uint64{node: fence}
 }
 
-// send sends a datagram as it would pass through a socket.
-func (r *guardedRouter) send(to netip.AddrPort, told datagram) {
-	encoded, err := cbor.Marshal(told)
+// send delivers an encoded datagram as a socket would.
+func (r *guardedRouter) send(to netip.AddrPort, sent datagram) {
+	encoded, err := cbor.Marshal(sent)
 	if err != nil || len(encoded) > maxDatagramBytes {
 		r.fleet.t.Errorf("a datagram of %d bytes: %v", len(encoded), err)
 		return
@@ -225,15 +225,15 @@
 	})
 }
 
-// receiver returns the router at an address, or nil if nothing passes to it.
+// receiver returns the router at an address, or nil if it is unreachable.
 func (f *guardedFleet) receiver(from ident.Node, to netip.AddrPort) *guardedRouter {
 	f.zone.mu.Lock()
 	defer f.zone.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for node, life := range f.lives {
-		if life.addr == to && !f.cut[node] && !f.cut[from] && !f.routers[node].dead && !f.routers[from].dead {
-			return life
+	for node, router := range f.guarded {
+		if router.addr == to && !f.partitionedFrom[node] && !f.partitionedFrom[from] && !f.routers[node].dead && !f.routers[from].dead {
+			return router
 		}
 	}
 	return nil
@@ -250,10 +250,10 @@
 	}
 }
 
-// request sends one request as a forwarder does.
+// request sends one request as a forwarder would.
 func (r *guardedRouter) request(ctx context.Context) {
 	now := time.Now()
-	query := backend.Query{Service: "s", SpreadKey: r.random.Uint64(), Expected: guardedWork}
+	query := backend.Query{Service: "s", SpreadKey: r.random.Uint64(), Expected: answerTime}
 	ask := canary.Ask{Service: "s", Route: "route", First: true}
 	query.Releases = r.canaries.Choose(now, ask)
 	choice, flight, found := r.backends.Pick(now, &query)
@@ -264,7 +264,7 @@
 		choice, flight, found = r.backends.Pick(now, &query)
 	}
 	if !found {
-		r.fleet.refuse()
+		r.fleet.countUnserved()
 		return
 	}
 	if !r.canaries.StillAllowed("s", &query.Releases, choice.Release) {
@@ -276,10 +276,10 @@
 		return
 	}
 	run := r.canaries.Sent(now, "s", choice.Record)
-	sample := canary.Sample{Route: "route", Outcome: canary.Answered, Elapsed: guardedWork, Predicted: choice.PredictedUncached}
+	sample := canary.Sample{Route: "route", Outcome: canary.Answered, Elapsed: answerTime, Predicted: choice.PredictedUncached}
 	bad := r.fleet.arrive(r.node, choice.Release, r.random.Float64())
 	if choice.Release == newRelease {
-		sample.Elapsed = time.Duration(r.fleet.slow * float64(guardedWork))
+		sample.Elapsed = time.Duration(r.fleet.slow * float64(answerTime))
 	}
 	outcome := backend.Answered
 	if bad {
@@ -297,13 +297,13 @@
 	}()
 }
 
-func (f *guardedFleet) refuse() {
+func (f *guardedFleet) countUnserved() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.refused++
+	f.unserved++
 }
 
-// arrive notes a request at a back end, and returns whether its answer is bad.
+// arrive records a request at a back end, and returns whether its answer is a failure.
 func (f *guardedFleet) arrive(node ident.Node, release ident.Release, chance float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -323,42 +323,42 @@
 
 // CommitRollout implements RolloutStore.
 func (f *guardedFleet) CommitRollout(
-	ctx context.Context, transaction protocol.Transaction, told *canary.State,
+	ctx context.Context, transaction protocol.Transaction, written *canary.State,
 ) (protocol.TransactionResult, error) {
 	f.mu.Lock()
-	var wrong writeFault
-	if len(f.loses) > 0 {
-		wrong, f.loses = f.loses[0], f.loses[1:]
+	var injected writeFault
+	if len(f.writeFaults) > 0 {
+		injected, f.writeFaults = f.writeFaults[0], f.writeFaults[1:]
 	}
 	f.mu.Unlock()
 	lost := fault.New(fault.StoreUnavailable, "no answer").WithRan(fault.RanUnknown)
-	state := *told
-	switch wrong {
+	state := *written
+	switch injected {
 	case callLost:
 		return protocol.TransactionResult{}, lost
-	case doneLater:
+	case writtenLater:
 		time.AfterFunc(2*time.Second, func() { _, _ = f.commit(context.WithoutCancel(ctx), transaction, state) })
 		return protocol.TransactionResult{}, lost
 	}
 	result, err := f.commit(ctx, transaction, state)
-	if wrong == answerLost {
+	if injected == answerLost {
 		return protocol.TransactionResult{}, lost
 	}
 	return result, err
 }
 
-// commit writes a state, and carries out what the operator does on a final one.
+// commit writes a state, and updates the list as an operator does after a final one.
 func (f *guardedFleet) commit(ctx context.Context, transaction protocol.Transaction, state canary.State) (protocol.TransactionResult, error) {
 	result, err := f.store.Commit(ctx, transaction)
 	if err != nil || !result.Committed {
 		return result, err
 	}
 	f.mu.Lock()
-	f.told = append(f.told, toldState{time.Now(), state})
+	f.reported = append(f.reported, reportedState{time.Now(), state})
 	left := 0
 	for node, open := range f.open[oldRelease] {
-		// One that is cut off from the holder learns of the switch later than that.
-		if !f.cut[node] {
+		// A partitioned router learns of the switch later.
+		if !f.partitionedFrom[node] {
 			left += open
 		}
 	}
@@ -366,7 +366,7 @@
 	switch state.Phase {
 	case canary.Succeeded:
 		if left > 0 {
-			f.t.Errorf("%d runs on the old release were cut off", left)
+			f.t.Errorf("%d requests on the old release were broken", left)
 		}
 		f.list(state.Order.Target)
 	case canary.RolledBack:
@@ -375,38 +375,38 @@
 	return result, nil
 }
 
-// blindTable is the store's table, of which states cannot be read for a while.
-type blindTable struct {
+// unreadableStates is the store's table, from which states cannot be read for a while.
+type unreadableStates struct {
 	*fakeStore
 	fleet *guardedFleet
 }
 
-func (b blindTable) blind() error {
+func (b unreadableStates) readError() error {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
-	if time.Now().Before(b.fleet.blind) {
+	if time.Now().Before(b.fleet.statesUnreadableUntil) {
 		return fault.New(fault.StoreUnavailable, "down")
 	}
 	return nil
 }
 
 // Read implements store.Table.
-func (b blindTable) Read(ctx context.Context, key string) (protocol.Row, bool, error) {
-	if err := b.blind(); err != nil {
+func (b unreadableStates) Read(ctx context.Context, key string) (protocol.Row, bool, error) {
+	if err := b.readError(); err != nil {
 		return protocol.Row{}, false, err
 	}
 	return b.fakeStore.Read(ctx, key)
 }
 
 // List implements store.Table.
-func (b blindTable) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
-	if err := b.blind(); err != nil {
+func (b unreadableStates) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
+	if err := b.readError(); err != nil {
 		return protocol.RowList{}, err
 	}
 	return b.fakeStore.List(ctx, prefix, limit)
 }
 
-// order orders the target for a time; its back ends are listed a second later.
+// order orders the move to the target within a time; its back ends are listed a second later.
 func (f *guardedFleet) order(duration time.Duration) {
 	f.mu.Lock()
 	f.orderedAt = time.Now()
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -17,118 +17,116 @@
 )
 
 // heldConfiguration is the newest configuration that a router knows. Configurations are
-// ordered by their own version: the revision of the store's row rises also with an older
-// one that the store writes late.
+// ordered by their own version, since a late write of an older one raises the row's revision
+// as well.
 type heldConfiguration struct {
 	// version is 0 for none.
 	version uint64
 	body    []byte
-	// checkedRevision is the revision of the row up to which none that the row held is newer.
+	// checkedRevision is the row's revision up to which it held no newer configuration.
 	checkedRevision uint64
-	// confirmedTo is the revision of the store at the own read that confirmed checkedRevision
-	// last: the row had no other content until then. It is 0 if there was none.
-	confirmedTo uint64
-	// suspect is a later revision at which the row held none that is newer, while what it
-	// held in between is forgotten.
-	suspect uint64
-	// unseen says that the row was believed by a router that knew none: what it held before
-	// is not known.
-	unseen bool
+	// confirmedStoreRevision is the store's revision at the last read of this router that found
+	// the row at checkedRevision, 0 for none.
+	confirmedStoreRevision uint64
+	// suspectRevision is a later revision at which the row held no newer configuration, while
+	// the store has forgotten what it held in between.
+	suspectRevision uint64
+	// historyUnknown is true if the configuration was adopted without the row's earlier content,
+	// since this router knew none before.
+	historyUnknown bool
 }
 
-// lookBacks are how many revisions of the store a router that knew no configuration looks
-// back in the row's history, from as far as a late write can matter (some seconds of a
+// historyDepths are the numbers of revisions of the store, tried in turn, for which checkHistory
+// reads the row's history: from as far back as a late write can matter (some seconds of a
 // busy store) to as little as a store may keep.
-var lookBacks = []uint64{4096, 512, 64}
+var historyDepths = []uint64{4096, 512, 64}
 
-// written is one content of the row of the configuration.
-type written struct {
+// rowContent is one content of the row of the configuration.
+type rowContent struct {
 	revision uint64
 	body     []byte
 	snapshot *catalog.Snapshot
 }
 
-// configurationRead is what a read of the store, with the history that it asked for, tells
-// of the configuration.
+// configurationRead is the result of a read of the configuration and its history.
 type configurationRead struct {
 	askedAt time.Time
-	// checkedRevision is the revision up to which the row was seen through before, 0 for none;
-	// row is its content now, and newest the newest one since.
-	seenThrough uint64
-	row, newest written
-	// storeRevision is that of the store at the read.
+	// checkedRevision is that of the configuration held before the read, 0 for none; row is the
+	// row's content at the read, and newest the newest content since checkedRevision.
+	checkedRevision uint64
+	row, newest     rowContent
+	// storeRevision is the store's revision at the read.
 	storeRevision uint64
-	// history is nil if all that the row held since is known.
-	history  error
-	rollouts *knownRollouts
+	// historyErr is nil if all content since checkedRevision is known.
+	historyErr error
+	rollouts   *knownRollouts
 }
 
-// applyReading takes in a read of the store that was asked for at a time. What the row held
-// since it was last seen is asked for, since a read shows the last write that was carried
-// out, and a newer one may have stood there before it.
+// applyReading applies a read of the store that began at askedAt. If the row has changed, its
+// history since the last read is read as well: the last write may be a late one of an older
+// configuration.
 func (f *follower) applyReading(ctx context.Context, askedAt time.Time, reading *Reading, rollouts *knownRollouts) error {
-	seenThrough, after, changed := f.replica.unseen(reading.Revision)
+	checkedRevision, after, changed := f.replica.historyToCheck(reading.Revision)
 	if !changed {
 		f.replica.confirmRow(askedAt, reading, rollouts)
 		return nil
 	}
-	row, err := f.replica.decoded(reading)
+	row, err := f.replica.decodeRow(reading)
 	if err != nil {
 		return err
 	}
 	read := &configurationRead{
-		askedAt: askedAt, seenThrough: seenThrough, row: row, newest: row, storeRevision: reading.StoreRevision, rollouts: rollouts,
+		askedAt: askedAt, checkedRevision: checkedRevision, row: row, newest: row, storeRevision: reading.StoreRevision, rollouts: rollouts,
 	}
-	if seenThrough != 0 {
-		read.newest, read.history = f.newestSince(ctx, after, row)
+	if checkedRevision != 0 {
+		read.newest, read.historyErr = f.newestSince(ctx, after, row)
 	}
-	f.replica.takeRead(read)
-	if errors.Is(read.history, ErrHistoryGone) {
+	f.replica.applyRead(read)
+	if errors.Is(read.historyErr, ErrHistoryGone) {
 		return nil
 	}
-	return read.history
+	return read.historyErr
 }
 
-// checkHistory asks what the row held before this router believed it without knowing any other
-// configuration: the last write may be a late one of an older configuration. It is for the
-// router that reads the store for all, since the others learn it from that one, and does
-// not keep a router from starting.
+// checkHistory reads what the row held before this router adopted it without knowing another
+// configuration: the last write may be a late one of an older configuration. Only the router
+// that reads the store for others does so. An error does not keep a router from starting.
 func (f *follower) checkHistory(ctx context.Context, askedAt time.Time, reading *Reading) {
 	if !f.readsForOthers() {
 		return
 	}
-	row, due := f.replica.unseenRow(reading)
+	row, due := f.replica.rowToCheck(reading)
 	if !due {
 		return
 	}
 	newest, err := row, error(nil)
-	for _, back := range lookBacks {
-		newest, err = f.newestSince(ctx, store.Back(row.revision, back), row)
+	for _, depth := range historyDepths {
+		newest, err = f.newestSince(ctx, store.Back(row.revision, depth), row)
 		if !errors.Is(err, ErrHistoryGone) {
 			break
 		}
 	}
 	if err == nil || errors.Is(err, ErrHistoryGone) {
-		f.replica.lookedBack(askedAt, row, newest)
+		f.replica.applyHistory(askedAt, row, newest)
 	}
 }
 
-// newestSince returns the newest configuration that the row held after a revision until
-// its present content, and whether that is known.
-func (f *follower) newestSince(ctx context.Context, after uint64, row written) (written, error) {
+// newestSince returns the newest configuration that the row held after a revision, its present
+// content included, and an error unless the whole history is known.
+func (f *follower) newestSince(ctx context.Context, after uint64, row rowContent) (rowContent, error) {
 	bounded, cancel := context.WithTimeout(ctx, f.config.ReadTimeout)
 	defer cancel()
-	held, err := f.source.Configurations(bounded, after, row.revision)
+	history, err := f.source.Configurations(bounded, after, row.revision)
 	if err != nil {
 		return row, err
 	}
 	newest, complete := row, false
-	for _, reading := range held {
+	for _, reading := range history {
 		if reading.Revision >= row.revision {
 			complete = true
 			continue
 		}
-		content, err := f.replica.decoded(&reading)
+		content, err := f.replica.decodeRow(&reading)
 		if err != nil {
 			return row, err
 		}
@@ -137,52 +135,50 @@
 		}
 	}
 	if !complete {
-		return newest, fault.New(fault.StoreUnavailable, "the store did not tell all that the configuration's row held")
+		return newest, fault.New(fault.StoreUnavailable, "the store returned an incomplete history of the configuration's row")
 	}
 	return newest, nil
 }
 
-// decoded reads a content of the row.
-func (r *replica) decoded(reading *Reading) (written, error) {
+func (r *replica) decodeRow(reading *Reading) (rowContent, error) {
 	snapshot, err := r.decode(reading.Body)
-	return written{revision: reading.Revision, body: reading.Body, snapshot: snapshot}, err
+	return rowContent{revision: reading.Revision, body: reading.Body, snapshot: snapshot}, err
 }
 
-// unseen returns the revision up to which the row is seen through, the one after which it
-// may have held others, and whether something is to be found out about them. The second is
-// as late as possible: a store keeps its changes for some seconds, while configurations may
-// be minutes apart.
-func (r *replica) unseen(revision uint64) (seenThrough, after uint64, changed bool) {
+// historyToCheck returns the checked revision, the revision after which the history is to be
+// read, and whether the row has changed. The second is as late as possible: a store keeps its
+// changes for some seconds, while configurations may be minutes apart.
+func (r *replica) historyToCheck(revision uint64) (checkedRevision, after uint64, changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held := &r.config
-	changed = revision > held.checkedRevision && revision != held.suspect
-	return held.checkedRevision, max(held.checkedRevision, held.confirmedTo), changed
+	changed = revision > held.checkedRevision && revision != held.suspectRevision
+	return held.checkedRevision, max(held.checkedRevision, held.confirmedStoreRevision), changed
 }
 
-// unseenRow returns the row of a reading, and whether it was believed without a look back.
-func (r *replica) unseenRow(reading *Reading) (row written, due bool) {
+// rowToCheck returns the row of a reading, and whether it was adopted with unknown history.
+func (r *replica) rowToCheck(reading *Reading) (row rowContent, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	row = written{revision: reading.Revision, body: reading.Body, snapshot: r.holder.View().Snapshot}
-	return row, r.config.unseen && reading.Revision == r.config.checkedRevision
+	row = rowContent{revision: reading.Revision, body: reading.Body, snapshot: r.holder.View().Snapshot}
+	return row, r.config.historyUnknown && reading.Revision == r.config.checkedRevision
 }
 
-// lookedBack takes in the newest configuration that the row held before a revision.
-func (r *replica) lookedBack(askedAt time.Time, row, newest written) {
+// applyHistory applies the newest configuration of the history of a row.
+func (r *replica) applyHistory(askedAt time.Time, row, newest rowContent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.config.checkedRevision != row.revision || !r.config.unseen {
+	if r.config.checkedRevision != row.revision || !r.config.historyUnknown {
 		return
 	}
-	r.config.unseen = false
+	r.config.historyUnknown = false
 	if newest.snapshot.Version > r.config.version {
-		r.hold(r.node, askedAt, newest)
-		r.noteOutdated(&row, true)
+		r.adopt(r.node, askedAt, newest)
+		r.logOutdatedRow(&row, true)
 	}
 }
 
-// confirmRow takes in that the row had a revision which was met before.
+// confirmRow applies a reading of a row whose revision is known.
 func (r *replica) confirmRow(askedAt time.Time, reading *Reading, rollouts *knownRollouts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,68 +187,67 @@
 	}
 	r.applyRollouts(askedAt, rollouts)
 	if reading.Revision == r.config.checkedRevision {
-		r.config.confirmedTo = max(r.config.confirmedTo, reading.StoreRevision)
-		r.confirmHeld(r.node, askedAt)
+		r.config.confirmedStoreRevision = max(r.config.confirmedStoreRevision, reading.StoreRevision)
+		r.confirmConfiguration(r.node, askedAt)
 	}
 }
 
-// takeRead takes in what a read tells.
-func (r *replica) takeRead(read *configurationRead) {
+func (r *replica) applyRead(read *configurationRead) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held := &r.config
-	if held.checkedRevision < read.seenThrough || held.checkedRevision >= read.row.revision {
-		// A peer told of another one meanwhile: what this read asked for doesn't fit on.
+	if held.checkedRevision < read.checkedRevision || held.checkedRevision >= read.row.revision {
+		// A peer supplied another one during the read, whose history is not the one read.
 		return
 	}
-	// Orders are known before the confirmation is: a release that waits for one must not
-	// pass between the two.
+	// Orders go first: a release that waits for the confirmation must not be used before
+	// its order is known.
 	r.applyRollouts(read.askedAt, read.rollouts)
-	cameBack := store.Epoch(read.row.revision) > store.Epoch(read.seenThrough)
-	again := cameBack && read.newest.snapshot.Version == held.version
-	newer := read.newest.snapshot.Version > held.version || (again && !bytes.Equal(read.newest.body, held.body))
+	restored := store.Epoch(read.row.revision) > store.Epoch(read.checkedRevision)
+	sameVersion := restored && read.newest.snapshot.Version == held.version
+	newer := read.newest.snapshot.Version > held.version || (sameVersion && !bytes.Equal(read.newest.body, held.body))
 	switch {
-	case read.history == nil, (newer || again) && errors.Is(read.history, ErrHistoryGone):
-		// Without a history the row is believed as by a router that has just started. That is
-		// so as well where the store came back from an older copy: what the operator wrote
-		// since is written again, so that an older one than is held here confirms nothing.
+	case read.historyErr == nil, (newer || sameVersion) && errors.Is(read.historyErr, ErrHistoryGone):
+		// A newer row is adopted even without its history, as by a router that has just
+		// started. So is one of the same version from a restored store; an older one confirms
+		// nothing, since the operator writes the lost ones again.
 		held.checkedRevision = read.row.revision
 		if newer {
-			r.hold(r.node, read.askedAt, read.newest)
-			held.unseen = read.seenThrough == 0
+			r.adopt(r.node, read.askedAt, read.newest)
+			held.historyUnknown = read.checkedRevision == 0
 		}
-		if cameBack {
-			held.suspect, held.unseen = 0, true
+		if restored {
+			held.suspectRevision, held.historyUnknown = 0, true
 		}
-		held.confirmedTo = read.storeRevision
-		r.confirmHeld(r.node, read.askedAt)
-		r.noteOutdated(&read.row, true)
-	case errors.Is(read.history, ErrHistoryGone):
-		// One that nobody saw may have replaced the one held, and taken keys away.
-		held.suspect = read.row.revision
-		r.noteOutdated(&read.row, false)
+		held.confirmedStoreRevision = read.storeRevision
+		r.confirmConfiguration(r.node, read.askedAt)
+		r.logOutdatedRow(&read.row, true)
+	case errors.Is(read.historyErr, ErrHistoryGone):
+		// An unobserved configuration may have replaced the held one and revoked keys.
+		held.suspectRevision = read.row.revision
+		r.logOutdatedRow(&read.row, false)
 	case newer:
-		// The newer one is acted upon, but whether it is the newest is still asked.
-		r.hold(r.node, r.holder.View().ConfirmedAt, read.newest)
+		// The newer one is used, but not confirmed: its history is read again.
+		r.adopt(r.node, r.holder.View().ConfirmedAt, read.newest)
 	}
 }
 
-// applyConfiguration takes in a configuration that was the newest at confirmedAt, as a peer
-// tells. An empty body stands for the one held. A peer that holds an older one is behind,
-// whichever revision of the row it has met, and confirms nothing.
+// applyConfiguration applies a peer's configuration, which was the newest at confirmedAt. An
+// empty body means the version held here. An older one confirms nothing, whatever its row's
+// revision.
 func (r *replica) applyConfiguration(
-	origin ident.Node, confirmedAt time.Time, told *upstream.Configuration, rollouts *knownRollouts,
+	origin ident.Node, confirmedAt time.Time, received *upstream.Configuration, rollouts *knownRollouts,
 ) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	held := &r.config
-	newer := told.Version > held.version
-	if told.Revision == 0 || told.Version < max(held.version, 1) || (newer && len(told.Body) == 0) {
+	newer := received.Version > held.version
+	if received.Revision == 0 || received.Version < max(held.version, 1) || (newer && len(received.Body) == 0) {
 		return nil
 	}
-	newest := written{}
+	newest := rowContent{}
 	if newer {
-		decoded, err := r.decoded(&Reading{Revision: told.Revision, Body: told.Body})
+		decoded, err := r.decodeRow(&Reading{Revision: received.Revision, Body: received.Body})
 		if err != nil {
 			return err
 		}
@@ -260,27 +255,27 @@
 	}
 	r.applyRollouts(confirmedAt, rollouts)
 	if newer {
-		// What its row held until then, an own read of a later one did not see through.
-		held.checkedRevision, held.confirmedTo = told.Revision, 0
-		r.hold(origin, confirmedAt, newest)
+		// The history before its revision was not read here.
+		held.checkedRevision, held.confirmedStoreRevision = received.Revision, 0
+		r.adopt(origin, confirmedAt, newest)
 	}
-	held.checkedRevision = max(held.checkedRevision, told.Revision)
-	r.confirmHeld(origin, confirmedAt)
+	held.checkedRevision = max(held.checkedRevision, received.Revision)
+	r.confirmConfiguration(origin, confirmedAt)
 	return nil
 }
 
 // behind reports whether a peer holds a newer configuration than this router.
-func (r *replica) behind(told *upstream.Configuration) bool {
+func (r *replica) behind(received *upstream.Configuration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return told.Version > r.config.version
+	return received.Version > r.config.version
 }
 
-// hold puts a newer configuration in force; the caller holds the mutex, and sets up to
-// which revision the row is seen through.
-func (r *replica) hold(origin ident.Node, confirmedAt time.Time, newest written) {
+// adopt puts a newer configuration in force; the caller holds the mutex and sets
+// checkedRevision.
+func (r *replica) adopt(origin ident.Node, confirmedAt time.Time, newest rowContent) {
 	r.config.version, r.config.body = newest.snapshot.Version, newest.body
-	r.config.suspect, r.config.unseen = 0, false
+	r.config.suspectRevision, r.config.historyUnknown = 0, false
 	r.holder.Adopt(newest.snapshot, confirmedAt)
 	log.WithFields(log.Fields{
 		"version": newest.snapshot.Version, "routes": newest.snapshot.RouteCount(), "revision": newest.revision,
@@ -289,9 +284,9 @@
 	r.bumpConfirmation(origin)
 }
 
-// confirmHeld takes in that the configuration held was the newest at a time; the caller
-// holds the mutex.
-func (r *replica) confirmHeld(origin ident.Node, confirmedAt time.Time) {
+// confirmConfiguration records that the configuration held was the newest at a time; the
+// caller holds the mutex.
+func (r *replica) confirmConfiguration(origin ident.Node, confirmedAt time.Time) {
 	view := r.holder.View()
 	r.holder.Adopt(view.Snapshot, confirmedAt)
 	if confirmedAt.After(view.ConfirmedAt) {
@@ -299,9 +294,9 @@
 	}
 }
 
-// noteOutdated logs that the row holds another configuration than the one in force; the
-// caller holds the mutex. Each revision is met once.
-func (r *replica) noteOutdated(row *written, confirmed bool) {
+// logOutdatedRow logs that the row holds another configuration than the one in force, once
+// for each revision; the caller holds the mutex.
+func (r *replica) logOutdatedRow(row *rowContent, confirmed bool) {
 	if confirmed && row.snapshot.Version == r.config.version {
 		return
 	}
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -14,14 +14,14 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// Whatever comes as a datagram breaks nothing; unless it tells of new weights, engines
-// that were listed may still be chosen.
+// No datagram causes a panic, and none but a rollout notification makes all listed engines
+// unavailable.
 func FuzzDatagram(f *testing.F) {
 	seeds := []datagram{
 		{Health: &health.Notification{Silent: []ident.Incarnation{"a"}, Answering: []ident.Incarnation{"b"}}},
 		{Health: &health.Notification{Queues: []health.Queue{{Instance: "a", Waiting: -1}, {Instance: "b", Waiting: 1 << 62}}}},
 		{Rollout: &rollout.Notification{Model: model, Version: 2, Loaded: []ident.Incarnation{"x"}}},
-		{Permit: &canary.Permit{Order: fuzzedOrder, Fence: 1, Phase: canary.Promoting, Clock: time.Hour, Sends: 1 << 63, Among: 1 << 30}},
+		{Permit: &canary.Permit{Order: fuzzOrder, Fence: 1, Phase: canary.Promoting, Clock: time.Hour, Sends: 1 << 63, Among: 1 << 30}},
 		{Report: &canary.Report{Service: "s", Revision: 1, Life: 7, Sent: 1 << 63, Tallies: []canary.Tally{{Route: "r", Answers: 2, Failures: 3}}}},
 		{},
 	}
@@ -40,32 +40,32 @@
 		known.ApplyList(now, []backend.Record{
 			{Instance: "a", Service: "s", Models: models}, {Instance: "b", Service: "s", Models: models},
 		})
-		(&notifier{recipients: &recipients{}, backends: known, canaries: fuzzedCanaries(now)}).receive(netip.AddrPort{}, encoded)
+		(&notifier{recipients: &recipients{}, backends: known, canaries: newFuzzCanaries(now)}).receive(netip.AddrPort{}, encoded)
 		_, flight, found := known.Pick(now, &backend.Query{Service: "s", Model: model})
 		if found {
 			flight.End(now, backend.Abandoned)
 			return
 		}
-		var told datagram
-		if cbor.Unmarshal(encoded, &told) != nil || told.Rollout == nil {
-			t.Fatal("a datagram shut all engines out")
+		var decoded datagram
+		if cbor.Unmarshal(encoded, &decoded) != nil || decoded.Rollout == nil {
+			t.Fatal("a datagram made all engines unavailable")
 		}
 	})
 }
 
-var fuzzedOrder = canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}
+var fuzzOrder = canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}
 
-// fuzzedCanaries returns those of a holder that directs a rollout, and to which the sender of
-// the fuzzed datagram is a router of the roster.
-func fuzzedCanaries(now time.Time) *canaries {
+// newFuzzCanaries returns the canaries of a router that directs a rollout and knows the sender
+// of the fuzzed datagram as a peer.
+func newFuzzCanaries(now time.Time) *canaries {
 	c := newCanaries(guardedBounds, &canaries{
-		metrics: newMetrics(func() reading { return reading{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{{}} },
+		metrics: newMetrics(func() gaugeValues { return gaugeValues{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{{}} },
 		send: func(netip.AddrPort, datagram) {},
 	})
 	c.applyList(now, recordsOf(oldRelease, newRelease))
-	c.setRollouts(now, &knownRollouts{orders: []canary.Order{fuzzedOrder}, readAt: now})
-	c.hold(now, 1)
-	c.directing.observe(now, c.rollouts, recordsOf(oldRelease, newRelease), c.peers())
-	c.directing.director.Read(now, canary.State{Order: fuzzedOrder, Phase: canary.Observing}, 1)
+	c.setRollouts(now, &knownRollouts{orders: []canary.Order{fuzzOrder}, readAt: now})
+	c.setFence(now, 1)
+	c.term.observe(now, c.rollouts, recordsOf(oldRelease, newRelease), c.peers())
+	c.term.director.Read(now, canary.State{Order: fuzzOrder, Phase: canary.Observing}, 1)
 	return c
 }
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// healthTick is the time between two looks at which checks are due.
+	// healthTick is the time between two searches for due checks.
 	healthTick = 50 * time.Millisecond
 	// checkTimeout bounds one check: engines report without a slot, within a few ms.
 	checkTimeout = 300 * time.Millisecond
-	// toldAgain is the time between two notices of the same silent engines; it is
+	// silentResend is the time between two notifications of the same silent engines; it is
 	// shorter than backend.PeerSilentFor, so that a lost datagram does no harm.
-	toldAgain = 500 * time.Millisecond
-	// queueInterval is the least time between two notices of queues.
+	silentResend = 500 * time.Millisecond
+	// queueInterval is the least time between two notifications of queues.
 	queueInterval = 250 * time.Millisecond
-	// rewatch is the time between two looks at the list of engines.
-	rewatch = time.Second
+	// watchInterval is the time between two updates of the engines to check.
+	watchInterval = time.Second
 )
 
 // healthWatcher checks the engines of its zone, for all routers, while this router is
@@ -38,25 +38,25 @@
 	leads    func() bool
 	engines  rollout.Engines
 	backends *backend.Registry
-	// holder tells the services that there are.
+	// holder holds the configured services.
 	holder *catalog.Holder
-	tell   func(health.Notification)
+	notify func(health.Notification)
 
-	tracker   *health.Tracker
-	results   chan checkResult
-	checks    sync.WaitGroup
-	watchedAt time.Time
-	silent    []ident.Incarnation
-	toldAt    time.Time
-	queuesAt  time.Time
+	tracker    *health.Tracker
+	results    chan checkResult
+	checks     sync.WaitGroup
+	watchedAt  time.Time
+	silent     []ident.Incarnation
+	notifiedAt time.Time
+	queuesAt   time.Time
 }
 
-// checkResult is what came of one check.
+// checkResult is the result of one check.
 type checkResult struct {
 	instance ident.Incarnation
-	// report is nil if none came.
+	// report is nil if the check failed.
 	report *rollout.Report
-	// gone says that another back end answered.
+	// gone is true if another incarnation answered.
 	gone bool
 }
 
@@ -72,18 +72,18 @@
 		case <-ctx.Done():
 			return
 		case result := <-w.results:
-			w.take(clock.Now(), result)
+			w.recordResult(clock.Now(), result)
 		case <-ticker.C:
 			w.tick(ctx, clock.Now())
 		}
 	}
 }
 
-// tick starts the checks that are due, and tells what came of former ones.
+// tick starts the checks that are due, and notifies other routers of earlier results.
 func (w *healthWatcher) tick(ctx context.Context, now time.Time) {
-	if now.Sub(w.watchedAt) >= rewatch {
+	if now.Sub(w.watchedAt) >= watchInterval {
 		w.watchedAt = now
-		w.tracker.Watch(now, w.watched())
+		w.tracker.Watch(now, w.enginesToCheck())
 	}
 	for _, record := range w.tracker.Due(now) {
 		if w.backends.BackingOff(now, record.Instance) {
@@ -92,13 +92,12 @@
 		}
 		w.checks.Go(func() { w.check(ctx, record) })
 	}
-	w.announce(now)
-	w.announceQueues(now)
-	w.announceGone()
+	w.notifySilent(now)
+	w.notifyQueues(now)
+	w.notifyGone()
 }
 
-// take takes in what came of a check.
-func (w *healthWatcher) take(now time.Time, result checkResult) {
+func (w *healthWatcher) recordResult(now time.Time, result checkResult) {
 	if result.gone {
 		w.backends.ObserveGone(now, result.instance)
 	}
@@ -109,9 +108,9 @@
 	w.tracker.ObserveAnswer(now, result.instance, result.report.Queued)
 }
 
-// watched returns the engines to check; there are none while this router is not the
+// enginesToCheck returns the engines to check; there are none while this router is not the
 // first of its zone.
-func (w *healthWatcher) watched() []backend.Record {
+func (w *healthWatcher) enginesToCheck() []backend.Record {
 	if !w.leads() {
 		return nil
 	}
@@ -126,7 +125,7 @@
 	defer cancel()
 	report, err := w.engines.Report(bounded, record)
 	if err != nil {
-		// Why does not matter here; announce logs which engines are silent.
+		// The cause is not used; notifySilent logs which engines are silent.
 		report = nil
 	}
 	select {
@@ -135,39 +134,39 @@
 	}
 }
 
-// announce tells which engines are silent when that changes, and again while there
-// are any.
-func (w *healthWatcher) announce(now time.Time) {
+// notifySilent notifies other routers of the silent engines on each change, and repeats that
+// while there are any.
+func (w *healthWatcher) notifySilent(now time.Time) {
 	silent := w.tracker.Silent(now)
 	changed := !slices.Equal(silent, w.silent)
-	if !changed && (len(silent) == 0 || now.Sub(w.toldAt) < toldAgain) {
+	if !changed && (len(silent) == 0 || now.Sub(w.notifiedAt) < silentResend) {
 		return
 	}
-	notice := health.NewNotification(w.silent, silent)
+	notification := health.NewNotification(w.silent, silent)
 	if changed {
-		log.WithFields(log.Fields{"silent": notice.Silent, "answering": notice.Answering}).Info("engines_silent")
+		log.WithFields(log.Fields{"silent": notification.Silent, "answering": notification.Answering}).Info("engines_silent")
 	}
-	w.silent, w.toldAt = silent, now
-	w.tell(notice)
+	w.silent, w.notifiedAt = silent, now
+	w.notify(notification)
 }
 
-// announceQueues tells at which engines requests wait.
-func (w *healthWatcher) announceQueues(now time.Time) {
+// notifyQueues notifies other routers of engines at which requests wait.
+func (w *healthWatcher) notifyQueues(now time.Time) {
 	if now.Sub(w.queuesAt) < queueInterval {
 		return
 	}
 	w.queuesAt = now
 	if queues := w.tracker.QueueUpdates(); len(queues) > 0 {
-		w.tell(health.Notification{Queues: queues})
+		w.notify(health.Notification{Queues: queues})
 	}
 }
 
-// announceGone tells which back ends this router found gone, by checks or by requests.
-func (w *healthWatcher) announceGone() {
+// notifyGone notifies other routers of back ends that checks or requests found gone.
+func (w *healthWatcher) notifyGone() {
 	gone := w.backends.NewlyGone()
 	if len(gone) == 0 {
 		return
 	}
 	log.WithFields(log.Fields{"gone": gone}).Info("engines_gone")
-	w.tell(health.Notification{Gone: gone})
+	w.notify(health.Notification{Gone: gone})
 }
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -17,35 +17,35 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// checkedEngines report how many requests wait; those that are dark answer nothing.
+// checkedEngines report how many requests wait; unresponsive ones do not answer.
 type checkedEngines struct {
 	idleEngines
 
 	mu sync.Mutex
-	// ended engines have another one at their address.
-	ended  ident.Incarnation
-	dark   map[ident.Incarnation]bool
-	queued map[ident.Incarnation]int
-	checks map[ident.Incarnation]int
+	// replaced is an engine whose address answers as another incarnation.
+	replaced     ident.Incarnation
+	unresponsive map[ident.Incarnation]bool
+	queued       map[ident.Incarnation]int
+	checks       map[ident.Incarnation]int
 }
 
 // Report implements rollout.Engines.
 func (e *checkedEngines) Report(ctx context.Context, target backend.Record) (*rollout.Report, error) {
 	e.mu.Lock()
 	e.checks[target.Instance]++
-	dark, queued := e.dark[target.Instance], e.queued[target.Instance]
+	unresponsive, queued := e.unresponsive[target.Instance], e.queued[target.Instance]
 	e.mu.Unlock()
-	if target.Instance == e.ended {
+	if target.Instance == e.replaced {
 		return nil, rollout.ErrOtherInstance
 	}
-	if dark {
+	if unresponsive {
 		<-ctx.Done()
 		return nil, errors.New("no answer")
 	}
 	return &rollout.Report{Queued: queued}, nil
 }
 
-// checkedRecords are engines of two zones, one that leaves, and an application.
+// checkedRecords are engines of two zones, one of them draining, and an application.
 func checkedRecords() []backend.Record {
 	models := map[ident.Model]int{model: 1}
 	return []backend.Record{
@@ -55,25 +55,25 @@
 	}
 }
 
-// watchFor runs a watcher of zone z for a time, and returns the newest notices. What back ends
-// said before is taken in by said.
-func watchFor(
-	t *testing.T, span time.Duration, engines *checkedEngines, leads bool, said ...func(*backend.Registry),
+// runWatcher runs a watcher of zone z for a time, and returns what its last notifications held.
+// setUp prepares the registry.
+func runWatcher(
+	t *testing.T, span time.Duration, engines *checkedEngines, leads bool, setUp ...func(*backend.Registry),
 ) (silent []ident.Incarnation, queues []health.Queue) {
 	t.Helper()
 	known := backend.NewRegistry(backend.Config{})
 	known.ApplyList(time.Now(), checkedRecords())
-	for _, say := range said {
-		say(known)
+	for _, prepare := range setUp {
+		prepare(known)
 	}
 	watcher := &healthWatcher{
 		zone: "z", leads: func() bool { return leads }, engines: engines, backends: known, holder: &catalog.Holder{},
-		tell: func(notice health.Notification) {
-			if notice.Silent != nil {
-				silent = notice.Silent
+		notify: func(notification health.Notification) {
+			if notification.Silent != nil {
+				silent = notification.Silent
 			}
-			if notice.Queues != nil {
-				queues = notice.Queues
+			if notification.Queues != nil {
+				queues = notification.Queues
 			}
 		},
 	}
@@ -83,29 +83,29 @@
 	return silent, queues
 }
 
-func TestTheFirstOfAZoneTellsWhatBecomesOfItsEngines(t *testing.T) {
+func TestFirstOfZoneReportsEngineHealth(t *testing.T) {
 	tests := []struct {
-		name   string
-		leads  bool
-		dark   []ident.Incarnation
-		silent []ident.Incarnation
-		queues []health.Queue
+		name         string
+		leads        bool
+		unresponsive []ident.Incarnation
+		silent       []ident.Incarnation
+		queues       []health.Queue
 	}{
-		{name: "first of the zone", leads: true, dark: []ident.Incarnation{"b", "far"}, silent: []ident.Incarnation{"b"}, queues: []health.Queue{{Instance: "a", Waiting: 3}}},
-		{name: "not the first", dark: []ident.Incarnation{"b"}},
-		{name: "cut off itself", leads: true, dark: []ident.Incarnation{"a", "b", "c"}},
+		{name: "first of the zone", leads: true, unresponsive: []ident.Incarnation{"b", "far"}, silent: []ident.Incarnation{"b"}, queues: []health.Queue{{Instance: "a", Waiting: 3}}},
+		{name: "not the first", unresponsive: []ident.Incarnation{"b"}},
+		{name: "all unresponsive", leads: true, unresponsive: []ident.Incarnation{"a", "b", "c"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				engines := &checkedEngines{
-					dark: map[ident.Incarnation]bool{}, queued: map[ident.Incarnation]int{"a": 3}, checks: map[ident.Incarnation]int{},
+					unresponsive: map[ident.Incarnation]bool{}, queued: map[ident.Incarnation]int{"a": 3}, checks: map[ident.Incarnation]int{},
 				}
-				for _, instance := range tt.dark {
-					engines.dark[instance] = true
+				for _, instance := range tt.unresponsive {
+					engines.unresponsive[instance] = true
 				}
-				silent, queues := watchFor(t, 3*time.Second, engines, tt.leads)
+				silent, queues := runWatcher(t, 3*time.Second, engines, tt.leads)
 				is.Equal(silent, tt.silent)
 				is.Equal(queues, tt.queues)
 				for _, instance := range []ident.Incarnation{"far", "leaving", "app"} {
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestAWatcherTellsWhichEnginesAreGone(t *testing.T) {
+func TestWatcherReportsGoneEnginesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := backend.NewRegistry(backend.Config{})
@@ -124,8 +124,8 @@
 		var gone []ident.Incarnation
 		watcher := &healthWatcher{
 			zone: "z", leads: func() bool { return true }, backends: known, holder: &catalog.Holder{},
-			engines: &checkedEngines{ended: "b", checks: map[ident.Incarnation]int{}},
-			tell:    func(notice health.Notification) { gone = append(gone, notice.Gone...) },
+			engines: &checkedEngines{replaced: "b", checks: map[ident.Incarnation]int{}},
+			notify:  func(notification health.Notification) { gone = append(gone, notification.Gone...) },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
@@ -134,39 +134,39 @@
 	})
 }
 
-func TestALongNoticeOfQueuesIsSplit(t *testing.T) {
+func TestLongHealthNotificationIsSplit(t *testing.T) {
 	is := is.New(t)
-	notice := health.Notification{Silent: []ident.Incarnation{"s"}, Answering: []ident.Incarnation{"t"}}
+	notification := health.Notification{Silent: []ident.Incarnation{"s"}, Answering: []ident.Incarnation{"t"}}
 	for range 3 * enginesPerNotification {
-		notice.Queues = append(notice.Queues, health.Queue{Instance: "i", Waiting: 1})
-		notice.Gone = append(notice.Gone, "g")
+		notification.Queues = append(notification.Queues, health.Queue{Instance: "i", Waiting: 1})
+		notification.Gone = append(notification.Gone, "g")
 	}
-	var joined health.Notification
-	for _, part := range splitHealth(notice) {
+	var merged health.Notification
+	for _, part := range splitHealth(notification) {
 		is.True(len(part.Silent)+len(part.Answering)+len(part.Queues)+len(part.Gone) <= enginesPerNotification)
-		joined.Gone = append(joined.Gone, part.Gone...)
-		joined.Silent = append(joined.Silent, part.Silent...)
-		joined.Answering = append(joined.Answering, part.Answering...)
-		joined.Queues = append(joined.Queues, part.Queues...)
+		merged.Gone = append(merged.Gone, part.Gone...)
+		merged.Silent = append(merged.Silent, part.Silent...)
+		merged.Answering = append(merged.Answering, part.Answering...)
+		merged.Queues = append(merged.Queues, part.Queues...)
 	}
-	is.Equal(joined, notice)
+	is.Equal(merged, notification)
 }
 
-// An engine that wants rest is not checked meanwhile, nor told to be silent, and is checked again
-// after it.
-func TestAnEngineThatRestsIsNotChecked(t *testing.T) {
+// An engine that is backing off is neither checked nor reported silent, and is checked again
+// after the back-off.
+func TestBackingOffEngineIsNotChecked(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		rest    time.Duration
+		backoff time.Duration
 		checked bool
-	}{{"all the time", time.Minute, false}, {"for a second", time.Second, true}} {
+	}{{"for the whole test", time.Minute, false}, {"for a second", time.Second, true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				engines := &checkedEngines{checks: map[ident.Incarnation]int{}}
-				silent, _ := watchFor(t, 3*time.Second, engines, true, func(known *backend.Registry) {
+				silent, _ := runWatcher(t, 3*time.Second, engines, true, func(known *backend.Registry) {
 					now := time.Now()
-					known.ObserveAdvertised(now, "a", now, backend.Advertised{Backoff: tt.rest}, backend.SourceAnswer)
+					known.ObserveAdvertised(now, "a", now, backend.Advertised{Backoff: tt.backoff}, backend.SourceAnswer)
 				})
 				is.Equal(silent, nil)
 				is.Equal(engines.checks["a"] > 0, tt.checked)
@@ -176,8 +176,8 @@
 	}
 }
 
-// Reports and orders that are held back from an engine which rests fail as if nothing was sent.
-func TestFewReportsAndOrdersGoToAnEngineThatRests(t *testing.T) {
+// Reports and orders withheld from an engine that is backing off fail as not sent.
+func TestBackingOffEngineGetsFewReportsAndOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		known := backend.NewRegistry(backend.Config{})
--- a/internal/node/limitfleet_test.go
+++ b/internal/node/limitfleet_test.go
@@ -20,59 +20,58 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// What an engine with a limit may get in a window of judgedWindow: judgedFactor times what its
-// limit allows, and judgedSlack requests, from routers that passed on an answer with a limit
-// judgedLearnt before. It is judged from judgedFrom after the first such answer.
+// An engine with a limit may get allowedFactor times what its limit allows plus allowedSlack
+// requests in a window of checkedWindow. Requests of a router count from limitDelay after its
+// first answer with a limit, windows from checkedFrom after the first such answer of all.
 const (
-	judgedWindow = 4 * time.Second
-	judgedFactor = 1.5
-	judgedSlack  = 5
-	judgedLearnt = 500 * time.Millisecond
-	judgedFrom   = 3 * time.Second
+	checkedWindow = 4 * time.Second
+	allowedFactor = 1.5
+	allowedSlack  = 5
+	limitDelay    = 500 * time.Millisecond
+	checkedFrom   = 3 * time.Second
 )
 
-// fleetSlack is the number of repeats in a window that all routers may make without any request.
+// fleetSlack is the slack of the retry budget of all routers together, in retries per window.
 const fleetSlack = 54
 
-// unlimited is the rate of an engine that names no limit.
+// unlimited is the rate of an engine that advertises no limit.
 const unlimited = -1
 
-// limitedEngine is an engine that may name a limit, say that it leaves or refuse what reaches
-// it, and what reached it.
+// limitedEngine is an engine that may advertise a limit or that it is draining, or refuse
+// requests, and a record of its requests.
 type limitedEngine struct {
 	record backend.Record
 	rate   float64
-	// leaving says that answers tell that the engine leaves.
-	leaving bool
-	// refuses is the part of the requests that are not run, rest is what refusals ask for.
-	refuses float64
-	rest    time.Duration
-	// answers are all that were given.
+	// draining is true if answers advertise that the engine is draining.
+	draining bool
+	// refusalShare is the share of requests that are refused, backoff what refusals ask for.
+	refusalShare float64
+	backoff      time.Duration
+	// answers are all answers so far.
 	answers []fleetAnswer
-	// namedAt is when the first answer with a limit was given, toldAt when each router got
-	// its first.
-	namedAt  time.Time
-	toldAt   map[int]time.Time
-	arrivals []limitedArrival
+	// limitedAt is when the first answer with a limit was given, firstLimitAt when each
+	// router got its first.
+	limitedAt    time.Time
+	firstLimitAt map[int]time.Time
+	arrivals     []limitedArrival
 }
 
 type limitedArrival struct {
 	router int
 	at     time.Time
-	// receivedAt is when the request came from its client.
+	// receivedAt is when the router received the request from its client.
 	receivedAt time.Time
 }
 
-// fleetAnswer is an answer to a router, and what it said of its engine.
+// fleetAnswer is an answer to a router, and what it advertised of its engine.
 type fleetAnswer struct {
-	router  int
-	at      time.Time
-	leaving bool
-	rest    time.Duration
+	router   int
+	at       time.Time
+	draining bool
+	backoff  time.Duration
 }
 
-// limitFleet is a service whose engines name limits, and its routers. It implements
-// rollout.Engines.
+// limitFleet is a service of limitedEngines, and its routers. It implements rollout.Engines.
 type limitFleet struct {
 	t     *testing.T
 	store *fakeStore
@@ -98,7 +97,7 @@
 		}},
 	}
 	for index := range engines {
-		f.engines = append(f.engines, &limitedEngine{rate: unlimited, toldAt: map[int]time.Time{}, record: backend.Record{
+		f.engines = append(f.engines, &limitedEngine{rate: unlimited, firstLimitAt: map[int]time.Time{}, record: backend.Record{
 			Instance: ident.Incarnation(fmt.Sprint("e", index)), Service: "s", Zone: "z", Address: fmt.Sprintf("10.0.0.%d:1", index+1),
 			Slots: 16, Models: map[ident.Model]int{model: 1}, Revision: uint64(index + 1),
 		}})
@@ -114,7 +113,7 @@
 	return f
 }
 
-// startRouter starts the router with an index, also one that was stopped.
+// startRouter starts, or restarts, the router with an index.
 func (f *limitFleet) startRouter(index int) {
 	f.t.Helper()
 	caller := limitCaller{fleet: f, router: index}
@@ -137,7 +136,7 @@
 	router.stop()
 }
 
-// limit has engines name a limit from their next answers on, or none.
+// limit sets the limit that engines advertise from their next answers on, or unlimited.
 func (f *limitFleet) limit(rate float64, engines ...int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -154,7 +153,7 @@
 
 // Send implements forward.Caller.
 func (c limitCaller) Send(ctx context.Context, attempt *forward.Attempt) (*forward.Reply, error) {
-	engine := c.fleet.arrived(c.router, attempt)
+	engine := c.fleet.arrive(c.router, attempt)
 	select {
 	case <-time.After(rand.N(c.fleet.work)):
 	case <-ctx.Done():
@@ -163,24 +162,24 @@
 	return c.fleet.answer(c.router, engine), nil
 }
 
-// answer returns what an engine answers to a router.
+// answer returns the answer of an engine to a router.
 func (f *limitFleet) answer(router int, engine *limitedEngine) *forward.Reply {
 	reply := &forward.Reply{
 		Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n")),
-		Execution: forward.Genuine, Advertised: backend.Advertised{Limit: f.told(router, engine)},
+		Execution: forward.Genuine, Advertised: backend.Advertised{Limit: f.limitFor(router, engine)},
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	reply.Advertised.Draining = engine.leaving
-	if rand.Float64() < engine.refuses {
-		reply.Status, reply.Execution, reply.Advertised.Backoff = http.StatusServiceUnavailable, forward.NotExecuted, engine.rest
+	reply.Advertised.Draining = engine.draining
+	if rand.Float64() < engine.refusalShare {
+		reply.Status, reply.Execution, reply.Advertised.Backoff = http.StatusServiceUnavailable, forward.NotExecuted, engine.backoff
 	}
-	engine.answers = append(engine.answers, fleetAnswer{router: router, at: time.Now(), leaving: engine.leaving, rest: reply.Advertised.Backoff})
+	engine.answers = append(engine.answers, fleetAnswer{router: router, at: time.Now(), draining: engine.draining, backoff: reply.Advertised.Backoff})
 	return reply
 }
 
-// arrived takes in that a request reaches an engine.
-func (f *limitFleet) arrived(router int, attempt *forward.Attempt) *limitedEngine {
+// arrive records a request at an engine.
+func (f *limitFleet) arrive(router int, attempt *forward.Attempt) *limitedEngine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	index := slices.IndexFunc(f.engines, func(engine *limitedEngine) bool { return engine.record.Address == attempt.Target.Address })
@@ -189,18 +188,18 @@
 	return engine
 }
 
-// told returns the limit that an answer to a router names.
-func (f *limitFleet) told(router int, engine *limitedEngine) backend.AdvertisedLimit {
+// limitFor returns the limit that an answer to a router advertises.
+func (f *limitFleet) limitFor(router int, engine *limitedEngine) backend.AdvertisedLimit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if engine.rate == unlimited {
 		return backend.Unlimited{}
 	}
-	if engine.namedAt.IsZero() {
-		engine.namedAt = time.Now()
+	if engine.limitedAt.IsZero() {
+		engine.limitedAt = time.Now()
 	}
-	if _, before := engine.toldAt[router]; !before {
-		engine.toldAt[router] = time.Now()
+	if _, before := engine.firstLimitAt[router]; !before {
+		engine.firstLimitAt[router] = time.Now()
 	}
 	return backend.LimitedTo{Rate: engine.rate}
 }
@@ -213,23 +212,23 @@
 	return &rollout.Report{Versions: map[ident.Model]int{model: 1}}, nil
 }
 
-// limitLoad is what came of requests that clients sent.
+// limitLoad counts the requests of clients by result.
 type limitLoad struct {
 	mu               sync.Mutex
 	answered, broken int
 	refusals         []limitRefusal
 }
 
-// limitRefusal is a refusal of the routers' own.
+// limitRefusal is a refusal by a router.
 type limitRefusal struct {
-	router            int
-	at                time.Time
-	after, retryAfter time.Duration
-	detail            string
+	router              int
+	at                  time.Time
+	latency, retryAfter time.Duration
+	detail              string
 }
 
-// load sends requests at a rate a second, each through the next router that runs, until a
-// time has passed, and returns once all have ended.
+// load sends requests at a rate a second for a time, to the running routers in turn, and
+// returns once all have ended.
 func (f *limitFleet) load(rate float64, lasting time.Duration) *limitLoad {
 	result := &limitLoad{}
 	var open sync.WaitGroup
@@ -239,23 +238,23 @@
 	for sent := 0; time.Since(begun) < lasting; sent++ {
 		<-ticker.C
 		if router := f.router(sent); router != nil {
-			open.Go(func() { result.ask(f.t.Context(), sent%len(f.routers), router.forwarder) })
+			open.Go(func() { result.send(f.t.Context(), sent%len(f.routers), router.forwarder) })
 		}
 	}
 	open.Wait()
 	return result
 }
 
-// router returns the router for a request, nil while that does not run.
+// router returns the router for a request, nil if it is stopped.
 func (f *limitFleet) router(request int) *testRouter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.routers[request%len(f.routers)]
 }
 
-// ask sends one request to a router, each with a prompt of its own.
-func (l *limitLoad) ask(ctx context.Context, router int, forwarder *forward.Forwarder) {
-	sink, begun := &crashSink{}, time.Now()
+// send sends one request with a unique prompt to a router.
+func (l *limitLoad) send(ctx context.Context, router int, forwarder *forward.Forwarder) {
+	sink, begun := &testSink{}, time.Now()
 	id := ident.NewUnique()
 	forwarder.Forward(ctx, &forward.Request{
 		ID: ident.Request(id), Method: http.MethodPost, Target: "/x", Path: "/x", Host: "h", Header: http.Header{}, Body: []byte(id),
@@ -267,7 +266,7 @@
 	switch {
 	case sink.refusal != nil:
 		l.refusals = append(l.refusals, limitRefusal{
-			router: router, at: time.Now(), after: time.Since(begun), retryAfter: sink.refusal.RetryAfter,
+			router: router, at: time.Now(), latency: time.Since(begun), retryAfter: sink.refusal.RetryAfter,
 			detail: sink.refusal.Detail,
 		})
 	case sink.aborted:
@@ -277,18 +276,18 @@
 	}
 }
 
-// largestWindow returns the most requests that reached an engine in a window which ends
-// after a time, from routers that were told its limit.
+// largestWindow returns the most requests that reached an engine in a window that ends after
+// a time, from routers that know its limit.
 func (e *limitedEngine) largestWindow(from time.Time) int {
 	var counted []time.Time
 	largest := 0
 	for _, arrival := range e.arrivals {
-		told, known := e.toldAt[arrival.router]
-		if !known || arrival.at.Before(told.Add(judgedLearnt)) {
+		learnedAt, known := e.firstLimitAt[arrival.router]
+		if !known || arrival.at.Before(learnedAt.Add(limitDelay)) {
 			continue
 		}
 		counted = append(counted, arrival.at)
-		for arrival.at.Sub(counted[0]) > judgedWindow {
+		for arrival.at.Sub(counted[0]) > checkedWindow {
 			counted = counted[1:]
 		}
 		if arrival.at.After(from) {
@@ -298,17 +297,17 @@
 	return largest
 }
 
-// bounded fails if an engine got more than its limit allows, as it was at most.
-func (f *limitFleet) bounded(index int, rate float64) {
+// checkLimit fails if an engine got more than its greatest limit allows.
+func (f *limitFleet) checkLimit(index int, rate float64) {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	engine := f.engines[index]
-	allowed := judgedFactor*rate*judgedWindow.Seconds() + judgedSlack
-	largest := engine.largestWindow(engine.namedAt.Add(judgedFrom))
-	f.t.Logf("engine %d with a limit of %.2f got %d in %v, allowed %.1f", index, rate, largest, judgedWindow, allowed)
+	allowed := allowedFactor*rate*checkedWindow.Seconds() + allowedSlack
+	largest := engine.largestWindow(engine.limitedAt.Add(checkedFrom))
+	f.t.Logf("engine %d with a limit of %.2f got %d in %v, allowed %.1f", index, rate, largest, checkedWindow, allowed)
 	if float64(largest) > allowed {
-		f.t.Errorf("engine %d with a limit of %.2f got %d in %v, allowed %.1f", index, rate, largest, judgedWindow, allowed)
+		f.t.Errorf("engine %d with a limit of %.2f got %d in %v, allowed %.1f", index, rate, largest, checkedWindow, allowed)
 	}
 }
 
--- a/internal/node/log.go
+++ b/internal/node/log.go
@@ -12,13 +12,13 @@
 	"github.com/fieldpond/fieldpond/internal/forward"
 )
 
-// quietLog drops what net/http logs of connections that clients broke off.
-var quietLog = stdlog.New(io.Discard, "", 0)
+// discardLog drops log lines of net/http about connections that clients aborted.
+var discardLog = stdlog.New(io.Discard, "", 0)
 
-// recordTo returns what counts and logs each decision about a request.
-func recordTo(counters *metrics) func(forward.Step) {
+// stepRecorder returns a function that counts and logs each decision about a request.
+func stepRecorder(counters *metrics) func(forward.Step) {
 	return func(step forward.Step) {
-		counters.step(&step)
+		counters.countStep(&step)
 		logStep(&step)
 	}
 }
@@ -42,7 +42,7 @@
 		if step.Choice.LimitSkips > 0 {
 			fields["limits_used_up"] = step.Choice.LimitSkips
 		}
-		logPassedOver(fields, &step.Choice)
+		addSkipFields(fields, &step.Choice)
 		if step.Choice.Version > 0 {
 			fields["weights"] = step.Choice.Version
 		}
@@ -63,10 +63,10 @@
 	if step.Events != 0 {
 		fields["events"] = step.Events
 	}
-	if repeat := &step.Retry; repeat.Service != "" {
-		fields["service"] = repeat.Service
-		fields["window_requests"], fields["window_repeats"] = repeat.Requests, repeat.Retries
-		fields["slack"], fields["sharers"] = math.Round(repeat.Slack*100)/100, repeat.Sharers
+	if retry := &step.Retry; retry.Service != "" {
+		fields["service"] = retry.Service
+		fields["window_requests"], fields["window_repeats"] = retry.Requests, retry.Retries
+		fields["slack"], fields["sharers"] = math.Round(retry.Slack*100)/100, retry.Sharers
 	}
 	if step.Kind == forward.StepBackendLimit {
 		fields["limited"], fields["rate"], fields["rate_before"] = step.Limit.Limited, step.Limit.Rate, step.Limit.PreviousRate
@@ -91,9 +91,9 @@
 	log.WithFields(fields).Info(string(step.Kind))
 }
 
-// logPassedOver says how many back ends said that they want no attempt, and whether this one went
-// elsewhere for that.
-func logPassedOver(fields log.Fields, choice *backend.Choice) {
+// addSkipFields adds how many back ends were skipped as backing off or draining, and why a
+// faster one was, if any.
+func addSkipFields(fields log.Fields, choice *backend.Choice) {
 	if choice.BackoffSkips > 0 {
 		fields["resting"] = choice.BackoffSkips
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-// describeReleases says which releases an attempt was allowed to go to.
+// describeReleases describes the releases that an attempt was allowed to go to.
 func describeReleases(releases *backend.Releases) string {
 	switch {
 	case releases.Only == "":
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,19 +31,18 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-// Config sets one node.
+// Config is the configuration of one node.
 type Config struct {
 	Node ident.Node
 	Zone ident.Zone
-	// Regions tells the region of each zone; the zero Map means that there is one.
+	// Regions maps zones to regions; the zero Map means that there is one region.
 	Regions region.Map
-	// FrontAddress takes client requests, ReadyAddress the readiness checks of
-	// whatever hands clients to this node; both are host:port.
+	// FrontAddress receives client requests, ReadyAddress the readiness checks of load
+	// balancers; both are host:port.
 	FrontAddress, ReadyAddress string
-	// ReadyPath is the path of the readiness check.
-	ReadyPath string
-	// MetricsAddress (host:port) and MetricsPath are where the metrics are
-	// served; an empty address means nowhere.
+	ReadyPath                  string
+	// MetricsAddress (host:port) and MetricsPath are where metrics are served; an empty
+	// address disables them.
 	MetricsAddress, MetricsPath string
 	// PeerAddr is where other routers pull the shared state.
 	PeerAddr netip.AddrPort
@@ -55,49 +54,49 @@
 	Disabled mechanism.Disabled
 	Lease    lease.Config
 	Rollout  rollout.ControllerConfig
-	// Canary bounds what a release that is being tried may get; the zero value means that
-	// no service is moved to another release under guard.
+	// Canary bounds the requests to a release on trial; the zero value disables canary
+	// rollouts.
 	Canary canary.Bounds
 	// Clients bounds the connections of clients; its Limits are set by the node.
 	Clients inbound.Config
-	// Quota says by how much tenants may be above their limits.
+	// Quota bounds by how much tenants may exceed their limits.
 	Quota quota.Bounds
 	// GracePeriod is the time from the request to stop until the process is killed.
 	GracePeriod time.Duration
-	// ShutdownDelay is how long a stopping node still takes new connections, until
-	// those who hand clients to it have noticed.
+	// ShutdownDelay is how long a stopping node still accepts new connections, until load
+	// balancers have noticed.
 	ShutdownDelay time.Duration
 }
 
-// Ports are what a node needs of the outside.
+// Ports are the external dependencies of a node.
 type Ports struct {
 	Source Source
-	// Table's row versions rise with every transaction, over all keys.
+	// Table's row versions increase with every transaction, across all keys.
 	Table   store.Table
 	Caller  forward.Caller
 	Engines rollout.Engines
-	// OnAdvertised has what answers to reports and orders say of their back ends told to an ear; it may
-	// be nil.
-	OnAdvertised func(ear backend.AdvertisedFunc)
-	// Caches may be nil: what the stores of kept prompt caches hold is unknown then.
+	// OnAdvertised sets a function that is called with what back ends advertise in answers
+	// to reports and orders; it may be nil.
+	OnAdvertised func(observer backend.AdvertisedFunc)
+	// Caches may be nil: the content of stores of prompt caches is unknown then.
 	Caches CacheReader
-	// Epochs may be nil: the store never comes back from an older copy then.
+	// Epochs may be nil if the store is never restored from an older copy.
 	Epochs Epochs
-	// Rollouts writes how rollouts stand; it may be nil where Config.Canary is not set.
+	// Rollouts writes the states of rollouts; it may be nil if Config.Canary is not set.
 	Rollouts RolloutStore
-	// Front returns the handler of client requests. closing reports whether
-	// connections are to end after their answer; clients holds the bounds of bodies.
+	// Front returns the handler of client requests. closing reports whether connections are
+	// to be closed after their answer; clients bounds the bodies.
 	Front func(forwarder *forward.Forwarder, holder *catalog.Holder, closing func() bool, clients *inbound.Clients) http.Handler
 	// Loops run until the node has stopped.
 	Loops []func(ctx context.Context)
 	// LinesDropped returns the number of log lines dropped; it may be nil.
 	LinesDropped func() uint64
-	// SilentConnections returns how many connections of the other ports were found
-	// silent; it may be nil.
+	// SilentConnections returns how many connections of the other ports were found silent;
+	// it may be nil.
 	SilentConnections func() uint64
 }
 
-// rolloutLease names the lease under which one node changes engines.
+// rolloutLease is the name of the lease under which one node sends orders to engines.
 const rolloutLease = "rollout"
 
 // Node is one router process.
@@ -110,14 +109,14 @@
 	metrics  *metrics
 	follower *follower
 	quotas   *quotas
-	// quarantines keeps requests from back ends under which these crash.
+	// quarantines withholds requests under which back ends crash.
 	quarantines *quarantines
-	// announcer tells other routers news, nil before this one runs.
-	announcer atomic.Pointer[notifier]
-	canaries  *canaries
-	limits    *backendLimits
-	news      *backendUpdates
-	// engines carry reports and orders.
+	// notifier is nil before the node runs, or without a PeerAddr.
+	notifier atomic.Pointer[notifier]
+	canaries *canaries
+	limits   *backendLimits
+	updates  *backendUpdates
+	// engines sends reports and orders.
 	engines  *engineCalls
 	peers    *upstream.Client
 	clients  *inbound.Clients
@@ -138,42 +137,42 @@
 	}
 	config.Clients.Limits = n.clientLimits
 	n.clients = inbound.New(config.Clients)
-	n.metrics = newMetrics(n.read)
+	n.metrics = newMetrics(n.readGauges)
 	n.engines = &engineCalls{engines: ports.Engines, backends: n.backends}
 	n.follower = n.newFollower()
 	n.quotas = n.newQuotas()
 	n.limits = newBackendLimits(config.PeerAddr, n.backends, n.follower.replica.Routers, n.metrics)
 	n.follower.onJoined = func(self upstream.Peer, peers []upstream.Peer) {
-		n.quotas.know(self, peers)
-		n.limits.know(self, peers)
+		n.quotas.setRouters(self, peers)
+		n.limits.setRouters(self, peers)
 	}
-	n.news = newBackendNews(n.backends, n.limits)
-	n.follower.replica.updates = n.news
+	n.updates = newBackendUpdates(n.backends, n.limits)
+	n.follower.replica.updates = n.updates
 	if ports.OnAdvertised != nil {
-		ports.OnAdvertised(n.news.hear)
+		ports.OnAdvertised(n.updates.observeAdvertised)
 	}
 	n.quarantines = n.newQuarantines()
 	n.follower.guard, n.follower.replica.guard = n.quarantines.Guard, n.quarantines.Guard
-	n.guardReleases()
+	n.setUpCanaries()
 	return n
 }
 
-// guardReleases sets up what moves services to other releases, if that is asked for.
-func (n *Node) guardReleases() {
+// setUpCanaries sets up canary rollouts, if they are enabled.
+func (n *Node) setUpCanaries() {
 	if !n.config.Canary.Enabled() || n.ports.Rollouts == nil {
 		return
 	}
 	states := &rolloutStates{table: n.ports.Table, writer: n.ports.Rollouts, timeout: n.config.Follow.ReadTimeout}
 	n.canaries = newCanaries(n.config.Canary, &canaries{
-		self: n.config.PeerAddr, peers: n.follower.recipients.others, refresh: n.follower.readRouters,
+		self: n.config.PeerAddr, peers: n.follower.recipients.others, refreshPeers: n.follower.readRouters,
 		lease: n.lease, backends: n.backends, states: states, metrics: n.metrics,
 		send: func(netip.AddrPort, datagram) {},
 	})
 	n.follower.states, n.follower.replica.canaries = states, n.canaries
 }
 
-// sharers returns how the slack of repeats is divided. A router that joined is counted at
-// the next count, and state older than StaleAfter is not lived on.
+// sharers configures how the slack of retries is divided. The lag is the time until a new
+// router is counted everywhere: the next count, and the greatest age of pulled state.
 func (c *Config) sharers() admission.SharersConfig {
 	return admission.SharersConfig{
 		Window: c.Forward.Retries.Window, Lag: c.Follow.RouterListInterval + c.Follow.Chain.StaleAfter,
@@ -208,9 +207,9 @@
 func (n *Node) newQuarantines() *quarantines {
 	return &quarantines{engines: n.engines, backends: n.backends, Guard: guard.New(guard.Config{
 		Table: n.ports.Table, Timeout: n.config.Follow.ReadTimeout, Backends: n.backends, MaintainsRows: n.follower.readsForOthers,
-		Send: func(told []quarantine.Evidence) {
-			if announcer := n.announcer.Load(); announcer != nil {
-				announcer.sendCrashEvidence(told)
+		Send: func(evidence []quarantine.Evidence) {
+			if socket := n.notifier.Load(); socket != nil {
+				socket.sendCrashEvidence(evidence)
 			}
 		},
 		OnTrial: func(result string) { n.metrics.trials.WithLabelValues(result).Inc() },
@@ -227,11 +226,11 @@
 			snapshot := n.holder.View().Snapshot
 			return snapshot != nil && snapshot.Limited()
 		},
-		count: n.metrics.tenantClaim,
+		onResult: n.metrics.countTenantReservation,
 	})
 }
 
-// backendLimits returns what keeps back ends within their limits, nil if that is switched off.
+// backendLimits returns the limits of back ends, nil if they are disabled.
 func (n *Node) backendLimits() forward.BackendLimits {
 	if !n.config.Disabled.On(mechanism.BackendLimits) {
 		return nil
@@ -239,12 +238,11 @@
 	return n.limits
 }
 
-// read returns what the gauges show.
-func (n *Node) read() reading {
+func (n *Node) readGauges() gaugeValues {
 	view := n.holder.View()
-	now := reading{backends: len(n.backends.Records()), inFlight: n.backends.InFlight()}
+	now := gaugeValues{backends: len(n.backends.Records()), inFlight: n.backends.InFlight()}
 	now.limitedBackends = len(n.backends.LimitedInstances(clock.Now()))
-	now.leavingBackends, now.restingBackends = n.backends.UnavailableCounts(clock.Now())
+	now.drainingBackends, now.backingOffBackends = n.backends.UnavailableCounts(clock.Now())
 	if view.Snapshot != nil {
 		now.configurationVersion = view.Snapshot.Version
 		now.configurationAge = view.Age(clock.Now())
@@ -255,7 +253,7 @@
 	now.sharers = n.follower.replica.Sharers()
 	now.quotaMembers, now.limitMembers = n.quotas.members(), n.limits.members()
 	now.quarantined, now.crashSuspects = n.quarantines.Counts()
-	now.regionsLost = len(n.backends.UnreachableRegions(clock.Now()))
+	now.unreachableRegions = len(n.backends.UnreachableRegions(clock.Now()))
 	if n.ports.LinesDropped != nil {
 		now.linesDropped = n.ports.LinesDropped()
 	}
@@ -267,32 +265,32 @@
 	return now
 }
 
-// Run runs the node until ctx ends, and then stops it: it turns unready, goes
-// on serving until that was noticed, and finishes the open requests.
+// Run runs the node until ctx ends, then stops it: the node turns unready, serves for
+// ShutdownDelay, and finishes the open requests.
 func (n *Node) Run(ctx context.Context) error {
 	servers := n.servers()
 	if err := servers.listen(); err != nil {
 		return err
 	}
 	log.WithFields(log.Fields{"zone": n.config.Zone, "front": n.config.FrontAddress}).Info("started")
-	announcer, err := n.listenNotices()
+	socket, err := n.listenNotifications()
 	if err != nil {
 		servers.close()
 		return err
 	}
-	if announcer != nil {
-		announcer.quotas, announcer.guard = n.quotas, n.quarantines.Guard
-		n.announcer.Store(announcer)
-		n.quotas.send = announcer.sendQuota
-		announcer.limits, announcer.updates = n.limits, n.news
-		n.limits.connect(announcer)
-		n.news.tell = announcer.sendStateUpdates
-		n.canaries.connect(announcer)
+	if socket != nil {
+		socket.quotas, socket.guard = n.quotas, n.quarantines.Guard
+		n.notifier.Store(socket)
+		n.quotas.send = socket.sendQuota
+		socket.limits, socket.updates = n.limits, n.updates
+		n.limits.connect(socket)
+		n.updates.send = socket.sendStateUpdates
+		n.canaries.connect(socket)
 	}
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	var loops sync.WaitGroup
-	for _, loop := range n.loops(announcer) {
+	for _, loop := range n.loops(socket) {
 		loops.Go(func() { loop(work) })
 	}
 	group, failed := errgroup.WithContext(ctx)
@@ -307,19 +305,19 @@
 	return group.Wait()
 }
 
-// loops are the goroutines that run as long as the node.
-func (n *Node) loops(announcer *notifier) []func(context.Context) {
+// loops returns the functions that run as long as the node, each in a goroutine.
+func (n *Node) loops(socket *notifier) []func(context.Context) {
 	config := n.config.Rollout
 	config.OnOrder = func(order *rollout.Order, result rollout.Result) {
-		n.metrics.order(result)
+		n.metrics.countOrder(result)
 		logOrder(order, result)
 	}
 	config.OnDoubt = func(doubt rollout.SuspectVersion) {
-		n.metrics.doubts.WithLabelValues(string(doubt.Model)).Inc()
+		n.metrics.suspectVersions.WithLabelValues(string(doubt.Model)).Inc()
 		log.WithFields(log.Fields{"model": doubt.Model, "version": doubt.Version, "ended": doubt.Ended}).Warn("version_doubted")
 	}
-	if announcer != nil && n.config.Disabled.On(mechanism.Notices) {
-		config.Announcer = announcer
+	if socket != nil && n.config.Disabled.On(mechanism.Notices) {
+		config.Announcer = socket
 	}
 	controller := rollout.NewController(config, n.lease, n.engines, n.holder, n.backends)
 	follower := n.follower
@@ -328,13 +326,13 @@
 		func(ctx context.Context) { follower.countRouters(ctx, n.holdsLease) }, n.contend, n.lease.Run, controller.Run, n.quotas.run, n.limits.run, n.sweepClients,
 		n.quarantines.Run, logSuspensions,
 	}
-	if announcer != nil {
-		loops = append(loops, announcer.listen)
+	if socket != nil {
+		loops = append(loops, socket.listen)
 	}
-	if announcer != nil && n.config.Disabled.On(mechanism.SharedHealth) {
+	if socket != nil && n.config.Disabled.On(mechanism.SharedHealth) {
 		watcher := &healthWatcher{
 			zone: n.config.Zone, leads: follower.chain.leads, engines: n.engines,
-			backends: n.backends, holder: n.holder, tell: announcer.notifyHealth,
+			backends: n.backends, holder: n.holder, notify: socket.notifyHealth,
 		}
 		loops = append(loops, watcher.run)
 	}
@@ -354,10 +352,10 @@
 // contendInterval is the time between two decisions to contend for the lease.
 const contendInterval = 200 * time.Millisecond
 
-// contend lets this router contend for the lease while it is the first of its region, or of
-// its zone if there is one region, or reads in place of one that is cut off: a few routers
-// are enough, and each contender costs calls. A holder goes on, so that the lease does not
-// change hands without need.
+// contend lets this router contend for the lease while it is the first of its region (of its
+// zone if there is one region), or reads the store in place of a partitioned one: each
+// contender costs calls, and a few are enough. A holder keeps contending, so that the lease
+// does not change hands needlessly.
 func (n *Node) contend(ctx context.Context) {
 	wait.Every(ctx, contendInterval, func() {
 		n.lease.Contend(!n.stopping.Load() && (n.holdsLease() || n.follower.contends()))
@@ -369,9 +367,8 @@
 	return err == nil
 }
 
-// listenNotifications opens the socket for notices, if this node has an address for
-// what routers tell each other.
-func (n *Node) listenNotices() (*notifier, error) {
+// listenNotifications opens the socket for notifications; it returns nil without a PeerAddr.
+func (n *Node) listenNotifications() (*notifier, error) {
 	if !n.config.PeerAddr.IsValid() {
 		return nil, nil
 	}
@@ -385,15 +382,15 @@
 	}).Info("order")
 }
 
-// Ready reports whether the node can serve: it knows a configuration that may
-// still be acted on and a list of back ends, has room for clients, and is not stopping.
+// Ready reports whether the node can serve: it has a configuration that is fresh enough and an
+// instance list, has room for clients, and is not stopping.
 func (n *Node) Ready() bool {
 	view := n.holder.View()
 	return !n.stopping.Load() && !n.clients.Full() && view.Snapshot != nil && !n.backends.ListedAt().IsZero() &&
 		view.Age(clock.Sync()) <= n.config.Forward.Freshness.Keyed
 }
 
-func (n *Node) answerReady(writer http.ResponseWriter, request *http.Request) {
+func (n *Node) serveReady(writer http.ResponseWriter, request *http.Request) {
 	switch {
 	case request.URL.Path != n.config.ReadyPath:
 		writer.WriteHeader(http.StatusNotFound)
@@ -405,14 +402,13 @@
 }
 
 const (
-	// closeMargin is kept before the end of the grace period.
+	// closeMargin is the time between the end of requests and the end of the grace period.
 	closeMargin = 500 * time.Millisecond
-	// leaveMargin is the part of closeMargin in which the row may still be removed; the
-	// rest is for the process to end.
-	leaveMargin = 350 * time.Millisecond
+	// removeRowMargin is the part of closeMargin in which the row may be removed; in the rest
+	// the process exits.
+	removeRowMargin = 350 * time.Millisecond
 )
 
-// stop ends the servers as planned.
 func (n *Node) stop(servers servers) {
 	killAt := time.Now().Add(n.config.GracePeriod - closeMargin)
 	n.stopping.Store(true)
@@ -428,9 +424,9 @@
 	for _, server := range servers {
 		_ = server.Close()
 	}
-	// The row goes last: bounds of the whole system are divided among the routers that may
-	// still send, and those that start meanwhile count the rows.
-	leave, cancelLeave := context.WithDeadline(context.Background(), killAt.Add(leaveMargin))
-	defer cancelLeave()
-	n.follower.routerList.leave(leave)
+	// The row is removed last: global bounds are divided among all routers that may still
+	// send, and starting routers count them by their rows.
+	removal, cancelRemoval := context.WithDeadline(context.Background(), killAt.Add(removeRowMargin))
+	defer cancelRemoval()
+	n.follower.routerList.leave(removal)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -20,14 +20,14 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-func gather(t *testing.T, counters *metrics) string {
+func gatherMetrics(t *testing.T, counters *metrics) string {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	counters.handler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
 	return recorder.Body.String()
 }
 
-// idleEngines never has anything to order.
+// idleEngines sends no orders, and its reports are empty.
 type idleEngines struct{}
 
 // Order implements rollout.Engines.
@@ -44,13 +44,13 @@
 	return addrtest.Free(t).String()
 }
 
-// startNode runs a node whose front answers after a pause.
+// startNode runs a node whose front handler answers after a pause.
 func startNode(t *testing.T, store *fakeStore, pause time.Duration) (config Config, stop func(), ended chan error) {
 	t.Helper()
 	return startNodeAt(t, store, pause, netip.AddrPort{})
 }
 
-// startNodeAt runs such a node that takes pulls at an address.
+// startNodeAt is startNode for a node that serves pulls at an address.
 func startNodeAt(t *testing.T, store *fakeStore, pause time.Duration, peerAddr netip.AddrPort) (config Config, stop func(), ended chan error) {
 	t.Helper()
 	config = Config{
@@ -81,7 +81,7 @@
 	return config, cancel, ended
 }
 
-// getStatus asks an address until it answers.
+// getStatus retries a request until it is answered, and returns the status.
 func getStatus(t *testing.T, address, path string) int {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -110,7 +110,7 @@
 	t.Fatalf("the readiness check of %s never answered %d but %d", config.Node, wanted, last)
 }
 
-func TestANodeIsReadyOnceItKnowsEnough(t *testing.T) {
+func TestNodeBecomesReady(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	store.down = true
@@ -124,16 +124,16 @@
 	is.NoErr(<-ended)
 }
 
-// A planned stop turns the node unready first, still takes new connections for
-// a while, and finishes what is open.
-func TestAPlannedStopCutsNoRequest(t *testing.T) {
+// A stopping node first turns unready, still accepts new connections for a while, and finishes
+// open requests.
+func TestPlannedStopFinishesRequests(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	store.reading.Revision = 1
 	config, stop, ended := startNode(t, store, 300*time.Millisecond)
 	waitForReadyStatus(t, config, http.StatusOK)
 	answers := make(chan error, 2)
-	ask := func() {
+	send := func() {
 		response, err := http.Get("http://" + config.FrontAddress + "/")
 		if err == nil {
 			_, err = io.ReadAll(response.Body)
@@ -141,17 +141,17 @@
 		}
 		answers <- err
 	}
-	go ask()
+	go send()
 	time.Sleep(50 * time.Millisecond)
 	stop()
 	waitForReadyStatus(t, config, http.StatusServiceUnavailable)
-	go ask() // the entry has not noticed yet
+	go send() // load balancers have not noticed yet
 	is.NoErr(<-answers)
 	is.NoErr(<-answers)
 	is.NoErr(<-ended)
 }
 
-func TestAnAddressInUseIsAnError(t *testing.T) {
+func TestAddressInUseIsAnError(t *testing.T) {
 	is := is.New(t)
 	taken, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/node/publicationages_test.go
+++ b/internal/node/publicationages_test.go
@@ -44,7 +44,7 @@
 		time.Sleep(4 * time.Second)
 		lists := &atomic.Int32{}
 		lists.Store(1)
-		z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
+		z.publicationTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
 		started := z.start(t.Context(), "b")
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(started.newest().Version, 4)
@@ -73,7 +73,7 @@
 			time.Sleep(6 * time.Second)
 			lists := &atomic.Int32{}
 			lists.Store(refusals)
-			z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
+			z.publicationTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
 			started := z.start(t.Context(), "b")
 			time.Sleep(4 * time.Second)
 			publication := started.newest()
--- a/internal/node/publicationfaults_test.go
+++ b/internal/node/publicationfaults_test.go
@@ -27,7 +27,7 @@
 		z.store.forget(z.store.revision())
 		lists := &atomic.Int32{}
 		lists.Store(1)
-		z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
+		z.publicationTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
 		started := z.start(t.Context(), "b")
 		time.Sleep(time.Minute)
 		is.Equal(started.newest().Version, 3)
@@ -70,7 +70,7 @@
 		z := newZone()
 		z.store.publishOf(model, 2)
 		z.store.publishOf(otherModel, 2)
-		z.namingTable = &refusingTable{fakeStore: z.store, noWrite: publicationPrefix + string(otherModel)}
+		z.publicationTable = &refusingTable{fakeStore: z.store, noWrite: publicationPrefix + string(otherModel)}
 		z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
 		z.store.publishOf(otherModel, 3, 2)
@@ -78,7 +78,7 @@
 		z.store.publishOf(model, 3)
 		time.Sleep(500 * time.Millisecond)
 		z.kill("a")
-		z.namingTable = z.store
+		z.publicationTable = z.store
 		started := z.start(t.Context(), "b")
 		time.Sleep(time.Minute)
 		is.Equal(started.newestOf(model), 3)
@@ -103,7 +103,7 @@
 		z.kill("a")
 		lists := &atomic.Int32{}
 		lists.Store(1)
-		z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix + string(otherModel), failLists: lists}
+		z.publicationTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix + string(otherModel), failLists: lists}
 		started := z.start(t.Context(), "b")
 		time.Sleep(time.Minute)
 		is.Equal(started.newestOf(model), 3)
@@ -184,7 +184,7 @@
 		is := is.New(t)
 		z := newPublishedZone()
 		commits := &atomic.Int32{}
-		z.namingTable = &countingTable{refusingTable{fakeStore: z.store, noWrite: publicationPrefix}, commits}
+		z.publicationTable = &countingTable{refusingTable{fakeStore: z.store, noWrite: publicationPrefix}, commits}
 		running := z.start(t.Context(), "a")
 		time.Sleep(3 * time.Second)
 		for version := range 16 {
--- a/internal/node/publicationmarkfaults_test.go
+++ b/internal/node/publicationmarkfaults_test.go
@@ -38,7 +38,7 @@
 		z, publishedAt := publishedWhileDown(t)
 		fail := &atomic.Int32{}
 		fail.Store(1)
-		z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: fail}
+		z.publicationTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: fail}
 		started := z.start(t.Context(), "c")
 		time.Sleep(15 * time.Second)
 		publication := started.newest()
@@ -156,7 +156,7 @@
 		for i := range 100 {
 			z.store.publishOf(ident.Model(fmt.Sprint("m", i)), 1)
 		}
-		z.namingTable = &limitedTable{z.store}
+		z.publicationTable = &limitedTable{z.store}
 		z.start(t.Context(), "a")
 		time.Sleep(10 * time.Second)
 		_, marked, err := z.store.Read(t.Context(), publicationPrefix+string(model)+"/"+markKey)
--- a/internal/node/publicationmarkpeer_test.go
+++ b/internal/node/publicationmarkpeer_test.go
@@ -16,11 +16,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			z := newPublishedZone()
-			z.namingTable = &refusingTable{fakeStore: z.store, noWrite: publicationPrefix + string(model) + "/3"}
+			z.publicationTable = &refusingTable{fakeStore: z.store, noWrite: publicationPrefix + string(model) + "/3"}
 			z.start(t.Context(), "a")
 			time.Sleep(20 * time.Millisecond)
 			fail := &atomic.Int32{}
-			z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: fail}
+			z.publicationTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: fail}
 			z.start(t.Context(), "b")
 			time.Sleep(20 * time.Second)
 			publishedAt := time.Now()
@@ -30,7 +30,7 @@
 			z.kill("a")
 			time.Sleep(uptime)
 			z.kill("b")
-			z.namingTable = z.store
+			z.publicationTable = z.store
 			time.Sleep(500 * time.Millisecond)
 			started := z.start(t.Context(), "c")
 			time.Sleep(2 * time.Second)
--- a/internal/node/publicationpause_test.go
+++ b/internal/node/publicationpause_test.go
@@ -111,7 +111,7 @@
 		z.kill("a")
 		lists := &atomic.Int32{}
 		lists.Store(1)
-		z.namingTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
+		z.publicationTable = &refusingTable{fakeStore: z.store, noList: publicationPrefix, failLists: lists}
 		z.beforeStart = func(_ context.Context, running *zoneRouter) {
 			left := &atomic.Int32{}
 			left.Store(1)
--- a/internal/node/publicationwatch_test.go
+++ b/internal/node/publicationwatch_test.go
@@ -132,9 +132,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := newPublishedZone()
-		z.namingTable = &unavailableTable{fakeStore: z.store, downUntil: time.Now().Add(time.Hour)}
+		z.publicationTable = &unavailableTable{fakeStore: z.store, downUntil: time.Now().Add(time.Hour)}
 		z.start(t.Context(), "a")
-		z.namingTable = z.store
+		z.publicationTable = z.store
 		time.Sleep(20 * time.Millisecond) // a is the first
 		second := z.start(t.Context(), "b")
 		time.Sleep(3 * time.Second)
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -13,7 +13,7 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// quarantines keeps requests from back ends under which these crash, as forward.Quarantine.
+// quarantines withholds requests under which back ends crash.
 type quarantines struct {
 	*guard.Guard
 	engines  rollout.Engines
@@ -24,36 +24,36 @@
 
 // ObserveBroken implements forward.Quarantine.
 func (q *quarantines) ObserveBroken(now time.Time, request *quarantine.Subject, at backend.Record) {
-	q.Guard.ObserveBroken(now, request, q.place(at))
+	q.Guard.ObserveBroken(now, request, q.target(at))
 }
 
 // ObserveAbandoned implements forward.Quarantine.
 func (q *quarantines) ObserveAbandoned(now time.Time, request *quarantine.Subject, at backend.Record) {
-	q.Guard.ObserveAbandoned(now, request, q.place(at))
+	q.Guard.ObserveAbandoned(now, request, q.target(at))
 }
 
 // ObserveUnreachable implements forward.Quarantine.
 func (q *quarantines) ObserveUnreachable(now time.Time, at backend.Record) {
-	q.Guard.ObserveUnreachable(now, q.place(at))
+	q.Guard.ObserveUnreachable(now, q.target(at))
 }
 
-// place returns the life of a back end that a record names.
-func (q *quarantines) place(at backend.Record) guard.Target {
-	return guard.Target{Incarnation: at.Instance, Probe: func(ctx context.Context, brokeAt time.Time) guard.ProbeResult {
-		return q.look(ctx, at, brokeAt)
+// target returns the incarnation of a record and how to probe it.
+func (q *quarantines) target(at backend.Record) guard.Target {
+	return guard.Target{Incarnation: at.Instance, Probe: func(ctx context.Context, brokenAt time.Time) guard.ProbeResult {
+		return q.probe(ctx, at, brokenAt)
 	}}
 }
 
-// look asks a back end once what became of its life. While older attempts of this router are open
-// there, its process runs: a crash breaks all connections.
-func (q *quarantines) look(ctx context.Context, at backend.Record, brokeAt time.Time) guard.ProbeResult {
+// probe asks a back end once whether its incarnation still runs. A refused connection proves
+// nothing while an older attempt is open there: a crash breaks all connections.
+func (q *quarantines) probe(ctx context.Context, at backend.Record, brokenAt time.Time) guard.ProbeResult {
 	_, err := q.engines.Report(ctx, at)
 	switch {
 	case err == nil:
 		return guard.ProbeAlive
 	case errors.Is(err, rollout.ErrOtherInstance):
 		return guard.ProbeEnded
-	case errors.Is(err, syscall.ECONNREFUSED) && !q.backends.InFlightBefore(at.Instance, brokeAt):
+	case errors.Is(err, syscall.ECONNREFUSED) && !q.backends.InFlightBefore(at.Instance, brokenAt):
 		return guard.ProbeRefused
 	default:
 		return guard.ProbeInconclusive
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -14,7 +14,7 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// failingReports are engines whose reports fail in one way, or come.
+// failingReports are engines whose reports fail with err, or succeed if it is nil.
 type failingReports struct {
 	idleEngines
 	err error
@@ -25,17 +25,17 @@
 	return &rollout.Report{}, e.err
 }
 
-func TestWhatAReportSaysOfALife(t *testing.T) {
+func TestProbeOfIncarnation(t *testing.T) {
 	refused := &exchange.Error{Cause: syscall.ECONNREFUSED}
 	tests := []struct {
 		name string
 		err  error
-		// open says that an attempt from before is open there.
+		// open is true if an older attempt is open there.
 		open bool
 		want guard.ProbeResult
 	}{
 		{"it answers", nil, false, guard.ProbeAlive},
-		{"another life answers", rollout.ErrOtherInstance, false, guard.ProbeEnded},
+		{"another incarnation answers", rollout.ErrOtherInstance, false, guard.ProbeEnded},
 		{"connections are refused", refused, false, guard.ProbeRefused},
 		{"refused while an older attempt is open", refused, true, guard.ProbeInconclusive},
 		{"silence", context.DeadlineExceeded, false, guard.ProbeInconclusive},
@@ -53,13 +53,13 @@
 				is.True(found)
 			}
 			q := &quarantines{engines: failingReports{err: tt.err}, backends: backends}
-			is.Equal(q.place(record).Probe(t.Context(), now.Add(time.Second)), tt.want)
+			is.Equal(q.target(record).Probe(t.Context(), now.Add(time.Second)), tt.want)
 		})
 	}
 }
 
-// What ran at a back end that is leaving, or that is not listed any more, has not crashed it.
-func TestBackEndsThatLeave(t *testing.T) {
+// The end of a back end that is draining or unlisted is no crash.
+func TestDrainingOrUnlistedBackends(t *testing.T) {
 	is := is.New(t)
 	backends := backend.NewRegistry(backend.Config{})
 	backends.ApplyList(time.Now(), []backend.Record{{Instance: "a", Service: "s"}, {Instance: "b", Service: "s", Draining: true}})
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -18,59 +18,59 @@
 )
 
 const (
-	// quotaTick is the time between two looks at which hellos are due.
+	// quotaTick is the time between two checks which hellos are due.
 	quotaTick = 50 * time.Millisecond
-	// askTick is the time between two looks at an answer that is awaited; answers come
-	// within a few ms, and are asked for again after 30ms or more.
-	askTick = 15 * time.Millisecond
+	// pendingTick is the time between two checks whether an unanswered reservation is to be
+	// requested again.
+	pendingTick = 15 * time.Millisecond
 )
 
-// quotas runs one quota.Agent of this router. It implements forward.Quotas.
+// quotas runs one quota.Agent of this router.
 type quotas struct {
-	// name says in the log what has the limits.
+	// name is the subject of the limits, for the log.
 	name string
 	// send sends a message to another router; it may be nil if there are none.
 	send func(quota.Envelope)
-	// routers returns the number of all routers, 0 if it is not known.
+	// routers returns the number of all routers, 0 if unknown.
 	routers func() int
 	// limited reports whether anything has a limit; it is used by run.
 	limited func() bool
-	// count is called with the verdict on each claim.
-	count func(claim *quota.Reservation, verdict quota.Result)
+	// onResult is called with the result of each reservation.
+	onResult func(reservation *quota.Reservation, result quota.Result)
 
 	mu      sync.Mutex
 	agent   *quota.Agent
 	leader  netip.AddrPort
-	active  bool
+	member  bool
 	waiting map[uint64]chan quota.Result
 }
 
 var _ forward.Quotas = (*quotas)(nil)
 
 // Acquire implements forward.Quotas.
-func (q *quotas) Acquire(ctx context.Context, claim quota.Reservation) quota.Result {
-	verdict := q.take(ctx, claim)
-	q.count(&claim, verdict)
-	return verdict
+func (q *quotas) Acquire(ctx context.Context, reservation quota.Reservation) quota.Result {
+	result := q.acquire(ctx, reservation)
+	q.onResult(&reservation, result)
+	return result
 }
 
-func (q *quotas) take(ctx context.Context, claim quota.Reservation) quota.Result {
+func (q *quotas) acquire(ctx context.Context, reservation quota.Reservation) quota.Result {
 	decided := make(chan quota.Result, 1)
 	var id uint64
-	q.use(func(now time.Time) {
-		id = q.agent.Acquire(now, claim)
+	q.withAgent(func(now time.Time) {
+		id = q.agent.Acquire(now, reservation)
 		q.waiting[id] = decided
 	})
-	ticker := time.NewTicker(askTick)
+	ticker := time.NewTicker(pendingTick)
 	defer ticker.Stop()
 	for {
 		select {
-		case verdict := <-decided:
-			return verdict
+		case result := <-decided:
+			return result
 		case <-ticker.C:
-			q.use(q.agent.Tick)
+			q.withAgent(q.agent.Tick)
 		case <-ctx.Done():
-			q.use(func(time.Time) {
+			q.withAgent(func(time.Time) {
 				q.agent.Cancel(id)
 				delete(q.waiting, id)
 			})
@@ -81,16 +81,16 @@
 
 // Release implements forward.Quotas.
 func (q *quotas) Release(grant quota.Grant) {
-	q.use(func(time.Time) { q.agent.Release(grant) })
+	q.withAgent(func(time.Time) { q.agent.Release(grant) })
 }
 
-// receive takes in a message of another router.
+// receive handles a message of another router.
 func (q *quotas) receive(from netip.AddrPort, msg quota.Message) {
-	q.use(func(now time.Time) { q.agent.Receive(now, from, msg) })
+	q.withAgent(func(now time.Time) { q.agent.Receive(now, from, msg) })
 }
 
-// know takes in this router's row and those of the others.
-func (q *quotas) know(self upstream.Peer, peers []upstream.Peer) {
+// setRouters sets this router's row and those of the others. Only older ones may lead the pool.
+func (q *quotas) setRouters(self upstream.Peer, peers []upstream.Peer) {
 	older := slices.DeleteFunc(slices.Clone(peers), func(peer upstream.Peer) bool {
 		return peer.Revision >= self.Revision || peer.Node == self.Node
 	})
@@ -99,7 +99,7 @@
 	for _, peer := range older {
 		addrs = append(addrs, peer.Addr)
 	}
-	q.use(func(time.Time) { q.agent.SetRouters(self.Revision, addrs) })
+	q.withAgent(func(time.Time) { q.agent.SetRouters(self.Revision, addrs) })
 }
 
 // members returns the number of routers that are members of this router's pool.
@@ -111,20 +111,20 @@
 
 // run keeps this router in a pool until ctx ends, while anything has a limit.
 func (q *quotas) run(ctx context.Context) {
-	wait.Every(ctx, quotaTick, func() { q.keep(q.limited()) })
-	q.keep(false)
+	wait.Every(ctx, quotaTick, func() { q.updateMembership(q.limited()) })
+	q.updateMembership(false)
 }
 
-// keep keeps this router in a pool, or takes it out of one that is not needed any more. It is
-// called by one goroutine.
-func (q *quotas) keep(limited bool) {
+// updateMembership keeps this router in a pool while anything is limited, and leaves the pool
+// after that. It is called by one goroutine.
+func (q *quotas) updateMembership(limited bool) {
 	switch {
 	case limited:
-		q.active = true
-		q.use(q.agent.Tick)
-	case q.active:
-		q.active = false
-		q.use(func(time.Time) { q.agent.Stop() })
+		q.member = true
+		q.withAgent(q.agent.Tick)
+	case q.member:
+		q.member = false
+		q.withAgent(func(time.Time) { q.agent.Stop() })
 	}
 }
 
@@ -135,12 +135,13 @@
 	return q.agent.Shared()
 }
 
-// use uses the agent, and carries out what it wants.
-func (q *quotas) use(use func(now time.Time)) {
+// withAgent calls a function that uses the agent, then delivers the agent's decisions and
+// messages.
+func (q *quotas) withAgent(call func(now time.Time)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.agent.SetRouterCount(q.routers())
-	use(clock.Now())
+	call(clock.Now())
 	out, done := q.agent.Flush()
 	for _, decision := range done {
 		if decided := q.waiting[decision.ID]; decided != nil {
@@ -157,7 +158,7 @@
 	}
 }
 
-// newQuotas returns the quotas of a router.
+// newQuotas completes and returns q.
 func newQuotas(cfg quota.Config, q *quotas) *quotas {
 	cfg.FirstID = rand.Uint64() >> 1
 	q.agent = quota.NewAgent(cfg)
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -16,14 +16,14 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// quotaRouter is a router with its socket, as far as limits go.
+// quotaRouter is the part of a router that handles quotas, with its socket.
 type quotaRouter struct {
 	peer   upstream.Peer
 	quotas *quotas
 	stop   context.CancelFunc
 }
 
-// startQuotas starts routers that know those that joined before them.
+// startQuotas starts routers that each know the older ones.
 func startQuotas(t *testing.T, count int, limited func() bool) []*quotaRouter {
 	t.Helper()
 	var routers []*quotaRouter
@@ -39,16 +39,16 @@
 		cfg := quota.Config{Self: addr, Bounds: quota.Bounds{Window: 8 * time.Second, Overshoot: 0.1}}
 		router := &quotaRouter{peer: peer, quotas: newQuotas(cfg, &quotas{
 			send: socket.sendQuota, routers: func() int { return count }, limited: limited,
-			count: newMetrics(func() reading { return reading{} }).tenantClaim,
+			onResult: newMetrics(func() gaugeValues { return gaugeValues{} }).countTenantReservation,
 		})}
 		socket.quotas = router.quotas
 		ctx, stop := context.WithCancel(t.Context())
 		router.stop = stop
-		router.quotas.know(peer, peers)
+		router.quotas.setRouters(peer, peers)
 		var running sync.WaitGroup
 		running.Go(func() { socket.listen(ctx) })
 		running.Go(func() { router.quotas.run(ctx) })
-		// What they log must not meet another test's log.
+		// They must not log during another test.
 		t.Cleanup(func() {
 			stop()
 			running.Wait()
@@ -58,37 +58,37 @@
 	return routers
 }
 
-func claimOf(amount float64) quota.Reservation {
+func reservationOf(amount float64) quota.Reservation {
 	return quota.Reservation{Subject: "t", Limit: quota.Limit{Rate: 1e6, Burst: 1e6}, Version: 1, Amount: amount}
 }
 
-// Routers ask the oldest one over their sockets, and the next one when it is gone.
-func TestRoutersAskTheOldestForGrants(t *testing.T) {
+// Reservations are granted by the oldest router over sockets, and by the next one after its end.
+func TestOldestRouterGrantsReservations(t *testing.T) {
 	is := is.New(t)
 	routers := startQuotas(t, 4, func() bool { return true })
 	eventually(t, func() bool { return routers[0].quotas.members() == 4 })
 	for _, router := range routers {
 		eventually(t, func() bool {
-			granted, ok := router.quotas.Acquire(t.Context(), claimOf(1)).(quota.Granted)
+			granted, ok := router.quotas.Acquire(t.Context(), reservationOf(1)).(quota.Granted)
 			return ok && granted.Grant.Leader == routers[0].peer.Addr
 		})
 	}
-	denied, ok := routers[3].quotas.Acquire(t.Context(), claimOf(1e9)).(quota.Denied)
+	denied, ok := routers[3].quotas.Acquire(t.Context(), reservationOf(1e9)).(quota.Denied)
 	is.True(ok)
 	is.True(denied.RetryAfter > 0)
 	routers[0].stop()
 	eventually(t, func() bool {
-		granted, ok := routers[3].quotas.Acquire(t.Context(), claimOf(1)).(quota.Granted)
+		granted, ok := routers[3].quotas.Acquire(t.Context(), reservationOf(1)).(quota.Granted)
 		return ok && granted.Grant.Leader == routers[1].peer.Addr
 	})
 	eventually(t, func() bool {
-		// The others notice by hellos, some hundred ms apart.
+		// The others notice it with their hellos, some hundred ms apart.
 		time.Sleep(quotaTick / 10)
 		return routers[1].quotas.members() == 3
 	})
 }
 
-func TestWithoutLimitsRoutersTellEachOtherNothing(t *testing.T) {
+func TestNoQuotaMessagesWithoutLimits(t *testing.T) {
 	is := is.New(t)
 	routers := startQuotas(t, 2, func() bool { return false })
 	time.Sleep(2 * quotaTick)
@@ -97,14 +97,14 @@
 	}
 }
 
-func TestAClaimEndsWithItsRequest(t *testing.T) {
+func TestReservationEndsWithRequest(t *testing.T) {
 	is := is.New(t)
 	routers := startQuotas(t, 1, func() bool { return true })
 	// The older router never answers.
-	routers[0].quotas.know(upstream.Peer{Node: "n0", Revision: 2}, []upstream.Peer{{Node: "x", Addr: routers[0].peer.Addr, Revision: 1}})
+	routers[0].quotas.setRouters(upstream.Peer{Node: "n0", Revision: 2}, []upstream.Peer{{Node: "x", Addr: routers[0].peer.Addr, Revision: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	routers[0].quotas.Acquire(ctx, claimOf(1))
+	routers[0].quotas.Acquire(ctx, reservationOf(1))
 	routers[0].quotas.mu.Lock()
 	defer routers[0].quotas.mu.Unlock()
 	is.Equal(len(routers[0].quotas.waiting), 0)
--- a/internal/node/reference_test.go
+++ b/internal/node/reference_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Every event that the code logs is described, and every described one logged.
+// Every event that the code logs is described, and every described one is logged.
 func TestEventsAreDescribed(t *testing.T) {
 	is := is.New(t)
 	described := map[string]bool{}
@@ -67,7 +67,7 @@
 	}
 }
 
-// collectEvents notes the texts given to Info and Warn.
+// collectEvents adds the literal arguments of Info and Warn.
 func collectEvents(t *testing.T, path string, logged map[string]bool) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -94,12 +94,12 @@
 	kept := memory.New()
 	log.SetHandler(kept)
 	defer log.SetHandler(log.HandlerFunc(func(*log.Entry) error { return nil }))
-	counters := newMetrics(func() reading { return reading{} })
+	counters := newMetrics(func() gaugeValues { return gaugeValues{} })
 	step := forward.Step{
 		Kind: forward.StepAttemptEnded, Request: "r", Route: "route", ConfigurationVersion: 3, ConfigurationAge: time.Second,
 		Choice: backend.Choice{Record: backend.Record{Instance: "i"}}, Outcome: backend.Silent, Attempt: 2,
 	}
-	recorder := recordTo(counters)
+	recorder := stepRecorder(counters)
 	recorder(step)
 	recorder(forward.Step{Kind: forward.StepRefused, Request: "r", Fault: fault.New(fault.NotReady, "x")})
 	is.Equal(len(kept.Entries), 2)
@@ -107,19 +107,19 @@
 	is.Equal(kept.Entries[0].Fields["outcome"], "silent")
 	is.Equal(kept.Entries[0].Fields["config_age_ms"], int64(1000))
 	is.Equal(kept.Entries[1].Fields["ran"], fault.RanNo)
-	gathered := gather(t, counters)
+	gathered := gatherMetrics(t, counters)
 	is.True(strings.Contains(gathered, `fieldpond_edge_attempts_total{outcome="silent"} 1`))
 	is.True(strings.Contains(gathered, `fieldpond_edge_refusals_total{kind="not_ready",ran="no"} 1`))
 	is.True(strings.Contains(gathered, `fieldpond_edge_requests_total{end="refused"} 1`))
 }
 
-// Attempts are told apart by release while releases are bounded, and only then.
+// Attempts are counted and logged by release only while releases are restricted.
 func TestAttemptsAreCountedByRelease(t *testing.T) {
 	tests := []struct {
 		name     string
 		releases backend.Releases
-		// says is the field that tells where the attempt was allowed to go.
-		says any
+		// wantField is the field "releases".
+		wantField any
 	}{
 		{"any", backend.Releases{}, nil},
 		{"on trial", backend.Releases{Only: "v2", MaxBackends: 3}, "only v2, 3 of its back ends"},
@@ -132,14 +132,14 @@
 			kept := memory.New()
 			log.SetHandler(kept)
 			defer log.SetHandler(log.HandlerFunc(func(*log.Entry) error { return nil }))
-			counters := newMetrics(func() reading { return reading{} })
-			recordTo(counters)(forward.Step{
+			counters := newMetrics(func() gaugeValues { return gaugeValues{} })
+			stepRecorder(counters)(forward.Step{
 				Kind: forward.StepAttemptEnded, Request: "r", Outcome: backend.Failed,
 				Choice: backend.Choice{Record: backend.Record{Instance: "i", Service: "s", Release: "v2"}, Releases: tt.releases},
 			})
-			is.Equal(kept.Entries[0].Fields["releases"], tt.says)
-			counted := strings.Contains(gather(t, counters), `fieldpond_edge_release_attempts_total{outcome="failed",release="v2",service="s"} 1`)
-			is.Equal(counted, tt.says != nil)
+			is.Equal(kept.Entries[0].Fields["releases"], tt.wantField)
+			counted := strings.Contains(gatherMetrics(t, counters), `fieldpond_edge_release_attempts_total{outcome="failed",release="v2",service="s"} 1`)
+			is.Equal(counted, tt.wantField != nil)
 		})
 	}
 }
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -9,49 +9,49 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// knownRollouts is what a router knows of the operator's orders and of their states, as
-// some router read them. It is immutable.
+// knownRollouts are the operator's orders and their states, as read by some router. It is
+// immutable.
 type knownRollouts struct {
 	orders []canary.Order
 	states []canary.State
-	// storeTime is the store's own time at readAt, when the orders were read; at absent
-	// the newest of them was not there yet, 0 if that is not known.
+	// storeTime is the store's own time at readAt, when the orders were read; at absentAt, a
+	// time of the store as well, the newest order was not there yet, 0 if unknown.
 	storeTime, absentAt time.Duration
 	readAt              time.Time
 	// statesAt is when the states were read, zero if they were not.
 	statesAt time.Time
 }
 
-// peerRollouts returns what a peer told as of a time, or nil.
-func peerRollouts(told *upstream.Rollouts, at time.Time) *knownRollouts {
-	if told == nil {
+// peerRollouts returns the rollouts received from a peer at a time, or nil.
+func peerRollouts(received *upstream.Rollouts, at time.Time) *knownRollouts {
+	if received == nil {
 		return nil
 	}
 	known := &knownRollouts{
-		orders: told.Known.Orders, states: told.Known.States, storeTime: told.StoreTime, absentAt: told.Absent,
-		readAt: at.Add(-told.Age),
+		orders: received.Known.Orders, states: received.Known.States, storeTime: received.StoreTime, absentAt: received.Absent,
+		readAt: at.Add(-received.Age),
 	}
-	if told.StatesAge >= 0 {
-		known.statesAt = at.Add(-told.StatesAge)
+	if received.StatesAge >= 0 {
+		known.statesAt = at.Add(-received.StatesAge)
 	}
 	return known
 }
 
-// forPeer returns what is told to a peer, nil where there is no order.
+// forPeer returns the rollouts as sent to a peer, nil if there are none.
 func (k *knownRollouts) forPeer(now time.Time) *upstream.Rollouts {
 	if k == nil {
 		return nil
 	}
-	told := &upstream.Rollouts{
+	update := &upstream.Rollouts{
 		Known: k.known(), StoreTime: k.storeTime, Absent: k.absentAt, Age: max(now.Sub(k.readAt), 0), StatesAge: -1,
 	}
 	if !k.statesAt.IsZero() {
-		told.StatesAge = max(now.Sub(k.statesAt), 0)
+		update.StatesAge = max(now.Sub(k.statesAt), 0)
 	}
-	return told
+	return update
 }
 
-// known returns the orders and states; there may be none.
+// known returns the orders and states; k may be nil.
 func (k *knownRollouts) known() canary.Known {
 	if k == nil {
 		return canary.Known{}
@@ -70,19 +70,19 @@
 	return revision
 }
 
-// pending reports whether an order has no final state that is known, or a rollout has not
-// ended though its order is withdrawn.
+// pending reports whether an order has no known final state, or a rollout whose order is
+// withdrawn has not ended.
 func (k *knownRollouts) pending() bool {
 	if k == nil {
 		return false
 	}
 	return len(k.withdrawn()) > 0 || slices.ContainsFunc(k.orders, func(order canary.Order) bool {
-		state := stateOf(k.states, order.Service)
+		state := findState(k.states, order.Service)
 		return state == nil || !state.Phase.Final() || state.Order.Revision < order.Revision
 	})
 }
 
-// withdrawn returns the services whose rollouts have not ended and have no order any more.
+// withdrawn returns the services whose unfinished rollouts have no order any more.
 func (k *knownRollouts) withdrawn() []ident.Service {
 	var services []ident.Service
 	for index := range k.states {
@@ -95,42 +95,42 @@
 	return services
 }
 
-// merge returns what two routers' reads tell together: the newer orders, and the newer
-// states. A final phase stays, whichever told it.
+// merge returns the newer orders and the newer states of two reads. A final phase of either
+// is kept. If k or other is nil, it returns other.
 func (k *knownRollouts) merge(other *knownRollouts) *knownRollouts {
 	if k == nil || other == nil {
 		return other
 	}
-	joined := *other
+	merged := *other
 	if k.readAt.After(other.readAt) {
-		joined = *k
+		merged = *k
 	}
 	older, newer := k, other
 	if older.statesAt.After(newer.statesAt) {
 		older, newer = newer, older
 	}
-	joined.states, joined.statesAt = joinStates(older.states, newer.states), newer.statesAt
-	return &joined
+	merged.states, merged.statesAt = mergeStates(older.states, newer.states), newer.statesAt
+	return &merged
 }
 
-// joinStates returns the newer states, and those of the older ones that are final or
-// missing among the newer.
-func joinStates(older, newer []canary.State) []canary.State {
-	joined := slices.Clone(newer)
+// mergeStates returns the newer states, with older ones that are final or missing among the
+// newer.
+func mergeStates(older, newer []canary.State) []canary.State {
+	merged := slices.Clone(newer)
 	for _, state := range older {
-		known := stateOf(joined, state.Order.Service)
+		known := findState(merged, state.Order.Service)
 		switch {
 		case known == nil:
-			joined = append(joined, state)
+			merged = append(merged, state)
 		case state.Phase.Final() && state.Order.Revision >= known.Order.Revision:
 			*known = state
 		}
 	}
-	return joined
+	return merged
 }
 
-// stateOf returns the state of a service's newest rollout, or nil.
-func stateOf(states []canary.State, service ident.Service) *canary.State {
+// findState returns the state of a service's newest rollout, or nil.
+func findState(states []canary.State, service ident.Service) *canary.State {
 	for index := range states {
 		if states[index].Order.Service == service {
 			return &states[index]
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// idleTimeout is how long a resting connection is kept that is not a client's.
+	// idleTimeout bounds how long an idle connection is kept, except those of clients.
 	idleTimeout = 2 * time.Minute
 	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 30 * time.Second
 )
 
-// server is one HTTP server of a node with what it listens on.
+// server is one HTTP server of a node and its listener.
 type server struct {
 	*http.Server
 	purpose  string
 	listener net.Listener
-	// clients bounds the connections; it is nil at servers that clients do not reach.
+	// clients bounds the connections; it is nil except at the server of client requests.
 	clients *inbound.Clients
 }
 
-// servers are the HTTP servers of a node; the first takes client requests.
+// servers are the HTTP servers of a node; the first serves client requests.
 type servers []*server
 
 func (n *Node) servers() servers {
 	forwarder := forward.New(n.config.Forward, forward.Dependencies{
-		Holder: n.holder, Backends: n.backends, Caller: n.ports.Caller, Record: recordTo(n.metrics),
+		Holder: n.holder, Backends: n.backends, Caller: n.ports.Caller, Record: stepRecorder(n.metrics),
 		Routers: n.follower.replica.Routers, Sharers: n.follower.replica.Sharers, Caches: n.follower.replica.caches, Quotas: n.quotas,
-		Releases: n.releases(), Quarantine: n.quarantines, Limits: n.backendLimits(), Notifier: n.news,
+		Releases: n.releases(), Quarantine: n.quarantines, Limits: n.backendLimits(), Notifier: n.updates,
 	})
 	all := servers{
 		n.newFront(forwarder),
-		newServer("readiness checks", n.config.ReadyAddress, http.HandlerFunc(n.answerReady)),
+		newServer("readiness checks", n.config.ReadyAddress, http.HandlerFunc(n.serveReady)),
 	}
 	if n.config.PeerAddr.IsValid() {
 		peers := upstream.NewServer(n.follower.replica, n.follower.chain.observeFollower)
@@ -56,7 +56,7 @@
 	return all
 }
 
-// releases returns what guards services that are moved to another release, if anything.
+// releases returns the canaries, nil if canary rollouts are disabled.
 func (n *Node) releases() forward.Releases {
 	if n.canaries == nil {
 		return nil
@@ -64,8 +64,8 @@
 	return n.canaries
 }
 
-// newFront returns the server of client requests. Its connections are bounded by
-// what keeps them, so that net/http sets no deadlines on them.
+// newFront returns the server of client requests. Its connections are bounded by n.clients
+// in place of the timeouts of net/http.
 func (n *Node) newFront(forwarder *forward.Forwarder) *server {
 	var handler http.Handler
 	if n.ports.Front != nil {
@@ -74,19 +74,18 @@
 	return &server{
 		purpose: "client requests", clients: n.clients,
 		Server: &http.Server{
-			Addr: n.config.FrontAddress, Handler: handler, ErrorLog: quietLog,
+			Addr: n.config.FrontAddress, Handler: handler, ErrorLog: discardLog,
 			ConnContext: n.clients.ConnContext, ConnState: n.clients.ConnState,
 		},
 	}
 }
 
-// sweepClients closes the connections of clients that rest for too long, until ctx
-// ends.
+// sweepClients closes client connections that are idle for too long, until ctx ends.
 func (n *Node) sweepClients(ctx context.Context) {
 	wait.Every(ctx, inbound.SweepInterval, func() { n.clients.Sweep(clock.Now()) })
 }
 
-// clientLimits returns the bounds that the configuration in force sets on clients.
+// clientLimits returns the limits of clients in the configuration in force.
 func (n *Node) clientLimits() inbound.Limits {
 	snapshot := n.holder.View().Snapshot
 	if snapshot == nil {
@@ -97,11 +96,11 @@
 
 func newServer(purpose, address string, handler http.Handler) *server {
 	return &server{purpose: purpose, Server: &http.Server{
-		Addr: address, Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: quietLog,
+		Addr: address, Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: discardLog,
 	}}
 }
 
-// listen opens all listeners, or none.
+// listen opens all listeners; if one fails it closes the others.
 func (s servers) listen() error {
 	for index, opening := range s {
 		listener, err := net.Listen("tcp4", opening.Addr)
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// close closes the listeners of servers that do not serve yet.
+// close closes the listeners of servers that are not serving yet.
 func (s servers) close() {
 	for _, opened := range s {
 		_ = opened.listener.Close()
--- a/internal/node/leave_test.go
+++ b/internal/node/shutdown_test.go
@@ -1,9 +1,7 @@
 package node
 
-// Users lost requests on days on which routers are restarted in turn: a router that
-// joined while the first one of its zone stopped took that one for a peer that is up, since
-// it answers pulls to its end. It did not contend for the lease, and the one that stopped
-// did not either: nobody gave orders for seconds.
+// Guards against a time without a holder of the lease: a router that is shutting down still
+// answers pulls, but its peers must not count on it as the first of the zone.
 
 import (
 	"net/netip"
@@ -17,17 +15,17 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-func (z *zone) leave(nodes ...ident.Node) {
+func (z *zone) shutDown(nodes ...ident.Node) {
 	for _, node := range nodes {
 		z.routers[node].follower.advertiseShutdown()
 	}
 }
 
-func TestARouterThatJoinsWhileTheFirstOnesStopLeadsAtOnce(t *testing.T) {
+func TestJoiningRouterLeadsWhileFirstRoutersStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b")
-		z.leave("a", "b")
+		z.shutDown("a", "b")
 		joined := z.start(t.Context(), "c").follower
 		time.Sleep(100 * time.Millisecond)
 		is.True(joined.chain.leadsRegion())
@@ -37,15 +35,15 @@
 		time.Sleep(750 * time.Millisecond)
 		z.requireVersion(t, 5)
 		time.Sleep(zoneSharers.Lag)
-		is.Equal(joined.replica.Routers(), 3) // those that stop may still send
+		is.Equal(joined.replica.Routers(), 3) // stopping routers may still send
 	})
 }
 
-func TestARouterThatWasThereLeadsOnceTheFirstOnesStop(t *testing.T) {
+func TestRunningRouterLeadsOnceFirstRoutersStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b", "c", "d")
-		z.leave("a", "b")
+		z.shutDown("a", "b")
 		time.Sleep(100 * time.Millisecond)
 		is.True(z.routers["c"].follower.chain.leadsRegion())
 		is.True(!z.routers["d"].follower.chain.leadsRegion())
@@ -66,13 +64,13 @@
 	})
 }
 
-// Of routers that stop together one goes on reading the store.
-func TestAStopOfAllRoutersIsNoStorm(t *testing.T) {
+// Of routers that stop together only one reads the store.
+func TestOneRouterReadsStoreWhileAllStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		z := startZone(t, "a", "b", "c", "d", "e", "f", "g", "h")
 		for _, node := range []ident.Node{"a", "c", "e", "g", "h", "f", "d", "b"} {
-			z.leave(node)
+			z.shutDown(node)
 			time.Sleep(20 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -84,12 +82,12 @@
 	})
 }
 
-// A router whose only peers leave is supplied by them while it does not reach the store.
-func TestThoseThatLeaveSupplyARouterThatIsCutFromTheStore(t *testing.T) {
+// Peers that are shutting down supply a router that does not reach the store.
+func TestStoppingRoutersSupplyRouterWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		z := startZone(t, "a", "b")
 		z.changeRouter("b", func(r *zoneRouter) { r.cutOff = true })
-		z.leave("a")
+		z.shutDown("a")
 		time.Sleep(3 * time.Second)
 		z.writeConfiguration(5)
 		time.Sleep(750 * time.Millisecond)
@@ -97,23 +95,23 @@
 	})
 }
 
-// A node that is told to stop says so to those that pull from it, until it ends.
-func TestAStoppingNodeTellsThoseThatPull(t *testing.T) {
+// A stopping node advertises that to routers that pull from it, until it ends.
+func TestStoppingNodeAdvertisesShutdown(t *testing.T) {
 	is := is.New(t)
 	store := newFakeStore()
 	store.reading.Revision = 1
 	peer := upstream.Peer{Node: "n", Addr: netip.MustParseAddrPort(freeAddress(t))}
 	config, stop, ended := startNodeAt(t, store, 0, peer.Addr)
 	waitForReadyStatus(t, config, 200)
-	leaving := func() bool {
+	shuttingDown := func() bool {
 		update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{From: upstream.Peer{Node: "o", Revision: 1 << 40}})
 		is.NoErr(err)
 		return update.Leaving
 	}
-	is.True(!leaving())
+	is.True(!shuttingDown())
 	stop()
 	waitForReadyStatus(t, config, 503)
-	for tries := 0; !leaving(); tries++ {
+	for tries := 0; !shuttingDown(); tries++ {
 		is.True(tries < 100)
 	}
 	is.NoErr(<-ended)
