--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -61,8 +61,8 @@
 	Split       []Share
 }
 
-// Repeatable reports whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request of the route may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
@@ -100,8 +100,8 @@
 	// CountsTokens is set, else in requests.
 	Limit        quota.Limit
 	CountsTokens bool
-	// PlainTokens is what a request counts that does not tell its tokens.
-	PlainTokens float64
+	// DefaultTokens is what a request counts that does not tell its tokens.
+	DefaultTokens float64
 }
 
 // Amount returns what a request with a number of tokens, 0 for not told, uses of the
@@ -113,7 +113,7 @@
 	case tokens > 0:
 		return float64(tokens)
 	default:
-		return t.PlainTokens
+		return t.DefaultTokens
 	}
 }
 
@@ -191,8 +191,8 @@
 // Authenticates reports whether routes that are not public need a key.
 func (s *Snapshot) Authenticates() bool { return s.keys != nil }
 
-// Limited reports whether a tenant has a limit.
-func (s *Snapshot) Limited() bool { return s.limited }
+// HasTenantLimits reports whether a tenant has a limit.
+func (s *Snapshot) HasTenantLimits() bool { return s.limited }
 
 // Tenant returns the tenant that holds a key, or nil.
 func (s *Snapshot) Tenant(key string) *Tenant { return s.keys[key] }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -58,7 +58,7 @@
 		{catalog.Route{Kind: catalog.Streaming, Resumable: true}, true},
 	}
 	for _, c := range cases {
-		is.New(t).Equal(c.route.Repeatable(), c.want)
+		is.New(t).Equal(c.route.Retryable(), c.want)
 	}
 }
 
--- a/internal/catalog/tenant_test.go
+++ b/internal/catalog/tenant_test.go
@@ -16,9 +16,9 @@
 		tokens int
 		want   float64
 	}{
-		{"requests are counted", catalog.Tenant{PlainTokens: 200}, 5000, 1},
-		{"tokens are counted", catalog.Tenant{CountsTokens: true, PlainTokens: 200}, 5000, 5000},
-		{"a request that tells no tokens", catalog.Tenant{CountsTokens: true, PlainTokens: 200}, 0, 200},
+		{"requests are counted", catalog.Tenant{DefaultTokens: 200}, 5000, 1},
+		{"tokens are counted", catalog.Tenant{CountsTokens: true, DefaultTokens: 200}, 5000, 5000},
+		{"a request that tells no tokens", catalog.Tenant{CountsTokens: true, DefaultTokens: 200}, 0, 200},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			is.New(t).Equal(catalog.NewSnapshot(catalog.Content{Version: 1, Keys: tt.keys}).Limited(), tt.want)
+			is.New(t).Equal(catalog.NewSnapshot(catalog.Content{Version: 1, Keys: tt.keys}).HasTenantLimits(), tt.want)
 		})
 	}
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -155,7 +155,7 @@
 func (r *run) firstByteTimeout(choice *backend.Choice) time.Duration {
 	// Besides a release on trial there are back ends that were not compared.
 	alone := choice.Candidates < 2 && choice.Releases.MaxBackends == 0
-	if !r.route.Repeatable() || r.executions+1 >= r.route.MaxAttempts || alone {
+	if !r.route.Retryable() || r.executions+1 >= r.route.MaxAttempts || alone {
 		return 0
 	}
 	if r.route.Kind == catalog.Streaming {
--- a/internal/forward/charge_test.go
+++ b/internal/forward/charge_test.go
@@ -37,7 +37,7 @@
 func (b *fixture) limit(limit quota.Limit) {
 	limited := configuration
 	limited.Version++
-	limited.Keys = map[string]*catalog.Tenant{"key": {Name: "tenant", Limit: limit, CountsTokens: true, PlainTokens: 200}}
+	limited.Keys = map[string]*catalog.Tenant{"key": {Name: "tenant", Limit: limit, CountsTokens: true, DefaultTokens: 200}}
 	b.holder.Adopt(catalog.NewSnapshot(limited), time.Now())
 }
 
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -182,7 +182,7 @@
 		r.noRetryReason = "it has reached the maximum number of attempts"
 		return false
 	}
-	if failed.ran != fault.RanNo && !r.route.Repeatable() {
+	if failed.ran != fault.RanNo && !r.route.Retryable() {
 		r.noRetryReason = "it may not run twice"
 		return false
 	}
@@ -208,7 +208,7 @@
 		return nil
 	}
 	switch {
-	case r.executionUnknown && !r.route.Repeatable():
+	case r.executionUnknown && !r.route.Retryable():
 		return fault.New(fault.OutcomeUnknown, "the back end's answer was lost: %v; %s", failed.cause, r.noRetryReason).WithRan(fault.RanUnknown)
 	case r.executionUnknown:
 		return fault.New(fault.BackendLost, "no back end gave a complete answer: %v; %s", failed.cause, r.noRetryReason).WithRan(fault.RanUnknown)
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -149,7 +149,7 @@
 		w.copied = w.table.Copy()
 	}
 	if w.oneIn("comes back", 100) {
-		w.table.ComeBack(w.copied)
+		w.table.Restore(w.copied)
 		w.cameBack++
 	}
 }
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -118,8 +118,8 @@
 	for i := range m.Rumours {
 		sound = sound && m.Rumours[i].sound()
 	}
-	for i := range m.Signs {
-		sound = sound && m.Signs[i].sound()
+	for i := range m.Reports {
+		sound = sound && m.Reports[i].sound()
 	}
 	if m.Head != nil {
 		sound = sound && len(m.Head.Digest) <= maxAddress && len(m.Head.Holder) <= maxName
@@ -136,7 +136,7 @@
 		r.Incarnation < maxIncarnation && r.State <= Dead
 }
 
-func (s *BackendSign) sound() bool {
+func (s *BackendReport) sound() bool {
 	return s.Backend != "" && len(s.Backend) <= maxAddress && len(s.Incarnation) <= maxName &&
-		len(s.Observer) <= maxName && s.Kind >= SignLeaving && s.Kind <= SignCrashed
+		len(s.Observer) <= maxName && s.Kind >= ReportDraining && s.Kind <= ReportRestarted
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -55,11 +55,11 @@
 type signKey struct {
 	backend     string
 	incarnation ident.Incarnation
-	kind        SignKind
+	kind        ReportKind
 }
 
 type heldSign struct {
-	sign     BackendSign
+	sign     BackendReport
 	received time.Time
 	sends    int
 }
@@ -136,12 +136,12 @@
 		if each.sends >= signTransmissions || size > *budget {
 			continue
 		}
-		if len(message.Signs) == maxSignsAMessage {
+		if len(message.Reports) == maxSignsAMessage {
 			return
 		}
 		each.sends++
 		*budget -= size
-		message.Signs = append(message.Signs, each.sign)
+		message.Reports = append(message.Reports, each.sign)
 	}
 }
 
@@ -185,11 +185,11 @@
 }
 
 // Broadcast spreads a sign that this router has observed itself.
-func (m *Machine) Broadcast(now time.Time, sign BackendSign) error {
+func (m *Machine) Broadcast(now time.Time, sign BackendReport) error {
 	m.advance(now)
 	sign.Observer = m.self.Node
 	sign.ObservedAt = now.UnixMilli()
-	if err := (&Message{Kind: KindGossip, From: m.self.Node, Signs: []BackendSign{sign}}).check(); err != nil {
+	if err := (&Message{Kind: KindGossip, From: m.self.Node, Reports: []BackendReport{sign}}).check(); err != nil {
 		return err
 	}
 	if m.holdSign(sign) {
@@ -198,12 +198,12 @@
 	return nil
 }
 
-func (m *Machine) takeSigns(signs []BackendSign) {
+func (m *Machine) takeSigns(signs []BackendReport) {
 	fresh := false
 	for _, sign := range signs {
 		if m.holdSign(sign) {
 			fresh = true
-			m.event(Event{Kind: SignReceived, Sign: sign})
+			m.event(Event{Kind: ReportReceived, Report: sign})
 		}
 	}
 	if fresh {
@@ -212,7 +212,7 @@
 }
 
 // holdSign keeps a sign and reports whether it is new.
-func (m *Machine) holdSign(sign BackendSign) bool {
+func (m *Machine) holdSign(sign BackendReport) bool {
 	key := signKey{sign.Backend, sign.Incarnation, sign.Kind}
 	if known, found := m.gossip.signs[key]; found {
 		if sign.ObservedAt < known.sign.ObservedAt+signRepeat.Milliseconds() {
@@ -237,7 +237,7 @@
 func (m *Machine) expireSigns() {
 	for last := len(m.gossip.signOrder) - 1; last >= 0; last-- {
 		held := m.gossip.signOrder[last]
-		if m.now.Sub(held.received) <= m.timing.SignRetention {
+		if m.now.Sub(held.received) <= m.timing.ReportRetention {
 			return
 		}
 		m.dropSign(held)
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -25,8 +25,8 @@
 	ReconnectPeriod time.Duration
 	// DeadRetention is how long a dead member is remembered (15 min).
 	DeadRetention time.Duration
-	// SignRetention is how long a sign is remembered (60 s).
-	SignRetention time.Duration
+	// ReportRetention is how long a sign is remembered (60 s).
+	ReportRetention time.Duration
 }
 
 func (t Timing) withDefaults() Timing {
@@ -35,7 +35,7 @@
 	t.SyncPeriod = cmp.Or(max(0, t.SyncPeriod), 10*time.Second)
 	t.ReconnectPeriod = cmp.Or(max(0, t.ReconnectPeriod), 15*time.Second)
 	t.DeadRetention = cmp.Or(max(0, t.DeadRetention), 15*time.Minute)
-	t.SignRetention = cmp.Or(max(0, t.SignRetention), time.Minute)
+	t.ReportRetention = cmp.Or(max(0, t.ReportRetention), time.Minute)
 	return t
 }
 
@@ -165,7 +165,7 @@
 	}
 	m.self.FleetVersion = version
 	m.enqueue(m.self, true)
-	m.event(Event{Kind: MemberAdvanced, Member: m.self.Member})
+	m.event(Event{Kind: MemberVersionChanged, Member: m.self.Member})
 	m.raiseHead(FleetHead{Version: version, Digest: digest, Holder: m.self.Node})
 }
 
@@ -223,7 +223,7 @@
 	for i := range message.Rumours {
 		m.merge(message.Rumours[i], hearsay)
 	}
-	m.takeSigns(message.Signs)
+	m.takeSigns(message.Reports)
 	if message.Head != nil {
 		m.raiseHead(*message.Head)
 	}
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -248,7 +248,7 @@
 		node.TakeEvents()
 		node.BytesSent = 0
 	}
-	sign := membership.BackendSign{Backend: "engine-graz-1", Incarnation: "life-1", Kind: membership.SignLeaving}
+	sign := membership.BackendReport{Backend: "engine-graz-1", Incarnation: "life-1", Kind: membership.ReportDraining}
 	network.Do(network.Nodes[200], func(machine *membership.Machine, now time.Time) {
 		is.NoErr(machine.Broadcast(now, sign))
 		machine.SetFleetVersion(now, 9, "sha256-abc")
@@ -257,7 +257,7 @@
 	signs := 0
 	for _, node := range network.Nodes {
 		for _, event := range node.TakeEvents() {
-			if event.Kind == membership.SignReceived {
+			if event.Kind == membership.ReportReceived {
 				signs++
 			}
 		}
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -54,7 +54,7 @@
 		advanced := map[ident.Node]int{}
 		for _, event := range node.TakeEvents() {
 			is.True(event.Kind != membership.MemberChanged)
-			if event.Kind == membership.MemberAdvanced {
+			if event.Kind == membership.MemberVersionChanged {
 				is.Equal(event.Member.FleetVersion, uint64(3))
 				advanced[event.Member.Node]++
 			}
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -45,7 +45,7 @@
 	}
 	held.FleetVersion = rumour.FleetVersion
 	m.enqueue(held, true)
-	m.event(Event{Kind: MemberAdvanced, Member: held.Member})
+	m.event(Event{Kind: MemberVersionChanged, Member: held.Member})
 }
 
 // admit adds a member not known before. The dead are not: whoever forgot them
@@ -153,7 +153,7 @@
 		old := held.State == Dead && m.now.Sub(held.changed) > m.timing.DeadRetention
 		if old {
 			m.dequeue(held)
-			m.event(Event{Kind: MemberForgotten, Member: held.Member})
+			m.event(Event{Kind: MemberRemoved, Member: held.Member})
 		}
 		return old
 	})
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -34,27 +34,27 @@
 	FleetVersion  uint64     `cbor:"7,keyasint,omitempty"`
 }
 
-// SignKind says what was seen of a back end.
-type SignKind uint8
+// ReportKind says what was seen of a back end.
+type ReportKind uint8
 
 const (
-	// SignLeaving says that the back end announced that it stops.
-	SignLeaving SignKind = iota + 1
-	// SignDead says that the back end does not answer.
-	SignDead
-	// SignCrashed says that the back end came back as a new incarnation.
-	SignCrashed
+	// ReportDraining says that the back end announced that it stops.
+	ReportDraining ReportKind = iota + 1
+	// ReportDead says that the back end does not answer.
+	ReportDead
+	// ReportRestarted says that the back end came back as a new incarnation.
+	ReportRestarted
 )
 
-// BackendSign tells every router that a back end must be excluded. It holds no
+// BackendReport tells every router that a back end must be excluded. It holds no
 // request text. Signs are equal when Backend, Incarnation and Kind are.
-type BackendSign struct {
+type BackendReport struct {
 	// Backend is the engine or application name of the fleet file.
 	Backend string `cbor:"1,keyasint"`
 	// Incarnation is the life of the back end that the sign is about.
 	Incarnation ident.Incarnation `cbor:"2,keyasint,omitempty"`
 	// Kind says what was seen.
-	Kind SignKind `cbor:"3,keyasint"`
+	Kind ReportKind `cbor:"3,keyasint"`
 	// Observer is the router that saw it first.
 	Observer ident.Node `cbor:"4,keyasint"`
 	// ObservedAt is the observer's clock in milliseconds of the Unix epoch. It
@@ -82,11 +82,11 @@
 	// HeadVersion is the newest fleet version the sender knows of.
 	HeadVersion uint64 `cbor:"5,keyasint,omitempty"`
 	// Target names who is to answer a ping; TargetAddress where it listens.
-	Target        ident.Node    `cbor:"6,keyasint,omitempty"`
-	TargetAddress string        `cbor:"7,keyasint,omitempty"`
-	Rumours       []Rumour      `cbor:"8,keyasint,omitempty"`
-	Signs         []BackendSign `cbor:"9,keyasint,omitempty"`
-	Head          *FleetHead    `cbor:"10,keyasint,omitempty"`
+	Target        ident.Node      `cbor:"6,keyasint,omitempty"`
+	TargetAddress string          `cbor:"7,keyasint,omitempty"`
+	Rumours       []Rumour        `cbor:"8,keyasint,omitempty"`
+	Reports       []BackendReport `cbor:"9,keyasint,omitempty"`
+	Head          *FleetHead      `cbor:"10,keyasint,omitempty"`
 	// Salt seeds the digests of one exchange, so that two different buckets
 	// which collide once do not collide for ever.
 	Salt uint64 `cbor:"11,keyasint,omitempty"`
@@ -108,22 +108,22 @@
 const (
 	// MemberChanged reports a member's new record in Event.Member.
 	MemberChanged EventKind = iota + 1
-	// SignReceived reports a new sign of another router in Event.Sign.
-	SignReceived
+	// ReportReceived reports a new sign of another router in Event.Sign.
+	ReportReceived
 	// FleetHeadRaised reports a newer fleet version in Event.Head.
 	FleetHeadRaised
-	// MemberForgotten reports a dead member dropped from the view.
-	MemberForgotten
-	// MemberAdvanced reports in Event.Member that only the fleet version that a
+	// MemberRemoved reports a dead member dropped from the view.
+	MemberRemoved
+	// MemberVersionChanged reports in Event.Member that only the fleet version that a
 	// member has in force changed. It says nothing about who owns what: each
 	// change of the fleet file raises it once for every member.
-	MemberAdvanced
+	MemberVersionChanged
 )
 
 // Event is one change of what this router believes.
 type Event struct {
 	Kind   EventKind
 	Member Member
-	Sign   BackendSign
+	Report BackendReport
 	Head   FleetHead
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -172,7 +172,7 @@
 
 // Broadcast spreads a sign that this router has observed itself. Observer and
 // time are filled in.
-func (n *Node) Broadcast(ctx context.Context, sign BackendSign) error {
+func (n *Node) Broadcast(ctx context.Context, sign BackendReport) error {
 	var refusal error
 	err := n.command(ctx, func(machine *Machine, now time.Time) { refusal = machine.Broadcast(now, sign) })
 	if err != nil {
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -35,9 +35,9 @@
 	is.Equal(len(second.View().Members), 2)
 
 	is.NoErr(first.SetFleetVersion(ctx, 4, "digest"))
-	is.NoErr(first.Broadcast(ctx, BackendSign{Backend: "engine", Kind: SignDead}))
-	await(ctx, t, second, func(event Event) bool { return event.Kind == SignReceived && event.Sign.Observer == "first" })
-	is.True(fault.Is(first.Broadcast(ctx, BackendSign{}), fault.BadRequest))
+	is.NoErr(first.Broadcast(ctx, BackendReport{Backend: "engine", Kind: ReportDead}))
+	await(ctx, t, second, func(event Event) bool { return event.Kind == ReportReceived && event.Report.Observer == "first" })
+	is.True(fault.Is(first.Broadcast(ctx, BackendReport{}), fault.BadRequest))
 
 	stranger, err := net.Dial("udp", address)
 	is.NoErr(err)
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -103,7 +103,7 @@
 	}
 	newest, err := row, error(nil)
 	for _, back := range lookBacks {
-		newest, err = f.newestSince(ctx, store.Back(row.revision, back), row)
+		newest, err = f.newestSince(ctx, store.RevisionBefore(row.revision, back), row)
 		if !errors.Is(err, ErrHistoryGone) {
 			break
 		}
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -274,7 +274,7 @@
 // due returns the age at which this router reads the store itself.
 func (f *follower) due(interval time.Duration) (due time.Duration) {
 	own := f.replica.ownOrigin()
-	f.chain.use(func(chain *upstream.Chain) { due = chain.Due(interval, own) })
+	f.chain.use(func(chain *upstream.Chain) { due = chain.ReadAge(interval, own) })
 	return due
 }
 
--- a/internal/node/leave_test.go
+++ b/internal/node/leave_test.go
@@ -108,7 +108,7 @@
 	leaving := func() bool {
 		update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{From: upstream.Peer{Node: "o", Revision: 1 << 40}})
 		is.NoErr(err)
-		return update.Leaving
+		return update.ShuttingDown
 	}
 	is.True(!leaving())
 	stop()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -225,7 +225,7 @@
 		name: "tenants", send: func(quota.Envelope) {}, routers: n.follower.replica.Routers,
 		limited: func() bool {
 			snapshot := n.holder.View().Snapshot
-			return snapshot != nil && snapshot.Limited()
+			return snapshot != nil && snapshot.HasTenantLimits()
 		},
 		count: n.metrics.tenantClaim,
 	})
--- a/internal/node/pull.go
+++ b/internal/node/pull.go
@@ -77,7 +77,7 @@
 
 // observeFollower takes in that a peer pulls from this router.
 func (g *chainGuard) observeFollower(peer upstream.Peer) {
-	g.use(func(chain *upstream.Chain) { chain.Followed(peer) })
+	g.use(func(chain *upstream.Chain) { chain.AddFollower(peer) })
 }
 
 const (
@@ -155,7 +155,7 @@
 // advertiseShutdown takes in that this router is about to end: those that pull from it learn that, and
 // the first one of them that stays takes its place.
 func (f *follower) advertiseShutdown() {
-	f.chain.use(func(chain *upstream.Chain) { chain.Leave() })
+	f.chain.use(func(chain *upstream.Chain) { chain.SetShuttingDown() })
 	f.replica.leave()
 }
 
@@ -171,10 +171,10 @@
 	pull := &upstream.Pull{Confirmation: confirmation}
 	pull.Configuration, pull.List = f.replica.holds()
 	pull.Quarantine = f.guard.Digest()
-	pull.News = backend.UpdatesDigest(f.replica.backends.StateUpdates(clock.Now()))
+	pull.UpdatesDigest = backend.UpdatesDigest(f.replica.backends.StateUpdates(clock.Now()))
 	// What caches hold can wait until this router can serve.
 	if f.replica.knows() {
-		pull.Caches, pull.CacheHeld = true, f.replica.caches.Positions()
+		pull.Caches, pull.CachePositions = true, f.replica.caches.Positions()
 	}
 	f.chain.use(func(chain *upstream.Chain) { pull.From = chain.Self() })
 	update, at, err := f.client.Pull(ctx, peer, pull)
@@ -192,9 +192,9 @@
 	}
 	f.chain.use(func(chain *upstream.Chain) {
 		if update != nil {
-			chain.Told(peer.Node, update.Leaving)
+			chain.SetPeerShuttingDown(peer.Node, update.ShuttingDown)
 		}
-		chain.Pulled(clock.Now(), peer.Node, result)
+		chain.RecordPull(clock.Now(), peer.Node, result)
 	})
 	if update == nil {
 		return 0
@@ -230,7 +230,7 @@
 		return upstream.Stale{}
 	}
 	age := max(update.Configuration.Age, update.List.Age)
-	f.chain.use(func(chain *upstream.Chain) { result = chain.Judge(update.Origin, age) })
+	f.chain.use(func(chain *upstream.Chain) { result = chain.Classify(update.Origin, age) })
 	return result
 }
 
@@ -248,7 +248,7 @@
 	f.takeEpoch(update)
 	// It comes first, so that a router that starts knows it before it serves.
 	f.guard.Merge(at, update.Quarantine)
-	for _, naming := range update.Configuration.Namings {
+	for _, naming := range update.Configuration.Publications {
 		f.takeNaming(&naming, at)
 	}
 	configuration := &update.Configuration
@@ -261,8 +261,8 @@
 	f.replica.takeList(update.Origin, at.Add(-update.List.Age), &update.List)
 	f.replica.caches.Take(at, update.Caches)
 	// The list of back ends comes first: a limit of one that is not listed is passed over.
-	f.replica.updates.applyUpdates(update.News)
-	if told := configuration.Watched; told != nil {
+	f.replica.updates.applyUpdates(update.StateUpdates)
+	if told := configuration.WatchPosition; told != nil {
 		// The namings up to this revision were taken in before it is.
 		f.replica.watchedUpTo(watched{revision: told.Revision, storeTime: told.StoreTime}, false)
 	}
@@ -273,10 +273,10 @@
 }
 
 func (f *follower) takeNaming(told *upstream.Publication, at time.Time) {
-	naming := catalog.Publication{Version: told.Version, SeenAt: at.Add(-told.Age), SeenAtStart: told.Met}
+	naming := catalog.Publication{Version: told.Version, SeenAt: at.Add(-told.Age), SeenAtStart: told.SeenAtStart}
 	if f.replica.holder.Published(told.Model, naming) {
 		log.WithFields(log.Fields{
-			"model": told.Model, "version": told.Version, "age_ms": told.Age.Milliseconds(), "met": told.Met,
+			"model": told.Model, "version": told.Version, "age_ms": told.Age.Milliseconds(), "met": told.SeenAtStart,
 		}).Info("version_named")
 	}
 }
--- a/internal/node/recordlist.go
+++ b/internal/node/recordlist.go
@@ -36,7 +36,7 @@
 // wholeList tells a list that was read from the store.
 func wholeList(records []backend.Record) *upstream.List {
 	slices.SortFunc(records, byInstance)
-	return &upstream.List{Digest: digestOf(records), Told: true, Records: records}
+	return &upstream.List{Digest: digestOf(records), Included: true, Records: records}
 }
 
 func byInstance(a, b backend.Record) int { return cmp.Compare(a.Instance, b.Instance) }
--- a/internal/node/recordlist_test.go
+++ b/internal/node/recordlist_test.go
@@ -14,7 +14,7 @@
 
 // told returns what a router with the list tells one that holds a copy.
 func told(list *recordList, held uint64) *upstream.List {
-	tells := &upstream.List{Digest: list.digest, Told: true}
+	tells := &upstream.List{Digest: list.digest, Included: true}
 	tells.Base, tells.Records, tells.Removed = list.since(held)
 	return tells
 }
@@ -91,8 +91,8 @@
 		// held is what the copy names afterwards.
 		held uint64
 	}{
-		{"changes of another copy", &upstream.List{Digest: 9, Told: true, Base: 8}, base.Digest},
-		{"changes that lead elsewhere", &upstream.List{Digest: 9, Told: true, Base: base.Digest}, 0},
+		{"changes of another copy", &upstream.List{Digest: 9, Included: true, Base: 8}, base.Digest},
+		{"changes that lead elsewhere", &upstream.List{Digest: 9, Included: true, Base: base.Digest}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -120,7 +120,7 @@
 		Revision: r.self.Revision, Confirmation: r.confirmation, Origin: r.origin, Routers: r.routers,
 		Configuration: upstream.Configuration{Revision: r.config.checkedRevision, Version: r.config.version},
 		List:          upstream.List{Digest: r.list.digest},
-		Leaving:       r.leaving,
+		ShuttingDown:  r.leaving,
 		Epoch:         r.epochs.Epoch(),
 	}
 	if first, known := r.epochs.First(); known {
@@ -131,9 +131,9 @@
 	}
 	if r.config.version != 0 {
 		update.Configuration.Age = view.Age(now)
-		update.Configuration.Namings = toldNamings(now, view)
+		update.Configuration.Publications = toldNamings(now, view)
 		update.Configuration.Rollouts = r.rollouts.forPeer(now)
-		update.Configuration.Watched = toldWatched(r.watched)
+		update.Configuration.WatchPosition = toldWatched(r.watched)
 	}
 	if r.config.version != pull.Configuration {
 		update.Configuration.Body = r.config.body
@@ -142,17 +142,17 @@
 		update.List.Age = now.Sub(r.listedAt)
 	}
 	if r.list.digest != pull.List {
-		update.List.Told = true
+		update.List.Included = true
 		update.List.Base, update.List.Records, update.List.Removed = r.list.since(pull.List)
 	}
 	if r.guard != nil {
 		update.Quarantine = r.guard.EvidenceSince(now, pull.Quarantine)
 	}
-	if news := r.backends.StateUpdates(now); backend.UpdatesDigest(news) != pull.News {
-		update.News = news
+	if news := r.backends.StateUpdates(now); backend.UpdatesDigest(news) != pull.UpdatesDigest {
+		update.StateUpdates = news
 	}
 	if pull.Caches {
-		update.Caches = r.caches.Updates(now, pull.CacheHeld)
+		update.Caches = r.caches.Updates(now, pull.CachePositions)
 	}
 	return update
 }
@@ -162,7 +162,7 @@
 	for _, model := range slices.Sorted(maps.Keys(view.Models)) {
 		for _, naming := range view.Models[model].Publications {
 			told = append(told, upstream.Publication{
-				Model: model, Version: naming.Version, Age: now.Sub(naming.SeenAt), Met: naming.SeenAtStart,
+				Model: model, Version: naming.Version, Age: now.Sub(naming.SeenAt), SeenAtStart: naming.SeenAtStart,
 			})
 		}
 	}
@@ -263,11 +263,11 @@
 }
 
 // toldWatched returns what is told to a peer.
-func toldWatched(known watched) *upstream.Watched {
+func toldWatched(known watched) *upstream.WatchPosition {
 	if known.revision == 0 {
 		return nil
 	}
-	return &upstream.Watched{Revision: known.revision, StoreTime: known.storeTime}
+	return &upstream.WatchPosition{Revision: known.revision, StoreTime: known.storeTime}
 }
 
 // watchedTo returns up to where every named version is known.
@@ -368,7 +368,7 @@
 	switch {
 	case list.Digest == r.list.digest:
 		logBackends(r.backends.ConfirmList(listedAt))
-	case !list.Told || !r.list.take(list):
+	case !list.Included || !r.list.take(list):
 		return
 	default:
 		logBackends(r.backends.ApplyList(listedAt, r.list.records))
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	known := &knownRollouts{
-		orders: told.Known.Orders, states: told.Known.States, storeTime: told.StoreTime, absentAt: told.Absent,
+		orders: told.Known.Orders, states: told.Known.States, storeTime: told.StoreTime, absentAt: told.AbsentAt,
 		readAt: at.Add(-told.Age),
 	}
 	if told.StatesAge >= 0 {
@@ -43,7 +43,7 @@
 		return nil
 	}
 	told := &upstream.Rollouts{
-		Known: k.known(), StoreTime: k.storeTime, Absent: k.absentAt, Age: max(now.Sub(k.readAt), 0), StatesAge: -1,
+		Known: k.known(), StoreTime: k.storeTime, AbsentAt: k.absentAt, Age: max(now.Sub(k.readAt), 0), StatesAge: -1,
 	}
 	if !k.statesAt.IsZero() {
 		told.StatesAge = max(now.Sub(k.statesAt), 0)
--- a/internal/node/zone_test.go
+++ b/internal/node/zone_test.go
@@ -198,13 +198,13 @@
 	}
 	askedAt := time.Now()
 	asked.follower.chain.observeFollower(pull.From)
-	if !upstream.Hold(ctx, asked.follower.replica, pull) {
+	if !upstream.AwaitConfirmation(ctx, asked.follower.replica, pull) {
 		return nil, time.Time{}, ctx.Err()
 	}
 	now := time.Now()
 	update := asked.follower.replica.Update(now, pull)
-	update.Held = now.Sub(askedAt)
-	return update, askedAt.Add(update.Held), nil
+	update.HeldFor = now.Sub(askedAt)
+	return update, askedAt.Add(update.HeldFor), nil
 }
 
 var _ store.Table = (*fakeStore)(nil)
--- a/internal/quarantine/guard/rows_test.go
+++ b/internal/quarantine/guard/rows_test.go
@@ -140,7 +140,7 @@
 		time.Sleep(2 * relistInterval)
 		is.Equal(w.held("guilty"), 2)
 		is.Equal(w.store.count(), 1)
-		w.store.change(func() { w.store.ComeBack(empty) })
+		w.store.change(func() { w.store.Restore(empty) })
 		is.Equal(w.store.count(), 0)
 		time.Sleep(2 * relistInterval)
 		is.Equal(w.held("guilty"), 2)
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -73,16 +73,16 @@
 // takeEvent takes in one event and reports whether the view has changed.
 func (r *Router) takeEvent(event membership.Event, states map[ident.Node]membership.State) (changed bool) {
 	switch event.Kind {
-	case membership.SignReceived:
-		if event.Sign.Kind == membership.SignLeaving {
-			r.duty.LeavingSeen(ident.Engine(event.Sign.Backend), event.Sign.Incarnation)
-			r.apps.leavingSeen(ident.Application(event.Sign.Backend), event.Sign.Incarnation)
+	case membership.ReportReceived:
+		if event.Report.Kind == membership.ReportDraining {
+			r.duty.LeavingSeen(ident.Engine(event.Report.Backend), event.Report.Incarnation)
+			r.apps.leavingSeen(ident.Application(event.Report.Backend), event.Report.Incarnation)
 		}
 		return false
 	case membership.FleetHeadRaised:
 		r.headHeard(event.Head)
 		return false
-	case membership.MemberForgotten:
+	case membership.MemberRemoved:
 		delete(states, event.Member.Node)
 		return true
 	case membership.MemberChanged:
@@ -126,8 +126,8 @@
 		bounded, cancel := context.WithTimeout(context.Background(), membershipTimeout)
 		defer cancel()
 		// A sign that is not taken costs the others a refusal each, no more.
-		_ = r.members.Broadcast(bounded, membership.BackendSign{
-			Backend: backend, Incarnation: incarnation, Kind: membership.SignLeaving,
+		_ = r.members.Broadcast(bounded, membership.BackendReport{
+			Backend: backend, Incarnation: incarnation, Kind: membership.ReportDraining,
 			Observer: ident.Node(r.settings.Node), ObservedAt: time.Now().UnixMilli(),
 		})
 	})
--- a/internal/store/revision.go
+++ b/internal/store/revision.go
@@ -17,6 +17,8 @@
 // Version returns the version that the store gave for a revision.
 func Version(revision uint64) uint64 { return revision & (1<<epochShift - 1) }
 
-// Back returns the revision that is a number of versions before another one, and not before the
+// RevisionBefore returns the revision that is a number of versions before another one, and not before the
 // beginning of its epoch.
-func Back(revision, versions uint64) uint64 { return revision - min(versions, Version(revision)) }
+func RevisionBefore(revision, versions uint64) uint64 {
+	return revision - min(versions, Version(revision))
+}
--- a/internal/store/revision_test.go
+++ b/internal/store/revision_test.go
@@ -23,6 +23,6 @@
 		{Revision(2, 9), 4, Revision(2, 5)}, {Revision(2, 3), 4, Revision(2, 0)},
 	}
 	for _, tt := range tests {
-		is.New(t).Equal(Back(tt.from, tt.by), tt.want)
+		is.New(t).Equal(RevisionBefore(tt.from, tt.by), tt.want)
 	}
 }
--- a/internal/store/storetest/rows.go
+++ b/internal/store/storetest/rows.go
@@ -32,9 +32,9 @@
 	return Copy{current: maps.Clone(r.Current), versions: maps.Clone(r.versions)}
 }
 
-// ComeBack has the table come back from a copy. All revisions are of a later epoch then, and
+// Restore has the table come back from a copy. All revisions are of a later epoch then, and
 // those after the copy are given out again.
-func (r *Rows) ComeBack(from Copy) {
+func (r *Rows) Restore(from Copy) {
 	r.epoch++
 	r.versions = make(map[string]uint64)
 	for key, revision := range from.versions {
--- a/internal/upstream/chain.go
+++ b/internal/upstream/chain.go
@@ -163,8 +163,8 @@
 // Self returns this router's own row; its revision is 0 before Join.
 func (c *Chain) Self() Peer { return c.self }
 
-// Followed takes in that a peer pulled from this router.
-func (c *Chain) Followed(peer Peer) {
+// AddFollower takes in that a peer pulled from this router.
+func (c *Chain) AddFollower(peer Peer) {
 	if peer.Revision <= c.self.Revision || peer.Node == c.self.Node {
 		return
 	}
@@ -179,11 +179,11 @@
 	}
 }
 
-// Leave takes in that this router is about to end.
-func (c *Chain) Leave() { c.leaving = true }
+// SetShuttingDown takes in that this router is about to end.
+func (c *Chain) SetShuttingDown() { c.leaving = true }
 
-// Told takes in whether a peer that answered is about to end.
-func (c *Chain) Told(node ident.Node, leaving bool) {
+// SetPeerShuttingDown takes in whether a peer that answered is about to end.
+func (c *Chain) SetPeerShuttingDown(node ident.Node, leaving bool) {
 	if known := c.find(node); known != nil {
 		known.leaving = leaving
 	}
@@ -250,16 +250,16 @@
 	return a
 }
 
-// Judge says what state of an age that a router read is worth here.
-func (c *Chain) Judge(origin ident.Node, age time.Duration) Result {
+// Classify says what state of an age that a router read is worth here.
+func (c *Chain) Classify(origin ident.Node, age time.Duration) Result {
 	if origin == c.self.Node || age > c.cfg.StaleAfter {
 		return Stale{}
 	}
 	return Fresh{}
 }
 
-// Pulled takes in what came of a pull.
-func (c *Chain) Pulled(now time.Time, node ident.Node, result Result) {
+// RecordPull takes in what came of a pull.
+func (c *Chain) RecordPull(now time.Time, node ident.Node, result Result) {
 	known := c.find(node)
 	if known == nil {
 		return
@@ -287,7 +287,7 @@
 	other := func(link *link) bool { return link == known }
 	c.near, c.far = slices.DeleteFunc(c.near, other), slices.DeleteFunc(c.far, other)
 	c.regional = slices.DeleteFunc(c.regional, other)
-	c.Followed(known.peer)
+	c.AddFollower(known.peer)
 }
 
 func (c *Chain) find(node ident.Node) *link {
@@ -330,10 +330,10 @@
 // Joined reports whether this router has a row.
 func (c *Chain) Joined() bool { return c.joined }
 
-// Due returns the age at which state that is read from the store once in an
+// ReadAge returns the age at which state that is read from the store once in an
 // interval is to be read by this router itself. own says that its present copy
 // is such a read: without a peer that does better, it goes on like the first.
-func (c *Chain) Due(interval time.Duration, own bool) time.Duration {
+func (c *Chain) ReadAge(interval time.Duration, own bool) time.Duration {
 	if c.First() || (own && !c.supplied) {
 		return interval
 	}
--- a/internal/upstream/chain_test.go
+++ b/internal/upstream/chain_test.go
@@ -63,7 +63,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := chain(3, 2, 4, 1, 3)
 			for _, p := range tt.pulled {
-				c.Pulled(start, p.node, p.result)
+				c.RecordPull(start, p.node, p.result)
 			}
 			is.New(t).Equal(c.Next(start.Add(tt.after), 0), tt.want)
 		})
@@ -85,7 +85,7 @@
 			c := chain(self, revisions...)
 			for node := range routers {
 				if failures&(1<<node) != 0 {
-					c.Pulled(start, peer(uint64(node+1)).Node, upstream.Failed{})
+					c.RecordPull(start, peer(uint64(node+1)).Node, upstream.Failed{})
 				}
 			}
 			switch next := c.Next(start, 0).(type) {
@@ -105,14 +105,14 @@
 	is := is.New(t)
 	c := chain(3, 1, 2)
 	is.Equal(c.Rank(), 2)
-	c.Told("n1", true)
+	c.SetPeerShuttingDown("n1", true)
 	is.Equal(c.Next(start, 0), upstream.Source(peer(2)))
 	is.Equal(c.Rank(), 1)
 	is.True(!c.First())
-	c.Told("n2", true)
+	c.SetPeerShuttingDown("n2", true)
 	is.True(c.First())
 	is.Equal(c.Next(start, 0), upstream.Source(peer(1)))
-	c.Leave() // it takes over nothing any more
+	c.SetShuttingDown() // it takes over nothing any more
 	is.Equal(c.Rank(), 2)
 	is.True(!c.First())
 }
@@ -121,11 +121,11 @@
 func TestAPeerThatLeftComesBackBehind(t *testing.T) {
 	is := is.New(t)
 	c := chain(3, 1, 2)
-	c.Told("n1", true)
-	c.Pulled(start, "n1", upstream.Restarted{Revision: 9})
+	c.SetPeerShuttingDown("n1", true)
+	c.RecordPull(start, "n1", upstream.Restarted{Revision: 9})
 	is.Equal(c.Rank(), 1)
-	c.Told("n2", true)
-	c.Told("n2", false)
+	c.SetPeerShuttingDown("n2", true)
+	c.SetPeerShuttingDown("n2", false)
 	is.Equal(c.Rank(), 1)
 }
 
@@ -138,10 +138,10 @@
 		for self := range routers {
 			c := chain(uint64(self+1), 1, 2, 3, 4, 5, 6)
 			for node := range routers {
-				c.Told(peer(uint64(node+1)).Node, leaving&(1<<node) != 0)
+				c.SetPeerShuttingDown(peer(uint64(node+1)).Node, leaving&(1<<node) != 0)
 			}
 			if leaving&(1<<self) != 0 {
-				c.Leave()
+				c.SetShuttingDown()
 			}
 			if next, pulls := c.Next(start, 0).(upstream.Peer); pulls {
 				is.True(next.Revision < uint64(self+1))
@@ -196,7 +196,7 @@
 	for _, next := range want {
 		is.True(!c.First())
 		is.Equal(c.Next(start, 0), next)
-		c.Pulled(start, next.Node, upstream.Failed{})
+		c.RecordPull(start, next.Node, upstream.Failed{})
 	}
 	is.True(c.First())
 	is.Equal(c.Next(start, 0), upstream.Store{RetryAt: start.Add(time.Second)})
@@ -206,12 +206,12 @@
 	is := is.New(t)
 	c := chain(1, 2, 3)
 	is.Equal(c.Next(start, time.Minute), upstream.Store{}) // nobody followed yet
-	c.Followed(peer(2))
-	c.Followed(peer(2))
-	c.Followed(peer(1)) // itself
+	c.AddFollower(peer(2))
+	c.AddFollower(peer(2))
+	c.AddFollower(peer(1)) // itself
 	is.Equal(c.Next(start, time.Second), upstream.Store{RetryAt: start.Add(time.Second)})
 	is.Equal(c.Next(start, 3*time.Second), peer(2))
-	c.Pulled(start, "n2", upstream.Stale{})
+	c.RecordPull(start, "n2", upstream.Stale{})
 	is.Equal(c.Next(start, 3*time.Second), upstream.Store{RetryAt: start.Add(time.Second)})
 }
 
@@ -228,7 +228,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			is.New(t).Equal(chain(3, 1, 2).Judge(tt.origin, tt.age), tt.want)
+			is.New(t).Equal(chain(3, 1, 2).Classify(tt.origin, tt.age), tt.want)
 		})
 	}
 }
@@ -238,23 +238,23 @@
 func TestReadsOfTheStoreAreStaggered(t *testing.T) {
 	is := is.New(t)
 	const interval = time.Second
-	is.Equal(chain(1, 2, 3).Due(interval, false), interval)
+	is.Equal(chain(1, 2, 3).ReadAge(interval, false), interval)
 	previous := interval
 	for self := uint64(2); self <= 20; self++ {
 		var peers []uint64
 		for revision := uint64(1); revision < self; revision++ {
 			peers = append(peers, revision)
 		}
-		due := chain(self, peers...).Due(interval, false)
+		due := chain(self, peers...).ReadAge(interval, false)
 		is.True(due > interval)
 		is.True(due <= 2300*time.Millisecond)
 		previous = due
 	}
 	is.True(previous > interval)
 	c := chain(3, 1, 2)
-	c.Pulled(start, "n1", upstream.Failed{})
-	c.Pulled(start, "n2", upstream.Failed{})
-	is.Equal(c.Due(interval, false), interval) // all before it are down
+	c.RecordPull(start, "n1", upstream.Failed{})
+	c.RecordPull(start, "n2", upstream.Failed{})
+	is.Equal(c.ReadAge(interval, false), interval) // all before it are down
 }
 
 // A router that supplies itself reads at the pace of the first, until a peer does
@@ -263,11 +263,11 @@
 	is := is.New(t)
 	const interval = time.Second
 	c := chain(3, 1, 2)
-	c.Pulled(start, "n1", upstream.Stale{})
-	is.True(c.Due(interval, false) > interval)
-	is.Equal(c.Due(interval, true), interval)
-	c.Pulled(start, "n2", upstream.Fresh{})
-	is.True(c.Due(interval, true) > interval)
+	c.RecordPull(start, "n1", upstream.Stale{})
+	is.True(c.ReadAge(interval, false) > interval)
+	is.Equal(c.ReadAge(interval, true), interval)
+	c.RecordPull(start, "n2", upstream.Fresh{})
+	is.True(c.ReadAge(interval, true) > interval)
 }
 
 func TestARouterWithoutARowReadsTheStore(t *testing.T) {
@@ -276,5 +276,5 @@
 	is.True(!c.Joined())
 	is.Equal(c.Rank(), 0)
 	is.Equal(c.Next(start, 0), upstream.Store{RetryAt: start.Add(2 * time.Second)})
-	is.Equal(c.Due(time.Second, false), time.Second)
+	is.Equal(c.ReadAge(time.Second, false), time.Second)
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -77,18 +77,18 @@
 	if err := update.check(clock.Since(askedAt)); err != nil {
 		return nil, time.Time{}, err
 	}
-	return &update, askedAt.Add(update.Held), nil
+	return &update, askedAt.Add(update.HeldFor), nil
 }
 
 // check refuses an update that claims more than its time allows.
 func (u *Update) check(elapsed time.Duration) error {
-	if u.Held < 0 || u.Held > elapsed || u.Configuration.Age < 0 || u.List.Age < 0 || u.RoutersAge < 0 {
+	if u.HeldFor < 0 || u.HeldFor > elapsed || u.Configuration.Age < 0 || u.List.Age < 0 || u.RoutersAge < 0 {
 		return errors.New("the peer's times are not possible")
 	}
 	if rollouts := u.Configuration.Rollouts; rollouts != nil && rollouts.Age < 0 {
 		return errors.New("the peer's times are not possible")
 	}
-	for _, naming := range u.Configuration.Namings {
+	for _, naming := range u.Configuration.Publications {
 		if naming.Age < 0 {
 			return errors.New("the peer's times are not possible")
 		}
--- a/internal/upstream/pull_test.go
+++ b/internal/upstream/pull_test.go
@@ -63,7 +63,7 @@
 		List:          upstream.List{Digest: 9, Age: now.Sub(s.readAt)},
 	}
 	if pull.Caches {
-		update.Caches, s.held = s.caches, pull.CacheHeld
+		update.Caches, s.held = s.caches, pull.CachePositions
 	}
 	if pull.List != 9 {
 		update.List.Records = []backend.Record{{Instance: "i", Models: map[ident.Model]int{"m": 2}}}
@@ -108,7 +108,7 @@
 	state.caches = told
 	peer := serve(t, upstream.NewServer(state, func(upstream.Peer) {}))
 	held := []promptcache.Position{{Store: addr, Epoch: 3, Next: 7}}
-	update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{Caches: true, CacheHeld: held})
+	update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{Caches: true, CachePositions: held})
 	is.NoErr(err)
 	is.Equal(update.Caches, told)
 	is.Equal(state.held, held)
@@ -124,7 +124,7 @@
 	update, at, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{Confirmation: 1})
 	is.NoErr(err)
 	is.Equal(update.Confirmation, uint64(2))
-	is.True(update.Held >= 50*time.Millisecond)
+	is.True(update.HeldFor >= 50*time.Millisecond)
 	is.True(!at.Add(-update.Configuration.Age).After(state.readAt)) // never newer than the read
 }
 
@@ -142,11 +142,11 @@
 	}{
 		{"other status", answer(http.StatusServiceUnavailable, &upstream.Update{})},
 		{"no CBOR", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) })},
-		{"held for longer than it took", answer(http.StatusOK, &upstream.Update{Held: time.Hour})},
+		{"held for longer than it took", answer(http.StatusOK, &upstream.Update{HeldFor: time.Hour})},
 		{"from the future", answer(http.StatusOK, &upstream.Update{Configuration: upstream.Configuration{Age: -time.Second}})},
 		{"a list from the future", answer(http.StatusOK, &upstream.Update{List: upstream.List{Age: -time.Second}})},
 		{"a naming from the future", answer(http.StatusOK, &upstream.Update{
-			Configuration: upstream.Configuration{Namings: []upstream.Publication{{Age: -time.Second}}},
+			Configuration: upstream.Configuration{Publications: []upstream.Publication{{Age: -time.Second}}},
 		})},
 	}
 	for _, tt := range tests {
@@ -195,7 +195,7 @@
 				begun := time.Now()
 				time.AfterFunc(30*time.Millisecond, state.confirm)
 				pull := &upstream.Pull{From: upstream.Peer{Node: "asker", Revision: tt.from}, Confirmation: tt.confirmation}
-				is.True(upstream.Hold(t.Context(), state, pull))
+				is.True(upstream.AwaitConfirmation(t.Context(), state, pull))
 				is.Equal(time.Since(begun) > 0, tt.held)
 			})
 		})
--- a/internal/upstream/region_test.go
+++ b/internal/upstream/region_test.go
@@ -82,7 +82,7 @@
 			chain := joined(peers[11], peers)
 			is.Equal(peers[11].Zone, ident.Zone("a1"))
 			for _, node := range tt.down {
-				chain.Pulled(start, node, upstream.Failed{})
+				chain.RecordPull(start, node, upstream.Failed{})
 			}
 			next, pulls := chain.Next(start, 0).(upstream.Peer)
 			is.True(pulls)
@@ -112,7 +112,7 @@
 			for _, self := range peers {
 				chain := upstream.NewChain(upstream.Config{Regions: tt.regions})
 				chain.Join(self, peers)
-				chain.Pulled(start, tt.down, upstream.Failed{})
+				chain.RecordPull(start, tt.down, upstream.Failed{})
 				if chain.FirstOfRegion() {
 					speak = append(speak, self.Node)
 				}
@@ -128,7 +128,7 @@
 	peers := spread(12)
 	chain := joined(peers[4], peers) // n5 of a1, after n2 of a2
 	is.True(!chain.FirstOfRegion())
-	chain.Pulled(start, "n2", upstream.Restarted{Revision: 99})
+	chain.RecordPull(start, "n2", upstream.Restarted{Revision: 99})
 	is.True(chain.FirstOfRegion())
 	is.True(!chain.First()) // n1 of another region still reads the store
 	next, pulls := chain.Next(start.Add(time.Second), 0).(upstream.Peer)
--- a/internal/upstream/server.go
+++ b/internal/upstream/server.go
@@ -62,12 +62,12 @@
 		return
 	}
 	s.followed(pull.From)
-	if !Hold(r.Context(), s.state, &pull) {
+	if !AwaitConfirmation(r.Context(), s.state, &pull) {
 		return
 	}
 	now := clock.Now()
 	update := s.state.Update(now, &pull)
-	update.Held = now.Sub(askedAt)
+	update.HeldFor = now.Sub(askedAt)
 	encoded, err := cbor.Marshal(update)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -77,13 +77,13 @@
 	_, _ = w.Write(encoded)
 }
 
-// Hold waits until there is news for the asker, for a bounded time, and reports
+// AwaitConfirmation waits until there is news for the asker, for a bounded time, and reports
 // whether ctx is still open.
 //
 // A router that knows nothing yet lets those behind it wait as well: it is about to
 // be supplied itself. One before it must not wait, since each of two restarted
 // routers may take the other for the one that supplies it.
-func Hold(ctx context.Context, state State, pull *Pull) bool {
+func AwaitConfirmation(ctx context.Context, state State, pull *Pull) bool {
 	bound := holdFor
 	if newest, _ := state.Confirmation(); newest == 0 {
 		bound = holdUnsupplied
--- a/internal/upstream/update.go
+++ b/internal/upstream/update.go
@@ -23,12 +23,12 @@
 	Configuration uint64 `cbor:"3,keyasint,omitempty"`
 	List          uint64 `cbor:"4,keyasint,omitempty"`
 	// Caches asks for what stores of prompt caches hold, beyond the copies named.
-	Caches    bool                   `cbor:"5,keyasint,omitempty"`
-	CacheHeld []promptcache.Position `cbor:"6,keyasint,omitempty"`
+	Caches         bool                   `cbor:"5,keyasint,omitempty"`
+	CachePositions []promptcache.Position `cbor:"6,keyasint,omitempty"`
 	// Quarantine names what the asker knows of requests that are held, 0 for nothing.
 	Quarantine uint64 `cbor:"7,keyasint,omitempty"`
-	// News names what the asker knows of what back ends said of themselves, 0 for nothing.
-	News uint64 `cbor:"8,keyasint,omitempty"`
+	// UpdatesDigest names what the asker knows of what back ends said of themselves, 0 for nothing.
+	UpdatesDigest uint64 `cbor:"8,keyasint,omitempty"`
 }
 
 // Update is the state of a peer. Ages count up to the moment it was answered.
@@ -39,8 +39,8 @@
 	Confirmation uint64 `cbor:"2,keyasint"`
 	// Origin is the router that read the store.
 	Origin ident.Node `cbor:"3,keyasint"`
-	// Held is how long the answer was held back for something new.
-	Held          time.Duration `cbor:"4,keyasint"`
+	// HeldFor is how long the answer was held back for something new.
+	HeldFor       time.Duration `cbor:"4,keyasint"`
 	Configuration Configuration `cbor:"5,keyasint"`
 	List          List          `cbor:"6,keyasint"`
 	// Routers is the number of routers in all zones, 0 if not known, and RoutersAge the time
@@ -51,14 +51,14 @@
 	Caches []promptcache.Update `cbor:"8,keyasint,omitempty"`
 	// Quarantine tells of requests that are held, if the asker knows something else of them.
 	Quarantine []quarantine.Evidence `cbor:"11,keyasint,omitempty"`
-	// News tells what back ends said of themselves, if the asker knows something else of them.
-	News []backend.StateUpdate `cbor:"12,keyasint,omitempty"`
+	// StateUpdates tells what back ends said of themselves, if the asker knows something else of them.
+	StateUpdates []backend.StateUpdate `cbor:"12,keyasint,omitempty"`
 	// Epoch is the newest of the store that the peer saw (store.Revision), FirstEra one more
 	// than the beginning of epoch 0 in the store's own count, 0 if that is not known.
 	Epoch    uint64 `cbor:"13,keyasint,omitempty"`
 	FirstEra uint64 `cbor:"14,keyasint,omitempty"`
-	// Leaving says that the peer serves on for a while, and is about to end.
-	Leaving bool `cbor:"9,keyasint,omitempty"`
+	// ShuttingDown says that the peer serves on for a while, and is about to end.
+	ShuttingDown bool `cbor:"9,keyasint,omitempty"`
 }
 
 // Complete reports whether the peer knows both the configuration and the list.
@@ -74,18 +74,18 @@
 	// Body is empty if the asker holds this version.
 	Body []byte        `cbor:"2,keyasint,omitempty"`
 	Age  time.Duration `cbor:"3,keyasint"`
-	// Namings are the versions of weights that were named, oldest first for
+	// Publications are the versions of weights that were named, oldest first for
 	// each model.
-	Namings []Publication `cbor:"4,keyasint,omitempty"`
+	Publications []Publication `cbor:"4,keyasint,omitempty"`
 	// Rollouts is nil where no service is being moved to another release, or was.
 	Rollouts *Rollouts `cbor:"5,keyasint,omitempty"`
-	// Watched is nil if it is not known up to where Namings holds every version.
-	Watched *Watched `cbor:"6,keyasint,omitempty"`
+	// WatchPosition is nil if it is not known up to where Namings holds every version.
+	WatchPosition *WatchPosition `cbor:"6,keyasint,omitempty"`
 }
 
-// Watched tells up to where every version of weights that was named is known, also those
+// WatchPosition tells up to where every version of weights that was named is known, also those
 // whose rows were written over.
-type Watched struct {
+type WatchPosition struct {
 	// Revision is that of the store. StoreTime is the store's own steady time at which no
 	// naming was unknown, 0 if it is not known.
 	Revision  uint64        `cbor:"1,keyasint"`
@@ -98,7 +98,7 @@
 	// StoreTime is the store's own steady time at the read of the orders; at Absent the
 	// newest of them was not there yet, 0 if that is not known.
 	StoreTime time.Duration `cbor:"2,keyasint"`
-	Absent    time.Duration `cbor:"3,keyasint,omitempty"`
+	AbsentAt  time.Duration `cbor:"3,keyasint,omitempty"`
 	// Age is the time since the orders were read, StatesAge since the states were, below
 	// zero if they were not.
 	Age       time.Duration `cbor:"4,keyasint"`
@@ -110,8 +110,8 @@
 	Model   ident.Model   `cbor:"1,keyasint"`
 	Version int           `cbor:"2,keyasint"`
 	Age     time.Duration `cbor:"3,keyasint"`
-	// Met says that the version may be older than Age.
-	Met bool `cbor:"4,keyasint,omitempty"`
+	// SeenAtStart says that the version may be older than Age.
+	SeenAtStart bool `cbor:"4,keyasint,omitempty"`
 }
 
 // List is the list of back ends with the time since it was read. It is told
@@ -119,8 +119,8 @@
 type List struct {
 	// Digest names the content, 0 if none is known.
 	Digest uint64 `cbor:"1,keyasint"`
-	// Told says that the content follows; it is false if the asker named Digest.
-	Told bool `cbor:"4,keyasint,omitempty"`
+	// Included says that the content follows; it is false if the asker named Digest.
+	Included bool `cbor:"4,keyasint,omitempty"`
 	// Base is the digest of the copy that Records and Removed change, 0 if
 	// Records is the whole list.
 	Base    uint64              `cbor:"5,keyasint,omitempty"`
--- a/proofs/leaving_test.go
+++ b/proofs/leaving_test.go
@@ -52,8 +52,8 @@
 		return
 	}
 	w.network.Do(node, func(machine *membership.Machine, now time.Time) {
-		err := machine.Broadcast(now, membership.BackendSign{
-			Backend: string(change.Engine), Incarnation: change.Incarnation, Kind: membership.SignLeaving,
+		err := machine.Broadcast(now, membership.BackendReport{
+			Backend: string(change.Engine), Incarnation: change.Incarnation, Kind: membership.ReportDraining,
 			Observer: node.Member.Node, ObservedAt: now.UnixMilli(),
 		})
 		if err != nil {
@@ -67,9 +67,9 @@
 	w.network.Run(virtualStep)
 	for index, node := range w.network.Nodes {
 		for _, event := range node.TakeEvents() {
-			if event.Kind == membership.SignReceived {
+			if event.Kind == membership.ReportReceived {
 				router := w.routers[index]
-				w.take(router, router.core.LeavingSeen(w.now, ident.Engine(event.Sign.Backend), event.Sign.Incarnation))
+				w.take(router, router.core.LeavingSeen(w.now, ident.Engine(event.Report.Backend), event.Report.Incarnation))
 			}
 		}
 	}
