--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -24,7 +24,7 @@
 	})
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	cases := []struct{ host, path, route string }{
 		{"a.example", "/x/1", "short"},
 		{"a.example", "/x/y/1", "long"},
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestOnlySafeAndResumableRequestsRunAgain(t *testing.T) {
+func TestRetryable(t *testing.T) {
 	cases := []struct {
 		route catalog.Route
 		want  bool
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestVersionsOnlyRise(t *testing.T) {
+func TestAdoptIgnoresOlderVersions(t *testing.T) {
 	is := is.New(t)
 	var holder catalog.Holder
 	start := time.Now()
@@ -77,7 +77,7 @@
 	is.True(holder.Adopt(snapshot(9), start.Add(2*time.Second)))
 }
 
-func TestNamedVersionsOnlyRise(t *testing.T) {
+func TestPublishedVersionNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	var holder catalog.Holder
 	model := ident.Model("m")
@@ -92,7 +92,7 @@
 	is.Equal(holder.View().Models[model].Publications, []catalog.Publication{{Version: 1}, {Version: 2}, {Version: 4}})
 }
 
-func TestSharesAreMetByAnyShortRun(t *testing.T) {
+func TestSplitterMeetsSharesInShortRuns(t *testing.T) {
 	is := is.New(t)
 	splitter := catalog.NewSplitter()
 	route := &catalog.Route{Name: "r", Split: []catalog.Share{{Service: "a", Weight: 9}, {Service: "b", Weight: 1}, {Service: "c"}}}
@@ -115,7 +115,7 @@
 
 // Several stores of prompt caches share the prompts evenly, the same at every
 // router; a prompt keeps its store when another one goes.
-func TestStoresOfPromptCachesShareThePrompts(t *testing.T) {
+func TestCacheStoresSharePromptsEvenly(t *testing.T) {
 	is := is.New(t)
 	store := func(name ident.Service) catalog.Service {
 		return catalog.Service{Name: name, CacheStore: netip.MustParseAddrPort("10.0.0.1:1")}
@@ -143,7 +143,7 @@
 }
 
 // The store of a prompt is in the zone of its home, else in its region, else anywhere.
-func TestAStoreInTheHomeZoneGoesFirst(t *testing.T) {
+func TestCacheStorePrefersHomeZone(t *testing.T) {
 	store := func(name ident.Service, zone ident.Zone) catalog.Service {
 		return catalog.Service{Name: name, CacheStore: netip.MustParseAddrPort("10.0.0.1:1"), Zone: zone}
 	}
--- a/internal/catalog/splitter.go
+++ b/internal/catalog/splitter.go
@@ -16,7 +16,7 @@
 
 // splitState is the running credit of each share of one route.
 type splitState struct {
-	weights []Share
+	shares  []Share
 	credits []int
 }
 
@@ -53,10 +53,10 @@
 // state returns the credits of a route, begun anew when its shares changed.
 func (s *Splitter) state(route *Route) *splitState {
 	state := s.routes[route.Name]
-	if state != nil && sameShares(state.weights, route.Split) {
+	if state != nil && sameShares(state.shares, route.Split) {
 		return state
 	}
-	state = &splitState{weights: route.Split, credits: make([]int, len(route.Split))}
+	state = &splitState{shares: route.Split, credits: make([]int, len(route.Split))}
 	s.routes[route.Name] = state
 	return state
 }
--- a/internal/catalog/tenant_test.go
+++ b/internal/catalog/tenant_test.go
@@ -9,7 +9,7 @@
 	"github.com/fieldpond/fieldpond/internal/quota"
 )
 
-func TestWhatARequestUsesOfALimit(t *testing.T) {
+func TestTenantAmount(t *testing.T) {
 	tests := []struct {
 		name   string
 		tenant catalog.Tenant
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestASnapshotKnowsWhetherAnyTenantHasALimit(t *testing.T) {
+func TestHasTenantLimits(t *testing.T) {
 	tests := []struct {
 		name string
 		keys map[string]*catalog.Tenant
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -94,7 +94,7 @@
 	if err := c.decoder.Unmarshal(body, &message); err != nil {
 		return nil, fault.Wrap(err, fault.BadRequest, "a gossip datagram does not decode")
 	}
-	if err := message.check(); err != nil {
+	if err := message.validate(); err != nil {
 		return nil, err
 	}
 	return &message, nil
@@ -107,36 +107,36 @@
 	return mac.Sum(nil)[:macSize]
 }
 
-// check refuses values that no correct router sends.
-func (m *Message) check() error {
-	sound := m.Kind >= KindPing && m.Kind <= KindGossip &&
+// validate refuses values that no correct router sends.
+func (m *Message) validate() error {
+	valid := m.Kind >= KindPing && m.Kind <= KindGossip &&
 		m.From != "" && len(m.From) <= maxName && m.Incarnation < maxIncarnation &&
 		len(m.Target) <= maxName && len(m.TargetAddress) <= maxAddress
 	if m.Kind == KindSync || m.Kind == KindSyncAnswer {
-		sound = sound && len(m.Buckets) == bucketCount*bucketBytes
+		valid = valid && len(m.Buckets) == bucketCount*bucketBytes
 	}
 	for i := range m.Rumours {
-		sound = sound && m.Rumours[i].sound()
+		valid = valid && m.Rumours[i].valid()
 	}
 	for i := range m.Reports {
-		sound = sound && m.Reports[i].sound()
+		valid = valid && m.Reports[i].valid()
 	}
 	if m.Head != nil {
-		sound = sound && len(m.Head.Digest) <= maxAddress && len(m.Head.Holder) <= maxName
+		valid = valid && len(m.Head.Digest) <= maxAddress && len(m.Head.Holder) <= maxName
 	}
-	if !sound {
+	if !valid {
 		return fault.New(fault.BadRequest, "a gossip message of kind %d has values out of range", m.Kind)
 	}
 	return nil
 }
 
-func (r *Rumour) sound() bool {
+func (r *Rumour) valid() bool {
 	return r.Node != "" && len(r.Node) <= maxName && len(r.Zone) <= maxName &&
 		len(r.HTTPAddress) <= maxAddress && len(r.GossipAddress) <= maxAddress &&
 		r.Incarnation < maxIncarnation && r.State <= Dead
 }
 
-func (s *BackendReport) sound() bool {
+func (s *BackendReport) valid() bool {
 	return s.Backend != "" && len(s.Backend) <= maxAddress && len(s.Incarnation) <= maxName &&
 		len(s.Observer) <= maxName && s.Kind >= ReportDraining && s.Kind <= ReportRestarted
 }
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -13,10 +13,10 @@
 	// bytes; piggybackBudget the same for probes and their answers.
 	messageBudget   = 1000
 	piggybackBudget = 800
-	// fixedCost estimates the encoded size of a message without its lists, and
-	// itemCost that of a list item without its strings.
-	fixedCost = 110
-	itemCost  = 26
+	// fixedSize estimates the encoded size of a message without its lists, and
+	// itemSize that of a list item without its strings.
+	fixedSize = 110
+	itemSize  = 26
 	// urgentFanout is to how many members a new sign is sent at once.
 	urgentFanout = 4
 	// urgentBurst and urgentPerSecond bound the datagrams sent at once.
@@ -25,20 +25,20 @@
 	// rumourBurst and rumourPerSecond bound the bytes of piggybacked rumours.
 	rumourBurst     = 8 << 10
 	rumourPerSecond = 700
-	// signTransmissions is how often a sign is sent besides that.
-	signTransmissions = 10
-	maxSigns          = 512
-	maxSignsAMessage  = 6
-	// signRepeat is how much later a sign of the same life must have been
+	// reportTransmissions is how often a sign is sent besides that.
+	reportTransmissions  = 10
+	maxReports           = 512
+	maxReportsPerMessage = 6
+	// reportRepeatInterval is how much later a sign of the same life must have been
 	// observed to count as a new one.
-	signRepeat = 10 * time.Second
+	reportRepeatInterval = 10 * time.Second
 )
 
 // gossip is the part of the machine that spreads rumours and signs.
 type gossip struct {
 	queue        []*queued
-	signs        map[signKey]*heldSign
-	signOrder    []*heldSign
+	reports      map[reportKey]*storedReport
+	reportOrder  []*storedReport
 	headSends    int
 	urgentTokens float64
 	// rumourTokens is the allowance of bytes for piggybacked rumours.
@@ -47,19 +47,19 @@
 
 // queued is a member whose record has changed; the record is read when sent.
 type queued struct {
-	held  *record
-	sends int
-	brief bool
+	record *record
+	sends  int
+	brief  bool
 }
 
-type signKey struct {
+type reportKey struct {
 	backend     string
 	incarnation ident.Incarnation
 	kind        ReportKind
 }
 
-type heldSign struct {
-	sign     BackendReport
+type storedReport struct {
+	report   BackendReport
 	received time.Time
 	sends    int
 }
@@ -70,19 +70,19 @@
 }
 
 // enqueue spreads a member's record; brief leaves its addresses out.
-func (m *Machine) enqueue(held *record, brief bool) {
+func (m *Machine) enqueue(changed *record, brief bool) {
 	for _, each := range m.gossip.queue {
-		if each.held == held {
+		if each.record == changed {
 			each.brief = each.brief && brief
 			each.sends = 0
 			return
 		}
 	}
-	m.gossip.queue = append(m.gossip.queue, &queued{held: held, brief: brief})
+	m.gossip.queue = append(m.gossip.queue, &queued{record: changed, brief: brief})
 }
 
-func (m *Machine) dequeue(held *record) {
-	m.gossip.queue = slices.DeleteFunc(m.gossip.queue, func(each *queued) bool { return each.held == held })
+func (m *Machine) dequeue(removed *record) {
+	m.gossip.queue = slices.DeleteFunc(m.gossip.queue, func(each *queued) bool { return each.record == removed })
 }
 
 // retransmissions is how often a changed record is sent; a new member's costs
@@ -98,12 +98,12 @@
 // into the output.
 func (m *Machine) send(address string, message Message) {
 	m.complete(&message)
-	budget := piggybackBudget - fixedCost - len(message.Buckets)
+	budget := piggybackBudget - fixedSize - len(message.Buckets)
 	for _, each := range message.Rumours {
-		budget -= cost(each)
+		budget -= estimatedSize(each)
 	}
 	m.piggybackHead(&message, &budget)
-	m.piggybackSigns(&message, &budget)
+	m.piggybackReports(&message, &budget)
 	m.piggybackRumours(&message, &budget)
 	m.output.Messages = append(m.output.Messages, Envelope{To: address, Message: message})
 }
@@ -115,8 +115,8 @@
 	message.Joining = m.joining()
 }
 
-func cost(rumour Rumour) int {
-	return itemCost + len(rumour.Node) + len(rumour.Zone) + len(rumour.HTTPAddress) + len(rumour.GossipAddress)
+func estimatedSize(rumour Rumour) int {
+	return itemSize + len(rumour.Node) + len(rumour.Zone) + len(rumour.HTTPAddress) + len(rumour.GossipAddress)
 }
 
 func (m *Machine) piggybackHead(message *Message, budget *int) {
@@ -126,22 +126,22 @@
 		message.Head = &head
 	}
 	if message.Head != nil {
-		*budget -= itemCost + len(message.Head.Digest) + len(message.Head.Holder)
+		*budget -= itemSize + len(message.Head.Digest) + len(message.Head.Holder)
 	}
 }
 
-func (m *Machine) piggybackSigns(message *Message, budget *int) {
-	for _, each := range m.gossip.signOrder {
-		size := itemCost + len(each.sign.Backend) + len(each.sign.Incarnation) + len(each.sign.Observer)
-		if each.sends >= signTransmissions || size > *budget {
+func (m *Machine) piggybackReports(message *Message, budget *int) {
+	for _, each := range m.gossip.reportOrder {
+		size := itemSize + len(each.report.Backend) + len(each.report.Incarnation) + len(each.report.Observer)
+		if each.sends >= reportTransmissions || size > *budget {
 			continue
 		}
-		if len(message.Reports) == maxSignsAMessage {
+		if len(message.Reports) == maxReportsPerMessage {
 			return
 		}
 		each.sends++
 		*budget -= size
-		message.Reports = append(message.Reports, each.sign)
+		message.Reports = append(message.Reports, each.report)
 	}
 }
 
@@ -149,11 +149,11 @@
 func (m *Machine) piggybackRumours(message *Message, budget *int) {
 	slices.SortStableFunc(m.gossip.queue, func(a, b *queued) int { return a.sends - b.sends })
 	for _, each := range m.gossip.queue {
-		rumour := Rumour(each.held.Member)
+		rumour := Rumour(each.record.Member)
 		if each.brief {
-			rumour = compact(each.held.Member)
+			rumour = compact(each.record.Member)
 		}
-		size := cost(rumour)
+		size := estimatedSize(rumour)
 		if size > *budget || m.gossip.rumourTokens < float64(size) {
 			break
 		}
@@ -165,9 +165,9 @@
 	m.gossip.queue = slices.DeleteFunc(m.gossip.queue, func(each *queued) bool { return each.sends >= m.retransmissions(each.brief) })
 }
 
-// spreadNow sends what is queued to a few random members without waiting for
+// gossipNow sends what is queued to a few random members without waiting for
 // the next probe, within a bounded rate.
-func (m *Machine) spreadNow() {
+func (m *Machine) gossipNow() {
 	for _, member := range m.sample(urgentFanout, "") {
 		if m.gossip.urgentTokens < 1 {
 			return
@@ -185,62 +185,62 @@
 }
 
 // Broadcast spreads a sign that this router has observed itself.
-func (m *Machine) Broadcast(now time.Time, sign BackendReport) error {
+func (m *Machine) Broadcast(now time.Time, report BackendReport) error {
 	m.advance(now)
-	sign.Observer = m.self.Node
-	sign.ObservedAt = now.UnixMilli()
-	if err := (&Message{Kind: KindGossip, From: m.self.Node, Reports: []BackendReport{sign}}).check(); err != nil {
+	report.Observer = m.self.Node
+	report.ObservedAt = now.UnixMilli()
+	if err := (&Message{Kind: KindGossip, From: m.self.Node, Reports: []BackendReport{report}}).validate(); err != nil {
 		return err
 	}
-	if m.holdSign(sign) {
-		m.spreadNow()
+	if m.storeReport(report) {
+		m.gossipNow()
 	}
 	return nil
 }
 
-func (m *Machine) takeSigns(signs []BackendReport) {
+func (m *Machine) receiveReports(reports []BackendReport) {
 	fresh := false
-	for _, sign := range signs {
-		if m.holdSign(sign) {
+	for _, report := range reports {
+		if m.storeReport(report) {
 			fresh = true
-			m.event(Event{Kind: ReportReceived, Report: sign})
+			m.event(Event{Kind: ReportReceived, Report: report})
 		}
 	}
 	if fresh {
-		m.spreadNow()
+		m.gossipNow()
 	}
 }
 
-// holdSign keeps a sign and reports whether it is new.
-func (m *Machine) holdSign(sign BackendReport) bool {
-	key := signKey{sign.Backend, sign.Incarnation, sign.Kind}
-	if known, found := m.gossip.signs[key]; found {
-		if sign.ObservedAt < known.sign.ObservedAt+signRepeat.Milliseconds() {
+// storeReport keeps a sign and reports whether it is new.
+func (m *Machine) storeReport(report BackendReport) bool {
+	key := reportKey{report.Backend, report.Incarnation, report.Kind}
+	if known, found := m.gossip.reports[key]; found {
+		if report.ObservedAt < known.report.ObservedAt+reportRepeatInterval.Milliseconds() {
 			return false
 		}
-		m.dropSign(known)
+		m.removeReport(known)
 	}
-	if len(m.gossip.signOrder) == maxSigns {
-		m.dropSign(m.gossip.signOrder[maxSigns-1])
+	if len(m.gossip.reportOrder) == maxReports {
+		m.removeReport(m.gossip.reportOrder[maxReports-1])
 	}
-	held := &heldSign{sign: sign, received: m.now}
-	m.gossip.signs[key] = held
-	m.gossip.signOrder = slices.Insert(m.gossip.signOrder, 0, held)
+	stored := &storedReport{report: report, received: m.now}
+	m.gossip.reports[key] = stored
+	m.gossip.reportOrder = slices.Insert(m.gossip.reportOrder, 0, stored)
 	return true
 }
 
-func (m *Machine) dropSign(held *heldSign) {
-	delete(m.gossip.signs, signKey{held.sign.Backend, held.sign.Incarnation, held.sign.Kind})
-	m.gossip.signOrder = slices.DeleteFunc(m.gossip.signOrder, func(each *heldSign) bool { return each == held })
+func (m *Machine) removeReport(removed *storedReport) {
+	delete(m.gossip.reports, reportKey{removed.report.Backend, removed.report.Incarnation, removed.report.Kind})
+	m.gossip.reportOrder = slices.DeleteFunc(m.gossip.reportOrder, func(each *storedReport) bool { return each == removed })
 }
 
-func (m *Machine) expireSigns() {
-	for last := len(m.gossip.signOrder) - 1; last >= 0; last-- {
-		held := m.gossip.signOrder[last]
-		if m.now.Sub(held.received) <= m.timing.ReportRetention {
+func (m *Machine) expireReports() {
+	for last := len(m.gossip.reportOrder) - 1; last >= 0; last-- {
+		oldest := m.gossip.reportOrder[last]
+		if m.now.Sub(oldest.received) <= m.timing.ReportRetention {
 			return
 		}
-		m.dropSign(held)
+		m.removeReport(oldest)
 	}
 }
 
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -61,8 +61,8 @@
 	Member
 	// changed is when State was last set.
 	changed time.Time
-	// condemnedAt is when a suspicion turns into death; zero means none runs.
-	condemnedAt time.Time
+	// deadAt is when a suspicion turns into death; zero means none runs.
+	deadAt time.Time
 }
 
 // Machine is the membership protocol without I/O: inputs are messages and
@@ -100,7 +100,7 @@
 // milliseconds does.
 func NewMachine(now time.Time, self Member, timing Timing, random *rand.Rand) (*Machine, error) {
 	rumour := Rumour(self)
-	if !rumour.sound() || self.GossipAddress == "" {
+	if !rumour.valid() || self.GossipAddress == "" {
 		return nil, fault.New(fault.InvalidSettings, "the router's name %q, zone or addresses are empty or too long", self.Node).
 			WithRemedy("set node, zone and addresses in the settings file")
 	}
@@ -112,7 +112,7 @@
 	machine.probing.next = now.Add(time.Duration(random.Int63n(int64(period))))
 	machine.probing.relays = map[uint64]relay{}
 	machine.probing.sequence = random.Uint64() >> 32
-	machine.gossip.signs = map[signKey]*heldSign{}
+	machine.gossip.reports = map[reportKey]*storedReport{}
 	machine.gossip.urgentTokens = urgentBurst
 	machine.gossip.rumourTokens = rumourBurst
 	machine.syncing.tokens = syncBurst
@@ -145,8 +145,8 @@
 // AddSeeds adds gossip addresses at which other routers may be found.
 func (m *Machine) AddSeeds(addresses []string) {
 	for _, address := range addresses {
-		known := address == "" || len(address) > maxAddress || address == m.self.GossipAddress || slices.Contains(m.seeds, address)
-		if known {
+		skip := address == "" || len(address) > maxAddress || address == m.self.GossipAddress || slices.Contains(m.seeds, address)
+		if skip {
 			continue
 		}
 		if len(m.seeds) == maxSeeds {
@@ -176,8 +176,8 @@
 		return
 	}
 	m.self.State = Leaving
-	m.renew(m.self.Incarnation)
-	m.spreadNow()
+	m.raiseIncarnation(m.self.Incarnation)
+	m.gossipNow()
 }
 
 // Depart tells a few members that this router is gone. It is the last input.
@@ -185,8 +185,8 @@
 	m.advance(now)
 	m.left = true
 	m.self.State = Dead
-	m.renew(m.self.Incarnation)
-	m.spreadNow()
+	m.raiseIncarnation(m.self.Incarnation)
+	m.gossipNow()
 }
 
 // Tick advances the timers. Call it at least four times a probe period.
@@ -197,14 +197,14 @@
 	gap := now.Sub(m.now)
 	m.advance(now)
 	if gap > stallPeriods*m.timing.ProbePeriod {
-		m.forgive(gap)
+		m.extendSuspicions(gap)
 	}
 	m.checkProbes()
 	if !now.Before(m.nextSweep) {
 		m.nextSweep = now.Add(m.timing.ProbePeriod)
-		m.condemn()
-		m.forget()
-		m.expireSigns()
+		m.expireSuspicions()
+		m.removeDead()
+		m.expireReports()
 	}
 	if !now.Before(m.probing.next) {
 		m.probing.next = now.Add(m.timing.ProbePeriod)
@@ -219,11 +219,11 @@
 	if m.left || message.From == m.self.Node {
 		return
 	}
-	hearsay := message.Kind == KindMembers
+	fromSync := message.Kind == KindMembers
 	for i := range message.Rumours {
-		m.merge(message.Rumours[i], hearsay)
+		m.merge(message.Rumours[i], fromSync)
 	}
-	m.takeSigns(message.Reports)
+	m.receiveReports(message.Reports)
 	if message.Head != nil {
 		m.raiseHead(*message.Head)
 	}
@@ -231,7 +231,7 @@
 	case KindPing:
 		m.answerPing(source, message)
 	case KindAck:
-		m.takeAck(message)
+		m.receiveAck(message)
 	case KindPingRequest:
 		m.relayProbe(source, message)
 	case KindSync, KindSyncAnswer:
@@ -255,12 +255,12 @@
 	}
 }
 
-// forgive drops what a pause of this process made look like others' silence.
-func (m *Machine) forgive(gap time.Duration) {
+// extendSuspicions drops what a pause of this process made look like others' silence.
+func (m *Machine) extendSuspicions(gap time.Duration) {
 	m.probing.pending = nil
 	for _, each := range m.records {
-		if !each.condemnedAt.IsZero() {
-			each.condemnedAt = each.condemnedAt.Add(gap)
+		if !each.deadAt.IsZero() {
+			each.deadAt = each.deadAt.Add(gap)
 		}
 	}
 }
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -14,8 +14,8 @@
 
 const zones = 9
 
-// cluster starts count nodes at once that know three seeds.
-func cluster(tb testing.TB, count int, config simnet.Config) *simnet.Network {
+// startCluster starts count nodes at once that know three seeds.
+func startCluster(tb testing.TB, count int, config simnet.Config) *simnet.Network {
 	tb.Helper()
 	config.MinDelay, config.MaxDelay = time.Millisecond, 40*time.Millisecond
 	network, err := simnet.New(config)
@@ -46,7 +46,7 @@
 	return counts, pairs
 }
 
-func believes(observer *simnet.Node, about ident.Node) (membership.Member, bool) {
+func memberSeenBy(observer *simnet.Node, about ident.Node) (membership.Member, bool) {
 	for _, member := range observer.Machine.View().Members {
 		if member.Node == about {
 			return member, true
@@ -55,9 +55,9 @@
 	return membership.Member{}, false
 }
 
-func allBelieve(network *simnet.Network, subject *simnet.Node, state membership.State) bool {
+func allSee(network *simnet.Network, subject *simnet.Node, state membership.State) bool {
 	for _, observer := range network.Nodes {
-		member, known := believes(observer, subject.Member.Node)
+		member, known := memberSeenBy(observer, subject.Member.Node)
 		if observer.Up() && (!known || member.State != state || member.Incarnation < subject.Member.Incarnation) {
 			return false
 		}
@@ -65,21 +65,21 @@
 	return true
 }
 
-// disturbance is something that happens to a settled cluster, and what every
+// scenario is something that happens to a settled cluster, and what every
 // router must believe afterwards.
-type disturbance struct {
-	disturb func(network *simnet.Network)
-	check   func(network *simnet.Network) bool
+type scenario struct {
+	run   func(network *simnet.Network)
+	check func(network *simnet.Network) bool
 }
 
 func subject(network *simnet.Network) *simnet.Node { return network.Nodes[7] }
 
 func inFirstRegion(node *simnet.Node) bool { return node.Member.Zone < "zone-3" }
 
-var endings = map[string]disturbance{
+var shutdownScenarios = map[string]scenario{
 	"a silent node is dead everywhere": {
 		func(network *simnet.Network) { network.Stop(subject(network)); network.Run(40 * time.Second) },
-		func(network *simnet.Network) bool { return allBelieve(network, subject(network), membership.Dead) },
+		func(network *simnet.Network) bool { return allSee(network, subject(network), membership.Dead) },
 	},
 	"a leaving node owns nothing and is not dead while it answers": {
 		func(network *simnet.Network) {
@@ -87,7 +87,7 @@
 			network.Run(60 * time.Second)
 		},
 		func(network *simnet.Network) bool {
-			return allBelieve(network, subject(network), membership.Leaving)
+			return allSee(network, subject(network), membership.Leaving)
 		},
 	},
 	"a leaving node that stops dies": {
@@ -97,7 +97,7 @@
 			network.Stop(subject(network))
 			network.Run(40 * time.Second)
 		},
-		func(network *simnet.Network) bool { return allBelieve(network, subject(network), membership.Dead) },
+		func(network *simnet.Network) bool { return allSee(network, subject(network), membership.Dead) },
 	},
 	"a departed node is dead within seconds": {
 		func(network *simnet.Network) {
@@ -107,7 +107,7 @@
 			network.Stop(subject(network))
 			network.Run(5 * time.Second)
 		},
-		func(network *simnet.Network) bool { return allBelieve(network, subject(network), membership.Dead) },
+		func(network *simnet.Network) bool { return allSee(network, subject(network), membership.Dead) },
 	},
 	"a restarted node replaces its former life": {
 		func(network *simnet.Network) {
@@ -116,11 +116,11 @@
 			_ = network.Restart(subject(network), seeds())
 			network.Run(15 * time.Second)
 		},
-		func(network *simnet.Network) bool { return allBelieve(network, subject(network), membership.Alive) },
+		func(network *simnet.Network) bool { return allSee(network, subject(network), membership.Alive) },
 	},
 }
 
-var recoveries = map[string]disturbance{
+var recoveryScenarios = map[string]scenario{
 	"regions merge after minutes apart": {
 		func(network *simnet.Network) {
 			network.Cut = func(from, to *simnet.Node) bool { return inFirstRegion(from) != inFirstRegion(to) }
@@ -149,7 +149,7 @@
 			network.Run(30 * time.Second)
 		},
 		func(network *simnet.Network) bool {
-			member, _ := believes(network.Nodes[0], subject(network).Member.Node)
+			member, _ := memberSeenBy(network.Nodes[0], subject(network).Member.Node)
 			return allAlive(network) && member.Incarnation > subject(network).Member.Incarnation
 		},
 	},
@@ -176,21 +176,21 @@
 
 func TestClusterConverges(t *testing.T) {
 	t.Parallel()
-	for _, steps := range []map[string]disturbance{endings, recoveries} {
-		runDisturbances(t, steps)
+	for _, scenarios := range []map[string]scenario{shutdownScenarios, recoveryScenarios} {
+		runScenarios(t, scenarios)
 	}
 }
 
-func runDisturbances(t *testing.T, steps map[string]disturbance) {
+func runScenarios(t *testing.T, scenarios map[string]scenario) {
 	t.Helper()
-	for name, step := range steps {
+	for name, each := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			network := cluster(t, 48, simnet.Config{Seed: 11, Loss: 0.01})
+			network := startCluster(t, 48, simnet.Config{Seed: 11, Loss: 0.01})
 			network.Run(30 * time.Second)
 			is.True(allAlive(network)) // converged at the start
-			step.disturb(network)
-			if !step.check(network) {
+			each.run(network)
+			if !each.check(network) {
 				counts, pairs := states(network)
 				t.Fatalf("beliefs by state %v of %d pairs", counts, pairs)
 			}
@@ -206,7 +206,7 @@
 func TestNoFalseDeathUnderLoss(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	network := cluster(t, 64, simnet.Config{Seed: 3, Loss: 0.01})
+	network := startCluster(t, 64, simnet.Config{Seed: 3, Loss: 0.01})
 	network.Run(10 * time.Minute)
 	is.Equal(deaths(network), 0)
 	is.True(allAlive(network))
@@ -227,7 +227,7 @@
 
 func TestRegionsMergeAfterForgetting(t *testing.T) {
 	is := is.New(t)
-	network := cluster(t, 18, simnet.Config{Seed: 4, Timing: membership.Timing{DeadRetention: time.Minute}})
+	network := startCluster(t, 18, simnet.Config{Seed: 4, Timing: membership.Timing{DeadRetention: time.Minute}})
 	network.Run(20 * time.Second)
 	network.Cut = func(from, to *simnet.Node) bool { return inFirstRegion(from) != inFirstRegion(to) }
 	network.Run(4 * time.Minute)
@@ -237,10 +237,10 @@
 	is.True(allAlive(network))
 }
 
-func TestSignAndHeadAtFullSize(t *testing.T) {
+func TestReportAndHeadAtFullSize(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	network := cluster(t, 390, simnet.Config{Seed: 5, Loss: 0.01, Encode: true})
+	network := startCluster(t, 390, simnet.Config{Seed: 5, Loss: 0.01, Encode: true})
 	network.Introduce()
 	network.Run(5 * time.Second)
 	is.True(allAlive(network))
@@ -248,21 +248,21 @@
 		node.TakeEvents()
 		node.BytesSent = 0
 	}
-	sign := membership.BackendReport{Backend: "engine-graz-1", Incarnation: "life-1", Kind: membership.ReportDraining}
+	report := membership.BackendReport{Backend: "engine-graz-1", Incarnation: "life-1", Kind: membership.ReportDraining}
 	network.Do(network.Nodes[200], func(machine *membership.Machine, now time.Time) {
-		is.NoErr(machine.Broadcast(now, sign))
+		is.NoErr(machine.Broadcast(now, report))
 		machine.SetFleetVersion(now, 9, "sha256-abc")
 	})
 	network.Run(3 * time.Second)
-	signs := 0
+	reports := 0
 	for _, node := range network.Nodes {
 		for _, event := range node.TakeEvents() {
 			if event.Kind == membership.ReportReceived {
-				signs++
+				reports++
 			}
 		}
 	}
-	is.Equal(signs, 389) // every other router, once each
+	is.Equal(reports, 389) // every other router, once each
 	network.Run(12 * time.Second)
 	for _, node := range network.Nodes {
 		is.Equal(node.Machine.Head().Version, uint64(9))
@@ -276,7 +276,7 @@
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
 			var steady, herd, seconds float64
 			for range b.N {
-				network := cluster(b, count, simnet.Config{Seed: 1, Loss: 0.01, Encode: true})
+				network := startCluster(b, count, simnet.Config{Seed: 1, Loss: 0.01, Encode: true})
 				for !allAlive(network) && seconds < 300 {
 					network.Run(time.Second)
 					seconds++
@@ -300,7 +300,7 @@
 // BenchmarkRegionSplit cuts a third of the zones off for four minutes and
 // reports traffic and the time until all believe all alive again.
 func BenchmarkRegionSplit(b *testing.B) {
-	network := cluster(b, 390, simnet.Config{Seed: 1, Loss: 0.01, Encode: true})
+	network := startCluster(b, 390, simnet.Config{Seed: 1, Loss: 0.01, Encode: true})
 	network.Introduce()
 	network.Run(30 * time.Second)
 	for range b.N {
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -38,12 +38,12 @@
 	is.Equal(len(membership.View{}.Owners("key", 2)), 0)
 }
 
-// TestAFleetVersionIsNoChangeOfOwners puts a new fleet version in force on every
+// TestFleetVersionKeepsOwners puts a new fleet version in force on every
 // router of a settled cluster: each must hear of it from each other one, as
 // news that leaves the owners as they are.
-func TestAFleetVersionIsNoChangeOfOwners(t *testing.T) {
+func TestFleetVersionKeepsOwners(t *testing.T) {
 	is := is.New(t)
-	network := cluster(t, 8, simnet.Config{Seed: 1})
+	network := startCluster(t, 8, simnet.Config{Seed: 1})
 	network.Run(time.Minute)
 	for _, node := range network.Nodes {
 		node.TakeEvents()
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -8,50 +8,50 @@
 // merge takes one rumour. Hearsay comes out of an anti-entropy exchange: it may
 // be old, as after a split between regions, so an accusation in it is not
 // believed but put to the accused, who is probed next and told of it.
-func (m *Machine) merge(rumour Rumour, hearsay bool) {
+func (m *Machine) merge(rumour Rumour, fromSync bool) {
 	if rumour.Node == m.self.Node {
-		m.defend(rumour)
+		m.refute(rumour)
 		return
 	}
-	held := m.find(rumour.Node)
-	if held == nil {
-		m.admit(rumour, hearsay)
+	known := m.find(rumour.Node)
+	if known == nil {
+		m.addMember(rumour, fromSync)
 		return
 	}
-	newer := rumour.Incarnation > held.Incarnation ||
-		(rumour.Incarnation == held.Incarnation && rumour.State > held.State)
+	newer := rumour.Incarnation > known.Incarnation ||
+		(rumour.Incarnation == known.Incarnation && rumour.State > known.State)
 	if !newer {
-		m.mergeFleetVersion(held, rumour)
+		m.mergeFleetVersion(known, rumour)
 		return
 	}
 	accused := rumour.State == Suspect || rumour.State == Dead
-	standing := held.State == Alive || held.State == Suspect
-	if hearsay && accused && standing {
-		m.doubt(rumour)
+	believedUp := known.State == Alive || known.State == Suspect
+	if fromSync && accused && believedUp {
+		m.queueProbe(rumour)
 		return
 	}
-	if rumour.State == Dead && held.State == Alive && rumour.Incarnation == held.Incarnation {
+	if rumour.State == Dead && known.State == Alive && rumour.Incarnation == known.Incarnation {
 		// The suspicion was missed: give the member its chance to refute it.
 		rumour.State = Suspect
 	}
-	m.adopt(held, rumour)
+	m.updateRecord(known, rumour)
 }
 
 // mergeFleetVersion takes a higher fleet version out of a rumour that says
 // nothing new otherwise.
-func (m *Machine) mergeFleetVersion(held *record, rumour Rumour) {
-	if rumour.Incarnation != held.Incarnation || rumour.FleetVersion <= held.FleetVersion {
+func (m *Machine) mergeFleetVersion(known *record, rumour Rumour) {
+	if rumour.Incarnation != known.Incarnation || rumour.FleetVersion <= known.FleetVersion {
 		return
 	}
-	held.FleetVersion = rumour.FleetVersion
-	m.enqueue(held, true)
-	m.event(Event{Kind: MemberVersionChanged, Member: held.Member})
+	known.FleetVersion = rumour.FleetVersion
+	m.enqueue(known, true)
+	m.event(Event{Kind: MemberVersionChanged, Member: known.Member})
 }
 
 // admit adds a member not known before. The dead are not: whoever forgot them
 // must not learn them again. Members found by a sync are not gossiped on: their
 // own rumour is under way, and further syncs spread the rest more cheaply.
-func (m *Machine) admit(rumour Rumour, hearsay bool) {
+func (m *Machine) addMember(rumour Rumour, fromSync bool) {
 	if rumour.State == Dead || rumour.GossipAddress == "" || len(m.records) >= maxMembers {
 		return
 	}
@@ -62,55 +62,55 @@
 	added := &record{Member: Member(rumour), changed: m.now}
 	index, _ := m.search(rumour.Node)
 	m.records = slices.Insert(m.records, index, added)
-	if !hearsay {
+	if !fromSync {
 		m.enqueue(added, false)
 	}
 	m.event(Event{Kind: MemberChanged, Member: added.Member})
 	if suspected {
 		rumour.State = Suspect
-		m.doubt(rumour)
+		m.queueProbe(rumour)
 	}
 }
 
 // adopt replaces a record by a newer rumour.
-func (m *Machine) adopt(held *record, rumour Rumour) {
+func (m *Machine) updateRecord(known *record, rumour Rumour) {
 	if rumour.Zone == "" {
-		rumour.Zone = held.Zone
+		rumour.Zone = known.Zone
 	}
 	if rumour.HTTPAddress == "" {
-		rumour.HTTPAddress = held.HTTPAddress
+		rumour.HTTPAddress = known.HTTPAddress
 	}
-	full := rumour.GossipAddress != "" && rumour.GossipAddress != held.GossipAddress
+	full := rumour.GossipAddress != "" && rumour.GossipAddress != known.GossipAddress
 	if rumour.GossipAddress == "" {
-		rumour.GossipAddress = held.GossipAddress
+		rumour.GossipAddress = known.GossipAddress
 	}
-	if rumour.Incarnation == held.Incarnation {
-		rumour.FleetVersion = max(rumour.FleetVersion, held.FleetVersion)
+	if rumour.Incarnation == known.Incarnation {
+		rumour.FleetVersion = max(rumour.FleetVersion, known.FleetVersion)
 	}
-	if held.State == Dead {
+	if known.State == Dead {
 		full = true
 	}
-	held.Member = Member(rumour)
-	held.changed = m.now
-	held.condemnedAt = m.now.Add(m.suspicionTimeout())
-	if held.State != Suspect {
-		held.condemnedAt = time.Time{}
+	known.Member = Member(rumour)
+	known.changed = m.now
+	known.deadAt = m.now.Add(m.suspicionTimeout())
+	if known.State != Suspect {
+		known.deadAt = time.Time{}
 	}
-	m.enqueue(held, !full)
-	m.event(Event{Kind: MemberChanged, Member: held.Member})
+	m.enqueue(known, !full)
+	m.event(Event{Kind: MemberChanged, Member: known.Member})
 }
 
-// defend answers rumours about this router itself by a higher incarnation.
-func (m *Machine) defend(rumour Rumour) {
+// refute answers rumours about this router itself by a higher incarnation.
+func (m *Machine) refute(rumour Rumour) {
 	later := rumour.Incarnation > m.self.Incarnation
 	accused := rumour.Incarnation == m.self.Incarnation && rumour.State != m.self.State && rumour.State != Alive
 	if later || accused {
-		m.renew(rumour.Incarnation)
+		m.raiseIncarnation(rumour.Incarnation)
 	}
 }
 
-// renew raises this router's incarnation above the given one and says so.
-func (m *Machine) renew(above uint64) {
+// raiseIncarnation raises this router's incarnation above the given one and says so.
+func (m *Machine) raiseIncarnation(above uint64) {
 	m.self.Incarnation = max(m.self.Incarnation, above) + 1
 	m.self.changed = m.now
 	m.enqueue(m.self, false)
@@ -119,41 +119,41 @@
 
 // suspect starts the clock for a member that did not answer a probe. A leaving
 // member keeps its state, so that it never owns anything again.
-func (m *Machine) suspect(held *record) {
-	if held.State == Dead || !held.condemnedAt.IsZero() {
+func (m *Machine) suspect(target *record) {
+	if target.State == Dead || !target.deadAt.IsZero() {
 		return
 	}
-	held.condemnedAt = m.now.Add(m.suspicionTimeout())
-	if held.State == Leaving {
+	target.deadAt = m.now.Add(m.suspicionTimeout())
+	if target.State == Leaving {
 		return
 	}
-	held.State = Suspect
-	held.changed = m.now
-	m.enqueue(held, true)
-	m.event(Event{Kind: MemberChanged, Member: held.Member})
+	target.State = Suspect
+	target.changed = m.now
+	m.enqueue(target, true)
+	m.event(Event{Kind: MemberChanged, Member: target.Member})
 }
 
-// condemn turns suspicions that nobody refuted in time into deaths.
-func (m *Machine) condemn() {
-	for _, held := range m.records {
-		if held.condemnedAt.IsZero() || m.now.Before(held.condemnedAt) {
+// expireSuspicions turns suspicions that nobody refuted in time into deaths.
+func (m *Machine) expireSuspicions() {
+	for _, known := range m.records {
+		if known.deadAt.IsZero() || m.now.Before(known.deadAt) {
 			continue
 		}
-		held.condemnedAt = time.Time{}
-		held.State = Dead
-		held.changed = m.now
-		m.enqueue(held, true)
-		m.event(Event{Kind: MemberChanged, Member: held.Member})
+		known.deadAt = time.Time{}
+		known.State = Dead
+		known.changed = m.now
+		m.enqueue(known, true)
+		m.event(Event{Kind: MemberChanged, Member: known.Member})
 	}
 }
 
-// forget drops members that have been dead for long.
-func (m *Machine) forget() {
-	m.records = slices.DeleteFunc(m.records, func(held *record) bool {
-		old := held.State == Dead && m.now.Sub(held.changed) > m.timing.DeadRetention
+// removeDead drops members that have been dead for long.
+func (m *Machine) removeDead() {
+	m.records = slices.DeleteFunc(m.records, func(known *record) bool {
+		old := known.State == Dead && m.now.Sub(known.changed) > m.timing.DeadRetention
 		if old {
-			m.dequeue(held)
-			m.event(Event{Kind: MemberRemoved, Member: held.Member})
+			m.dequeue(known)
+			m.event(Event{Kind: MemberRemoved, Member: known.Member})
 		}
 		return old
 	})
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -70,10 +70,10 @@
 
 	datagramsSent, datagramsReceived, bytesSent, bytesReceived, refused, unsent atomic.Uint64
 
-	stopping  chan struct{}
-	stopOnce  sync.Once
-	departing sync.WaitGroup
-	duties    sync.WaitGroup
+	stopping       chan struct{}
+	stopOnce       sync.Once
+	machineRunning sync.WaitGroup
+	workers        sync.WaitGroup
 }
 
 type arrival struct {
@@ -120,10 +120,10 @@
 		stopping:   make(chan struct{}),
 	}
 	node.publish(machine)
-	node.departing.Add(1)
-	node.duties.Add(3)
+	node.machineRunning.Add(1)
+	node.workers.Add(3)
 	go node.receive()
-	go node.keep(ctx, machine)
+	go node.runMachine(ctx, machine)
 	go node.send()
 	return node, nil
 }
@@ -134,17 +134,17 @@
 	if address == "" {
 		address = self.GossipAddress
 	}
-	wanted, err := net.ResolveUDPAddr("udp", address)
+	resolved, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, self, fault.Wrap(err, fault.InvalidSettings, "the gossip address %q cannot be resolved", address).
 			WithRemedy("give the gossip address as HOST:PORT")
 	}
-	connection, err := net.ListenUDP("udp", wanted)
+	connection, err := net.ListenUDP("udp", resolved)
 	if err != nil {
 		return nil, self, fault.Wrap(err, fault.InvalidSettings, "cannot listen on gossip address %q", address).
 			WithRemedy("choose an address of this machine and a free UDP port")
 	}
-	if wanted.Port == 0 {
+	if resolved.Port == 0 {
 		self.GossipAddress = connection.LocalAddr().String()
 	}
 	return connection, self, nil
@@ -172,9 +172,9 @@
 
 // Broadcast spreads a sign that this router has observed itself. Observer and
 // time are filled in.
-func (n *Node) Broadcast(ctx context.Context, sign BackendReport) error {
+func (n *Node) Broadcast(ctx context.Context, report BackendReport) error {
 	var refusal error
-	err := n.command(ctx, func(machine *Machine, now time.Time) { refusal = machine.Broadcast(now, sign) })
+	err := n.command(ctx, func(machine *Machine, now time.Time) { refusal = machine.Broadcast(now, report) })
 	if err != nil {
 		return err
 	}
@@ -189,7 +189,7 @@
 // Stop tells a few members that this router is gone and ends the duties.
 func (n *Node) Stop() {
 	n.stopOnce.Do(func() { close(n.stopping) })
-	n.duties.Wait()
+	n.workers.Wait()
 }
 
 // Counters returns the node's counters.
@@ -209,12 +209,12 @@
 
 // command runs an input in the keeper and waits for it.
 func (n *Node) command(ctx context.Context, run func(machine *Machine, now time.Time)) error {
-	wanted := command{run: run, done: make(chan struct{})}
-	if !n.commands.Push(wanted) {
+	input := command{run: run, done: make(chan struct{})}
+	if !n.commands.Push(input) {
 		return fault.New(fault.Overloaded, "the membership duty has %d inputs waiting", commandCapacity)
 	}
 	select {
-	case <-wanted.done:
+	case <-input.done:
 		return nil
 	case <-n.stopping:
 		return fault.New(fault.Leaving, "the membership node has stopped")
@@ -223,10 +223,10 @@
 	}
 }
 
-// keep is the duty that owns the machine.
-func (n *Node) keep(ctx context.Context, machine *Machine) {
-	defer n.duties.Done()
-	defer n.departing.Done()
+// runMachine is the duty that owns the machine.
+func (n *Node) runMachine(ctx context.Context, machine *Machine) {
+	defer n.workers.Done()
+	defer n.machineRunning.Done()
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
 	for {
@@ -244,10 +244,10 @@
 		select {
 		case <-n.stopping:
 			machine.Depart(time.Now())
-			n.perform(machine)
+			n.dispatch(machine)
 			return
 		default:
-			n.perform(machine)
+			n.dispatch(machine)
 		}
 	}
 }
@@ -261,13 +261,13 @@
 func (n *Node) drainCommands(machine *Machine) {
 	for next, ok := n.commands.Pop(); ok; next, ok = n.commands.Pop() {
 		next.run(machine, time.Now())
-		n.perform(machine)
+		n.dispatch(machine)
 		close(next.done)
 	}
 }
 
-// perform does what the machine asks for.
-func (n *Node) perform(machine *Machine) {
+// dispatch does what the machine asks for.
+func (n *Node) dispatch(machine *Machine) {
 	output := machine.Ready()
 	if len(output.Events) > 0 {
 		n.publish(machine)
@@ -288,7 +288,7 @@
 
 // receive is the duty that reads datagrams until the connection is closed.
 func (n *Node) receive() {
-	defer n.duties.Done()
+	defer n.workers.Done()
 	buffer := make([]byte, MaxDatagram+1)
 	for {
 		length, source, err := n.connection.ReadFromUDPAddrPort(buffer)
@@ -317,13 +317,13 @@
 // resolved. After the keeper has ended it sends what is left and closes the
 // connection, which ends the receiver.
 func (n *Node) send() {
-	defer n.duties.Done()
+	defer n.workers.Done()
 	for {
 		select {
 		case <-n.outbound.Ready():
 			n.drainOutbound()
 		case <-n.stopping:
-			n.departing.Wait()
+			n.machineRunning.Wait()
 			n.drainOutbound()
 			_ = n.connection.Close()
 			return
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -13,12 +13,12 @@
 	// ownZoneShare of roundsOf probe rounds go to the router's own zone.
 	ownZoneShare = 3
 	roundsOf     = 4
-	// doubtsPerRound bounds the extra probes of accused members.
-	doubtsPerRound = 3
-	maxDoubts      = 512
-	maxRelays      = 256
-	// verdictTimeouts is after how many probe timeouts a probe has failed.
-	verdictTimeouts = 3
+	// accusedPerRound bounds the extra probes of accused members.
+	accusedPerRound = 3
+	maxAccused      = 512
+	maxRelays       = 256
+	// failureTimeouts is after how many probe timeouts a probe has failed.
+	failureTimeouts = 3
 )
 
 // probing is the part of the machine that finds out who answers.
@@ -29,7 +29,7 @@
 	// near and far are the random permutations still to be probed.
 	near, far []ident.Node
 	pending   []probe
-	doubts    []Rumour
+	accused   []Rumour
 	relays    map[uint64]relay
 }
 
@@ -52,17 +52,17 @@
 	if target := m.nextTarget(m.probing.round%roundsOf < ownZoneShare); target != nil {
 		m.probe(target)
 	}
-	for range doubtsPerRound {
-		if len(m.probing.doubts) == 0 {
+	for range accusedPerRound {
+		if len(m.probing.accused) == 0 {
 			return
 		}
-		accusation := m.probing.doubts[0]
-		m.probing.doubts = m.probing.doubts[1:]
-		held := m.find(accusation.Node)
-		if held == nil || held.State == Dead || held.Incarnation > accusation.Incarnation {
+		accusation := m.probing.accused[0]
+		m.probing.accused = m.probing.accused[1:]
+		target := m.find(accusation.Node)
+		if target == nil || target.State == Dead || target.Incarnation > accusation.Incarnation {
 			continue
 		}
-		m.probe(held, accusation)
+		m.probe(target, accusation)
 	}
 }
 
@@ -74,11 +74,11 @@
 		if near {
 			pool = &m.probing.near
 		}
-		if target := m.takeFrom(pool); target != nil {
+		if target := m.popTarget(pool); target != nil {
 			return target
 		}
 		*pool = m.permutation(near)
-		if target := m.takeFrom(pool); target != nil {
+		if target := m.popTarget(pool); target != nil {
 			return target
 		}
 		near = !near
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (m *Machine) takeFrom(pool *[]ident.Node) *record {
+func (m *Machine) popTarget(pool *[]ident.Node) *record {
 	for len(*pool) > 0 {
 		target := m.find((*pool)[0])
 		*pool = (*pool)[1:]
@@ -121,13 +121,13 @@
 	})
 }
 
-// doubt puts a member first in line for a probe with the accusation in it.
-func (m *Machine) doubt(accusation Rumour) {
-	known := slices.ContainsFunc(m.probing.doubts, func(each Rumour) bool { return each.Node == accusation.Node })
-	if known || len(m.probing.doubts) >= maxDoubts {
+// queueProbe puts a member first in line for a probe with the accusation in it.
+func (m *Machine) queueProbe(accusation Rumour) {
+	known := slices.ContainsFunc(m.probing.accused, func(each Rumour) bool { return each.Node == accusation.Node })
+	if known || len(m.probing.accused) >= maxAccused {
 		return
 	}
-	m.probing.doubts = append(m.probing.doubts, accusation)
+	m.probing.accused = append(m.probing.accused, accusation)
 }
 
 // checkProbes asks others about silent members and suspects those that no one
@@ -140,13 +140,13 @@
 		if target == nil || target.State == Dead {
 			continue
 		}
-		if waited >= verdictTimeouts*m.timing.ProbeTimeout {
+		if waited >= failureTimeouts*m.timing.ProbeTimeout {
 			m.suspect(target)
 			continue
 		}
 		if !each.indirect && waited >= m.timing.ProbeTimeout {
 			each.indirect = true
-			m.askOthers(target, each.sequence)
+			m.requestIndirectProbes(target, each.sequence)
 		}
 		kept = append(kept, each)
 	}
@@ -158,7 +158,7 @@
 	}
 }
 
-func (m *Machine) askOthers(target *record, sequence uint64) {
+func (m *Machine) requestIndirectProbes(target *record, sequence uint64) {
 	for _, helper := range m.sample(indirectProbes, target.Node) {
 		m.send(helper.GossipAddress, Message{
 			Kind: KindPingRequest, Sequence: sequence, Target: target.Node, TargetAddress: target.GossipAddress,
@@ -191,11 +191,11 @@
 
 // accusations tells a sender what is held against its present life.
 func (m *Machine) accusations(message *Message) []Rumour {
-	held := m.find(message.From)
-	if held == nil || held.Incarnation < message.Incarnation || held.State == Alive || held.State == Leaving {
+	known := m.find(message.From)
+	if known == nil || known.Incarnation < message.Incarnation || known.State == Alive || known.State == Leaving {
 		return nil
 	}
-	return []Rumour{compact(held.Member)}
+	return []Rumour{compact(known.Member)}
 }
 
 func (m *Machine) relayProbe(source string, message *Message) {
@@ -204,12 +204,12 @@
 	}
 	m.probing.sequence++
 	m.probing.relays[m.probing.sequence] = relay{
-		source: source, sequence: message.Sequence, expires: m.now.Add(verdictTimeouts * m.timing.ProbeTimeout),
+		source: source, sequence: message.Sequence, expires: m.now.Add(failureTimeouts * m.timing.ProbeTimeout),
 	}
 	m.send(message.TargetAddress, Message{Kind: KindPing, Sequence: m.probing.sequence, Target: message.Target})
 }
 
-func (m *Machine) takeAck(message *Message) {
+func (m *Machine) receiveAck(message *Message) {
 	if asked, found := m.probing.relays[message.Sequence]; found {
 		delete(m.probing.relays, message.Sequence)
 		m.send(asked.source, Message{Kind: KindAck, Sequence: asked.sequence})
@@ -219,8 +219,8 @@
 		if each.sequence != message.Sequence {
 			return false
 		}
-		if held := m.find(each.target); held != nil && held.State == Leaving {
-			held.condemnedAt = time.Time{}
+		if known := m.find(each.target); known != nil && known.State == Leaving {
+			known.deadAt = time.Time{}
 		}
 		return true
 	})
--- a/internal/membership/simnet/simnet.go
+++ b/internal/membership/simnet/simnet.go
@@ -57,7 +57,7 @@
 	// SentByKind splits BytesSent by the kind of message.
 	SentByKind [membership.KindGossip + 1]uint64
 	up         bool
-	life       uint64
+	generation uint64
 }
 
 // Up says whether the node runs.
@@ -82,7 +82,7 @@
 	random    *rand.Rand
 	codec     *membership.Codec
 	now       time.Time
-	agenda    agenda
+	queue     actionQueue
 	byAddress map[string]*Node
 	order     uint64
 }
@@ -134,8 +134,8 @@
 	}
 	machine.AddSeeds(seeds)
 	node.Machine, node.Events, node.up = machine, nil, true
-	node.life++
-	n.after(time.Duration(n.random.Int63n(int64(n.config.Tick))), action{node: node, life: node.life})
+	node.generation++
+	n.schedule(time.Duration(n.random.Int63n(int64(n.config.Tick))), action{node: node, generation: node.generation})
 	return nil
 }
 
@@ -145,8 +145,8 @@
 // Resume continues a stopped node with what it remembered, as after a pause.
 func (n *Network) Resume(node *Node) {
 	node.up = true
-	node.life++
-	n.after(0, action{node: node, life: node.life})
+	node.generation++
+	n.schedule(0, action{node: node, generation: node.generation})
 }
 
 // Introduce tells every running node of every other at once, which spares the
@@ -154,12 +154,12 @@
 func (n *Network) Introduce() {
 	for _, from := range n.Nodes {
 		rumours := []membership.Rumour{membership.Rumour(from.Member)}
-		introduction := &membership.Message{
+		message := &membership.Message{
 			Kind: membership.KindMembers, From: from.Member.Node, Incarnation: from.Member.Incarnation, Rumours: rumours,
 		}
 		for _, to := range n.Nodes {
 			if to.up {
-				to.Machine.Step(n.now, from.Member.GossipAddress, introduction)
+				to.Machine.Step(n.now, from.Member.GossipAddress, message)
 				to.Events = append(to.Events, to.Machine.Ready().Events...)
 			}
 		}
@@ -173,37 +173,37 @@
 }
 
 // After runs what at a virtual time from now, within a later call of Run.
-func (n *Network) After(delay time.Duration, what func()) { n.after(delay, action{call: what}) }
+func (n *Network) After(delay time.Duration, call func()) { n.schedule(delay, action{call: call}) }
 
 // Run advances virtual time.
 func (n *Network) Run(duration time.Duration) {
 	end := n.now.Add(duration)
-	for len(n.agenda) > 0 && !n.agenda[0].at.After(end) {
-		next := heap.Pop(&n.agenda).(action)
+	for len(n.queue) > 0 && !n.queue[0].at.After(end) {
+		next := heap.Pop(&n.queue).(action)
 		n.now = next.at
-		n.perform(next)
+		n.runAction(next)
 	}
 	n.now = end
 }
 
-func (n *Network) perform(next action) {
+func (n *Network) runAction(next action) {
 	switch {
 	case next.call != nil:
 		next.call()
 	case !next.node.up:
 	case next.message != nil:
 		n.deliver(next)
-	case next.life == next.node.life:
-		n.around(next.node, func() { next.node.Machine.Tick(n.now) })
+	case next.generation == next.node.generation:
+		n.runAround(next.node, func() { next.node.Machine.Tick(n.now) })
 		n.collect(next.node)
-		n.after(n.config.Tick, next)
+		n.schedule(n.config.Tick, next)
 	}
 }
 
 func (n *Network) deliver(next action) {
 	next.node.BytesReceived += uint64(next.size)
 	next.node.MessagesReceived++
-	n.around(next.node, func() {
+	n.runAround(next.node, func() {
 		message := next.message
 		if next.datagram != nil {
 			message = n.open(next.datagram)
@@ -221,7 +221,7 @@
 	return message
 }
 
-func (n *Network) around(node *Node, work func()) {
+func (n *Network) runAround(node *Node, work func()) {
 	if n.config.Around == nil {
 		work()
 		return
@@ -244,7 +244,7 @@
 func (n *Network) transmit(from *Node, envelope membership.Envelope) {
 	arrival := action{message: &envelope.Message, source: from.Member.GossipAddress}
 	if n.config.Encode {
-		n.around(from, func() { arrival.datagram = n.seal(&envelope.Message) })
+		n.runAround(from, func() { arrival.datagram = n.seal(&envelope.Message) })
 		arrival.size = len(arrival.datagram) + datagramOverhead
 		from.BytesSent += uint64(arrival.size)
 		from.SentByKind[envelope.Message.Kind] += uint64(arrival.size)
@@ -263,7 +263,7 @@
 		delay += n.config.Delay(from, to)
 	}
 	arrival.node = to
-	n.after(delay, arrival)
+	n.schedule(delay, arrival)
 }
 
 func (n *Network) seal(message *membership.Message) []byte {
@@ -274,20 +274,20 @@
 	return datagram
 }
 
-func (n *Network) after(delay time.Duration, what action) {
+func (n *Network) schedule(delay time.Duration, next action) {
 	n.order++
-	what.at, what.order = n.now.Add(delay), n.order
-	heap.Push(&n.agenda, what)
+	next.at, next.order = n.now.Add(delay), n.order
+	heap.Push(&n.queue, next)
 }
 
 // action is a call, a tick, or the arrival of a message, at a virtual time.
 type action struct {
-	at      time.Time
-	order   uint64
-	call    func()
-	node    *Node
-	life    uint64
-	message *membership.Message
+	at         time.Time
+	order      uint64
+	call       func()
+	node       *Node
+	generation uint64
+	message    *membership.Message
 	// datagram is the sealed message, if messages go through the wire format,
 	// and size what it took on the wire.
 	datagram []byte
@@ -295,13 +295,13 @@
 	source   string
 }
 
-type agenda []action
+type actionQueue []action
 
 // Len implements heap.Interface.
-func (a agenda) Len() int { return len(a) }
+func (a actionQueue) Len() int { return len(a) }
 
 // Less implements heap.Interface: by time, then in the order of scheduling.
-func (a agenda) Less(i, j int) bool {
+func (a actionQueue) Less(i, j int) bool {
 	if a[i].at.Equal(a[j].at) {
 		return a[i].order < a[j].order
 	}
@@ -309,13 +309,13 @@
 }
 
 // Swap implements heap.Interface.
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a actionQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
 // Push implements heap.Interface.
-func (a *agenda) Push(item any) { *a = append(*a, item.(action)) }
+func (a *actionQueue) Push(item any) { *a = append(*a, item.(action)) }
 
 // Pop implements heap.Interface.
-func (a *agenda) Pop() any {
+func (a *actionQueue) Pop() any {
 	last := len(*a) - 1
 	item := (*a)[last]
 	*a = (*a)[:last]
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -54,27 +54,27 @@
 func (m *Machine) reconnect() {
 	reached := map[string]bool{}
 	alone := true
-	var lost []string
+	var unreachable []string
 	for _, each := range m.records {
 		switch {
 		case each.State != Dead:
 			reached[each.GossipAddress] = true
 			alone = alone && each == m.self
 		default:
-			lost = append(lost, each.GossipAddress)
+			unreachable = append(unreachable, each.GossipAddress)
 		}
 	}
 	for _, seed := range m.seeds {
-		if !reached[seed] && !slices.Contains(lost, seed) {
-			lost = append(lost, seed)
+		if !reached[seed] && !slices.Contains(unreachable, seed) {
+			unreachable = append(unreachable, seed)
 		}
 	}
-	m.random.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
+	m.random.Shuffle(len(unreachable), func(i, j int) { unreachable[i], unreachable[j] = unreachable[j], unreachable[i] })
 	contacts, wait := 1, m.jittered(m.timing.ReconnectPeriod)
 	if alone || m.joining() {
 		contacts, wait = joinContacts, m.jittered(m.timing.ProbePeriod)
 	}
-	for _, address := range lost[:min(contacts, len(lost))] {
+	for _, address := range unreachable[:min(contacts, len(unreachable))] {
 		m.startSync(address)
 	}
 	m.syncing.nextReconnect = m.now.Add(wait)
@@ -84,11 +84,11 @@
 	salt := m.random.Uint64()
 	m.send(address, Message{
 		Kind: KindSync, Salt: salt, Buckets: m.digests(salt),
-		Rumours: []Rumour{Rumour(m.self.Member)}, Head: m.wholeHead(),
+		Rumours: []Rumour{Rumour(m.self.Member)}, Head: m.currentHead(),
 	})
 }
 
-func (m *Machine) wholeHead() *FleetHead {
+func (m *Machine) currentHead() *FleetHead {
 	return m.headFor(&Message{})
 }
 
@@ -126,9 +126,9 @@
 	m.random.Shuffle(len(rumours), func(i, j int) { rumours[i], rumours[j] = rumours[j], rumours[i] })
 	for first := true; len(rumours) > 0 && (first || m.syncing.tokens > 0); first = false {
 		chunk := Message{Kind: KindMembers}
-		size := fixedCost
-		for len(rumours) > 0 && size+cost(rumours[0]) <= messageBudget {
-			size += cost(rumours[0])
+		size := fixedSize
+		for len(rumours) > 0 && size+estimatedSize(rumours[0]) <= messageBudget {
+			size += estimatedSize(rumours[0])
 			chunk.Rumours = append(chunk.Rumours, rumours[0])
 			rumours = rumours[1:]
 		}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -90,13 +90,13 @@
 	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, c.maxBody+1))
 	if err != nil {
-		return lost(ctx, err, address, method).WithRan(fault.RanUnknown)
+		return callFailed(ctx, err, address, method).WithRan(fault.RanUnknown)
 	}
 	if int64(len(answer)) > c.maxBody {
 		return fault.New(fault.TooLarge, "the reply of %s to peer method %q exceeds %d bytes", address, method, c.maxBody).
 			WithRan(fault.RanUnknown)
 	}
-	return c.take(response, address, method, nonce, answer, reply)
+	return c.decodeReply(response, address, method, nonce, answer, reply)
 }
 
 func (c *Client) post(ctx context.Context, address, method, nonce string, body []byte) (*http.Response, error) {
@@ -109,13 +109,13 @@
 	outgoing.Header.Set(macHeader, c.sealer.requestMAC(method, nonce, body))
 	response, err := c.http.Do(outgoing)
 	if err != nil {
-		return nil, lost(ctx, err, address, method)
+		return nil, callFailed(ctx, err, address, method)
 	}
 	return response, nil
 }
 
-// take checks and decodes an answer.
-func (c *Client) take(response *http.Response, address, method, nonce string, answer []byte, reply any) error {
+// decodeReply checks and decodes an answer.
+func (c *Client) decodeReply(response *http.Response, address, method, nonce string, answer []byte, reply any) error {
 	expected := c.sealer.replyMAC(method, nonce, response.StatusCode, answer)
 	if !hmac.Equal([]byte(expected), []byte(response.Header.Get(macHeader))) {
 		if response.StatusCode == http.StatusRequestEntityTooLarge {
@@ -124,17 +124,17 @@
 		return fault.New(fault.Unauthorized, "the reply of %s to peer method %q (status %d) does not carry this cluster's key", address, method, response.StatusCode).
 			WithRemedy("give every router of the cluster the same cluster key").WithRan(fault.RanUnknown)
 	}
-	into := reply
-	var passed wireFault
+	target := reply
+	var received wireFault
 	if response.StatusCode != http.StatusOK {
-		into = &passed
+		target = &received
 	}
-	if err := c.sealer.decode(answer, into); err != nil {
+	if err := c.sealer.decode(answer, target); err != nil {
 		return fault.Wrap(err, fault.Internal, "the reply of %s to peer method %q does not decode", address, method).
 			WithRemedy("run router versions that share a peer protocol").WithRan(fault.RanUnknown)
 	}
 	if response.StatusCode != http.StatusOK {
-		return passed.fault()
+		return received.fault()
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 	return fault.New(fault.TooLarge, "the request of peer method %q exceeds the limit of a router", method)
 }
 
-func lost(ctx context.Context, cause error, address, method string) *fault.Fault {
+func callFailed(ctx context.Context, cause error, address, method string) *fault.Fault {
 	if ctx.Err() != nil {
 		return fault.Wrap(cause, fault.Timeout, "router %s did not answer peer method %q in time", address, method).
 			WithRan(fault.RanUnknown)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -115,8 +115,8 @@
 	client, err := NewClient(testKey, 0)
 	is.NoErr(err)
 	defer client.Close()
-	passed := fault.From(client.Call(context.Background(), address, "measure", question{"fault"}, &answer{}))
-	is.Equal(*passed, fault.Fault{
+	received := fault.From(client.Call(context.Background(), address, "measure", question{"fault"}, &answer{}))
+	is.Equal(*received, fault.Fault{
 		Kind: fault.Conflict, Detail: "version 7 won", Remedy: "look again",
 		Ran: fault.RanYes, RetryAfter: 1500 * time.Millisecond,
 	})
--- a/internal/peer/seal.go
+++ b/internal/peer/seal.go
@@ -97,11 +97,11 @@
 	return s.mac([]byte(replyLabel), []byte(method), []byte(nonce), code[:], body)
 }
 
-func (s *sealer) decode(body []byte, into any) error {
-	return s.decoder.Unmarshal(body, into)
+func (s *sealer) decode(body []byte, target any) error {
+	return s.decoder.Unmarshal(body, target)
 }
 
-func soundMethod(method string) bool {
+func validMethod(method string) bool {
 	return method != "" && len(method) <= maxMethod && strings.Trim(method, methodAlphabet) == ""
 }
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -51,7 +51,7 @@
 // names consist of lower-case letters, digits, '-' and '.'; methods must be
 // idempotent, as the package comment explains.
 func Handle[Request, Reply any](server *Server, method string, handler func(ctx context.Context, request Request) (Reply, error)) error {
-	if !soundMethod(method) {
+	if !validMethod(method) {
 		return fault.New(fault.Internal, "peer method name %q is malformed", method)
 	}
 	raw := func(ctx context.Context, body []byte) ([]byte, error) {
@@ -85,9 +85,9 @@
 // bare status without a sealed body, so that the server seals nothing for
 // strangers.
 func (s *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	method, under := strings.CutPrefix(request.URL.Path, Prefix)
+	method, hasPrefix := strings.CutPrefix(request.URL.Path, Prefix)
 	nonce := request.Header.Get(nonceHeader)
-	if !under || !soundMethod(method) || request.Method != http.MethodPost || len(nonce) != 2*nonceSize {
+	if !hasPrefix || !validMethod(method) || request.Method != http.MethodPost || len(nonce) != 2*nonceSize {
 		s.refuse(writer, http.StatusUnauthorized)
 		return
 	}
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -73,12 +73,12 @@
 
 // call is one request to the platform.
 type call struct {
-	// what names the call in messages, without its key.
-	what         string
+	// description names the call in messages, without its key.
+	description  string
 	method, path string
 	body         []byte
-	// missingIsAnswer says that 404 means: no such row or object.
-	missingIsAnswer bool
+	// allowsNotFound says that 404 means: no such row or object.
+	allowsNotFound bool
 }
 
 // answer is a whole answer of the platform.
@@ -89,7 +89,7 @@
 
 // do sends the call and reads the whole answer.
 func (c *HTTPClient) do(ctx context.Context, out call) (answer, error) {
-	if err := c.wait(ctx); err != nil {
+	if err := c.waitForLimiter(ctx); err != nil {
 		return answer{}, err
 	}
 	request, err := http.NewRequestWithContext(ctx, out.method, c.base+out.path, bytes.NewReader(out.body))
@@ -102,26 +102,26 @@
 	}
 	response, err := send(request)
 	if err != nil {
-		return answer{}, unavailable(err, out, "no answer to %s", out.what)
+		return answer{}, unavailable(err, out, "no answer to %s", out.description)
 	}
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusNoContent:
 		body, err := httpclient.ReadBody(response, c.maxBody)
 		if err != nil {
-			return answer{}, unavailable(err, out, "the answer to %s broke off", out.what)
+			return answer{}, unavailable(err, out, "the answer to %s broke off", out.description)
 		}
 		return answer{found: true, body: body}, nil
 	case http.StatusNotFound:
-		if out.missingIsAnswer {
+		if out.allowsNotFound {
 			_ = response.Body.Close()
 			return answer{}, nil
 		}
 	}
-	return answer{}, failed(response, out)
+	return answer{}, faultFrom(response, out)
 }
 
-// wait takes a turn of the limiter, or fails at once if none comes in time.
-func (c *HTTPClient) wait(ctx context.Context) error {
+// waitForLimiter takes a turn of the limiter, or fails at once if none comes in time.
+func (c *HTTPClient) waitForLimiter(ctx context.Context) error {
 	if c.limiter == nil {
 		return nil
 	}
@@ -137,18 +137,18 @@
 	return nil
 }
 
-// failed turns an answer of failure into a fault.
-func failed(response *http.Response, out call) error {
+// faultFrom turns an answer of failure into a fault.
+func faultFrom(response *http.Response, out call) error {
 	body, _ := httpclient.ReadBody(response, maxFailureBytes)
 	switch response.StatusCode {
 	case http.StatusTooManyRequests:
-		return fault.New(fault.RateLimited, "the platform's rate limit refused %s", out.what).
+		return fault.New(fault.RateLimited, "the platform's rate limit refused %s", out.description).
 			WithRetryAfter(httpclient.RetryAfter(response.Header, defaultRetryAfter))
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusRequestEntityTooLarge:
 		return fault.New(fault.BadRequest, "the platform cannot take %s (status %d): %s",
-			out.what, response.StatusCode, bytes.TrimSpace(body))
+			out.description, response.StatusCode, bytes.TrimSpace(body))
 	}
-	return unavailable(nil, out, "%s failed with status %d", out.what, response.StatusCode)
+	return unavailable(nil, out, "%s failed with status %d", out.description, response.StatusCode)
 }
 
 // unavailable returns a StoreUnavailable fault. Reads never run anything; a
@@ -168,7 +168,7 @@
 // decode reads a JSON answer.
 func decode(body []byte, out call, into any) error {
 	if err := json.Unmarshal(body, into); err != nil {
-		return unavailable(err, out, "the answer to %s is malformed", out.what)
+		return unavailable(err, out, "the answer to %s is malformed", out.description)
 	}
 	return nil
 }
--- a/internal/store/http_test.go
+++ b/internal/store/http_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestOwnLimitAndDeadPlatformDoNothing(t *testing.T) {
+func TestUnsentWritesReportNotRun(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.NotFoundHandler())
 	client, err := store.NewHTTPClient(server.URL, store.Options{RequestsPerSecond: 0.001})
--- a/internal/store/objects.go
+++ b/internal/store/objects.go
@@ -15,22 +15,22 @@
 
 // Put implements Objects.
 func (c *HTTPClient) Put(ctx context.Context, zone ident.Zone, key string, data []byte) error {
-	_, err := c.do(ctx, call{what: "writing an object", method: http.MethodPut, path: objectPath(zone, key), body: data})
+	_, err := c.do(ctx, call{description: "writing an object", method: http.MethodPut, path: objectPath(zone, key), body: data})
 	return err
 }
 
 // Get implements Objects.
 func (c *HTTPClient) Get(ctx context.Context, zone ident.Zone, key string) ([]byte, bool, error) {
-	answered, err := c.do(ctx, call{what: "reading an object", method: http.MethodGet, path: objectPath(zone, key), missingIsAnswer: true})
-	return answered.body, answered.found, err
+	response, err := c.do(ctx, call{description: "reading an object", method: http.MethodGet, path: objectPath(zone, key), allowsNotFound: true})
+	return response.body, response.found, err
 }
 
 // FetchWeights returns the weights of a model version. It is slow by nature;
 // engines, not routers, call it.
 func (c *HTTPClient) FetchWeights(ctx context.Context, model ident.Model, version ident.ModelVersion) ([]byte, error) {
 	path := pathWeights + url.PathEscape(string(model)) + "/" + url.PathEscape(string(version))
-	answered, err := c.do(ctx, call{what: "fetching weights", method: http.MethodGet, path: path})
-	return answered.body, err
+	response, err := c.do(ctx, call{description: "fetching weights", method: http.MethodGet, path: path})
+	return response.body, err
 }
 
 func objectPath(zone ident.Zone, key string) string {
--- a/internal/store/revision_test.go
+++ b/internal/store/revision_test.go
@@ -17,7 +17,7 @@
 	is.Equal(Version(Revision(3, 17)), uint64(17))
 }
 
-func TestBackStaysInItsEpoch(t *testing.T) {
+func TestRevisionBeforeStaysInEpoch(t *testing.T) {
 	tests := []struct{ from, by, want uint64 }{
 		{Revision(0, 9), 4, Revision(0, 5)}, {Revision(0, 3), 4, 0},
 		{Revision(2, 9), 4, Revision(2, 5)}, {Revision(2, 3), 4, Revision(2, 0)},
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -24,20 +24,20 @@
 	if err != nil {
 		return result, fault.Wrap(err, fault.BadRequest, "the transaction cannot be encoded")
 	}
-	out := call{what: "a transaction", method: http.MethodPost, path: pathTransactions, body: encoded}
-	answered, err := c.do(ctx, out)
+	out := call{description: "a transaction", method: http.MethodPost, path: pathTransactions, body: encoded}
+	response, err := c.do(ctx, out)
 	if err != nil {
 		return result, err
 	}
-	if err := decode(answered.body, out, &result); err != nil {
+	if err := decode(response.body, out, &result); err != nil {
 		return protocol.TransactionResult{}, err
 	}
-	wanted := len(transaction.Conditions)
+	expected := len(transaction.Conditions)
 	if result.Committed {
-		wanted = len(transaction.Writes)
+		expected = len(transaction.Writes)
 	}
-	if len(result.Rows) != wanted {
-		return protocol.TransactionResult{}, unavailable(nil, out, "the answer to a transaction has %d rows in place of %d", len(result.Rows), wanted)
+	if len(result.Rows) != expected {
+		return protocol.TransactionResult{}, unavailable(nil, out, "the answer to a transaction has %d rows in place of %d", len(result.Rows), expected)
 	}
 	return result, nil
 }
@@ -45,12 +45,12 @@
 // Read implements Table.
 func (c *HTTPClient) Read(ctx context.Context, key string) (protocol.Row, bool, error) {
 	var row protocol.Row
-	out := call{what: "reading a row", method: http.MethodGet, path: pathRows + "/" + url.PathEscape(key), missingIsAnswer: true}
-	answered, err := c.do(ctx, out)
-	if err != nil || !answered.found {
+	out := call{description: "reading a row", method: http.MethodGet, path: pathRows + "/" + url.PathEscape(key), allowsNotFound: true}
+	response, err := c.do(ctx, out)
+	if err != nil || !response.found {
 		return row, false, err
 	}
-	if err := decode(answered.body, out, &row); err != nil {
+	if err := decode(response.body, out, &row); err != nil {
 		return protocol.Row{}, false, err
 	}
 	return row, true, nil
@@ -71,11 +71,11 @@
 	return list, err
 }
 
-func (c *HTTPClient) getJSON(ctx context.Context, what, path string, into any) error {
-	out := call{what: what, method: http.MethodGet, path: path}
-	answered, err := c.do(ctx, out)
+func (c *HTTPClient) getJSON(ctx context.Context, description, path string, into any) error {
+	out := call{description: description, method: http.MethodGet, path: path}
+	response, err := c.do(ctx, out)
 	if err != nil {
 		return err
 	}
-	return decode(answered.body, out, into)
+	return decode(response.body, out, into)
 }
--- a/internal/upstream/chain.go
+++ b/internal/upstream/chain.go
@@ -77,30 +77,30 @@
 const (
 	defaultStagger    = time.Second
 	defaultStaleAfter = 2 * time.Second
-	// slack is the part of an interval by which state from a peer may be older
+	// peerSlack is the part of an interval by which state from a peer may be older
 	// than state read from the store.
-	slack = 0.3
-	// firstDown and maxDown bound the time a peer is not asked after a failed
+	peerSlack = 0.3
+	// minBackoff and maxBackoff bound the time a peer is not asked after a failed
 	// pull; it doubles with each one in a row.
-	firstDown = time.Second
-	maxDown   = 8 * time.Second
-	// staleFor is the time a peer is not asked after stale state.
-	staleFor = time.Second
+	minBackoff = time.Second
+	maxBackoff = 8 * time.Second
+	// staleBackoff is the time a peer is not asked after stale state.
+	staleBackoff = time.Second
 	// maxFollowers bounds the followers that are remembered.
 	maxFollowers = 4
 	// fanout is the number of peers of its zone that a router supplies.
 	fanout = 8
 )
 
-// link is what is believed of one peer.
-type link struct {
+// peerState is what is believed of one peer.
+type peerState struct {
 	peer Peer
-	// down is the last time of rest after failures, 0 while the peer answers.
-	down time.Duration
+	// backoff is the last time of rest after failures, 0 while the peer answers.
+	backoff time.Duration
 	// retryAt is when the peer may be asked again.
 	retryAt time.Time
-	// leaving is true once the peer said that it is about to end.
-	leaving bool
+	// shuttingDown is true once the peer said that it is about to end.
+	shuttingDown bool
 }
 
 // Chain orders the peers of one router. It is not safe for concurrent use.
@@ -114,13 +114,13 @@
 	// near are the peers of this zone before this router, regional those of other
 	// zones of its region if there are several regions, and far all others, each by
 	// revision.
-	near, regional, far []*link
-	followers           []*link
+	sameZone, sameRegion, others []*peerState
+	followers                    []*peerState
 	// supplied is true if the last pull brought fresh state.
 	supplied bool
-	// leaving is true once this router is about to end. It goes on in its place then, and
+	// shuttingDown is true once this router is about to end. It goes on in its place then, and
 	// takes over nothing of others that leave: of routers that all leave, one reads.
-	leaving bool
+	shuttingDown bool
 }
 
 // NewChain returns the chain of a router that has no row yet.
@@ -138,27 +138,27 @@
 // written.
 func (c *Chain) Join(self Peer, peers []Peer) {
 	c.self, c.joined = self, true
-	c.near, c.regional, c.far = nil, nil, nil
+	c.sameZone, c.sameRegion, c.others = nil, nil, nil
 	for _, peer := range peers {
 		switch {
 		case peer.Revision >= self.Revision || peer.Node == self.Node:
 		case peer.Zone == self.Zone:
-			c.near = append(c.near, &link{peer: peer})
+			c.sameZone = append(c.sameZone, &peerState{peer: peer})
 		case c.cfg.Regions.HasMultiple() && c.cfg.Regions.Same(peer.Zone, self.Zone):
-			c.regional = append(c.regional, &link{peer: peer})
+			c.sameRegion = append(c.sameRegion, &peerState{peer: peer})
 		default:
-			c.far = append(c.far, &link{peer: peer})
+			c.others = append(c.others, &peerState{peer: peer})
 		}
 	}
-	for _, links := range [][]*link{c.near, c.regional, c.far} {
-		slices.SortFunc(links, byRevision)
+	for _, group := range [][]*peerState{c.sameZone, c.sameRegion, c.others} {
+		slices.SortFunc(group, byRevision)
 	}
 }
 
 // ByRevision compares two routers: the one that joined first comes first.
 func ByRevision(a, b Peer) int { return cmp.Compare(a.Revision, b.Revision) }
 
-func byRevision(a, b *link) int { return ByRevision(a.peer, b.peer) }
+func byRevision(a, b *peerState) int { return ByRevision(a.peer, b.peer) }
 
 // Self returns this router's own row; its revision is 0 before Join.
 func (c *Chain) Self() Peer { return c.self }
@@ -175,48 +175,48 @@
 		}
 	}
 	if len(c.followers) < maxFollowers {
-		c.followers = append(c.followers, &link{peer: peer})
+		c.followers = append(c.followers, &peerState{peer: peer})
 	}
 }
 
 // SetShuttingDown takes in that this router is about to end.
-func (c *Chain) SetShuttingDown() { c.leaving = true }
+func (c *Chain) SetShuttingDown() { c.shuttingDown = true }
 
 // SetPeerShuttingDown takes in whether a peer that answered is about to end.
 func (c *Chain) SetPeerShuttingDown(node ident.Node, leaving bool) {
 	if known := c.find(node); known != nil {
-		known.leaving = leaving
+		known.shuttingDown = leaving
 	}
 }
 
-// stays reports whether a peer is to be counted on.
-func (c *Chain) stays(known *link) bool { return c.leaving || !known.leaving }
+// remainsUp reports whether a peer is to be counted on.
+func (c *Chain) remainsUp(known *peerState) bool { return c.shuttingDown || !known.shuttingDown }
 
 // Next returns where to read the shared state, whose present copy has an age. Peers that
 // leave are asked after all others.
 func (c *Chain) Next(now time.Time, age time.Duration) Source {
-	usable := func(known *link) bool { return !now.Before(known.retryAt) }
-	stays := func(known *link) bool { return usable(known) && c.stays(known) }
-	groups := [][]*link{c.ancestors(), c.near, c.regional, c.far}
-	for _, wanted := range []func(*link) bool{stays, usable} {
-		if peer := firstOf(groups, wanted); peer != nil {
+	usable := func(known *peerState) bool { return !now.Before(known.retryAt) }
+	preferred := func(known *peerState) bool { return usable(known) && c.remainsUp(known) }
+	groups := [][]*peerState{c.ancestors(), c.sameZone, c.sameRegion, c.others}
+	for _, accept := range []func(*peerState) bool{preferred, usable} {
+		if peer := firstMatching(groups, accept); peer != nil {
 			return *peer
 		}
 	}
-	retryAt := soonest(soonest(soonest(time.Time{}, c.near), c.regional), c.far)
+	retryAt := earliestRetry(earliestRetry(earliestRetry(time.Time{}, c.sameZone), c.sameRegion), c.others)
 	if age <= c.cfg.StaleAfter {
 		return Store{RetryAt: earliest(retryAt, now.Add(c.cfg.StaleAfter-age))}
 	}
 	if index := slices.IndexFunc(c.followers, usable); index >= 0 {
 		return c.followers[index].peer
 	}
-	return Store{RetryAt: soonest(retryAt, c.followers)}
+	return Store{RetryAt: earliestRetry(retryAt, c.followers)}
 }
 
-// firstOf returns the first peer of the groups that is wanted, nil if there is none.
-func firstOf(groups [][]*link, wanted func(*link) bool) *Peer {
+// firstMatching returns the first peer of the groups that is wanted, nil if there is none.
+func firstMatching(groups [][]*peerState, accept func(*peerState) bool) *Peer {
 	for _, group := range groups {
-		if index := slices.IndexFunc(group, wanted); index >= 0 {
+		if index := slices.IndexFunc(group, accept); index >= 0 {
 			return &group[index].peer
 		}
 	}
@@ -225,20 +225,20 @@
 
 // ancestors returns the peers that supply this router in the tree of its zone,
 // the nearest first.
-func (c *Chain) ancestors() []*link {
-	var path []*link
-	for place := len(c.near); place > 0; {
+func (c *Chain) ancestors() []*peerState {
+	var path []*peerState
+	for place := len(c.sameZone); place > 0; {
 		place = (place - 1) / fanout
-		path = append(path, c.near[place])
+		path = append(path, c.sameZone[place])
 	}
 	return path
 }
 
 // soonest returns the first time at which one of the links may be asked, or a
 // time known before.
-func soonest(known time.Time, links []*link) time.Time {
-	for _, link := range links {
-		known = earliest(known, link.retryAt)
+func earliestRetry(known time.Time, peers []*peerState) time.Time {
+	for _, peer := range peers {
+		known = earliest(known, peer.retryAt)
 	}
 	return known
 }
@@ -267,32 +267,32 @@
 	_, c.supplied = result.(Fresh)
 	switch result := result.(type) {
 	case Fresh:
-		known.down, known.retryAt = 0, time.Time{}
+		known.backoff, known.retryAt = 0, time.Time{}
 	case Stale:
-		known.down, known.retryAt = 0, now.Add(staleFor)
+		known.backoff, known.retryAt = 0, now.Add(staleBackoff)
 	case Failed:
-		known.down = min(max(2*known.down, firstDown), maxDown)
-		known.retryAt = now.Add(known.down)
+		known.backoff = min(max(2*known.backoff, minBackoff), maxBackoff)
+		known.retryAt = now.Add(known.backoff)
 	case Restarted:
-		c.restarted(known, result.Revision)
+		c.moveBehind(known, result.Revision)
 	}
 }
 
-// restarted moves a peer behind this router.
-func (c *Chain) restarted(known *link, revision uint64) {
-	known.peer.Revision, known.down, known.retryAt, known.leaving = revision, 0, time.Time{}, false
+// moveBehind moves a peer behind this router.
+func (c *Chain) moveBehind(known *peerState, revision uint64) {
+	known.peer.Revision, known.backoff, known.retryAt, known.shuttingDown = revision, 0, time.Time{}, false
 	if revision <= c.self.Revision {
 		return
 	}
-	other := func(link *link) bool { return link == known }
-	c.near, c.far = slices.DeleteFunc(c.near, other), slices.DeleteFunc(c.far, other)
-	c.regional = slices.DeleteFunc(c.regional, other)
+	same := func(each *peerState) bool { return each == known }
+	c.sameZone, c.others = slices.DeleteFunc(c.sameZone, same), slices.DeleteFunc(c.others, same)
+	c.sameRegion = slices.DeleteFunc(c.sameRegion, same)
 	c.AddFollower(known.peer)
 }
 
-func (c *Chain) find(node ident.Node) *link {
-	for _, links := range [][]*link{c.near, c.regional, c.far, c.followers} {
-		for _, known := range links {
+func (c *Chain) find(node ident.Node) *peerState {
+	for _, peers := range [][]*peerState{c.sameZone, c.sameRegion, c.others, c.followers} {
+		for _, known := range peers {
 			if known.peer.Node == node {
 				return known
 			}
@@ -303,21 +303,23 @@
 
 // Rank returns the number of peers of this zone before this router that are not
 // known to be down or to leave. The router of rank 0 speaks for its zone.
-func (c *Chain) Rank() int { return c.alive(c.near) }
+func (c *Chain) Rank() int { return c.countUp(c.sameZone) }
 
 // First reports whether no peer before this router is known to be up and to stay: it
 // reads the store for all.
-func (c *Chain) First() bool { return c.FirstOfRegion() && c.alive(c.far) == 0 }
+func (c *Chain) First() bool { return c.FirstOfRegion() && c.countUp(c.others) == 0 }
 
 // FirstOfRegion reports whether no peer of its region before this router is known to be
 // up and to stay. Where there is one region, that is the first of each zone, as its zones
 // share no router that speaks for them.
-func (c *Chain) FirstOfRegion() bool { return c.alive(c.near) == 0 && c.alive(c.regional) == 0 }
+func (c *Chain) FirstOfRegion() bool {
+	return c.countUp(c.sameZone) == 0 && c.countUp(c.sameRegion) == 0
+}
 
-func (c *Chain) alive(links []*link) int {
+func (c *Chain) countUp(peers []*peerState) int {
 	count := 0
-	for _, known := range links {
-		if known.down == 0 && c.stays(known) {
+	for _, known := range peers {
+		if known.backoff == 0 && c.remainsUp(known) {
 			count++
 		}
 	}
@@ -337,6 +339,6 @@
 	if c.First() || (own && !c.supplied) {
 		return interval
 	}
-	late := time.Duration(slack * float64(interval))
-	return interval + late + time.Duration(c.Rank())*c.cfg.Stagger/time.Duration(len(c.near)+1)
+	extra := time.Duration(peerSlack * float64(interval))
+	return interval + extra + time.Duration(c.Rank())*c.cfg.Stagger/time.Duration(len(c.sameZone)+1)
 }
--- a/internal/upstream/chain_test.go
+++ b/internal/upstream/chain_test.go
@@ -38,7 +38,7 @@
 	return joined
 }
 
-func TestTheFirstUsablePeerBeforeIsAsked(t *testing.T) {
+func TestNextReturnsFirstUsableEarlierPeer(t *testing.T) {
 	type pulled struct {
 		node   ident.Node
 		result upstream.Result
@@ -72,7 +72,7 @@
 
 // In any state of the links there is one reader at least: following never goes
 // in a circle among routers whose state is fresh.
-func TestFollowingHasNoCircle(t *testing.T) {
+func TestPullsFormNoCycle(t *testing.T) {
 	is := is.New(t)
 	const routers = 6
 	for failures := range 1 << routers {
@@ -101,7 +101,7 @@
 }
 
 // A peer that leaves is not counted on, and supplies those that nobody else does.
-func TestAPeerThatLeavesIsAskedLast(t *testing.T) {
+func TestPeerShuttingDownIsUsedLast(t *testing.T) {
 	is := is.New(t)
 	c := chain(3, 1, 2)
 	is.Equal(c.Rank(), 2)
@@ -118,7 +118,7 @@
 }
 
 // A peer that left and started again comes after those that were up meanwhile.
-func TestAPeerThatLeftComesBackBehind(t *testing.T) {
+func TestRestartedPeerRanksLast(t *testing.T) {
 	is := is.New(t)
 	c := chain(3, 1, 2)
 	c.SetPeerShuttingDown("n1", true)
@@ -130,7 +130,7 @@
 }
 
 // Whoever leaves, following has no circle, and one that stays reads, if one does.
-func TestFollowingHasNoCircleWhoeverLeaves(t *testing.T) {
+func TestPullsFormNoCycleDuringShutdown(t *testing.T) {
 	is := is.New(t)
 	const routers = 6
 	for leaving := range 1 << routers {
@@ -157,7 +157,7 @@
 
 // A zone is supplied over a tree: no router has more than a few children, all of
 // its own zone, and only the first one pulls from another zone.
-func TestAZoneIsATreeUnderItsFirstRouter(t *testing.T) {
+func TestZoneFormsTree(t *testing.T) {
 	is := is.New(t)
 	const routers = 120
 	rows := []upstream.Peer{farPeer(1), farPeer(2)}
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestAnotherZoneSuppliesARouterWhoseOwnCannot(t *testing.T) {
+func TestFallbackToOtherZone(t *testing.T) {
 	is := is.New(t)
 	c := upstream.NewChain(upstream.Config{})
 	c.Join(peer(5), []upstream.Peer{farPeer(1), peer(2), farPeer(3), peer(4)})
@@ -202,7 +202,7 @@
 	is.Equal(c.Next(start, 0), upstream.Store{RetryAt: start.Add(time.Second)})
 }
 
-func TestAnUnsuppliedRouterAsksItsFollowers(t *testing.T) {
+func TestUnsuppliedRouterPullsFromFollowers(t *testing.T) {
 	is := is.New(t)
 	c := chain(1, 2, 3)
 	is.Equal(c.Next(start, time.Minute), upstream.Store{}) // nobody followed yet
@@ -215,7 +215,7 @@
 	is.Equal(c.Next(start, 3*time.Second), upstream.Store{RetryAt: start.Add(time.Second)})
 }
 
-func TestStateIsJudgedByAgeAndOrigin(t *testing.T) {
+func TestClassifyByAgeAndOrigin(t *testing.T) {
 	tests := []struct {
 		name   string
 		origin ident.Node
@@ -235,7 +235,7 @@
 
 // When peers supply nothing, the routers of a zone begin to read one after the
 // other, and the last of them within the stagger.
-func TestReadsOfTheStoreAreStaggered(t *testing.T) {
+func TestStoreReadsAreStaggered(t *testing.T) {
 	is := is.New(t)
 	const interval = time.Second
 	is.Equal(chain(1, 2, 3).ReadAge(interval, false), interval)
@@ -259,7 +259,7 @@
 
 // A router that supplies itself reads at the pace of the first, until a peer does
 // better; one that never succeeded does not.
-func TestARouterThatSuppliesItselfKeepsThePace(t *testing.T) {
+func TestReadAgeOfSelfSuppliedRouter(t *testing.T) {
 	is := is.New(t)
 	const interval = time.Second
 	c := chain(3, 1, 2)
@@ -270,7 +270,7 @@
 	is.True(c.ReadAge(interval, true) > interval)
 }
 
-func TestARouterWithoutARowReadsTheStore(t *testing.T) {
+func TestRouterWithoutRowReadsStore(t *testing.T) {
 	is := is.New(t)
 	c := upstream.NewChain(upstream.Config{})
 	is.True(!c.Joined())
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,10 +15,10 @@
 
 const (
 	// pullTimeout bounds one pull, the time it is held back included.
-	pullTimeout = holdFor + 500*time.Millisecond
-	// ackWithin is how long the bytes of a pull may stay unacknowledged: a silent
+	pullTimeout = maxHold + 500*time.Millisecond
+	// ackTimeout is how long the bytes of a pull may stay unacknowledged: a silent
 	// connection is found in time for another question within pullTimeout.
-	ackWithin = 500 * time.Millisecond
+	ackTimeout = 500 * time.Millisecond
 	// connectTimeout bounds opening a connection; peers are in one zone.
 	connectTimeout = 250 * time.Millisecond
 )
@@ -30,7 +30,7 @@
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{pool: exchange.NewPool(exchange.Options{ConnectTimeout: connectTimeout, UserTimeout: ackWithin})}
+	return &Client{pool: exchange.NewPool(exchange.Options{ConnectTimeout: connectTimeout, UserTimeout: ackTimeout})}
 }
 
 // SilentConnections returns how many connections were found silent so far.
@@ -46,16 +46,16 @@
 	if err != nil {
 		return nil, time.Time{}, errors.Wrap(err, "encode the pull")
 	}
-	update, askedAt, err := c.ask(ctx, peer, body)
+	update, askedAt, err := c.pullOnce(ctx, peer, body)
 	var failed *exchange.Error
 	if errors.As(err, &failed) && failed.Silent && ctx.Err() == nil {
-		update, askedAt, err = c.ask(ctx, peer, body)
+		update, askedAt, err = c.pullOnce(ctx, peer, body)
 	}
 	return update, askedAt, err
 }
 
-// ask asks a peer once.
-func (c *Client) ask(ctx context.Context, peer Peer, body []byte) (*Update, time.Time, error) {
+// pullOnce asks a peer once.
+func (c *Client) pullOnce(ctx context.Context, peer Peer, body []byte) (*Update, time.Time, error) {
 	askedAt := clock.Now()
 	rsp, err := c.pool.Do(ctx, peer.Addr.String(), &exchange.Request{
 		Method: http.MethodPost, Target: Path, Host: peer.Addr.String(), Body: body,
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, time.Time{}, errors.Wrap(err, "pull from a peer")
 	}
-	data, err := httpclient.ReadBody(&http.Response{Body: rsp.Body, ContentLength: rsp.Length}, maxUpdate)
+	data, err := httpclient.ReadBody(&http.Response{Body: rsp.Body, ContentLength: rsp.Length}, maxUpdateBytes)
 	if err != nil {
 		return nil, time.Time{}, errors.Wrap(err, "read the update of a peer")
 	}
@@ -74,22 +74,22 @@
 	if err := cbor.Unmarshal(data, &update); err != nil {
 		return nil, time.Time{}, errors.Wrap(err, "decode the update of a peer")
 	}
-	if err := update.check(clock.Since(askedAt)); err != nil {
+	if err := update.validate(clock.Since(askedAt)); err != nil {
 		return nil, time.Time{}, err
 	}
 	return &update, askedAt.Add(update.HeldFor), nil
 }
 
-// check refuses an update that claims more than its time allows.
-func (u *Update) check(elapsed time.Duration) error {
+// validate refuses an update that claims more than its time allows.
+func (u *Update) validate(elapsed time.Duration) error {
 	if u.HeldFor < 0 || u.HeldFor > elapsed || u.Configuration.Age < 0 || u.List.Age < 0 || u.RoutersAge < 0 {
 		return errors.New("the peer's times are not possible")
 	}
 	if rollouts := u.Configuration.Rollouts; rollouts != nil && rollouts.Age < 0 {
 		return errors.New("the peer's times are not possible")
 	}
-	for _, naming := range u.Configuration.Publications {
-		if naming.Age < 0 {
+	for _, publication := range u.Configuration.Publications {
+		if publication.Age < 0 {
 			return errors.New("the peer's times are not possible")
 		}
 	}
--- a/internal/upstream/pull_test.go
+++ b/internal/upstream/pull_test.go
@@ -78,7 +78,7 @@
 	return upstream.Peer{Node: "reader", Addr: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")), Revision: 7}
 }
 
-func TestAPullBringsWhatTheAskerLacks(t *testing.T) {
+func TestPullReturnsMissingState(t *testing.T) {
 	is := is.New(t)
 	var followed []ident.Node
 	peer := serve(t, upstream.NewServer(newFakeState(), func(peer upstream.Peer) { followed = append(followed, peer.Node) }))
@@ -98,23 +98,23 @@
 // An answer that was held back for a confirmation is not taken for older, nor
 // for newer, than it is.
 // What stores of prompt caches hold comes over the wire as it was told.
-func TestAPullBringsWhatCachesHold(t *testing.T) {
+func TestPullReturnsCacheUpdates(t *testing.T) {
 	is := is.New(t)
-	told := []promptcache.Update{{
+	sent := []promptcache.Update{{
 		Position: promptcache.Position{Store: addr, Epoch: 3, Next: 9}, Since: 7, Age: time.Second,
 		Entries: []promptcache.Entry{{Key: 1 << 63, Tokens: 800}, {Key: 5}},
 	}}
 	state := newFakeState()
-	state.caches = told
+	state.caches = sent
 	peer := serve(t, upstream.NewServer(state, func(upstream.Peer) {}))
 	held := []promptcache.Position{{Store: addr, Epoch: 3, Next: 7}}
 	update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{Caches: true, CachePositions: held})
 	is.NoErr(err)
-	is.Equal(update.Caches, told)
+	is.Equal(update.Caches, sent)
 	is.Equal(state.held, held)
 }
 
-func TestAHeldAnswerKeepsItsTime(t *testing.T) {
+func TestDelayedAnswerKeepsReadTime(t *testing.T) {
 	is := is.New(t)
 	state := newFakeState()
 	// The confirmation comes a while after the pull, however slow the machine is.
@@ -128,7 +128,7 @@
 	is.True(!at.Add(-update.Configuration.Age).After(state.readAt)) // never newer than the read
 }
 
-func TestUnsoundAnswersOfPeersAreRefused(t *testing.T) {
+func TestInvalidAnswersAreRejected(t *testing.T) {
 	answer := func(status int, update *upstream.Update) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			encoded, _ := cbor.Marshal(update)
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestUnsoundPullsAreRefused(t *testing.T) {
+func TestInvalidPullsAreRejected(t *testing.T) {
 	tests := []struct {
 		name, path, body string
 	}{
@@ -175,7 +175,7 @@
 }
 
 // A router that knows nothing yet holds back those behind it, not those before it.
-func TestARouterWithoutStateHoldsThoseBehindIt(t *testing.T) {
+func TestRouterWithoutStateDelaysOnlyFollowers(t *testing.T) {
 	tests := []struct {
 		name         string
 		from         uint64
@@ -192,11 +192,11 @@
 				is := is.New(t)
 				state := newFakeState()
 				state.confirmation = 0
-				begun := time.Now()
+				startedAt := time.Now()
 				time.AfterFunc(30*time.Millisecond, state.confirm)
 				pull := &upstream.Pull{From: upstream.Peer{Node: "asker", Revision: tt.from}, Confirmation: tt.confirmation}
 				is.True(upstream.AwaitConfirmation(t.Context(), state, pull))
-				is.Equal(time.Since(begun) > 0, tt.held)
+				is.Equal(time.Since(startedAt) > 0, tt.held)
 			})
 		})
 	}
--- a/internal/upstream/region_test.go
+++ b/internal/upstream/region_test.go
@@ -12,13 +12,13 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// places are three regions of two zones, and a zone of a fourth region.
-var places = region.NewMap(map[ident.Zone]ident.Region{
+// regions are three regions of two zones, and a zone of a fourth region.
+var regions = region.NewMap(map[ident.Zone]ident.Region{
 	"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c", "d1": "d",
 })
 
-// spread returns routers of all these zones in turn, the longest running ones first.
-func spread(routers int) []upstream.Peer {
+// routersOfAllZones returns routers of all these zones in turn, the longest running ones first.
+func routersOfAllZones(routers int) []upstream.Peer {
 	zones := []ident.Zone{"b1", "a2", "c1", "c2", "a1", "b2", "d1"}
 	var peers []upstream.Peer
 	for index := range routers {
@@ -32,15 +32,15 @@
 
 // joined returns the chain of one of the routers.
 func joined(self upstream.Peer, peers []upstream.Peer) *upstream.Chain {
-	chain := upstream.NewChain(upstream.Config{Regions: places})
+	chain := upstream.NewChain(upstream.Config{Regions: regions})
 	chain.Join(self, peers)
 	return chain
 }
 
 // The state crosses to each region once, and within it to each zone once.
-func TestTheStateCrossesToEachRegionOnce(t *testing.T) {
+func TestStateCrossesToEachRegionOnce(t *testing.T) {
 	is := is.New(t)
-	peers := spread(42)
+	peers := routersOfAllZones(42)
 	between := map[[2]ident.Region]int{}
 	zones, readers := 0, 0
 	for _, self := range peers {
@@ -53,8 +53,8 @@
 		if source.Zone != self.Zone {
 			zones++
 		}
-		if !places.Same(source.Zone, self.Zone) {
-			between[[2]ident.Region{places.Of(source.Zone), places.Of(self.Zone)}]++
+		if !regions.Same(source.Zone, self.Zone) {
+			between[[2]ident.Region{regions.Of(source.Zone), regions.Of(self.Zone)}]++
 		}
 	}
 	is.Equal(readers, 1)
@@ -63,8 +63,8 @@
 }
 
 // A router whose nearer peers are down asks those of its region, then those of others.
-func TestPeersOfTheRegionGoBeforeOthers(t *testing.T) {
-	peers := spread(12) // n12 and n5 are in a1, n2 and n9 in a2
+func TestPeersOfSameRegionComeFirst(t *testing.T) {
+	peers := routersOfAllZones(12) // n12 and n5 are in a1, n2 and n9 in a2
 	tests := []struct {
 		name string
 		down []ident.Node
@@ -93,39 +93,39 @@
 
 // One router of each region speaks for it; when it is down, the next one does. Where there
 // is one region, one router of each zone does.
-func TestOneRouterSpeaksForARegion(t *testing.T) {
-	peers := spread(21)
+func TestOneLeaderPerRegion(t *testing.T) {
+	peers := routersOfAllZones(21)
 	tests := []struct {
 		name    string
 		regions region.Map
 		down    ident.Node
 		want    []ident.Node
 	}{
-		{"several regions", places, "", []ident.Node{"n1", "n2", "n3", "n7"}},
-		{"one is down", places, "n2", []ident.Node{"n1", "n2", "n3", "n5", "n7"}},
+		{"several regions", regions, "", []ident.Node{"n1", "n2", "n3", "n7"}},
+		{"one is down", regions, "n2", []ident.Node{"n1", "n2", "n3", "n5", "n7"}},
 		{"one region", region.Map{}, "", []ident.Node{"n1", "n2", "n3", "n4", "n5", "n6", "n7"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			var speak []ident.Node
+			var leaders []ident.Node
 			for _, self := range peers {
 				chain := upstream.NewChain(upstream.Config{Regions: tt.regions})
 				chain.Join(self, peers)
 				chain.RecordPull(start, tt.down, upstream.Failed{})
 				if chain.FirstOfRegion() {
-					speak = append(speak, self.Node)
+					leaders = append(leaders, self.Node)
 				}
 			}
-			is.Equal(speak, tt.want)
+			is.Equal(leaders, tt.want)
 		})
 	}
 }
 
 // A peer of the region that restarts comes after this router, whose own place it leaves.
-func TestARestartedPeerOfTheRegionGoesBehind(t *testing.T) {
+func TestRestartedPeerOfRegionRanksLast(t *testing.T) {
 	is := is.New(t)
-	peers := spread(12)
+	peers := routersOfAllZones(12)
 	chain := joined(peers[4], peers) // n5 of a1, after n2 of a2
 	is.True(!chain.FirstOfRegion())
 	chain.RecordPull(start, "n2", upstream.Restarted{Revision: 99})
--- a/internal/upstream/server.go
+++ b/internal/upstream/server.go
@@ -15,14 +15,14 @@
 const Path = "/v1/pull"
 
 const (
-	// maxPull and maxUpdate bound the bytes of a Pull and an Update.
-	maxPull   = 4 << 10
-	maxUpdate = 8 << 20
-	// holdFor bounds how long an answer is held back for something new.
-	holdFor = 1200 * time.Millisecond
-	// holdUnsupplied bounds how long a router that knows nothing yet holds those
+	// maxPullBytes and maxUpdateBytes bound the bytes of a Pull and an Update.
+	maxPullBytes   = 4 << 10
+	maxUpdateBytes = 8 << 20
+	// maxHold bounds how long an answer is held back for something new.
+	maxHold = 1200 * time.Millisecond
+	// maxHoldUnsupplied bounds how long a router that knows nothing yet holds those
 	// behind it: about the time in which the first router of all is supplied.
-	holdUnsupplied = 150 * time.Millisecond
+	maxHoldUnsupplied = 150 * time.Millisecond
 	// keepAlive is told to peers in seconds, so that they keep connections
 	// between two pulls.
 	keepAlive = "timeout=30"
@@ -42,26 +42,26 @@
 // Server answers pulls.
 type Server struct {
 	state State
-	// followed takes in who pulls.
-	followed func(Peer)
+	// onPull takes in who pulls.
+	onPull func(Peer)
 }
 
 // NewServer returns a handler of pulls that tells followed each asker.
-func NewServer(state State, followed func(Peer)) *Server {
-	return &Server{state: state, followed: followed}
+func NewServer(state State, onPull func(Peer)) *Server {
+	return &Server{state: state, onPull: onPull}
 }
 
 // ServeHTTP implements http.Handler. An answer is held back until there is
 // something new, for a bounded time.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	askedAt := clock.Now()
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxPull))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxPullBytes))
 	var pull Pull
 	if err != nil || r.URL.Path != Path || cbor.Unmarshal(body, &pull) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.followed(pull.From)
+	s.onPull(pull.From)
 	if !AwaitConfirmation(r.Context(), s.state, &pull) {
 		return
 	}
@@ -84,15 +84,15 @@
 // be supplied itself. One before it must not wait, since each of two restarted
 // routers may take the other for the one that supplies it.
 func AwaitConfirmation(ctx context.Context, state State, pull *Pull) bool {
-	bound := holdFor
+	bound := maxHold
 	if newest, _ := state.Confirmation(); newest == 0 {
-		bound = holdUnsupplied
+		bound = maxHoldUnsupplied
 	}
 	timer := time.NewTimer(bound)
 	defer timer.Stop()
 	for {
 		newest, changed := state.Confirmation()
-		if newest != pull.Confirmation || (newest == 0 && !behind(state, pull)) {
+		if newest != pull.Confirmation || (newest == 0 && !isFollower(state, pull)) {
 			return true
 		}
 		select {
@@ -105,8 +105,8 @@
 	}
 }
 
-// behind reports whether the asker comes after the router that it asks.
-func behind(state State, pull *Pull) bool {
+// isFollower reports whether the asker comes after the router that it asks.
+func isFollower(state State, pull *Pull) bool {
 	own := state.Revision()
 	return own != 0 && pull.From.Revision > own
 }
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/silence_test.go
@@ -11,7 +11,7 @@
 
 // A peer whose connections fell silent is asked on a new one, and does not count as
 // down.
-func TestAPullOnASilentConnectionIsAskedAgain(t *testing.T) {
+func TestPullIsRetriedOnSilentConnection(t *testing.T) {
 	is := is.New(t)
 	peer := serve(t, upstream.NewServer(newFakeState(), func(upstream.Peer) {}))
 	relay := relaytest.New(t, peer.Addr)
