--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -8,8 +8,7 @@
 	"github.com/fieldpond/fieldpond/internal/membership"
 )
 
-// BenchmarkOwners finds the owners of one key, of which a router needs one for
-// each prefix it meets, and one for each engine when the membership changes.
+// BenchmarkOwners finds the owners of one key, as a router does for each prefix.
 func BenchmarkOwners(b *testing.B) {
 	for _, nodes := range []int{4, 16, 64, 390} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -14,16 +14,16 @@
 	wireVersion = 1
 	// macSize is the length of the truncated HMAC-SHA256 in bytes.
 	macSize = 16
-	// headerSize is the length of version byte and MAC.
+	// headerSize is the length of version byte and MAC in bytes.
 	headerSize = 1 + macSize
 	// MaxDatagram is the largest datagram sent or accepted, in bytes.
 	MaxDatagram = 1200
-	// MinKey is the shortest cluster key accepted, in bytes.
+	// MinKey is the minimum length of a cluster key in bytes.
 	MinKey = 16
 	// maxName and maxAddress bound the strings of a datagram, in bytes.
 	maxName    = 64
 	maxAddress = 128
-	// maxIncarnation leaves room to refute without overflow.
+	// maxIncarnation prevents an overflow when a rumour is refuted.
 	maxIncarnation = 1 << 62
 	maxItems       = 256
 	maxNesting     = 6
@@ -32,8 +32,8 @@
 // keyContext separates this use of the cluster key from every other.
 const keyContext = "fieldpond/gossip/1"
 
-// Codec seals and opens datagrams under the cluster key. It is safe for
-// concurrent use.
+// Codec encodes and authenticates datagrams with the cluster key. It is safe for concurrent
+// use.
 type Codec struct {
 	key     []byte
 	decoder cbor.DecMode
@@ -54,7 +54,7 @@
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 	}.DecMode()
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "building the gossip decoder")
+		return nil, fault.Wrap(err, fault.Internal, "create the gossip decoder")
 	}
 	derive := hmac.New(sha256.New, clusterKey)
 	derive.Write([]byte(keyContext))
@@ -65,7 +65,7 @@
 func (c *Codec) Seal(message *Message) ([]byte, error) {
 	body, err := cbor.Marshal(message)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "encoding a gossip message")
+		return nil, fault.Wrap(err, fault.Internal, "encode a gossip message")
 	}
 	if len(body)+headerSize > MaxDatagram {
 		return nil, fault.New(fault.TooLarge, "a gossip message of %d bytes exceeds the datagram limit of %d", len(body)+headerSize, MaxDatagram)
@@ -76,7 +76,7 @@
 	return append(datagram, body...), nil
 }
 
-// Open checks and decodes a datagram. Bad input gives a typed fault.
+// Open verifies and decodes a datagram. Invalid input yields a typed fault.
 func (c *Codec) Open(datagram []byte) (*Message, error) {
 	if len(datagram) <= headerSize || len(datagram) > MaxDatagram {
 		return nil, fault.New(fault.BadRequest, "a gossip datagram has %d bytes", len(datagram))
@@ -87,12 +87,12 @@
 	}
 	body := datagram[headerSize:]
 	if !hmac.Equal(datagram[1:headerSize], c.sum(body)) {
-		return nil, fault.New(fault.Unauthorized, "a gossip datagram does not carry this cluster's key").
+		return nil, fault.New(fault.Unauthorized, "a gossip datagram is not authenticated with this cluster's key").
 			WithRemedy("give every router of the cluster the same cluster key")
 	}
 	var message Message
 	if err := c.decoder.Unmarshal(body, &message); err != nil {
-		return nil, fault.Wrap(err, fault.BadRequest, "a gossip datagram does not decode")
+		return nil, fault.Wrap(err, fault.BadRequest, "cannot decode a gossip datagram")
 	}
 	if err := message.validate(); err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	return mac.Sum(nil)[:macSize]
 }
 
-// validate refuses values that no correct router sends.
+// validate rejects values that no correct router sends.
 func (m *Message) validate() error {
 	valid := m.Kind >= KindPing && m.Kind <= KindGossip &&
 		m.From != "" && len(m.From) <= maxName && m.Incarnation < maxIncarnation &&
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -40,7 +40,7 @@
 		"incarnation range": {sealed(Message{Kind: KindAck, From: "a", Rumours: []Rumour{{Node: "b", Incarnation: 1 << 63}}}), fault.BadRequest},
 		"state range":       {sealed(Message{Kind: KindAck, From: "a", Rumours: []Rumour{{Node: "b", State: 9}}}), fault.BadRequest},
 		"short digests":     {sealed(Message{Kind: KindSync, From: "a", Buckets: []byte{1}}), fault.BadRequest},
-		"sign of no kind":   {sealed(Message{Kind: KindAck, From: "a", Reports: []BackendReport{{Backend: "b"}}}), fault.BadRequest},
+		"report of no kind": {sealed(Message{Kind: KindAck, From: "a", Reports: []BackendReport{{Backend: "b"}}}), fault.BadRequest},
 	}
 	for name, each := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/membership/explore_test.go
+++ b/internal/membership/explore_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// TestMachineInvariants feeds a machine arbitrary authentic messages.
+// TestMachineInvariants sends arbitrary authentic messages to a machine.
 func TestMachineInvariants(t *testing.T) {
 	names := []ident.Node{"a", "b", "c", "self", "z"}
 	rumours := rapid.Custom(func(t *rapid.T) Rumour {
@@ -66,11 +66,11 @@
 		return 1
 	})
 	if !sorted {
-		t.Fatal("the view is not sorted, or holds a node twice")
+		t.Fatal("the view is not sorted, or contains a node twice")
 	}
 	for _, member := range after.Members {
 		if member.Node == after.Self && member.State != Alive {
-			t.Fatal("a running router believes itself", member.State)
+			t.Fatal("a running router sees itself as", member.State)
 		}
 		for _, former := range before.Members {
 			if former.Node != member.Node {
@@ -80,7 +80,7 @@
 				t.Fatal("an incarnation decreased:", member, former)
 			}
 			if member.Incarnation == former.Incarnation && member.State < former.State {
-				t.Fatal("a state was taken back within an incarnation:", member, former)
+				t.Fatal("a state decreased within an incarnation:", member, former)
 			}
 		}
 	}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	// messageBudget is the estimated size to which messages are filled, in
-	// bytes; piggybackBudget the same for probes and their answers.
+	// messageBudget is the estimated size up to which messages are filled, in
+	// bytes; piggybackBudget is the same for probes and their answers.
 	messageBudget   = 1000
 	piggybackBudget = 800
-	// fixedSize estimates the encoded size of a message without its lists, and
+	// fixedSize estimates the encoded size of a message without its lists, in bytes, and
 	// itemSize that of a list item without its strings.
 	fixedSize = 110
 	itemSize  = 26
-	// urgentFanout is to how many members a new sign is sent at once.
+	// urgentFanout is the number of members to which a new report is sent immediately.
 	urgentFanout = 4
-	// urgentBurst and urgentPerSecond bound the datagrams sent at once.
+	// urgentBurst and urgentPerSecond bound the datagrams sent immediately.
 	urgentBurst     = 40
 	urgentPerSecond = 8
 	// rumourBurst and rumourPerSecond bound the bytes of piggybacked rumours.
 	rumourBurst     = 8 << 10
 	rumourPerSecond = 700
-	// reportTransmissions is how often a sign is sent besides that.
+	// reportTransmissions is how often a report is sent.
 	reportTransmissions  = 10
 	maxReports           = 512
 	maxReportsPerMessage = 6
-	// reportRepeatInterval is how much later a sign of the same life must have been
-	// observed to count as a new one.
+	// reportRepeatInterval is how much later an equal report must have been observed to count
+	// as a new one.
 	reportRepeatInterval = 10 * time.Second
 )
 
-// gossip is the part of the machine that spreads rumours and signs.
+// gossip is the state for the dissemination of rumours and reports.
 type gossip struct {
 	queue        []*queued
 	reports      map[reportKey]*storedReport
 	reportOrder  []*storedReport
 	headSends    int
 	urgentTokens float64
-	// rumourTokens is the allowance of bytes for piggybacked rumours.
+	// rumourTokens is the remaining byte budget for piggybacked rumours.
 	rumourTokens float64
 }
 
-// queued is a member whose record has changed; the record is read when sent.
+// queued is a member with a changed record; the record is read when it is sent.
 type queued struct {
 	record *record
 	sends  int
@@ -64,12 +64,12 @@
 	sends    int
 }
 
-// compact leaves out what other members are expected to know.
+// compact returns a rumour without zone and addresses.
 func compact(member Member) Rumour {
 	return Rumour{Node: member.Node, Incarnation: member.Incarnation, State: member.State, FleetVersion: member.FleetVersion}
 }
 
-// enqueue spreads a member's record; brief leaves its addresses out.
+// enqueue schedules the dissemination of a record; brief omits zone and addresses.
 func (m *Machine) enqueue(changed *record, brief bool) {
 	for _, each := range m.gossip.queue {
 		if each.record == changed {
@@ -85,8 +85,8 @@
 	m.gossip.queue = slices.DeleteFunc(m.gossip.queue, func(each *queued) bool { return each.record == removed })
 }
 
-// retransmissions is how often a changed record is sent; a new member's costs
-// the most and is also what a sync repairs best, so it is sent less often.
+// retransmissions returns how often a changed record is sent. Full records are sent less
+// often: they are larger, and a sync repairs them well.
 func (m *Machine) retransmissions(brief bool) int {
 	if brief {
 		return int(math.Ceil(briefMultiplier * m.scale()))
@@ -94,8 +94,7 @@
 	return int(math.Ceil(fullMultiplier * m.scale()))
 }
 
-// send completes a message with sender, signs, head and rumours and puts it
-// into the output.
+// send adds sender, reports, head and rumours to a message and appends it to the output.
 func (m *Machine) send(address string, message Message) {
 	m.complete(&message)
 	budget := piggybackBudget - fixedSize - len(message.Buckets)
@@ -165,8 +164,8 @@
 	m.gossip.queue = slices.DeleteFunc(m.gossip.queue, func(each *queued) bool { return each.sends >= m.retransmissions(each.brief) })
 }
 
-// gossipNow sends what is queued to a few random members without waiting for
-// the next probe, within a bounded rate.
+// gossipNow sends queued reports and rumours to a few random members without waiting for
+// the next probe, at a bounded rate.
 func (m *Machine) gossipNow() {
 	for _, member := range m.sample(urgentFanout, "") {
 		if m.gossip.urgentTokens < 1 {
@@ -177,14 +176,14 @@
 	}
 }
 
-// refill restores the bounded rates after a time.
+// refill refills the token buckets for the time that has passed.
 func (m *Machine) refill(passed time.Duration) {
 	m.gossip.urgentTokens = min(urgentBurst, m.gossip.urgentTokens+urgentPerSecond*passed.Seconds())
 	m.gossip.rumourTokens = min(rumourBurst, m.gossip.rumourTokens+rumourPerSecond*passed.Seconds())
 	m.syncing.tokens = min(syncBurst, m.syncing.tokens+syncPerSecond*passed.Seconds())
 }
 
-// Broadcast spreads a sign that this router has observed itself.
+// Broadcast disseminates a report of this router's own observation.
 func (m *Machine) Broadcast(now time.Time, report BackendReport) error {
 	m.advance(now)
 	report.Observer = m.self.Node
@@ -211,7 +210,7 @@
 	}
 }
 
-// storeReport keeps a sign and reports whether it is new.
+// storeReport stores a report and returns whether it is new.
 func (m *Machine) storeReport(report BackendReport) bool {
 	key := reportKey{report.Backend, report.Incarnation, report.Kind}
 	if known, found := m.gossip.reports[key]; found {
@@ -244,7 +243,7 @@
 	}
 }
 
-// raiseHead takes a newer fleet version.
+// raiseHead records a newer fleet version.
 func (m *Machine) raiseHead(head FleetHead) {
 	if head.Version <= m.head.Version {
 		return
@@ -254,7 +253,7 @@
 	m.event(Event{Kind: FleetHeadRaised, Head: head})
 }
 
-// headFor returns the newest fleet version if the sender does not know it.
+// headFor returns the newest fleet version if the sender has not seen it, else nil.
 func (m *Machine) headFor(message *Message) *FleetHead {
 	if message.HeadVersion >= m.head.Version {
 		return nil
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -11,21 +11,20 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Timing holds the periods of the protocol. The zero value of a field means
-// its default.
+// Timing holds the periods of the protocol. Zero fields take the defaults.
 type Timing struct {
 	// ProbePeriod is the time between two probes of this router (1 s).
 	ProbePeriod time.Duration
-	// ProbeTimeout is how long a direct probe waits before others are asked (400 ms).
+	// ProbeTimeout is how long a direct probe waits before indirect probes start (400 ms).
 	ProbeTimeout time.Duration
 	// SyncPeriod is the time between two anti-entropy exchanges (10 s).
 	SyncPeriod time.Duration
-	// ReconnectPeriod is the time between two tries to reach a dead or unknown
-	// seed or member (15 s).
+	// ReconnectPeriod is the time between two attempts to reach a dead member or an unknown
+	// seed (15 s).
 	ReconnectPeriod time.Duration
-	// DeadRetention is how long a dead member is remembered (15 min).
+	// DeadRetention is how long a dead member is kept (15 min).
 	DeadRetention time.Duration
-	// ReportRetention is how long a sign is remembered (60 s).
+	// ReportRetention is how long a report is kept (60 s).
 	ReportRetention time.Duration
 }
 
@@ -42,32 +41,32 @@
 const (
 	// suspicionMultiplier scales the suspicion timeout with log10(members).
 	suspicionMultiplier = 4
-	// briefMultiplier and fullMultiplier scale how often a rumour is sent with
+	// briefMultiplier and fullMultiplier scale the transmissions of a rumour with
 	// log10(members).
 	briefMultiplier = 4
 	fullMultiplier  = 1
 	// maxMembers and maxSeeds bound the machine's memory.
 	maxMembers = 4096
 	maxSeeds   = 1024
-	// stallPeriods is how many probe periods without a tick mean that this
-	// process itself was paused, so that nobody else is to blame.
+	// stallPeriods is the number of probe periods without a tick after which this process
+	// counts as paused, so that silent members are not to blame.
 	stallPeriods = 3
-	// joinPeriods is how many probe periods a router counts as joining at most.
+	// joinPeriods bounds the probe periods for which a router counts as joining.
 	joinPeriods = 10
 )
 
-// record is a member with this router's own timers about it.
+// record is a member with this router's timers for it.
 type record struct {
 	Member
 	// changed is when State was last set.
 	changed time.Time
-	// deadAt is when a suspicion turns into death; zero means none runs.
+	// deadAt is when a suspected member becomes dead; zero if it is not suspected.
 	deadAt time.Time
 }
 
-// Machine is the membership protocol without I/O: inputs are messages and
-// times, outputs are read by Ready. It is not safe for concurrent use. With
-// the same inputs and the same random source it gives the same outputs.
+// Machine is the membership protocol without I/O: inputs are messages and times, outputs are
+// returned by Ready. It is deterministic for the same inputs and random source, and not safe
+// for concurrent use.
 type Machine struct {
 	timing Timing
 	random *rand.Rand
@@ -80,7 +79,7 @@
 	left    bool
 	joined  bool
 	started time.Time
-	// nextSweep is when the timers of all records are looked at again.
+	// nextSweep is when the timers of all records are checked next.
 	nextSweep time.Time
 
 	probing probing
@@ -89,15 +88,14 @@
 	output  Output
 }
 
-// Output is what a shell must do after each input.
+// Output is what the caller must send and report after each input.
 type Output struct {
 	Messages []Envelope
 	Events   []Event
 }
 
-// NewMachine returns the machine of a router that knows only itself. The
-// incarnation of self must exceed that of its former lives; its start time in
-// milliseconds does.
+// NewMachine returns the machine of a router whose view contains only itself. The incarnation
+// of self must exceed those of its former processes, as its start time in milliseconds does.
 func NewMachine(now time.Time, self Member, timing Timing, random *rand.Rand) (*Machine, error) {
 	rumour := Rumour(self)
 	if !rumour.valid() || self.GossipAddress == "" {
@@ -123,14 +121,14 @@
 	return machine, nil
 }
 
-// Ready returns and clears what the inputs since the last call ask for.
+// Ready returns and clears the output of the inputs since the last call.
 func (m *Machine) Ready() Output {
 	output := m.output
 	m.output = Output{}
 	return output
 }
 
-// View returns a snapshot of the members, dead ones included while remembered.
+// View returns a snapshot of the members, including the dead ones that are still kept.
 func (m *Machine) View() View {
 	view := View{Self: m.self.Node, Members: make([]Member, len(m.records))}
 	for i, each := range m.records {
@@ -139,10 +137,10 @@
 	return view
 }
 
-// Head returns the newest fleet version known of.
+// Head returns the newest fleet version seen.
 func (m *Machine) Head() FleetHead { return m.head }
 
-// AddSeeds adds gossip addresses at which other routers may be found.
+// AddSeeds adds possible gossip addresses of other routers.
 func (m *Machine) AddSeeds(addresses []string) {
 	for _, address := range addresses {
 		skip := address == "" || len(address) > maxAddress || address == m.self.GossipAddress || slices.Contains(m.seeds, address)
@@ -156,8 +154,8 @@
 	}
 }
 
-// SetFleetVersion records the fleet version that this router has in force.
-// Lower versions than the present one are ignored.
+// SetFleetVersion records this router's active fleet version. Lower versions than the
+// present one are ignored.
 func (m *Machine) SetFleetVersion(now time.Time, version uint64, digest string) {
 	m.advance(now)
 	if version <= m.self.FleetVersion {
@@ -169,7 +167,7 @@
 	m.raiseHead(FleetHead{Version: version, Digest: digest, Holder: m.self.Node})
 }
 
-// Leave announces that this router stops. It keeps answering until Depart.
+// Leave announces that this router shuts down. It still answers until Depart.
 func (m *Machine) Leave(now time.Time) {
 	m.advance(now)
 	if m.self.State != Alive {
@@ -180,7 +178,7 @@
 	m.gossipNow()
 }
 
-// Depart tells a few members that this router is gone. It is the last input.
+// Depart notifies a few members that this router has stopped. It must be the last input.
 func (m *Machine) Depart(now time.Time) {
 	m.advance(now)
 	m.left = true
@@ -213,7 +211,7 @@
 	m.syncRound()
 }
 
-// Step takes one message that came from the given source address.
+// Step processes one message received from the given source address.
 func (m *Machine) Step(now time.Time, source string, message *Message) {
 	m.advance(now)
 	if m.left || message.From == m.self.Node {
@@ -241,13 +239,13 @@
 	m.joined = m.joined || (settled && !message.Joining)
 }
 
-// joining says that this router has not met a router that knows the cluster.
-// When all start at once nobody does, so it ends after a time by itself.
+// joining reports whether this router has not reached a router that knows the cluster. It
+// is bounded in time, since no router does if all start at once.
 func (m *Machine) joining() bool {
 	return !m.joined && m.now.Sub(m.started) < joinPeriods*m.timing.ProbePeriod
 }
 
-// advance moves the clock, which never runs backwards.
+// advance sets the clock, which never runs backwards.
 func (m *Machine) advance(now time.Time) {
 	if now.After(m.now) {
 		m.refill(now.Sub(m.now))
@@ -255,7 +253,8 @@
 	}
 }
 
-// extendSuspicions drops what a pause of this process made look like others' silence.
+// extendSuspicions drops pending probes and extends suspicions by the time for which this
+// process was paused.
 func (m *Machine) extendSuspicions(gap time.Duration) {
 	m.probing.pending = nil
 	for _, each := range m.records {
@@ -287,7 +286,7 @@
 
 func (m *Machine) event(event Event) { m.output.Events = append(m.output.Events, event) }
 
-// scale is the logarithmic factor of the timeouts and retransmissions.
+// scale returns the logarithmic factor of the timeouts and retransmissions.
 func (m *Machine) scale() float64 {
 	return max(1, math.Log10(float64(len(m.records)+1)))
 }
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -14,7 +14,7 @@
 
 const zones = 9
 
-// startCluster starts count nodes at once that know three seeds.
+// startCluster starts count nodes at once, with three seeds.
 func startCluster(tb testing.TB, count int, config simnet.Config) *simnet.Network {
 	tb.Helper()
 	config.MinDelay, config.MaxDelay = time.Millisecond, 40*time.Millisecond
@@ -31,7 +31,7 @@
 	return []string{simnet.Address(0), simnet.Address(1), simnet.Address(2)}
 }
 
-// states counts what the running nodes believe of each other, by state.
+// states counts the members in the views of all running nodes by state.
 func states(network *simnet.Network) (counts map[membership.State]int, pairs int) {
 	counts = map[membership.State]int{}
 	for _, observer := range network.Nodes {
@@ -65,8 +65,7 @@
 	return true
 }
 
-// scenario is something that happens to a settled cluster, and what every
-// router must believe afterwards.
+// scenario is a disturbance of a converged cluster, and a check of the views afterwards.
 type scenario struct {
 	run   func(network *simnet.Network)
 	check func(network *simnet.Network) bool
@@ -109,7 +108,7 @@
 		},
 		func(network *simnet.Network) bool { return allSee(network, subject(network), membership.Dead) },
 	},
-	"a restarted node replaces its former life": {
+	"a restarted node replaces its former incarnation": {
 		func(network *simnet.Network) {
 			network.Stop(subject(network))
 			network.Run(2 * time.Second)
@@ -121,7 +120,7 @@
 }
 
 var recoveryScenarios = map[string]scenario{
-	"regions merge after minutes apart": {
+	"regions merge after a long partition": {
 		func(network *simnet.Network) {
 			network.Cut = func(from, to *simnet.Node) bool { return inFirstRegion(from) != inFirstRegion(to) }
 			network.Run(4 * time.Minute)
@@ -131,7 +130,7 @@
 		},
 		func(network *simnet.Network) bool { return deaths(network) == 0 && allAlive(network) },
 	},
-	"a herd of half the nodes restarts": {
+	"half of the nodes restart at once": {
 		func(network *simnet.Network) {
 			for i := 0; i < len(network.Nodes); i += 2 {
 				_ = network.Restart(network.Nodes[i], seeds())
@@ -153,7 +152,7 @@
 			return allAlive(network) && member.Incarnation > subject(network).Member.Incarnation
 		},
 	},
-	"a paused node blames nobody": {
+	"a paused node suspects nobody": {
 		func(network *simnet.Network) {
 			subject(network).TakeEvents()
 			for range 10 {
@@ -192,7 +191,7 @@
 			each.run(network)
 			if !each.check(network) {
 				counts, pairs := states(network)
-				t.Fatalf("beliefs by state %v of %d pairs", counts, pairs)
+				t.Fatalf("members by state %v of %d pairs", counts, pairs)
 			}
 		})
 	}
@@ -212,7 +211,7 @@
 	is.True(allAlive(network))
 }
 
-// deaths counts and clears the events that called a member dead.
+// deaths counts and clears the events that report a dead member.
 func deaths(network *simnet.Network) int {
 	count := 0
 	for _, node := range network.Nodes {
@@ -231,7 +230,7 @@
 	network.Run(20 * time.Second)
 	network.Cut = func(from, to *simnet.Node) bool { return inFirstRegion(from) != inFirstRegion(to) }
 	network.Run(4 * time.Minute)
-	is.Equal(len(network.Nodes[0].Machine.View().Members), 6) // the others are forgotten
+	is.Equal(len(network.Nodes[0].Machine.View().Members), 6) // the others are removed
 	network.Cut = nil
 	network.Run(time.Minute)
 	is.True(allAlive(network))
@@ -262,15 +261,15 @@
 			}
 		}
 	}
-	is.Equal(reports, 389) // every other router, once each
+	is.Equal(reports, 389) // once at every other router
 	network.Run(12 * time.Second)
 	for _, node := range network.Nodes {
 		is.Equal(node.Machine.Head().Version, uint64(9))
-		is.True(node.BytesSent < 15*2000) // the whole control budget
+		is.True(node.BytesSent < 15*2000) // bytes: 2000 a second
 	}
 }
 
-// BenchmarkGossip reports the steady traffic of a settled cluster.
+// BenchmarkGossip reports the steady traffic of a converged cluster.
 func BenchmarkGossip(b *testing.B) {
 	for _, count := range []int{16, 64, 390} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
@@ -282,7 +281,7 @@
 					seconds++
 				}
 				if !allAlive(network) {
-					b.Fatal("a herd start did not converge in time")
+					b.Fatal("the cluster did not converge in time")
 				}
 				herd += takeBytes(network) / seconds
 				network.Run(time.Minute)
@@ -297,8 +296,8 @@
 	}
 }
 
-// BenchmarkRegionSplit cuts a third of the zones off for four minutes and
-// reports traffic and the time until all believe all alive again.
+// BenchmarkRegionSplit partitions a third of the zones for four minutes and reports the
+// traffic and the time until all nodes see all others alive again.
 func BenchmarkRegionSplit(b *testing.B) {
 	network := startCluster(b, 390, simnet.Config{Seed: 1, Loss: 0.01, Encode: true})
 	network.Introduce()
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,5 +1,5 @@
-// Package membership keeps each router's view of the other routers: who is
-// alive, suspected, leaving or dead, by SWIM-style gossip over UDP.
+// Package membership maintains each router's view of the other routers (alive, suspect,
+// leaving or dead) by SWIM-style gossip over UDP.
 package membership
 
 import (
@@ -10,15 +10,15 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// State is what a router believes of a member.
+// State is the state of a member as another router sees it.
 type State uint8
 
 const (
 	// Alive members answer probes.
 	Alive State = iota
-	// Suspect members missed a probe and may refute it.
+	// Suspect members did not answer a probe and may refute the suspicion.
 	Suspect
-	// Leaving members have said that they stop; they own nothing.
+	// Leaving members announced that they shut down; they own nothing.
 	Leaving
 	// Dead members did not refute a suspicion in time, or have left.
 	Dead
@@ -46,11 +46,11 @@
 	Zone          ident.Zone `cbor:"2,keyasint"`
 	HTTPAddress   string     `cbor:"3,keyasint"`
 	GossipAddress string     `cbor:"4,keyasint"`
-	// Incarnation is raised only by the member itself: at start, and to refute
-	// a rumour. The higher incarnation wins.
+	// Incarnation is raised only by the member itself, at start and to refute a rumour. The
+	// higher incarnation wins.
 	Incarnation uint64 `cbor:"5,keyasint"`
 	State       State  `cbor:"6,keyasint"`
-	// FleetVersion is the fleet version the member has in force.
+	// FleetVersion is the member's active fleet version.
 	FleetVersion uint64 `cbor:"7,keyasint"`
 }
 
@@ -60,9 +60,9 @@
 	Members []Member
 }
 
-// Owners returns the count members that own key, best first, by rendezvous
-// hashing over the members that are alive or suspect. Every router with the
-// same view gets the same answer; a member's change moves only its own keys.
+// Owners returns the count members that own key, best first, by rendezvous hashing over the
+// members that are alive or suspect. Routers with the same view get the same result; a
+// change of a member moves only its own keys.
 func (v View) Owners(key string, count int) []Member {
 	count = max(0, min(count, len(v.Members)))
 	best := make([]scored, 0, count+1)
@@ -87,18 +87,18 @@
 	return owners
 }
 
-// scored is a member with its weight for a key.
+// scored is a member with its score for a key.
 type scored struct {
 	member *Member
 	score  uint64
 }
 
-// before orders by weight, the higher first, then by name.
+// before orders by score, the higher first, then by name.
 func (s scored) before(other scored) bool {
 	return s.score > other.score || (s.score == other.score && s.member.Node < other.member.Node)
 }
 
-// RendezvousScore is the weight of a node for a key; the highest score owns it.
+// RendezvousScore returns the score of a node for a key; the highest score owns it.
 func RendezvousScore(key, node string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -14,7 +14,7 @@
 	"github.com/fieldpond/fieldpond/internal/membership/simnet"
 )
 
-// TestOwnersAreTheHighestScores compares the owners with a whole ranking.
+// TestOwnersAreTheHighestScores compares the owners with a complete ranking.
 func TestOwnersAreTheHighestScores(t *testing.T) {
 	is := is.New(t)
 	view := membership.View{}
@@ -38,9 +38,8 @@
 	is.Equal(len(membership.View{}.Owners("key", 2)), 0)
 }
 
-// TestFleetVersionKeepsOwners puts a new fleet version in force on every
-// router of a settled cluster: each must hear of it from each other one, as
-// news that leaves the owners as they are.
+// TestFleetVersionKeepsOwners activates a new fleet version on every router: each must
+// observe the change of each other one, without an event that affects ownership.
 func TestFleetVersionKeepsOwners(t *testing.T) {
 	is := is.New(t)
 	network := startCluster(t, 8, simnet.Config{Seed: 1})
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// merge takes one rumour. Hearsay comes out of an anti-entropy exchange: it may
-// be old, as after a split between regions, so an accusation in it is not
-// believed but put to the accused, who is probed next and told of it.
+// merge applies one rumour. A rumour from a sync may be old, as after a partition between
+// regions, so an accusation in it is not applied: the accused member is probed next with
+// the accusation in the message.
 func (m *Machine) merge(rumour Rumour, fromSync bool) {
 	if rumour.Node == m.self.Node {
 		m.refute(rumour)
@@ -31,14 +31,13 @@
 		return
 	}
 	if rumour.State == Dead && known.State == Alive && rumour.Incarnation == known.Incarnation {
-		// The suspicion was missed: give the member its chance to refute it.
+		// This router missed the suspicion; the member may still refute it.
 		rumour.State = Suspect
 	}
 	m.updateRecord(known, rumour)
 }
 
-// mergeFleetVersion takes a higher fleet version out of a rumour that says
-// nothing new otherwise.
+// mergeFleetVersion applies a higher fleet version of a rumour that contains no other change.
 func (m *Machine) mergeFleetVersion(known *record, rumour Rumour) {
 	if rumour.Incarnation != known.Incarnation || rumour.FleetVersion <= known.FleetVersion {
 		return
@@ -48,9 +47,9 @@
 	m.event(Event{Kind: MemberVersionChanged, Member: known.Member})
 }
 
-// admit adds a member not known before. The dead are not: whoever forgot them
-// must not learn them again. Members found by a sync are not gossiped on: their
-// own rumour is under way, and further syncs spread the rest more cheaply.
+// addMember adds an unknown member, unless it is dead: it may have been removed before.
+// Members from a sync are not gossiped further: their own rumour is already being
+// disseminated, and further syncs are cheaper.
 func (m *Machine) addMember(rumour Rumour, fromSync bool) {
 	if rumour.State == Dead || rumour.GossipAddress == "" || len(m.records) >= maxMembers {
 		return
@@ -72,7 +71,7 @@
 	}
 }
 
-// adopt replaces a record by a newer rumour.
+// updateRecord replaces a record with a newer rumour.
 func (m *Machine) updateRecord(known *record, rumour Rumour) {
 	if rumour.Zone == "" {
 		rumour.Zone = known.Zone
@@ -100,7 +99,7 @@
 	m.event(Event{Kind: MemberChanged, Member: known.Member})
 }
 
-// refute answers rumours about this router itself by a higher incarnation.
+// refute answers rumours about this router itself with a higher incarnation.
 func (m *Machine) refute(rumour Rumour) {
 	later := rumour.Incarnation > m.self.Incarnation
 	accused := rumour.Incarnation == m.self.Incarnation && rumour.State != m.self.State && rumour.State != Alive
@@ -109,7 +108,7 @@
 	}
 }
 
-// raiseIncarnation raises this router's incarnation above the given one and says so.
+// raiseIncarnation raises this router's incarnation above the given one and disseminates it.
 func (m *Machine) raiseIncarnation(above uint64) {
 	m.self.Incarnation = max(m.self.Incarnation, above) + 1
 	m.self.changed = m.now
@@ -117,7 +116,7 @@
 	m.event(Event{Kind: MemberChanged, Member: m.self.Member})
 }
 
-// suspect starts the clock for a member that did not answer a probe. A leaving
+// suspect starts the suspicion timeout of a member that did not answer a probe. A leaving
 // member keeps its state, so that it never owns anything again.
 func (m *Machine) suspect(target *record) {
 	if target.State == Dead || !target.deadAt.IsZero() {
@@ -133,7 +132,7 @@
 	m.event(Event{Kind: MemberChanged, Member: target.Member})
 }
 
-// expireSuspicions turns suspicions that nobody refuted in time into deaths.
+// expireSuspicions marks members dead that did not refute a suspicion in time.
 func (m *Machine) expireSuspicions() {
 	for _, known := range m.records {
 		if known.deadAt.IsZero() || m.now.Before(known.deadAt) {
@@ -147,7 +146,7 @@
 	}
 }
 
-// removeDead drops members that have been dead for long.
+// removeDead removes members that have been dead for longer than DeadRetention.
 func (m *Machine) removeDead() {
 	m.records = slices.DeleteFunc(m.records, func(known *record) bool {
 		old := known.State == Dead && m.now.Sub(known.changed) > m.timing.DeadRetention
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -2,28 +2,28 @@
 
 import "github.com/fieldpond/fieldpond/internal/ident"
 
-// MessageKind says what a datagram asks or answers.
+// MessageKind is the kind of a datagram.
 type MessageKind uint8
 
 const (
-	// KindPing asks Target for a KindAck with the same Sequence.
+	// KindPing requests a KindAck with the same Sequence from Target.
 	KindPing MessageKind = iota + 1
 	// KindAck answers a ping.
 	KindAck
-	// KindPingRequest asks the receiver to probe Target for the sender.
+	// KindPingRequest requests that the receiver probes Target for the sender.
 	KindPingRequest
 	// KindSync opens an anti-entropy exchange with the sender's digests.
 	KindSync
-	// KindSyncAnswer closes the digests' exchange with the receiver's digests.
+	// KindSyncAnswer answers a KindSync with the receiver's digests.
 	KindSyncAnswer
-	// KindMembers carries member records found to differ by a sync.
+	// KindMembers carries member records that differ according to a sync.
 	KindMembers
-	// KindGossip carries only rumours and signs.
+	// KindGossip carries only rumours and reports.
 	KindGossip
 )
 
-// Rumour is a Member on the wire. Zone and addresses are left out when the
-// receivers are expected to know them.
+// Rumour is a Member on the wire. Zone and addresses are omitted if the receivers are
+// expected to have them.
 type Rumour struct {
 	Node          ident.Node `cbor:"1,keyasint"`
 	Zone          ident.Zone `cbor:"2,keyasint,omitempty"`
@@ -34,41 +34,41 @@
 	FleetVersion  uint64     `cbor:"7,keyasint,omitempty"`
 }
 
-// ReportKind says what was seen of a back end.
+// ReportKind is the kind of a BackendReport.
 type ReportKind uint8
 
 const (
-	// ReportDraining says that the back end announced that it stops.
+	// ReportDraining means that the back end announced that it stops.
 	ReportDraining ReportKind = iota + 1
-	// ReportDead says that the back end does not answer.
+	// ReportDead means that the back end does not answer.
 	ReportDead
-	// ReportRestarted says that the back end came back as a new incarnation.
+	// ReportRestarted means that the back end restarted as a new incarnation.
 	ReportRestarted
 )
 
-// BackendReport tells every router that a back end must be excluded. It holds no
-// request text. Signs are equal when Backend, Incarnation and Kind are.
+// BackendReport notifies every router that a back end must be excluded. It contains no
+// request text. Reports are equal if Backend, Incarnation and Kind are.
 type BackendReport struct {
 	// Backend is the engine or application name of the fleet file.
 	Backend string `cbor:"1,keyasint"`
-	// Incarnation is the life of the back end that the sign is about.
+	// Incarnation is the incarnation of the back end that the report is about.
 	Incarnation ident.Incarnation `cbor:"2,keyasint,omitempty"`
-	// Kind says what was seen.
+	// Kind is what was observed.
 	Kind ReportKind `cbor:"3,keyasint"`
-	// Observer is the router that saw it first.
+	// Observer is the router that observed it first.
 	Observer ident.Node `cbor:"4,keyasint"`
-	// ObservedAt is the observer's clock in milliseconds of the Unix epoch. It
-	// only tells a repeated sign from a new one; it is not compared to a clock.
+	// ObservedAt is the observer's clock in milliseconds of the Unix epoch. It only
+	// distinguishes a repeated report from a new one, and is never compared to a clock.
 	ObservedAt int64 `cbor:"5,keyasint"`
 }
 
-// FleetHead is the newest fleet version that a router knows of.
+// FleetHead is the newest fleet version that a router has seen.
 type FleetHead struct {
 	// Version is the fleet version.
 	Version uint64 `cbor:"1,keyasint"`
 	// Digest is the content address of the version's body.
 	Digest string `cbor:"2,keyasint"`
-	// Holder is a router that has the body in force.
+	// Holder is a router on which the version is active.
 	Holder ident.Node `cbor:"3,keyasint"`
 }
 
@@ -76,51 +76,51 @@
 type Message struct {
 	Kind     MessageKind `cbor:"1,keyasint"`
 	Sequence uint64      `cbor:"2,keyasint,omitempty"`
-	// From and Incarnation identify the sender's life.
+	// From and Incarnation identify the sender.
 	From        ident.Node `cbor:"3,keyasint"`
 	Incarnation uint64     `cbor:"4,keyasint"`
-	// HeadVersion is the newest fleet version the sender knows of.
+	// HeadVersion is the newest fleet version that the sender has seen.
 	HeadVersion uint64 `cbor:"5,keyasint,omitempty"`
-	// Target names who is to answer a ping; TargetAddress where it listens.
+	// Target is the member that must answer a ping, TargetAddress its gossip address.
 	Target        ident.Node      `cbor:"6,keyasint,omitempty"`
 	TargetAddress string          `cbor:"7,keyasint,omitempty"`
 	Rumours       []Rumour        `cbor:"8,keyasint,omitempty"`
 	Reports       []BackendReport `cbor:"9,keyasint,omitempty"`
 	Head          *FleetHead      `cbor:"10,keyasint,omitempty"`
-	// Salt seeds the digests of one exchange, so that two different buckets
-	// which collide once do not collide for ever.
+	// Salt seeds the digests of one exchange, so that two different buckets that collide
+	// once do not collide in every exchange.
 	Salt uint64 `cbor:"11,keyasint,omitempty"`
 	// Buckets holds bucketCount big-endian 32-bit digests.
 	Buckets []byte `cbor:"12,keyasint,omitempty"`
-	// Joining says that the sender has not met a router that knows the cluster.
+	// Joining means that the sender has not reached a router that knows the cluster.
 	Joining bool `cbor:"13,keyasint,omitempty"`
 }
 
-// Envelope is a message with the address it goes to.
+// Envelope is a message with its destination address.
 type Envelope struct {
 	To      string
 	Message Message
 }
 
-// EventKind says what changed.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 const (
 	// MemberChanged reports a member's new record in Event.Member.
 	MemberChanged EventKind = iota + 1
-	// ReportReceived reports a new sign of another router in Event.Sign.
+	// ReportReceived reports a new report of another router in Event.Report.
 	ReportReceived
 	// FleetHeadRaised reports a newer fleet version in Event.Head.
 	FleetHeadRaised
-	// MemberRemoved reports a dead member dropped from the view.
+	// MemberRemoved reports that a dead member was removed from the view.
 	MemberRemoved
-	// MemberVersionChanged reports in Event.Member that only the fleet version that a
-	// member has in force changed. It says nothing about who owns what: each
-	// change of the fleet file raises it once for every member.
+	// MemberVersionChanged reports in Event.Member that only a member's active fleet version
+	// changed. It does not affect ownership; each change of the fleet file causes one for
+	// every member.
 	MemberVersionChanged
 )
 
-// Event is one change of what this router believes.
+// Event is one change of this router's view.
 type Event struct {
 	Kind   EventKind
 	Member Member
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// tickPeriod is how often the machine's timers are looked at; the probe
-	// period must be at least four times as long.
+	// tickPeriod is the period of Machine.Tick; the probe period must be at least four times
+	// as long.
 	tickPeriod = 100 * time.Millisecond
-	// Capacities of the rings between the duties.
+	// Capacities of the rings between the goroutines.
 	inboundCapacity  = 1024
 	outboundCapacity = 1024
 	commandCapacity  = 256
 	eventCapacity    = 4096
 )
 
-// Config is what a membership node needs to start.
+// Config configures a Node.
 type Config struct {
 	// Self is this router's record. A zero Incarnation is replaced by the
 	// start time in milliseconds.
 	Self Member
-	// Listen is the UDP address to listen on; empty means Self.GossipAddress.
-	// With port 0 the system chooses, and Self.GossipAddress takes the outcome.
+	// Listen is the UDP address to listen on; empty means Self.GossipAddress. With port 0
+	// the system chooses the port, and Self.GossipAddress is set to the result.
 	Listen string
 	// ClusterKey authenticates datagrams; at least MinKey bytes.
 	ClusterKey []byte
 	// Seeds are gossip addresses of other routers; AddSeeds adds more.
 	Seeds []string
-	// RandomSeed feeds the protocol's choices; zero takes the start time.
+	// RandomSeed seeds the protocol's random choices; zero means the start time.
 	RandomSeed int64
-	// Timing overrides the periods; zero fields keep their defaults.
+	// Timing overrides the periods; zero fields take the defaults.
 	Timing Timing
 }
 
@@ -47,17 +47,16 @@
 	// DatagramsSent, DatagramsReceived, BytesSent and BytesReceived count UDP
 	// payloads.
 	DatagramsSent, DatagramsReceived, BytesSent, BytesReceived uint64
-	// Refused counts datagrams that failed the checks of Codec.Open.
+	// Refused counts datagrams that Codec.Open rejected.
 	Refused uint64
 	// Unsent counts datagrams that could not be encoded, resolved or written.
 	Unsent uint64
-	// Rings are the counters of the rings between the duties.
+	// Rings are the counters of the rings between the goroutines.
 	Rings []ring.Counters
 }
 
-// Node runs a Machine over UDP. Its duties are a receiver, a keeper, which
-// alone touches the machine, and a sender. All methods are safe for concurrent
-// use.
+// Node runs a Machine over UDP. Its goroutines are a receiver, a runner, which alone accesses
+// the machine, and a sender. All methods are safe for concurrent use.
 type Node struct {
 	connection *net.UDPConn
 	codec      *Codec
@@ -86,8 +85,7 @@
 	done chan struct{}
 }
 
-// Start listens and joins. The node runs until Stop is called or the context
-// ends.
+// Start starts a node, which runs until Stop is called or the context ends.
 func Start(ctx context.Context, config Config) (*Node, error) {
 	codec, err := NewCodec(config.ClusterKey)
 	if err != nil {
@@ -150,28 +148,28 @@
 	return connection, self, nil
 }
 
-// View returns the present view of the members.
+// View returns the current view of the members.
 func (n *Node) View() View { return *n.view.Load() }
 
-// Head returns the newest fleet version known of.
+// Head returns the newest fleet version seen.
 func (n *Node) Head() FleetHead { return *n.head.Load() }
 
-// Events returns the ring of changes. It has one consumer; when that is slow
-// the oldest events are dropped and counted, and View tells the present state.
+// Events returns the ring of events. It has one consumer; if that is slow, the oldest events
+// are dropped and counted, and View still returns the current state.
 func (n *Node) Events() *ring.Ring[Event] { return n.events }
 
-// AddSeeds adds gossip addresses at which other routers may be found.
+// AddSeeds adds possible gossip addresses of other routers.
 func (n *Node) AddSeeds(ctx context.Context, addresses []string) error {
 	return n.command(ctx, func(machine *Machine, _ time.Time) { machine.AddSeeds(addresses) })
 }
 
-// SetFleetVersion announces the fleet version that this router has in force.
+// SetFleetVersion announces this router's active fleet version.
 func (n *Node) SetFleetVersion(ctx context.Context, version uint64, digest string) error {
 	return n.command(ctx, func(machine *Machine, now time.Time) { machine.SetFleetVersion(now, version, digest) })
 }
 
-// Broadcast spreads a sign that this router has observed itself. Observer and
-// time are filled in.
+// Broadcast disseminates a report of this router's own observation. It sets Observer and
+// ObservedAt.
 func (n *Node) Broadcast(ctx context.Context, report BackendReport) error {
 	var refusal error
 	err := n.command(ctx, func(machine *Machine, now time.Time) { refusal = machine.Broadcast(now, report) })
@@ -181,12 +179,12 @@
 	return refusal
 }
 
-// Leave announces that this router stops. The node keeps answering until Stop.
+// Leave announces that this router shuts down. The node still answers until Stop.
 func (n *Node) Leave(ctx context.Context) error {
 	return n.command(ctx, func(machine *Machine, now time.Time) { machine.Leave(now) })
 }
 
-// Stop tells a few members that this router is gone and ends the duties.
+// Stop notifies a few members that this router has stopped and ends the goroutines.
 func (n *Node) Stop() {
 	n.stopOnce.Do(func() { close(n.stopping) })
 	n.workers.Wait()
@@ -207,11 +205,11 @@
 	}
 }
 
-// command runs an input in the keeper and waits for it.
+// command runs an input in the goroutine of the machine and waits for its completion.
 func (n *Node) command(ctx context.Context, run func(machine *Machine, now time.Time)) error {
 	input := command{run: run, done: make(chan struct{})}
 	if !n.commands.Push(input) {
-		return fault.New(fault.Overloaded, "the membership duty has %d inputs waiting", commandCapacity)
+		return fault.New(fault.Overloaded, "the membership node has %d inputs waiting", commandCapacity)
 	}
 	select {
 	case <-input.done:
@@ -219,11 +217,11 @@
 	case <-n.stopping:
 		return fault.New(fault.Leaving, "the membership node has stopped")
 	case <-ctx.Done():
-		return fault.Wrap(ctx.Err(), fault.Timeout, "waiting for the membership duty")
+		return fault.Wrap(ctx.Err(), fault.Timeout, "waiting for the membership node")
 	}
 }
 
-// runMachine is the duty that owns the machine.
+// runMachine is the goroutine that owns the machine.
 func (n *Node) runMachine(ctx context.Context, machine *Machine) {
 	defer n.workers.Done()
 	defer n.machineRunning.Done()
@@ -266,7 +264,7 @@
 	}
 }
 
-// dispatch does what the machine asks for.
+// dispatch publishes the machine's output to the rings.
 func (n *Node) dispatch(machine *Machine) {
 	output := machine.Ready()
 	if len(output.Events) > 0 {
@@ -286,7 +284,7 @@
 	n.head.Store(&head)
 }
 
-// receive is the duty that reads datagrams until the connection is closed.
+// receive is the goroutine that reads datagrams until the connection is closed.
 func (n *Node) receive() {
 	defer n.workers.Done()
 	buffer := make([]byte, MaxDatagram+1)
@@ -313,9 +311,9 @@
 	}
 }
 
-// send is the duty that writes datagrams; it alone may wait for a name to be
-// resolved. After the keeper has ended it sends what is left and closes the
-// connection, which ends the receiver.
+// send is the goroutine that writes datagrams; only it may block on name resolution. Once
+// the machine has stopped, it sends the remaining messages and closes the connection, which
+// ends the receiver.
 func (n *Node) send() {
 	defer n.workers.Done()
 	for {
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -13,11 +13,11 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// TestNodesOverLoopback waits for events, never for a time.
+// TestNodesOverLoopback waits for events, never for a fixed time.
 func TestNodesOverLoopback(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	is := is.New(t)
-	// The limit only ends a broken run; no outcome depends on it.
+	// The limit only ends a failed run; no result depends on it.
 	ctx, cancel := context.WithTimeout(context.Background(), hangLimit)
 	defer cancel()
 	start := func(name ident.Node, seeds ...string) *Node {
@@ -51,27 +51,27 @@
 	await(ctx, t, first, func(event Event) bool { return event.Member.Node == "second" && event.Member.State == Dead })
 	is.Equal(first.Counters().Refused, uint64(1))
 	is.True(fault.Is(second.Leave(ctx), fault.Leaving))
-	cancel() // the context ends a node as well
+	cancel() // the context stops a node as well
 	first.Stop()
 	_, err = Start(context.Background(), Config{Self: Member{Node: "x"}, Listen: "nowhere", ClusterKey: testKey})
 	is.True(fault.Is(err, fault.InvalidSettings))
 	is.True(first.Counters().BytesSent > 0)
 }
 
-// hangLimit ends a run in which an awaited event never comes.
+// hangLimit ends a run in which an expected event does not occur.
 const hangLimit = time.Minute
 
-func await(ctx context.Context, t *testing.T, node *Node, wanted func(event Event) bool) {
+func await(ctx context.Context, t *testing.T, node *Node, expected func(event Event) bool) {
 	for {
 		for event, ok := node.Events().Pop(); ok; event, ok = node.Events().Pop() {
-			if wanted(event) {
+			if expected(event) {
 				return
 			}
 		}
 		select {
 		case <-node.Events().Ready():
 		case <-ctx.Done():
-			t.Fatal("the awaited event did not come")
+			t.Fatal("the expected event did not occur")
 		}
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// indirectProbes is how many others are asked to probe a silent member.
+	// indirectProbes is the number of members that probe a silent member indirectly.
 	indirectProbes = 3
-	// ownZoneShare of roundsOf probe rounds go to the router's own zone.
+	// ownZoneShare of roundsOf probe rounds target the router's own zone.
 	ownZoneShare = 3
 	roundsOf     = 4
-	// accusedPerRound bounds the extra probes of accused members.
+	// accusedPerRound bounds the extra probes of accused members in one round.
 	accusedPerRound = 3
 	maxAccused      = 512
 	maxRelays       = 256
-	// failureTimeouts is after how many probe timeouts a probe has failed.
+	// failureTimeouts is the number of probe timeouts after which a probe has failed.
 	failureTimeouts = 3
 )
 
-// probing is the part of the machine that finds out who answers.
+// probing is the failure detection state of the machine.
 type probing struct {
 	next     time.Time
 	sequence uint64
 	round    int
-	// near and far are the random permutations still to be probed.
+	// near and far are the members still to be probed in this cycle, in random order: those of
+	// the own zone and the others.
 	near, far []ident.Node
 	pending   []probe
 	accused   []Rumour
@@ -66,8 +67,8 @@
 	}
 }
 
-// nextTarget takes the next member of the near or far permutation, or of the
-// other one when that has none.
+// nextTarget returns the next member of the near or far permutation, or of the other one if
+// that is empty.
 func (m *Machine) nextTarget(near bool) *record {
 	for range 2 {
 		pool := &m.probing.far
@@ -108,8 +109,8 @@
 	return names
 }
 
-// probe pings a member. Accusations against it come first in the message, so
-// that the member can refute them.
+// probe pings a member. The message contains the accusations against the member, so that it
+// can refute them.
 func (m *Machine) probe(target *record, accusations ...Rumour) {
 	if target.State == Suspect {
 		accusations = append(accusations, compact(target.Member))
@@ -121,7 +122,7 @@
 	})
 }
 
-// queueProbe puts a member first in line for a probe with the accusation in it.
+// queueProbe schedules an extra probe of a member with the accusation against it.
 func (m *Machine) queueProbe(accusation Rumour) {
 	known := slices.ContainsFunc(m.probing.accused, func(each Rumour) bool { return each.Node == accusation.Node })
 	if known || len(m.probing.accused) >= maxAccused {
@@ -130,8 +131,8 @@
 	m.probing.accused = append(m.probing.accused, accusation)
 }
 
-// checkProbes asks others about silent members and suspects those that no one
-// could reach.
+// checkProbes starts indirect probes of silent members, and suspects those that no member
+// reached.
 func (m *Machine) checkProbes() {
 	kept := m.probing.pending[:0]
 	for _, each := range m.probing.pending {
@@ -166,8 +167,8 @@
 	}
 }
 
-// sample returns up to count random members that are not dead, without this
-// router and the one excepted.
+// sample returns up to count random members that are not dead, except this router and the
+// given member.
 func (m *Machine) sample(count int, except ident.Node) []*record {
 	var candidates []*record
 	for _, each := range m.records {
@@ -189,7 +190,7 @@
 	}
 }
 
-// accusations tells a sender what is held against its present life.
+// accusations returns the suspicion or death recorded against the sender's incarnation.
 func (m *Machine) accusations(message *Message) []Rumour {
 	known := m.find(message.From)
 	if known == nil || known.Incarnation < message.Incarnation || known.State == Alive || known.State == Leaving {
--- a/internal/membership/simnet/simnet.go
+++ b/internal/membership/simnet/simnet.go
@@ -1,7 +1,5 @@
-// Package simnet runs many membership machines in one process over a network
-// of virtual time with seeded delay, loss and partitions. The tests of the
-// protocol use it. Two runs with the same seed and the same
-// calls are equal.
+// Package simnet simulates a network of membership machines in one process, in virtual time
+// with seeded delay, loss and partitions. Runs with the same seed and calls are equal.
 package simnet
 
 import (
@@ -19,26 +17,26 @@
 
 // Config describes a simulated network.
 type Config struct {
-	// Seed feeds every random choice.
+	// Seed seeds every random choice.
 	Seed int64
-	// Loss is the share of datagrams lost, 0 to 1.
+	// Loss is the fraction of datagrams lost, 0 to 1.
 	Loss float64
-	// MinDelay and MaxDelay bound the uniformly spread one-way delay.
+	// MinDelay and MaxDelay bound the uniformly distributed one-way delay.
 	MinDelay, MaxDelay time.Duration
 	// Tick is the time between two ticks of a machine (200 ms).
 	Tick time.Duration
-	// Timing is given to every machine.
+	// Timing is the timing of every machine.
 	Timing membership.Timing
-	// Encode sends every message through the wire format and counts its bytes.
+	// Encode encodes and decodes every message and counts its bytes.
 	Encode bool
-	// Delay, if not nil, returns the one-way delay between two nodes, to which
-	// the random share between MinDelay and MaxDelay is added.
+	// Delay, if not nil, returns the one-way delay between two nodes, to which the random
+	// delay is added.
 	Delay func(from, to *Node) time.Duration
-	// Around, if not nil, is called with every piece of a node's own work, which
-	// it must run; a caller may measure the time it takes.
+	// Around, if not nil, is called with each step of a node, which it must run; a caller
+	// may measure its time.
 	Around func(node *Node, work func())
-	// OnEvents, if not nil, is called with each batch of a node's events in
-	// place of their being kept in Node.Events.
+	// OnEvents, if not nil, is called with each batch of a node's events, which then are not
+	// added to Node.Events.
 	OnEvents func(node *Node, events []membership.Event)
 }
 
@@ -52,15 +50,15 @@
 	Events []membership.Event
 	// BytesSent and MessagesSent count datagrams, IP and UDP headers included.
 	BytesSent, MessagesSent uint64
-	// BytesReceived and MessagesReceived count what arrived.
+	// BytesReceived and MessagesReceived count received datagrams.
 	BytesReceived, MessagesReceived uint64
-	// SentByKind splits BytesSent by the kind of message.
+	// SentByKind is BytesSent by kind of message.
 	SentByKind [membership.KindGossip + 1]uint64
 	up         bool
 	generation uint64
 }
 
-// Up says whether the node runs.
+// Up reports whether the node runs.
 func (n *Node) Up() bool { return n.up }
 
 // TakeEvents returns and clears the node's events.
@@ -75,7 +73,7 @@
 	// Cut reports whether datagrams from one node to another are lost; nil
 	// means none. It may be replaced between calls of Run.
 	Cut func(from, to *Node) bool
-	// Nodes are in the order of their start.
+	// Nodes are in start order.
 	Nodes []*Node
 
 	config    Config
@@ -108,7 +106,7 @@
 // Now returns the virtual time.
 func (n *Network) Now() time.Time { return n.now }
 
-// Start adds a node with the given number, zone and seeds and starts it.
+// Start adds and starts a node with the given number, zone and seeds.
 func (n *Network) Start(number int, zone ident.Zone, seeds []string) (*Node, error) {
 	node := &Node{Member: membership.Member{
 		Node:          ident.Node(fmt.Sprintf("router-%03d", number)),
@@ -124,7 +122,7 @@
 // Address returns the gossip address of the node with the given number.
 func Address(number int) string { return fmt.Sprintf("10.0.%d.%d:7946", number/256, number%256) }
 
-// Restart stops a node if it runs and starts it anew, with nothing remembered.
+// Restart starts a node again without its former state, stopping it first if it runs.
 func (n *Network) Restart(node *Node, seeds []string) error {
 	node.Member.Incarnation = uint64(n.now.UnixMilli())
 	random := rand.New(rand.NewSource(n.random.Int63()))
@@ -139,18 +137,18 @@
 	return nil
 }
 
-// Stop ends or pauses a node without a word.
+// Stop stops or pauses a node without notifying any other.
 func (n *Network) Stop(node *Node) { node.up = false }
 
-// Resume continues a stopped node with what it remembered, as after a pause.
+// Resume continues a stopped node with its former state, as after a pause.
 func (n *Network) Resume(node *Node) {
 	node.up = true
 	node.generation++
 	n.schedule(0, action{node: node, generation: node.generation})
 }
 
-// Introduce tells every running node of every other at once, which spares the
-// minute that a large cluster needs to find itself. Nothing is sent for it.
+// Introduce adds every node to the view of every running node without sending datagrams,
+// so that a large cluster converges at once.
 func (n *Network) Introduce() {
 	for _, from := range n.Nodes {
 		rumours := []membership.Rumour{membership.Rumour(from.Member)}
@@ -166,13 +164,13 @@
 	}
 }
 
-// Do gives a node an input and sends what it asks for.
+// Do applies an input to a node's machine and sends the resulting messages.
 func (n *Network) Do(node *Node, input func(machine *membership.Machine, now time.Time)) {
 	input(node.Machine, n.now)
 	n.collect(node)
 }
 
-// After runs what at a virtual time from now, within a later call of Run.
+// After schedules a call after a delay in virtual time, to be run by a later Run.
 func (n *Network) After(delay time.Duration, call func()) { n.schedule(delay, action{call: call}) }
 
 // Run advances virtual time.
@@ -288,8 +286,7 @@
 	node       *Node
 	generation uint64
 	message    *membership.Message
-	// datagram is the sealed message, if messages go through the wire format,
-	// and size what it took on the wire.
+	// datagram is the encoded message if Config.Encode is set, and size its bytes on the wire.
 	datagram []byte
 	size     int
 	source   string
@@ -300,7 +297,7 @@
 // Len implements heap.Interface.
 func (a actionQueue) Len() int { return len(a) }
 
-// Less implements heap.Interface: by time, then in the order of scheduling.
+// Less implements heap.Interface: by time, then in scheduling order.
 func (a actionQueue) Less(i, j int) bool {
 	if a[i].at.Equal(a[j].at) {
 		return a[i].order < a[j].order
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// bucketCount is into how many groups members are hashed for a sync, and
-	// bucketBytes the size of a group's digest.
+	// bucketCount is the number of buckets into which members are hashed for a sync, and
+	// bucketBytes the size of a bucket's digest.
 	bucketCount = 64
 	bucketBytes = 4
 	// syncBurst and syncPerSecond bound the bytes of records sent by syncs.
 	syncBurst     = 48 << 10
 	syncPerSecond = 1000
-	// joinContacts is how many seeds a router that knows nobody asks at a time.
+	// joinContacts is the number of seeds that a joining router contacts at a time.
 	joinContacts = 3
 )
 
-// syncing is the part of the machine that repairs what gossip has missed.
+// syncing is the state of anti-entropy, which repairs what gossip missed.
 type syncing struct {
 	next          time.Time
 	interval      time.Duration
@@ -30,13 +30,13 @@
 	tokens        float64
 }
 
-// syncRound opens the exchanges that are due.
+// syncRound starts the exchanges that are due.
 func (m *Machine) syncRound() {
 	if !m.now.Before(m.syncing.next) {
 		if partners := m.sample(1, ""); len(partners) == 1 {
 			m.startSync(partners[0].GossipAddress)
 		}
-		// A young router syncs more often; the jitter keeps herds apart.
+		// A new router syncs more often; jitter spreads routers that start at once.
 		m.syncing.interval = min(2*m.syncing.interval, m.timing.SyncPeriod)
 		m.syncing.next = m.now.Add(m.jittered(m.syncing.interval))
 	}
@@ -49,8 +49,8 @@
 	return interval*3/4 + time.Duration(m.random.Int63n(int64(interval)/2+1))
 }
 
-// reconnect tries seeds and members that are not believed alive, so that
-// regions which lost each other merge again.
+// reconnect contacts seeds and members that are not alive, so that partitioned regions merge
+// again.
 func (m *Machine) reconnect() {
 	reached := map[string]bool{}
 	alone := true
@@ -92,8 +92,8 @@
 	return m.headFor(&Message{})
 }
 
-// answerSync sends the records of the groups that differ, and the own digests
-// if the other side has not seen them yet.
+// answerSync sends the records of the buckets that differ, and the own digests if the other
+// side does not have them yet.
 func (m *Machine) answerSync(source string, message *Message) {
 	digests := m.digests(message.Salt)
 	var differing [bucketCount]bool
@@ -114,8 +114,8 @@
 	}
 }
 
-// sendRecords sends the differing groups in random order, in chunks that fit a
-// datagram, until the allowance is used up; the first chunk always goes.
+// sendRecords sends the records of differing buckets in random order, in chunks that fit a
+// datagram, until the byte budget is used up; the first chunk is always sent.
 func (m *Machine) sendRecords(address string, differing [bucketCount]bool, joining bool) {
 	var rumours []Rumour
 	for _, each := range m.records {
@@ -140,8 +140,8 @@
 
 func bucketOf(node ident.Node) int { return int(xxhash.Sum64String(string(node)) % bucketCount) }
 
-// digests sums up each group of members. The dead are left out: routers forget
-// them at different times, which is no difference worth a repair.
+// digests returns the digest of each bucket of members. Dead members are omitted, since
+// routers remove them at different times.
 func (m *Machine) digests(salt uint64) []byte {
 	var sums [bucketCount]uint32
 	var buffer []byte
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -44,8 +44,8 @@
 
 type empty struct{}
 
-// BenchmarkCallBytes reports the bytes of a call with an empty body on an open
-// connection, without those of TCP/IP, and the time of both sides together.
+// BenchmarkCallBytes reports the bytes of a call with an empty body on an open connection,
+// without TCP/IP headers.
 func BenchmarkCallBytes(b *testing.B) {
 	is := is.New(b)
 	server, err := NewServer(testKey, 0)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds opening a connection.
 	dialTimeout = 2 * time.Second
 	// callTimeout bounds a call whose context has no earlier deadline.
 	callTimeout = 30 * time.Second
-	// Idle connections are few: a router calls few others often.
+	// Few idle connections suffice: a router calls only a few others often.
 	maxIdle        = 64
 	maxIdlePerHost = 2
 	idleTimeout    = 60 * time.Second
-	// unreachableRetryAfter is when another try at a lost router makes sense.
+	// unreachableRetryAfter is the retry delay for a router that did not answer.
 	unreachableRetryAfter = time.Second
 )
 
@@ -65,23 +65,23 @@
 	}, nil
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call sends request to the method of the router at address (HOST:PORT) and
-// decodes its reply into reply, a pointer. Every error is a *fault.Fault: that
-// of the other router, or one of this side. When the call broke off, what ran
-// is unknown; methods are idempotent, so a repeat is safe.
+// Call sends request to the method of the router at address (HOST:PORT) and decodes its
+// reply into reply, a pointer. Every error is a *fault.Fault, either from the other router
+// or from this client. If the call is cut off, it is unknown whether the method ran; methods
+// are idempotent, so a retry is safe.
 func (c *Client) Call(ctx context.Context, address, method string, request, reply any) error {
 	body, err := cbor.Marshal(request)
 	if err != nil {
-		return fault.Wrap(err, fault.Internal, "encoding the request of peer method %q", method)
+		return fault.Wrap(err, fault.Internal, "encode the request of peer method %q", method)
 	}
 	if int64(len(body)) > c.maxBody {
 		return tooLarge(method)
 	}
 	var random [nonceSize]byte
-	_, _ = rand.Read(random[:]) // never fails, by its documentation
+	_, _ = rand.Read(random[:]) // never returns an error
 	nonce := hex.EncodeToString(random[:])
 	response, err := c.post(ctx, address, method, nonce, body)
 	if err != nil {
@@ -114,14 +114,14 @@
 	return response, nil
 }
 
-// decodeReply checks and decodes an answer.
+// decodeReply verifies and decodes an answer.
 func (c *Client) decodeReply(response *http.Response, address, method, nonce string, answer []byte, reply any) error {
 	expected := c.sealer.replyMAC(method, nonce, response.StatusCode, answer)
 	if !hmac.Equal([]byte(expected), []byte(response.Header.Get(macHeader))) {
 		if response.StatusCode == http.StatusRequestEntityTooLarge {
 			return tooLarge(method)
 		}
-		return fault.New(fault.Unauthorized, "the reply of %s to peer method %q (status %d) does not carry this cluster's key", address, method, response.StatusCode).
+		return fault.New(fault.Unauthorized, "the reply of %s to peer method %q (status %d) is not authenticated with this cluster's key", address, method, response.StatusCode).
 			WithRemedy("give every router of the cluster the same cluster key").WithRan(fault.RanUnknown)
 	}
 	target := reply
@@ -130,7 +130,7 @@
 		target = &received
 	}
 	if err := c.sealer.decode(answer, target); err != nil {
-		return fault.Wrap(err, fault.Internal, "the reply of %s to peer method %q does not decode", address, method).
+		return fault.Wrap(err, fault.Internal, "cannot decode the reply of %s to peer method %q", address, method).
 			WithRemedy("run router versions that share a peer protocol").WithRan(fault.RanUnknown)
 	}
 	if response.StatusCode != http.StatusOK {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,7 +24,7 @@
 	Length int `cbor:"1,keyasint"`
 }
 
-// start returns a server's address and the texts that its handler was given.
+// start returns a server's address and the texts that its handler received.
 func start(t *testing.T, tamper func(next http.Handler) http.Handler) (string, *[]string) {
 	server, err := NewServer(testKey, 1024)
 	is.New(t).NoErr(err)
@@ -49,7 +49,7 @@
 
 func untouched(next http.Handler) http.Handler { return next }
 
-// editing changes requests on their way.
+// editing changes requests before they reach the server.
 func editing(edit func(request *http.Request)) func(next http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/internal/peer/seal.go
+++ b/internal/peer/seal.go
@@ -1,13 +1,11 @@
-// Package peer carries calls between routers: CBOR bodies over HTTP,
-// authenticated in both directions under the cluster key.
+// Package peer implements calls between routers: CBOR bodies over HTTP, authenticated in
+// both directions with the cluster key.
 //
-// A request carries a random nonce and an HMAC-SHA256 over method, nonce and
-// body; the reply carries one over method, nonce, status and body, so that a
-// reply cannot be taken for that of another request. There is no timestamp:
-// the routers' clocks are not trusted to agree, and a window wide enough for
-// them would refuse calls in a clock fault and still admit repeats. A recorded
-// request can therefore be repeated by whoever can reach a router, so every
-// method must be idempotent: repeating it must do no harm. Bodies are
+// A request carries a random nonce and an HMAC-SHA256 over method, nonce and body; the reply
+// carries one over method, nonce, status and body, so that it cannot pass for the reply to
+// another request. There is no timestamp: the routers' clocks may differ, and a window wide
+// enough for that would still allow replays. A recorded request can therefore be replayed by
+// anyone who can reach a router, so every method must be idempotent. Bodies are
 // authenticated, not encrypted.
 package peer
 
@@ -25,11 +23,11 @@
 )
 
 const (
-	// Prefix is the path under which a Server is to be mounted.
+	// Prefix is the path at which a Server must be mounted.
 	Prefix = "/peer/v1/"
 	// DefaultMaxBody bounds requests and replies, in bytes.
 	DefaultMaxBody = 4 << 20
-	// minKey is the shortest cluster key accepted, in bytes.
+	// minKey is the minimum length of a cluster key in bytes.
 	minKey = 16
 	// nonceSize is the length of a request's nonce in bytes.
 	nonceSize = 16
@@ -39,7 +37,7 @@
 	contentType = "application/cbor"
 	// keyContext separates this use of the cluster key from every other.
 	keyContext = "fieldpond/peer/1"
-	// Labels keep a request's MAC from passing for a reply's.
+	// Labels prevent a request's MAC from passing for a reply's.
 	requestLabel = "request"
 	replyLabel   = "reply"
 
@@ -67,15 +65,15 @@
 		MaxMapPairs:      maxCollection,
 	}.DecMode()
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "building the peer decoder")
+		return nil, fault.Wrap(err, fault.Internal, "create the peer decoder")
 	}
 	derive := hmac.New(sha256.New, clusterKey)
 	derive.Write([]byte(keyContext))
 	return &sealer{key: derive.Sum(nil), decoder: decoder}, nil
 }
 
-// mac sums the parts, each preceded by its length so that none can be shifted
-// into its neighbour.
+// mac returns the MAC of the parts, each preceded by its length, so that no bytes can be
+// moved from one part to the next.
 func (s *sealer) mac(parts ...[]byte) string {
 	sum := hmac.New(sha256.New, s.key)
 	var length [8]byte
@@ -105,7 +103,7 @@
 	return method != "" && len(method) <= maxMethod && strings.Trim(method, methodAlphabet) == ""
 }
 
-// wireFault is a fault on the wire. Its cause stays where it arose.
+// wireFault is a fault on the wire, without its cause.
 type wireFault struct {
 	Kind       fault.Kind `cbor:"1,keyasint"`
 	Detail     string     `cbor:"2,keyasint"`
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,8 +15,8 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Server answers the calls of other routers. It is an http.Handler to be
-// mounted at Prefix, and safe for concurrent use.
+// Server answers the calls of other routers. It is an http.Handler that must be mounted at
+// Prefix, and is safe for concurrent use.
 type Server struct {
 	sealer   *sealer
 	maxBody  int64
@@ -30,7 +30,7 @@
 
 // ServerCounters is a snapshot of a server's counters.
 type ServerCounters struct {
-	// Answered counts authentic calls; Refused counts the others.
+	// Answered counts authenticated calls, Refused the others.
 	Answered, Refused uint64
 }
 
@@ -47,9 +47,9 @@
 	return &Server{sealer: sealer, maxBody: maxBody, handlers: map[string]rawHandler{}}, nil
 }
 
-// Handle registers the handler of a method, in place of a former one. Method
-// names consist of lower-case letters, digits, '-' and '.'; methods must be
-// idempotent, as the package comment explains.
+// Handle registers the handler of a method and replaces any former one. Method names consist
+// of lower-case letters, digits, '-' and '.'; methods must be idempotent (see the package
+// comment).
 func Handle[Request, Reply any](server *Server, method string, handler func(ctx context.Context, request Request) (Reply, error)) error {
 	if !validMethod(method) {
 		return fault.New(fault.Internal, "peer method name %q is malformed", method)
@@ -57,7 +57,7 @@
 	raw := func(ctx context.Context, body []byte) ([]byte, error) {
 		var request Request
 		if err := server.sealer.decode(body, &request); err != nil {
-			return nil, fault.Wrap(err, fault.BadRequest, "the body of peer method %q does not decode", method).
+			return nil, fault.Wrap(err, fault.BadRequest, "cannot decode the body of peer method %q", method).
 				WithRemedy("run router versions that share a peer protocol")
 		}
 		reply, err := handler(ctx, request)
@@ -66,7 +66,7 @@
 		}
 		encoded, err := cbor.Marshal(reply)
 		if err != nil {
-			return nil, fault.Wrap(err, fault.Internal, "encoding the reply of peer method %q", method).WithRan(fault.RanUnknown)
+			return nil, fault.Wrap(err, fault.Internal, "encode the reply of peer method %q", method).WithRan(fault.RanUnknown)
 		}
 		return encoded, nil
 	}
@@ -81,9 +81,8 @@
 	return ServerCounters{Answered: s.answered.Load(), Refused: s.refused.Load()}
 }
 
-// ServeHTTP implements http.Handler. A request that is not authentic gets a
-// bare status without a sealed body, so that the server seals nothing for
-// strangers.
+// ServeHTTP implements http.Handler. An unauthenticated request gets only a status, so that
+// the server computes no MAC for unknown senders.
 func (s *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	method, hasPrefix := strings.CutPrefix(request.URL.Path, Prefix)
 	nonce := request.Header.Get(nonceHeader)
@@ -136,7 +135,7 @@
 	writer.Header().Set("Content-Type", contentType)
 	writer.Header().Set(macHeader, s.sealer.replyMAC(method, nonce, status, body))
 	writer.WriteHeader(status)
-	_, _ = writer.Write(body) // a caller that is gone learns nothing more
+	_, _ = writer.Write(body) // the caller may be gone
 }
 
 func (s *Server) refuse(writer http.ResponseWriter, status int) {
