--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -24,7 +24,7 @@
 	})
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	cases := []struct{ host, path, route string }{
 		{"a.example", "/x/1", "short"},
 		{"a.example", "/x/y/1", "long"},
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestOnlySafeAndResumableRequestsRunAgain(t *testing.T) {
+func TestRetryable(t *testing.T) {
 	cases := []struct {
 		route catalog.Route
 		want  bool
@@ -58,32 +58,32 @@
 		{catalog.Route{Kind: catalog.Streaming, Resumable: true}, true},
 	}
 	for _, c := range cases {
-		is.New(t).Equal(c.route.Repeatable(), c.want)
+		is.New(t).Equal(c.route.Retryable(), c.want)
 	}
 }
 
-func TestVersionsOnlyRise(t *testing.T) {
+func TestAdoptIgnoresOlderVersions(t *testing.T) {
 	is := is.New(t)
 	var holder catalog.Holder
 	start := time.Now()
 	is.True(holder.Adopt(snapshot(5), start))
-	is.True(!holder.Adopt(snapshot(3), start.Add(time.Second))) // an old one is not taken
+	is.True(!holder.Adopt(snapshot(3), start.Add(time.Second))) // an older version is ignored
 	is.Equal(holder.View().Snapshot.Version, uint64(5))
-	is.Equal(holder.View().ConfirmedAt, start) // and confirms nothing
+	is.Equal(holder.View().ConfirmedAt, start) // it confirms nothing
 	is.True(!holder.Adopt(snapshot(5), start.Add(2*time.Second)))
 	is.Equal(holder.View().Age(start.Add(3*time.Second)), time.Second)
-	is.True(!holder.Adopt(snapshot(5), start)) // a late answer makes nothing older
+	is.True(!holder.Adopt(snapshot(5), start)) // a late answer does not reset the confirmation
 	is.Equal(holder.View().ConfirmedAt, start.Add(2*time.Second))
 	is.True(holder.Adopt(snapshot(9), start.Add(2*time.Second)))
 }
 
-func TestNamedVersionsOnlyRise(t *testing.T) {
+func TestPublishedVersionNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	var holder catalog.Holder
 	model := ident.Model("m")
 	is.True(holder.Published(model, catalog.Publication{Version: 2}))
 	is.True(!holder.Published(model, catalog.Publication{Version: 2}))
-	is.True(holder.Published(model, catalog.Publication{Version: 1})) // remembered, but not as the newest
+	is.True(holder.Published(model, catalog.Publication{Version: 1})) // kept, but not as the newest
 	is.True(!holder.Published(model, catalog.Publication{Version: 1}))
 	before := holder.View()
 	is.True(holder.Published(model, catalog.Publication{Version: 4}))
@@ -92,7 +92,7 @@
 	is.Equal(holder.View().Models[model].Publications, []catalog.Publication{{Version: 1}, {Version: 2}, {Version: 4}})
 }
 
-func TestSharesAreMetByAnyShortRun(t *testing.T) {
+func TestSplitterMeetsSharesInShortRuns(t *testing.T) {
 	is := is.New(t)
 	splitter := catalog.NewSplitter()
 	route := &catalog.Route{Name: "r", Split: []catalog.Share{{Service: "a", Weight: 9}, {Service: "b", Weight: 1}, {Service: "c"}}}
@@ -113,9 +113,9 @@
 	is.True(!found)
 }
 
-// Several stores of prompt caches share the prompts evenly, the same at every
-// router; a prompt keeps its store when another one goes.
-func TestStoresOfPromptCachesShareThePrompts(t *testing.T) {
+// Prompt cache stores share the prompts evenly, the same at every router; a prompt keeps its
+// store when another one is removed.
+func TestCacheStoresSharePromptsEvenly(t *testing.T) {
 	is := is.New(t)
 	store := func(name ident.Service) catalog.Service {
 		return catalog.Service{Name: name, CacheStore: netip.MustParseAddrPort("10.0.0.1:1")}
@@ -142,8 +142,8 @@
 	is.True(of(catalog.Service{Name: "engines"}).CacheStore(region.Map{}, "", 1) == nil)
 }
 
-// The store of a prompt is in the zone of its home, else in its region, else anywhere.
-func TestAStoreInTheHomeZoneGoesFirst(t *testing.T) {
+// The store of a prompt is in the zone of its home, else in its region, else in any.
+func TestCacheStorePrefersHomeZone(t *testing.T) {
 	store := func(name ident.Service, zone ident.Zone) catalog.Service {
 		return catalog.Service{Name: name, CacheStore: netip.MustParseAddrPort("10.0.0.1:1"), Zone: zone}
 	}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -9,84 +9,84 @@
 )
 
 const (
-	// messageBudget is the estimated size to which messages are filled, in
-	// bytes; piggybackBudget the same for probes and their answers.
+	// messageBudget is the estimated size up to which messages are filled, in
+	// bytes; piggybackBudget is the same for probes and their answers.
 	messageBudget   = 1000
 	piggybackBudget = 800
-	// fixedCost estimates the encoded size of a message without its lists, and
-	// itemCost that of a list item without its strings.
-	fixedCost = 110
-	itemCost  = 26
-	// urgentFanout is to how many members a new sign is sent at once.
+	// fixedSize estimates the encoded size of a message without its lists, in bytes, and
+	// itemSize that of a list item without its strings.
+	fixedSize = 110
+	itemSize  = 26
+	// urgentFanout is the number of members to which a new report is sent immediately.
 	urgentFanout = 4
-	// urgentBurst and urgentPerSecond bound the datagrams sent at once.
+	// urgentBurst and urgentPerSecond bound the datagrams sent immediately.
 	urgentBurst     = 40
 	urgentPerSecond = 8
 	// rumourBurst and rumourPerSecond bound the bytes of piggybacked rumours.
 	rumourBurst     = 8 << 10
 	rumourPerSecond = 700
-	// signTransmissions is how often a sign is sent besides that.
-	signTransmissions = 10
-	maxSigns          = 512
-	maxSignsAMessage  = 6
-	// signRepeat is how much later a sign of the same life must have been
-	// observed to count as a new one.
-	signRepeat = 10 * time.Second
+	// reportTransmissions is how often a report is sent.
+	reportTransmissions  = 10
+	maxReports           = 512
+	maxReportsPerMessage = 6
+	// reportRepeatInterval is how much later an equal report must have been observed to count
+	// as a new one.
+	reportRepeatInterval = 10 * time.Second
 )
 
-// gossip is the part of the machine that spreads rumours and signs.
+// gossip is the state for the dissemination of rumours and reports.
 type gossip struct {
 	queue        []*queued
-	signs        map[signKey]*heldSign
-	signOrder    []*heldSign
+	reports      map[reportKey]*storedReport
+	reportOrder  []*storedReport
 	headSends    int
 	urgentTokens float64
-	// rumourTokens is the allowance of bytes for piggybacked rumours.
+	// rumourTokens is the remaining byte budget for piggybacked rumours.
 	rumourTokens float64
 }
 
-// queued is a member whose record has changed; the record is read when sent.
+// queued is a member with a changed record; the record is read when it is sent.
 type queued struct {
-	held  *record
-	sends int
-	brief bool
+	record *record
+	sends  int
+	brief  bool
 }
 
-type signKey struct {
+type reportKey struct {
 	backend     string
 	incarnation ident.Incarnation
-	kind        SignKind
+	kind        ReportKind
 }
 
-type heldSign struct {
-	sign     BackendSign
+type storedReport struct {
+	report   BackendReport
 	received time.Time
 	sends    int
 }
 
-// compact leaves out what other members are expected to know.
+// compact returns a rumour without zone and addresses.
 func compact(member Member) Rumour {
 	return Rumour{Node: member.Node, Incarnation: member.Incarnation, State: member.State, FleetVersion: member.FleetVersion}
 }
 
-// enqueue spreads a member's record; brief leaves its addresses out.
-func (m *Machine) enqueue(held *record, brief bool) {
+// enqueue schedules the dissemination of a record; brief omits zone and addresses.
+func (m *Machine) enqueue(changed *record, brief bool) {
 	for _, each := range m.gossip.queue {
-		if each.held == held {
+		if each.record == changed {
 			each.brief = each.brief && brief
 			each.sends = 0
 			return
 		}
 	}
-	m.gossip.queue = append(m.gossip.queue, &queued{held: held, brief: brief})
+	m.gossip.queue = append(m.gossip.queue, &queued{record: changed, brief: brief})
 }
 
-func (m *Machine) dequeue(held *record) {
-	m.gossip.queue = slices.DeleteFunc(m.gossip.queue, func(each *queued) bool { return each.held == held })
+func (m *Machine) dequeue(removed *record) {
+	m.gossip.queue = slices.DeleteFunc(m.gossip.queue, func(each *queued) bool { return each.record == removed })
 }
 
-// retransmissions is how often a changed record is sent; a new member's costs
-// the most and is also what a sync repairs best, so it is sent less often.
+// retransmissions returns how often a changed record is sent. Full records are sent less
+// often: they are larger, and a sync repairs them well.
 func (m *Machine) retransmissions(brief bool) int {
 	if brief {
 		return int(math.Ceil(briefMultiplier * m.scale()))
@@ -94,16 +94,15 @@
 	return int(math.Ceil(fullMultiplier * m.scale()))
 }
 
-// send completes a message with sender, signs, head and rumours and puts it
-// into the output.
+// send adds sender, reports, head and rumours to a message and appends it to the output.
 func (m *Machine) send(address string, message Message) {
 	m.complete(&message)
-	budget := piggybackBudget - fixedCost - len(message.Buckets)
+	budget := piggybackBudget - fixedSize - len(message.Buckets)
 	for _, each := range message.Rumours {
-		budget -= cost(each)
+		budget -= estimatedSize(each)
 	}
 	m.piggybackHead(&message, &budget)
-	m.piggybackSigns(&message, &budget)
+	m.piggybackReports(&message, &budget)
 	m.piggybackRumours(&message, &budget)
 	m.output.Messages = append(m.output.Messages, Envelope{To: address, Message: message})
 }
@@ -115,8 +114,8 @@
 	message.Joining = m.joining()
 }
 
-func cost(rumour Rumour) int {
-	return itemCost + len(rumour.Node) + len(rumour.Zone) + len(rumour.HTTPAddress) + len(rumour.GossipAddress)
+func estimatedSize(rumour Rumour) int {
+	return itemSize + len(rumour.Node) + len(rumour.Zone) + len(rumour.HTTPAddress) + len(rumour.GossipAddress)
 }
 
 func (m *Machine) piggybackHead(message *Message, budget *int) {
@@ -126,22 +125,22 @@
 		message.Head = &head
 	}
 	if message.Head != nil {
-		*budget -= itemCost + len(message.Head.Digest) + len(message.Head.Holder)
+		*budget -= itemSize + len(message.Head.Digest) + len(message.Head.Holder)
 	}
 }
 
-func (m *Machine) piggybackSigns(message *Message, budget *int) {
-	for _, each := range m.gossip.signOrder {
-		size := itemCost + len(each.sign.Backend) + len(each.sign.Incarnation) + len(each.sign.Observer)
-		if each.sends >= signTransmissions || size > *budget {
+func (m *Machine) piggybackReports(message *Message, budget *int) {
+	for _, each := range m.gossip.reportOrder {
+		size := itemSize + len(each.report.Backend) + len(each.report.Incarnation) + len(each.report.Observer)
+		if each.sends >= reportTransmissions || size > *budget {
 			continue
 		}
-		if len(message.Signs) == maxSignsAMessage {
+		if len(message.Reports) == maxReportsPerMessage {
 			return
 		}
 		each.sends++
 		*budget -= size
-		message.Signs = append(message.Signs, each.sign)
+		message.Reports = append(message.Reports, each.report)
 	}
 }
 
@@ -149,11 +148,11 @@
 func (m *Machine) piggybackRumours(message *Message, budget *int) {
 	slices.SortStableFunc(m.gossip.queue, func(a, b *queued) int { return a.sends - b.sends })
 	for _, each := range m.gossip.queue {
-		rumour := Rumour(each.held.Member)
+		rumour := Rumour(each.record.Member)
 		if each.brief {
-			rumour = compact(each.held.Member)
+			rumour = compact(each.record.Member)
 		}
-		size := cost(rumour)
+		size := estimatedSize(rumour)
 		if size > *budget || m.gossip.rumourTokens < float64(size) {
 			break
 		}
@@ -165,9 +164,9 @@
 	m.gossip.queue = slices.DeleteFunc(m.gossip.queue, func(each *queued) bool { return each.sends >= m.retransmissions(each.brief) })
 }
 
-// spreadNow sends what is queued to a few random members without waiting for
-// the next probe, within a bounded rate.
-func (m *Machine) spreadNow() {
+// gossipNow sends queued reports and rumours to a few random members without waiting for
+// the next probe, at a bounded rate.
+func (m *Machine) gossipNow() {
 	for _, member := range m.sample(urgentFanout, "") {
 		if m.gossip.urgentTokens < 1 {
 			return
@@ -177,74 +176,74 @@
 	}
 }
 
-// refill restores the bounded rates after a time.
+// refill refills the token buckets for the time that has passed.
 func (m *Machine) refill(passed time.Duration) {
 	m.gossip.urgentTokens = min(urgentBurst, m.gossip.urgentTokens+urgentPerSecond*passed.Seconds())
 	m.gossip.rumourTokens = min(rumourBurst, m.gossip.rumourTokens+rumourPerSecond*passed.Seconds())
 	m.syncing.tokens = min(syncBurst, m.syncing.tokens+syncPerSecond*passed.Seconds())
 }
 
-// Broadcast spreads a sign that this router has observed itself.
-func (m *Machine) Broadcast(now time.Time, sign BackendSign) error {
+// Broadcast disseminates a report of this router's own observation.
+func (m *Machine) Broadcast(now time.Time, report BackendReport) error {
 	m.advance(now)
-	sign.Observer = m.self.Node
-	sign.ObservedAt = now.UnixMilli()
-	if err := (&Message{Kind: KindGossip, From: m.self.Node, Signs: []BackendSign{sign}}).check(); err != nil {
+	report.Observer = m.self.Node
+	report.ObservedAt = now.UnixMilli()
+	if err := (&Message{Kind: KindGossip, From: m.self.Node, Reports: []BackendReport{report}}).validate(); err != nil {
 		return err
 	}
-	if m.holdSign(sign) {
-		m.spreadNow()
+	if m.storeReport(report) {
+		m.gossipNow()
 	}
 	return nil
 }
 
-func (m *Machine) takeSigns(signs []BackendSign) {
+func (m *Machine) receiveReports(reports []BackendReport) {
 	fresh := false
-	for _, sign := range signs {
-		if m.holdSign(sign) {
+	for _, report := range reports {
+		if m.storeReport(report) {
 			fresh = true
-			m.event(Event{Kind: SignReceived, Sign: sign})
+			m.event(Event{Kind: ReportReceived, Report: report})
 		}
 	}
 	if fresh {
-		m.spreadNow()
+		m.gossipNow()
 	}
 }
 
-// holdSign keeps a sign and reports whether it is new.
-func (m *Machine) holdSign(sign BackendSign) bool {
-	key := signKey{sign.Backend, sign.Incarnation, sign.Kind}
-	if known, found := m.gossip.signs[key]; found {
-		if sign.ObservedAt < known.sign.ObservedAt+signRepeat.Milliseconds() {
+// storeReport stores a report and returns whether it is new.
+func (m *Machine) storeReport(report BackendReport) bool {
+	key := reportKey{report.Backend, report.Incarnation, report.Kind}
+	if known, found := m.gossip.reports[key]; found {
+		if report.ObservedAt < known.report.ObservedAt+reportRepeatInterval.Milliseconds() {
 			return false
 		}
-		m.dropSign(known)
+		m.removeReport(known)
 	}
-	if len(m.gossip.signOrder) == maxSigns {
-		m.dropSign(m.gossip.signOrder[maxSigns-1])
+	if len(m.gossip.reportOrder) == maxReports {
+		m.removeReport(m.gossip.reportOrder[maxReports-1])
 	}
-	held := &heldSign{sign: sign, received: m.now}
-	m.gossip.signs[key] = held
-	m.gossip.signOrder = slices.Insert(m.gossip.signOrder, 0, held)
+	stored := &storedReport{report: report, received: m.now}
+	m.gossip.reports[key] = stored
+	m.gossip.reportOrder = slices.Insert(m.gossip.reportOrder, 0, stored)
 	return true
 }
 
-func (m *Machine) dropSign(held *heldSign) {
-	delete(m.gossip.signs, signKey{held.sign.Backend, held.sign.Incarnation, held.sign.Kind})
-	m.gossip.signOrder = slices.DeleteFunc(m.gossip.signOrder, func(each *heldSign) bool { return each == held })
+func (m *Machine) removeReport(removed *storedReport) {
+	delete(m.gossip.reports, reportKey{removed.report.Backend, removed.report.Incarnation, removed.report.Kind})
+	m.gossip.reportOrder = slices.DeleteFunc(m.gossip.reportOrder, func(each *storedReport) bool { return each == removed })
 }
 
-func (m *Machine) expireSigns() {
-	for last := len(m.gossip.signOrder) - 1; last >= 0; last-- {
-		held := m.gossip.signOrder[last]
-		if m.now.Sub(held.received) <= m.timing.SignRetention {
+func (m *Machine) expireReports() {
+	for last := len(m.gossip.reportOrder) - 1; last >= 0; last-- {
+		oldest := m.gossip.reportOrder[last]
+		if m.now.Sub(oldest.received) <= m.timing.ReportRetention {
 			return
 		}
-		m.dropSign(held)
+		m.removeReport(oldest)
 	}
 }
 
-// raiseHead takes a newer fleet version.
+// raiseHead records a newer fleet version.
 func (m *Machine) raiseHead(head FleetHead) {
 	if head.Version <= m.head.Version {
 		return
@@ -254,7 +253,7 @@
 	m.event(Event{Kind: FleetHeadRaised, Head: head})
 }
 
-// headFor returns the newest fleet version if the sender does not know it.
+// headFor returns the newest fleet version if the sender has not seen it, else nil.
 func (m *Machine) headFor(message *Message) *FleetHead {
 	if message.HeadVersion >= m.head.Version {
 		return nil
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -14,8 +14,8 @@
 
 const zones = 9
 
-// cluster starts count nodes at once that know three seeds.
-func cluster(tb testing.TB, count int, config simnet.Config) *simnet.Network {
+// startCluster starts count nodes at once, with three seeds.
+func startCluster(tb testing.TB, count int, config simnet.Config) *simnet.Network {
 	tb.Helper()
 	config.MinDelay, config.MaxDelay = time.Millisecond, 40*time.Millisecond
 	network, err := simnet.New(config)
@@ -31,7 +31,7 @@
 	return []string{simnet.Address(0), simnet.Address(1), simnet.Address(2)}
 }
 
-// states counts what the running nodes believe of each other, by state.
+// states counts the members in the views of all running nodes by state.
 func states(network *simnet.Network) (counts map[membership.State]int, pairs int) {
 	counts = map[membership.State]int{}
 	for _, observer := range network.Nodes {
@@ -46,7 +46,7 @@
 	return counts, pairs
 }
 
-func believes(observer *simnet.Node, about ident.Node) (membership.Member, bool) {
+func memberSeenBy(observer *simnet.Node, about ident.Node) (membership.Member, bool) {
 	for _, member := range observer.Machine.View().Members {
 		if member.Node == about {
 			return member, true
@@ -55,9 +55,9 @@
 	return membership.Member{}, false
 }
 
-func allBelieve(network *simnet.Network, subject *simnet.Node, state membership.State) bool {
+func allSee(network *simnet.Network, subject *simnet.Node, state membership.State) bool {
 	for _, observer := range network.Nodes {
-		member, known := believes(observer, subject.Member.Node)
+		member, known := memberSeenBy(observer, subject.Member.Node)
 		if observer.Up() && (!known || member.State != state || member.Incarnation < subject.Member.Incarnation) {
 			return false
 		}
@@ -65,21 +65,20 @@
 	return true
 }
 
-// disturbance is something that happens to a settled cluster, and what every
-// router must believe afterwards.
-type disturbance struct {
-	disturb func(network *simnet.Network)
-	check   func(network *simnet.Network) bool
+// scenario is a disturbance of a converged cluster, and a check of the views afterwards.
+type scenario struct {
+	run   func(network *simnet.Network)
+	check func(network *simnet.Network) bool
 }
 
 func subject(network *simnet.Network) *simnet.Node { return network.Nodes[7] }
 
 func inFirstRegion(node *simnet.Node) bool { return node.Member.Zone < "zone-3" }
 
-var endings = map[string]disturbance{
+var shutdownScenarios = map[string]scenario{
 	"a silent node is dead everywhere": {
 		func(network *simnet.Network) { network.Stop(subject(network)); network.Run(40 * time.Second) },
-		func(network *simnet.Network) bool { return allBelieve(network, subject(network), membership.Dead) },
+		func(network *simnet.Network) bool { return allSee(network, subject(network), membership.Dead) },
 	},
 	"a leaving node owns nothing and is not dead while it answers": {
 		func(network *simnet.Network) {
@@ -87,7 +86,7 @@
 			network.Run(60 * time.Second)
 		},
 		func(network *simnet.Network) bool {
-			return allBelieve(network, subject(network), membership.Leaving)
+			return allSee(network, subject(network), membership.Leaving)
 		},
 	},
 	"a leaving node that stops dies": {
@@ -97,7 +96,7 @@
 			network.Stop(subject(network))
 			network.Run(40 * time.Second)
 		},
-		func(network *simnet.Network) bool { return allBelieve(network, subject(network), membership.Dead) },
+		func(network *simnet.Network) bool { return allSee(network, subject(network), membership.Dead) },
 	},
 	"a departed node is dead within seconds": {
 		func(network *simnet.Network) {
@@ -107,21 +106,21 @@
 			network.Stop(subject(network))
 			network.Run(5 * time.Second)
 		},
-		func(network *simnet.Network) bool { return allBelieve(network, subject(network), membership.Dead) },
+		func(network *simnet.Network) bool { return allSee(network, subject(network), membership.Dead) },
 	},
-	"a restarted node replaces its former life": {
+	"a restarted node replaces its former incarnation": {
 		func(network *simnet.Network) {
 			network.Stop(subject(network))
 			network.Run(2 * time.Second)
 			_ = network.Restart(subject(network), seeds())
 			network.Run(15 * time.Second)
 		},
-		func(network *simnet.Network) bool { return allBelieve(network, subject(network), membership.Alive) },
+		func(network *simnet.Network) bool { return allSee(network, subject(network), membership.Alive) },
 	},
 }
 
-var recoveries = map[string]disturbance{
-	"regions merge after minutes apart": {
+var recoveryScenarios = map[string]scenario{
+	"regions merge after a long partition": {
 		func(network *simnet.Network) {
 			network.Cut = func(from, to *simnet.Node) bool { return inFirstRegion(from) != inFirstRegion(to) }
 			network.Run(4 * time.Minute)
@@ -131,7 +130,7 @@
 		},
 		func(network *simnet.Network) bool { return deaths(network) == 0 && allAlive(network) },
 	},
-	"a herd of half the nodes restarts": {
+	"half of the nodes restart at once": {
 		func(network *simnet.Network) {
 			for i := 0; i < len(network.Nodes); i += 2 {
 				_ = network.Restart(network.Nodes[i], seeds())
@@ -149,11 +148,11 @@
 			network.Run(30 * time.Second)
 		},
 		func(network *simnet.Network) bool {
-			member, _ := believes(network.Nodes[0], subject(network).Member.Node)
+			member, _ := memberSeenBy(network.Nodes[0], subject(network).Member.Node)
 			return allAlive(network) && member.Incarnation > subject(network).Member.Incarnation
 		},
 	},
-	"a paused node blames nobody": {
+	"a paused node suspects nobody": {
 		func(network *simnet.Network) {
 			subject(network).TakeEvents()
 			for range 10 {
@@ -176,23 +175,23 @@
 
 func TestClusterConverges(t *testing.T) {
 	t.Parallel()
-	for _, steps := range []map[string]disturbance{endings, recoveries} {
-		runDisturbances(t, steps)
+	for _, scenarios := range []map[string]scenario{shutdownScenarios, recoveryScenarios} {
+		runScenarios(t, scenarios)
 	}
 }
 
-func runDisturbances(t *testing.T, steps map[string]disturbance) {
+func runScenarios(t *testing.T, scenarios map[string]scenario) {
 	t.Helper()
-	for name, step := range steps {
+	for name, each := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			network := cluster(t, 48, simnet.Config{Seed: 11, Loss: 0.01})
+			network := startCluster(t, 48, simnet.Config{Seed: 11, Loss: 0.01})
 			network.Run(30 * time.Second)
 			is.True(allAlive(network)) // converged at the start
-			step.disturb(network)
-			if !step.check(network) {
+			each.run(network)
+			if !each.check(network) {
 				counts, pairs := states(network)
-				t.Fatalf("beliefs by state %v of %d pairs", counts, pairs)
+				t.Fatalf("members by state %v of %d pairs", counts, pairs)
 			}
 		})
 	}
@@ -206,13 +205,13 @@
 func TestNoFalseDeathUnderLoss(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	network := cluster(t, 64, simnet.Config{Seed: 3, Loss: 0.01})
+	network := startCluster(t, 64, simnet.Config{Seed: 3, Loss: 0.01})
 	network.Run(10 * time.Minute)
 	is.Equal(deaths(network), 0)
 	is.True(allAlive(network))
 }
 
-// deaths counts and clears the events that called a member dead.
+// deaths counts and clears the events that report a dead member.
 func deaths(network *simnet.Network) int {
 	count := 0
 	for _, node := range network.Nodes {
@@ -227,20 +226,20 @@
 
 func TestRegionsMergeAfterForgetting(t *testing.T) {
 	is := is.New(t)
-	network := cluster(t, 18, simnet.Config{Seed: 4, Timing: membership.Timing{DeadRetention: time.Minute}})
+	network := startCluster(t, 18, simnet.Config{Seed: 4, Timing: membership.Timing{DeadRetention: time.Minute}})
 	network.Run(20 * time.Second)
 	network.Cut = func(from, to *simnet.Node) bool { return inFirstRegion(from) != inFirstRegion(to) }
 	network.Run(4 * time.Minute)
-	is.Equal(len(network.Nodes[0].Machine.View().Members), 6) // the others are forgotten
+	is.Equal(len(network.Nodes[0].Machine.View().Members), 6) // the others are removed
 	network.Cut = nil
 	network.Run(time.Minute)
 	is.True(allAlive(network))
 }
 
-func TestSignAndHeadAtFullSize(t *testing.T) {
+func TestReportAndHeadAtFullSize(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	network := cluster(t, 390, simnet.Config{Seed: 5, Loss: 0.01, Encode: true})
+	network := startCluster(t, 390, simnet.Config{Seed: 5, Loss: 0.01, Encode: true})
 	network.Introduce()
 	network.Run(5 * time.Second)
 	is.True(allAlive(network))
@@ -248,41 +247,41 @@
 		node.TakeEvents()
 		node.BytesSent = 0
 	}
-	sign := membership.BackendSign{Backend: "engine-graz-1", Incarnation: "life-1", Kind: membership.SignLeaving}
+	report := membership.BackendReport{Backend: "engine-graz-1", Incarnation: "life-1", Kind: membership.ReportDraining}
 	network.Do(network.Nodes[200], func(machine *membership.Machine, now time.Time) {
-		is.NoErr(machine.Broadcast(now, sign))
+		is.NoErr(machine.Broadcast(now, report))
 		machine.SetFleetVersion(now, 9, "sha256-abc")
 	})
 	network.Run(3 * time.Second)
-	signs := 0
+	reports := 0
 	for _, node := range network.Nodes {
 		for _, event := range node.TakeEvents() {
-			if event.Kind == membership.SignReceived {
-				signs++
+			if event.Kind == membership.ReportReceived {
+				reports++
 			}
 		}
 	}
-	is.Equal(signs, 389) // every other router, once each
+	is.Equal(reports, 389) // once at every other router
 	network.Run(12 * time.Second)
 	for _, node := range network.Nodes {
 		is.Equal(node.Machine.Head().Version, uint64(9))
-		is.True(node.BytesSent < 15*2000) // the whole control budget
+		is.True(node.BytesSent < 15*2000) // bytes: 2000 a second
 	}
 }
 
-// BenchmarkGossip reports the steady traffic of a settled cluster.
+// BenchmarkGossip reports the steady traffic of a converged cluster.
 func BenchmarkGossip(b *testing.B) {
 	for _, count := range []int{16, 64, 390} {
 		b.Run(fmt.Sprintf("nodes=%d", count), func(b *testing.B) {
 			var steady, herd, seconds float64
 			for range b.N {
-				network := cluster(b, count, simnet.Config{Seed: 1, Loss: 0.01, Encode: true})
+				network := startCluster(b, count, simnet.Config{Seed: 1, Loss: 0.01, Encode: true})
 				for !allAlive(network) && seconds < 300 {
 					network.Run(time.Second)
 					seconds++
 				}
 				if !allAlive(network) {
-					b.Fatal("a herd start did not converge in time")
+					b.Fatal("the cluster did not converge in time")
 				}
 				herd += takeBytes(network) / seconds
 				network.Run(time.Minute)
@@ -297,10 +296,10 @@
 	}
 }
 
-// BenchmarkRegionSplit cuts a third of the zones off for four minutes and
-// reports traffic and the time until all believe all alive again.
+// BenchmarkRegionSplit partitions a third of the zones for four minutes and reports the
+// traffic and the time until all nodes see all others alive again.
 func BenchmarkRegionSplit(b *testing.B) {
-	network := cluster(b, 390, simnet.Config{Seed: 1, Loss: 0.01, Encode: true})
+	network := startCluster(b, 390, simnet.Config{Seed: 1, Loss: 0.01, Encode: true})
 	network.Introduce()
 	network.Run(30 * time.Second)
 	for range b.N {
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -14,7 +14,7 @@
 	"github.com/fieldpond/fieldpond/internal/membership/simnet"
 )
 
-// TestOwnersAreTheHighestScores compares the owners with a whole ranking.
+// TestOwnersAreTheHighestScores compares the owners with a complete ranking.
 func TestOwnersAreTheHighestScores(t *testing.T) {
 	is := is.New(t)
 	view := membership.View{}
@@ -38,12 +38,11 @@
 	is.Equal(len(membership.View{}.Owners("key", 2)), 0)
 }
 
-// TestAFleetVersionIsNoChangeOfOwners puts a new fleet version in force on every
-// router of a settled cluster: each must hear of it from each other one, as
-// news that leaves the owners as they are.
-func TestAFleetVersionIsNoChangeOfOwners(t *testing.T) {
+// TestFleetVersionKeepsOwners activates a new fleet version on every router: each must
+// observe the change of each other one, without an event that affects ownership.
+func TestFleetVersionKeepsOwners(t *testing.T) {
 	is := is.New(t)
-	network := cluster(t, 8, simnet.Config{Seed: 1})
+	network := startCluster(t, 8, simnet.Config{Seed: 1})
 	network.Run(time.Minute)
 	for _, node := range network.Nodes {
 		node.TakeEvents()
@@ -54,7 +53,7 @@
 		advanced := map[ident.Node]int{}
 		for _, event := range node.TakeEvents() {
 			is.True(event.Kind != membership.MemberChanged)
-			if event.Kind == membership.MemberAdvanced {
+			if event.Kind == membership.MemberVersionChanged {
 				is.Equal(event.Member.FleetVersion, uint64(3))
 				advanced[event.Member.Node]++
 			}
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -101,7 +101,7 @@
 	}
 	newest, err := row, error(nil)
 	for _, depth := range historyDepths {
-		newest, err = f.newestSince(ctx, store.Back(row.revision, depth), row)
+		newest, err = f.newestSince(ctx, store.RevisionBefore(row.revision, depth), row)
 		if !errors.Is(err, ErrHistoryGone) {
 			break
 		}
--- a/internal/node/pull.go
+++ b/internal/node/pull.go
@@ -77,7 +77,7 @@
 
 // observeFollower records that a peer pulls from this router.
 func (g *chainGuard) observeFollower(peer upstream.Peer) {
-	g.use(func(chain *upstream.Chain) { chain.Followed(peer) })
+	g.use(func(chain *upstream.Chain) { chain.AddFollower(peer) })
 }
 
 const (
@@ -155,7 +155,7 @@
 // advertiseShutdown reports to the routers that pull from this one that it is shutting down, so
 // that another one takes its place in the chain.
 func (f *follower) advertiseShutdown() {
-	f.chain.use(func(chain *upstream.Chain) { chain.Leave() })
+	f.chain.use(func(chain *upstream.Chain) { chain.SetShuttingDown() })
 	f.replica.advertiseShutdown()
 }
 
@@ -171,10 +171,10 @@
 	pull := &upstream.Pull{Confirmation: confirmation}
 	pull.Configuration, pull.List = f.replica.copyVersions()
 	pull.Quarantine = f.guard.Digest()
-	pull.News = backend.UpdatesDigest(f.replica.backends.StateUpdates(clock.Now()))
+	pull.UpdatesDigest = backend.UpdatesDigest(f.replica.backends.StateUpdates(clock.Now()))
 	// The contents of prompt caches can wait until this router can serve.
 	if f.replica.initialized() {
-		pull.Caches, pull.CacheHeld = true, f.replica.caches.Positions()
+		pull.Caches, pull.CachePositions = true, f.replica.caches.Positions()
 	}
 	f.chain.use(func(chain *upstream.Chain) { pull.From = chain.Self() })
 	update, at, err := f.client.Pull(ctx, peer, pull)
@@ -192,9 +192,9 @@
 	}
 	f.chain.use(func(chain *upstream.Chain) {
 		if update != nil {
-			chain.Told(peer.Node, update.Leaving)
+			chain.SetPeerShuttingDown(peer.Node, update.ShuttingDown)
 		}
-		chain.Pulled(clock.Now(), peer.Node, result)
+		chain.RecordPull(clock.Now(), peer.Node, result)
 	})
 	if update == nil {
 		return 0
@@ -230,7 +230,7 @@
 		return upstream.Stale{}
 	}
 	age := max(update.Configuration.Age, update.List.Age)
-	f.chain.use(func(chain *upstream.Chain) { result = chain.Judge(update.Origin, age) })
+	f.chain.use(func(chain *upstream.Chain) { result = chain.Classify(update.Origin, age) })
 	return result
 }
 
@@ -248,7 +248,7 @@
 	f.applyPeerEpoch(update)
 	// First, so that a starting router has it before it serves.
 	f.guard.Merge(at, update.Quarantine)
-	for _, publication := range update.Configuration.Namings {
+	for _, publication := range update.Configuration.Publications {
 		f.applyPublication(&publication, at)
 	}
 	configuration := &update.Configuration
@@ -261,8 +261,8 @@
 	f.replica.applyList(update.Origin, at.Add(-update.List.Age), &update.List)
 	f.replica.caches.Take(at, update.Caches)
 	// After the instance list: updates of back ends that are not listed are ignored.
-	f.replica.updates.applyUpdates(update.News)
-	if position := configuration.Watched; position != nil {
+	f.replica.updates.applyUpdates(update.StateUpdates)
+	if position := configuration.WatchPosition; position != nil {
 		// After the publications up to this position have been applied.
 		f.replica.advanceWatch(watchPosition{revision: position.Revision, storeTime: position.StoreTime}, false)
 	}
@@ -273,10 +273,10 @@
 }
 
 func (f *follower) applyPublication(update *upstream.Publication, at time.Time) {
-	publication := catalog.Publication{Version: update.Version, SeenAt: at.Add(-update.Age), SeenAtStart: update.Met}
+	publication := catalog.Publication{Version: update.Version, SeenAt: at.Add(-update.Age), SeenAtStart: update.SeenAtStart}
 	if f.replica.holder.Published(update.Model, publication) {
 		log.WithFields(log.Fields{
-			"model": update.Model, "version": update.Version, "age_ms": update.Age.Milliseconds(), "met": update.Met,
+			"model": update.Model, "version": update.Version, "age_ms": update.Age.Milliseconds(), "met": update.SeenAtStart,
 		}).Info("version_named")
 	}
 }
--- a/internal/node/recordlist.go
+++ b/internal/node/recordlist.go
@@ -35,7 +35,7 @@
 // fullList returns a list read from the store as an update. It sorts records.
 func fullList(records []backend.Record) *upstream.List {
 	slices.SortFunc(records, byInstance)
-	return &upstream.List{Digest: digestOf(records), Told: true, Records: records}
+	return &upstream.List{Digest: digestOf(records), Included: true, Records: records}
 }
 
 func byInstance(a, b backend.Record) int { return cmp.Compare(a.Instance, b.Instance) }
--- a/internal/node/recordlist_test.go
+++ b/internal/node/recordlist_test.go
@@ -14,7 +14,7 @@
 
 // updateFor returns the update that a router with the list sends to one with a copy.
 func updateFor(list *recordList, held uint64) *upstream.List {
-	update := &upstream.List{Digest: list.digest, Told: true}
+	update := &upstream.List{Digest: list.digest, Included: true}
 	update.Base, update.Records, update.Removed = list.changesSince(held)
 	return update
 }
@@ -91,8 +91,8 @@
 		// held is the digest of the copy afterwards.
 		held uint64
 	}{
-		{"changes of another copy", &upstream.List{Digest: 9, Told: true, Base: 8}, base.Digest},
-		{"changes that lead elsewhere", &upstream.List{Digest: 9, Told: true, Base: base.Digest}, 0},
+		{"changes of another copy", &upstream.List{Digest: 9, Included: true, Base: 8}, base.Digest},
+		{"changes that lead elsewhere", &upstream.List{Digest: 9, Included: true, Base: base.Digest}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -116,7 +116,7 @@
 		Revision: r.self.Revision, Confirmation: r.confirmation, Origin: r.origin, Routers: r.routers,
 		Configuration: upstream.Configuration{Revision: r.config.checkedRevision, Version: r.config.version},
 		List:          upstream.List{Digest: r.list.digest},
-		Leaving:       r.shuttingDown,
+		ShuttingDown:  r.shuttingDown,
 		Epoch:         r.epochs.Epoch(),
 	}
 	if first, known := r.epochs.First(); known {
@@ -127,9 +127,9 @@
 	}
 	if r.config.version != 0 {
 		update.Configuration.Age = view.Age(now)
-		update.Configuration.Namings = publicationUpdates(now, view)
+		update.Configuration.Publications = publicationUpdates(now, view)
 		update.Configuration.Rollouts = r.rollouts.forPeer(now)
-		update.Configuration.Watched = watchUpdate(r.watched)
+		update.Configuration.WatchPosition = watchUpdate(r.watched)
 	}
 	if r.config.version != pull.Configuration {
 		update.Configuration.Body = r.config.body
@@ -138,17 +138,17 @@
 		update.List.Age = now.Sub(r.listedAt)
 	}
 	if r.list.digest != pull.List {
-		update.List.Told = true
+		update.List.Included = true
 		update.List.Base, update.List.Records, update.List.Removed = r.list.changesSince(pull.List)
 	}
 	if r.guard != nil {
 		update.Quarantine = r.guard.EvidenceSince(now, pull.Quarantine)
 	}
-	if updates := r.backends.StateUpdates(now); backend.UpdatesDigest(updates) != pull.News {
-		update.News = updates
+	if updates := r.backends.StateUpdates(now); backend.UpdatesDigest(updates) != pull.UpdatesDigest {
+		update.StateUpdates = updates
 	}
 	if pull.Caches {
-		update.Caches = r.caches.Updates(now, pull.CacheHeld)
+		update.Caches = r.caches.Updates(now, pull.CachePositions)
 	}
 	return update
 }
@@ -158,7 +158,7 @@
 	for _, model := range slices.Sorted(maps.Keys(view.Models)) {
 		for _, publication := range view.Models[model].Publications {
 			updates = append(updates, upstream.Publication{
-				Model: model, Version: publication.Version, Age: now.Sub(publication.SeenAt), Met: publication.SeenAtStart,
+				Model: model, Version: publication.Version, Age: now.Sub(publication.SeenAt), SeenAtStart: publication.SeenAtStart,
 			})
 		}
 	}
@@ -259,11 +259,11 @@
 }
 
 // watchUpdate returns the position as sent to peers, nil if unknown.
-func watchUpdate(position watchPosition) *upstream.Watched {
+func watchUpdate(position watchPosition) *upstream.WatchPosition {
 	if position.revision == 0 {
 		return nil
 	}
-	return &upstream.Watched{Revision: position.revision, StoreTime: position.storeTime}
+	return &upstream.WatchPosition{Revision: position.revision, StoreTime: position.storeTime}
 }
 
 // watchedUntil returns the position up to which all publications are known.
@@ -364,7 +364,7 @@
 	switch {
 	case list.Digest == r.list.digest:
 		logBackends(r.backends.ConfirmList(listedAt))
-	case !list.Told || !r.list.apply(list):
+	case !list.Included || !r.list.apply(list):
 		return
 	default:
 		logBackends(r.backends.ApplyList(listedAt, r.list.records))
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	known := &knownRollouts{
-		orders: received.Known.Orders, states: received.Known.States, storeTime: received.StoreTime, absentAt: received.Absent,
+		orders: received.Known.Orders, states: received.Known.States, storeTime: received.StoreTime, absentAt: received.AbsentAt,
 		readAt: at.Add(-received.Age),
 	}
 	if received.StatesAge >= 0 {
@@ -43,7 +43,7 @@
 		return nil
 	}
 	update := &upstream.Rollouts{
-		Known: k.known(), StoreTime: k.storeTime, Absent: k.absentAt, Age: max(now.Sub(k.readAt), 0), StatesAge: -1,
+		Known: k.known(), StoreTime: k.storeTime, AbsentAt: k.absentAt, Age: max(now.Sub(k.readAt), 0), StatesAge: -1,
 	}
 	if !k.statesAt.IsZero() {
 		update.StatesAge = max(now.Sub(k.statesAt), 0)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -106,7 +106,7 @@
 	shuttingDown := func() bool {
 		update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{From: upstream.Peer{Node: "o", Revision: 1 << 40}})
 		is.NoErr(err)
-		return update.Leaving
+		return update.ShuttingDown
 	}
 	is.True(!shuttingDown())
 	stop()
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds opening a connection.
 	dialTimeout = 2 * time.Second
 	// callTimeout bounds a call whose context has no earlier deadline.
 	callTimeout = 30 * time.Second
-	// Idle connections are few: a router calls few others often.
+	// Few idle connections suffice: a router calls only a few others often.
 	maxIdle        = 64
 	maxIdlePerHost = 2
 	idleTimeout    = 60 * time.Second
-	// unreachableRetryAfter is when another try at a lost router makes sense.
+	// unreachableRetryAfter is the retry delay for a router that did not answer.
 	unreachableRetryAfter = time.Second
 )
 
@@ -65,23 +65,23 @@
 	}, nil
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call sends request to the method of the router at address (HOST:PORT) and
-// decodes its reply into reply, a pointer. Every error is a *fault.Fault: that
-// of the other router, or one of this side. When the call broke off, what ran
-// is unknown; methods are idempotent, so a repeat is safe.
+// Call sends request to the method of the router at address (HOST:PORT) and decodes its
+// reply into reply, a pointer. Every error is a *fault.Fault, either from the other router
+// or from this client. If the call is cut off, it is unknown whether the method ran; methods
+// are idempotent, so a retry is safe.
 func (c *Client) Call(ctx context.Context, address, method string, request, reply any) error {
 	body, err := cbor.Marshal(request)
 	if err != nil {
-		return fault.Wrap(err, fault.Internal, "encoding the request of peer method %q", method)
+		return fault.Wrap(err, fault.Internal, "encode the request of peer method %q", method)
 	}
 	if int64(len(body)) > c.maxBody {
 		return tooLarge(method)
 	}
 	var random [nonceSize]byte
-	_, _ = rand.Read(random[:]) // never fails, by its documentation
+	_, _ = rand.Read(random[:]) // never returns an error
 	nonce := hex.EncodeToString(random[:])
 	response, err := c.post(ctx, address, method, nonce, body)
 	if err != nil {
@@ -90,13 +90,13 @@
 	defer func() { _ = response.Body.Close() }()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, c.maxBody+1))
 	if err != nil {
-		return lost(ctx, err, address, method).WithRan(fault.RanUnknown)
+		return callFailed(ctx, err, address, method).WithRan(fault.RanUnknown)
 	}
 	if int64(len(answer)) > c.maxBody {
 		return fault.New(fault.TooLarge, "the reply of %s to peer method %q exceeds %d bytes", address, method, c.maxBody).
 			WithRan(fault.RanUnknown)
 	}
-	return c.take(response, address, method, nonce, answer, reply)
+	return c.decodeReply(response, address, method, nonce, answer, reply)
 }
 
 func (c *Client) post(ctx context.Context, address, method, nonce string, body []byte) (*http.Response, error) {
@@ -109,32 +109,32 @@
 	outgoing.Header.Set(macHeader, c.sealer.requestMAC(method, nonce, body))
 	response, err := c.http.Do(outgoing)
 	if err != nil {
-		return nil, lost(ctx, err, address, method)
+		return nil, callFailed(ctx, err, address, method)
 	}
 	return response, nil
 }
 
-// take checks and decodes an answer.
-func (c *Client) take(response *http.Response, address, method, nonce string, answer []byte, reply any) error {
+// decodeReply verifies and decodes an answer.
+func (c *Client) decodeReply(response *http.Response, address, method, nonce string, answer []byte, reply any) error {
 	expected := c.sealer.replyMAC(method, nonce, response.StatusCode, answer)
 	if !hmac.Equal([]byte(expected), []byte(response.Header.Get(macHeader))) {
 		if response.StatusCode == http.StatusRequestEntityTooLarge {
 			return tooLarge(method)
 		}
-		return fault.New(fault.Unauthorized, "the reply of %s to peer method %q (status %d) does not carry this cluster's key", address, method, response.StatusCode).
+		return fault.New(fault.Unauthorized, "the reply of %s to peer method %q (status %d) is not authenticated with this cluster's key", address, method, response.StatusCode).
 			WithRemedy("give every router of the cluster the same cluster key").WithRan(fault.RanUnknown)
 	}
-	into := reply
-	var passed wireFault
+	target := reply
+	var received wireFault
 	if response.StatusCode != http.StatusOK {
-		into = &passed
+		target = &received
 	}
-	if err := c.sealer.decode(answer, into); err != nil {
-		return fault.Wrap(err, fault.Internal, "the reply of %s to peer method %q does not decode", address, method).
+	if err := c.sealer.decode(answer, target); err != nil {
+		return fault.Wrap(err, fault.Internal, "cannot decode the reply of %s to peer method %q", address, method).
 			WithRemedy("run router versions that share a peer protocol").WithRan(fault.RanUnknown)
 	}
 	if response.StatusCode != http.StatusOK {
-		return passed.fault()
+		return received.fault()
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 	return fault.New(fault.TooLarge, "the request of peer method %q exceeds the limit of a router", method)
 }
 
-func lost(ctx context.Context, cause error, address, method string) *fault.Fault {
+func callFailed(ctx context.Context, cause error, address, method string) *fault.Fault {
 	if ctx.Err() != nil {
 		return fault.Wrap(cause, fault.Timeout, "router %s did not answer peer method %q in time", address, method).
 			WithRan(fault.RanUnknown)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,7 +24,7 @@
 	Length int `cbor:"1,keyasint"`
 }
 
-// start returns a server's address and the texts that its handler was given.
+// start returns a server's address and the texts that its handler received.
 func start(t *testing.T, tamper func(next http.Handler) http.Handler) (string, *[]string) {
 	server, err := NewServer(testKey, 1024)
 	is.New(t).NoErr(err)
@@ -49,7 +49,7 @@
 
 func untouched(next http.Handler) http.Handler { return next }
 
-// editing changes requests on their way.
+// editing changes requests before they reach the server.
 func editing(edit func(request *http.Request)) func(next http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -115,8 +115,8 @@
 	client, err := NewClient(testKey, 0)
 	is.NoErr(err)
 	defer client.Close()
-	passed := fault.From(client.Call(context.Background(), address, "measure", question{"fault"}, &answer{}))
-	is.Equal(*passed, fault.Fault{
+	received := fault.From(client.Call(context.Background(), address, "measure", question{"fault"}, &answer{}))
+	is.Equal(*received, fault.Fault{
 		Kind: fault.Conflict, Detail: "version 7 won", Remedy: "look again",
 		Ran: fault.RanYes, RetryAfter: 1500 * time.Millisecond,
 	})
--- a/internal/store/http_test.go
+++ b/internal/store/http_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestOwnLimitAndDeadPlatformDoNothing(t *testing.T) {
+func TestUnsentWritesReportNotRun(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.NotFoundHandler())
 	client, err := store.NewHTTPClient(server.URL, store.Options{RequestsPerSecond: 0.001})
@@ -68,7 +68,7 @@
 	is.True(!found)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	err = client.Put(ctx, "cok", "a", nil) // the next turn comes after the deadline
+	err = client.Put(ctx, "cok", "a", nil) // the limiter delays it past the deadline
 	is.True(fault.Is(err, fault.RateLimited))
 
 	server.Close()
--- a/internal/upstream/chain_test.go
+++ b/internal/upstream/chain_test.go
@@ -38,7 +38,7 @@
 	return joined
 }
 
-func TestTheFirstUsablePeerBeforeIsAsked(t *testing.T) {
+func TestNextReturnsFirstUsableEarlierPeer(t *testing.T) {
 	type pulled struct {
 		node   ident.Node
 		result upstream.Result
@@ -63,16 +63,15 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := chain(3, 2, 4, 1, 3)
 			for _, p := range tt.pulled {
-				c.Pulled(start, p.node, p.result)
+				c.RecordPull(start, p.node, p.result)
 			}
 			is.New(t).Equal(c.Next(start.Add(tt.after), 0), tt.want)
 		})
 	}
 }
 
-// In any state of the links there is one reader at least: following never goes
-// in a circle among routers whose state is fresh.
-func TestFollowingHasNoCircle(t *testing.T) {
+// Whichever peers fail, at least one router reads the store and pulls form no cycle.
+func TestPullsFormNoCycle(t *testing.T) {
 	is := is.New(t)
 	const routers = 6
 	for failures := range 1 << routers {
@@ -85,7 +84,7 @@
 			c := chain(self, revisions...)
 			for node := range routers {
 				if failures&(1<<node) != 0 {
-					c.Pulled(start, peer(uint64(node+1)).Node, upstream.Failed{})
+					c.RecordPull(start, peer(uint64(node+1)).Node, upstream.Failed{})
 				}
 			}
 			switch next := c.Next(start, 0).(type) {
@@ -100,64 +99,65 @@
 	}
 }
 
-// A peer that leaves is not counted on, and supplies those that nobody else does.
-func TestAPeerThatLeavesIsAskedLast(t *testing.T) {
+// A peer that shuts down does not count as up, and is used only if no other peer is left.
+func TestPeerShuttingDownIsUsedLast(t *testing.T) {
 	is := is.New(t)
 	c := chain(3, 1, 2)
 	is.Equal(c.Rank(), 2)
-	c.Told("n1", true)
+	c.SetPeerShuttingDown("n1", true)
 	is.Equal(c.Next(start, 0), upstream.Source(peer(2)))
 	is.Equal(c.Rank(), 1)
 	is.True(!c.First())
-	c.Told("n2", true)
+	c.SetPeerShuttingDown("n2", true)
 	is.True(c.First())
 	is.Equal(c.Next(start, 0), upstream.Source(peer(1)))
-	c.Leave() // it takes over nothing any more
+	c.SetShuttingDown() // it takes over nothing from now on
 	is.Equal(c.Rank(), 2)
 	is.True(!c.First())
 }
 
-// A peer that left and started again comes after those that were up meanwhile.
-func TestAPeerThatLeftComesBackBehind(t *testing.T) {
+// A peer that shut down and restarted comes after the peers that stayed up.
+func TestRestartedPeerRanksLast(t *testing.T) {
 	is := is.New(t)
 	c := chain(3, 1, 2)
-	c.Told("n1", true)
-	c.Pulled(start, "n1", upstream.Restarted{Revision: 9})
+	c.SetPeerShuttingDown("n1", true)
+	c.RecordPull(start, "n1", upstream.Restarted{Revision: 9})
 	is.Equal(c.Rank(), 1)
-	c.Told("n2", true)
-	c.Told("n2", false)
+	c.SetPeerShuttingDown("n2", true)
+	c.SetPeerShuttingDown("n2", false)
 	is.Equal(c.Rank(), 1)
 }
 
-// Whoever leaves, following has no circle, and one that stays reads, if one does.
-func TestFollowingHasNoCircleWhoeverLeaves(t *testing.T) {
+// Whichever routers shut down, pulls form no cycle, and a router that stays up reads the
+// store if there is one.
+func TestPullsFormNoCycleDuringShutdown(t *testing.T) {
 	is := is.New(t)
 	const routers = 6
-	for leaving := range 1 << routers {
+	for shuttingDown := range 1 << routers {
 		readers := 0
 		for self := range routers {
 			c := chain(uint64(self+1), 1, 2, 3, 4, 5, 6)
 			for node := range routers {
-				c.Told(peer(uint64(node+1)).Node, leaving&(1<<node) != 0)
+				c.SetPeerShuttingDown(peer(uint64(node+1)).Node, shuttingDown&(1<<node) != 0)
 			}
-			if leaving&(1<<self) != 0 {
-				c.Leave()
+			if shuttingDown&(1<<self) != 0 {
+				c.SetShuttingDown()
 			}
 			if next, pulls := c.Next(start, 0).(upstream.Peer); pulls {
 				is.True(next.Revision < uint64(self+1))
 			}
 			if c.First() {
 				readers++
-				is.True(self == 0 || leaving&(1<<self) == 0)
+				is.True(self == 0 || shuttingDown&(1<<self) == 0)
 			}
 		}
-		is.True(readers == 1 || (readers == 2 && leaving&1 != 0))
+		is.True(readers == 1 || (readers == 2 && shuttingDown&1 != 0))
 	}
 }
 
-// A zone is supplied over a tree: no router has more than a few children, all of
-// its own zone, and only the first one pulls from another zone.
-func TestAZoneIsATreeUnderItsFirstRouter(t *testing.T) {
+// Only the first router of a zone pulls from another zone; the others form a tree under it
+// with bounded fanout.
+func TestZoneFormsTree(t *testing.T) {
 	is := is.New(t)
 	const routers = 120
 	rows := []upstream.Peer{farPeer(1), farPeer(2)}
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestAnotherZoneSuppliesARouterWhoseOwnCannot(t *testing.T) {
+func TestFallbackToOtherZone(t *testing.T) {
 	is := is.New(t)
 	c := upstream.NewChain(upstream.Config{})
 	c.Join(peer(5), []upstream.Peer{farPeer(1), peer(2), farPeer(3), peer(4)})
@@ -196,26 +196,26 @@
 	for _, next := range want {
 		is.True(!c.First())
 		is.Equal(c.Next(start, 0), next)
-		c.Pulled(start, next.Node, upstream.Failed{})
+		c.RecordPull(start, next.Node, upstream.Failed{})
 	}
 	is.True(c.First())
 	is.Equal(c.Next(start, 0), upstream.Store{RetryAt: start.Add(time.Second)})
 }
 
-func TestAnUnsuppliedRouterAsksItsFollowers(t *testing.T) {
+func TestUnsuppliedRouterPullsFromFollowers(t *testing.T) {
 	is := is.New(t)
 	c := chain(1, 2, 3)
-	is.Equal(c.Next(start, time.Minute), upstream.Store{}) // nobody followed yet
-	c.Followed(peer(2))
-	c.Followed(peer(2))
-	c.Followed(peer(1)) // itself
+	is.Equal(c.Next(start, time.Minute), upstream.Store{}) // no followers yet
+	c.AddFollower(peer(2))
+	c.AddFollower(peer(2))
+	c.AddFollower(peer(1)) // itself
 	is.Equal(c.Next(start, time.Second), upstream.Store{RetryAt: start.Add(time.Second)})
 	is.Equal(c.Next(start, 3*time.Second), peer(2))
-	c.Pulled(start, "n2", upstream.Stale{})
+	c.RecordPull(start, "n2", upstream.Stale{})
 	is.Equal(c.Next(start, 3*time.Second), upstream.Store{RetryAt: start.Add(time.Second)})
 }
 
-func TestStateIsJudgedByAgeAndOrigin(t *testing.T) {
+func TestClassifyByAgeAndOrigin(t *testing.T) {
 	tests := []struct {
 		name   string
 		origin ident.Node
@@ -228,53 +228,53 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			is.New(t).Equal(chain(3, 1, 2).Judge(tt.origin, tt.age), tt.want)
+			is.New(t).Equal(chain(3, 1, 2).Classify(tt.origin, tt.age), tt.want)
 		})
 	}
 }
 
-// When peers supply nothing, the routers of a zone begin to read one after the
-// other, and the last of them within the stagger.
-func TestReadsOfTheStoreAreStaggered(t *testing.T) {
+// When peers supply nothing, the routers of a zone start to read one after the other, the
+// last of them within the stagger.
+func TestStoreReadsAreStaggered(t *testing.T) {
 	is := is.New(t)
 	const interval = time.Second
-	is.Equal(chain(1, 2, 3).Due(interval, false), interval)
+	is.Equal(chain(1, 2, 3).ReadAge(interval, false), interval)
 	previous := interval
 	for self := uint64(2); self <= 20; self++ {
 		var peers []uint64
 		for revision := uint64(1); revision < self; revision++ {
 			peers = append(peers, revision)
 		}
-		due := chain(self, peers...).Due(interval, false)
+		due := chain(self, peers...).ReadAge(interval, false)
 		is.True(due > interval)
 		is.True(due <= 2300*time.Millisecond)
 		previous = due
 	}
 	is.True(previous > interval)
 	c := chain(3, 1, 2)
-	c.Pulled(start, "n1", upstream.Failed{})
-	c.Pulled(start, "n2", upstream.Failed{})
-	is.Equal(c.Due(interval, false), interval) // all before it are down
+	c.RecordPull(start, "n1", upstream.Failed{})
+	c.RecordPull(start, "n2", upstream.Failed{})
+	is.Equal(c.ReadAge(interval, false), interval) // all before it are down
 }
 
-// A router that supplies itself reads at the pace of the first, until a peer does
-// better; one that never succeeded does not.
-func TestARouterThatSuppliesItselfKeepsThePace(t *testing.T) {
+// A router that read its present copy itself reads at the pace of the first router until a
+// peer supplies it; one that never read does not.
+func TestReadAgeOfSelfSuppliedRouter(t *testing.T) {
 	is := is.New(t)
 	const interval = time.Second
 	c := chain(3, 1, 2)
-	c.Pulled(start, "n1", upstream.Stale{})
-	is.True(c.Due(interval, false) > interval)
-	is.Equal(c.Due(interval, true), interval)
-	c.Pulled(start, "n2", upstream.Fresh{})
-	is.True(c.Due(interval, true) > interval)
+	c.RecordPull(start, "n1", upstream.Stale{})
+	is.True(c.ReadAge(interval, false) > interval)
+	is.Equal(c.ReadAge(interval, true), interval)
+	c.RecordPull(start, "n2", upstream.Fresh{})
+	is.True(c.ReadAge(interval, true) > interval)
 }
 
-func TestARouterWithoutARowReadsTheStore(t *testing.T) {
+func TestRouterWithoutRowReadsStore(t *testing.T) {
 	is := is.New(t)
 	c := upstream.NewChain(upstream.Config{})
 	is.True(!c.Joined())
 	is.Equal(c.Rank(), 0)
 	is.Equal(c.Next(start, 0), upstream.Store{RetryAt: start.Add(2 * time.Second)})
-	is.Equal(c.Due(time.Second, false), time.Second)
+	is.Equal(c.ReadAge(time.Second, false), time.Second)
 }
--- a/internal/upstream/pull_test.go
+++ b/internal/upstream/pull_test.go
@@ -19,15 +19,15 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// fakeState is state whose confirmations a test makes.
+// fakeState is a State that a test confirms.
 type fakeState struct {
 	mu           sync.Mutex
 	confirmation uint64
 	changed      chan struct{}
 	readAt       time.Time
-	// caches are told to those who ask, held is what the last asker has.
-	caches []promptcache.Update
-	held   []promptcache.Position
+	// caches are sent on request; positions are those of the last pull.
+	caches    []promptcache.Update
+	positions []promptcache.Position
 }
 
 func newFakeState() *fakeState {
@@ -63,7 +63,7 @@
 		List:          upstream.List{Digest: 9, Age: now.Sub(s.readAt)},
 	}
 	if pull.Caches {
-		update.Caches, s.held = s.caches, pull.CacheHeld
+		update.Caches, s.positions = s.caches, pull.CachePositions
 	}
 	if pull.List != 9 {
 		update.List.Records = []backend.Record{{Instance: "i", Models: map[ident.Model]int{"m": 2}}}
@@ -78,7 +78,7 @@
 	return upstream.Peer{Node: "reader", Addr: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://")), Revision: 7}
 }
 
-func TestAPullBringsWhatTheAskerLacks(t *testing.T) {
+func TestPullReturnsMissingState(t *testing.T) {
 	is := is.New(t)
 	var followed []ident.Node
 	peer := serve(t, upstream.NewServer(newFakeState(), func(peer upstream.Peer) { followed = append(followed, peer.Node) }))
@@ -95,40 +95,38 @@
 	is.Equal(followed, []ident.Node{"asker", "asker"})
 }
 
-// An answer that was held back for a confirmation is not taken for older, nor
-// for newer, than it is.
-// What stores of prompt caches hold comes over the wire as it was told.
-func TestAPullBringsWhatCachesHold(t *testing.T) {
+func TestPullReturnsCacheUpdates(t *testing.T) {
 	is := is.New(t)
-	told := []promptcache.Update{{
+	sent := []promptcache.Update{{
 		Position: promptcache.Position{Store: addr, Epoch: 3, Next: 9}, Since: 7, Age: time.Second,
 		Entries: []promptcache.Entry{{Key: 1 << 63, Tokens: 800}, {Key: 5}},
 	}}
 	state := newFakeState()
-	state.caches = told
+	state.caches = sent
 	peer := serve(t, upstream.NewServer(state, func(upstream.Peer) {}))
-	held := []promptcache.Position{{Store: addr, Epoch: 3, Next: 7}}
-	update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{Caches: true, CacheHeld: held})
+	positions := []promptcache.Position{{Store: addr, Epoch: 3, Next: 7}}
+	update, _, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{Caches: true, CachePositions: positions})
 	is.NoErr(err)
-	is.Equal(update.Caches, told)
-	is.Equal(state.held, held)
+	is.Equal(update.Caches, sent)
+	is.Equal(state.positions, positions)
 }
 
-func TestAHeldAnswerKeepsItsTime(t *testing.T) {
+// State in a delayed answer must not count as newer than its read.
+func TestDelayedAnswerKeepsReadTime(t *testing.T) {
 	is := is.New(t)
 	state := newFakeState()
-	// The confirmation comes a while after the pull, however slow the machine is.
+	// The confirmation follows the pull by a fixed time, also on a slow machine.
 	peer := serve(t, upstream.NewServer(state, func(upstream.Peer) {
 		time.AfterFunc(50*time.Millisecond, state.confirm)
 	}))
 	update, at, err := upstream.NewClient().Pull(t.Context(), peer, &upstream.Pull{Confirmation: 1})
 	is.NoErr(err)
 	is.Equal(update.Confirmation, uint64(2))
-	is.True(update.Held >= 50*time.Millisecond)
+	is.True(update.HeldFor >= 50*time.Millisecond)
 	is.True(!at.Add(-update.Configuration.Age).After(state.readAt)) // never newer than the read
 }
 
-func TestUnsoundAnswersOfPeersAreRefused(t *testing.T) {
+func TestInvalidAnswersAreRejected(t *testing.T) {
 	answer := func(status int, update *upstream.Update) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			encoded, _ := cbor.Marshal(update)
@@ -142,11 +140,11 @@
 	}{
 		{"other status", answer(http.StatusServiceUnavailable, &upstream.Update{})},
 		{"no CBOR", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) })},
-		{"held for longer than it took", answer(http.StatusOK, &upstream.Update{Held: time.Hour})},
+		{"delayed for longer than the pull took", answer(http.StatusOK, &upstream.Update{HeldFor: time.Hour})},
 		{"from the future", answer(http.StatusOK, &upstream.Update{Configuration: upstream.Configuration{Age: -time.Second}})},
 		{"a list from the future", answer(http.StatusOK, &upstream.Update{List: upstream.List{Age: -time.Second}})},
-		{"a naming from the future", answer(http.StatusOK, &upstream.Update{
-			Configuration: upstream.Configuration{Namings: []upstream.Publication{{Age: -time.Second}}},
+		{"a publication from the future", answer(http.StatusOK, &upstream.Update{
+			Configuration: upstream.Configuration{Publications: []upstream.Publication{{Age: -time.Second}}},
 		})},
 	}
 	for _, tt := range tests {
@@ -157,7 +155,7 @@
 	}
 }
 
-func TestUnsoundPullsAreRefused(t *testing.T) {
+func TestInvalidPullsAreRejected(t *testing.T) {
 	tests := []struct {
 		name, path, body string
 	}{
@@ -174,17 +172,17 @@
 	}
 }
 
-// A router that knows nothing yet holds back those behind it, not those before it.
-func TestARouterWithoutStateHoldsThoseBehindIt(t *testing.T) {
+// A router without state delays the answers to its followers, not those to earlier routers.
+func TestRouterWithoutStateDelaysOnlyFollowers(t *testing.T) {
 	tests := []struct {
 		name         string
 		from         uint64
 		confirmation uint64
-		held         bool
+		delayed      bool
 	}{
 		{"behind", fakeRevision + 1, 0, true},
 		{"before", fakeRevision - 1, 0, false},
-		{"behind, with state of a former life", fakeRevision + 1, 3, false},
+		{"behind, with state of a former incarnation", fakeRevision + 1, 3, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -192,11 +190,11 @@
 				is := is.New(t)
 				state := newFakeState()
 				state.confirmation = 0
-				begun := time.Now()
+				startedAt := time.Now()
 				time.AfterFunc(30*time.Millisecond, state.confirm)
 				pull := &upstream.Pull{From: upstream.Peer{Node: "asker", Revision: tt.from}, Confirmation: tt.confirmation}
-				is.True(upstream.Hold(t.Context(), state, pull))
-				is.Equal(time.Since(begun) > 0, tt.held)
+				is.True(upstream.AwaitConfirmation(t.Context(), state, pull))
+				is.Equal(time.Since(startedAt) > 0, tt.delayed)
 			})
 		})
 	}
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/silence_test.go
@@ -9,9 +9,8 @@
 	"github.com/fieldpond/fieldpond/internal/upstream"
 )
 
-// A peer whose connections fell silent is asked on a new one, and does not count as
-// down.
-func TestAPullOnASilentConnectionIsAskedAgain(t *testing.T) {
+// A pull on a silent connection is retried on a new one, and does not fail.
+func TestPullIsRetriedOnSilentConnection(t *testing.T) {
 	is := is.New(t)
 	peer := serve(t, upstream.NewServer(newFakeState(), func(upstream.Peer) {}))
 	relay := relaytest.New(t, peer.Addr)
