--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -27,7 +27,7 @@
 type Counters struct {
 	// Orders counts orders issued, Repeats those issued again under the same id
 	// after a lost answer, Refused those that an engine refused.
-	Orders, Repeats, Refused uint64
+	Orders, Retries, Refused uint64
 	// StaleFences counts orders or reports that showed a newer fence.
 	StaleFences uint64
 	// Guarded counts unloads put off because they would have taken the last
@@ -226,7 +226,7 @@
 		return protocol.Order{}, false
 	}
 	pending.inFlight = true
-	p.counters.Repeats++
+	p.counters.Retries++
 	return pending.order, true
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -314,12 +314,12 @@
 		n.metrics.order(result)
 		logOrder(order, result)
 	}
-	config.OnDoubt = func(doubt rollout.SuspectVersion) {
+	config.OnSuspectVersion = func(doubt rollout.SuspectVersion) {
 		n.metrics.doubts.WithLabelValues(string(doubt.Model)).Inc()
 		log.WithFields(log.Fields{"model": doubt.Model, "version": doubt.Version, "ended": doubt.Ended}).Warn("version_doubted")
 	}
 	if announcer != nil && n.config.Disabled.On(mechanism.Notices) {
-		config.Announcer = announcer
+		config.Notifier = announcer
 	}
 	controller := rollout.NewController(config, n.lease, n.engines, n.holder, n.backends)
 	follower := n.follower
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -30,7 +30,7 @@
 
 // notifier carries notices to all routers, as datagrams without an answer: those of
 // the holder of the lease about engines that change, and those of the first router of
-// each zone about engines that are silent or full. It implements rollout.Announcer.
+// each zone about engines that are silent or full. It implements rollout.Notifier.
 type notifier struct {
 	socket   *net.UDPConn
 	backends *backend.Registry
@@ -48,7 +48,7 @@
 	canaries *canaries
 }
 
-var _ rollout.Announcer = (*notifier)(nil)
+var _ rollout.Notifier = (*notifier)(nil)
 
 // datagram is what routers tell each other; one of the first three fields is set.
 type datagram struct {
@@ -75,8 +75,8 @@
 	return &notifier{socket: socket, backends: backends, recipients: told}, nil
 }
 
-// Announce implements rollout.Announcer.
-func (n *notifier) Announce(notice rollout.Notification) {
+// Notify implements rollout.Notifier.
+func (n *notifier) Notify(notice rollout.Notification) {
 	n.take(&notice)
 	for _, part := range splitNotice(notice) {
 		// It is told once only, so that it goes by two relays where there are some.
@@ -158,15 +158,15 @@
 // splitNotice returns notices that fit into a datagram each.
 func splitNotice(notice rollout.Notification) []rollout.Notification {
 	var parts []rollout.Notification
-	for len(notice.Loading)+len(notice.Loaded)+len(notice.Unsettled)+len(notice.Emptying) > 0 {
+	for len(notice.Loading)+len(notice.Loaded)+len(notice.Unsettled)+len(notice.Quiescing) > 0 {
 		part := rollout.Notification{
-			Model: notice.Model, Version: notice.Version, LoadTime: notice.LoadTime, EmptyTime: notice.EmptyTime,
+			Model: notice.Model, Version: notice.Version, LoadTime: notice.LoadTime, QuiesceTime: notice.QuiesceTime,
 		}
 		room := enginesPerNotification
 		part.Loading, notice.Loading, room = splitOff(notice.Loading, room)
 		part.Loaded, notice.Loaded, room = splitOff(notice.Loaded, room)
 		part.Unsettled, notice.Unsettled, room = splitOff(notice.Unsettled, room)
-		part.Emptying, notice.Emptying, _ = splitOff(notice.Emptying, room)
+		part.Quiescing, notice.Quiescing, _ = splitOff(notice.Quiescing, room)
 		parts = append(parts, part)
 	}
 	return parts
@@ -247,8 +247,8 @@
 	for _, instance := range notice.Loading {
 		n.backends.MarkLoading(now, instance, notice.Model, notice.Version, notice.LoadTime)
 	}
-	for _, instance := range notice.Emptying {
-		n.backends.MarkLoading(now, instance, notice.Model, notice.Version, notice.EmptyTime+notice.LoadTime)
+	for _, instance := range notice.Quiescing {
+		n.backends.MarkLoading(now, instance, notice.Model, notice.Version, notice.QuiesceTime+notice.LoadTime)
 	}
 	for _, instance := range notice.Loaded {
 		n.backends.ObserveVersion(instance, notice.Model, notice.Version)
@@ -258,6 +258,6 @@
 	}
 	log.WithFields(log.Fields{
 		"model": notice.Model, "version": notice.Version, "loading": notice.Loading, "loaded": notice.Loaded,
-		"unsettled": notice.Unsettled, "emptying": notice.Emptying,
+		"unsettled": notice.Unsettled, "emptying": notice.Quiescing,
 	}).Info("engines_change")
 }
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -48,7 +48,7 @@
 	for _, record := range own.Records() {
 		notice.Loading = append(notice.Loading, record.Instance)
 	}
-	holder.Announce(notice)
+	holder.Notify(notice)
 	query := &backend.Query{Service: "s", Model: model}
 	for _, known := range []*backend.Registry{own, other} {
 		eventually(t, func() bool {
@@ -59,7 +59,7 @@
 			return !found
 		})
 	}
-	holder.Announce(rollout.Notification{Model: model, Version: 2, Loaded: []ident.Incarnation{"i-007"}})
+	holder.Notify(rollout.Notification{Model: model, Version: 2, Loaded: []ident.Incarnation{"i-007"}})
 	eventually(t, func() bool {
 		choice, flight, found := other.Pick(time.Now(), query)
 		if found {
@@ -67,7 +67,7 @@
 		}
 		return found && choice.Instance == "i-007" && choice.Version == 2
 	})
-	holder.Announce(rollout.Notification{Model: model, Version: 2, Unsettled: []ident.Incarnation{"i-009"}})
+	holder.Notify(rollout.Notification{Model: model, Version: 2, Unsettled: []ident.Incarnation{"i-009"}})
 	query.Excluded = []ident.Incarnation{"i-007"}
 	eventually(t, func() bool {
 		choice, _, found := other.Pick(time.Now(), query)
@@ -165,8 +165,8 @@
 	known := backend.NewRegistry(backend.Config{})
 	known.ApplyList(time.Now(), []backend.Record{{Instance: "a", Service: "s", Models: map[ident.Model]int{model: 1}}})
 	told := &notifier{backends: known, recipients: recipientsOf()}
-	told.Announce(rollout.Notification{
-		Model: model, Version: 2, Emptying: []ident.Incarnation{"a"}, EmptyTime: time.Minute, LoadTime: time.Hour,
+	told.Notify(rollout.Notification{
+		Model: model, Version: 2, Quiescing: []ident.Incarnation{"a"}, QuiesceTime: time.Minute, LoadTime: time.Hour,
 	})
 	tests := []struct {
 		name  string
@@ -197,7 +197,7 @@
 
 func TestALongNoticeIsSplit(t *testing.T) {
 	is := is.New(t)
-	notice := rollout.Notification{Model: model, Version: 2, LoadTime: time.Second, EmptyTime: time.Millisecond}
+	notice := rollout.Notification{Model: model, Version: 2, LoadTime: time.Second, QuiesceTime: time.Millisecond}
 	for index := range 95 {
 		notice.Loading = append(notice.Loading, ident.Incarnation(fmt.Sprint("l", index)))
 	}
@@ -208,14 +208,14 @@
 		notice.Unsettled = append(notice.Unsettled, ident.Incarnation(fmt.Sprint("u", index)))
 	}
 	for index := range 55 {
-		notice.Emptying = append(notice.Emptying, ident.Incarnation(fmt.Sprint("e", index)))
+		notice.Quiescing = append(notice.Quiescing, ident.Incarnation(fmt.Sprint("e", index)))
 	}
 	var joined rollout.Notification
 	for _, part := range splitNotice(notice) {
-		is.True(len(part.Loading)+len(part.Loaded)+len(part.Unsettled)+len(part.Emptying) <= enginesPerNotification)
+		is.True(len(part.Loading)+len(part.Loaded)+len(part.Unsettled)+len(part.Quiescing) <= enginesPerNotification)
 		is.Equal(part.LoadTime, notice.LoadTime)
-		is.Equal(part.EmptyTime, notice.EmptyTime)
-		joined.Emptying = append(joined.Emptying, part.Emptying...)
+		is.Equal(part.QuiesceTime, notice.QuiesceTime)
+		joined.Quiescing = append(joined.Quiescing, part.Quiescing...)
 		joined.Unsettled = append(joined.Unsettled, part.Unsettled...)
 		joined.Loading = append(joined.Loading, part.Loading...)
 		joined.Loaded = append(joined.Loaded, part.Loaded...)
@@ -223,6 +223,6 @@
 	is.Equal(joined.Loading, notice.Loading)
 	is.Equal(joined.Loaded, notice.Loaded)
 	is.Equal(joined.Unsettled, notice.Unsettled)
-	is.Equal(joined.Emptying, notice.Emptying)
+	is.Equal(joined.Quiescing, notice.Quiescing)
 	is.Equal(len(splitNotice(rollout.Notification{})), 0)
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -40,13 +40,13 @@
 	ExchangeTimeout time.Duration
 	// OnOrder is told each order with its result. It must not block.
 	OnOrder func(order *Order, result Result)
-	// OnDoubt is told each version that came to be doubted. It must not block; nil tells nobody.
-	OnDoubt func(doubt SuspectVersion)
-	// Emptying has engines emptied before their orders; it needs an Announcer.
-	Emptying bool
-	// Announcer tells other routers which engines are about to change; nil tells
+	// OnSuspectVersion is told each version that came to be doubted. It must not block; nil tells nobody.
+	OnSuspectVersion func(doubt SuspectVersion)
+	// Quiesce has engines emptied before their orders; it needs an Announcer.
+	Quiesce bool
+	// Notifier tells other routers which engines are about to change; nil tells
 	// nobody.
-	Announcer Announcer
+	Notifier Notifier
 }
 
 const (
@@ -80,7 +80,7 @@
 		config.ExchangeTimeout = defaultExchangeTimeout
 	}
 	// Only routers that are told send no new work.
-	if config.Announcer != nil && config.Emptying {
+	if config.Notifier != nil && config.Quiesce {
 		config.Planner.Emptying = cmp.Or(config.Planner.Emptying, defaultEmptying)
 	}
 	return &Controller{
@@ -140,8 +140,8 @@
 	c.planner.Calm(c.calm(now, records))
 	actions := c.planner.Plan(now, grant.Fence)
 	for _, doubt := range c.planner.Doubts() {
-		if c.config.OnDoubt != nil {
-			c.config.OnDoubt(doubt)
+		if c.config.OnSuspectVersion != nil {
+			c.config.OnSuspectVersion(doubt)
 		}
 	}
 	c.announce(actions)
@@ -165,7 +165,7 @@
 // those that have their version since the last look.
 func (c *Controller) announce(actions []Action) {
 	loaded, emptying := c.planner.Loaded(), c.planner.Emptying()
-	if c.config.Announcer == nil {
+	if c.config.Notifier == nil {
 		return
 	}
 	gathered := notices{loadTime: c.planner.LoadTime() + announcePause}
@@ -175,15 +175,15 @@
 		notice.Loaded = append(notice.Loaded, engine.Instance)
 	}
 	gathered.emptying(emptying, c.config.Planner.Emptying)
-	gathered.announce(c.config.Announcer)
+	gathered.announce(c.config.Notifier)
 }
 
 // announceResult takes a notice back whose order may not have been taken.
 func (c *Controller) announceResult(order *Order, result Result) {
-	if c.config.Announcer == nil || result == Accepted {
+	if c.config.Notifier == nil || result == Accepted {
 		return
 	}
-	c.config.Announcer.Announce(Notification{
+	c.config.Notifier.Notify(Notification{
 		Model: order.Model, Version: order.Version, Unsettled: []ident.Incarnation{order.Target.Instance},
 	})
 }
@@ -203,7 +203,7 @@
 		}
 		return
 	}
-	if c.config.Announcer != nil && !action.Emptied {
+	if c.config.Notifier != nil && !action.Emptied {
 		wait.For(ctx, announcePause)
 	}
 	// The lease is asked once more right before the order leaves.
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -55,15 +55,15 @@
 	return e.fleet.report(target.Instance), nil
 }
 
-func (e *fleetEngines) Announce(notice rollout.Notification) {
+func (e *fleetEngines) Notify(notice rollout.Notification) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loadTime = max(e.loadTime, notice.LoadTime)
-	e.emptyTime = max(e.emptyTime, notice.EmptyTime)
+	e.emptyTime = max(e.emptyTime, notice.QuiesceTime)
 	for _, instance := range notice.Loading {
 		e.history = append(e.history, "loading "+string(instance))
 	}
-	for _, instance := range notice.Emptying {
+	for _, instance := range notice.Quiescing {
 		e.history = append(e.history, "emptying "+string(instance))
 	}
 	for _, instance := range notice.Unsettled {
@@ -85,7 +85,7 @@
 		known := backend.NewRegistry(backend.Config{})
 		known.ApplyList(time.Now(), engines.fleet.records())
 		controller := rollout.NewController(rollout.ControllerConfig{
-			Planner: config, Announcer: engines, OnOrder: func(*rollout.Order, rollout.Result) {},
+			Planner: config, Notifier: engines, OnOrder: func(*rollout.Order, rollout.Result) {},
 		}, heldLease{}, engines, holder, known)
 		go controller.Run(t.Context())
 		time.Sleep(20 * time.Second)
@@ -126,7 +126,7 @@
 				known := backend.NewRegistry(backend.Config{})
 				known.ApplyList(time.Now(), engines.fleet.records())
 				controller := rollout.NewController(rollout.ControllerConfig{
-					Planner: config, Announcer: engines, Emptying: tt.emptying, OnOrder: func(*rollout.Order, rollout.Result) {},
+					Planner: config, Notifier: engines, Quiesce: tt.emptying, OnOrder: func(*rollout.Order, rollout.Result) {},
 				}, heldLease{}, engines, holder, known)
 				go controller.Run(t.Context())
 				time.Sleep(5 * time.Second)
--- a/internal/rollout/notice.go
+++ b/internal/rollout/notice.go
@@ -20,15 +20,15 @@
 	Unsettled []ident.Incarnation `cbor:"5,keyasint,omitempty"`
 	// LoadTime is how long a load mostly takes; 0 means that it is not told.
 	LoadTime time.Duration `cbor:"6,keyasint,omitempty"`
-	// Emptying engines get no new work, since they begin to load in EmptyTime or
+	// Quiescing engines get no new work, since they begin to load in QuiesceTime or
 	// before.
-	Emptying  []ident.Incarnation `cbor:"7,keyasint,omitempty"`
-	EmptyTime time.Duration       `cbor:"8,keyasint,omitempty"`
+	Quiescing   []ident.Incarnation `cbor:"7,keyasint,omitempty"`
+	QuiesceTime time.Duration       `cbor:"8,keyasint,omitempty"`
 }
 
-// Announcer tells notices to all routers, this one included. It must not block.
-type Announcer interface {
-	Announce(notice Notification)
+// Notifier tells notices to all routers, this one included. It must not block.
+type Notifier interface {
+	Notify(notice Notification)
 }
 
 // notices gathers what is to be told, one notice a version.
@@ -71,14 +71,14 @@
 func (n *notices) emptying(engines []Emptying, most time.Duration) {
 	for _, engine := range engines {
 		notice := n.of(engine.Model, engine.Version)
-		notice.Emptying = append(notice.Emptying, engine.Instance)
-		notice.EmptyTime, notice.LoadTime = most, n.loadTime
+		notice.Quiescing = append(notice.Quiescing, engine.Instance)
+		notice.QuiesceTime, notice.LoadTime = most, n.loadTime
 	}
 }
 
 // announce tells what was gathered.
-func (n *notices) announce(to Announcer) {
+func (n *notices) announce(to Notifier) {
 	for _, key := range n.order {
-		to.Announce(*n.by[key])
+		to.Notify(*n.by[key])
 	}
 }
--- a/internal/rollout/pace.go
+++ b/internal/rollout/pace.go
@@ -18,7 +18,7 @@
 
 // due reports whether orders may leave by now.
 func (p *Planner) due(now time.Time, needs []need) bool {
-	return !p.config.Patient || !now.Before(needs[0].deadline.Add(-p.lead(len(needs))))
+	return !p.config.DeferOrders || !now.Before(needs[0].deadline.Add(-p.lead(len(needs))))
 }
 
 // parallel is how many of count engines are changed at one time, so that all are
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -26,11 +26,11 @@
 	// there are more if the deadline could not be kept otherwise. Default: one in
 	// five of those there are.
 	Parallel int
-	// Patient puts orders off for as long as the deadline allows, so that versions
+	// DeferOrders puts orders off for as long as the deadline allows, so that versions
 	// which are named in quick succession are taken in one load. Default: each
 	// version is ordered when it is seen, since runs on replaced weights are worth
 	// less.
-	Patient bool
+	DeferOrders bool
 	// Margin is the time kept before the deadline for orders that are lost and
 	// holders that change. Default: 2s.
 	Margin time.Duration
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -138,7 +138,7 @@
 	is := is.New(t)
 	engines := newFleet(2)
 	patient := config
-	patient.Patient = true
+	patient.DeferOrders = true
 	planner := rollout.NewPlanner(patient)
 	models := named(catalog.Publication{Version: 2, SeenAt: start})
 	play(planner, engines, models, 0, 5*time.Second)
--- a/internal/router/controlmetrics.go
+++ b/internal/router/controlmetrics.go
@@ -24,7 +24,7 @@
 		}
 		totals.loading += group.Counters.Loading
 		totals.orders += group.Counters.Orders
-		totals.repeats += group.Counters.Repeats
+		totals.repeats += group.Counters.Retries
 		totals.refused += group.Counters.Refused
 		totals.staleFences += group.Counters.StaleFences + group.Leases.StaleFences
 		totals.guarded += group.Counters.Guarded
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -95,7 +95,7 @@
 		shown = append(shown, status.ControlGroup{
 			Lease: group.Lease, Held: group.Held, Fence: group.Fence, Holder: group.Holder, Contenders: group.Contenders,
 			Engines: group.Counters.Engines, Settled: group.Counters.Settled,
-			Loading: group.Counters.Loading, Orders: group.Counters.Orders, Repeated: group.Counters.Repeats,
+			Loading: group.Counters.Loading, Orders: group.Counters.Orders, Repeated: group.Counters.Retries,
 			Refused: group.Counters.Refused, PutOff: group.Counters.Guarded,
 			StaleFences: group.Counters.StaleFences + group.Leases.StaleFences,
 		})
