--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -21,8 +21,8 @@
 	// contenders is how many routers contend for a lease, so that the table's
 	// traffic does not grow with the number of routers.
 	contenders = 3
-	// dutyTick is how often the duty looks at leases, reports and plans.
-	dutyTick = 200 * time.Millisecond
+	// tickInterval is how often the duty looks at leases, reports and plans.
+	tickInterval = 200 * time.Millisecond
 	// maxCalls bounds the requests to engines that wait or run.
 	maxCalls = 256
 )
@@ -72,7 +72,7 @@
 	outstanding int
 	compiled    *fleet.Compiled
 	runners     map[string]*runner
-	keepers     sync.WaitGroup
+	electors    sync.WaitGroup
 
 	mutex  sync.Mutex
 	status []GroupStatus
@@ -84,10 +84,10 @@
 	planner *Planner
 	elector *lease.Elector
 	stop    context.CancelFunc
-	// askedAt is when each engine's report was last asked for; reading marks
+	// requestedAt is when each engine's report was last asked for; reading marks
 	// those without an answer yet.
-	askedAt map[ident.Engine]time.Time
-	reading map[ident.Engine]bool
+	requestedAt map[ident.Engine]time.Time
+	reading     map[ident.Engine]bool
 }
 
 // call is one request to an engine: an order, or a read of the load report if
@@ -100,10 +100,10 @@
 }
 
 type answer struct {
-	call    call
-	askedAt time.Time
-	report  protocol.LoadReport
-	err     error
+	call        call
+	requestedAt time.Time
+	report      protocol.LoadReport
+	err         error
 }
 
 // New returns a duty that does nothing until Run.
@@ -118,57 +118,57 @@
 }
 
 // Rings returns the counters of the duty's rings.
-func (d *Controller) Rings() []func() ring.Counters {
-	return []func() ring.Counters{d.calls.Counters, d.answers.Counters}
+func (c *Controller) Rings() []func() ring.Counters {
+	return []func() ring.Counters{c.calls.Counters, c.answers.Counters}
 }
 
 // Status returns the state of every group, as of the last tick.
-func (d *Controller) Status() []GroupStatus {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return slices.Clone(d.status)
+func (c *Controller) Status() []GroupStatus {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return slices.Clone(c.status)
 }
 
 // Run works until ctx ends. It then waits for requests under way and hands its
 // leases over, both in bounded time.
-func (d *Controller) Run(ctx context.Context) {
+func (c *Controller) Run(ctx context.Context) {
 	var workers sync.WaitGroup
-	for range d.options.Config.Workers {
-		workers.Go(func() { d.work(ctx) })
+	for range c.options.Config.Workers {
+		workers.Go(func() { c.runWorker(ctx) })
 	}
-	ticker := time.NewTicker(dutyTick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		d.tick(ctx)
+		c.tick(ctx)
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-		case <-d.answers.Ready():
+		case <-c.answers.Ready():
 		}
 	}
 	workers.Wait()
-	for _, one := range d.runners {
-		one.stop()
+	for _, r := range c.runners {
+		r.stop()
 	}
-	d.keepers.Wait()
-	d.publish(nil)
+	c.electors.Wait()
+	c.publish(nil)
 }
 
-func (d *Controller) tick(ctx context.Context) {
-	d.takeIn()
-	if compiled := d.options.Fleet(); compiled != d.compiled && compiled != nil {
-		d.adopt(ctx, compiled)
+func (c *Controller) tick(ctx context.Context) {
+	c.receiveAnswers()
+	if compiled := c.options.Fleet(); compiled != c.compiled && compiled != nil {
+		c.setFleet(ctx, compiled)
 	}
-	view := d.options.View()
-	status := make([]GroupStatus, 0, len(d.runners))
-	for name, one := range d.runners {
+	view := c.options.View()
+	status := make([]GroupStatus, 0, len(c.runners))
+	for name, r := range c.runners {
 		owners := view.Owners(name, contenders)
-		one.elector.Contend(slices.ContainsFunc(owners, func(owner membership.Member) bool { return owner.Node == d.options.Node }))
-		grant, err := one.elector.Held()
+		r.elector.Contend(slices.ContainsFunc(owners, func(owner membership.Member) bool { return owner.Node == c.options.Node }))
+		grant, err := r.elector.Held()
 		if err == nil {
-			d.lead(one, grant)
+			c.runGroup(r, grant)
 		}
-		status = append(status, one.status(name, owners, grant))
+		status = append(status, r.status(name, owners, grant))
 	}
 	slices.SortFunc(status, func(a, b GroupStatus) int {
 		if a.Lease < b.Lease {
@@ -176,145 +176,145 @@
 		}
 		return 1
 	})
-	d.publish(status)
+	c.publish(status)
 }
 
 // status tells of a group; a grant without a fence is none.
 func (r *runner) status(name string, owners []membership.Member, grant lease.Grant) GroupStatus {
-	told := GroupStatus{
+	status := GroupStatus{
 		Lease: name, Held: grant.Fence > 0, Fence: grant.Fence, Holder: r.elector.Holder(),
 		Counters: r.planner.Counters(), Leases: r.elector.Counters(),
 	}
 	for _, owner := range owners {
-		told.Contenders = append(told.Contenders, owner.Node)
+		status.Contenders = append(status.Contenders, owner.Node)
 	}
-	if !told.Held {
-		told.Counters.Loading, told.Counters.Settled = 0, 0 // what an earlier holding knew is out of date
+	if !status.Held {
+		status.Counters.Loading, status.Counters.Settled = 0, 0 // what an earlier holding knew is out of date
 	}
-	return told
+	return status
 }
 
-func (d *Controller) publish(status []GroupStatus) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.status = status
+func (c *Controller) publish(status []GroupStatus) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.status = status
 }
 
 // adopt changes over to the groups of another fleet file. A group that is gone
 // is stopped, which hands its lease over.
-func (d *Controller) adopt(ctx context.Context, compiled *fleet.Compiled) {
-	d.compiled = compiled
+func (c *Controller) setFleet(ctx context.Context, compiled *fleet.Compiled) {
+	c.compiled = compiled
 	groups := GroupsOf(compiled)
 	kept := map[string]*runner{}
 	for _, group := range groups {
 		name := group.LeaseName()
-		one, known := d.runners[name]
+		r, known := c.runners[name]
 		if !known {
-			one = d.startRunner(ctx, name)
+			r = c.startRunner(ctx, name)
 		}
-		one.group = group
-		one.planner.SetFleet(compiled, group, len(groups))
-		kept[name] = one
-		delete(d.runners, name)
+		r.group = group
+		r.planner.SetFleet(compiled, group, len(groups))
+		kept[name] = r
+		delete(c.runners, name)
 	}
-	for _, gone := range d.runners {
+	for _, gone := range c.runners {
 		gone.stop()
 	}
-	d.runners = kept
+	c.runners = kept
 }
 
 // startRunner starts the lease's duty. It outlives ctx until Run has seen the
 // last request end, so that no order is under way when the lease is released.
-func (d *Controller) startRunner(ctx context.Context, name string) *runner {
-	kept, stop := context.WithCancel(context.WithoutCancel(ctx))
-	one := &runner{
-		planner: NewPlanner(d.options.Config, name), stop: stop,
-		elector: lease.NewElector(d.options.Table, d.options.Config.Lease, name, d.options.Node),
-		askedAt: map[ident.Engine]time.Time{}, reading: map[ident.Engine]bool{},
+func (c *Controller) startRunner(ctx context.Context, name string) *runner {
+	electorContext, stop := context.WithCancel(context.WithoutCancel(ctx))
+	r := &runner{
+		planner: NewPlanner(c.options.Config, name), stop: stop,
+		elector:     lease.NewElector(c.options.Table, c.options.Config.Lease, name, c.options.Node),
+		requestedAt: map[ident.Engine]time.Time{}, reading: map[ident.Engine]bool{},
 	}
-	d.keepers.Go(func() { one.elector.Run(kept) })
-	return one
+	c.electors.Go(func() { r.elector.Run(electorContext) })
+	return r
 }
 
 // lead reads reports and issues orders under a grant.
-func (d *Controller) lead(one *runner, grant lease.Grant) {
+func (c *Controller) runGroup(r *runner, grant lease.Grant) {
 	now := time.Now()
-	for _, order := range one.planner.Plan(now, grant) {
-		if !d.submit(call{runner: one, engine: order.Engine, address: order.Address, order: &order.Order}) {
-			one.planner.Ordered(now, order.Engine, order.Order.OrderID, lease.ErrNotHeld)
+	for _, order := range r.planner.Plan(now, grant) {
+		if !c.submit(call{runner: r, engine: order.Engine, address: order.Address, order: &order.Order}) {
+			r.planner.Ordered(now, order.Engine, order.Order.OrderID, lease.ErrNotHeld)
 		}
 	}
-	if floor := one.planner.Floor(); floor >= grant.Fence {
-		log.WithFields(log.Fields{"lease": one.group.LeaseName(), "fence": grant.Fence, "seen": floor}).Info("a newer fence is needed, stepping down")
-		one.elector.StepDown(floor)
+	if floor := r.planner.Floor(); floor >= grant.Fence {
+		log.WithFields(log.Fields{"lease": r.group.LeaseName(), "fence": grant.Fence, "seen": floor}).Info("a newer fence is needed, stepping down")
+		r.elector.StepDown(floor)
 		return
 	}
-	for _, target := range one.group.Engines {
-		if one.reading[target.Name] || now.Sub(one.askedAt[target.Name]) < one.planner.ReportInterval() {
+	for _, target := range r.group.Engines {
+		if r.reading[target.Name] || now.Sub(r.requestedAt[target.Name]) < r.planner.ReportInterval() {
 			continue
 		}
-		if d.submit(call{runner: one, engine: target.Name, address: target.Address}) {
-			one.reading[target.Name] = true
-			one.askedAt[target.Name] = now
+		if c.submit(call{runner: r, engine: target.Name, address: target.Address}) {
+			r.reading[target.Name] = true
+			r.requestedAt[target.Name] = now
 		}
 	}
 }
 
-func (d *Controller) submit(asked call) bool {
-	if d.outstanding >= maxCalls {
+func (c *Controller) submit(request call) bool {
+	if c.outstanding >= maxCalls {
 		return false
 	}
-	d.outstanding++
-	return d.calls.Push(asked)
+	c.outstanding++
+	return c.calls.Push(request)
 }
 
-// takeIn hands the answers to their planners.
-func (d *Controller) takeIn() {
-	for got, ok := d.answers.Pop(); ok; got, ok = d.answers.Pop() {
-		d.outstanding--
-		asked := got.call
+// receiveAnswers hands the answers to their planners.
+func (c *Controller) receiveAnswers() {
+	for received, ok := c.answers.Pop(); ok; received, ok = c.answers.Pop() {
+		c.outstanding--
+		request := received.call
 		switch {
-		case asked.order != nil:
-			asked.runner.planner.Ordered(time.Now(), asked.engine, asked.order.OrderID, got.err)
+		case request.order != nil:
+			request.runner.planner.Ordered(time.Now(), request.engine, request.order.OrderID, received.err)
 			continue
-		case got.err != nil:
-			asked.runner.planner.Unreachable(asked.engine)
+		case received.err != nil:
+			request.runner.planner.Unreachable(request.engine)
 		default:
-			asked.runner.planner.Reported(got.askedAt, asked.engine, got.report)
+			request.runner.planner.Reported(received.requestedAt, request.engine, received.report)
 		}
-		delete(asked.runner.reading, asked.engine)
+		delete(request.runner.reading, request.engine)
 	}
 }
 
-// work is a duty that makes requests to engines.
-func (d *Controller) work(ctx context.Context) {
+// runWorker is a duty that makes requests to engines.
+func (c *Controller) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.calls.Ready():
+		case <-c.calls.Ready():
 		}
-		for asked, ok := d.calls.Pop(); ok && ctx.Err() == nil; asked, ok = d.calls.Pop() {
-			d.answers.Push(d.request(ctx, asked))
+		for request, ok := c.calls.Pop(); ok && ctx.Err() == nil; request, ok = c.calls.Pop() {
+			c.answers.Push(c.execute(ctx, request))
 		}
 	}
 }
 
-// request makes one request. The lease is checked again right before an order
+// execute makes one request. The lease is checked again right before an order
 // leaves, since the call may have waited or the process may have been paused.
-func (d *Controller) request(ctx context.Context, asked call) answer {
-	ctx, cancel := context.WithTimeout(ctx, d.options.Config.RequestTimeout)
+func (c *Controller) execute(ctx context.Context, request call) answer {
+	ctx, cancel := context.WithTimeout(ctx, c.options.Config.RequestTimeout)
 	defer cancel()
-	made := answer{call: asked, askedAt: time.Now()}
-	if asked.order == nil {
-		made.report, made.err = d.options.Engines.Load(ctx, asked.address)
-		return made
+	result := answer{call: request, requestedAt: time.Now()}
+	if request.order == nil {
+		result.report, result.err = c.options.Engines.Load(ctx, request.address)
+		return result
 	}
-	grant, err := asked.runner.elector.Held()
-	if err != nil || grant.Fence != asked.order.Fence {
-		made.err = lease.ErrNotHeld
-		return made
+	grant, err := request.runner.elector.Held()
+	if err != nil || grant.Fence != request.order.Fence {
+		result.err = lease.ErrNotHeld
+		return result
 	}
-	_, made.err = d.options.Engines.Order(ctx, asked.address, *asked.order)
-	return made
+	_, result.err = c.options.Engines.Order(ctx, request.address, *request.order)
+	return result
 }
--- a/internal/control/enginestate.go
+++ b/internal/control/enginestate.go
@@ -18,18 +18,18 @@
 	target    *fleet.Engine
 	reachable bool
 	report    protocol.LoadReport
-	// trueAt is a time at which the report was certainly not yet older than
+	// sampledAt is a time at which the report was certainly not yet older than
 	// the engine's state: when it was asked for, less its age.
-	trueAt  time.Time
-	askedAt time.Time
+	sampledAt   time.Time
+	requestedAt time.Time
 	// pending is the order without a final answer.
 	pending *pendingOrder
-	// settledAt is when the last order was answered; only a report that is true
+	// answeredAt is when the last order was answered; only a report that is true
 	// later shows its effect. unloaded is what that order took away.
-	settledAt time.Time
-	unloaded  protocol.Order
-	retryAt   time.Time
-	loading   *loadUnderWay
+	answeredAt    time.Time
+	answeredOrder protocol.Order
+	retryAt       time.Time
+	loading       *activeLoad
 	// noRoom means: the engine refused to load a version beside the old one.
 	noRoom bool
 }
@@ -41,29 +41,29 @@
 	retryAt  time.Time
 }
 
-type loadUnderWay struct {
+type activeLoad struct {
 	model *fleet.Model
 	since time.Time
 }
 
-// reported keeps the report unless it is older than the one known. A new life
+// recordReport keeps the report unless it is older than the one known. A new life
 // has no part in what was ordered before it.
-func (s *engineState) reported(askedAt time.Time, report protocol.LoadReport) {
-	if askedAt.Before(s.askedAt) {
+func (s *engineState) recordReport(requestedAt time.Time, report protocol.LoadReport) {
+	if requestedAt.Before(s.requestedAt) {
 		return
 	}
 	s.reachable = true
-	trueAt := askedAt.Add(-time.Duration(report.AgeMillis+1) * time.Millisecond)
+	sampledAt := requestedAt.Add(-time.Duration(report.AgeMillis+1) * time.Millisecond)
 	if report.Incarnation != s.report.Incarnation {
 		*s = engineState{target: s.target, reachable: true}
-	} else if trueAt.Before(s.trueAt) {
+	} else if sampledAt.Before(s.sampledAt) {
 		return
 	}
-	s.report, s.trueAt, s.askedAt = report, trueAt, askedAt
+	s.report, s.sampledAt, s.requestedAt = report, sampledAt, requestedAt
 }
 
-// asWanted reports whether the wanted version is loaded with just its adapters.
-func (s *engineState) asWanted(model *fleet.Model) bool {
+// upToDate reports whether the wanted version is loaded with just its adapters.
+func (s *engineState) upToDate(model *fleet.Model) bool {
 	return slices.ContainsFunc(s.report.Loaded, func(loaded protocol.LoadedModel) bool {
 		return loaded.Model == model.Name && loaded.Version == model.Version && sameAdapters(loaded.Adapters, model.Adapters)
 	})
@@ -73,9 +73,9 @@
 	return slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
 
-// noteLoaded ends a load that shows in the report, or that takes too long.
-func (s *engineState) noteLoaded(now time.Time, timeout time.Duration) {
-	if s.loading != nil && (s.asWanted(s.loading.model) || now.Sub(s.loading.since) > timeout) {
+// finishLoad ends a load that shows in the report, or that takes too long.
+func (s *engineState) finishLoad(now time.Time, timeout time.Duration) {
+	if s.loading != nil && (s.upToDate(s.loading.model) || now.Sub(s.loading.since) > timeout) {
 		s.loading = nil
 	}
 }
@@ -83,10 +83,10 @@
 // mayHaveUnloaded reports whether an unload was sent that the report need not
 // show yet.
 func (s *engineState) mayHaveUnloaded(loaded protocol.LoadedModel) bool {
-	names := func(order protocol.Order) bool {
+	unloads := func(order protocol.Order) bool {
 		return order.Kind == protocol.OrderUnload && order.Model == loaded.Model && order.Version == loaded.Version
 	}
-	return s.pending != nil && names(s.pending.order) || !s.trueAt.After(s.settledAt) && names(s.unloaded)
+	return s.pending != nil && unloads(s.pending.order) || !s.sampledAt.After(s.answeredAt) && unloads(s.answeredOrder)
 }
 
 // Ordered takes in the answer to an order; err is nil when it was taken.
@@ -105,13 +105,13 @@
 		return
 	}
 	state.pending = nil
-	state.settledAt, state.unloaded = now, pending.order
+	state.answeredAt, state.answeredOrder = now, pending.order
 	if problem == nil {
 		state.noRoom = state.noRoom && pending.order.Kind != protocol.OrderUnload
 		return
 	}
 	p.counters.Refused++
-	state.unloaded = protocol.Order{}
+	state.answeredOrder = protocol.Order{}
 	state.retryAt = now.Add(max(p.config.RetryPause, problem.RetryAfter))
 	if pending.order.Kind == protocol.OrderLoad {
 		state.loading = nil
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -49,20 +49,20 @@
 // engine, an engine other than for that version stays warm that has taken this
 // fence, so that no order of an earlier holder can take it away.
 type Planner struct {
-	config   Config
-	name     string
-	compiled *fleet.Compiled
-	group    Group
-	needs    map[ident.Model][]need
-	share    float64
-	interval time.Duration
-	maxAge   time.Duration
-	engines  map[ident.Engine]*engineState
-	grant    lease.Grant
-	serial   uint64
-	nextLoad time.Time
-	floor    uint64
-	counters Counters
+	config         Config
+	name           string
+	compiled       *fleet.Compiled
+	group          Group
+	needs          map[ident.Model][]need
+	loadsPerSecond float64
+	reportInterval time.Duration
+	maxReportAge   time.Duration
+	engines        map[ident.Engine]*engineState
+	grant          lease.Grant
+	serial         uint64
+	nextLoad       time.Time
+	floor          uint64
+	counters       Counters
 }
 
 // NewPlanner returns a planner. The name goes into order ids.
@@ -74,9 +74,9 @@
 // weight store's limit.
 func (p *Planner) SetFleet(compiled *fleet.Compiled, group Group, groups int) {
 	p.compiled, p.group, p.needs = compiled, group, needsOf(compiled)
-	p.share = p.config.LoadsPerSecond / float64(max(groups, 1))
-	p.interval = max(p.config.ReportInterval, time.Duration(len(group.Engines))*time.Second/maxReadsPerSecond)
-	p.maxAge = max(p.config.MaxReportAge, readsPerMaxAge*p.interval)
+	p.loadsPerSecond = p.config.LoadsPerSecond / float64(max(groups, 1))
+	p.reportInterval = max(p.config.ReportInterval, time.Duration(len(group.Engines))*time.Second/maxReadsPerSecond)
+	p.maxReportAge = max(p.config.MaxReportAge, readsPerMaxAge*p.reportInterval)
 	engines := map[ident.Engine]*engineState{}
 	for _, engine := range group.Engines {
 		state := p.engines[engine.Name]
@@ -108,12 +108,12 @@
 // says, and holds nothing that is to go.
 func (p *Planner) settled(state *engineState) bool {
 	for _, name := range state.target.Models {
-		if model, known := p.compiled.Model(name); known && !state.asWanted(model) {
+		if model, known := p.compiled.Model(name); known && !state.upToDate(model) {
 			return false
 		}
 	}
 	return state.reachable && state.report.Role == state.target.Role &&
-		!slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.spare(state, loaded) })
+		!slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.removable(state, loaded) })
 }
 
 // Floor returns the highest fence met that is newer than the one held, or
@@ -121,9 +121,9 @@
 func (p *Planner) Floor() uint64 { return p.floor }
 
 // Reported takes in a load report that was asked for at a time.
-func (p *Planner) Reported(askedAt time.Time, engine ident.Engine, report protocol.LoadReport) {
+func (p *Planner) Reported(requestedAt time.Time, engine ident.Engine, report protocol.LoadReport) {
 	if state := p.engines[engine]; state != nil {
-		state.reported(askedAt, report)
+		state.recordReport(requestedAt, report)
 	}
 }
 
@@ -135,7 +135,7 @@
 }
 
 // ReportInterval returns how often each engine's report is to be read.
-func (p *Planner) ReportInterval() time.Duration { return p.interval }
+func (p *Planner) ReportInterval() time.Duration { return p.reportInterval }
 
 // Plan returns the orders to issue now under the grant. Each must be answered
 // by Ordered.
@@ -144,13 +144,13 @@
 	if p.compiled == nil {
 		return nil
 	}
-	p.meetFences()
+	p.observeFences()
 	if p.floor >= grant.Fence {
 		return nil
 	}
 	var orders []Order
 	for _, target := range p.group.Engines {
-		if order, due := p.next(now, p.engines[target.Name]); due {
+		if order, due := p.nextOrder(now, p.engines[target.Name]); due {
 			orders = append(orders, Order{Engine: target.Name, Address: target.Address, Order: order})
 		}
 	}
@@ -169,7 +169,7 @@
 	p.grant = grant
 }
 
-func (p *Planner) meetFences() {
+func (p *Planner) observeFences() {
 	for _, state := range p.engines {
 		if state.report.Fence > max(p.grant.Fence, p.floor) {
 			p.floor = state.report.Fence
@@ -178,15 +178,15 @@
 	}
 }
 
-// next returns the order that an engine shall get now.
-func (p *Planner) next(now time.Time, state *engineState) (protocol.Order, bool) {
+// nextOrder returns the order that an engine shall get now.
+func (p *Planner) nextOrder(now time.Time, state *engineState) (protocol.Order, bool) {
 	if state.pending != nil {
-		return p.repeat(now, state)
+		return p.retry(now, state)
 	}
-	if !p.usable(now, state) || !state.trueAt.After(state.settledAt) || now.Before(state.retryAt) {
+	if !p.usable(now, state) || !state.sampledAt.After(state.answeredAt) || now.Before(state.retryAt) {
 		return protocol.Order{}, false
 	}
-	state.noteLoaded(now, p.config.LoadTimeout)
+	state.finishLoad(now, p.config.LoadTimeout)
 	role := state.target.Role
 	if state.report.Fence < p.grant.Fence || state.report.Role != role {
 		return p.issue(state, protocol.Order{Kind: protocol.OrderRole, Role: role}), true
@@ -199,8 +199,8 @@
 
 // usable reports whether an engine's last report may be acted on.
 func (p *Planner) usable(now time.Time, state *engineState) bool {
-	leaving := state.report.Leaving || state.target.State == fleet.BackendLeaving
-	return state.reachable && !leaving && now.Sub(state.trueAt) <= p.maxAge
+	draining := state.report.Leaving || state.target.State == fleet.BackendLeaving
+	return state.reachable && !draining && now.Sub(state.sampledAt) <= p.maxReportAge
 }
 
 // issue gives an order its id, fence and incarnation and awaits its answer.
@@ -214,14 +214,14 @@
 	return order
 }
 
-// repeat issues an order again whose answer was lost. An unload that is not
+// retry issues an order again whose answer was lost. An unload that is not
 // permitted any more cannot be called back; a newer fence makes it void.
-func (p *Planner) repeat(now time.Time, state *engineState) (protocol.Order, bool) {
+func (p *Planner) retry(now time.Time, state *engineState) (protocol.Order, bool) {
 	pending := state.pending
 	if pending.inFlight || now.Before(pending.retryAt) {
 		return protocol.Order{}, false
 	}
-	if order := pending.order; order.Kind == protocol.OrderUnload && !p.permits(now, state, order.Model, order.Version) {
+	if order := pending.order; order.Kind == protocol.OrderUnload && !p.permitsUnload(now, state, order.Model, order.Version) {
 		p.floor = max(p.floor, p.grant.Fence)
 		return protocol.Order{}, false
 	}
@@ -238,14 +238,14 @@
 	}
 	for _, name := range state.target.Models {
 		model, known := p.compiled.Model(name)
-		if !known || state.asWanted(model) {
+		if !known || state.upToDate(model) {
 			continue
 		}
 		order := p.issue(state, protocol.Order{
 			Kind: protocol.OrderLoad, Model: name, Version: model.Version, Adapters: slices.Clone(model.Adapters),
 		})
-		state.loading = &loadUnderWay{model: model, since: now}
-		p.nextLoad = now.Add(time.Duration(float64(time.Second) / p.share))
+		state.loading = &activeLoad{model: model, since: now}
+		p.nextLoad = now.Add(time.Duration(float64(time.Second) / p.loadsPerSecond))
 		return order, true
 	}
 	return protocol.Order{}, false
@@ -270,36 +270,36 @@
 	if state.noRoom && p.loadingIn(now, state.target.Zone) >= p.config.MaxLoadsPerZone {
 		return protocol.Order{}, false
 	}
-	room := state.noRoom
+	neededRoom := state.noRoom
 	for _, loaded := range state.report.Loaded {
-		if !p.spare(state, loaded) {
+		if !p.removable(state, loaded) {
 			continue
 		}
-		if !p.permits(now, state, loaded.Model, loaded.Version) {
+		if !p.permitsUnload(now, state, loaded.Model, loaded.Version) {
 			p.counters.Guarded++
 			continue
 		}
 		return p.issue(state, protocol.Order{Kind: protocol.OrderUnload, Model: loaded.Model, Version: loaded.Version}), true
 	}
-	if room && !slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.spare(state, loaded) }) {
+	if neededRoom && !slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.removable(state, loaded) }) {
 		state.noRoom = false // nothing can go: try the load again later
 		state.retryAt = now.Add(p.config.MaxRetryPause)
 	}
 	return protocol.Order{}, false
 }
 
-// permits reports whether a version may be taken from an engine now. One that
+// permitsUnload reports whether a version may be taken from an engine now. One that
 // the file has withdrawn serves nobody, and goes at once where it is in the way.
-func (p *Planner) permits(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
+func (p *Planner) permitsUnload(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
 	model, known := p.compiled.Model(name)
-	if known && state.noRoom && !tolerated(model, version) {
+	if known && state.noRoom && !accepted(model, version) {
 		return true
 	}
-	return p.mayUnload(now, state, name, version)
+	return p.keepsWarmEngine(now, state, name, version)
 }
 
-// spare reports whether a loaded version is not to stay on the engine.
-func (p *Planner) spare(state *engineState, loaded protocol.LoadedModel) bool {
+// removable reports whether a loaded version is not to stay on the engine.
+func (p *Planner) removable(state *engineState, loaded protocol.LoadedModel) bool {
 	model, known := p.compiled.Model(loaded.Model)
 	if !known || !slices.Contains(state.target.Models, loaded.Model) {
 		return true
@@ -307,16 +307,16 @@
 	if state.noRoom {
 		return loaded.Version != model.Version
 	}
-	return state.asWanted(model) && !tolerated(model, loaded.Version)
+	return state.upToDate(model) && !accepted(model, loaded.Version)
 }
 
-func tolerated(model *fleet.Model, version ident.ModelVersion) bool {
+func accepted(model *fleet.Model, version ident.ModelVersion) bool {
 	return version == model.Version || slices.Contains(model.AcceptVersions, version)
 }
 
-// mayUnload reports whether, without that version on that engine, every tenant
+// keepsWarmEngine reports whether, without that version on that engine, every tenant
 // that may use the engine keeps a warm engine for the model.
-func (p *Planner) mayUnload(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
+func (p *Planner) keepsWarmEngine(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
 	model, known := p.compiled.Model(name)
 	if !known {
 		return true // the file has no such model, so nobody may ask for it
@@ -341,13 +341,13 @@
 // serves reports whether an engine surely serves a version of the model that
 // requests may use, other than the one left out. Only an engine that has taken
 // this fence and has no unload on its way counts.
-func (p *Planner) serves(state *engineState, model *fleet.Model, adapter ident.Adapter, leaveOut bool, version ident.ModelVersion) bool {
+func (p *Planner) serves(state *engineState, model *fleet.Model, adapter ident.Adapter, exclude bool, version ident.ModelVersion) bool {
 	if state.report.Fence != p.grant.Fence || !slices.Contains(state.target.Models, model.Name) {
 		return false
 	}
 	for _, loaded := range state.report.Loaded {
-		gone := leaveOut && loaded.Version == version || state.mayHaveUnloaded(loaded)
-		if loaded.Model == model.Name && tolerated(model, loaded.Version) && !gone &&
+		gone := exclude && loaded.Version == version || state.mayHaveUnloaded(loaded)
+		if loaded.Model == model.Name && accepted(model, loaded.Version) && !gone &&
 			(adapter == "" || slices.Contains(loaded.Adapters, adapter)) {
 			return true
 		}
--- a/internal/control/planner_test.go
+++ b/internal/control/planner_test.go
@@ -42,25 +42,27 @@
 	return fleet.Compile(document, 1, "d")
 }
 
-// rig drives a planner with reports that it writes by hand.
-type rig struct {
+// plannerHarness drives a planner with reports that it writes by hand.
+type plannerHarness struct {
 	planner *Planner
 	now     time.Time
 	grant   lease.Grant
 	reports map[ident.Engine]protocol.LoadReport
 }
 
-func newRig(file *fleet.Compiled) *rig {
-	r := &rig{planner: NewPlanner(Config{}, "x"), now: epoch, grant: lease.Grant{Fence: 7}, reports: map[ident.Engine]protocol.LoadReport{}}
-	r.use(file)
+func newPlannerHarness(file *fleet.Compiled) *plannerHarness {
+	r := &plannerHarness{planner: NewPlanner(Config{}, "x"), now: epoch, grant: lease.Grant{Fence: 7}, reports: map[ident.Engine]protocol.LoadReport{}}
+	r.setFleet(file)
 	return r
 }
 
-func (r *rig) use(file *fleet.Compiled) { r.planner.SetFleet(file, GroupsOf(file)[0], 1) }
+func (r *plannerHarness) setFleet(file *fleet.Compiled) {
+	r.planner.SetFleet(file, GroupsOf(file)[0], 1)
+}
 
 // report sets what an engine of the fence reports: its life and versions.
-func (r *rig) report(name ident.Engine, fence uint64, life ident.Incarnation, versions ...ident.ModelVersion) {
-	report := protocol.LoadReport{Incarnation: life, Role: "mixed", Fence: fence}
+func (r *plannerHarness) report(name ident.Engine, fence uint64, incarnation ident.Incarnation, versions ...ident.ModelVersion) {
+	report := protocol.LoadReport{Incarnation: incarnation, Role: "mixed", Fence: fence}
 	for _, version := range versions {
 		report.Loaded = append(report.Loaded, protocol.LoadedModel{Model: "m", Version: version})
 	}
@@ -68,7 +70,7 @@
 }
 
 // plan moves time on, brings the reports in and lists the orders.
-func (r *rig) plan(step time.Duration) []Order {
+func (r *plannerHarness) plan(step time.Duration) []Order {
 	r.now = r.now.Add(step)
 	for name, report := range r.reports {
 		r.planner.Reported(r.now, name, report)
@@ -76,12 +78,12 @@
 	return r.planner.Plan(r.now, r.grant)
 }
 
-func (r *rig) answer(order Order, err error) {
+func (r *plannerHarness) answer(order Order, err error) {
 	r.planner.Ordered(r.now, order.Engine, order.Order.OrderID, err)
 }
 
-// words writes orders as "engine kind version".
-func words(orders []Order) (list []string) {
+// formatOrders writes orders as "engine kind version".
+func formatOrders(orders []Order) (list []string) {
 	for _, one := range orders {
 		list = append(list, fmt.Sprint(one.Engine, " ", one.Order.Kind, " ", one.Order.Version))
 	}
@@ -92,13 +94,13 @@
 	return fault.Wrap(&engine.RefusedError{Refusal: protocol.Refusal{Kind: kind}}, as, "refused")
 }
 
-func TestOneDecision(t *testing.T) {
-	type setting = func(r *rig)
+func TestPlan(t *testing.T) {
+	type setting = func(r *plannerHarness)
 	loaded := func(name ident.Engine, fence uint64, versions ...ident.ModelVersion) setting {
-		return func(r *rig) { r.report(name, fence, "life", versions...) }
+		return func(r *plannerHarness) { r.report(name, fence, "life", versions...) }
 	}
-	leaving := func(name ident.Engine) setting {
-		return func(r *rig) {
+	draining := func(name ident.Engine) setting {
+		return func(r *plannerHarness) {
 			report := r.reports[name]
 			report.Leaving = true
 			r.reports[name] = report
@@ -114,60 +116,60 @@
 		{"new beside old", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1")}, []string{"a1 load v2"}},
 		{"accepted stays", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1", "v2")}, nil},
 		{"withdrawn goes", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1", "v2")}, []string{"a1 unload v1"}},
-		{"withdrawn stays until the new one serves", compiled(1, "a", "v2"), []setting{func(r *rig) {
+		{"withdrawn stays until the new one serves", compiled(1, "a", "v2"), []setting{func(r *plannerHarness) {
 			r.planner.nextLoad = r.now.Add(time.Hour)
 		}, loaded("a1", 7, "v1")}, nil},
 		{"one load a zone, one a pace", compiled(2, "ab", "v2"), []setting{
 			loaded("a1", 7), loaded("a2", 7), loaded("b1", 7), loaded("b2", 7),
 		}, []string{"a1 load v2"}},
 		{"unreported engines get nothing", compiled(2, "a", "v2"), nil, nil},
-		{"leaving engines get nothing", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1"), leaving("a1")}, nil},
+		{"leaving engines get nothing", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1"), draining("a1")}, nil},
 		{"a newer fence silences", compiled(2, "a", "v2"), []setting{loaded("a1", 7, "v1"), loaded("a2", 9, "v1")}, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(test.file)
+			r := newPlannerHarness(test.file)
 			for _, set := range test.settings {
 				set(r)
 			}
-			is.Equal(words(r.plan(time.Second)), test.wanted)
+			is.Equal(formatOrders(r.plan(time.Second)), test.wanted)
 		})
 	}
 }
 
-// TestLastWarmEngineStays lets engines refuse to load beside the old version:
+// TestUnloadKeepsAWarmEngine lets engines refuse to load beside the old version:
 // the old one makes room only where another engine surely serves the tenants.
-func TestLastWarmEngineStays(t *testing.T) {
+func TestUnloadKeepsAWarmEngine(t *testing.T) {
 	cases := []struct {
 		name   string
-		other  func(r *rig)
+		other  func(r *plannerHarness)
 		wanted []string
 	}{
-		{"no other", func(*rig) {}, nil},
-		{"other is warm", func(r *rig) { r.report("a2", 7, "life", "v1") }, []string{"a1 unload v1"}},
-		{"other may take stale orders", func(r *rig) { r.report("a2", 6, "life", "v1") }, []string{"a2 role "}},
-		{"other is in another zone", func(r *rig) { r.report("b1", 7, "life", "v1") }, nil},
-		{"other serves a withdrawn version", func(r *rig) { r.report("a2", 7, "life", "v0") }, nil},
+		{"no other", func(*plannerHarness) {}, nil},
+		{"other is warm", func(r *plannerHarness) { r.report("a2", 7, "life", "v1") }, []string{"a1 unload v1"}},
+		{"other may take stale orders", func(r *plannerHarness) { r.report("a2", 6, "life", "v1") }, []string{"a2 role "}},
+		{"other is in another zone", func(r *plannerHarness) { r.report("b1", 7, "life", "v1") }, nil},
+		{"other serves a withdrawn version", func(r *plannerHarness) { r.report("a2", 7, "life", "v0") }, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(compiled(2, "ab", "v2", "v1"))
+			r := newPlannerHarness(compiled(2, "ab", "v2", "v1"))
 			r.report("a1", 7, "life", "v1")
 			first := r.plan(time.Second)
-			is.Equal(words(first), []string{"a1 load v2"})
+			is.Equal(formatOrders(first), []string{"a1 load v2"})
 			r.answer(first[0], refusal(protocol.RefusalFull, fault.BackendRefused))
 			test.other(r)
 			r.planner.nextLoad = r.now.Add(time.Hour)
-			is.Equal(words(r.plan(time.Second)), test.wanted)
+			is.Equal(formatOrders(r.plan(time.Second)), test.wanted)
 		})
 	}
 }
 
-func TestOneLoadInAZoneAtOnce(t *testing.T) {
+func TestOneLoadPerZone(t *testing.T) {
 	is := is.New(t)
-	r := newRig(compiled(2, "ab", "v2"))
+	r := newPlannerHarness(compiled(2, "ab", "v2"))
 	for _, name := range []ident.Engine{"a1", "a2", "b1", "b2"} {
 		r.report(name, 7, "life")
 	}
@@ -175,10 +177,10 @@
 	r.answer(started[0], nil)
 	started = append(started, r.plan(5*time.Second)...)
 	r.answer(started[1], nil)
-	is.Equal(words(started), []string{"a1 load v2", "b1 load v2"})
+	is.Equal(formatOrders(started), []string{"a1 load v2", "b1 load v2"})
 	is.Equal(len(r.plan(5*time.Second)), 0)
 	r.report("a1", 7, "life", "v2")
-	is.Equal(words(r.plan(5*time.Second)), []string{"a2 load v2"})
+	is.Equal(formatOrders(r.plan(5*time.Second)), []string{"a2 load v2"})
 }
 
 // countingEngines counts the orders that reach the engines.
@@ -192,21 +194,21 @@
 	return protocol.OrderResult{}, nil
 }
 
-// TestOrderIsNotSentAfterTheLeaseIsGone covers a holder that was paused between
+// TestOrderIsNotSentWithoutLease covers a holder that was paused between
 // its decision and the request.
-func TestOrderIsNotSentAfterTheLeaseIsGone(t *testing.T) {
+func TestOrderIsNotSentWithoutLease(t *testing.T) {
 	is := is.New(t)
 	engines := &countingEngines{}
-	duty := New(Options{Engines: engines})
-	one := &runner{elector: lease.NewElector(nil, lease.Config{}, "x", "n")}
-	made := duty.request(t.Context(), call{runner: one, order: &protocol.Order{Fence: 7}})
-	is.Equal(made.err, lease.ErrNotHeld)
+	controller := New(Options{Engines: engines})
+	r := &runner{elector: lease.NewElector(nil, lease.Config{}, "x", "n")}
+	result := controller.execute(t.Context(), call{runner: r, order: &protocol.Order{Fence: 7}})
+	is.Equal(result.err, lease.ErrNotHeld)
 	is.Equal(engines.orders, 0)
 }
 
-func TestTwoEnginesNeverMakeRoomForEachOther(t *testing.T) {
+func TestOnlyOneEngineMakesRoom(t *testing.T) {
 	is := is.New(t)
-	r := newRig(compiled(2, "a", "v2", "v1"))
+	r := newPlannerHarness(compiled(2, "a", "v2", "v1"))
 	r.planner.config.MaxLoadsPerZone = 2
 	for _, name := range []ident.Engine{"a1", "a2"} {
 		r.report(name, 7, "life", "v1")
@@ -221,7 +223,7 @@
 
 func TestLostAnswersCrashesAndStaleFences(t *testing.T) {
 	is := is.New(t)
-	r := newRig(compiled(1, "a", "v2"))
+	r := newPlannerHarness(compiled(1, "a", "v2"))
 	lost := fault.New(fault.BackendLost, "no answer").WithRan(fault.RanUnknown)
 	r.report("a1", 7, "life-1")
 	first := r.plan(time.Second)
@@ -234,11 +236,11 @@
 
 	r.report("a1", 0, "life-2") // crashed during the load
 	fenced := r.plan(time.Second)
-	is.Equal(words(fenced), []string{"a1 role "})
+	is.Equal(formatOrders(fenced), []string{"a1 role "})
 	r.answer(fenced[0], nil)
 	r.report("a1", 7, "life-2")
 	reload := r.plan(time.Second)
-	is.Equal(words(reload), []string{"a1 load v2"})
+	is.Equal(formatOrders(reload), []string{"a1 load v2"})
 	is.Equal(reload[0].Order.ExpectedIncarnation, ident.Incarnation("life-2"))
 	is.True(reload[0].Order.OrderID != first[0].Order.OrderID)
 
@@ -246,19 +248,19 @@
 	is.Equal(r.planner.Floor(), uint64(7)) // the shell steps down with it
 	is.Equal(len(r.plan(time.Minute)), 0)
 	r.grant.Fence = 12
-	is.Equal(words(r.plan(time.Second)), []string{"a1 role "})
+	is.Equal(formatOrders(r.plan(time.Second)), []string{"a1 role "})
 }
 
-// TestLostUnloadIsMadeVoid covers an unload that may still arrive after it has
+// TestLostUnloadIsFenced covers an unload that may still arrive after it has
 // ceased to be permitted.
-func TestLostUnloadIsMadeVoid(t *testing.T) {
+func TestLostUnloadIsFenced(t *testing.T) {
 	is := is.New(t)
-	r := newRig(compiled(1, "a", "v2"))
+	r := newPlannerHarness(compiled(1, "a", "v2"))
 	r.report("a1", 7, "life", "v1", "v2")
 	orders := r.plan(time.Second)
-	is.Equal(words(orders), []string{"a1 unload v1"})
+	is.Equal(formatOrders(orders), []string{"a1 unload v1"})
 	r.answer(orders[0], fault.New(fault.BackendLost, "no answer").WithRan(fault.RanUnknown))
-	r.use(compiled(1, "a", "v1"))
+	r.setFleet(compiled(1, "a", "v1"))
 	is.Equal(len(r.plan(time.Second)), 0)
 	is.Equal(r.planner.Floor(), uint64(7))
 }
--- a/internal/control/rolling_test.go
+++ b/internal/control/rolling_test.go
@@ -48,35 +48,35 @@
 	return platform.RowList{}, fault.New(fault.Internal, "not used")
 }
 
-// engines are the stand-ins' models behind a network that loses every third
+// simulatedEngines are the stand-ins' models behind a network that loses every third
 // answer to an order, after the order took effect.
-type engines struct {
-	mutex  sync.Mutex
-	models map[string]*model.Engine
-	orders int
-	taken  map[string]int
-	fences []uint64
+type simulatedEngines struct {
+	mutex    sync.Mutex
+	models   map[string]*model.Engine
+	orders   int
+	executed map[string]int
+	fences   []uint64
 	// loading counts the loads under way in each zone, most the most at once.
-	loading map[string]int
-	most    int
+	loading    map[string]int
+	maxLoading int
 }
 
-func (e *engines) Load(_ context.Context, address string) (protocol.LoadReport, error) {
+func (e *simulatedEngines) Load(_ context.Context, address string) (protocol.LoadReport, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if !e.models[address].Alive() {
 		return protocol.LoadReport{}, fault.New(fault.BackendLost, "refused")
 	}
-	e.drain(address)
+	e.collectTruth(address)
 	return e.models[address].LoadReport(time.Now()), nil
 }
 
-func (e *engines) Order(_ context.Context, address string, order protocol.Order) (protocol.OrderResult, error) {
+func (e *simulatedEngines) Order(_ context.Context, address string, order protocol.Order) (protocol.OrderResult, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.orders++
 	result, refusal := e.models[address].Order(time.Now(), order)
-	e.drain(address)
+	e.collectTruth(address)
 	if refusal != nil {
 		kind := fault.BackendRefused
 		if refusal.Kind == protocol.RefusalStaleFence {
@@ -90,18 +90,18 @@
 	return result, nil
 }
 
-// drain reads the truth records of an engine.
-func (e *engines) drain(address string) {
+// collectTruth reads the truth records of an engine.
+func (e *simulatedEngines) collectTruth(address string) {
 	zone := address[:1]
 	for _, output := range e.models[address].Advance(time.Now()) {
 		switch record := output.Truth; {
 		case record == nil:
 		case record.Kind == truth.OrderTaken:
-			e.taken[record.OrderID]++
+			e.executed[record.OrderID]++
 			e.fences = append(e.fences, record.Fence)
 			if record.OrderKind == string(protocol.OrderLoad) {
 				e.loading[zone]++
-				e.most = max(e.most, e.loading[zone])
+				e.maxLoading = max(e.maxLoading, e.loading[zone])
 			}
 		case record.Kind == truth.Loaded:
 			e.loading[zone]--
@@ -111,13 +111,13 @@
 	}
 }
 
-// warm counts the engines of a zone that hold a version now.
-func (e *engines) warm(zone string, versions ...ident.ModelVersion) int {
+// countWarm counts the engines of a zone that hold a version now.
+func (e *simulatedEngines) countWarm(zone string, versions ...ident.ModelVersion) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	count := 0
 	for address, one := range e.models {
-		e.drain(address)
+		e.collectTruth(address)
 		report := one.LoadReport(time.Now())
 		holds := slices.ContainsFunc(report.Loaded, func(loaded protocol.LoadedModel) bool {
 			return slices.Contains(versions, loaded.Version)
@@ -129,10 +129,10 @@
 	return count
 }
 
-func (e *engines) crash(address string, restartAfter time.Duration) {
+func (e *simulatedEngines) crash(address string, restartAfter time.Duration) {
 	e.mutex.Lock()
 	e.models[address].Crash(time.Now())
-	e.drain(address)
+	e.collectTruth(address)
 	e.mutex.Unlock()
 	time.AfterFunc(restartAfter, func() {
 		e.mutex.Lock()
@@ -141,8 +141,8 @@
 	})
 }
 
-func newEngines(file *fleet.Compiled) *engines {
-	e := &engines{models: map[string]*model.Engine{}, taken: map[string]int{}, loading: map[string]int{}}
+func newEngines(file *fleet.Compiled) *simulatedEngines {
+	e := &simulatedEngines{models: map[string]*model.Engine{}, executed: map[string]int{}, loading: map[string]int{}}
 	for index, target := range file.Engines() {
 		config := model.DefaultConfig()
 		config.Name, config.Zone = target.Name, target.Zone
@@ -152,59 +152,59 @@
 	return e
 }
 
-// rollout is two routers' duties over the engines' models.
-type rollout struct {
-	t       *testing.T
-	inForce atomic.Pointer[fleet.Compiled]
-	models  *engines
-	duties  map[ident.Node]*Controller
-	stops   map[ident.Node]context.CancelFunc
-	running sync.WaitGroup
+// controllers is two routers' duties over the engines' models.
+type controllers struct {
+	t            *testing.T
+	currentFleet atomic.Pointer[fleet.Compiled]
+	models       *simulatedEngines
+	byNode       map[ident.Node]*Controller
+	stops        map[ident.Node]context.CancelFunc
+	running      sync.WaitGroup
 }
 
-func newRollout(t *testing.T) *rollout {
-	r := &rollout{t: t, duties: map[ident.Node]*Controller{}, stops: map[ident.Node]context.CancelFunc{}}
-	r.inForce.Store(compiled(3, "ab", "v1"))
-	r.models = newEngines(r.inForce.Load())
+func newControllers(t *testing.T) *controllers {
+	r := &controllers{t: t, byNode: map[ident.Node]*Controller{}, stops: map[ident.Node]context.CancelFunc{}}
+	r.currentFleet.Store(compiled(3, "ab", "v1"))
+	r.models = newEngines(r.currentFleet.Load())
 	table := &memoryTable{table: tables.NewTable()}
 	view := membership.View{Members: []membership.Member{{Node: "n1"}, {Node: "n2"}}}
 	for _, member := range view.Members {
 		ctx, stop := context.WithCancel(t.Context())
-		duty := New(Options{
-			Node: member.Node, Table: table, Engines: r.models, Fleet: r.inForce.Load,
+		controller := New(Options{
+			Node: member.Node, Table: table, Engines: r.models, Fleet: r.currentFleet.Load,
 			View: func() membership.View { return view },
 		})
-		r.duties[member.Node], r.stops[member.Node] = duty, stop
-		r.running.Go(func() { duty.Run(ctx) })
+		r.byNode[member.Node], r.stops[member.Node] = controller, stop
+		r.running.Go(func() { controller.Run(ctx) })
 	}
 	return r
 }
 
 // watch checks, over a span of time, that some engine of each zone serves one
 // of the versions, and returns when all came to hold the last one.
-func (r *rollout) watch(span time.Duration, versions ...ident.ModelVersion) time.Duration {
+func (r *controllers) watch(span time.Duration, versions ...ident.ModelVersion) time.Duration {
 	began, done := time.Now(), time.Duration(0)
 	last := versions[len(versions)-1]
 	for time.Since(began) < span {
 		time.Sleep(50 * time.Millisecond)
-		if r.models.warm("a", versions...) == 0 || r.models.warm("b", versions...) == 0 {
+		if r.models.countWarm("a", versions...) == 0 || r.models.countWarm("b", versions...) == 0 {
 			r.t.Fatalf("a zone without an engine that serves %v after %v", versions, time.Since(began))
 		}
-		if done == 0 && r.holding(last) == len(r.models.models) {
+		if done == 0 && r.countHolding(last) == len(r.models.models) {
 			done = time.Since(began)
 		}
 	}
 	return done
 }
 
-// holding counts the engines that hold a version.
-func (r *rollout) holding(version ident.ModelVersion) int {
-	return r.models.warm("a", version) + r.models.warm("b", version)
+// countHolding counts the engines that hold a version.
+func (r *controllers) countHolding(version ident.ModelVersion) int {
+	return r.models.countWarm("a", version) + r.models.countWarm("b", version)
 }
 
-func (r *rollout) holder() (name ident.Node) {
-	for node, duty := range r.duties {
-		for _, status := range duty.Status() {
+func (r *controllers) holder() (name ident.Node) {
+	for node, controller := range r.byNode {
+		for _, status := range controller.Status() {
 			if status.Held {
 				name = node
 			}
@@ -214,14 +214,14 @@
 }
 
 // settled returns how many engines the holder calls settled, and of how many.
-func (r *rollout) settled() (told [2]int) {
-	for _, duty := range r.duties {
-		for _, status := range duty.Status() {
-			told[0] += status.Counters.Settled
-			told[1] = status.Counters.Engines
+func (r *controllers) settled() (counts [2]int) {
+	for _, controller := range r.byNode {
+		for _, status := range controller.Status() {
+			counts[0] += status.Counters.Settled
+			counts[1] = status.Counters.Engines
 		}
 	}
-	return told
+	return counts
 }
 
 // TestRollingVersionChange changes v1 to v2 and withdraws v1, then changes to
@@ -229,9 +229,9 @@
 func TestRollingVersionChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRollout(t)
+		r := newControllers(t)
 		r.watch(10*time.Second, "v1")
-		r.inForce.Store(compiled(3, "ab", "v2", "v1"))
+		r.currentFleet.Store(compiled(3, "ab", "v2", "v1"))
 		r.watch(6*time.Second, "v1", "v2")
 		is.True(r.settled()[0] < 6)
 		r.models.crash("a2", 5*time.Second) // returns with v1 alone
@@ -242,22 +242,22 @@
 		is.True(took > 0)
 		is.True(r.holder() != first)
 		t.Logf("all engines changed %v after the holder's stop", took)
-		r.inForce.Store(compiled(3, "ab", "v2"))
+		r.currentFleet.Store(compiled(3, "ab", "v2"))
 		r.watch(time.Minute, "v2")
-		is.Equal(r.holding("v1"), 0)
+		is.Equal(r.countHolding("v1"), 0)
 		is.Equal(r.settled(), [2]int{6, 6})
-		r.inForce.Store(compiled(3, "ab", "v3"))
+		r.currentFleet.Store(compiled(3, "ab", "v3"))
 		is.True(r.watch(2*time.Minute, "v2", "v3") > 0)
-		is.Equal(r.holding("v2"), 0)
+		is.Equal(r.countHolding("v2"), 0)
 
-		for orderID, times := range r.models.taken {
+		for orderID, times := range r.models.executed {
 			if times != 1 {
 				t.Fatalf("order %s took effect %d times", orderID, times)
 			}
 		}
-		t.Logf("%d orders sent, %d took effect, at most %d loads in a zone at once", r.models.orders, len(r.models.taken), r.models.most)
-		is.True(r.models.orders > len(r.models.taken)) // lost answers were repeated
-		is.True(r.models.most <= 2)                    // one, and one that a new holder does not know of
+		t.Logf("%d orders sent, %d took effect, at most %d loads in a zone at once", r.models.orders, len(r.models.executed), r.models.maxLoading)
+		is.True(r.models.orders > len(r.models.executed)) // lost answers were repeated
+		is.True(r.models.maxLoading <= 2)                 // one, and one that a new holder does not know of
 		is.True(slices.IsSorted(r.models.fences))
 		for _, stop := range r.stops {
 			stop()
@@ -274,8 +274,8 @@
 		before, after := compiled(3, "ab", "v2", "v1"), compiled(3, "ab", "v2")
 		models := newEngines(before)
 		frozen, successor := NewPlanner(Config{}, "x"), NewPlanner(Config{}, "x")
-		// look lets a planner read every report and decide.
-		look := func(planner *Planner, file *fleet.Compiled, fence uint64) []Order {
+		// observeAndPlan lets a planner read every report and decide.
+		observeAndPlan := func(planner *Planner, file *fleet.Compiled, fence uint64) []Order {
 			time.Sleep(3 * time.Second)
 			planner.SetFleet(file, GroupsOf(file)[0], 1)
 			for _, target := range file.Engines() {
@@ -291,16 +291,16 @@
 				planner.Ordered(time.Now(), order.Engine, order.Order.OrderID, err)
 			}
 		}
-		for models.warm("a", "v2")+models.warm("b", "v2") < len(models.models) {
-			send(frozen, look(frozen, before, 1))
+		for models.countWarm("a", "v2")+models.countWarm("b", "v2") < len(models.models) {
+			send(frozen, observeAndPlan(frozen, before, 1))
 		}
-		stale := look(frozen, after, 1)
+		stale := observeAndPlan(frozen, after, 1)
 		is.True(len(stale) > 0)
 		is.Equal(stale[0].Order.Kind, protocol.OrderUnload)
-		send(successor, look(successor, before, 2)) // fences every engine
-		send(frozen, stale)                         // the holder wakes up
-		is.Equal(models.warm("a", "v1")+models.warm("b", "v1"), len(models.models))
+		send(successor, observeAndPlan(successor, before, 2)) // fences every engine
+		send(frozen, stale)                                   // the holder wakes up
+		is.Equal(models.countWarm("a", "v1")+models.countWarm("b", "v1"), len(models.models))
 		is.Equal(frozen.Floor(), uint64(1)) // it steps down
-		is.Equal(len(look(frozen, after, 1)), 0)
+		is.Equal(len(observeAndPlan(frozen, after, 1)), 0)
 	})
 }
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -17,15 +17,15 @@
 // Elector is the shell around a Machine: it makes the exchanges with the table.
 // Its methods may be called by any goroutine; Run must be running.
 type Elector struct {
-	table   store.Table
-	name    string
-	timeout time.Duration
-	release time.Duration
-	changed chan struct{}
+	table           store.Table
+	name            string
+	exchangeTimeout time.Duration
+	releaseTimeout  time.Duration
+	changed         chan struct{}
 
 	mutex   sync.Mutex
 	machine *Machine
-	was     bool
+	wasHeld bool
 }
 
 // NewElector returns an elector of the named lease for one life of a node.
@@ -33,17 +33,17 @@
 	config = config.withDefaults()
 	return &Elector{
 		table: table, name: name,
-		timeout: config.ExchangeTimeout,
-		release: config.Duration / renewals,
-		changed: make(chan struct{}, 1),
-		machine: NewMachine(config, name, node, ident.NewUnique()),
+		exchangeTimeout: config.ExchangeTimeout,
+		releaseTimeout:  config.Duration / renewalsPerDuration,
+		changed:         make(chan struct{}, 1),
+		machine:         NewMachine(config, name, node, ident.NewUnique()),
 	}
 }
 
 // Contend says whether this node shall try to hold the lease. A holder that
 // stops contending may not act any more and hands the lease over.
-func (e *Elector) Contend(wanted bool) {
-	e.update(func(now time.Time) { e.machine.Contend(now, wanted) })
+func (e *Elector) Contend(contend bool) {
+	e.update(func(now time.Time) { e.machine.Contend(now, contend) })
 }
 
 // StepDown ends the holding after a fence was met that is newer; see
@@ -93,7 +93,7 @@
 // Run keeps the lease until ctx ends. It then hands the lease
 // over, for which it takes at most a third of the lease's duration.
 func (e *Elector) Run(ctx context.Context) {
-	timer := time.NewTimer(e.release)
+	timer := time.NewTimer(e.releaseTimeout)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		wait, pending := e.step(ctx)
@@ -119,7 +119,7 @@
 // handOver releases the lease, if it is held, in a bounded time.
 func (e *Elector) handOver(ctx context.Context) {
 	e.Contend(false)
-	ctx, cancel := context.WithTimeout(ctx, e.release)
+	ctx, cancel := context.WithTimeout(ctx, e.releaseTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		wait, pending := e.step(ctx)
@@ -154,7 +154,7 @@
 
 // execute makes one exchange.
 func (e *Elector) execute(ctx context.Context, exchange Exchange) Outcome {
-	ctx, cancel := context.WithTimeout(ctx, e.timeout)
+	ctx, cancel := context.WithTimeout(ctx, e.exchangeTimeout)
 	defer cancel()
 	if exchange.Kind == Observe {
 		row, _, err := e.table.Read(ctx, exchange.Key)
@@ -167,13 +167,13 @@
 // logChange writes a line when the lease was gained or given up.
 func (e *Elector) logChange() {
 	grant, err := e.machine.Held(clock.Now())
-	holds := err == nil
-	if holds == e.was {
+	held := err == nil
+	if held == e.wasHeld {
 		return
 	}
-	e.was = holds
+	e.wasHeld = held
 	entry := log.WithFields(log.Fields{"lease": e.name, "fence": grant.Fence})
-	if holds {
+	if held {
 		entry.Info("lease is held")
 		return
 	}
--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// sample is how often the holders are looked at.
-const sample = 10 * time.Millisecond
+// sampleInterval is how often the holders are looked at.
+const sampleInterval = 10 * time.Millisecond
 
 func TestHandoverTakeoverAndOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -48,7 +48,7 @@
 		is.True(requests <= 65) // one a second
 
 		stops[0]() // a planned stop hands over at the next look of a contender
-		time.Sleep(duration / renewals)
+		time.Sleep(duration / renewalsPerDuration)
 		synctest.Wait()
 		is.Equal(len(holders()), 1)
 		holder := electors[holders()[0]]
@@ -68,7 +68,7 @@
 		links[cut].cut.Store(true)
 		began, lapsed := time.Now(), time.Duration(0)
 		for len(holders()) == 0 || holders()[0] == cut {
-			time.Sleep(sample)
+			time.Sleep(sampleInterval)
 			if len(holders()) == 0 && lapsed == 0 {
 				lapsed = time.Since(began)
 			}
@@ -76,7 +76,7 @@
 		took := time.Since(began)
 		t.Logf("cut off, the holder lapsed after %v and another took over after %v", lapsed, took)
 		is.True(lapsed > 0 && lapsed < took)
-		is.True(took <= duration+duration/renewals+sample)
+		is.True(took <= duration+duration/renewalsPerDuration+sampleInterval)
 
 		for _, stop := range stops {
 			stop()
--- a/internal/lease/epoch.go
+++ b/internal/lease/epoch.go
@@ -12,39 +12,39 @@
 	newest uint64
 }
 
-// saw takes in the epoch of an answer, and reports whether the table came back from an older
+// observe takes in the epoch of an answer, and reports whether the table came back from an older
 // copy since another answer.
-func (e *tableEpoch) saw(epoch uint64) bool {
-	cameBack := e.known && epoch > e.newest
-	if !e.known || cameBack {
+func (e *tableEpoch) observe(epoch uint64) bool {
+	restored := e.known && epoch > e.newest
+	if !e.known || restored {
 		e.known, e.newest = true, epoch
 	}
-	return cameBack
+	return restored
 }
 
-// noteEpoch takes in the epoch in which a row was read. A row that was written in an earlier one
+// observeEpoch takes in the epoch in which a row was read. A row that was written in an earlier one
 // may be a copy, and one that is missing may be lost; when the table came back is not known then
 // to a machine that saw no epoch before. A holder whose time is not over is the last one.
-func (m *Machine) noteEpoch(now time.Time, row *protocol.Row) {
-	before := m.epoch.known
-	cameBack := m.epoch.saw(row.Epoch)
-	copied := !before && m.record.Epoch < row.Epoch
-	if !cameBack && !copied {
+func (m *Machine) observeEpoch(now time.Time, row *protocol.Row) {
+	knownBefore := m.epoch.known
+	restored := m.epoch.observe(row.Epoch)
+	rowCopied := !knownBefore && m.record.Epoch < row.Epoch
+	if !restored && !rowCopied {
 		return
 	}
-	m.cameBackAt = now
+	m.restoredAt = now
 	if m.held && now.Before(m.until) {
-		m.cameBackAt = time.Time{}
+		m.restoredAt = time.Time{}
 		m.floor = max(m.floor, m.fence-1)
 		return
 	}
 	// What this session once held may have been another one's since, and a write of before may
 	// still be carried out: it takes a fence of this epoch.
-	m.floor = max(m.floor, m.epoch.newest*fenceStep)
+	m.floor = max(m.floor, m.epoch.newest*fencesPerEpoch)
 }
 
 // awaitsHolder reports whether another one may still hold the lease, although the row does not
 // tell it.
 func (m *Machine) awaitsHolder(now time.Time) bool {
-	return !m.cameBackAt.IsZero() && now.Before(m.cameBackAt.Add(m.config.Duration))
+	return !m.restoredAt.IsZero() && now.Before(m.restoredAt.Add(m.config.Duration))
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -67,12 +67,12 @@
 const (
 	defaultDuration    = 9 * time.Second
 	defaultDriftMargin = 0.1
-	// renewals is how often a lease is renewed, and watched, in its duration.
-	renewals = 3
-	// retries is how many failed exchanges fit between two renewals.
-	retries = 6
-	// timeouts is how many exchanges without an answer fit into the duration.
-	timeouts = 6
+	// renewalsPerDuration is how often a lease is renewed, and watched, in its duration.
+	renewalsPerDuration = 3
+	// retriesPerRenewal is how many failed exchanges fit between two renewals.
+	retriesPerRenewal = 6
+	// timeoutsPerDuration is how many exchanges without an answer fit into the duration.
+	timeoutsPerDuration = 6
 	// maxDuration bounds what a row may ask others to wait for.
 	maxDuration = 5 * time.Minute
 )
@@ -85,10 +85,10 @@
 		c.DriftMargin = defaultDriftMargin
 	}
 	if c.RetryPause <= 0 {
-		c.RetryPause = c.Duration / (renewals * retries)
+		c.RetryPause = c.Duration / (renewalsPerDuration * retriesPerRenewal)
 	}
 	if c.ExchangeTimeout <= 0 {
-		c.ExchangeTimeout = c.Duration / timeouts
+		c.ExchangeTimeout = c.Duration / timeoutsPerDuration
 	}
 	if c.ActWindow <= 0 || c.ActWindow > c.Duration {
 		c.ActWindow = c.Duration
@@ -141,10 +141,10 @@
 	Epoch uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// fenceStep is the number of fences of one epoch of the table. When the table comes back from
+// fencesPerEpoch is the number of fences of one epoch of the table. When the table comes back from
 // an older copy, the counter may go back too: fences of a later epoch are above all of an
 // earlier one, however many of them the copy has lost.
-const fenceStep = 1 << 20
+const fencesPerEpoch = 1 << 20
 
 // counterRecord is the value of the counter row.
 type counterRecord struct {
--- a/internal/lease/machine.go
+++ b/internal/lease/machine.go
@@ -72,17 +72,17 @@
 	until time.Time
 	// actUntil ends the time in which actions may begin.
 	actUntil time.Time
-	// quietUntil ends the wait after the last holder's actions, usedAt is when
+	// quietUntil ends the wait after the last holder's actions, lastActionAt is when
 	// this session last acted.
-	quietUntil, usedAt time.Time
-	inFlight           *Exchange
-	nextAt             time.Time
-	counters           Counters
-	clock              storeClock
-	// epoch is the newest of the table, cameBackAt when that was first seen; it is zero if
+	quietUntil, lastActionAt time.Time
+	inFlight                 *Exchange
+	nextAt                   time.Time
+	counters                 Counters
+	clock                    storeClock
+	// epoch is the newest of the table, restoredAt when that was first seen; it is zero if
 	// nobody may have lost the lease with it.
 	epoch      tableEpoch
-	cameBackAt time.Time
+	restoredAt time.Time
 }
 
 // NewMachine returns a machine that does not contend yet. The session must
@@ -93,13 +93,13 @@
 
 // Contend says whether this node shall try to hold the lease. A holder that
 // stops contending counts as not holding at once, and releases the lease.
-func (m *Machine) Contend(now time.Time, wanted bool) {
-	if m.contends == wanted {
+func (m *Machine) Contend(now time.Time, contend bool) {
+	if m.contends == contend {
 		return
 	}
-	m.contends = wanted
+	m.contends = contend
 	m.nextAt = now
-	m.held = m.held && wanted
+	m.held = m.held && contend
 }
 
 // StepDown ends the holding because a fence was seen that is newer than or
@@ -133,14 +133,14 @@
 	if now.Before(grant.QuietUntil) || !now.Before(grant.ActUntil) {
 		return Grant{}, ErrNotNow
 	}
-	m.usedAt = now
+	m.lastActionAt = now
 	return grant, nil
 }
 
 // quietLeft returns how long the next holder has to wait after a release now.
 func (m *Machine) quietLeft(now time.Time) time.Duration {
 	left := m.quietUntil
-	if used := m.usedAt.Add(m.config.Quiet); !m.usedAt.IsZero() && used.After(left) {
+	if used := m.lastActionAt.Add(m.config.Quiet); !m.lastActionAt.IsZero() && used.After(left) {
 		left = used
 	}
 	return max(left.Sub(now), 0)
@@ -149,29 +149,29 @@
 // quietAfter returns until when the actions of the holder last seen forbid others, and those of
 // one that the table has forgotten.
 func (m *Machine) quietAfter(now time.Time) time.Time {
-	quiet := m.quietByRow(now)
-	if forgotten := m.cameBackAt.Add(m.longestActions()); !m.cameBackAt.IsZero() && forgotten.After(quiet) {
+	quiet := m.quietAfterRow(now)
+	if forgotten := m.restoredAt.Add(m.maxActionTime()); !m.restoredAt.IsZero() && forgotten.After(quiet) {
 		return forgotten
 	}
 	return quiet
 }
 
-// quietByRow returns until when the actions of the holder last seen forbid others: a row that
+// quietAfterRow returns until when the actions of the holder last seen forbid others: a row that
 // names no holder says it itself; under one that ran out actions may have begun for the whole
 // act window after it was written.
-func (m *Machine) quietByRow(now time.Time) time.Time {
+func (m *Machine) quietAfterRow(now time.Time) time.Time {
 	switch {
 	case m.row.Version == 0:
 		return now
-	case m.free():
+	case m.vacant():
 		return m.seenAt.Add(m.record.Quiet)
 	default:
-		return m.seenAt.Add(m.longestActions())
+		return m.seenAt.Add(m.maxActionTime())
 	}
 }
 
-// longestActions is how long after a write of its row the actions of a holder forbid others.
-func (m *Machine) longestActions() time.Duration {
+// maxActionTime is how long after a write of its row the actions of a holder forbid others.
+func (m *Machine) maxActionTime() time.Duration {
 	drift := time.Duration(m.config.DriftMargin * float64(m.config.ActWindow))
 	return m.config.ActWindow + drift + m.config.Quiet
 }
@@ -191,19 +191,19 @@
 
 // Idle reports that nothing is in flight and nothing is to be done unless the
 // node contends.
-func (m *Machine) Idle() bool { return m.inFlight == nil && !m.busy() }
+func (m *Machine) Idle() bool { return m.inFlight == nil && !m.hasWork() }
 
-// busy reports whether there is a reason to talk to the table: the node
+// hasWork reports whether there is a reason to talk to the table: the node
 // contends, holds the row, or has a write of its own to settle.
-func (m *Machine) busy() bool {
+func (m *Machine) hasWork() bool {
 	settling := !m.observed && m.row.Version > 0
-	return m.contends || m.mine() || settling
+	return m.contends || m.ownsRow() || settling
 }
 
 // Next returns when Advance is to be called again; false means after the
 // exchange in flight or the next Contend.
 func (m *Machine) Next() (time.Time, bool) {
-	if m.inFlight != nil || !m.busy() {
+	if m.inFlight != nil || !m.hasWork() {
 		return time.Time{}, false
 	}
 	return m.nextAt, true
@@ -220,7 +220,7 @@
 	if !pending || now.Before(next) {
 		return Exchange{}, false
 	}
-	exchange := m.choose(now)
+	exchange := m.nextExchange(now)
 	exchange.SentAt = now
 	m.inFlight = &exchange
 	if exchange.Kind == Observe {
@@ -231,30 +231,30 @@
 	return exchange, true
 }
 
-func (m *Machine) choose(now time.Time) Exchange {
+func (m *Machine) nextExchange(now time.Time) Exchange {
 	switch {
 	case !m.observed, m.awaitsHolder(now):
-		return m.observe()
-	case m.mine() && !m.contends:
-		return m.write(now, Release, Record{Fence: m.record.Fence, Duration: m.config.Duration, Quiet: m.quietLeft(now)})
-	case m.mine() && m.record.Fence > m.floor:
+		return m.observeExchange()
+	case m.ownsRow() && !m.contends:
+		return m.writeExchange(now, Release, Record{Fence: m.record.Fence, Duration: m.config.Duration, Quiet: m.quietLeft(now)})
+	case m.ownsRow() && m.record.Fence > m.floor:
 		renewed := m.record
 		renewed.Duration = m.config.Duration
 		renewed.Renewals++
-		return m.write(now, Renew, renewed)
-	case m.mine() || m.free() || !now.Before(m.seenAt.Add(m.record.Duration)):
+		return m.writeExchange(now, Renew, renewed)
+	case m.ownsRow() || m.vacant() || !now.Before(m.seenAt.Add(m.record.Duration)):
 		m.quietUntil = m.quietAfter(now)
-		if used := m.usedAt.Add(m.config.Quiet); !m.usedAt.IsZero() && used.After(m.quietUntil) {
+		if used := m.lastActionAt.Add(m.config.Quiet); !m.lastActionAt.IsZero() && used.After(m.quietUntil) {
 			m.quietUntil = used
 		}
-		return m.acquire(now)
+		return m.acquireExchange(now)
 	}
-	return m.observe()
+	return m.observeExchange()
 }
 
-func (m *Machine) observe() Exchange { return Exchange{Kind: Observe, Key: RowKey(m.name)} }
+func (m *Machine) observeExchange() Exchange { return Exchange{Kind: Observe, Key: RowKey(m.name)} }
 
-func (m *Machine) write(now time.Time, kind Kind, record Record) Exchange {
+func (m *Machine) writeExchange(now time.Time, kind Kind, record Record) Exchange {
 	record.SentBy, record.Epoch = m.clock.latest(now, m.config.DriftMargin), m.epoch.newest
 	return Exchange{Kind: kind, Transaction: protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: RowKey(m.name), Version: m.row.Version}},
@@ -262,24 +262,24 @@
 	}}
 }
 
-// acquire builds the transaction that raises the fence counter and takes the
+// acquireExchange builds the transaction that raises the fence counter and takes the
 // lease, both or neither. With an outdated view of the counter it fails and
 // brings back the current one.
-func (m *Machine) acquire(now time.Time) Exchange {
-	fence := max(decodeCounter(m.counter.Value), m.record.Fence, m.floor, m.epoch.newest*fenceStep) + 1
+func (m *Machine) acquireExchange(now time.Time) Exchange {
+	fence := max(decodeCounter(m.counter.Value), m.record.Fence, m.floor, m.epoch.newest*fencesPerEpoch) + 1
 	record := Record{Node: m.node, Session: m.session, Fence: fence, Duration: m.config.Duration}
-	exchange := m.write(now, Acquire, record)
+	exchange := m.writeExchange(now, Acquire, record)
 	transaction := &exchange.Transaction
 	transaction.Conditions = append(transaction.Conditions, protocol.Condition{Key: CounterKey, Version: m.counter.Version})
 	transaction.Writes = append(transaction.Writes, protocol.Write{Key: CounterKey, Value: encode(counterRecord{Fence: fence})})
 	return exchange
 }
 
-// mine reports whether the row last seen names this session as the holder.
-func (m *Machine) mine() bool { return m.observed && m.record.Session == m.session }
+// ownsRow reports whether the row last seen names this session as the holder.
+func (m *Machine) ownsRow() bool { return m.observed && m.record.Session == m.session }
 
-// free reports whether the row last seen names no holder.
-func (m *Machine) free() bool { return m.row.Version == 0 || m.record.Session == "" }
+// vacant reports whether the row last seen names no holder.
+func (m *Machine) vacant() bool { return m.row.Version == 0 || m.record.Session == "" }
 
 // Done takes in the outcome of the exchange in flight.
 func (m *Machine) Done(now time.Time, outcome Outcome) {
@@ -289,17 +289,17 @@
 	sent := *m.inFlight
 	m.inFlight = nil
 	if len(outcome.Rows) > 0 {
-		m.clock.saw(sent.SentAt, outcome.Rows[0].StoreTime)
+		m.clock.observe(sent.SentAt, outcome.Rows[0].StoreTime)
 	}
 	switch {
 	case outcome.Fault != nil:
-		m.failed(now, sent, outcome.Fault)
+		m.applyFailure(now, sent, outcome.Fault)
 	case sent.Kind == Observe:
-		m.saw(now, outcome.Rows[0])
+		m.observeRow(now, outcome.Rows[0])
 	case outcome.Committed:
-		m.committed(now, sent, outcome.Rows)
+		m.applyCommit(now, sent, outcome.Rows)
 	default:
-		m.saw(now, outcome.Rows[0])
+		m.observeRow(now, outcome.Rows[0])
 		if sent.Kind == Acquire {
 			m.counter = outcome.Rows[1]
 			m.nextAt = now
@@ -310,39 +310,39 @@
 // failed settles a write that may have taken effect by reading the row back.
 // The read-back never extends the lease: it only finds the row version with
 // which the next renewal can.
-func (m *Machine) failed(now time.Time, sent Exchange, problem *fault.Fault) {
-	m.nextAt = now.Add(max(m.config.RetryPause, problem.RetryAfter))
-	if sent.Kind != Observe && problem.Ran != fault.RanNo {
+func (m *Machine) applyFailure(now time.Time, sent Exchange, cause *fault.Fault) {
+	m.nextAt = now.Add(max(m.config.RetryPause, cause.RetryAfter))
+	if sent.Kind != Observe && cause.Ran != fault.RanNo {
 		m.observed = false
 		m.counters.Unsettled++
 	}
 }
 
-// saw takes in the row as it was at some moment before now.
-func (m *Machine) saw(now time.Time, row protocol.Row) {
+// observeRow takes in the row as it was at some moment before now.
+func (m *Machine) observeRow(now time.Time, row protocol.Row) {
 	if !m.observed || row.Version != m.row.Version {
-		m.adopt(now, row)
+		m.setRow(now, row)
 	}
-	m.noteEpoch(now, &row)
+	m.observeEpoch(now, &row)
 	m.observed = true
-	if m.held && !m.mine() {
+	if m.held && !m.ownsRow() {
 		m.held = false
 		m.counters.Lost++
 	}
 	m.nextAt = now
-	if !m.mine() && !m.free() {
+	if !m.ownsRow() && !m.vacant() {
 		takeover := m.seenAt.Add(m.record.Duration)
-		watch := now.Add(m.config.Duration / renewals)
+		watch := now.Add(m.config.Duration / renewalsPerDuration)
 		m.nextAt = earlier(takeover, watch)
 	}
 	if m.awaitsHolder(now) {
-		m.nextAt = earlier(m.cameBackAt.Add(m.config.Duration), now.Add(m.config.Duration/renewals))
+		m.nextAt = earlier(m.restoredAt.Add(m.config.Duration), now.Add(m.config.Duration/renewalsPerDuration))
 	}
 }
 
-// adopt replaces the row seen. An unchanged version keeps the time of its
+// setRow replaces the row seen. An unchanged version keeps the time of its
 // first sight even if an exchange in between was lost.
-func (m *Machine) adopt(now time.Time, row protocol.Row) {
+func (m *Machine) setRow(now time.Time, row protocol.Row) {
 	first := row.Version != m.row.Version || m.seenAt.IsZero()
 	if first {
 		m.seenAt = now
@@ -359,17 +359,17 @@
 	}
 }
 
-// committed takes in a confirmed write: the lease counts from the moment
+// applyCommit takes in a confirmed write: the lease counts from the moment
 // before it was sent.
-func (m *Machine) committed(now time.Time, sent Exchange, rows []protocol.Row) {
-	m.adopt(now, rows[0])
-	m.epoch.saw(rows[0].Epoch)
-	m.observed, m.cameBackAt = true, time.Time{}
+func (m *Machine) applyCommit(now time.Time, sent Exchange, rows []protocol.Row) {
+	m.setRow(now, rows[0])
+	m.epoch.observe(rows[0].Epoch)
+	m.observed, m.restoredAt = true, time.Time{}
 	m.nextAt = now
 	switch sent.Kind {
 	case Release:
 		m.counters.Released++
-		m.nextAt = now.Add(m.config.Duration / renewals)
+		m.nextAt = now.Add(m.config.Duration / renewalsPerDuration)
 		return
 	case Acquire:
 		m.counter = rows[1]
@@ -382,7 +382,7 @@
 	m.actUntil = sent.SentAt.Add(m.config.ActWindow)
 	m.held, m.fence = m.contends && m.record.Fence > m.floor, m.record.Fence
 	if m.held {
-		m.nextAt = sent.SentAt.Add(m.config.Duration / renewals)
+		m.nextAt = sent.SentAt.Add(m.config.Duration / renewalsPerDuration)
 	}
 }
 
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -36,246 +36,246 @@
 	slowest = 0.9
 )
 
-// call is one exchange under way. Its effect may come after the caller has
+// pendingExchange is one exchange under way. Its effect may come after the caller has
 // given up waiting.
-type call struct {
-	exchange           Exchange
-	effectAt, answerAt time.Time
-	lost, effected     bool
-	outcome            Outcome
+type pendingExchange struct {
+	exchange            Exchange
+	appliesAt, answerAt time.Time
+	lost, applied       bool
+	outcome             Outcome
 }
 
-// order is an order that was decided under a grant and arrives later.
-type order struct {
-	fence    uint64
-	arriveAt time.Time
+// sentOrder is an order that was decided under a grant and arrives later.
+type sentOrder struct {
+	fence     uint64
+	arrivesAt time.Time
 }
 
 // node is one contender, with a clock that may run at another rate.
 type node struct {
 	machine     *Machine
 	rate        float64
-	call        *call
+	pending     *pendingExchange
 	pausedUntil time.Time
 }
 
-// world explores pauses, lost answers, late commits and orders on the way.
-type world struct {
-	t        *rapid.T
-	now      time.Time
-	table    *tableModel
-	nodes    []*node
-	late     []*call
-	owners   map[uint64]int
-	taken    []uint64
-	orders   []order
-	engine   uint64
-	executed []uint64
-	deletes  bool
-	// comesBack says that the table comes back from older copies; copied is the last one.
-	comesBack bool
-	copied    storetest.Copy
-	cameBack  int
-	// tellsTime says that the table tells its own time.
-	tellsTime bool
+// simulation explores pauses, lost answers, late commits and orders on the way.
+type simulation struct {
+	t           *rapid.T
+	now         time.Time
+	table       *tableModel
+	nodes       []*node
+	late        []*pendingExchange
+	owners      map[uint64]int
+	acquired    []uint64
+	orders      []sentOrder
+	engineFence uint64
+	executed    []uint64
+	deletes     bool
+	// restores says that the table comes back from older copies; copied is the last one.
+	restores bool
+	backup   storetest.Copy
+	restored int
+	// reportsTime says that the table tells its own time.
+	reportsTime bool
 	// actedAt and actedFence are those of the last order decided.
 	actedAt    time.Time
 	actedFence uint64
-	turns      int
+	handovers  int
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: epoch, table: newTableModel(), owners: map[uint64]int{}, deletes: rapid.Bool().Draw(t, "deletes")}
-	w.tellsTime = rapid.Bool().Draw(t, "tells time")
-	w.comesBack, w.copied = rapid.Bool().Draw(t, "comes back"), w.table.Copy()
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{t: t, now: epoch, table: newTableModel(), owners: map[uint64]int{}, deletes: rapid.Bool().Draw(t, "deletes")}
+	s.reportsTime = rapid.Bool().Draw(t, "tells time")
+	s.restores, s.backup = rapid.Bool().Draw(t, "comes back"), s.table.Copy()
 	for index := range 3 {
-		one := &node{rate: rapid.Float64Range(0.95, 1.05).Draw(t, "rate")}
-		one.machine = NewMachine(Config{Duration: duration, Quiet: quiet, ActWindow: actWindow}, "x", ident.Node(fmt.Sprint(index)), fmt.Sprint("session-", index))
-		one.machine.Contend(w.local(one), true)
-		w.nodes = append(w.nodes, one)
+		n := &node{rate: rapid.Float64Range(0.95, 1.05).Draw(t, "rate")}
+		n.machine = NewMachine(Config{Duration: duration, Quiet: quiet, ActWindow: actWindow}, "x", ident.Node(fmt.Sprint(index)), fmt.Sprint("session-", index))
+		n.machine.Contend(s.localTime(n), true)
+		s.nodes = append(s.nodes, n)
 	}
-	return w
+	return s
 }
 
 var epoch = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// local is a node's own clock.
-func (w *world) local(n *node) time.Time {
-	return epoch.Add(time.Duration(float64(w.now.Sub(epoch)) * n.rate))
+// localTime is a node's own clock.
+func (s *simulation) localTime(n *node) time.Time {
+	return epoch.Add(time.Duration(float64(s.now.Sub(epoch)) * n.rate))
 }
 
 // oneIn draws an event that happens once in so many times.
-func (w *world) oneIn(label string, times int) bool {
-	return rapid.IntRange(0, times-1).Draw(w.t, label) == times-1
+func (s *simulation) oneIn(label string, times int) bool {
+	return rapid.IntRange(0, times-1).Draw(s.t, label) == times-1
 }
 
-func (w *world) after(label string, longest time.Duration) time.Time {
-	return w.now.Add(time.Duration(rapid.IntRange(0, int(longest/tick)).Draw(w.t, label)) * tick)
+func (s *simulation) randomTime(label string, longest time.Duration) time.Time {
+	return s.now.Add(time.Duration(rapid.IntRange(0, int(longest/tick)).Draw(s.t, label)) * tick)
 }
 
-func (w *world) step() {
-	w.now = w.now.Add(tick)
-	if w.tellsTime {
-		w.table.now = time.Hour + w.now.Sub(epoch)
+func (s *simulation) step() {
+	s.now = s.now.Add(tick)
+	if s.reportsTime {
+		s.table.storeTime = time.Hour + s.now.Sub(epoch)
 	}
-	for _, pending := range w.late {
-		w.effect(pending)
+	for _, pending := range s.late {
+		s.apply(pending)
 	}
-	for index, one := range w.nodes {
-		if one.call != nil {
-			w.effect(one.call)
+	for index, n := range s.nodes {
+		if n.pending != nil {
+			s.apply(n.pending)
 		}
-		if w.oneIn("pause", 80) {
-			one.pausedUntil = w.after("pause length", 20*time.Second)
+		if s.oneIn("pause", 80) {
+			n.pausedUntil = s.randomTime("pause length", 20*time.Second)
 		}
-		if !w.now.Before(one.pausedUntil) {
-			w.run(index, one)
+		if !s.now.Before(n.pausedUntil) {
+			s.run(index, n)
 		}
 	}
-	w.arrive()
-	if w.deletes && w.oneIn("delete", 100) {
-		delete(w.table.Current, RowKey("x"))
+	s.deliverOrders()
+	if s.deletes && s.oneIn("delete", 100) {
+		delete(s.table.Current, RowKey("x"))
 	}
-	w.comeBack()
-	w.check()
+	s.restoreTable()
+	s.check()
 }
 
-// comeBack lets the table come back from an older copy at times.
-func (w *world) comeBack() {
-	if !w.comesBack {
+// restoreTable lets the table come back from an older copy at times.
+func (s *simulation) restoreTable() {
+	if !s.restores {
 		return
 	}
-	if w.oneIn("copied", 20) {
-		w.copied = w.table.Copy()
+	if s.oneIn("copied", 20) {
+		s.backup = s.table.Copy()
 	}
-	if w.oneIn("comes back", 100) {
-		w.table.ComeBack(w.copied)
-		w.cameBack++
+	if s.oneIn("comes back", 100) {
+		s.table.ComeBack(s.backup)
+		s.restored++
 	}
 }
 
 // effect lets an exchange take effect at the table once it is due.
-func (w *world) effect(pending *call) {
-	if pending.effected || w.now.Before(pending.effectAt) {
+func (s *simulation) apply(pending *pendingExchange) {
+	if pending.applied || s.now.Before(pending.appliesAt) {
 		return
 	}
-	pending.effected = true
-	pending.outcome = w.table.run(pending.exchange)
+	pending.applied = true
+	pending.outcome = s.table.run(pending.exchange)
 	if pending.exchange.Kind == Observe {
 		return
 	}
 	record, _ := DecodeRecord(pending.exchange.Transaction.Writes[0].Value)
 	switch {
-	case record.Epoch != w.table.Epoch():
+	case record.Epoch != s.table.Epoch():
 		// A client takes what was committed after the table came back as unanswered.
 		pending.outcome = Outcome{Fault: fault.New(fault.StoreUnavailable, "came back").WithRan(fault.RanUnknown)}
 	case pending.outcome.Committed && pending.exchange.Kind == Acquire:
-		w.taken = append(w.taken, record.Fence)
+		s.acquired = append(s.acquired, record.Fence)
 	}
 }
 
-func (w *world) run(index int, one *node) {
-	if one.call != nil && !w.now.Before(one.call.answerAt) {
-		outcome := one.call.outcome
-		if one.call.lost || !one.call.effected {
+func (s *simulation) run(index int, n *node) {
+	if n.pending != nil && !s.now.Before(n.pending.answerAt) {
+		outcome := n.pending.outcome
+		if n.pending.lost || !n.pending.applied {
 			outcome = Outcome{Fault: fault.New(fault.StoreUnavailable, "no answer").WithRan(fault.RanUnknown)}
-			w.late = append(w.late, one.call)
+			s.late = append(s.late, n.pending)
 		}
-		one.call = nil
-		one.machine.Done(w.local(one), outcome)
-	}
-	if w.oneIn("contend", 60) {
-		one.machine.Contend(w.local(one), rapid.Bool().Draw(w.t, "wanted"))
-	}
-	if exchange, due := one.machine.Advance(w.local(one)); due {
-		one.call = &call{exchange: exchange, effectAt: w.now, answerAt: w.now}
-		if w.oneIn("slow", 5) {
-			one.call.effectAt = w.after("effect", 12*time.Second)
-			one.call.answerAt = w.now.Add(timeout)
-			one.call.lost = w.oneIn("lost", 2)
+		n.pending = nil
+		n.machine.Done(s.localTime(n), outcome)
+	}
+	if s.oneIn("contend", 60) {
+		n.machine.Contend(s.localTime(n), rapid.Bool().Draw(s.t, "wanted"))
+	}
+	if exchange, due := n.machine.Advance(s.localTime(n)); due {
+		n.pending = &pendingExchange{exchange: exchange, appliesAt: s.now, answerAt: s.now}
+		if s.oneIn("slow", 5) {
+			n.pending.appliesAt = s.randomTime("effect", 12*time.Second)
+			n.pending.answerAt = s.now.Add(timeout)
+			n.pending.lost = s.oneIn("lost", 2)
 		}
 	}
-	grant, err := one.machine.Held(w.local(one))
+	grant, err := n.machine.Held(s.localTime(n))
 	if err != nil {
 		return
 	}
-	if owner, known := w.owners[grant.Fence]; known && owner != index {
-		w.t.Fatalf("fence %d is held by nodes %d and %d", grant.Fence, owner, index)
+	if owner, known := s.owners[grant.Fence]; known && owner != index {
+		s.t.Fatalf("fence %d is held by nodes %d and %d", grant.Fence, owner, index)
 	}
-	w.owners[grant.Fence] = index
-	if !w.oneIn("order", 4) {
+	s.owners[grant.Fence] = index
+	if !s.oneIn("order", 4) {
 		return
 	}
-	if _, err := one.machine.Act(w.local(one)); err == nil {
-		w.act(grant.Fence)
-		w.orders = append(w.orders, order{grant.Fence, w.after("arrives", 25*time.Second)})
+	if _, err := n.machine.Act(s.localTime(n)); err == nil {
+		s.recordAction(grant.Fence)
+		s.orders = append(s.orders, sentOrder{grant.Fence, s.randomTime("arrives", 25*time.Second)})
 	}
 }
 
-// act checks that the orders of two holders are the quiet time apart.
-func (w *world) act(fence uint64) {
-	if fence != w.actedFence && !w.actedAt.IsZero() {
-		w.turns++
-		apart := w.now.Sub(w.actedAt)
-		if least := time.Duration(slowest * float64(quiet)); apart < least && !w.deletes {
-			w.t.Fatalf("fence %d acts %v after fence %d", fence, apart, w.actedFence)
+// recordAction checks that the orders of two holders are the quiet time apart.
+func (s *simulation) recordAction(fence uint64) {
+	if fence != s.actedFence && !s.actedAt.IsZero() {
+		s.handovers++
+		apart := s.now.Sub(s.actedAt)
+		if least := time.Duration(slowest * float64(quiet)); apart < least && !s.deletes {
+			s.t.Fatalf("fence %d acts %v after fence %d", fence, apart, s.actedFence)
 		}
 	}
-	w.actedAt, w.actedFence = w.now, fence
+	s.actedAt, s.actedFence = s.now, fence
 }
 
-// arrive brings orders to an engine that refuses older fences.
-func (w *world) arrive() {
-	for _, sent := range w.orders {
-		if sent.arriveAt.Equal(w.now) && sent.fence >= w.engine {
-			w.engine = sent.fence
-			w.executed = append(w.executed, sent.fence)
+// deliverOrders brings orders to an engine that refuses older fences.
+func (s *simulation) deliverOrders() {
+	for _, sent := range s.orders {
+		if sent.arrivesAt.Equal(s.now) && sent.fence >= s.engineFence {
+			s.engineFence = sent.fence
+			s.executed = append(s.executed, sent.fence)
 		}
 	}
 }
 
-func (w *world) check() {
+func (s *simulation) check() {
 	holders := 0
-	for _, one := range w.nodes {
-		if _, err := one.machine.Held(w.local(one)); err == nil {
+	for _, n := range s.nodes {
+		if _, err := n.machine.Held(s.localTime(n)); err == nil {
 			holders++
 		}
 	}
-	if holders > 1 && !w.deletes { // a deleted row frees the lease at once
-		w.t.Fatalf("%d nodes hold the lease at once", holders)
+	if holders > 1 && !s.deletes { // a deleted row frees the lease at once
+		s.t.Fatalf("%d nodes hold the lease at once", holders)
 	}
-	for index := 1; index < len(w.taken); index++ {
-		if w.taken[index] <= w.taken[index-1] {
-			w.t.Fatalf("fence %d was given after fence %d", w.taken[index], w.taken[index-1])
+	for index := 1; index < len(s.acquired); index++ {
+		if s.acquired[index] <= s.acquired[index-1] {
+			s.t.Fatalf("fence %d was given after fence %d", s.acquired[index], s.acquired[index-1])
 		}
 	}
-	position := 0
-	for _, fence := range w.executed {
-		for position < len(w.taken) && w.taken[position] != fence {
-			position++
+	next := 0
+	for _, fence := range s.executed {
+		for next < len(s.acquired) && s.acquired[next] != fence {
+			next++
 		}
-		if position == len(w.taken) {
-			w.t.Fatalf("an order of fence %d ran after one of a later holder", fence)
+		if next == len(s.acquired) {
+			s.t.Fatalf("an order of fence %d ran after one of a later holder", fence)
 		}
 	}
 }
 
-func TestOneHolderAndRisingFencesInAnyHistory(t *testing.T) {
-	acquired, refused, turns, cameBack := 0, 0, 0, 0
+func TestExclusiveHolderAndRisingFences(t *testing.T) {
+	acquired, refused, handovers, restored := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		s := newSimulation(t)
 		for range ticks {
-			w.step()
+			s.step()
 		}
-		acquired += len(w.taken)
-		refused += len(w.orders) - len(w.executed)
-		turns += w.turns
-		cameBack += w.cameBack
+		acquired += len(s.acquired)
+		refused += len(s.orders) - len(s.executed)
+		handovers += s.handovers
+		restored += s.restored
 	})
 	t.Logf("%d acquisitions, %d orders refused or under way", acquired, refused)
-	t.Logf("%d times another holder ordered next", turns)
-	t.Logf("%d times the table came back from an older copy", cameBack)
-	if acquired < 1000 || refused < 1000 || turns < 1000 || cameBack < 300 {
+	t.Logf("%d times another holder ordered next", handovers)
+	t.Logf("%d times the table came back from an older copy", restored)
+	if acquired < 1000 || refused < 1000 || handovers < 1000 || restored < 300 {
 		t.Fatal("the histories hardly change holders or refuse no order: the test sees nothing")
 	}
 }
@@ -314,7 +314,7 @@
 
 // An idle holder that hands over leaves nothing to wait for; one that has just
 // acted leaves the rest of the quiet time.
-func TestAReleaseTellsWhatIsLeftOfTheQuietTime(t *testing.T) {
+func TestReleaseHandsOverRemainingQuietTime(t *testing.T) {
 	cases := []struct {
 		name   string
 		acts   bool
@@ -357,7 +357,7 @@
 
 // A contender that comes late does not wait for a lease that ran out before, if
 // the table tells its time; it waits for what is left of one that did not.
-func TestALateContenderDoesNotWaitForADeadHolder(t *testing.T) {
+func TestTakeoverWaitOfLateContender(t *testing.T) {
 	tests := []struct {
 		name   string
 		tells  bool
@@ -374,7 +374,7 @@
 			table := newTableModel()
 			at := func(now time.Time) time.Time {
 				if tt.tells {
-					table.now = time.Hour + now.Sub(epoch)
+					table.storeTime = time.Hour + now.Sub(epoch)
 				}
 				return now
 			}
--- a/internal/lease/table_test.go
+++ b/internal/lease/table_test.go
@@ -14,8 +14,8 @@
 // tableModel is the table's truth: rows and versions, without any transport.
 type tableModel struct {
 	*storetest.Rows
-	// now is the table's own time, 0 if it tells none.
-	now time.Duration
+	// storeTime is the table's own time, 0 if it tells none.
+	storeTime time.Duration
 }
 
 func newTableModel() *tableModel { return &tableModel{Rows: storetest.NewRows()} }
@@ -29,7 +29,7 @@
 		outcome.Committed, outcome.Rows = result.Committed, result.Rows
 	}
 	for index := range outcome.Rows {
-		outcome.Rows[index].StoreTime, outcome.Rows[index].Epoch = m.now, m.Epoch()
+		outcome.Rows[index].StoreTime, outcome.Rows[index].Epoch = m.storeTime, m.Epoch()
 	}
 	return outcome
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -52,9 +52,9 @@
 const (
 	defaultTick            = 100 * time.Millisecond
 	defaultExchangeTimeout = 600 * time.Millisecond
-	// announcePause is the time between the notice of an order and the order, for
+	// notificationLead is the time between the notice of an order and the order, for
 	// the notice to arrive and for work under way to reach its engine.
-	announcePause = 30 * time.Millisecond
+	notificationLead = 30 * time.Millisecond
 	// resultCapacity holds the results of all exchanges that can be under way.
 	resultCapacity = 1024
 )
@@ -81,7 +81,7 @@
 	}
 	// Only routers that are told send no new work.
 	if config.Notifier != nil && config.Quiesce {
-		config.Planner.Emptying = cmp.Or(config.Planner.Emptying, defaultEmptying)
+		config.Planner.QuiesceTime = cmp.Or(config.Planner.QuiesceTime, defaultQuiesceTime)
 	}
 	return &Controller{
 		config: config, planner: NewPlanner(config.Planner), lease: held, engines: engines,
@@ -97,9 +97,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case take := <-c.results:
-			take(clock.Now())
-			c.takeResults()
+		case apply := <-c.results:
+			apply(clock.Now())
+			c.applyResults()
 			c.step(ctx, clock.Now())
 		case <-ticker.C:
 			c.step(ctx, clock.Now())
@@ -107,12 +107,12 @@
 	}
 }
 
-// takeResults takes in all results there are.
-func (c *Controller) takeResults() {
+// applyResults takes in all results there are.
+func (c *Controller) applyResults() {
 	for {
 		select {
-		case take := <-c.results:
-			take(clock.Now())
+		case apply := <-c.results:
+			apply(clock.Now())
 		default:
 			return
 		}
@@ -126,7 +126,7 @@
 	}
 	if grant.Fence != c.fence {
 		c.fence = grant.Fence
-		c.planner.Forget()
+		c.planner.ForgetOrders()
 	}
 	// Orders of two holders must never take turns.
 	if now.Before(grant.QuietUntil) || !now.Before(grant.ActUntil) {
@@ -137,49 +137,49 @@
 		return !view.Serves(record.Service)
 	})
 	c.planner.Observe(records, view.Models)
-	c.planner.Calm(c.calm(now, records))
+	c.planner.SetHeadroom(c.headroom(now, records))
 	actions := c.planner.Plan(now, grant.Fence)
-	for _, doubt := range c.planner.Doubts() {
+	for _, suspect := range c.planner.NewSuspects() {
 		if c.config.OnSuspectVersion != nil {
-			c.config.OnSuspectVersion(doubt)
+			c.config.OnSuspectVersion(suspect)
 		}
 	}
-	c.announce(actions)
+	c.notifyChanges(actions)
 	for _, action := range actions {
 		go c.execute(ctx, now, action, grant.Fence)
 	}
 }
 
-// calm returns how calm the services of engines are, from 0 to 1.
-func (c *Controller) calm(now time.Time, records []backend.Record) map[ident.Service]float64 {
-	calm := make(map[ident.Service]float64)
+// headroom returns how calm the services of engines are, from 0 to 1.
+func (c *Controller) headroom(now time.Time, records []backend.Record) map[ident.Service]float64 {
+	headroom := make(map[ident.Service]float64)
 	for _, record := range records {
-		if _, known := calm[record.Service]; !known && len(record.Models) > 0 {
-			calm[record.Service] = c.backends.Headroom(now, record.Service)
+		if _, known := headroom[record.Service]; !known && len(record.Models) > 0 {
+			headroom[record.Service] = c.backends.Headroom(now, record.Service)
 		}
 	}
-	return calm
+	return headroom
 }
 
-// announce tells the engines that the actions change, those that are emptied, and
+// notifyChanges tells the engines that the actions change, those that are emptied, and
 // those that have their version since the last look.
-func (c *Controller) announce(actions []Action) {
-	loaded, emptying := c.planner.Loaded(), c.planner.Emptying()
+func (c *Controller) notifyChanges(actions []Action) {
+	loaded, quiescing := c.planner.Loaded(), c.planner.Quiescing()
 	if c.config.Notifier == nil {
 		return
 	}
-	gathered := notices{loadTime: c.planner.LoadTime() + announcePause}
-	gathered.loading(actions)
+	pending := notificationBatch{loadTime: c.planner.LoadTime() + notificationLead}
+	pending.addLoading(actions)
 	for _, engine := range loaded {
-		notice := gathered.of(engine.Model, engine.Version)
-		notice.Loaded = append(notice.Loaded, engine.Instance)
+		notification := pending.forVersion(engine.Model, engine.Version)
+		notification.Loaded = append(notification.Loaded, engine.Instance)
 	}
-	gathered.emptying(emptying, c.config.Planner.Emptying)
-	gathered.announce(c.config.Notifier)
+	pending.addQuiescing(quiescing, c.config.Planner.QuiesceTime)
+	pending.send(c.config.Notifier)
 }
 
-// announceResult takes a notice back whose order may not have been taken.
-func (c *Controller) announceResult(order *Order, result Result) {
+// notifyUnsettled takes a notice back whose order may not have been taken.
+func (c *Controller) notifyUnsettled(order *Order, result Result) {
 	if c.config.Notifier == nil || result == Accepted {
 		return
 	}
@@ -189,7 +189,7 @@
 }
 
 // execute makes one exchange and hands its result to the goroutine of Run.
-func (c *Controller) execute(ctx context.Context, askedAt time.Time, action Action, fence uint64) {
+func (c *Controller) execute(ctx context.Context, requestedAt time.Time, action Action, fence uint64) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.ExchangeTimeout)
 	defer cancel()
 	if action.Order == nil {
@@ -198,13 +198,13 @@
 			report = nil
 		}
 		c.results <- func(time.Time) {
-			c.planner.Reported(askedAt, action.Target.Instance, report)
-			c.tell(action.Target, report)
+			c.planner.Reported(requestedAt, action.Target.Instance, report)
+			c.observeVersions(action.Target, report)
 		}
 		return
 	}
-	if c.config.Notifier != nil && !action.Emptied {
-		wait.For(ctx, announcePause)
+	if c.config.Notifier != nil && !action.Quiesced {
+		wait.For(ctx, notificationLead)
 	}
 	// The lease is asked once more right before the order leaves.
 	result := NotSent
@@ -214,15 +214,15 @@
 	c.results <- func(now time.Time) {
 		c.planner.Ordered(now, action.Order, result)
 		c.config.OnOrder(action.Order, result)
-		c.announceResult(action.Order, result)
+		c.notifyUnsettled(action.Order, result)
 		if result == Outdated {
 			c.lease.StepDown(fence)
 		}
 	}
 }
 
-// tell hands newer versions to the registry ahead of the list.
-func (c *Controller) tell(target backend.Record, report *Report) {
+// observeVersions hands newer versions to the registry ahead of the list.
+func (c *Controller) observeVersions(target backend.Record, report *Report) {
 	if report == nil {
 		return
 	}
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -29,24 +29,24 @@
 // fleetEngines takes orders as a fleet does, and notes them together with the
 // notices.
 type fleetEngines struct {
-	mu      sync.Mutex
-	fleet   *fleet
-	history []string
+	mu     sync.Mutex
+	fleet  *fleet
+	events []string
 	// silent leaves its first order unanswered.
 	silent ident.Incarnation
-	// loadTime and emptyTime are the times last told.
-	loadTime, emptyTime time.Duration
+	// loadTime and quiesceTime are the times last told.
+	loadTime, quiesceTime time.Duration
 }
 
 func (e *fleetEngines) Order(_ context.Context, order *rollout.Order) rollout.Result {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.history = append(e.history, "order "+string(order.Target.Instance))
+	e.events = append(e.events, "order "+string(order.Target.Instance))
 	if order.Target.Instance == e.silent {
 		e.silent = ""
 		return rollout.Unanswered
 	}
-	return e.fleet.take(order)
+	return e.fleet.execute(order)
 }
 
 func (e *fleetEngines) Report(_ context.Context, target backend.Record) (*rollout.Report, error) {
@@ -55,58 +55,58 @@
 	return e.fleet.report(target.Instance), nil
 }
 
-func (e *fleetEngines) Notify(notice rollout.Notification) {
+func (e *fleetEngines) Notify(notification rollout.Notification) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.loadTime = max(e.loadTime, notice.LoadTime)
-	e.emptyTime = max(e.emptyTime, notice.QuiesceTime)
-	for _, instance := range notice.Loading {
-		e.history = append(e.history, "loading "+string(instance))
+	e.loadTime = max(e.loadTime, notification.LoadTime)
+	e.quiesceTime = max(e.quiesceTime, notification.QuiesceTime)
+	for _, instance := range notification.Loading {
+		e.events = append(e.events, "loading "+string(instance))
 	}
-	for _, instance := range notice.Quiescing {
-		e.history = append(e.history, "emptying "+string(instance))
+	for _, instance := range notification.Quiescing {
+		e.events = append(e.events, "emptying "+string(instance))
 	}
-	for _, instance := range notice.Unsettled {
-		e.history = append(e.history, "unsettled "+string(instance))
+	for _, instance := range notification.Unsettled {
+		e.events = append(e.events, "unsettled "+string(instance))
 	}
-	for _, instance := range notice.Loaded {
-		e.history = append(e.history, "loaded "+string(instance))
+	for _, instance := range notification.Loaded {
+		e.events = append(e.events, "loaded "+string(instance))
 	}
 }
 
 // Each engine is announced before its order leaves, and again once it has the
 // version.
-func TestEnginesAreAnnouncedBeforeTheyChange(t *testing.T) {
+func TestNotificationsAroundEachOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := &fleetEngines{fleet: newFleet(7), silent: "i-03"}
 		holder := &catalog.Holder{}
 		holder.Published(model, catalog.Publication{Version: 2, SeenAt: time.Now()})
-		known := backend.NewRegistry(backend.Config{})
-		known.ApplyList(time.Now(), engines.fleet.records())
+		backends := backend.NewRegistry(backend.Config{})
+		backends.ApplyList(time.Now(), engines.fleet.records())
 		controller := rollout.NewController(rollout.ControllerConfig{
 			Planner: config, Notifier: engines, OnOrder: func(*rollout.Order, rollout.Result) {},
-		}, heldLease{}, engines, holder, known)
+		}, heldLease{}, engines, holder, backends)
 		go controller.Run(t.Context())
 		time.Sleep(20 * time.Second)
 		engines.mu.Lock()
 		defer engines.mu.Unlock()
 		is.Equal(engines.fleet.loads, 7)
 		for instance := range engines.fleet.versions {
-			place := func(event string, instance ident.Incarnation) int {
-				return slices.Index(engines.history, event+" "+string(instance))
+			indexOf := func(event string, instance ident.Incarnation) int {
+				return slices.Index(engines.events, event+" "+string(instance))
 			}
-			is.True(place("loading", instance) >= 0)
-			is.True(place("loading", instance) < place("order", instance))
-			is.True(place("order", instance) < place("loaded", instance))
-			is.Equal(place("unsettled", instance) >= 0, instance == "i-03")
+			is.True(indexOf("loading", instance) >= 0)
+			is.True(indexOf("loading", instance) < indexOf("order", instance))
+			is.True(indexOf("order", instance) < indexOf("loaded", instance))
+			is.Equal(indexOf("unsettled", instance) >= 0, instance == "i-03")
 		}
 	})
 }
 
 // An engine that runs requests is announced before it is emptied, and again right
 // before its order, with the times that routers need.
-func TestEmptiedEnginesAreAnnounced(t *testing.T) {
+func TestQuiescingNotifications(t *testing.T) {
 	tests := []struct {
 		name     string
 		emptying bool
@@ -123,18 +123,18 @@
 				engines.fleet.active = 2
 				holder := &catalog.Holder{}
 				holder.Published(model, catalog.Publication{Version: 2, SeenAt: time.Now()})
-				known := backend.NewRegistry(backend.Config{})
-				known.ApplyList(time.Now(), engines.fleet.records())
+				backends := backend.NewRegistry(backend.Config{})
+				backends.ApplyList(time.Now(), engines.fleet.records())
 				controller := rollout.NewController(rollout.ControllerConfig{
 					Planner: config, Notifier: engines, Quiesce: tt.emptying, OnOrder: func(*rollout.Order, rollout.Result) {},
-				}, heldLease{}, engines, holder, known)
+				}, heldLease{}, engines, holder, backends)
 				go controller.Run(t.Context())
 				time.Sleep(5 * time.Second)
 				engines.mu.Lock()
 				defer engines.mu.Unlock()
-				is.Equal(engines.history, tt.want)
+				is.Equal(engines.events, tt.want)
 				is.True(engines.loadTime > time.Second) // the expected second and what it may take longer
-				is.Equal(engines.emptyTime > 0, tt.emptying)
+				is.Equal(engines.quiesceTime > 0, tt.emptying)
 			})
 		})
 	}
@@ -142,7 +142,7 @@
 
 // An entry that another writer left in the list may name a service that there is not: nothing
 // is sent to what it names.
-func TestOnlyEnginesOfServicesThatThereAreAreOrdered(t *testing.T) {
+func TestEnginesOfUnknownServicesAreNotOrdered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := &fleetEngines{fleet: newFleet(2)}
@@ -156,11 +156,11 @@
 				records[index].Service = "no such service"
 			}
 		}
-		known := backend.NewRegistry(backend.Config{})
-		known.ApplyList(time.Now(), records)
+		backends := backend.NewRegistry(backend.Config{})
+		backends.ApplyList(time.Now(), records)
 		controller := rollout.NewController(rollout.ControllerConfig{
 			Planner: config, OnOrder: func(*rollout.Order, rollout.Result) {},
-		}, heldLease{}, engines, holder, known)
+		}, heldLease{}, engines, holder, backends)
 		go controller.Run(t.Context())
 		time.Sleep(20 * time.Second)
 		engines.mu.Lock()
--- a/internal/rollout/crashes.go
+++ b/internal/rollout/crashes.go
@@ -13,18 +13,18 @@
 // the bounds below 7 end, and 4 are away at once.
 
 const (
-	// crashesToDoubt is the number of engines that must have ended while they loaded a version
+	// suspectThreshold is the number of engines that must have ended while they loaded a version
 	// that no engine has, before it is loaded by one at a time.
-	crashesToDoubt = 3
-	// firstDoubtPause is the time from such an end to the next load, which doubles with each one
-	// up to maxDoubtPause. It is short, as engines may crash for reasons of their own: the first
+	suspectThreshold = 3
+	// minSuspectPause is the time from such an end to the next load, which doubles with each one
+	// up to maxSuspectPause. It is short, as engines may crash for reasons of their own: the first
 	// load that ends well ends the doubt.
-	firstDoubtPause = 500 * time.Millisecond
-	maxDoubtPause   = time.Minute
+	minSuspectPause = 500 * time.Millisecond
+	maxSuspectPause = time.Minute
 )
 
-// weights are a version of a model.
-type weights struct {
+// modelVersion are a version of a model.
+type modelVersion struct {
 	model   ident.Model
 	version int
 }
@@ -37,89 +37,89 @@
 	Ended int
 }
 
-// doubt is what is held against a version.
-type doubt struct {
-	ended int
+// loadCrashes is what is held against a version.
+type loadCrashes struct {
+	count int
 	// pause is the time from the last end to the next load, which may begin at next; that is
 	// zero until the time of the last end is known.
-	pause time.Duration
-	next  time.Time
-	told  bool
+	pause      time.Duration
+	nextLoadAt time.Time
+	reported   bool
 }
 
-// noteEnds takes in which engines under order are not listed any more. Those that leave as planned
+// noteCrashes takes in which engines under order are not listed any more. Those that leave as planned
 // are told as draining before.
-func (p *Planner) noteEnds(records []backend.Record) {
+func (p *Planner) noteCrashes(records []backend.Record) {
 	listed := make(map[ident.Incarnation]struct{}, len(records))
 	for _, record := range records {
 		listed[record.Instance] = struct{}{}
 	}
 	for instance, engine := range p.engines {
-		if _, there := listed[instance]; there || engine.ordered == 0 {
+		if _, present := listed[instance]; present || engine.ordered == 0 {
 			continue
 		}
-		loaded := weights{engine.orderedModel, engine.ordered}
-		known := p.doubts[loaded]
-		if known == nil {
-			known = &doubt{}
-			p.doubts[loaded] = known
+		loading := modelVersion{engine.orderedModel, engine.ordered}
+		crashes := p.crashes[loading]
+		if crashes == nil {
+			crashes = &loadCrashes{}
+			p.crashes[loading] = crashes
 		}
-		known.ended++
-		known.pause = min(max(2*known.pause, firstDoubtPause), maxDoubtPause)
-		known.next = time.Time{}
+		crashes.count++
+		crashes.pause = min(max(2*crashes.pause, minSuspectPause), maxSuspectPause)
+		crashes.nextLoadAt = time.Time{}
 	}
 }
 
-// review drops doubts that a load or a newer version has ended, and dates the ends that were noted.
-func (p *Planner) review(now time.Time) {
-	for loaded, known := range p.doubts {
-		if p.has(loaded) || p.models[loaded.model].Version != loaded.version {
-			delete(p.doubts, loaded)
+// reviewCrashes drops doubts that a load or a newer version has ended, and dates the ends that were noted.
+func (p *Planner) reviewCrashes(now time.Time) {
+	for loading, crashes := range p.crashes {
+		if p.isLoaded(loading) || p.models[loading.model].Version != loading.version {
+			delete(p.crashes, loading)
 			continue
 		}
-		if known.next.IsZero() {
-			known.next = now.Add(known.pause)
+		if crashes.nextLoadAt.IsZero() {
+			crashes.nextLoadAt = now.Add(crashes.pause)
 		}
 	}
 }
 
-// has reports whether an engine has a version or a newer one.
-func (p *Planner) has(loaded weights) bool {
+// isLoaded reports whether an engine has a version or a newer one.
+func (p *Planner) isLoaded(wanted modelVersion) bool {
 	for _, engine := range p.engines {
-		if engine.versions[loaded.model] >= loaded.version {
+		if engine.versions[wanted.model] >= wanted.version {
 			return true
 		}
 	}
 	return false
 }
 
-// doubted reports whether an engine may not load the newest version of a model now.
-func (p *Planner) doubted(now time.Time, model ident.Model) bool {
-	loaded := weights{model, p.models[model].Version}
-	known := p.doubts[loaded]
-	if known == nil || known.ended < crashesToDoubt {
+// loadBlocked reports whether an engine may not load the newest version of a model now.
+func (p *Planner) loadBlocked(now time.Time, model ident.Model) bool {
+	newest := modelVersion{model, p.models[model].Version}
+	crashes := p.crashes[newest]
+	if crashes == nil || crashes.count < suspectThreshold {
 		return false
 	}
-	if now.Before(known.next) {
+	if now.Before(crashes.nextLoadAt) {
 		return true
 	}
 	for _, engine := range p.engines {
-		if engine.ordered == loaded.version && engine.orderedModel == model {
+		if engine.ordered == newest.version && engine.orderedModel == model {
 			return true
 		}
 	}
 	return false
 }
 
-// Doubts returns the versions that came to be doubted since the last call.
-func (p *Planner) Doubts() []SuspectVersion {
-	var doubts []SuspectVersion
-	for loaded, known := range p.doubts {
-		if known.ended < crashesToDoubt || known.told {
+// NewSuspects returns the versions that came to be doubted since the last call.
+func (p *Planner) NewSuspects() []SuspectVersion {
+	var suspects []SuspectVersion
+	for suspect, crashes := range p.crashes {
+		if crashes.count < suspectThreshold || crashes.reported {
 			continue
 		}
-		known.told = true
-		doubts = append(doubts, SuspectVersion{Model: loaded.model, Version: loaded.version, Ended: known.ended})
+		crashes.reported = true
+		suspects = append(suspects, SuspectVersion{Model: suspect.model, Version: suspect.version, Ended: crashes.count})
 	}
-	return doubts
+	return suspects
 }
--- a/internal/rollout/loadtimes.go
+++ b/internal/rollout/loadtimes.go
@@ -9,15 +9,15 @@
 	spreadWeight = 4
 	// spreadFactor times the mean deviation bounds nearly all loads.
 	spreadFactor = 2
-	// firstSpread is the deviation before the first load was seen, as a divisor of
+	// initialSpreadDivisor is the deviation before the first load was seen, as a divisor of
 	// the mean.
-	firstSpread = 4
-	// leastSpread is about the time between two reports, at which loads are seen to
+	initialSpreadDivisor = 4
+	// minSpread is about the time between two reports, at which loads are seen to
 	// end.
-	leastSpread = 50 * time.Millisecond
-	// longestLoad bounds what is learned: an engine that froze while it loaded says
+	minSpread = 50 * time.Millisecond
+	// maxLoadTime bounds what is learned: an engine that froze while it loaded says
 	// nothing of others.
-	longestLoad = 5 * time.Second
+	maxLoadTime = 5 * time.Second
 )
 
 // loadTimes learns how long engines take to load weights, from the answer to an order
@@ -25,17 +25,17 @@
 type loadTimes struct{ mean, spread time.Duration }
 
 func newLoadTimes(mean time.Duration) loadTimes {
-	return loadTimes{mean: mean, spread: mean / firstSpread}
+	return loadTimes{mean: mean, spread: mean / initialSpreadDivisor}
 }
 
 // observe takes in one load.
 func (l *loadTimes) observe(took time.Duration) {
-	if took <= 0 || took > longestLoad {
+	if took <= 0 || took > maxLoadTime {
 		return
 	}
 	deviation := took - l.mean
 	l.mean += deviation / loadWeight
-	l.spread = max(l.spread+(deviation.Abs()-l.spread)/spreadWeight, leastSpread)
+	l.spread = max(l.spread+(deviation.Abs()-l.spread)/spreadWeight, minSpread)
 }
 
 // shortest is the time after which a load may be over.
--- a/internal/rollout/loadtimes_test.go
+++ b/internal/rollout/loadtimes_test.go
@@ -13,7 +13,7 @@
 
 // The time of a load is learned from the loads that were seen, and sets when an engine
 // is asked whether it has its version.
-func TestTheTimeOfLoadsIsLearned(t *testing.T) {
+func TestLoadTimeIsLearned(t *testing.T) {
 	tests := []struct {
 		name        string
 		load        time.Duration
@@ -33,7 +33,7 @@
 			is.Equal(planner.LoadTime(), 1500*time.Millisecond) // before the first load
 			reports := 0
 			for version := 2; version <= 30; version++ {
-				reports = change(planner, engines, version, tt.load)
+				reports = changeVersion(planner, engines, version, tt.load)
 			}
 			is.True(planner.LoadTime() >= tt.least)
 			is.True(planner.LoadTime() <= tt.most)
@@ -43,27 +43,27 @@
 }
 
 // A load that lasted beyond all reason, as at an engine that froze, changes nothing.
-func TestALoadBeyondAllReasonIsNotLearned(t *testing.T) {
+func TestOutlierLoadTimeIsIgnored(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(1)
 	planner := rollout.NewPlanner(config)
-	change(planner, engines, 2, 6*time.Second)
+	changeVersion(planner, engines, 2, 6*time.Second)
 	is.Equal(planner.LoadTime(), 1500*time.Millisecond)
 }
 
-// change has one engine take a version that it loads for a time. It returns the number
+// changeVersion has one engine take a version that it loads for a time. It returns the number
 // of reports that were read after the order.
-func change(planner *rollout.Planner, engines *fleet, version int, load time.Duration) int {
+func changeVersion(planner *rollout.Planner, engines *fleet, version int, load time.Duration) int {
 	const name = ident.Incarnation("i-00")
 	from := start.Add(time.Duration(version) * time.Minute)
-	models := named(catalog.Publication{Version: version, SeenAt: from})
+	models := published(catalog.Publication{Version: version, SeenAt: from})
 	var order *rollout.Order
 	var orderedAt time.Time
 	reports := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
 		now := from.Add(at)
 		if order != nil && now.Sub(orderedAt) >= load {
-			engines.take(order)
+			engines.execute(order)
 			order = nil
 		}
 		planner.Observe(engines.records(), models)
--- a/internal/rollout/notice.go
+++ b/internal/rollout/notification.go
@@ -31,54 +31,54 @@
 	Notify(notice Notification)
 }
 
-// notices gathers what is to be told, one notice a version.
-type notices struct {
-	order []noticeKey
-	by    map[noticeKey]*Notification
+// notificationBatch gathers what is to be told, one notice a version.
+type notificationBatch struct {
+	keys      []notificationKey
+	byVersion map[notificationKey]*Notification
 	// loadTime is how long engines that load mostly take.
 	loadTime time.Duration
 }
 
-type noticeKey struct {
+type notificationKey struct {
 	model   ident.Model
 	version int
 }
 
-func (n *notices) of(model ident.Model, version int) *Notification {
-	key := noticeKey{model, version}
-	if n.by == nil {
-		n.by = make(map[noticeKey]*Notification)
+func (n *notificationBatch) forVersion(model ident.Model, version int) *Notification {
+	key := notificationKey{model, version}
+	if n.byVersion == nil {
+		n.byVersion = make(map[notificationKey]*Notification)
 	}
-	if n.by[key] == nil {
-		n.by[key] = &Notification{Model: model, Version: version}
-		n.order = append(n.order, key)
+	if n.byVersion[key] == nil {
+		n.byVersion[key] = &Notification{Model: model, Version: version}
+		n.keys = append(n.keys, key)
 	}
-	return n.by[key]
+	return n.byVersion[key]
 }
 
-// loading gathers the engines of orders that are about to leave.
-func (n *notices) loading(actions []Action) {
+// addLoading gathers the engines of orders that are about to leave.
+func (n *notificationBatch) addLoading(actions []Action) {
 	for _, action := range actions {
 		if order := action.Order; order != nil {
-			notice := n.of(order.Model, order.Version)
-			notice.Loading = append(notice.Loading, order.Target.Instance)
-			notice.LoadTime = n.loadTime
+			notification := n.forVersion(order.Model, order.Version)
+			notification.Loading = append(notification.Loading, order.Target.Instance)
+			notification.LoadTime = n.loadTime
 		}
 	}
 }
 
-// emptying gathers the engines that are emptied for some time at most.
-func (n *notices) emptying(engines []Emptying, most time.Duration) {
+// addQuiescing gathers the engines that are emptied for some time at most.
+func (n *notificationBatch) addQuiescing(engines []QuiescingEngine, longest time.Duration) {
 	for _, engine := range engines {
-		notice := n.of(engine.Model, engine.Version)
-		notice.Quiescing = append(notice.Quiescing, engine.Instance)
-		notice.QuiesceTime, notice.LoadTime = most, n.loadTime
+		notification := n.forVersion(engine.Model, engine.Version)
+		notification.Quiescing = append(notification.Quiescing, engine.Instance)
+		notification.QuiesceTime, notification.LoadTime = longest, n.loadTime
 	}
 }
 
 // announce tells what was gathered.
-func (n *notices) announce(to Notifier) {
-	for _, key := range n.order {
-		to.Notify(*n.by[key])
+func (n *notificationBatch) send(notifier Notifier) {
+	for _, key := range n.keys {
+		notifier.Notify(*n.byVersion[key])
 	}
 }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -66,6 +66,6 @@
 	// Order is nil if the report of Target is to be read.
 	Order  *Order
 	Target backend.Record
-	// Emptied says that routers were told before to send the target no new work.
-	Emptied bool
+	// Quiesced says that routers were told before to send the target no new work.
+	Quiesced bool
 }
--- a/internal/rollout/pace.go
+++ b/internal/rollout/pace.go
@@ -11,31 +11,31 @@
 	// one in five, 0.613 for one in four, 0.619 for one in seven, which differ by less
 	// than two seeds do.
 	parallelShare = 5
-	// leastServing keeps all but one in so many engines serving while others
+	// maxParallelShare keeps all but one in so many engines serving while others
 	// change, whatever the deadline.
-	leastServing = 3
+	maxParallelShare = 3
 )
 
-// due reports whether orders may leave by now.
-func (p *Planner) due(now time.Time, needs []need) bool {
-	return !p.config.DeferOrders || !now.Before(needs[0].deadline.Add(-p.lead(len(needs))))
+// ordersDue reports whether orders may leave by now.
+func (p *Planner) ordersDue(now time.Time, updates []pendingUpdate) bool {
+	return !p.config.DeferOrders || !now.Before(updates[0].deadline.Add(-p.leadTime(len(updates))))
 }
 
-// parallel is how many of count engines are changed at one time, so that all are
+// parallelism is how many of count engines are changed at one time, so that all are
 // within a span if most engines can go on serving meanwhile.
-func (p *Planner) parallel(count int, span time.Duration) int {
+func (p *Planner) parallelism(count int, span time.Duration) int {
 	change := p.changeTime()
 	span = max(span, change)
 	needed := (time.Duration(count)*change + span - 1) / span
 	usual := cmp.Or(p.config.Parallel, max((len(p.engines)+parallelShare/2)/parallelShare, 1))
-	return max(usual, min(int(needed), len(p.engines)/leastServing))
+	return max(usual, min(int(needed), len(p.engines)/maxParallelShare))
 }
 
-// lead is how long before the first deadline the change of count engines has
+// leadTime is how long before the first deadline the change of count engines has
 // to begin.
-func (p *Planner) lead(count int) time.Duration {
+func (p *Planner) leadTime(count int) time.Duration {
 	change := p.changeTime()
-	parallel := p.parallel(count, p.config.Deadline-p.config.Margin-change)
+	parallel := p.parallelism(count, p.config.Deadline-p.config.Margin-change)
 	rounds := (count + parallel - 1) / parallel
 	return time.Duration(rounds)*change + p.config.Margin
 }
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -34,29 +34,29 @@
 	// Margin is the time kept before the deadline for orders that are lost and
 	// holders that change. Default: 2s.
 	Margin time.Duration
-	// Emptying is the longest time for which an engine gets no new work before its
+	// QuiesceTime is the longest time for which an engine gets no new work before its
 	// order, so that the requests there can end. Default: none.
-	Emptying time.Duration
+	QuiesceTime time.Duration
 }
 
 const (
 	defaultDeadline = 8 * time.Second
 	defaultLoadTime = time.Second
 	defaultMargin   = 2 * time.Second
-	// reportPause is the time between two reports of an engine that changes, from
+	// reportInterval is the time between two reports of an engine that changes, from
 	// the time on at which the fastest loads are over.
-	reportPause = 100 * time.Millisecond
-	// settleAfter is how old an order must be before a report without any sign
+	reportInterval = 100 * time.Millisecond
+	// orderLostAfter is how old an order must be before a report without any sign
 	// of it shows that it was not taken; reports lag by some hundred ms.
-	settleAfter = 700 * time.Millisecond
-	// preparedFor is how long a report's sequence number is taken for the next
+	orderLostAfter = 700 * time.Millisecond
+	// maxReportAge is how long a report's sequence number is taken for the next
 	// order.
-	preparedFor = time.Second
+	maxReportAge = time.Second
 	// refusedPause is the pause after an engine refused an order.
 	refusedPause = 300 * time.Millisecond
-	// silentPause and maxSilentPause bound the pause after a report that did not
+	// minSilentPause and maxSilentPause bound the pause after a report that did not
 	// come; it doubles with each one in a row.
-	silentPause    = 300 * time.Millisecond
+	minSilentPause = 300 * time.Millisecond
 	maxSilentPause = 2 * time.Second
 )
 
@@ -74,8 +74,8 @@
 	Late uint64
 }
 
-// progress is the state of one engine.
-type progress struct {
+// engineState is the state of one engine.
+type engineState struct {
 	record   backend.Record
 	sequence uint64
 	versions map[ident.Model]int
@@ -86,24 +86,24 @@
 	// acceptedAt is when the engine said that it takes the version, zero if it did
 	// not.
 	acceptedAt time.Time
-	// asking is true while an order or a report is under way.
-	asking bool
-	notNow time.Time
-	// silent is the last pause after a report that did not come, 0 after one
+	// inFlight is true while an order or a report is under way.
+	inFlight bool
+	retryAt  time.Time
+	// minSilentPause is the last pause after a report that did not come, 0 after one
 	// that came.
-	silent time.Duration
-	// reportAt is when the next report is due, reportedAt when the last one
+	silentPause time.Duration
+	// nextReportAt is when the next report is due, reportedAt when the last one
 	// that came was asked for.
-	reportAt, reportedAt time.Time
+	nextReportAt, reportedAt time.Time
 	// requests is the number of requests at the engine in the last report, busy whether it
 	// carried out an order then.
 	requests int
 	busy     bool
-	// emptyingFrom is when routers were told to send the engine no new work, zero if
+	// quiescingSince is when routers were told to send the engine no new work, zero if
 	// they were not.
-	emptyingFrom time.Time
-	// awayFrom is when the change under order began: when emptying did, or the order.
-	awayFrom time.Time
+	quiescingSince time.Time
+	// unavailableSince is when the change under order began: when emptying did, or the order.
+	unavailableSince time.Time
 }
 
 // Planner decides on orders. It is not safe for concurrent use.
@@ -113,23 +113,23 @@
 // the engine carries out one at most, however late the other arrives.
 type Planner struct {
 	config   Config
-	engines  map[ident.Incarnation]*progress
+	engines  map[ident.Incarnation]*engineState
 	models   map[ident.Model]catalog.PublishedVersion
 	counters Counters
 	// loaded are the engines whose orders were settled since the last Loaded.
-	loaded []Loaded
+	loaded []LoadedEngine
 	// loads are the times from orders on, changes those for which engines were away.
 	loads, changes loadTimes
-	// calm is how calm services are, from 0 to 1.
-	calm map[ident.Service]float64
-	// emptying are the engines that got to be emptied since the last call of Emptying.
-	emptying []Emptying
-	// doubts are the versions under which engines ended while they loaded them.
-	doubts map[weights]*doubt
+	// headroom is how calm services are, from 0 to 1.
+	headroom map[ident.Service]float64
+	// quiescing are the engines that got to be emptied since the last call of Emptying.
+	quiescing []QuiescingEngine
+	// crashes are the versions under which engines ended while they loaded them.
+	crashes map[modelVersion]*loadCrashes
 }
 
-// Loaded is an engine that has the version it was ordered to take.
-type Loaded struct {
+// LoadedEngine is an engine that has the version it was ordered to take.
+type LoadedEngine struct {
 	Instance ident.Incarnation
 	Model    ident.Model
 	Version  int
@@ -139,8 +139,8 @@
 func NewPlanner(config Config) *Planner {
 	config = config.withDefaults()
 	return &Planner{
-		config: config, engines: make(map[ident.Incarnation]*progress), loads: newLoadTimes(config.LoadTime),
-		changes: newLoadTimes(config.LoadTime), doubts: make(map[weights]*doubt),
+		config: config, engines: make(map[ident.Incarnation]*engineState), loads: newLoadTimes(config.LoadTime),
+		changes: newLoadTimes(config.LoadTime), crashes: make(map[modelVersion]*loadCrashes),
 	}
 }
 
@@ -150,41 +150,41 @@
 // Observe takes in the newest list of back ends and the named versions.
 func (p *Planner) Observe(records []backend.Record, models map[ident.Model]catalog.PublishedVersion) {
 	p.models = models
-	p.noteEnds(records)
-	engines := make(map[ident.Incarnation]*progress, len(records))
+	p.noteCrashes(records)
+	engines := make(map[ident.Incarnation]*engineState, len(records))
 	for _, record := range records {
 		if len(record.Models) == 0 || record.Draining {
 			continue
 		}
 		known := p.engines[record.Instance]
 		if known == nil {
-			known = &progress{versions: make(map[ident.Model]int)}
+			known = &engineState{versions: make(map[ident.Model]int)}
 		}
 		known.record = record
-		known.learn(record.Models)
+		known.recordVersions(record.Models)
 		engines[record.Instance] = known
 	}
 	p.engines = engines
 }
 
-// learn takes in versions; an engine never goes back within one life.
-func (e *progress) learn(versions map[ident.Model]int) {
+// recordVersions takes in versions; an engine never goes back within one life.
+func (e *engineState) recordVersions(versions map[ident.Model]int) {
 	for model, version := range versions {
 		e.versions[model] = max(e.versions[model], version)
 	}
 }
 
-// Forget drops what is believed of orders under way, for a new holder.
-func (p *Planner) Forget() {
+// ForgetOrders drops what is believed of orders under way, for a new holder.
+func (p *Planner) ForgetOrders() {
 	for _, engine := range p.engines {
-		engine.ordered, engine.asking = 0, false
-		engine.emptyingFrom = time.Time{}
+		engine.ordered, engine.inFlight = 0, false
+		engine.quiescingSince = time.Time{}
 	}
 }
 
-// need is an engine that is behind a named version.
-type need struct {
-	engine   *progress
+// pendingUpdate is an engine that is behind a named version.
+type pendingUpdate struct {
+	engine   *engineState
 	model    ident.Model
 	deadline time.Time
 }
@@ -192,24 +192,24 @@
 // Plan returns what to do now under a fence. Each order must be answered by
 // Ordered, each report by Reported.
 func (p *Planner) Plan(now time.Time, fence uint64) []Action {
-	p.review(now)
-	actions, active, needs := p.survey(now)
-	if len(needs) == 0 || !p.due(now, needs) {
+	p.reviewCrashes(now)
+	actions, active, updates := p.survey(now)
+	if len(updates) == 0 || !p.ordersDue(now, updates) {
 		return actions
 	}
-	most := p.parallel(len(needs)+active, needs[0].deadline.Sub(now)-p.config.Margin)
-	for _, wanted := range needs {
-		if now.Before(wanted.engine.notNow) || p.doubted(now, wanted.model) {
+	limit := p.parallelism(len(updates)+active, updates[0].deadline.Sub(now)-p.config.Margin)
+	for _, update := range updates {
+		if now.Before(update.engine.retryAt) || p.loadBlocked(now, update.model) {
 			continue
 		}
 		// An engine that does not answer must not keep others waiting.
-		if wanted.engine.silent == 0 {
-			if active >= most {
+		if update.engine.silentPause == 0 {
+			if active >= limit {
 				continue
 			}
 			active++
 		}
-		if action, due := p.change(now, wanted, fence); due {
+		if action, due := p.advance(now, update, fence); due {
 			actions = append(actions, action)
 		}
 	}
@@ -218,115 +218,115 @@
 
 // survey follows the engines that change, counts those of them that answer,
 // and returns the others that are behind, the most urgent first.
-func (p *Planner) survey(now time.Time) (actions []Action, active int, needs []need) {
+func (p *Planner) survey(now time.Time) (actions []Action, active int, updates []pendingUpdate) {
 	for _, engine := range p.engines {
 		p.settle(now, engine)
-		if engine.ordered == 0 && !engine.asking {
-			wanted, behind := p.needOf(engine)
+		if engine.ordered == 0 && !engine.inFlight {
+			update, behind := p.updateFor(engine)
 			if !behind {
-				engine.emptyingFrom = time.Time{}
+				engine.quiescingSince = time.Time{}
 				continue
 			}
-			needs = append(needs, wanted)
+			updates = append(updates, update)
 			continue
 		}
-		if engine.silent == 0 {
+		if engine.silentPause == 0 {
 			active++
 		}
-		if action, due := p.follow(now, engine); due {
+		if action, due := p.requestReport(now, engine); due {
 			actions = append(actions, action)
 		}
 	}
-	slices.SortFunc(needs, func(a, b need) int {
+	slices.SortFunc(updates, func(a, b pendingUpdate) int {
 		return cmp.Or(
-			emptyingFirst(a.engine, b.engine), a.deadline.Compare(b.deadline),
+			quiescingFirst(a.engine, b.engine), a.deadline.Compare(b.deadline),
 			cmp.Compare(a.engine.record.Instance, b.engine.record.Instance),
 		)
 	})
-	return actions, active, needs
+	return actions, active, updates
 }
 
-// change orders an engine whose report was read right before and which is emptied, or
+// advance orders an engine whose report was read right before and which is emptied, or
 // reads its report. One that carries out the order of a former holder is let finish: that may
 // have known a newer version, and an order which is carried out after it, late, would take the
 // engine back for good, as engines are believed never to go back.
-func (p *Planner) change(now time.Time, wanted need, fence uint64) (Action, bool) {
-	if wanted.engine.busy || now.Sub(wanted.engine.reportedAt) > preparedFor || p.empties(now, wanted) {
-		return p.follow(now, wanted.engine)
+func (p *Planner) advance(now time.Time, update pendingUpdate, fence uint64) (Action, bool) {
+	if update.engine.busy || now.Sub(update.engine.reportedAt) > maxReportAge || p.awaitsQuiescence(now, update) {
+		return p.requestReport(now, update.engine)
 	}
-	return p.order(now, wanted, fence), true
+	return p.order(now, update, fence), true
 }
 
 // settle closes an order whose version the engine was seen to have by a time.
-func (p *Planner) settle(seenAt time.Time, engine *progress) {
+func (p *Planner) settle(observedAt time.Time, engine *engineState) {
 	version := engine.versions[engine.orderedModel]
 	if engine.ordered == 0 || version < engine.ordered {
 		return
 	}
 	if !engine.acceptedAt.IsZero() {
-		p.loads.observe(seenAt.Sub(engine.acceptedAt))
-		p.changes.observe(seenAt.Sub(engine.awayFrom))
+		p.loads.observe(observedAt.Sub(engine.acceptedAt))
+		p.changes.observe(observedAt.Sub(engine.unavailableSince))
 	}
 	engine.ordered = 0
-	p.loaded = append(p.loaded, Loaded{Instance: engine.record.Instance, Model: engine.orderedModel, Version: version})
+	p.loaded = append(p.loaded, LoadedEngine{Instance: engine.record.Instance, Model: engine.orderedModel, Version: version})
 }
 
 // Loaded returns the engines that have had the version of their order since the
 // last call.
-func (p *Planner) Loaded() []Loaded {
+func (p *Planner) Loaded() []LoadedEngine {
 	loaded := p.loaded
 	p.loaded = nil
 	return loaded
 }
 
-// follow reads the report of an engine that changes.
-func (p *Planner) follow(now time.Time, engine *progress) (Action, bool) {
-	if engine.asking || now.Before(engine.reportAt) {
+// requestReport reads the report of an engine that changes.
+func (p *Planner) requestReport(now time.Time, engine *engineState) (Action, bool) {
+	if engine.inFlight || now.Before(engine.nextReportAt) {
 		return Action{}, false
 	}
-	engine.asking = true
+	engine.inFlight = true
 	p.counters.Reports++
 	return Action{Target: engine.record}, true
 }
 
-// needOf returns the model for which an engine is the furthest behind.
-func (p *Planner) needOf(engine *progress) (need, bool) {
-	var wanted need
+// updateFor returns the model for which an engine is the furthest behind.
+func (p *Planner) updateFor(engine *engineState) (pendingUpdate, bool) {
+	var update pendingUpdate
 	behind := false
 	for model, version := range engine.versions {
-		for _, naming := range p.models[model].Publications {
-			if naming.Version <= version {
+		for _, publication := range p.models[model].Publications {
+			if publication.Version <= version {
 				continue
 			}
-			deadline := naming.SeenAt.Add(p.config.Deadline)
-			if !behind || deadline.Before(wanted.deadline) {
-				wanted = need{engine: engine, model: model, deadline: deadline}
+			deadline := publication.SeenAt.Add(p.config.Deadline)
+			if !behind || deadline.Before(update.deadline) {
+				update = pendingUpdate{engine: engine, model: model, deadline: deadline}
 				behind = true
 			}
 			break
 		}
 	}
-	return wanted, behind
+	return update, behind
 }
 
-func (p *Planner) order(now time.Time, wanted need, fence uint64) Action {
-	engine := wanted.engine
-	emptied := !engine.emptyingFrom.IsZero()
-	engine.awayFrom = now
-	if emptied {
-		engine.awayFrom = engine.emptyingFrom
+func (p *Planner) order(now time.Time, update pendingUpdate, fence uint64) Action {
+	engine := update.engine
+	quiesced := !engine.quiescingSince.IsZero()
+	engine.unavailableSince = now
+	if quiesced {
+		engine.unavailableSince = engine.quiescingSince
 	}
-	engine.emptyingFrom = time.Time{}
-	engine.ordered = p.models[wanted.model].Version
-	engine.orderedModel = wanted.model
+	engine.quiescingSince = time.Time{}
+	engine.ordered = p.models[update.model].Version
+	engine.orderedModel = update.model
 	engine.orderedAt, engine.acceptedAt = now, time.Time{}
-	engine.asking = true
+	engine.inFlight = true
 	p.counters.Orders++
-	if now.After(wanted.deadline) {
+	if now.After(update.deadline) {
 		p.counters.Late++
 	}
-	return Action{Target: engine.record, Emptied: emptied, Order: &Order{
-		Target: engine.record, Model: wanted.model, Version: engine.ordered,
+	return Action{Target: engine.record, Quiesced: quiesced, Order: &Order{
+		Target: engine.record, Model: update.model, Version: engine.ordered,
 		Sequence: engine.sequence, Fence: fence,
 	}}
 }
@@ -337,13 +337,13 @@
 	if engine == nil {
 		return
 	}
-	engine.asking = false
-	engine.reportAt = now.Add(reportPause)
+	engine.inFlight = false
+	engine.nextReportAt = now.Add(reportInterval)
 	switch result {
 	case Accepted:
 		p.counters.Accepted++
 		engine.acceptedAt = now
-		engine.reportAt = now.Add(p.loads.shortest())
+		engine.nextReportAt = now.Add(p.loads.shortest())
 	case Unanswered:
 		p.counters.Unanswered++
 	case Conflicting:
@@ -354,32 +354,32 @@
 	default:
 		p.counters.Refused++
 		engine.ordered = 0
-		engine.notNow = now.Add(refusedPause)
+		engine.retryAt = now.Add(refusedPause)
 	}
 }
 
 // Reported takes in a report that was asked for at a time, or nil if none came.
-func (p *Planner) Reported(askedAt time.Time, instance ident.Incarnation, report *Report) {
+func (p *Planner) Reported(requestedAt time.Time, instance ident.Incarnation, report *Report) {
 	engine := p.engines[instance]
 	if engine == nil {
 		return
 	}
-	engine.asking = false
-	engine.reportAt = askedAt.Add(reportPause)
+	engine.inFlight = false
+	engine.nextReportAt = requestedAt.Add(reportInterval)
 	if report == nil {
-		engine.emptyingFrom = time.Time{}
-		engine.silent = min(max(2*engine.silent, silentPause), maxSilentPause)
-		engine.notNow = askedAt.Add(engine.silent)
-		engine.reportAt = engine.notNow
+		engine.quiescingSince = time.Time{}
+		engine.silentPause = min(max(2*engine.silentPause, minSilentPause), maxSilentPause)
+		engine.retryAt = requestedAt.Add(engine.silentPause)
+		engine.nextReportAt = engine.retryAt
 		return
 	}
-	engine.silent = 0
-	engine.learn(report.Versions)
-	engine.reportedAt = askedAt
+	engine.silentPause = 0
+	engine.recordVersions(report.Versions)
+	engine.reportedAt = requestedAt
 	engine.sequence = report.Sequence
 	engine.requests, engine.busy = report.Queued+report.Active, report.Busy
-	p.settle(askedAt, engine)
-	if engine.ordered > 0 && !report.Busy && askedAt.Sub(engine.orderedAt) >= settleAfter {
+	p.settle(requestedAt, engine)
+	if engine.ordered > 0 && !report.Busy && requestedAt.Sub(engine.orderedAt) >= orderLostAfter {
 		engine.ordered = 0
 	}
 }
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -47,8 +47,8 @@
 	return records
 }
 
-// take carries out an order if its sequence number is the engine's.
-func (f *fleet) take(order *rollout.Order) rollout.Result {
+// execute carries out an order if its sequence number is the engine's.
+func (f *fleet) execute(order *rollout.Order) rollout.Result {
 	name := order.Target.Instance
 	if order.Sequence != f.orders[name] {
 		return rollout.Conflicting
@@ -64,12 +64,12 @@
 	return &rollout.Report{Versions: map[ident.Model]int{model: f.versions[name]}, Sequence: f.orders[name], Active: f.active}
 }
 
-func named(namings ...catalog.Publication) map[ident.Model]catalog.PublishedVersion {
-	return map[ident.Model]catalog.PublishedVersion{model: {Version: namings[len(namings)-1].Version, Publications: namings}}
+func published(publications ...catalog.Publication) map[ident.Model]catalog.PublishedVersion {
+	return map[ident.Model]catalog.PublishedVersion{model: {Version: publications[len(publications)-1].Version, Publications: publications}}
 }
 
-// play runs the planner against the fleet in steps of 100ms.
-func play(planner *rollout.Planner, engines *fleet, models map[ident.Model]catalog.PublishedVersion, from, to time.Duration) {
+// simulate runs the planner against the fleet in steps of 100ms.
+func simulate(planner *rollout.Planner, engines *fleet, models map[ident.Model]catalog.PublishedVersion, from, to time.Duration) {
 	for at := from; at < to; at += 100 * time.Millisecond {
 		now := start.Add(at)
 		planner.Observe(engines.records(), models)
@@ -78,46 +78,46 @@
 				planner.Reported(now, action.Target.Instance, engines.report(action.Target.Instance))
 				continue
 			}
-			planner.Ordered(now, action.Order, engines.take(action.Order))
+			planner.Ordered(now, action.Order, engines.execute(action.Order))
 		}
 	}
 }
 
-func TestEveryEngineIsBroughtToTheNewestVersionInTime(t *testing.T) {
+func TestAllEnginesLoadNewestVersionByDeadline(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(6)
 	planner := rollout.NewPlanner(config)
-	play(planner, engines, named(catalog.Publication{Version: 2, SeenAt: start}), 0, 8*time.Second)
+	simulate(planner, engines, published(catalog.Publication{Version: 2, SeenAt: start}), 0, 8*time.Second)
 	for _, version := range engines.versions {
 		is.Equal(version, 2)
 	}
 	is.Equal(engines.loads, 6)
 }
 
-func TestVersionsThatComeFastAreTakenInOneLoad(t *testing.T) {
+func TestVersionsInQuickSuccessionNeedOneLoad(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(2)
 	planner := rollout.NewPlanner(config)
-	models := named(
+	models := published(
 		catalog.Publication{Version: 2, SeenAt: start},
 		catalog.Publication{Version: 3, SeenAt: start.Add(time.Second)},
 		catalog.Publication{Version: 5, SeenAt: start.Add(2 * time.Second)},
 	)
-	play(planner, engines, models, 2*time.Second, 8*time.Second)
+	simulate(planner, engines, models, 2*time.Second, 8*time.Second)
 	is.Equal(engines.loads, 2)
 	is.Equal(engines.versions["i-00"], 5)
 }
 
 // Without patience an engine is ordered as soon as a version is seen, one in five
 // at a time.
-func TestAVersionIsOrderedWhenItIsSeen(t *testing.T) {
+func TestVersionIsOrderedAtOnce(t *testing.T) {
 	tests := []struct{ engines, want int }{{1, 1}, {2, 1}, {7, 1}, {8, 2}, {12, 2}, {40, 8}}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.engines), func(t *testing.T) {
 			is := is.New(t)
 			engines := newFleet(tt.engines)
 			planner := rollout.NewPlanner(rollout.Config{Deadline: 20 * time.Second})
-			models := named(catalog.Publication{Version: 2, SeenAt: start})
+			models := published(catalog.Publication{Version: 2, SeenAt: start})
 			planner.Observe(engines.records(), models)
 			reports := planner.Plan(start, 7)
 			is.Equal(len(reports), tt.want)
@@ -134,24 +134,24 @@
 	}
 }
 
-func TestAPatientPlannerOrdersNothingBeforeTheDeadlineCallsForIt(t *testing.T) {
+func TestDeferOrders(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(2)
-	patient := config
-	patient.DeferOrders = true
-	planner := rollout.NewPlanner(patient)
-	models := named(catalog.Publication{Version: 2, SeenAt: start})
-	play(planner, engines, models, 0, 5*time.Second)
+	deferring := config
+	deferring.DeferOrders = true
+	planner := rollout.NewPlanner(deferring)
+	models := published(catalog.Publication{Version: 2, SeenAt: start})
+	simulate(planner, engines, models, 0, 5*time.Second)
 	is.Equal(engines.loads, 0) // one round and the margin need 2s of 8s
-	play(planner, engines, models, 5*time.Second, 8*time.Second)
+	simulate(planner, engines, models, 5*time.Second, 8*time.Second)
 	is.Equal(engines.loads, 2)
 }
 
-func TestNoMoreEnginesAreChangedAtOnceThanAllowed(t *testing.T) {
+func TestParallelChangesAreLimited(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(6)
 	planner := rollout.NewPlanner(config)
-	planner.Observe(engines.records(), named(catalog.Publication{Version: 2, SeenAt: start}))
+	planner.Observe(engines.records(), published(catalog.Publication{Version: 2, SeenAt: start}))
 	late := start.Add(7 * time.Second)
 	actions := planner.Plan(late, 7)
 	is.Equal(len(actions), 2)               // six rounds of one second fit into what the margin leaves
@@ -160,13 +160,13 @@
 
 // An order without an answer may be carried out seconds later. Its sequence
 // number makes sure that of it and its repeat only one is.
-func TestAnUnansweredOrderIsSettledByTheReport(t *testing.T) {
+func TestUnansweredOrderIsSettledByReport(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(1)
 	planner := rollout.NewPlanner(config)
-	models := named(catalog.Publication{Version: 2, SeenAt: start.Add(-7 * time.Second)})
+	models := published(catalog.Publication{Version: 2, SeenAt: start.Add(-7 * time.Second)})
 	var lost *rollout.Order
-	repeats := 0
+	retries := 0
 	for at := time.Duration(0); at < 4*time.Second; at += 100 * time.Millisecond {
 		now := start.Add(at)
 		planner.Observe(engines.records(), models)
@@ -178,18 +178,18 @@
 				lost = action.Order
 				planner.Ordered(now, lost, rollout.Unanswered)
 			default:
-				repeats++
-				planner.Ordered(now, action.Order, engines.take(action.Order))
+				retries++
+				planner.Ordered(now, action.Order, engines.execute(action.Order))
 			}
 		}
 	}
-	is.Equal(repeats, 1)
+	is.Equal(retries, 1)
 	is.Equal(engines.versions["i-00"], 2)
-	is.Equal(engines.take(lost), rollout.Conflicting) // the late one does nothing
+	is.Equal(engines.execute(lost), rollout.Conflicting) // the late one does nothing
 	is.Equal(engines.loads, 1)
 }
 
-func TestResultsOfOrders(t *testing.T) {
+func TestFailedOrdersAreRetried(t *testing.T) {
 	cases := []struct {
 		result rollout.Result
 		again  time.Duration
@@ -205,7 +205,7 @@
 			is := is.New(t)
 			engines := newFleet(1)
 			planner := rollout.NewPlanner(config)
-			models := named(catalog.Publication{Version: 2, SeenAt: start.Add(-8 * time.Second)})
+			models := published(catalog.Publication{Version: 2, SeenAt: start.Add(-8 * time.Second)})
 			failed := false
 			for at := time.Duration(0); at <= c.again+300*time.Millisecond; at += 100 * time.Millisecond {
 				now := start.Add(at)
@@ -218,7 +218,7 @@
 						failed = true
 						planner.Ordered(now, action.Order, c.result)
 					default:
-						planner.Ordered(now, action.Order, engines.take(action.Order))
+						planner.Ordered(now, action.Order, engines.execute(action.Order))
 					}
 				}
 			}
@@ -227,23 +227,23 @@
 	}
 }
 
-func TestEnginesThatLeaveAreNotChanged(t *testing.T) {
+func TestDrainingEnginesGetNoOrders(t *testing.T) {
 	is := is.New(t)
 	planner := rollout.NewPlanner(config)
 	records := newFleet(1).records()
 	records[0].Draining = true
-	planner.Observe(records, named(catalog.Publication{Version: 2, SeenAt: start}))
+	planner.Observe(records, published(catalog.Publication{Version: 2, SeenAt: start}))
 	is.Equal(len(planner.Plan(start.Add(7*time.Second), 7)), 0)
 }
 
 // Engines that do not answer keep no other engine waiting.
-func TestSilentEnginesDoNotHoldUpTheOthers(t *testing.T) {
+func TestSilentEnginesDoNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(8)
 	silent := map[ident.Incarnation]bool{"i-00": true, "i-01": true, "i-02": true}
 	planner := rollout.NewPlanner(config)
-	models := named(catalog.Publication{Version: 2, SeenAt: start})
-	asked := 0
+	models := published(catalog.Publication{Version: 2, SeenAt: start})
+	requests := 0
 	for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
 		now := start.Add(at)
 		planner.Observe(engines.records(), models)
@@ -251,23 +251,23 @@
 			name := action.Target.Instance
 			switch {
 			case silent[name]:
-				asked++
+				requests++
 				planner.Reported(now, name, nil)
 			case action.Order == nil:
 				planner.Reported(now, name, engines.report(name))
 			default:
-				planner.Ordered(now, action.Order, engines.take(action.Order))
+				planner.Ordered(now, action.Order, engines.execute(action.Order))
 			}
 		}
 	}
 	for name, version := range engines.versions {
 		is.Equal(version == 2, !silent[name])
 	}
-	is.True(asked < 3*12) // and they are not asked all the time
+	is.True(requests < 3*12) // and they are not asked all the time
 }
 
 // Many engines are changed faster, so that the deadline is kept.
-func TestTheDeadlineSetsThePace(t *testing.T) {
+func TestParallelismMeetsDeadline(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(40)
 	planner := rollout.NewPlanner(config)
@@ -276,7 +276,7 @@
 		done  time.Duration
 	}
 	var running []change // a load takes 0.6s of the second that is planned for
-	models := named(catalog.Publication{Version: 2, SeenAt: start})
+	models := published(catalog.Publication{Version: 2, SeenAt: start})
 	for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
 		now := start.Add(at)
 		kept := running[:0]
@@ -285,7 +285,7 @@
 				kept = append(kept, current)
 				continue
 			}
-			engines.take(current.order)
+			engines.execute(current.order)
 		}
 		running = kept
 		planner.Observe(engines.records(), models)
@@ -309,10 +309,10 @@
 
 // A former holder of the lease may have known a newer version, and its order may still be
 // carried out: an order of the next holder that is carried out late would take the engine back.
-func TestAnEngineIsNotOrderedWhileItCarriesOutAnotherOrder(t *testing.T) {
+func TestBusyEngineGetsNoOrder(t *testing.T) {
 	is := is.New(t)
 	planner := rollout.NewPlanner(config)
-	models := named(catalog.Publication{Version: 2, SeenAt: start})
+	models := published(catalog.Publication{Version: 2, SeenAt: start})
 	records := []backend.Record{{Instance: "i", Models: map[ident.Model]int{model: 1}}}
 	report := &rollout.Report{Versions: map[ident.Model]int{model: 1}, Sequence: 1, Busy: true}
 	for at := time.Duration(0); at < 4*time.Second; at += 100 * time.Millisecond {
--- a/internal/rollout/emptying_test.go
+++ b/internal/rollout/quiescing_test.go
@@ -13,8 +13,8 @@
 
 // An engine is ordered once no request is left there, and at the latest when the time
 // for that is over.
-func TestAnEngineIsEmptiedBeforeItsOrder(t *testing.T) {
-	const emptying = 600 * time.Millisecond
+func TestEngineQuiescesBeforeItsOrder(t *testing.T) {
+	const maxQuiesceTime = 600 * time.Millisecond
 	tests := []struct {
 		name string
 		// runs and waits tell until when a request runs, or waits, at the engine.
@@ -26,39 +26,39 @@
 		ordered   time.Duration
 		announced bool
 	}{
-		{"without a request", 0, 0, emptying, 1, 100 * time.Millisecond, false},
-		{"a run that ends", 250 * time.Millisecond, 0, emptying, 1, 400 * time.Millisecond, true},
-		{"a request that waits", 0, 350 * time.Millisecond, emptying, 1, 500 * time.Millisecond, true},
-		{"a run that goes on", time.Minute, 0, emptying, 1, 700 * time.Millisecond, true},
-		{"half as calm", time.Minute, 0, emptying, 0.5, 400 * time.Millisecond, true},
-		{"not calm", time.Minute, 0, emptying, 0, 100 * time.Millisecond, false},
+		{"without a request", 0, 0, maxQuiesceTime, 1, 100 * time.Millisecond, false},
+		{"a run that ends", 250 * time.Millisecond, 0, maxQuiesceTime, 1, 400 * time.Millisecond, true},
+		{"a request that waits", 0, 350 * time.Millisecond, maxQuiesceTime, 1, 500 * time.Millisecond, true},
+		{"a run that goes on", time.Minute, 0, maxQuiesceTime, 1, 700 * time.Millisecond, true},
+		{"half as calm", time.Minute, 0, maxQuiesceTime, 0.5, 400 * time.Millisecond, true},
+		{"not calm", time.Minute, 0, maxQuiesceTime, 0, 100 * time.Millisecond, false},
 		{"emptying is off", time.Minute, 0, 0, 1, 100 * time.Millisecond, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			config := config
-			config.Emptying = tt.emptying
+			config.QuiesceTime = tt.emptying
 			planner := rollout.NewPlanner(config)
-			planner.Calm(map[ident.Service]float64{"": tt.calm})
-			ordered, order := untilOrdered(planner, tt.runs, tt.waits)
-			told := planner.Emptying()
-			is.Equal(order.Emptied, tt.announced)
+			planner.SetHeadroom(map[ident.Service]float64{"": tt.calm})
+			ordered, order := simulateUntilOrder(planner, tt.runs, tt.waits)
+			quiescing := planner.Quiescing()
+			is.Equal(order.Quiesced, tt.announced)
 			is.Equal(ordered, tt.ordered)
 			if !tt.announced {
-				is.Equal(len(told), 0)
+				is.Equal(len(quiescing), 0)
 				return
 			}
-			is.Equal(told, []rollout.Emptying{{Instance: "i-00", Model: model, Version: 2}})
+			is.Equal(quiescing, []rollout.QuiescingEngine{{Instance: "i-00", Model: model, Version: 2}})
 		})
 	}
 }
 
-// untilOrdered plays one engine, where a request runs and one waits for some time, until
+// simulateUntilOrder plays one engine, where a request runs and one waits for some time, until
 // its order leaves.
-func untilOrdered(planner *rollout.Planner, runs, waits time.Duration) (time.Duration, rollout.Action) {
+func simulateUntilOrder(planner *rollout.Planner, runs, waits time.Duration) (time.Duration, rollout.Action) {
 	engines := newFleet(1)
-	models := named(catalog.Publication{Version: 2, SeenAt: start})
+	models := published(catalog.Publication{Version: 2, SeenAt: start})
 	for at := time.Duration(0); at < 2*time.Second; at += 100 * time.Millisecond {
 		planner.Observe(engines.records(), models)
 		for _, action := range planner.Plan(start.Add(at), 7) {
@@ -80,14 +80,14 @@
 
 // An engine that is emptied counts among those that are changed at one time, so that
 // enough of them serve.
-func TestEmptiedEnginesCountAmongThoseThatChange(t *testing.T) {
+func TestQuiescingEnginesCountTowardsTheLimit(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(10)
 	config := config
 	config.Deadline = time.Minute
-	config.Emptying = 600 * time.Millisecond
+	config.QuiesceTime = 600 * time.Millisecond
 	planner := rollout.NewPlanner(config)
-	models := named(catalog.Publication{Version: 2, SeenAt: start})
+	models := published(catalog.Publication{Version: 2, SeenAt: start})
 	away := map[ident.Incarnation]bool{}
 	for at := time.Duration(0); at < 600*time.Millisecond; at += 100 * time.Millisecond {
 		planner.Observe(engines.records(), models)
@@ -104,7 +104,7 @@
 
 // Emptying ends without an order if the engine got the version by other means or does
 // not answer; a new holder begins anew.
-func TestEmptyingEndsWithoutAnOrder(t *testing.T) {
+func TestQuiescingEndsWithoutAnOrder(t *testing.T) {
 	busy := &rollout.Report{Versions: map[ident.Model]int{model: 1}, Active: 1}
 	tests := []struct {
 		name  string
@@ -116,17 +116,17 @@
 			planner.Reported(now, "i-00", &rollout.Report{Versions: map[ident.Model]int{model: 2}, Active: 1})
 		}, false},
 		{"it does not answer", func(planner *rollout.Planner, now time.Time) { planner.Reported(now, "i-00", nil) }, true},
-		{"another holder", func(planner *rollout.Planner, _ time.Time) { planner.Forget() }, true},
+		{"another holder", func(planner *rollout.Planner, _ time.Time) { planner.ForgetOrders() }, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			engines := newFleet(1)
 			config := config
-			config.Emptying = 600 * time.Millisecond
+			config.QuiesceTime = 600 * time.Millisecond
 			planner := rollout.NewPlanner(config)
-			models := named(catalog.Publication{Version: 2, SeenAt: start})
-			told := 0
+			models := published(catalog.Publication{Version: 2, SeenAt: start})
+			notified := 0
 			for at := time.Duration(0); at < 1500*time.Millisecond; at += 100 * time.Millisecond {
 				now := start.Add(at)
 				planner.Observe(engines.records(), models)
@@ -135,12 +135,12 @@
 						planner.Reported(now, "i-00", busy)
 					}
 				}
-				told += len(planner.Emptying())
+				notified += len(planner.Quiescing())
 				if at == 200*time.Millisecond {
 					tt.after(planner, now)
 				}
 			}
-			is.Equal(told == 2, tt.again)
+			is.Equal(notified == 2, tt.again)
 		})
 	}
 }
