--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -14,8 +14,8 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// Elector is the shell around a Machine: it makes the exchanges with the table.
-// Its methods may be called by any goroutine; Run must be running.
+// Elector runs a Machine and makes its exchanges with the table. Its methods may be called by any
+// goroutine while Run is running.
 type Elector struct {
 	table           store.Table
 	name            string
@@ -28,7 +28,7 @@
 	wasHeld bool
 }
 
-// NewElector returns an elector of the named lease for one life of a node.
+// NewElector returns an elector of the named lease for one incarnation of a node.
 func NewElector(table store.Table, config Config, name string, node ident.Node) *Elector {
 	config = config.withDefaults()
 	return &Elector{
@@ -40,40 +40,39 @@
 	}
 }
 
-// Contend says whether this node shall try to hold the lease. A holder that
-// stops contending may not act any more and hands the lease over.
+// Contend sets whether this node contends for the lease. A holder that stops contending may not act
+// any more and hands the lease over.
 func (e *Elector) Contend(contend bool) {
 	e.update(func(now time.Time) { e.machine.Contend(now, contend) })
 }
 
-// StepDown ends the holding after a fence was met that is newer; see
-// Machine.StepDown.
+// StepDown gives the lease up unless its fence is above floor; see Machine.StepDown.
 func (e *Elector) StepDown(floor uint64) {
 	e.update(func(now time.Time) { e.machine.StepDown(now, floor) })
 }
 
-// Held returns the grant, or ErrNotHeld. Ask it right before each action.
+// Held returns the grant, or ErrNotHeld. Call it right before each action.
 func (e *Elector) Held() (Grant, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.machine.Held(clock.Sync())
 }
 
-// Act returns the grant for an action that begins now; see Machine.Act.
+// Act records an action that begins now and returns its grant; see Machine.Act.
 func (e *Elector) Act() (Grant, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.machine.Act(clock.Sync())
 }
 
-// Holder returns the holder as last seen; see Machine.Holder.
+// Holder returns the last observed holder; see Machine.Holder.
 func (e *Elector) Holder() ident.Node {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.machine.Holder()
 }
 
-// Counters returns what was counted so far.
+// Counters returns the current counts.
 func (e *Elector) Counters() Counters {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -90,8 +89,8 @@
 	}
 }
 
-// Run keeps the lease until ctx ends. It then hands the lease
-// over, for which it takes at most a third of the lease's duration.
+// Run contends for the lease and renews it until ctx ends. It then hands the lease over, within a
+// third of the lease's duration.
 func (e *Elector) Run(ctx context.Context) {
 	timer := time.NewTimer(e.releaseTimeout)
 	defer timer.Stop()
@@ -101,8 +100,7 @@
 		case !pending:
 			timer.Stop()
 		case wait <= 0:
-			// No timer of zero: it would have run out before anybody waits
-			// for it; see minWait of fleet.Syncer.
+			// A timer of zero would expire before the select; see minWait of fleet.Syncer.
 			continue
 		default:
 			timer.Reset(wait)
@@ -116,7 +114,7 @@
 	e.handOver(context.WithoutCancel(ctx))
 }
 
-// handOver releases the lease, if it is held, in a bounded time.
+// handOver releases the lease, if it is held, within releaseTimeout.
 func (e *Elector) handOver(ctx context.Context) {
 	e.Contend(false)
 	ctx, cancel := context.WithTimeout(ctx, e.releaseTimeout)
@@ -152,7 +150,6 @@
 	return max(clock.Until(next), 0), pending
 }
 
-// execute makes one exchange.
 func (e *Elector) execute(ctx context.Context, exchange Exchange) Outcome {
 	ctx, cancel := context.WithTimeout(ctx, e.exchangeTimeout)
 	defer cancel()
@@ -164,7 +161,7 @@
 	return Outcome{Committed: result.Committed, Rows: result.Rows, Fault: fault.From(err)}
 }
 
-// logChange writes a line when the lease was gained or given up.
+// logChange logs when the lease is acquired or no longer held. The mutex must be held.
 func (e *Elector) logChange() {
 	grant, err := e.machine.Held(clock.Now())
 	held := err == nil
--- a/internal/lease/elector_test.go
+++ b/internal/lease/elector_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// sampleInterval is how often the holders are looked at.
+// sampleInterval is the time between two checks of the holders.
 const sampleInterval = 10 * time.Millisecond
 
 func TestHandoverTakeoverAndOutage(t *testing.T) {
@@ -47,7 +47,7 @@
 		t.Logf("%d table requests a minute for one holder and two contenders", requests)
 		is.True(requests <= 65) // one a second
 
-		stops[0]() // a planned stop hands over at the next look of a contender
+		stops[0]() // a planned stop: a contender acquires at its next read
 		time.Sleep(duration / renewalsPerDuration)
 		synctest.Wait()
 		is.Equal(len(holders()), 1)
@@ -56,7 +56,7 @@
 		is.NoErr(err)
 		is.Equal(grant.Fence, uint64(2))
 
-		table.setDown(true) // the holder steps down when it cannot renew
+		table.setDown(true) // the lease expires unrenewed
 		time.Sleep(duration)
 		is.Equal(len(holders()), 0)
 		is.Equal(holder.Counters().Lapsed, uint64(1))
@@ -64,7 +64,7 @@
 		time.Sleep(2 * duration)
 		is.Equal(len(holders()), 1)
 
-		cut := holders()[0] // a holder that is cut off lapses before the takeover
+		cut := holders()[0] // its lease expires before the takeover
 		links[cut].cut.Store(true)
 		began, lapsed := time.Now(), time.Duration(0)
 		for len(holders()) == 0 || holders()[0] == cut {
@@ -74,7 +74,7 @@
 			}
 		}
 		took := time.Since(began)
-		t.Logf("cut off, the holder lapsed after %v and another took over after %v", lapsed, took)
+		t.Logf("the lease of the cut-off holder expired after %v, another acquired it after %v", lapsed, took)
 		is.True(lapsed > 0 && lapsed < took)
 		is.True(took <= duration+duration/renewalsPerDuration+sampleInterval)
 
--- a/internal/lease/epoch.go
+++ b/internal/lease/epoch.go
@@ -6,14 +6,14 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// tableEpoch is the newest epoch of the table that answers showed.
+// tableEpoch is the newest observed epoch of the table.
 type tableEpoch struct {
 	known  bool
 	newest uint64
 }
 
-// observe takes in the epoch of an answer, and reports whether the table came back from an older
-// copy since another answer.
+// observe records the epoch of an answer, and reports whether the table was restored from an older
+// copy since an earlier answer.
 func (e *tableEpoch) observe(epoch uint64) bool {
 	restored := e.known && epoch > e.newest
 	if !e.known || restored {
@@ -22,9 +22,9 @@
 	return restored
 }
 
-// observeEpoch takes in the epoch in which a row was read. A row that was written in an earlier one
-// may be a copy, and one that is missing may be lost; when the table came back is not known then
-// to a machine that saw no epoch before. A holder whose time is not over is the last one.
+// observeEpoch records the epoch in which a row was read. After a restore the row may be an old
+// copy or missing; a machine that observed no epoch before then assumes that the restore was just
+// now. A holder whose lease has not expired is still the last one.
 func (m *Machine) observeEpoch(now time.Time, row *protocol.Row) {
 	knownBefore := m.epoch.known
 	restored := m.epoch.observe(row.Epoch)
@@ -38,13 +38,13 @@
 		m.floor = max(m.floor, m.fence-1)
 		return
 	}
-	// What this session once held may have been another one's since, and a write of before may
-	// still be carried out: it takes a fence of this epoch.
+	// Another session may have held the lease since, and an earlier write of this session may still
+	// be carried out: use only fences of this epoch.
 	m.floor = max(m.floor, m.epoch.newest*fencesPerEpoch)
 }
 
-// awaitsHolder reports whether another one may still hold the lease, although the row does not
-// tell it.
+// awaitsHolder reports whether a holder that the restored row does not show may still hold the
+// lease.
 func (m *Machine) awaitsHolder(now time.Time) bool {
 	return !m.restoredAt.IsZero() && now.Before(m.restoredAt.Add(m.config.Duration))
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,32 +1,29 @@
-// Package lease lets one of many routers act at a time, by rows of the table
-// service, without any trust in synchronised clocks.
+// Package lease lets one of many routers act at a time, by rows of the table service, without
+// relying on synchronised clocks.
 //
-// A lease is the row "lease/<name>". A contender watches the version of that
-// row. Once it has been the same for the whole duration that the row names,
-// by the contender's own monotonic clock counted from the receipt of the first
-// sight, the contender takes the lease over by compare-and-swap. The holder
-// writes the row anew every third of the duration, and counts itself lapsed
-// from the moment before its last confirmed write was sent, less a margin for
-// clocks that run at different rates. So it has lapsed in its own eyes before
-// any other may take over.
+// A lease is the row "lease/<name>". A contender watches the version of that row. Once it has not
+// changed for the whole duration given in the row, by the contender's own monotonic clock and from
+// its first observation, the contender acquires the lease by compare-and-swap. The holder renews
+// the row every third of the duration, and regards the lease as expired one duration after its last
+// confirmed write was sent, less a margin for clocks that run at different rates. So the lease
+// expires for its holder before any other may acquire it.
 //
-// A table that tells its own steady time shortens the wait: the holder writes the
-// table's time by which the row was sent at the latest, so that a contender knows
-// at the first sight for how long at least the row has been there.
+// A table that reports its own monotonic time shortens the wait: the holder writes the latest table
+// time at which the row can have been sent, so that a contender learns the row's minimum age at
+// its first observation.
 //
-// A paused holder cannot know that it was paused. It must ask Held before each
-// action; and since it may be paused between asking and acting, every action
-// carries the fence of the lease, and whoever executes actions refuses those
-// with an older fence than one seen before. The fence comes from one counter
-// row for all leases, raised in the same transaction that takes a lease. Fences
-// are therefore unique and rise over all leases, whatever becomes of one row.
+// A holder cannot detect that it was paused. It must call Held before each action; and since it may
+// be paused in between, every action carries the lease's fence, and its executor refuses a fence
+// older than one seen before. Fences come from one counter row for all leases, raised in the
+// transaction that acquires a lease. They are therefore unique and rise over all leases, even if a
+// lease row is lost.
 //
-// A table may come back from an older copy, and tells the epoch then. What the row shows may be
-// older than what the holder was told of its last write. So nobody but a holder whose time is
-// not over takes the lease or renews it before a whole duration has passed since its first sight
-// of the new epoch, also if the row names nobody or is missing.
+// A table may be restored from an older copy, and then reports a new epoch. The row may be older
+// than the holder's last confirmed write. So only a holder whose lease has not expired may renew or
+// acquire it before a whole duration has passed since its first observation of the new epoch, even
+// if the row names no holder or is missing.
 //
-// Machine holds the logic without I/O or clock; Elector is the shell around it.
+// Machine holds the logic without I/O or clock; Elector runs it.
 package lease
 
 import (
@@ -37,30 +34,29 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// CounterKey is the row of the fence counter of all leases.
+// CounterKey is the key of the row with the fence counter of all leases.
 const CounterKey = "lease-fence"
 
 // RowKey returns the key of a lease's row.
 func RowKey(name string) string { return "lease/" + name }
 
-// Config fixes the times of a lease.
+// Config sets the times of a lease.
 type Config struct {
-	// Duration is how long an unrenewed lease keeps others away. Default: 9s.
+	// Duration is the time from a renewal until others may acquire the lease. Default: 9s.
 	Duration time.Duration
-	// DriftMargin is the part of Duration by which a holder lapses in its own
-	// eyes before others may take over. Default: 0.1, clocks that differ in
-	// rate by a tenth.
+	// DriftMargin is the part of Duration by which the lease expires earlier for its holder than
+	// for others, for clocks that differ in rate. Default: 0.1.
 	DriftMargin float64
 	// RetryPause is the pause after a failed exchange. Default: Duration / 18.
 	RetryPause time.Duration
 	// ExchangeTimeout bounds one exchange with the table. Default: Duration / 6.
 	ExchangeTimeout time.Duration
-	// Quiet is how long after the last action of one holder the next one may
-	// act first. Default: 0.
+	// Quiet is the time after the last action of one holder before the first one of the next.
+	// Default: 0.
 	Quiet time.Duration
-	// ActWindow is how long after its last confirmed write was sent a holder may
-	// begin to act. Below Duration it shortens what the next holder has to wait
-	// beyond Duration. Default: Duration.
+	// ActWindow is the time after a holder's last confirmed write was sent in which it may begin
+	// actions. A value below Duration shortens the next holder's wait beyond Duration. Default:
+	// Duration.
 	ActWindow time.Duration
 }
 
@@ -73,7 +69,7 @@
 	retriesPerRenewal = 6
 	// timeoutsPerDuration is how many exchanges without an answer fit into the duration.
 	timeoutsPerDuration = 6
-	// maxDuration bounds what a row may ask others to wait for.
+	// maxDuration bounds the wait that a row may require of others.
 	maxDuration = 5 * time.Minute
 )
 
@@ -99,21 +95,21 @@
 // Grant is the right to act until a time, under a fence.
 type Grant struct {
 	Fence uint64
-	// Until is when the holder counts itself lapsed unless renewed by then.
+	// Until is when the lease expires for its holder unless renewed.
 	Until time.Time
-	// QuietUntil is when the holder may act first; see Config.Quiet.
+	// QuietUntil is the earliest time of the holder's first action; see Config.Quiet.
 	QuietUntil time.Time
-	// ActUntil is when the holder must stop to act unless renewed by then; see
+	// ActUntil is from when the holder may begin no action unless the lease is renewed; see
 	// Config.ActWindow.
 	ActUntil time.Time
 }
 
-// Counters counts what a Machine did.
+// Counters counts the events of a Machine.
 type Counters struct {
-	// Acquired counts takings of the lease, Renewed renewals, Released handovers.
+	// Acquired, Renewed and Released count confirmed writes of the lease row.
 	Acquired, Renewed, Released uint64
-	// Lapsed counts times the lease ran out unrenewed, Lost times another
-	// holder was seen in its place, StaleFences times a newer fence was met.
+	// Lapsed counts leases that expired unrenewed, Lost those under which another holder was
+	// observed, StaleFences newer fences passed to StepDown.
 	Lapsed, Lost, StaleFences uint64
 	// Reads and Transactions count exchanges with the table, Unsettled those
 	// without an answer.
@@ -122,28 +118,26 @@
 
 // Record is the value of a lease row.
 type Record struct {
-	// Node is the holder's node; empty means that nobody holds the lease.
+	// Node is the holder; empty if there is none.
 	Node ident.Node `cbor:"1,keyasint,omitempty"`
-	// Session tells the lives of a node apart.
+	// Session differs between the incarnations of a node.
 	Session string `cbor:"2,keyasint,omitempty"`
 	Fence   uint64 `cbor:"3,keyasint"`
-	// Duration is how long the row must stay unchanged before others may take
-	// the lease over.
+	// Duration is how long the row must stay unchanged before others may acquire the lease.
 	Duration time.Duration `cbor:"4,keyasint"`
 	// Renewals counts the renewals under this fence.
 	Renewals uint64 `cbor:"5,keyasint"`
-	// Quiet is what was left of Config.Quiet when the holder released the lease.
+	// Quiet is the rest of Config.Quiet when the holder released the lease.
 	Quiet time.Duration `cbor:"6,keyasint,omitempty"`
-	// SentBy is the table's own time by which the row had been sent, 0 if the
-	// writer did not know it.
+	// SentBy is the latest table time at which the row can have been sent, 0 if unknown to the
+	// writer.
 	SentBy time.Duration `cbor:"7,keyasint,omitempty"`
-	// Epoch is that of the table when the row was sent, as far as the writer knew.
+	// Epoch is the newest epoch of the table that the writer had observed.
 	Epoch uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// fencesPerEpoch is the number of fences of one epoch of the table. When the table comes back from
-// an older copy, the counter may go back too: fences of a later epoch are above all of an
-// earlier one, however many of them the copy has lost.
+// fencesPerEpoch is the number of fences of one epoch of the table. A restored copy may have an
+// older counter: fences of a later epoch are above all of an earlier one nevertheless.
 const fencesPerEpoch = 1 << 20
 
 // counterRecord is the value of the counter row.
--- a/internal/lease/machine.go
+++ b/internal/lease/machine.go
@@ -8,38 +8,38 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// Kind names what an Exchange does.
+// Kind is the purpose of an Exchange.
 type Kind uint8
 
 const (
 	// Observe reads the lease row.
 	Observe Kind = iota + 1
-	// Acquire takes the lease with a new fence.
+	// Acquire acquires the lease with a new fence.
 	Acquire
-	// Renew writes the holder's row anew.
+	// Renew writes the holder's row again.
 	Renew
-	// Release gives the lease up, for the next holder to take at once.
+	// Release gives the lease up, so that others may acquire it at once.
 	Release
 )
 
-// Exchange is one request to the table that the shell is to make.
+// Exchange is one request to the table.
 type Exchange struct {
 	Kind Kind
 	// Key is the row to read (Observe).
 	Key string
 	// Transaction is what to commit (all others).
 	Transaction protocol.Transaction
-	// SentAt is when the machine handed the exchange out.
+	// SentAt is when Advance returned the exchange.
 	SentAt time.Time
 }
 
-// Outcome is what came of an Exchange.
+// Outcome is the result of an Exchange.
 type Outcome struct {
 	Committed bool
 	// Rows are the rows of the TransactionResult, or the one row read; a row
 	// that does not exist has version 0.
 	Rows []protocol.Row
-	// Fault is not nil when no answer came.
+	// Fault is not nil if there was no answer.
 	Fault *fault.Fault
 }
 
@@ -47,9 +47,8 @@
 // and is not safe for concurrent use. Times must carry monotonic readings or
 // come from one source that never goes back.
 //
-// Invariants: at most one exchange is in flight; Held is true only while a
-// write of this session, sent less than the duration ago, is confirmed; a
-// fence belongs to one session for ever.
+// Invariants: at most one exchange is in flight; the lease is held only while a write of this
+// session, sent less than the duration ago, is confirmed; a fence belongs to one session for ever.
 type Machine struct {
 	config  Config
 	name    string
@@ -65,34 +64,34 @@
 	seenAt   time.Time
 	counter  protocol.Row
 
-	// held is true until a time, under a fence: a table that came back from an older copy may
-	// show a record of this session with an earlier one.
+	// held, fence and until are kept apart from record: a restored table may show a record of this
+	// session with an older fence.
 	held  bool
 	fence uint64
 	until time.Time
-	// actUntil ends the time in which actions may begin.
+	// actUntil is from when no action may begin.
 	actUntil time.Time
-	// quietUntil ends the wait after the last holder's actions, lastActionAt is when
-	// this session last acted.
+	// quietUntil ends the wait after the last holder's actions, lastActionAt is when this session
+	// last acted.
 	quietUntil, lastActionAt time.Time
 	inFlight                 *Exchange
 	nextAt                   time.Time
 	counters                 Counters
 	clock                    storeClock
-	// epoch is the newest of the table, restoredAt when that was first seen; it is zero if
-	// nobody may have lost the lease with it.
+	// epoch is the newest of the table, restoredAt when it was first observed; zero if the restore
+	// cannot have hidden a holder.
 	epoch      tableEpoch
 	restoredAt time.Time
 }
 
-// NewMachine returns a machine that does not contend yet. The session must
-// never have been used before by any process.
+// NewMachine returns a machine that does not contend yet. No process may have used the session
+// before.
 func NewMachine(config Config, name string, node ident.Node, session string) *Machine {
 	return &Machine{config: config.withDefaults(), name: name, node: node, session: session}
 }
 
-// Contend says whether this node shall try to hold the lease. A holder that
-// stops contending counts as not holding at once, and releases the lease.
+// Contend sets whether this node contends for the lease. A holder that stops contending does not
+// hold the lease from then on, and releases it.
 func (m *Machine) Contend(now time.Time, contend bool) {
 	if m.contends == contend {
 		return
@@ -102,9 +101,8 @@
 	m.held = m.held && contend
 }
 
-// StepDown ends the holding because a fence was seen that is newer than or
-// equal to what may be used; the lease is taken again only with a fence above
-// the floor.
+// StepDown gives the lease up unless its fence is above floor; it is acquired again only with a
+// fence above floor.
 func (m *Machine) StepDown(now time.Time, floor uint64) {
 	if floor > m.floor {
 		m.floor = floor
@@ -124,7 +122,8 @@
 	return Grant{Fence: m.fence, Until: m.until, QuietUntil: m.quietUntil, ActUntil: m.actUntil}, nil
 }
 
-// Act returns the grant for an action that begins now, and takes it in.
+// Act records an action that begins now and returns its grant. It fails with ErrNotNow outside the
+// act window and in the quiet time.
 func (m *Machine) Act(now time.Time) (Grant, error) {
 	grant, err := m.Held(now)
 	if err != nil {
@@ -146,8 +145,8 @@
 	return max(left.Sub(now), 0)
 }
 
-// quietAfter returns until when the actions of the holder last seen forbid others, and those of
-// one that the table has forgotten.
+// quietAfter returns the end of the quiet time after the last observed holder's actions, and after
+// those of a holder that a restore of the table may have hidden.
 func (m *Machine) quietAfter(now time.Time) time.Time {
 	quiet := m.quietAfterRow(now)
 	if forgotten := m.restoredAt.Add(m.maxActionTime()); !m.restoredAt.IsZero() && forgotten.After(quiet) {
@@ -156,9 +155,8 @@
 	return quiet
 }
 
-// quietAfterRow returns until when the actions of the holder last seen forbid others: a row that
-// names no holder says it itself; under one that ran out actions may have begun for the whole
-// act window after it was written.
+// quietAfterRow returns the end of the quiet time by the row: a released row states the rest of it;
+// under one that expired, actions may have begun for the whole act window after its write.
 func (m *Machine) quietAfterRow(now time.Time) time.Time {
 	switch {
 	case m.row.Version == 0:
@@ -170,15 +168,14 @@
 	}
 }
 
-// maxActionTime is how long after a write of its row the actions of a holder forbid others.
+// maxActionTime is the time from a write of its row to the end of a holder's quiet time.
 func (m *Machine) maxActionTime() time.Duration {
 	drift := time.Duration(m.config.DriftMargin * float64(m.config.ActWindow))
 	return m.config.ActWindow + drift + m.config.Quiet
 }
 
-// Holder returns the node that the row last seen names as holder, or "". Only
-// one that contends looks at the row, and may see a change late by the time
-// between two looks.
+// Holder returns the holder by the last observed row, or "" if there is none or this node does not
+// contend.
 func (m *Machine) Holder() ident.Node {
 	if !m.contends || !m.observed {
 		return ""
@@ -186,22 +183,21 @@
 	return m.record.Node
 }
 
-// Counters returns what was counted so far.
+// Counters returns the current counts.
 func (m *Machine) Counters() Counters { return m.counters }
 
-// Idle reports that nothing is in flight and nothing is to be done unless the
-// node contends.
+// Idle reports whether no exchange is in flight or due before the next Contend.
 func (m *Machine) Idle() bool { return m.inFlight == nil && !m.hasWork() }
 
-// hasWork reports whether there is a reason to talk to the table: the node
-// contends, holds the row, or has a write of its own to settle.
+// hasWork reports whether exchanges with the table are needed: the node contends, its row is in the
+// table, or it has an unsettled write.
 func (m *Machine) hasWork() bool {
 	settling := !m.observed && m.row.Version > 0
 	return m.contends || m.ownsRow() || settling
 }
 
-// Next returns when Advance is to be called again; false means after the
-// exchange in flight or the next Contend.
+// Next returns when to call Advance again; false means after the exchange in flight or the next
+// Contend.
 func (m *Machine) Next() (time.Time, bool) {
 	if m.inFlight != nil || !m.hasWork() {
 		return time.Time{}, false
@@ -209,8 +205,7 @@
 	return m.nextAt, true
 }
 
-// Advance returns the exchange that is due, if any. Its outcome must be
-// reported by Done.
+// Advance returns the exchange that is due, if any. Its outcome must be passed to Done.
 func (m *Machine) Advance(now time.Time) (Exchange, bool) {
 	if m.held && !now.Before(m.until) {
 		m.held = false
@@ -262,9 +257,8 @@
 	}}
 }
 
-// acquireExchange builds the transaction that raises the fence counter and takes the
-// lease, both or neither. With an outdated view of the counter it fails and
-// brings back the current one.
+// acquireExchange builds the transaction that raises the fence counter and acquires the lease, both
+// or neither. If the counter has changed it fails and returns the current one.
 func (m *Machine) acquireExchange(now time.Time) Exchange {
 	fence := max(decodeCounter(m.counter.Value), m.record.Fence, m.floor, m.epoch.newest*fencesPerEpoch) + 1
 	record := Record{Node: m.node, Session: m.session, Fence: fence, Duration: m.config.Duration}
@@ -275,13 +269,13 @@
 	return exchange
 }
 
-// ownsRow reports whether the row last seen names this session as the holder.
+// ownsRow reports whether the last observed row names this session as the holder.
 func (m *Machine) ownsRow() bool { return m.observed && m.record.Session == m.session }
 
-// vacant reports whether the row last seen names no holder.
+// vacant reports whether the last observed row names no holder.
 func (m *Machine) vacant() bool { return m.row.Version == 0 || m.record.Session == "" }
 
-// Done takes in the outcome of the exchange in flight.
+// Done applies the outcome of the exchange in flight.
 func (m *Machine) Done(now time.Time, outcome Outcome) {
 	if m.inFlight == nil {
 		return
@@ -307,9 +301,8 @@
 	}
 }
 
-// failed settles a write that may have taken effect by reading the row back.
-// The read-back never extends the lease: it only finds the row version with
-// which the next renewal can.
+// applyFailure schedules a read of the row after a write that may have taken effect. That read
+// never extends the lease: it only finds the row version for the next renewal.
 func (m *Machine) applyFailure(now time.Time, sent Exchange, cause *fault.Fault) {
 	m.nextAt = now.Add(max(m.config.RetryPause, cause.RetryAfter))
 	if sent.Kind != Observe && cause.Ran != fault.RanNo {
@@ -318,7 +311,7 @@
 	}
 }
 
-// observeRow takes in the row as it was at some moment before now.
+// observeRow records the row as it was at some time before now.
 func (m *Machine) observeRow(now time.Time, row protocol.Row) {
 	if !m.observed || row.Version != m.row.Version {
 		m.setRow(now, row)
@@ -340,8 +333,8 @@
 	}
 }
 
-// setRow replaces the row seen. An unchanged version keeps the time of its
-// first sight even if an exchange in between was lost.
+// setRow replaces the observed row. An unchanged version keeps the time of its first observation
+// even if an exchange in between was lost.
 func (m *Machine) setRow(now time.Time, row protocol.Row) {
 	first := row.Version != m.row.Version || m.seenAt.IsZero()
 	if first {
@@ -354,13 +347,12 @@
 	}
 	m.record = record
 	if age := row.StoreTime - record.SentBy; first && record.SentBy > 0 && age > 0 && record.Epoch == row.Epoch {
-		// The row was sent this long ago, at least, by the slowest clock.
+		// age by the slowest clock is the least time since the row was sent.
 		m.seenAt = now.Add(-time.Duration((1 - m.config.DriftMargin) * float64(age)))
 	}
 }
 
-// applyCommit takes in a confirmed write: the lease counts from the moment
-// before it was sent.
+// applyCommit applies a confirmed write: the lease runs from before the write was sent.
 func (m *Machine) applyCommit(now time.Time, sent Exchange, rows []protocol.Row) {
 	m.setRow(now, rows[0])
 	m.epoch.observe(rows[0].Epoch)
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -30,14 +30,13 @@
 	timeout  = 1500 * time.Millisecond
 	duration = 9 * time.Second
 	quiet    = 3 * time.Second
-	// actWindow is long enough for a look at the next tick after a renewal.
+	// actWindow is longer than the ticks between two renewals.
 	actWindow = 4 * time.Second
-	// slowest is the rate of the slowest clock, by which a wait may be shorter.
+	// slowest is a lower bound of the clocks' rates, by which a wait may be shorter.
 	slowest = 0.9
 )
 
-// pendingExchange is one exchange under way. Its effect may come after the caller has
-// given up waiting.
+// pendingExchange is one exchange in flight. It may take effect after its timeout.
 type pendingExchange struct {
 	exchange            Exchange
 	appliesAt, answerAt time.Time
@@ -45,7 +44,7 @@
 	outcome             Outcome
 }
 
-// sentOrder is an order that was decided under a grant and arrives later.
+// sentOrder is an order that was sent under a grant and arrives later.
 type sentOrder struct {
 	fence     uint64
 	arrivesAt time.Time
@@ -59,7 +58,7 @@
 	pausedUntil time.Time
 }
 
-// simulation explores pauses, lost answers, late commits and orders on the way.
+// simulation explores pauses, lost answers, late commits and orders in flight.
 type simulation struct {
 	t           *rapid.T
 	now         time.Time
@@ -72,13 +71,13 @@
 	engineFence uint64
 	executed    []uint64
 	deletes     bool
-	// restores says that the table comes back from older copies; copied is the last one.
+	// restores is whether the table is restored from older copies; backup is the last one.
 	restores bool
 	backup   storetest.Copy
 	restored int
-	// reportsTime says that the table tells its own time.
+	// reportsTime is whether the table reports its own time.
 	reportsTime bool
-	// actedAt and actedFence are those of the last order decided.
+	// actedAt and actedFence are those of the last order sent.
 	actedAt    time.Time
 	actedFence uint64
 	handovers  int
@@ -86,8 +85,8 @@
 
 func newSimulation(t *rapid.T) *simulation {
 	s := &simulation{t: t, now: epoch, table: newTableModel(), owners: map[uint64]int{}, deletes: rapid.Bool().Draw(t, "deletes")}
-	s.reportsTime = rapid.Bool().Draw(t, "tells time")
-	s.restores, s.backup = rapid.Bool().Draw(t, "comes back"), s.table.Copy()
+	s.reportsTime = rapid.Bool().Draw(t, "reports time")
+	s.restores, s.backup = rapid.Bool().Draw(t, "restores"), s.table.Copy()
 	for index := range 3 {
 		n := &node{rate: rapid.Float64Range(0.95, 1.05).Draw(t, "rate")}
 		n.machine = NewMachine(Config{Duration: duration, Quiet: quiet, ActWindow: actWindow}, "x", ident.Node(fmt.Sprint(index)), fmt.Sprint("session-", index))
@@ -99,12 +98,12 @@
 
 var epoch = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// localTime is a node's own clock.
+// localTime is the time of a node's own clock.
 func (s *simulation) localTime(n *node) time.Time {
 	return epoch.Add(time.Duration(float64(s.now.Sub(epoch)) * n.rate))
 }
 
-// oneIn draws an event that happens once in so many times.
+// oneIn draws an event that happens once in the given number of times.
 func (s *simulation) oneIn(label string, times int) bool {
 	return rapid.IntRange(0, times-1).Draw(s.t, label) == times-1
 }
@@ -140,7 +139,7 @@
 	s.check()
 }
 
-// restoreTable lets the table come back from an older copy at times.
+// restoreTable copies the table at times, and restores it from the last copy at times.
 func (s *simulation) restoreTable() {
 	if !s.restores {
 		return
@@ -148,13 +147,13 @@
 	if s.oneIn("copied", 20) {
 		s.backup = s.table.Copy()
 	}
-	if s.oneIn("comes back", 100) {
+	if s.oneIn("restored", 100) {
 		s.table.ComeBack(s.backup)
 		s.restored++
 	}
 }
 
-// effect lets an exchange take effect at the table once it is due.
+// apply lets an exchange take effect at the table once it is due.
 func (s *simulation) apply(pending *pendingExchange) {
 	if pending.applied || s.now.Before(pending.appliesAt) {
 		return
@@ -167,8 +166,8 @@
 	record, _ := DecodeRecord(pending.exchange.Transaction.Writes[0].Value)
 	switch {
 	case record.Epoch != s.table.Epoch():
-		// A client takes what was committed after the table came back as unanswered.
-		pending.outcome = Outcome{Fault: fault.New(fault.StoreUnavailable, "came back").WithRan(fault.RanUnknown)}
+		// A client treats a commit in another epoch as unanswered.
+		pending.outcome = Outcome{Fault: fault.New(fault.StoreUnavailable, "restored").WithRan(fault.RanUnknown)}
 	case pending.outcome.Committed && pending.exchange.Kind == Acquire:
 		s.acquired = append(s.acquired, record.Fence)
 	}
@@ -224,7 +223,7 @@
 	s.actedAt, s.actedFence = s.now, fence
 }
 
-// deliverOrders brings orders to an engine that refuses older fences.
+// deliverOrders delivers orders to an engine that refuses older fences.
 func (s *simulation) deliverOrders() {
 	for _, sent := range s.orders {
 		if sent.arrivesAt.Equal(s.now) && sent.fence >= s.engineFence {
@@ -246,7 +245,7 @@
 	}
 	for index := 1; index < len(s.acquired); index++ {
 		if s.acquired[index] <= s.acquired[index-1] {
-			s.t.Fatalf("fence %d was given after fence %d", s.acquired[index], s.acquired[index-1])
+			s.t.Fatalf("fence %d was granted after fence %d", s.acquired[index], s.acquired[index-1])
 		}
 	}
 	next := 0
@@ -272,15 +271,15 @@
 		handovers += s.handovers
 		restored += s.restored
 	})
-	t.Logf("%d acquisitions, %d orders refused or under way", acquired, refused)
+	t.Logf("%d acquisitions, %d orders refused or in flight", acquired, refused)
 	t.Logf("%d times another holder ordered next", handovers)
-	t.Logf("%d times the table came back from an older copy", restored)
+	t.Logf("%d times the table was restored from an older copy", restored)
 	if acquired < 1000 || refused < 1000 || handovers < 1000 || restored < 300 {
-		t.Fatal("the histories hardly change holders or refuse no order: the test sees nothing")
+		t.Fatal("too few changes of the holder, refused orders or restores to test anything")
 	}
 }
 
-// TestFloorNeedsANewFence covers a counter that fell behind the engines.
+// The fence counter may have fallen behind the fences that engines have seen.
 func TestFloorNeedsANewFence(t *testing.T) {
 	table := newTableModel()
 	machine := NewMachine(Config{Duration: duration}, "x", "n", "s")
@@ -295,7 +294,7 @@
 	settle(epoch)
 	machine.StepDown(epoch, 41)
 	if _, err := machine.Held(epoch); err != ErrNotHeld {
-		t.Fatal("still held under a fence that engines refuse")
+		t.Fatal("the lease is still held under a fence that engines refuse")
 	}
 	settle(epoch)
 	if grant, err := machine.Held(epoch); err != nil || grant.Fence != 42 {
@@ -303,7 +302,7 @@
 	}
 }
 
-// settleAt makes the exchanges that a machine asks for at one moment.
+// settleAt makes the exchanges that are due at one moment.
 func settleAt(table *tableModel, machine *Machine, now time.Time) {
 	for range 5 {
 		if exchange, due := machine.Advance(now); due {
@@ -312,8 +311,7 @@
 	}
 }
 
-// An idle holder that hands over leaves nothing to wait for; one that has just
-// acted leaves the rest of the quiet time.
+// After a release the next holder waits only for the rest of the quiet time after the last action.
 func TestReleaseHandsOverRemainingQuietTime(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -355,25 +353,25 @@
 	}
 }
 
-// A contender that comes late does not wait for a lease that ran out before, if
-// the table tells its time; it waits for what is left of one that did not.
+// If the table reports its time, a late contender waits only for what is left of the lease of a dead
+// holder.
 func TestTakeoverWaitOfLateContender(t *testing.T) {
 	tests := []struct {
-		name   string
-		tells  bool
-		after  time.Duration
-		waited time.Duration
+		name        string
+		reportsTime bool
+		after       time.Duration
+		waited      time.Duration
 	}{
-		{"time told, long ago", true, time.Minute, 0},
-		{"time told, just now", true, 0, duration},
-		{"time told, in between", true, 5 * time.Second, 4500 * time.Millisecond},
-		{"no time told", false, time.Minute, duration},
+		{"time reported, long ago", true, time.Minute, 0},
+		{"time reported, just now", true, 0, duration},
+		{"time reported, in between", true, 5 * time.Second, 4500 * time.Millisecond},
+		{"no time reported", false, time.Minute, duration},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			table := newTableModel()
 			at := func(now time.Time) time.Time {
-				if tt.tells {
+				if tt.reportsTime {
 					table.storeTime = time.Hour + now.Sub(epoch)
 				}
 				return now
--- a/internal/lease/suspended_test.go
+++ b/internal/lease/suspended_test.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/clock"
 )
 
-// A holder whose machine was suspended for longer than its lease lasts acts no more: another
-// one may hold it, and the steady clock does not count that time.
+// A holder whose machine was suspended for longer than the lease must not act: another may hold it,
+// and the monotonic clock does not count that time.
 func TestSuspendedHolderLosesLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/lease/table_test.go
+++ b/internal/lease/table_test.go
@@ -11,10 +11,10 @@
 	"github.com/fieldpond/fieldpond/internal/store/storetest"
 )
 
-// tableModel is the table's truth: rows and versions, without any transport.
+// tableModel models the rows and versions of the table, without transport.
 type tableModel struct {
 	*storetest.Rows
-	// storeTime is the table's own time, 0 if it tells none.
+	// storeTime is the table's own time, 0 if it reports none.
 	storeTime time.Duration
 }
 
@@ -59,7 +59,7 @@
 	f.down = down
 }
 
-// countOver returns the requests made in the coming span of time.
+// countOver waits for a span of time and returns the requests made in it.
 func (f *fakeTable) countOver(span time.Duration) int {
 	f.mutex.Lock()
 	before := f.requests
@@ -84,7 +84,7 @@
 	return protocol.RowList{}, fault.New(fault.Internal, "not used")
 }
 
-// link is one node's way to the table, which can be cut.
+// link is one node's connection to the table, which can be cut.
 type link struct {
 	*fakeTable
 	cut atomic.Bool
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -26,36 +26,37 @@
 type Lease interface {
 	// Held returns the grant, if there is one.
 	Held() (lease.Grant, error)
-	// Act returns it for an order that leaves now.
+	// Act returns the grant if an order may be sent now, and records the action.
 	Act() (lease.Grant, error)
+	// StepDown gives the lease up unless its fence is above floor.
 	StepDown(floor uint64)
 }
 
-// ControllerConfig sets the shell of a Planner.
+// ControllerConfig configures a Controller.
 type ControllerConfig struct {
 	Planner Config
-	// Tick is the time between two looks. Default: 100ms.
+	// Tick is the time between two planning steps. Default: 100ms.
 	Tick time.Duration
 	// ExchangeTimeout bounds one order or report. Default: 600ms.
 	ExchangeTimeout time.Duration
-	// OnOrder is told each order with its result. It must not block.
+	// OnOrder is called with each order and its result. It must not block.
 	OnOrder func(order *Order, result Result)
-	// OnSuspectVersion is told each version that came to be doubted. It must not block; nil tells nobody.
-	OnSuspectVersion func(doubt SuspectVersion)
-	// Quiesce has engines emptied before their orders; it needs an Announcer.
+	// OnSuspectVersion, if not nil, is called once for each version that becomes suspect. It must
+	// not block.
+	OnSuspectVersion func(suspect SuspectVersion)
+	// Quiesce makes engines quiesce before their orders; it needs a Notifier.
 	Quiesce bool
-	// Notifier tells other routers which engines are about to change; nil tells
-	// nobody.
+	// Notifier notifies routers of engines that are about to change; nil disables notifications.
 	Notifier Notifier
 }
 
 const (
 	defaultTick            = 100 * time.Millisecond
 	defaultExchangeTimeout = 600 * time.Millisecond
-	// notificationLead is the time between the notice of an order and the order, for
-	// the notice to arrive and for work under way to reach its engine.
+	// notificationLead is the time between the notification of an order and the order, for the
+	// notification to arrive and for requests on their way to reach the engine.
 	notificationLead = 30 * time.Millisecond
-	// resultCapacity holds the results of all exchanges that can be under way.
+	// resultCapacity is above the number of exchanges in flight, so that none blocks.
 	resultCapacity = 1024
 )
 
@@ -79,7 +80,7 @@
 	if config.ExchangeTimeout <= 0 {
 		config.ExchangeTimeout = defaultExchangeTimeout
 	}
-	// Only routers that are told send no new work.
+	// An engine only gets no new requests if routers are notified.
 	if config.Notifier != nil && config.Quiesce {
 		config.Planner.QuiesceTime = cmp.Or(config.Planner.QuiesceTime, defaultQuiesceTime)
 	}
@@ -107,7 +108,7 @@
 	}
 }
 
-// applyResults takes in all results there are.
+// applyResults applies the results that are available without blocking.
 func (c *Controller) applyResults() {
 	for {
 		select {
@@ -128,7 +129,7 @@
 		c.fence = grant.Fence
 		c.planner.ForgetOrders()
 	}
-	// Orders of two holders must never take turns.
+	// Orders of two lease holders must not interleave.
 	if now.Before(grant.QuietUntil) || !now.Before(grant.ActUntil) {
 		return
 	}
@@ -150,7 +151,7 @@
 	}
 }
 
-// headroom returns how calm the services of engines are, from 0 to 1.
+// headroom returns the headroom of each service with engines, from 0 (saturated) to 1 (idle).
 func (c *Controller) headroom(now time.Time, records []backend.Record) map[ident.Service]float64 {
 	headroom := make(map[ident.Service]float64)
 	for _, record := range records {
@@ -161,8 +162,8 @@
 	return headroom
 }
 
-// notifyChanges tells the engines that the actions change, those that are emptied, and
-// those that have their version since the last look.
+// notifyChanges notifies routers of the engines that are about to load, that began to quiesce, and
+// that loaded their version since the last step.
 func (c *Controller) notifyChanges(actions []Action) {
 	loaded, quiescing := c.planner.Loaded(), c.planner.Quiescing()
 	if c.config.Notifier == nil {
@@ -178,7 +179,7 @@
 	pending.send(c.config.Notifier)
 }
 
-// notifyUnsettled takes a notice back whose order may not have been taken.
+// notifyUnsettled retracts the notification of an order that the engine may not have accepted.
 func (c *Controller) notifyUnsettled(order *Order, result Result) {
 	if c.config.Notifier == nil || result == Accepted {
 		return
@@ -188,7 +189,7 @@
 	})
 }
 
-// execute makes one exchange and hands its result to the goroutine of Run.
+// execute makes one exchange and passes its result to the goroutine of Run.
 func (c *Controller) execute(ctx context.Context, requestedAt time.Time, action Action, fence uint64) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.ExchangeTimeout)
 	defer cancel()
@@ -206,7 +207,7 @@
 	if c.config.Notifier != nil && !action.Quiesced {
 		wait.For(ctx, notificationLead)
 	}
-	// The lease is asked once more right before the order leaves.
+	// The lease may have been lost since Plan: check it right before sending.
 	result := NotSent
 	if grant, err := c.lease.Act(); err == nil && grant.Fence == fence {
 		result = c.engines.Order(ctx, action.Order)
@@ -221,7 +222,7 @@
 	}
 }
 
-// observeVersions hands newer versions to the registry ahead of the list.
+// observeVersions records reported versions before the instance list shows them.
 func (c *Controller) observeVersions(target backend.Record, report *Report) {
 	if report == nil {
 		return
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -26,15 +26,14 @@
 func (h heldLease) Act() (lease.Grant, error) { return h.Held() }
 func (heldLease) StepDown(uint64)             {}
 
-// fleetEngines takes orders as a fleet does, and notes them together with the
-// notices.
+// fleetEngines executes orders as its fleet does, and records orders and notifications.
 type fleetEngines struct {
 	mu     sync.Mutex
 	fleet  *fleet
 	events []string
 	// silent leaves its first order unanswered.
 	silent ident.Incarnation
-	// loadTime and quiesceTime are the times last told.
+	// loadTime and quiesceTime are the longest times notified.
 	loadTime, quiesceTime time.Duration
 }
 
@@ -64,7 +63,7 @@
 		e.events = append(e.events, "loading "+string(instance))
 	}
 	for _, instance := range notification.Quiescing {
-		e.events = append(e.events, "emptying "+string(instance))
+		e.events = append(e.events, "quiescing "+string(instance))
 	}
 	for _, instance := range notification.Unsettled {
 		e.events = append(e.events, "unsettled "+string(instance))
@@ -74,8 +73,7 @@
 	}
 }
 
-// Each engine is announced before its order leaves, and again once it has the
-// version.
+// Routers are notified of each engine before its order, and again once it has the version.
 func TestNotificationsAroundEachOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,15 +102,15 @@
 	})
 }
 
-// An engine that runs requests is announced before it is emptied, and again right
-// before its order, with the times that routers need.
+// Routers are notified when an engine begins to quiesce and again before its order, with the times
+// that they need.
 func TestQuiescingNotifications(t *testing.T) {
 	tests := []struct {
-		name     string
-		emptying bool
-		want     []string
+		name    string
+		quiesce bool
+		want    []string
 	}{
-		{"on", true, []string{"emptying i-00", "loading i-00", "order i-00", "loaded i-00"}},
+		{"on", true, []string{"quiescing i-00", "loading i-00", "order i-00", "loaded i-00"}},
 		{"off", false, []string{"loading i-00", "order i-00", "loaded i-00"}},
 	}
 	for _, tt := range tests {
@@ -126,22 +124,22 @@
 				backends := backend.NewRegistry(backend.Config{})
 				backends.ApplyList(time.Now(), engines.fleet.records())
 				controller := rollout.NewController(rollout.ControllerConfig{
-					Planner: config, Notifier: engines, Quiesce: tt.emptying, OnOrder: func(*rollout.Order, rollout.Result) {},
+					Planner: config, Notifier: engines, Quiesce: tt.quiesce, OnOrder: func(*rollout.Order, rollout.Result) {},
 				}, heldLease{}, engines, holder, backends)
 				go controller.Run(t.Context())
 				time.Sleep(5 * time.Second)
 				engines.mu.Lock()
 				defer engines.mu.Unlock()
 				is.Equal(engines.events, tt.want)
-				is.True(engines.loadTime > time.Second) // the expected second and what it may take longer
-				is.Equal(engines.quiesceTime > 0, tt.emptying)
+				is.True(engines.loadTime > time.Second) // above the mean
+				is.Equal(engines.quiesceTime > 0, tt.quiesce)
 			})
 		})
 	}
 }
 
-// An entry that another writer left in the list may name a service that there is not: nothing
-// is sent to what it names.
+// An entry that another writer left in the instance list may name an unknown service. Nothing is
+// sent to its address.
 func TestEnginesOfUnknownServicesAreNotOrdered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/rollout/crashes.go
+++ b/internal/rollout/crashes.go
@@ -7,48 +7,44 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// A version under which engines crash while they load it would take one engine after the other,
-// as each is back with the weights that it had and is ordered again: of 18 engines 302 lives ended
-// in a minute, and 14 were away at once (a model of a fleet whose engines are back after 2 s). With
-// the bounds below 7 end, and 4 are away at once.
+// A version that crashes the engines that load it would crash all of them repeatedly, as each
+// restarts with its old weights and is ordered again. The bounds below limit such loads.
 
 const (
-	// suspectThreshold is the number of engines that must have ended while they loaded a version
-	// that no engine has, before it is loaded by one at a time.
+	// suspectThreshold is the number of engines that must have crashed while loading a version
+	// that no engine has, before only one engine at a time may load it.
 	suspectThreshold = 3
-	// minSuspectPause is the time from such an end to the next load, which doubles with each one
-	// up to maxSuspectPause. It is short, as engines may crash for reasons of their own: the first
-	// load that ends well ends the doubt.
+	// minSuspectPause is the time from such a crash to the next load; it doubles with each crash
+	// up to maxSuspectPause. It is short, as the crashes may have other causes.
 	minSuspectPause = 500 * time.Millisecond
 	maxSuspectPause = time.Minute
 )
 
-// modelVersion are a version of a model.
 type modelVersion struct {
 	model   ident.Model
 	version int
 }
 
-// SuspectVersion says that engines ended while they loaded a version that no engine has.
+// SuspectVersion is a version that no engine has and that engines crashed while loading.
 type SuspectVersion struct {
 	Model   ident.Model
 	Version int
-	// Ended is the number of engines that did.
+	// Ended is the number of engines that crashed.
 	Ended int
 }
 
-// loadCrashes is what is held against a version.
+// loadCrashes counts the engines that crashed while loading a version.
 type loadCrashes struct {
 	count int
-	// pause is the time from the last end to the next load, which may begin at next; that is
-	// zero until the time of the last end is known.
+	// pause is the time from the last crash to the next load. nextLoadAt is zero until
+	// reviewCrashes has dated the last crash.
 	pause      time.Duration
 	nextLoadAt time.Time
 	reported   bool
 }
 
-// noteCrashes takes in which engines under order are not listed any more. Those that leave as planned
-// are told as draining before.
+// noteCrashes counts engines under order that are not listed any more. Those that stop as planned
+// are listed as draining before.
 func (p *Planner) noteCrashes(records []backend.Record) {
 	listed := make(map[ident.Incarnation]struct{}, len(records))
 	for _, record := range records {
@@ -70,7 +66,8 @@
 	}
 }
 
-// reviewCrashes drops doubts that a load or a newer version has ended, and dates the ends that were noted.
+// reviewCrashes forgets crashes once an engine has the version or a newer one is published, and
+// dates new crashes.
 func (p *Planner) reviewCrashes(now time.Time) {
 	for loading, crashes := range p.crashes {
 		if p.isLoaded(loading) || p.models[loading.model].Version != loading.version {
@@ -83,7 +80,7 @@
 	}
 }
 
-// isLoaded reports whether an engine has a version or a newer one.
+// isLoaded reports whether any engine has the version or a newer one.
 func (p *Planner) isLoaded(wanted modelVersion) bool {
 	for _, engine := range p.engines {
 		if engine.versions[wanted.model] >= wanted.version {
@@ -93,7 +90,7 @@
 	return false
 }
 
-// loadBlocked reports whether an engine may not load the newest version of a model now.
+// loadBlocked reports whether no engine may begin to load the newest version of a model now.
 func (p *Planner) loadBlocked(now time.Time, model ident.Model) bool {
 	newest := modelVersion{model, p.models[model].Version}
 	crashes := p.crashes[newest]
@@ -111,7 +108,7 @@
 	return false
 }
 
-// NewSuspects returns the versions that came to be doubted since the last call.
+// NewSuspects returns the versions that became suspect since the last call.
 func (p *Planner) NewSuspects() []SuspectVersion {
 	var suspects []SuspectVersion
 	for suspect, crashes := range p.crashes {
--- a/internal/rollout/crashes_test.go
+++ b/internal/rollout/crashes_test.go
@@ -1,10 +1,5 @@
 package rollout_test
 
-// An order of weights can do to engines what a request can: each engine that loads them crashes,
-// is back with the weights that it had, and is ordered again. Nothing tied the ends of engines to
-// the version that they were loading, so that a third of the engines was away for as long as the
-// version was named.
-
 import (
 	"fmt"
 	"testing"
@@ -23,14 +18,14 @@
 	restartsAfter = 2 * time.Second
 )
 
-// crashingEngine is one life of an engine of a crashing fleet.
+// crashingEngine is one incarnation of an engine.
 type crashingEngine struct {
 	version  int
 	sequence uint64
-	// loading is the version that it loads, 0 for none, until doneAt.
+	// loading is the version being loaded until doneAt, 0 for none.
 	loading int
 	doneAt  time.Duration
-	// downUntil is when the next life begins, 0 while it runs.
+	// downUntil is when the next incarnation starts, 0 while this one runs.
 	downUntil time.Duration
 	number    int
 }
@@ -39,10 +34,9 @@
 type crashingFleet struct {
 	engines []*crashingEngine
 	started int
-	// crashes reports whether an engine crashes that loads a version at a time.
+	// crashes reports whether an engine crashes that loads a version at that time.
 	crashes func(version int, at time.Duration) bool
-	// crashed is the number of lives that crashed, away that of the places that were longest
-	// away at the same time.
+	// crashed is the number of crashes, maxAway the most engines away at the same time.
 	crashed, maxAway int
 }
 
@@ -63,7 +57,7 @@
 	return ident.Incarnation(fmt.Sprintf("i-%03d", l.number))
 }
 
-// advance ends loads and begins lives that are due.
+// advance ends the loads and starts the incarnations that are due.
 func (f *crashingFleet) advance(at time.Duration) {
 	away := 0
 	for index, engine := range f.engines {
@@ -83,7 +77,7 @@
 	f.maxAway = max(f.maxAway, away)
 }
 
-// find returns the engine of a life, nil if it has ended.
+// find returns the engine of an incarnation, nil if that has ended.
 func (f *crashingFleet) find(instance ident.Incarnation) *crashingEngine {
 	for _, engine := range f.engines {
 		if engine.instance() == instance && engine.downUntil == 0 {
@@ -103,7 +97,7 @@
 	return records
 }
 
-// execute carries out what the planner wants.
+// execute carries out an action of the planner.
 func (f *crashingFleet) execute(planner *rollout.Planner, now time.Time, at time.Duration, action rollout.Action) {
 	engine := f.find(action.Target.Instance)
 	switch {
@@ -144,6 +138,7 @@
 	return count
 }
 
+// A version that crashes every engine that loads it must not take many engines away at once.
 func TestLoadsOfCrashingVersionAreLimited(t *testing.T) {
 	is := is.New(t)
 	f := newCrashingFleet(18, func(version int, _ time.Duration) bool { return version == 2 })
@@ -153,14 +148,13 @@
 	t.Logf("%d engines crashed in a minute, %d were away at once", f.crashed, f.maxAway)
 	is.True(f.crashed <= 16)
 	is.True(f.maxAway <= 6)
-	// The version that replaces it is loaded by all in time.
+	// All load the version that replaces it in time.
 	models = published(catalog.Publication{Version: 2, SeenAt: start}, catalog.Publication{Version: 3, SeenAt: start.Add(time.Minute)})
 	f.simulate(planner, models, time.Minute, time.Minute+8*time.Second)
 	is.Equal(f.countVersion(3), 18)
 }
 
-// Engines that crash for reasons of their own while they load a version say nothing against it
-// once one has it.
+// Crashes with other causes do not block a version once an engine has loaded it.
 func TestUnrelatedCrashesDoNotBlockVersion(t *testing.T) {
 	is := is.New(t)
 	f := newCrashingFleet(18, func(_ int, at time.Duration) bool { return at < 900*time.Millisecond })
--- a/internal/rollout/loadtimes.go
+++ b/internal/rollout/loadtimes.go
@@ -3,32 +3,29 @@
 import "time"
 
 const (
-	// loadWeight and spreadWeight are the parts of a new observation in the mean and
-	// in the mean deviation: those of the usual estimator of round trips (RFC 6298).
+	// loadWeight and spreadWeight are the divisors that weigh a new observation in the mean and
+	// in the mean deviation, as in RFC 6298.
 	loadWeight   = 8
 	spreadWeight = 4
 	// spreadFactor times the mean deviation bounds nearly all loads.
 	spreadFactor = 2
-	// initialSpreadDivisor is the deviation before the first load was seen, as a divisor of
-	// the mean.
+	// initialSpreadDivisor divides the expected mean into the deviation before any observation.
 	initialSpreadDivisor = 4
-	// minSpread is about the time between two reports, at which loads are seen to
-	// end.
+	// minSpread is about the time between two reports, the resolution of observed loads.
 	minSpread = 50 * time.Millisecond
-	// maxLoadTime bounds what is learned: an engine that froze while it loaded says
-	// nothing of others.
+	// maxLoadTime is the longest observation used: an engine that froze during a load is no
+	// measure for others.
 	maxLoadTime = 5 * time.Second
 )
 
-// loadTimes learns how long engines take to load weights, from the answer to an order
-// until the version is seen.
+// loadTimes estimates durations of loads from their mean and mean deviation.
 type loadTimes struct{ mean, spread time.Duration }
 
 func newLoadTimes(mean time.Duration) loadTimes {
 	return loadTimes{mean: mean, spread: mean / initialSpreadDivisor}
 }
 
-// observe takes in one load.
+// observe records the duration of one load.
 func (l *loadTimes) observe(took time.Duration) {
 	if took <= 0 || took > maxLoadTime {
 		return
@@ -38,12 +35,11 @@
 	l.spread = max(l.spread+(deviation.Abs()-l.spread)/spreadWeight, minSpread)
 }
 
-// shortest is the time after which a load may be over.
+// shortest is the time after which a load may have ended.
 func (l *loadTimes) shortest() time.Duration { return max(l.mean-spreadFactor*l.spread, 0) }
 
-// longest is the time after which a load is mostly over.
+// longest is the time after which nearly all loads have ended.
 func (l *loadTimes) longest() time.Duration { return l.mean + spreadFactor*l.spread }
 
-// LoadTime is the time after which an engine that takes an order now mostly has its
-// version.
+// LoadTime is the time from the acceptance of an order until nearly all engines have its version.
 func (p *Planner) LoadTime() time.Duration { return p.loads.longest() }
--- a/internal/rollout/loadtimes_test.go
+++ b/internal/rollout/loadtimes_test.go
@@ -11,14 +11,13 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// The time of a load is learned from the loads that were seen, and sets when an engine
-// is asked whether it has its version.
+// The load time is learned from observed loads, and sets when an engine's report is read.
 func TestLoadTimeIsLearned(t *testing.T) {
 	tests := []struct {
 		name        string
 		load        time.Duration
 		least, most time.Duration
-		// reports is the most that are read for one of the later loads.
+		// reports is the largest number of reports read for the last load.
 		reports int
 	}{
 		{"fast", 300 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond, 4},
@@ -42,7 +41,7 @@
 	}
 }
 
-// A load that lasted beyond all reason, as at an engine that froze, changes nothing.
+// The load of an engine that froze does not change the estimate.
 func TestOutlierLoadTimeIsIgnored(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(1)
@@ -51,8 +50,8 @@
 	is.Equal(planner.LoadTime(), 1500*time.Millisecond)
 }
 
-// changeVersion has one engine take a version that it loads for a time. It returns the number
-// of reports that were read after the order.
+// changeVersion makes one engine load a version for some time. It returns the number of reports
+// read after the order.
 func changeVersion(planner *rollout.Planner, engines *fleet, version int, load time.Duration) int {
 	const name = ident.Incarnation("i-00")
 	from := start.Add(time.Duration(version) * time.Minute)
--- a/internal/rollout/notification.go
+++ b/internal/rollout/notification.go
@@ -6,37 +6,34 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Notification tells other routers what becomes of engines, ahead of the list of back
-// ends. It decides nothing: a notice that is lost costs a refusal.
+// Notification reports to routers which engines change, before the instance list shows it. A lost
+// one costs no more than a request that an engine refuses.
 type Notification struct {
 	Model   ident.Model `cbor:"1,keyasint"`
 	Version int         `cbor:"2,keyasint"`
-	// Loading are about to take the version, and refuse work until they have it.
+	// Loading engines are about to load the version, and refuse requests until they have it.
 	Loading []ident.Incarnation `cbor:"3,keyasint,omitempty"`
-	// Loaded have it.
+	// Loaded engines have the version.
 	Loaded []ident.Incarnation `cbor:"4,keyasint,omitempty"`
-	// Unsettled did not say that they take it: they go on as before, as far as is
-	// known.
+	// Unsettled engines did not confirm their order and are assumed to serve as before.
 	Unsettled []ident.Incarnation `cbor:"5,keyasint,omitempty"`
-	// LoadTime is how long a load mostly takes; 0 means that it is not told.
+	// LoadTime is the time in which nearly all loads end; 0 if not stated.
 	LoadTime time.Duration `cbor:"6,keyasint,omitempty"`
-	// Quiescing engines get no new work, since they begin to load in QuiesceTime or
-	// before.
+	// Quiescing engines get no new work, since they begin to load within QuiesceTime.
 	Quiescing   []ident.Incarnation `cbor:"7,keyasint,omitempty"`
 	QuiesceTime time.Duration       `cbor:"8,keyasint,omitempty"`
 }
 
-// Notifier tells notices to all routers, this one included. It must not block.
+// Notifier sends notifications to all routers, this one included. It must not block.
 type Notifier interface {
-	Notify(notice Notification)
+	Notify(notification Notification)
 }
 
-// notificationBatch gathers what is to be told, one notice a version.
+// notificationBatch collects one notification for each version, in order of first use.
 type notificationBatch struct {
 	keys      []notificationKey
 	byVersion map[notificationKey]*Notification
-	// loadTime is how long engines that load mostly take.
-	loadTime time.Duration
+	loadTime  time.Duration
 }
 
 type notificationKey struct {
@@ -56,7 +53,7 @@
 	return n.byVersion[key]
 }
 
-// addLoading gathers the engines of orders that are about to leave.
+// addLoading adds the engines of orders that are about to be sent.
 func (n *notificationBatch) addLoading(actions []Action) {
 	for _, action := range actions {
 		if order := action.Order; order != nil {
@@ -67,7 +64,7 @@
 	}
 }
 
-// addQuiescing gathers the engines that are emptied for some time at most.
+// addQuiescing adds engines that quiesce for at most the time longest.
 func (n *notificationBatch) addQuiescing(engines []QuiescingEngine, longest time.Duration) {
 	for _, engine := range engines {
 		notification := n.forVersion(engine.Model, engine.Version)
@@ -76,7 +73,6 @@
 	}
 }
 
-// announce tells what was gathered.
 func (n *notificationBatch) send(notifier Notifier) {
 	for _, key := range n.keys {
 		notifier.Notify(*n.byVersion[key])
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -7,8 +7,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Order asks one engine to take a version of a model's weights. It is carried
-// out only if the engine has taken Sequence orders before.
+// Order asks one engine to load a version of a model's weights. It is carried out only if the
+// engine has accepted exactly Sequence orders before.
 type Order struct {
 	Target   backend.Record
 	Model    ident.Model
@@ -17,21 +17,21 @@
 	Fence    uint64
 }
 
-// Result is what an engine answered to an order.
+// Result is the outcome of an order.
 type Result uint8
 
 const (
-	// Accepted orders are carried out, or hold already.
+	// Accepted orders are carried out, or already were.
 	Accepted Result = iota + 1
-	// Conflicting orders met another one, or another sequence number.
+	// Conflicting orders met another order in progress, or another sequence number.
 	Conflicting
-	// Outdated orders carried an older fence than the engine has seen.
+	// Outdated orders carried a fence older than one that the engine has seen.
 	Outdated
-	// Gone is an order to an engine that is no longer at its address.
+	// Gone orders were sent to an engine that is no longer at its address.
 	Gone
-	// Unanswered orders may have been taken, or may be taken later.
+	// Unanswered orders may have been accepted, or may be later.
 	Unanswered
-	// NotSent orders never left this process.
+	// NotSent orders did not leave this process.
 	NotSent
 )
 
@@ -44,28 +44,27 @@
 // String implements fmt.Stringer.
 func (r Result) String() string { return resultNames[r] }
 
-// ErrOtherInstance says that another engine answered at the address of the one asked for,
-// which has therefore ended.
+// ErrOtherInstance means that another engine answered at the target's address, so that the target
+// has ended.
 var ErrOtherInstance = errors.New("another engine answers at the address")
 
-// ErrBackoff says that a report was not asked for, since the engine wants nothing now.
-var ErrBackoff = errors.New("the engine wants rest")
+// ErrBackoff means that no report was requested, since the engine asked this router to back off.
+var ErrBackoff = errors.New("the engine asked for back-off")
 
-// Report is what an engine told about itself.
+// Report is an engine's report on itself.
 type Report struct {
 	Versions map[ident.Model]int
 	Busy     bool
 	Sequence uint64
-	// Queued is the number of requests that wait for a place, Active that of those
-	// that have one.
+	// Queued is the number of waiting requests, Active that of running ones.
 	Queued, Active int
 }
 
-// Action is one thing for the shell to do: an order, or a report to read.
+// Action is one exchange for the Controller to make: an order to send or a report to read.
 type Action struct {
 	// Order is nil if the report of Target is to be read.
 	Order  *Order
 	Target backend.Record
-	// Quiesced says that routers were told before to send the target no new work.
+	// Quiesced is true if the target quiesced before the order, so that routers were notified.
 	Quiesced bool
 }
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -1,7 +1,7 @@
-// Package rollout brings engines to the newest named version of their models'
-// weights, by orders that one lease holder sends.
+// Package rollout brings engines to the newest published version of their models' weights, by
+// orders that one lease holder sends.
 //
-// Planner decides without I/O or clock; Controller is the shell around it.
+// Planner decides without I/O or clock; Controller runs it.
 package rollout
 
 import (
@@ -14,28 +14,25 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Config fixes the pace of a rollout. Zero fields take the defaults.
+// Config sets the pace of a rollout. Zero fields get the defaults.
 type Config struct {
-	// Deadline is how long after a version was named no request may begin on an
-	// older one. Default: 8s.
+	// Deadline is the time after the publication of a version from which no request may begin on
+	// an older one. Default: 8s.
 	Deadline time.Duration
-	// LoadTime is the time from an order until a report shows the change that is
-	// taken until loads were seen. Default: 1s.
+	// LoadTime is the assumed time from an order until a report shows the change, before any load
+	// was observed. Default: 1s.
 	LoadTime time.Duration
-	// Parallel is the least number of engines that may be changed at one time;
-	// there are more if the deadline could not be kept otherwise. Default: one in
-	// five of those there are.
+	// Parallel is the number of engines that may be changed at one time, or more if the deadline
+	// could not be kept otherwise. Default: a fifth of the engines.
 	Parallel int
-	// DeferOrders puts orders off for as long as the deadline allows, so that versions
-	// which are named in quick succession are taken in one load. Default: each
-	// version is ordered when it is seen, since runs on replaced weights are worth
-	// less.
+	// DeferOrders delays orders for as long as the deadline allows, so that versions published in
+	// quick succession need one load. Default: a version is ordered when it is first seen.
 	DeferOrders bool
-	// Margin is the time kept before the deadline for orders that are lost and
-	// holders that change. Default: 2s.
+	// Margin is the time kept before the deadline for lost orders and changes of the lease
+	// holder. Default: 2s.
 	Margin time.Duration
-	// QuiesceTime is the longest time for which an engine gets no new work before its
-	// order, so that the requests there can end. Default: none.
+	// QuiesceTime is the longest time for which an engine gets no new work before its order, so
+	// that its requests can end. Default: none.
 	QuiesceTime time.Duration
 }
 
@@ -43,19 +40,18 @@
 	defaultDeadline = 8 * time.Second
 	defaultLoadTime = time.Second
 	defaultMargin   = 2 * time.Second
-	// reportInterval is the time between two reports of an engine that changes, from
-	// the time on at which the fastest loads are over.
+	// reportInterval is the time between two reports of an engine under order, once the fastest
+	// loads would have ended.
 	reportInterval = 100 * time.Millisecond
-	// orderLostAfter is how old an order must be before a report without any sign
-	// of it shows that it was not taken; reports lag by some hundred ms.
+	// orderLostAfter is the age of an order from which a report without any sign of it shows that
+	// it was not accepted; above the lag of reports.
 	orderLostAfter = 700 * time.Millisecond
-	// maxReportAge is how long a report's sequence number is taken for the next
-	// order.
+	// maxReportAge is how long a report's sequence number may be used for an order.
 	maxReportAge = time.Second
 	// refusedPause is the pause after an engine refused an order.
 	refusedPause = 300 * time.Millisecond
-	// minSilentPause and maxSilentPause bound the pause after a report that did not
-	// come; it doubles with each one in a row.
+	// minSilentPause and maxSilentPause bound the pause after a missing report; it doubles with
+	// each one in a row.
 	minSilentPause = 300 * time.Millisecond
 	maxSilentPause = 2 * time.Second
 )
@@ -67,75 +63,72 @@
 	return c
 }
 
-// Counters counts what a Planner did.
+// Counters counts the orders and reports of a Planner.
 type Counters struct {
 	Orders, Accepted, Refused, Unanswered, Reports uint64
-	// Late counts engines that were found behind a version after its deadline.
+	// Late counts orders that were issued after the deadline.
 	Late uint64
 }
 
-// engineState is the state of one engine.
 type engineState struct {
 	record   backend.Record
 	sequence uint64
 	versions map[ident.Model]int
-	// ordered is the version asked for, 0 if no order is open.
+	// ordered is the version under order, 0 if no order is open.
 	ordered      int
 	orderedModel ident.Model
 	orderedAt    time.Time
-	// acceptedAt is when the engine said that it takes the version, zero if it did
-	// not.
+	// acceptedAt is when the engine accepted the order, zero if it did not.
 	acceptedAt time.Time
-	// inFlight is true while an order or a report is under way.
+	// inFlight is true during an exchange with the engine.
 	inFlight bool
 	retryAt  time.Time
-	// minSilentPause is the last pause after a report that did not come, 0 after one
-	// that came.
+	// silentPause is the pause after the last report if it was missing, else 0.
 	silentPause time.Duration
-	// nextReportAt is when the next report is due, reportedAt when the last one
-	// that came was asked for.
+	// nextReportAt is when the next report is due, reportedAt when the last one received was
+	// requested.
 	nextReportAt, reportedAt time.Time
-	// requests is the number of requests at the engine in the last report, busy whether it
-	// carried out an order then.
+	// requests is the number of the engine's requests in the last report, busy whether it was
+	// carrying out an order then.
 	requests int
 	busy     bool
-	// quiescingSince is when routers were told to send the engine no new work, zero if
-	// they were not.
+	// quiescingSince is zero if the engine does not quiesce.
 	quiescingSince time.Time
-	// unavailableSince is when the change under order began: when emptying did, or the order.
+	// unavailableSince is when the open order was issued, or when the engine began to quiesce for
+	// it.
 	unavailableSince time.Time
 }
 
 // Planner decides on orders. It is not safe for concurrent use.
 //
-// Invariants: an engine has at most one exchange under way; an order carries
-// the sequence number of a report read right before, so that of two orders with the same number
-// the engine carries out one at most, however late the other arrives.
+// Invariants: an engine has at most one exchange in flight; an order carries the sequence number of
+// a report read right before, so that the engine carries out at most one of two orders with the
+// same number, however late the other arrives.
 type Planner struct {
 	config   Config
 	engines  map[ident.Incarnation]*engineState
 	models   map[ident.Model]catalog.PublishedVersion
 	counters Counters
-	// loaded are the engines whose orders were settled since the last Loaded.
+	// loaded are the engines that loaded their version since the last call of Loaded.
 	loaded []LoadedEngine
-	// loads are the times from orders on, changes those for which engines were away.
+	// loads measures from acceptance until the version is observed, changes for how long engines
+	// are unavailable.
 	loads, changes loadTimes
-	// headroom is how calm services are, from 0 to 1.
+	// headroom is from 0 (saturated) to 1 (idle).
 	headroom map[ident.Service]float64
-	// quiescing are the engines that got to be emptied since the last call of Emptying.
+	// quiescing are the engines that began to quiesce since the last call of Quiescing.
 	quiescing []QuiescingEngine
-	// crashes are the versions under which engines ended while they loaded them.
-	crashes map[modelVersion]*loadCrashes
+	crashes   map[modelVersion]*loadCrashes
 }
 
-// LoadedEngine is an engine that has the version it was ordered to take.
+// LoadedEngine is an engine that has the version it was ordered to load.
 type LoadedEngine struct {
 	Instance ident.Incarnation
 	Model    ident.Model
 	Version  int
 }
 
-// NewPlanner returns a planner that knows no engine.
+// NewPlanner returns a planner without engines.
 func NewPlanner(config Config) *Planner {
 	config = config.withDefaults()
 	return &Planner{
@@ -144,10 +137,10 @@
 	}
 }
 
-// Counters returns what was counted so far.
+// Counters returns the current counts.
 func (p *Planner) Counters() Counters { return p.counters }
 
-// Observe takes in the newest list of back ends and the named versions.
+// Observe sets the instance list and the published versions.
 func (p *Planner) Observe(records []backend.Record, models map[ident.Model]catalog.PublishedVersion) {
 	p.models = models
 	p.noteCrashes(records)
@@ -167,14 +160,14 @@
 	p.engines = engines
 }
 
-// recordVersions takes in versions; an engine never goes back within one life.
+// recordVersions records an engine's versions, which never decrease within one incarnation.
 func (e *engineState) recordVersions(versions map[ident.Model]int) {
 	for model, version := range versions {
 		e.versions[model] = max(e.versions[model], version)
 	}
 }
 
-// ForgetOrders drops what is believed of orders under way, for a new holder.
+// ForgetOrders drops the state of open orders. Called when the lease has a new fence.
 func (p *Planner) ForgetOrders() {
 	for _, engine := range p.engines {
 		engine.ordered, engine.inFlight = 0, false
@@ -182,15 +175,15 @@
 	}
 }
 
-// pendingUpdate is an engine that is behind a named version.
+// pendingUpdate is an engine without the newest published version of a model.
 type pendingUpdate struct {
 	engine   *engineState
 	model    ident.Model
 	deadline time.Time
 }
 
-// Plan returns what to do now under a fence. Each order must be answered by
-// Ordered, each report by Reported.
+// Plan returns the exchanges to make now under a fence. The outcome of each order must be passed to
+// Ordered, that of each report to Reported.
 func (p *Planner) Plan(now time.Time, fence uint64) []Action {
 	p.reviewCrashes(now)
 	actions, active, updates := p.survey(now)
@@ -202,7 +195,7 @@
 		if now.Before(update.engine.retryAt) || p.loadBlocked(now, update.model) {
 			continue
 		}
-		// An engine that does not answer must not keep others waiting.
+		// Engines that do not answer don't count, so that they delay no others.
 		if update.engine.silentPause == 0 {
 			if active >= limit {
 				continue
@@ -216,8 +209,8 @@
 	return actions
 }
 
-// survey follows the engines that change, counts those of them that answer,
-// and returns the others that are behind, the most urgent first.
+// survey settles orders, returns the reports due from engines under order, the number of those that
+// answer, and the updates that other engines need, most urgent first.
 func (p *Planner) survey(now time.Time) (actions []Action, active int, updates []pendingUpdate) {
 	for _, engine := range p.engines {
 		p.settle(now, engine)
@@ -246,10 +239,10 @@
 	return actions, active, updates
 }
 
-// advance orders an engine whose report was read right before and which is emptied, or
-// reads its report. One that carries out the order of a former holder is let finish: that may
-// have known a newer version, and an order which is carried out after it, late, would take the
-// engine back for good, as engines are believed never to go back.
+// advance orders an engine that has quiesced and whose report is recent, or else reads its report.
+// An engine that carries out an order of a former holder finishes it first: that holder may have
+// known a newer version, and a late order would then take the engine back unnoticed, as recorded
+// versions never decrease.
 func (p *Planner) advance(now time.Time, update pendingUpdate, fence uint64) (Action, bool) {
 	if update.engine.busy || now.Sub(update.engine.reportedAt) > maxReportAge || p.awaitsQuiescence(now, update) {
 		return p.requestReport(now, update.engine)
@@ -257,7 +250,7 @@
 	return p.order(now, update, fence), true
 }
 
-// settle closes an order whose version the engine was seen to have by a time.
+// settle closes the order of an engine that was observed to have its version.
 func (p *Planner) settle(observedAt time.Time, engine *engineState) {
 	version := engine.versions[engine.orderedModel]
 	if engine.ordered == 0 || version < engine.ordered {
@@ -271,15 +264,14 @@
 	p.loaded = append(p.loaded, LoadedEngine{Instance: engine.record.Instance, Model: engine.orderedModel, Version: version})
 }
 
-// Loaded returns the engines that have had the version of their order since the
-// last call.
+// Loaded returns the engines that loaded the version of their order since the last call.
 func (p *Planner) Loaded() []LoadedEngine {
 	loaded := p.loaded
 	p.loaded = nil
 	return loaded
 }
 
-// requestReport reads the report of an engine that changes.
+// requestReport returns the action to read an engine's report, if that is due.
 func (p *Planner) requestReport(now time.Time, engine *engineState) (Action, bool) {
 	if engine.inFlight || now.Before(engine.nextReportAt) {
 		return Action{}, false
@@ -289,7 +281,7 @@
 	return Action{Target: engine.record}, true
 }
 
-// updateFor returns the model for which an engine is the furthest behind.
+// updateFor returns the update of an engine with the earliest deadline, if it needs any.
 func (p *Planner) updateFor(engine *engineState) (pendingUpdate, bool) {
 	var update pendingUpdate
 	behind := false
@@ -331,7 +323,7 @@
 	}}
 }
 
-// Ordered takes in the answer to an order.
+// Ordered applies the outcome of an order.
 func (p *Planner) Ordered(now time.Time, order *Order, result Result) {
 	engine := p.engines[order.Target.Instance]
 	if engine == nil {
@@ -347,7 +339,7 @@
 	case Unanswered:
 		p.counters.Unanswered++
 	case Conflicting:
-		// The report tells the sequence number that the engine has.
+		// Read the engine's sequence number again before the next order.
 		p.counters.Refused++
 		engine.ordered = 0
 		engine.reportedAt = time.Time{}
@@ -358,7 +350,7 @@
 	}
 }
 
-// Reported takes in a report that was asked for at a time, or nil if none came.
+// Reported applies a report that was requested at requestedAt, or nil if there was no answer.
 func (p *Planner) Reported(requestedAt time.Time, instance ident.Incarnation, report *Report) {
 	engine := p.engines[instance]
 	if engine == nil {
--- a/internal/rollout/planner_test.go
+++ b/internal/rollout/planner_test.go
@@ -21,13 +21,13 @@
 	config = rollout.Config{Deadline: 8 * time.Second, LoadTime: time.Second, Parallel: 2, Margin: time.Second}
 )
 
-// fleet models engines that take orders as the planner is told they do.
+// fleet models engines that execute orders immediately.
 type fleet struct {
 	versions map[ident.Incarnation]int
 	orders   map[ident.Incarnation]uint64
 	loads    int
 	fences   []uint64
-	// active is the number of runs that each engine reports.
+	// active is the number of running requests that each engine reports.
 	active int
 }
 
@@ -108,8 +108,7 @@
 	is.Equal(engines.versions["i-00"], 5)
 }
 
-// Without patience an engine is ordered as soon as a version is seen, one in five
-// at a time.
+// Without DeferOrders engines are ordered as soon as a version is observed, a fifth at a time.
 func TestVersionIsOrderedAtOnce(t *testing.T) {
 	tests := []struct{ engines, want int }{{1, 1}, {2, 1}, {7, 1}, {8, 2}, {12, 2}, {40, 8}}
 	for _, tt := range tests {
@@ -142,7 +141,7 @@
 	planner := rollout.NewPlanner(deferring)
 	models := published(catalog.Publication{Version: 2, SeenAt: start})
 	simulate(planner, engines, models, 0, 5*time.Second)
-	is.Equal(engines.loads, 0) // one round and the margin need 2s of 8s
+	is.Equal(engines.loads, 0) // one round and the margin need 2s
 	simulate(planner, engines, models, 5*time.Second, 8*time.Second)
 	is.Equal(engines.loads, 2)
 }
@@ -154,12 +153,12 @@
 	planner.Observe(engines.records(), published(catalog.Publication{Version: 2, SeenAt: start}))
 	late := start.Add(7 * time.Second)
 	actions := planner.Plan(late, 7)
-	is.Equal(len(actions), 2)               // six rounds of one second fit into what the margin leaves
-	is.Equal(len(planner.Plan(late, 7)), 0) // none is asked twice at a time
+	is.Equal(len(actions), 2)
+	is.Equal(len(planner.Plan(late, 7)), 0) // one exchange per engine at a time
 }
 
-// An order without an answer may be carried out seconds later. Its sequence
-// number makes sure that of it and its repeat only one is.
+// An order without an answer may be carried out seconds later. By their sequence number only one of
+// it and its retry is.
 func TestUnansweredOrderIsSettledByReport(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(1)
@@ -185,7 +184,7 @@
 	}
 	is.Equal(retries, 1)
 	is.Equal(engines.versions["i-00"], 2)
-	is.Equal(engines.execute(lost), rollout.Conflicting) // the late one does nothing
+	is.Equal(engines.execute(lost), rollout.Conflicting) // arrives late
 	is.Equal(engines.loads, 1)
 }
 
@@ -222,7 +221,7 @@
 					}
 				}
 			}
-			is.Equal(engines.versions["i-00"], 2) // the engine is tried again
+			is.Equal(engines.versions["i-00"], 2) // by a retry
 		})
 	}
 }
@@ -236,7 +235,7 @@
 	is.Equal(len(planner.Plan(start.Add(7*time.Second), 7)), 0)
 }
 
-// Engines that do not answer keep no other engine waiting.
+// Engines that do not answer don't use up the limit on parallel changes.
 func TestSilentEnginesDoNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(8)
@@ -263,10 +262,10 @@
 	for name, version := range engines.versions {
 		is.Equal(version == 2, !silent[name])
 	}
-	is.True(requests < 3*12) // and they are not asked all the time
+	is.True(requests < 3*12) // with growing pauses
 }
 
-// Many engines are changed faster, so that the deadline is kept.
+// More engines are changed at one time where the deadline requires it.
 func TestParallelismMeetsDeadline(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(40)
@@ -275,7 +274,7 @@
 		order *rollout.Order
 		done  time.Duration
 	}
-	var running []change // a load takes 0.6s of the second that is planned for
+	var running []change // a load takes 0.6s, less than the expected second
 	models := published(catalog.Publication{Version: 2, SeenAt: start})
 	for at := time.Duration(0); at < 8*time.Second; at += 100 * time.Millisecond {
 		now := start.Add(at)
@@ -307,8 +306,8 @@
 	}
 }
 
-// A former holder of the lease may have known a newer version, and its order may still be
-// carried out: an order of the next holder that is carried out late would take the engine back.
+// A former holder of the lease may have known a newer version. While its order is carried out, one
+// of the next holder could take the engine back to an older version.
 func TestBusyEngineGetsNoOrder(t *testing.T) {
 	is := is.New(t)
 	planner := rollout.NewPlanner(config)
--- a/internal/rollout/quiescing.go
+++ b/internal/rollout/quiescing.go
@@ -6,29 +6,26 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// defaultQuiesceTime is the longest time for which an engine gets no new work before its
-// order: most runs of up to 60 tokens end within it. What a run makes after its engine
-// changed weights is lost: 0.020 of the worth at 0 ms, 0.013 at 300 ms and 0.009 at
-// 600 ms (mean of eight days on small twins of three sites).
+// defaultQuiesceTime is the longest time for which an engine gets no new work before its order:
+// enough for most short requests to end, since output after a change of weights is lost.
 const defaultQuiesceTime = 600 * time.Millisecond
 
-// QuiescingEngine is an engine that is to get no new work, since it will be ordered to take
-// a version.
+// QuiescingEngine is an engine that gets no new work, since it will be ordered to load a version.
 type QuiescingEngine struct {
 	Instance ident.Incarnation
 	Model    ident.Model
 	Version  int
 }
 
-// Quiescing returns the engines that got to be emptied since the last call.
+// Quiescing returns the engines that began to quiesce since the last call.
 func (p *Planner) Quiescing() []QuiescingEngine {
 	quiescing := p.quiescing
 	p.quiescing = nil
 	return quiescing
 }
 
-// empties reports whether the order of an engine waits for the requests there to end.
-// An engine without a request waits for nothing.
+// awaitsQuiescence reports whether the order of an engine has to wait for the engine's requests to
+// end.
 func (p *Planner) awaitsQuiescence(now time.Time, update pendingUpdate) bool {
 	engine := update.engine
 	longest := p.quiesceTime(engine.record.Service)
@@ -44,11 +41,12 @@
 	return now.Sub(engine.quiescingSince) < longest
 }
 
-// SetHeadroom takes in how calm services are, from 0 to 1; one that is not named is calm.
+// SetHeadroom sets the headroom of services, from 0 (saturated) to 1 (idle); 1 is assumed for a
+// service without an entry.
 func (p *Planner) SetHeadroom(headroom map[ident.Service]float64) { p.headroom = headroom }
 
-// quiesceTime is for how long an engine of a service is emptied at most: the less calm
-// the service is, the more its engines are missed.
+// quiesceTime is the longest time for which an engine of a service quiesces: the less headroom the
+// service has, the more it needs the engine.
 func (p *Planner) quiesceTime(service ident.Service) time.Duration {
 	headroom, known := p.headroom[service]
 	if !known {
@@ -57,7 +55,7 @@
 	return time.Duration(headroom * float64(p.config.QuiesceTime))
 }
 
-// quiescingFirst orders engines that are being emptied before others.
+// quiescingFirst sorts quiescing engines before others.
 func quiescingFirst(a, b *engineState) int {
 	switch {
 	case a.quiescingSince.IsZero() == b.quiescingSince.IsZero():
--- a/internal/rollout/quiescing_test.go
+++ b/internal/rollout/quiescing_test.go
@@ -11,41 +11,40 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// An engine is ordered once no request is left there, and at the latest when the time
-// for that is over.
+// An engine is ordered once it has no requests left, or after the quiesce time.
 func TestEngineQuiescesBeforeItsOrder(t *testing.T) {
 	const maxQuiesceTime = 600 * time.Millisecond
 	tests := []struct {
 		name string
-		// runs and waits tell until when a request runs, or waits, at the engine.
+		// runs and waits are until when a request runs, or is queued, at the engine.
 		runs, waits time.Duration
-		emptying    time.Duration
-		// calm is how calm the service is.
-		calm float64
-		// ordered is when the order leaves, announced says that it was told before.
-		ordered   time.Duration
-		announced bool
+		quiesceTime time.Duration
+		// headroom is that of the service.
+		headroom float64
+		// ordered is when the order is sent, notified whether routers were notified before.
+		ordered  time.Duration
+		notified bool
 	}{
 		{"without a request", 0, 0, maxQuiesceTime, 1, 100 * time.Millisecond, false},
-		{"a run that ends", 250 * time.Millisecond, 0, maxQuiesceTime, 1, 400 * time.Millisecond, true},
-		{"a request that waits", 0, 350 * time.Millisecond, maxQuiesceTime, 1, 500 * time.Millisecond, true},
-		{"a run that goes on", time.Minute, 0, maxQuiesceTime, 1, 700 * time.Millisecond, true},
-		{"half as calm", time.Minute, 0, maxQuiesceTime, 0.5, 400 * time.Millisecond, true},
-		{"not calm", time.Minute, 0, maxQuiesceTime, 0, 100 * time.Millisecond, false},
-		{"emptying is off", time.Minute, 0, 0, 1, 100 * time.Millisecond, false},
+		{"a running request that ends", 250 * time.Millisecond, 0, maxQuiesceTime, 1, 400 * time.Millisecond, true},
+		{"a queued request", 0, 350 * time.Millisecond, maxQuiesceTime, 1, 500 * time.Millisecond, true},
+		{"a running request that goes on", time.Minute, 0, maxQuiesceTime, 1, 700 * time.Millisecond, true},
+		{"half the headroom", time.Minute, 0, maxQuiesceTime, 0.5, 400 * time.Millisecond, true},
+		{"no headroom", time.Minute, 0, maxQuiesceTime, 0, 100 * time.Millisecond, false},
+		{"disabled", time.Minute, 0, 0, 1, 100 * time.Millisecond, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			config := config
-			config.QuiesceTime = tt.emptying
+			config.QuiesceTime = tt.quiesceTime
 			planner := rollout.NewPlanner(config)
-			planner.SetHeadroom(map[ident.Service]float64{"": tt.calm})
+			planner.SetHeadroom(map[ident.Service]float64{"": tt.headroom})
 			ordered, order := simulateUntilOrder(planner, tt.runs, tt.waits)
 			quiescing := planner.Quiescing()
-			is.Equal(order.Quiesced, tt.announced)
+			is.Equal(order.Quiesced, tt.notified)
 			is.Equal(ordered, tt.ordered)
-			if !tt.announced {
+			if !tt.notified {
 				is.Equal(len(quiescing), 0)
 				return
 			}
@@ -54,8 +53,8 @@
 	}
 }
 
-// simulateUntilOrder plays one engine, where a request runs and one waits for some time, until
-// its order leaves.
+// simulateUntilOrder simulates one engine, at which a request runs and one is queued for some time,
+// until its order is sent.
 func simulateUntilOrder(planner *rollout.Planner, runs, waits time.Duration) (time.Duration, rollout.Action) {
 	engines := newFleet(1)
 	models := published(catalog.Publication{Version: 2, SeenAt: start})
@@ -78,8 +77,7 @@
 	return 0, rollout.Action{}
 }
 
-// An engine that is emptied counts among those that are changed at one time, so that
-// enough of them serve.
+// Quiescing engines count as changing, so that enough of the others serve.
 func TestQuiescingEnginesCountTowardsTheLimit(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(10)
@@ -102,14 +100,14 @@
 	is.Equal(len(away), config.Parallel)
 }
 
-// Emptying ends without an order if the engine got the version by other means or does
-// not answer; a new holder begins anew.
+// Quiescing ends without an order if the engine got the version by other means, does not answer, or
+// the lease has a new holder.
 func TestQuiescingEndsWithoutAnOrder(t *testing.T) {
 	busy := &rollout.Report{Versions: map[ident.Model]int{model: 1}, Active: 1}
 	tests := []struct {
 		name  string
 		after func(planner *rollout.Planner, now time.Time)
-		// again says that the engine is emptied once more.
+		// again is whether the engine quiesces once more.
 		again bool
 	}{
 		{"it has the version", func(planner *rollout.Planner, now time.Time) {
