--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -7,17 +7,17 @@
 	"github.com/fieldpond/fieldpond/internal/lease"
 )
 
-// Config bounds what control asks of engines, weight store and table.
+// Config bounds the load that control puts on engines, weight store and table.
 type Config struct {
-	// Lease fixes the times of the leases.
+	// Lease sets the times of the leases.
 	Lease lease.Config
 	// LoadsPerSecond is the weight store's limit, shared by all groups.
 	// Default: 0.5.
 	LoadsPerSecond float64
-	// MaxLoadsPerZone is the most engines of a zone and group that load at
-	// once. Default: 1.
+	// MaxLoadsPerZone is the largest number of engines of a zone and group that load at one time.
+	// Default: 1.
 	MaxLoadsPerZone int
-	// LoadTimeout is when a load that does not show is ordered again.
+	// LoadTimeout is the time after which a load that no report shows is ordered again.
 	// Default: 10m.
 	LoadTimeout time.Duration
 	// ReportInterval is how often a holder reads an engine's load report.
@@ -25,14 +25,14 @@
 	ReportInterval time.Duration
 	// MaxReportAge is the oldest report that is acted on. Default: 10s.
 	MaxReportAge time.Duration
-	// RetryPause is the first pause after a lost or refused order; it doubles
-	// with each loss. Default: 500ms.
+	// RetryPause is the first pause after an unanswered or refused order; it doubles with each one
+	// unanswered. Default: 500ms.
 	RetryPause time.Duration
 	// MaxRetryPause is the longest such pause. Default: 15s.
 	MaxRetryPause time.Duration
 	// RequestTimeout bounds one request to an engine. Default: 3s.
 	RequestTimeout time.Duration
-	// Workers is the number of requests to engines at once. Default: 8.
+	// Workers is the number of concurrent requests to engines. Default: 8.
 	Workers int
 }
 
@@ -47,10 +47,10 @@
 	defaultRequestTimeout = 3 * time.Second
 	defaultWorkers        = 8
 	maxDoublings          = 16
-	// maxReadsPerSecond bounds the load reports read for one group; in a larger
-	// group each engine is read more rarely.
+	// maxReadsPerSecond bounds the load reports read for one group; in a larger group each engine's
+	// report is read less often.
 	maxReadsPerSecond = 100
-	// readsPerMaxAge is how many reads are missed before a report is too old.
+	// readsPerMaxAge is how many report intervals pass before a report is too old.
 	readsPerMaxAge = 4
 )
 
@@ -67,7 +67,7 @@
 	return c
 }
 
-// backoff returns the pause after so many losses in a row.
+// backoff returns the pause after a number of unanswered orders in a row, at least 1.
 func (c Config) backoff(failures int) time.Duration {
 	return min(c.RetryPause<<min(failures-1, maxDoublings), c.MaxRetryPause)
 }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -18,57 +18,56 @@
 )
 
 const (
-	// contenders is how many routers contend for a lease, so that the table's
-	// traffic does not grow with the number of routers.
+	// contenders is how many routers contend for a lease, so that the table's traffic does not grow
+	// with the number of routers.
 	contenders = 3
-	// tickInterval is how often the duty looks at leases, reports and plans.
+	// tickInterval is the time between two checks of leases and plans.
 	tickInterval = 200 * time.Millisecond
-	// maxCalls bounds the requests to engines that wait or run.
+	// maxCalls bounds the queued and running requests to engines.
 	maxCalls = 256
 )
 
-// Engines is what the duty asks of engines; engine.Client has it.
+// Engines makes requests to engines; engine.Client implements it.
 type Engines interface {
 	Load(ctx context.Context, address string) (protocol.LoadReport, error)
 	Order(ctx context.Context, address string, order protocol.Order) (protocol.OrderResult, error)
 }
 
-// Options joins a Controller to the rest of a router.
+// Options configures a Controller.
 type Options struct {
 	Node    ident.Node
 	Table   store.Table
 	Engines Engines
-	// View returns the membership as this router sees it.
+	// View returns this router's view of the membership.
 	View func() membership.View
-	// Fleet returns the file in force, or nil.
+	// Fleet returns the current fleet file, or nil.
 	Fleet  func() *fleet.Compiled
 	Config Config
 }
 
-// GroupStatus is the state of one group for people and counters.
+// GroupStatus is the state of one group for status pages and metrics.
 type GroupStatus struct {
 	Lease string
-	// Held says whether this router is in charge; Fence is its fence then.
+	// Held is whether this router holds the lease; Fence is its fence then.
 	Held  bool
 	Fence uint64
-	// Holder is the node in charge as last seen, "" if this router does not
-	// contend; Contenders are those that do.
+	// Holder is the last observed holder, "" if this router does not contend. Contenders are the
+	// nodes that do.
 	Holder     ident.Node
 	Contenders []ident.Node
-	// Counters has no loads under way and no settled engines unless this router
-	// is in charge.
+	// Counters.Loading and Counters.Settled are 0 unless this router holds the lease.
 	Counters Counters
 	Leases   lease.Counters
 }
 
-// Controller contends for the leases of the groups that rendezvous assigns to this
-// router and issues the orders of those it holds. Run it once.
+// Controller contends for the leases of the groups that rendezvous hashing assigns to this router
+// and issues the orders of those it holds. Run may be called once.
 type Controller struct {
 	options Options
 	calls   *ring.Ring[call]
 	answers *ring.Ring[answer]
-	// outstanding counts calls without a taken-in answer; it keeps both rings
-	// from overflowing.
+	// outstanding counts calls whose answer was not received; bounding it keeps both rings from
+	// overflowing.
 	outstanding int
 	compiled    *fleet.Compiled
 	runners     map[string]*runner
@@ -78,14 +77,14 @@
 	status []GroupStatus
 }
 
-// runner is the work on one group.
+// runner plans and runs one group.
 type runner struct {
 	group   Group
 	planner *Planner
 	elector *lease.Elector
 	stop    context.CancelFunc
-	// requestedAt is when each engine's report was last asked for; reading marks
-	// those without an answer yet.
+	// requestedAt is when each engine's report was last requested; reading marks those without an
+	// answer yet.
 	requestedAt map[ident.Engine]time.Time
 	reading     map[ident.Engine]bool
 }
@@ -106,7 +105,7 @@
 	err         error
 }
 
-// New returns a duty that does nothing until Run.
+// New returns a controller that does nothing until Run.
 func New(options Options) *Controller {
 	options.Config = options.Config.withDefaults()
 	return &Controller{
@@ -117,7 +116,7 @@
 	}
 }
 
-// Rings returns the counters of the duty's rings.
+// Rings returns functions that read the counters of the controller's rings.
 func (c *Controller) Rings() []func() ring.Counters {
 	return []func() ring.Counters{c.calls.Counters, c.answers.Counters}
 }
@@ -129,8 +128,8 @@
 	return slices.Clone(c.status)
 }
 
-// Run works until ctx ends. It then waits for requests under way and hands its
-// leases over, both in bounded time.
+// Run runs the controller until ctx ends. It then waits for requests in flight and hands its leases
+// over, both in bounded time.
 func (c *Controller) Run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range c.options.Config.Workers {
@@ -179,7 +178,7 @@
 	c.publish(status)
 }
 
-// status tells of a group; a grant without a fence is none.
+// status returns the status of a group; a zero grant means that the lease is not held.
 func (r *runner) status(name string, owners []membership.Member, grant lease.Grant) GroupStatus {
 	status := GroupStatus{
 		Lease: name, Held: grant.Fence > 0, Fence: grant.Fence, Holder: r.elector.Holder(),
@@ -189,7 +188,7 @@
 		status.Contenders = append(status.Contenders, owner.Node)
 	}
 	if !status.Held {
-		status.Counters.Loading, status.Counters.Settled = 0, 0 // what an earlier holding knew is out of date
+		status.Counters.Loading, status.Counters.Settled = 0, 0 // outdated since the lease was lost
 	}
 	return status
 }
@@ -200,8 +199,8 @@
 	c.status = status
 }
 
-// adopt changes over to the groups of another fleet file. A group that is gone
-// is stopped, which hands its lease over.
+// setFleet replaces the groups by those of another fleet file. The runners of removed groups are
+// stopped, which hands their leases over.
 func (c *Controller) setFleet(ctx context.Context, compiled *fleet.Compiled) {
 	c.compiled = compiled
 	groups := GroupsOf(compiled)
@@ -223,8 +222,8 @@
 	c.runners = kept
 }
 
-// startRunner starts the lease's duty. It outlives ctx until Run has seen the
-// last request end, so that no order is under way when the lease is released.
+// startRunner starts a runner and its elector. The elector outlives ctx until Run has waited for the
+// last request, so that no order is in flight when the lease is released.
 func (c *Controller) startRunner(ctx context.Context, name string) *runner {
 	electorContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	r := &runner{
@@ -236,7 +235,7 @@
 	return r
 }
 
-// lead reads reports and issues orders under a grant.
+// runGroup issues orders and requests reports under a grant.
 func (c *Controller) runGroup(r *runner, grant lease.Grant) {
 	now := time.Now()
 	for _, order := range r.planner.Plan(now, grant) {
@@ -268,7 +267,7 @@
 	return c.calls.Push(request)
 }
 
-// receiveAnswers hands the answers to their planners.
+// receiveAnswers passes the answers to their planners.
 func (c *Controller) receiveAnswers() {
 	for received, ok := c.answers.Pop(); ok; received, ok = c.answers.Pop() {
 		c.outstanding--
@@ -286,7 +285,7 @@
 	}
 }
 
-// runWorker is a duty that makes requests to engines.
+// runWorker makes requests to engines until ctx ends.
 func (c *Controller) runWorker(ctx context.Context) {
 	for {
 		select {
@@ -300,8 +299,8 @@
 	}
 }
 
-// execute makes one request. The lease is checked again right before an order
-// leaves, since the call may have waited or the process may have been paused.
+// execute makes one request. The lease is checked again right before an order is sent, since the
+// call may have waited or the process may have been paused.
 func (c *Controller) execute(ctx context.Context, request call) answer {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Config.RequestTimeout)
 	defer cancel()
--- a/internal/control/enginestate.go
+++ b/internal/control/enginestate.go
@@ -13,24 +13,24 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// engineState is what a planner knows of one engine.
+// engineState is a planner's state of one engine.
 type engineState struct {
 	target    *fleet.Engine
 	reachable bool
 	report    protocol.LoadReport
-	// sampledAt is a time at which the report was certainly not yet older than
-	// the engine's state: when it was asked for, less its age.
+	// sampledAt is the earliest time at which the engine can have made the report: when it was
+	// requested, less its age.
 	sampledAt   time.Time
 	requestedAt time.Time
-	// pending is the order without a final answer.
+	// pending is the order without a final answer, nil if there is none.
 	pending *pendingOrder
-	// answeredAt is when the last order was answered; only a report that is true
-	// later shows its effect. unloaded is what that order took away.
+	// answeredAt is when the last order was answered; only a report sampled later surely shows its
+	// effect. answeredOrder is that order, zero if it was refused.
 	answeredAt    time.Time
 	answeredOrder protocol.Order
 	retryAt       time.Time
 	loading       *activeLoad
-	// noRoom means: the engine refused to load a version beside the old one.
+	// noRoom means that the engine refused to load a version beside the old one.
 	noRoom bool
 }
 
@@ -46,8 +46,8 @@
 	since time.Time
 }
 
-// recordReport keeps the report unless it is older than the one known. A new life
-// has no part in what was ordered before it.
+// recordReport records a report unless it is older than the last one. A new incarnation resets the
+// state, since it has none of the earlier orders.
 func (s *engineState) recordReport(requestedAt time.Time, report protocol.LoadReport) {
 	if requestedAt.Before(s.requestedAt) {
 		return
@@ -62,7 +62,7 @@
 	s.report, s.sampledAt, s.requestedAt = report, sampledAt, requestedAt
 }
 
-// upToDate reports whether the wanted version is loaded with just its adapters.
+// upToDate reports whether the model's version is loaded with exactly its adapters.
 func (s *engineState) upToDate(model *fleet.Model) bool {
 	return slices.ContainsFunc(s.report.Loaded, func(loaded protocol.LoadedModel) bool {
 		return loaded.Model == model.Name && loaded.Version == model.Version && sameAdapters(loaded.Adapters, model.Adapters)
@@ -73,15 +73,14 @@
 	return slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
 
-// finishLoad ends a load that shows in the report, or that takes too long.
+// finishLoad ends a load that the report shows or that exceeds the timeout.
 func (s *engineState) finishLoad(now time.Time, timeout time.Duration) {
 	if s.loading != nil && (s.upToDate(s.loading.model) || now.Sub(s.loading.since) > timeout) {
 		s.loading = nil
 	}
 }
 
-// mayHaveUnloaded reports whether an unload was sent that the report need not
-// show yet.
+// mayHaveUnloaded reports whether an unload was sent that the report need not show yet.
 func (s *engineState) mayHaveUnloaded(loaded protocol.LoadedModel) bool {
 	unloads := func(order protocol.Order) bool {
 		return order.Kind == protocol.OrderUnload && order.Model == loaded.Model && order.Version == loaded.Version
@@ -89,7 +88,7 @@
 	return s.pending != nil && unloads(s.pending.order) || !s.sampledAt.After(s.answeredAt) && unloads(s.answeredOrder)
 }
 
-// Ordered takes in the answer to an order; err is nil when it was taken.
+// Ordered applies the answer to an order; err is nil if the engine accepted it.
 func (p *Planner) Ordered(now time.Time, name ident.Engine, orderID string, err error) {
 	state := p.engines[name]
 	if state == nil || state.pending == nil || state.pending.order.OrderID != orderID {
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -7,16 +7,15 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Group is a set of engines that are ordered under one lease: services whose
-// engines overlap belong together, since an engine knows only one fence.
+// Group is a set of engines that get orders under one lease. Services that share engines are in one
+// group, since an engine checks only one fence.
 type Group struct {
-	// Name is that of the group's first service, or of its first model if no
-	// service uses it; the lease is "control/<name>".
+	// Name is that of the group's first service, or of its first model if it has no service.
 	Name    string
 	Engines []*fleet.Engine
 }
 
-// LeaseName returns the name of the group's lease and rendezvous key.
+// LeaseName returns the name of the group's lease, which is also its rendezvous key.
 func (g Group) LeaseName() string { return "control/" + g.Name }
 
 // GroupsOf splits a fleet file's engines into groups that share no model.
@@ -68,7 +67,7 @@
 	adapter ident.Adapter
 }
 
-// needsOf lists what tenants need of each model, every set of zones once.
+// needsOf returns the distinct needs of tenants for each model.
 func needsOf(compiled *fleet.Compiled) map[ident.Model][]need {
 	needs := map[ident.Model][]need{}
 	for index := range compiled.Document.Tenants {
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -1,8 +1,7 @@
-// Package control turns the fleet file's model versions, adapters and roles
-// into fenced orders to engines, by one lease holder at a time for each group
-// of engines.
+// Package control turns the fleet file's model versions, adapters and roles into fenced orders to
+// engines, by one lease holder at a time for each group of engines.
 //
-// Planner decides without I/O or clock; Controller is the shell around it.
+// Planner decides without I/O or clock; Controller runs it.
 package control
 
 import (
@@ -16,38 +15,37 @@
 	"github.com/fieldpond/fieldpond/internal/lease"
 )
 
-// Order is one order to issue, and where to.
+// Order is one order to issue and its target.
 type Order struct {
 	Engine  ident.Engine
 	Address string
 	Order   protocol.Order
 }
 
-// Counters counts what a Planner decided and saw.
+// Counters counts the orders of a Planner and the engines of its group.
 type Counters struct {
-	// Orders counts orders issued, Repeats those issued again under the same id
-	// after a lost answer, Refused those that an engine refused.
+	// Orders counts orders issued, Retries those issued again under the same id after a lost
+	// answer, Refused those that an engine refused.
 	Orders, Retries, Refused uint64
-	// StaleFences counts orders or reports that showed a newer fence.
+	// StaleFences counts answers and reports that showed a newer fence.
 	StaleFences uint64
-	// Guarded counts unloads put off because they would have taken the last
-	// warm engine away; each look at a put-off unload counts.
+	// Guarded counts checks that deferred an unload because it would have removed the last warm
+	// engine.
 	Guarded uint64
-	// Loading is the number of loads under way now.
+	// Loading is the number of loads in progress.
 	Loading int
-	// Engines is the size of the group, Settled how many of its engines are as
-	// the file says by their last reports.
+	// Engines is the size of the group, Settled how many of its engines match the fleet file by
+	// their last reports.
 	Engines, Settled int
 }
 
-// Planner decides on the orders of one group. It is a state machine without
-// I/O and is not safe for concurrent use.
+// Planner decides on the orders of one group. It is a state machine without I/O and is not safe for
+// concurrent use.
 //
-// Invariants: an engine has at most one order without an answer; an order
-// whose answer was lost is repeated under the same id or made void by a newer
-// fence; a version is unloaded only while, for every tenant that may use the
-// engine, an engine other than for that version stays warm that has taken this
-// fence, so that no order of an earlier holder can take it away.
+// Invariants: an engine has at most one order without an answer; an order whose answer was lost is
+// retried under the same id or invalidated by a newer fence; a version is unloaded only while every
+// tenant that may use the engine keeps a warm engine without it. That engine must have accepted this
+// fence, so that no order of an earlier holder can unload it.
 type Planner struct {
 	config         Config
 	name           string
@@ -65,13 +63,13 @@
 	counters       Counters
 }
 
-// NewPlanner returns a planner. The name goes into order ids.
+// NewPlanner returns a planner without engines. The name is a prefix of its order ids.
 func NewPlanner(config Config, name string) *Planner {
 	return &Planner{config: config.withDefaults(), name: name, engines: map[ident.Engine]*engineState{}}
 }
 
-// SetFleet puts a fleet file in force; groups is how many groups share the
-// weight store's limit.
+// SetFleet sets the fleet file and the planner's group; groups is the number of groups that share
+// the weight store's limit.
 func (p *Planner) SetFleet(compiled *fleet.Compiled, group Group, groups int) {
 	p.compiled, p.group, p.needs = compiled, group, needsOf(compiled)
 	p.loadsPerSecond = p.config.LoadsPerSecond / float64(max(groups, 1))
@@ -89,7 +87,7 @@
 	p.engines = engines
 }
 
-// Counters returns what was counted so far.
+// Counters returns the current counts.
 func (p *Planner) Counters() Counters {
 	counters := p.counters
 	counters.Engines = len(p.engines)
@@ -104,8 +102,8 @@
 	return counters
 }
 
-// settled reports whether an engine has its role, has loaded all that the file
-// says, and holds nothing that is to go.
+// settled reports whether an engine has its role, has loaded all models of the file, and holds no
+// version to unload.
 func (p *Planner) settled(state *engineState) bool {
 	for _, name := range state.target.Models {
 		if model, known := p.compiled.Model(name); known && !state.upToDate(model) {
@@ -116,29 +114,29 @@
 		!slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.removable(state, loaded) })
 }
 
-// Floor returns the highest fence met that is newer than the one held, or
-// that has to be left behind; zero means none. The shell steps down with it.
+// Floor returns the fence above which the lease has to be acquired again: an observed newer one, or
+// one to invalidate. Zero means none.
 func (p *Planner) Floor() uint64 { return p.floor }
 
-// Reported takes in a load report that was asked for at a time.
+// Reported records a load report that was requested at requestedAt.
 func (p *Planner) Reported(requestedAt time.Time, engine ident.Engine, report protocol.LoadReport) {
 	if state := p.engines[engine]; state != nil {
 		state.recordReport(requestedAt, report)
 	}
 }
 
-// Unreachable takes in that no report could be read.
+// Unreachable records that an engine's report could not be read.
 func (p *Planner) Unreachable(engine ident.Engine) {
 	if state := p.engines[engine]; state != nil {
 		state.reachable = false
 	}
 }
 
-// ReportInterval returns how often each engine's report is to be read.
+// ReportInterval returns the time between two reads of an engine's report.
 func (p *Planner) ReportInterval() time.Duration { return p.reportInterval }
 
-// Plan returns the orders to issue now under the grant. Each must be answered
-// by Ordered.
+// Plan returns the orders to issue now under the grant. The answer to each must be passed to
+// Ordered.
 func (p *Planner) Plan(now time.Time, grant lease.Grant) []Order {
 	p.useFence(grant)
 	if p.compiled == nil {
@@ -157,8 +155,7 @@
 	return orders
 }
 
-// useFence forgets what was ordered under an older fence: an engine that has
-// taken the new one refuses it.
+// useFence drops orders under an older fence: an engine that has accepted the new one refuses them.
 func (p *Planner) useFence(grant lease.Grant) {
 	if grant.Fence != p.grant.Fence {
 		for _, state := range p.engines {
@@ -178,7 +175,7 @@
 	}
 }
 
-// nextOrder returns the order that an engine shall get now.
+// nextOrder returns the order that is due for an engine, if any.
 func (p *Planner) nextOrder(now time.Time, state *engineState) (protocol.Order, bool) {
 	if state.pending != nil {
 		return p.retry(now, state)
@@ -197,13 +194,13 @@
 	return p.unload(now, state)
 }
 
-// usable reports whether an engine's last report may be acted on.
+// usable reports whether an engine is reachable, not draining and its last report recent enough.
 func (p *Planner) usable(now time.Time, state *engineState) bool {
 	draining := state.report.Leaving || state.target.State == fleet.BackendLeaving
 	return state.reachable && !draining && now.Sub(state.sampledAt) <= p.maxReportAge
 }
 
-// issue gives an order its id, fence and incarnation and awaits its answer.
+// issue sets an order's id, fence and incarnation and makes it the pending one.
 func (p *Planner) issue(state *engineState, order protocol.Order) protocol.Order {
 	p.serial++
 	p.counters.Orders++
@@ -214,8 +211,8 @@
 	return order
 }
 
-// retry issues an order again whose answer was lost. An unload that is not
-// permitted any more cannot be called back; a newer fence makes it void.
+// retry issues an order again whose answer was lost. An unload that is no longer permitted cannot be
+// recalled; a newer fence invalidates it.
 func (p *Planner) retry(now time.Time, state *engineState) (protocol.Order, bool) {
 	pending := state.pending
 	if pending.inFlight || now.Before(pending.retryAt) {
@@ -230,8 +227,8 @@
 	return pending.order, true
 }
 
-// load returns the order for the first model of the engine that is not loaded
-// as the file says, within the limits of the weight store.
+// load returns the order for the first model of the engine that is not up to date, within the limits
+// on loads.
 func (p *Planner) load(now time.Time, state *engineState) (protocol.Order, bool) {
 	if state.loading != nil || state.noRoom || now.Before(p.nextLoad) || p.loadingIn(now, state.target.Zone) >= p.config.MaxLoadsPerZone {
 		return protocol.Order{}, false
@@ -251,7 +248,7 @@
 	return protocol.Order{}, false
 }
 
-// loadingIn counts the usable engines of a zone that load or make room.
+// loadingIn counts the usable engines of a zone that load or unload to make room.
 func (p *Planner) loadingIn(now time.Time, zone ident.Zone) int {
 	count := 0
 	for _, state := range p.engines {
@@ -263,9 +260,8 @@
 	return count
 }
 
-// unload returns the order for the first version that the engine has no more
-// reason to hold, or that has to make room, if the guard permits it. Making
-// room takes one of the zone's places for loads.
+// unload returns the order for the first removable version whose unload is permitted. An unload to
+// make room counts towards MaxLoadsPerZone.
 func (p *Planner) unload(now time.Time, state *engineState) (protocol.Order, bool) {
 	if state.noRoom && p.loadingIn(now, state.target.Zone) >= p.config.MaxLoadsPerZone {
 		return protocol.Order{}, false
@@ -282,14 +278,14 @@
 		return p.issue(state, protocol.Order{Kind: protocol.OrderUnload, Model: loaded.Model, Version: loaded.Version}), true
 	}
 	if neededRoom && !slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.removable(state, loaded) }) {
-		state.noRoom = false // nothing can go: try the load again later
+		state.noRoom = false // nothing to unload: retry the load later
 		state.retryAt = now.Add(p.config.MaxRetryPause)
 	}
 	return protocol.Order{}, false
 }
 
-// permitsUnload reports whether a version may be taken from an engine now. One that
-// the file has withdrawn serves nobody, and goes at once where it is in the way.
+// permitsUnload reports whether a version may be unloaded now. A withdrawn version serves no
+// requests and may always make room for a load.
 func (p *Planner) permitsUnload(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
 	model, known := p.compiled.Model(name)
 	if known && state.noRoom && !accepted(model, version) {
@@ -298,7 +294,7 @@
 	return p.keepsWarmEngine(now, state, name, version)
 }
 
-// removable reports whether a loaded version is not to stay on the engine.
+// removable reports whether a loaded version should be unloaded.
 func (p *Planner) removable(state *engineState, loaded protocol.LoadedModel) bool {
 	model, known := p.compiled.Model(loaded.Model)
 	if !known || !slices.Contains(state.target.Models, loaded.Model) {
@@ -310,16 +306,17 @@
 	return state.upToDate(model) && !accepted(model, loaded.Version)
 }
 
+// accepted reports whether requests may use a version of the model.
 func accepted(model *fleet.Model, version ident.ModelVersion) bool {
 	return version == model.Version || slices.Contains(model.AcceptVersions, version)
 }
 
-// keepsWarmEngine reports whether, without that version on that engine, every tenant
-// that may use the engine keeps a warm engine for the model.
+// keepsWarmEngine reports whether every tenant that may use the engine keeps a warm engine for the
+// model after the version is unloaded from this one.
 func (p *Planner) keepsWarmEngine(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
 	model, known := p.compiled.Model(name)
 	if !known {
-		return true // the file has no such model, so nobody may ask for it
+		return true // no tenant may use a model that the file does not have
 	}
 	for _, wanted := range p.needs[name] {
 		if !wanted.zones.Has(state.target.Zone) {
@@ -338,9 +335,9 @@
 	return true
 }
 
-// serves reports whether an engine surely serves a version of the model that
-// requests may use, other than the one left out. Only an engine that has taken
-// this fence and has no unload on its way counts.
+// serves reports whether an engine surely serves an accepted version of the model, not counting the
+// given version if exclude is true. The engine must have accepted this fence, and the version must
+// not be subject to an unload in flight.
 func (p *Planner) serves(state *engineState, model *fleet.Model, adapter ident.Adapter, exclude bool, version ident.ModelVersion) bool {
 	if state.report.Fence != p.grant.Fence || !slices.Contains(state.target.Models, model.Name) {
 		return false
--- a/internal/control/planner_test.go
+++ b/internal/control/planner_test.go
@@ -18,8 +18,7 @@
 
 var epoch = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// compiled returns a fleet of engines a1, a2, ... in zone a and so on, with a
-// tenant in each zone.
+// compiled returns a fleet of engines a1, a2, ... in zone a and so on, with a tenant in each zone.
 func compiled(perZone int, zones string, version ident.ModelVersion, accepted ...ident.ModelVersion) *fleet.Compiled {
 	document := &fleet.Document{
 		Models:   []fleet.Model{{Name: "m", Version: version, AcceptVersions: accepted}},
@@ -42,7 +41,7 @@
 	return fleet.Compile(document, 1, "d")
 }
 
-// plannerHarness drives a planner with reports that it writes by hand.
+// plannerHarness runs a planner with given reports.
 type plannerHarness struct {
 	planner *Planner
 	now     time.Time
@@ -60,7 +59,7 @@
 	r.planner.SetFleet(file, GroupsOf(file)[0], 1)
 }
 
-// report sets what an engine of the fence reports: its life and versions.
+// report sets the report of an engine.
 func (r *plannerHarness) report(name ident.Engine, fence uint64, incarnation ident.Incarnation, versions ...ident.ModelVersion) {
 	report := protocol.LoadReport{Incarnation: incarnation, Role: "mixed", Fence: fence}
 	for _, version := range versions {
@@ -69,7 +68,7 @@
 	r.reports[name] = report
 }
 
-// plan moves time on, brings the reports in and lists the orders.
+// plan advances the time, applies the reports and returns the orders.
 func (r *plannerHarness) plan(step time.Duration) []Order {
 	r.now = r.now.Add(step)
 	for name, report := range r.reports {
@@ -82,7 +81,7 @@
 	r.planner.Ordered(r.now, order.Engine, order.Order.OrderID, err)
 }
 
-// formatOrders writes orders as "engine kind version".
+// formatOrders formats orders as "engine kind version".
 func formatOrders(orders []Order) (list []string) {
 	for _, one := range orders {
 		list = append(list, fmt.Sprint(one.Engine, " ", one.Order.Kind, " ", one.Order.Version))
@@ -97,7 +96,7 @@
 func TestPlan(t *testing.T) {
 	type setting = func(r *plannerHarness)
 	loaded := func(name ident.Engine, fence uint64, versions ...ident.ModelVersion) setting {
-		return func(r *plannerHarness) { r.report(name, fence, "life", versions...) }
+		return func(r *plannerHarness) { r.report(name, fence, "incarnation", versions...) }
 	}
 	draining := func(name ident.Engine) setting {
 		return func(r *plannerHarness) {
@@ -113,18 +112,18 @@
 		wanted   []string
 	}{
 		{"a new holder fences first", compiled(1, "a", "v2"), []setting{loaded("a1", 6, "v1")}, []string{"a1 role "}},
-		{"new beside old", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1")}, []string{"a1 load v2"}},
-		{"accepted stays", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1", "v2")}, nil},
-		{"withdrawn goes", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1", "v2")}, []string{"a1 unload v1"}},
-		{"withdrawn stays until the new one serves", compiled(1, "a", "v2"), []setting{func(r *plannerHarness) {
+		{"new version is loaded beside the old", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1")}, []string{"a1 load v2"}},
+		{"accepted version stays", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1", "v2")}, nil},
+		{"withdrawn version is unloaded", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1", "v2")}, []string{"a1 unload v1"}},
+		{"withdrawn version stays until the new one serves", compiled(1, "a", "v2"), []setting{func(r *plannerHarness) {
 			r.planner.nextLoad = r.now.Add(time.Hour)
 		}, loaded("a1", 7, "v1")}, nil},
-		{"one load a zone, one a pace", compiled(2, "ab", "v2"), []setting{
+		{"loads are limited by zone and rate", compiled(2, "ab", "v2"), []setting{
 			loaded("a1", 7), loaded("a2", 7), loaded("b1", 7), loaded("b2", 7),
 		}, []string{"a1 load v2"}},
-		{"unreported engines get nothing", compiled(2, "a", "v2"), nil, nil},
-		{"leaving engines get nothing", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1"), draining("a1")}, nil},
-		{"a newer fence silences", compiled(2, "a", "v2"), []setting{loaded("a1", 7, "v1"), loaded("a2", 9, "v1")}, nil},
+		{"engines without a report get no orders", compiled(2, "a", "v2"), nil, nil},
+		{"draining engines get no orders", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1"), draining("a1")}, nil},
+		{"no orders once a newer fence is observed", compiled(2, "a", "v2"), []setting{loaded("a1", 7, "v1"), loaded("a2", 9, "v1")}, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -138,8 +137,8 @@
 	}
 }
 
-// TestUnloadKeepsAWarmEngine lets engines refuse to load beside the old version:
-// the old one makes room only where another engine surely serves the tenants.
+// An engine that refuses to load beside the old version unloads it only if another engine surely
+// serves the tenants.
 func TestUnloadKeepsAWarmEngine(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -147,16 +146,16 @@
 		wanted []string
 	}{
 		{"no other", func(*plannerHarness) {}, nil},
-		{"other is warm", func(r *plannerHarness) { r.report("a2", 7, "life", "v1") }, []string{"a1 unload v1"}},
-		{"other may take stale orders", func(r *plannerHarness) { r.report("a2", 6, "life", "v1") }, []string{"a2 role "}},
-		{"other is in another zone", func(r *plannerHarness) { r.report("b1", 7, "life", "v1") }, nil},
-		{"other serves a withdrawn version", func(r *plannerHarness) { r.report("a2", 7, "life", "v0") }, nil},
+		{"other is warm", func(r *plannerHarness) { r.report("a2", 7, "incarnation", "v1") }, []string{"a1 unload v1"}},
+		{"other may accept stale orders", func(r *plannerHarness) { r.report("a2", 6, "incarnation", "v1") }, []string{"a2 role "}},
+		{"other is in another zone", func(r *plannerHarness) { r.report("b1", 7, "incarnation", "v1") }, nil},
+		{"other serves a withdrawn version", func(r *plannerHarness) { r.report("a2", 7, "incarnation", "v0") }, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			r := newPlannerHarness(compiled(2, "ab", "v2", "v1"))
-			r.report("a1", 7, "life", "v1")
+			r.report("a1", 7, "incarnation", "v1")
 			first := r.plan(time.Second)
 			is.Equal(formatOrders(first), []string{"a1 load v2"})
 			r.answer(first[0], refusal(protocol.RefusalFull, fault.BackendRefused))
@@ -171,7 +170,7 @@
 	is := is.New(t)
 	r := newPlannerHarness(compiled(2, "ab", "v2"))
 	for _, name := range []ident.Engine{"a1", "a2", "b1", "b2"} {
-		r.report(name, 7, "life")
+		r.report(name, 7, "incarnation")
 	}
 	started := r.plan(time.Second)
 	r.answer(started[0], nil)
@@ -179,7 +178,7 @@
 	r.answer(started[1], nil)
 	is.Equal(formatOrders(started), []string{"a1 load v2", "b1 load v2"})
 	is.Equal(len(r.plan(5*time.Second)), 0)
-	r.report("a1", 7, "life", "v2")
+	r.report("a1", 7, "incarnation", "v2")
 	is.Equal(formatOrders(r.plan(5*time.Second)), []string{"a2 load v2"})
 }
 
@@ -194,8 +193,7 @@
 	return protocol.OrderResult{}, nil
 }
 
-// TestOrderIsNotSentWithoutLease covers a holder that was paused between
-// its decision and the request.
+// A holder that was paused between its decision and the request must not send the order.
 func TestOrderIsNotSentWithoutLease(t *testing.T) {
 	is := is.New(t)
 	engines := &countingEngines{}
@@ -211,7 +209,7 @@
 	r := newPlannerHarness(compiled(2, "a", "v2", "v1"))
 	r.planner.config.MaxLoadsPerZone = 2
 	for _, name := range []ident.Engine{"a1", "a2"} {
-		r.report(name, 7, "life", "v1")
+		r.report(name, 7, "incarnation", "v1")
 		for _, order := range r.plan(5 * time.Second) {
 			r.answer(order, refusal(protocol.RefusalFull, fault.BackendRefused))
 		}
@@ -225,38 +223,38 @@
 	is := is.New(t)
 	r := newPlannerHarness(compiled(1, "a", "v2"))
 	lost := fault.New(fault.BackendLost, "no answer").WithRan(fault.RanUnknown)
-	r.report("a1", 7, "life-1")
+	r.report("a1", 7, "incarnation-1")
 	first := r.plan(time.Second)
 	r.answer(first[0], lost)
-	is.Equal(len(r.plan(100*time.Millisecond)), 0) // backoff
+	is.Equal(len(r.plan(100*time.Millisecond)), 0) // back-off
 	again := r.plan(time.Second)
-	is.Equal(again, first) // the very same order
+	is.Equal(again, first) // under the same id
 	r.answer(again[0], nil)
-	is.Equal(len(r.plan(time.Minute)), 0) // it loads
+	is.Equal(len(r.plan(time.Minute)), 0) // the load is in progress
 
-	r.report("a1", 0, "life-2") // crashed during the load
+	r.report("a1", 0, "incarnation-2") // crashed during the load
 	fenced := r.plan(time.Second)
 	is.Equal(formatOrders(fenced), []string{"a1 role "})
 	r.answer(fenced[0], nil)
-	r.report("a1", 7, "life-2")
+	r.report("a1", 7, "incarnation-2")
 	reload := r.plan(time.Second)
 	is.Equal(formatOrders(reload), []string{"a1 load v2"})
-	is.Equal(reload[0].Order.ExpectedIncarnation, ident.Incarnation("life-2"))
+	is.Equal(reload[0].Order.ExpectedIncarnation, ident.Incarnation("incarnation-2"))
 	is.True(reload[0].Order.OrderID != first[0].Order.OrderID)
 
 	r.answer(reload[0], refusal(protocol.RefusalStaleFence, fault.StaleFence))
-	is.Equal(r.planner.Floor(), uint64(7)) // the shell steps down with it
+	is.Equal(r.planner.Floor(), uint64(7))
 	is.Equal(len(r.plan(time.Minute)), 0)
 	r.grant.Fence = 12
 	is.Equal(formatOrders(r.plan(time.Second)), []string{"a1 role "})
 }
 
-// TestLostUnloadIsFenced covers an unload that may still arrive after it has
-// ceased to be permitted.
+// An unload without an answer may still arrive when it is no longer permitted: a newer fence
+// invalidates it.
 func TestLostUnloadIsFenced(t *testing.T) {
 	is := is.New(t)
 	r := newPlannerHarness(compiled(1, "a", "v2"))
-	r.report("a1", 7, "life", "v1", "v2")
+	r.report("a1", 7, "incarnation", "v1", "v2")
 	orders := r.plan(time.Second)
 	is.Equal(formatOrders(orders), []string{"a1 unload v1"})
 	r.answer(orders[0], fault.New(fault.BackendLost, "no answer").WithRan(fault.RanUnknown))
--- a/internal/control/rolling_test.go
+++ b/internal/control/rolling_test.go
@@ -25,7 +25,7 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// memoryTable is a platform.Table over the stand-in's table that always works.
+// memoryTable is a store.Table over the stand-in's table that never fails.
 type memoryTable struct {
 	mutex sync.Mutex
 	table *tables.Table
@@ -48,15 +48,15 @@
 	return platform.RowList{}, fault.New(fault.Internal, "not used")
 }
 
-// simulatedEngines are the stand-ins' models behind a network that loses every third
-// answer to an order, after the order took effect.
+// simulatedEngines are the stand-ins' models behind a network that loses every third answer to an
+// order, after the order took effect.
 type simulatedEngines struct {
 	mutex    sync.Mutex
 	models   map[string]*model.Engine
 	orders   int
 	executed map[string]int
 	fences   []uint64
-	// loading counts the loads under way in each zone, most the most at once.
+	// loading counts the loads in progress in each zone, maxLoading is the largest such count.
 	loading    map[string]int
 	maxLoading int
 }
@@ -111,7 +111,7 @@
 	}
 }
 
-// countWarm counts the engines of a zone that hold a version now.
+// countWarm counts the running engines of a zone that hold one of the versions.
 func (e *simulatedEngines) countWarm(zone string, versions ...ident.ModelVersion) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -137,7 +137,7 @@
 	time.AfterFunc(restartAfter, func() {
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		e.models[address].Restart(time.Now(), "life-2")
+		e.models[address].Restart(time.Now(), "incarnation-2")
 	})
 }
 
@@ -147,12 +147,12 @@
 		config := model.DefaultConfig()
 		config.Name, config.Zone = target.Name, target.Zone
 		config.Models = []protocol.LoadedModel{{Model: "m", Version: "v1"}}
-		e.models[target.Address] = model.New(config, "life-1", rand.New(rand.NewPCG(1, uint64(index))), time.Now())
+		e.models[target.Address] = model.New(config, "incarnation-1", rand.New(rand.NewPCG(1, uint64(index))), time.Now())
 	}
 	return e
 }
 
-// controllers is two routers' duties over the engines' models.
+// controllers are the controllers of two routers over simulated engines.
 type controllers struct {
 	t            *testing.T
 	currentFleet atomic.Pointer[fleet.Compiled]
@@ -180,8 +180,8 @@
 	return r
 }
 
-// watch checks, over a span of time, that some engine of each zone serves one
-// of the versions, and returns when all came to hold the last one.
+// watch checks, over a span of time, that some engine of each zone serves one of the versions. It
+// returns the time until all engines held the last one, 0 if they did not.
 func (r *controllers) watch(span time.Duration, versions ...ident.ModelVersion) time.Duration {
 	began, done := time.Now(), time.Duration(0)
 	last := versions[len(versions)-1]
@@ -213,7 +213,7 @@
 	return name
 }
 
-// settled returns how many engines the holder calls settled, and of how many.
+// settled returns the holder's number of settled engines and that of all engines.
 func (r *controllers) settled() (counts [2]int) {
 	for _, controller := range r.byNode {
 		for _, status := range controller.Status() {
@@ -224,8 +224,8 @@
 	return counts
 }
 
-// TestRollingVersionChange changes v1 to v2 and withdraws v1, then changes to
-// v3 at once, with lost answers, a crash and a change of the lease holder.
+// Each zone keeps a serving engine through version changes with lost answers, a crash and a change
+// of the lease holder.
 func TestRollingVersionChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -237,7 +237,7 @@
 		r.models.crash("a2", 5*time.Second) // returns with v1 alone
 		r.watch(4*time.Second, "v1", "v2")
 		first := r.holder()
-		r.stops[first]() // a planned stop in the middle
+		r.stops[first]() // a planned stop during the change
 		took := r.watch(2*time.Minute, "v1", "v2")
 		is.True(took > 0)
 		is.True(r.holder() != first)
@@ -256,8 +256,8 @@
 			}
 		}
 		t.Logf("%d orders sent, %d took effect, at most %d loads in a zone at once", r.models.orders, len(r.models.executed), r.models.maxLoading)
-		is.True(r.models.orders > len(r.models.executed)) // lost answers were repeated
-		is.True(r.models.maxLoading <= 2)                 // one, and one that a new holder does not know of
+		is.True(r.models.orders > len(r.models.executed)) // some orders were retried
+		is.True(r.models.maxLoading <= 2)                 // one, and one that a new holder has not observed
 		is.True(slices.IsSorted(r.models.fences))
 		for _, stop := range r.stops {
 			stop()
@@ -266,15 +266,15 @@
 	})
 }
 
-// TestPausedHolderOrdersNothing freezes a holder between its decision to
-// unload and the request, while another holder takes over.
+// The orders of a holder that was paused between its decision and the request are refused once
+// another holder has taken over.
 func TestPausedHolderOrdersNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		before, after := compiled(3, "ab", "v2", "v1"), compiled(3, "ab", "v2")
 		models := newEngines(before)
 		frozen, successor := NewPlanner(Config{}, "x"), NewPlanner(Config{}, "x")
-		// observeAndPlan lets a planner read every report and decide.
+		// observeAndPlan passes every engine's report to a planner and returns its orders.
 		observeAndPlan := func(planner *Planner, file *fleet.Compiled, fence uint64) []Order {
 			time.Sleep(3 * time.Second)
 			planner.SetFleet(file, GroupsOf(file)[0], 1)
@@ -298,9 +298,9 @@
 		is.True(len(stale) > 0)
 		is.Equal(stale[0].Order.Kind, protocol.OrderUnload)
 		send(successor, observeAndPlan(successor, before, 2)) // fences every engine
-		send(frozen, stale)                                   // the holder wakes up
+		send(frozen, stale)                                   // the holder resumes
 		is.Equal(models.countWarm("a", "v1")+models.countWarm("b", "v1"), len(models.models))
-		is.Equal(frozen.Floor(), uint64(1)) // it steps down
+		is.Equal(frozen.Floor(), uint64(1))
 		is.Equal(len(observeAndPlan(frozen, after, 1)), 0)
 	})
 }
