--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -30,7 +30,7 @@
 	timeout  = 1500 * time.Millisecond
 	duration = 9 * time.Second
 	quiet    = 3 * time.Second
-	// actWindow is longer than the ticks between two renewals.
+	// actWindow is longer than the time between two renewals and one tick.
 	actWindow = 4 * time.Second
 	// slowest is a lower bound of the clocks' rates, by which a wait may be shorter.
 	slowest = 0.9
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -80,7 +80,7 @@
 	if config.ExchangeTimeout <= 0 {
 		config.ExchangeTimeout = defaultExchangeTimeout
 	}
-	// An engine only gets no new requests if routers are notified.
+	// Routers that are not notified go on sending requests to quiescing engines.
 	if config.Notifier != nil && config.Quiesce {
 		config.Planner.QuiesceTime = cmp.Or(config.Planner.QuiesceTime, defaultQuiesceTime)
 	}
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -239,7 +239,7 @@
 	return actions, active, updates
 }
 
-// advance orders an engine that has quiesced and whose report is recent, or else reads its report.
+// advance orders an engine that has quiesced and whose report is recent, or reads its report.
 // An engine that carries out an order of a former holder finishes it first: that holder may have
 // known a newer version, and a late order would then take the engine back unnoticed, as recorded
 // versions never decrease.
