--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -1,8 +1,7 @@
-// Package control turns the fleet file's model versions, adapters and roles
-// into fenced orders to engines, by one lease holder at a time for each group
-// of engines.
+// Package control turns the fleet file's model versions, adapters and roles into fenced orders to
+// engines, by one lease holder at a time for each group of engines.
 //
-// Planner decides without I/O or clock; Controller is the shell around it.
+// Planner decides without I/O or clock; Controller runs it.
 package control
 
 import (
@@ -16,67 +15,66 @@
 	"github.com/fieldpond/fieldpond/internal/lease"
 )
 
-// Order is one order to issue, and where to.
+// Order is one order to issue and its target.
 type Order struct {
 	Engine  ident.Engine
 	Address string
 	Order   protocol.Order
 }
 
-// Counters counts what a Planner decided and saw.
+// Counters counts the orders of a Planner and the engines of its group.
 type Counters struct {
-	// Orders counts orders issued, Repeats those issued again under the same id
-	// after a lost answer, Refused those that an engine refused.
-	Orders, Repeats, Refused uint64
-	// StaleFences counts orders or reports that showed a newer fence.
+	// Orders counts orders issued, Retries those issued again under the same id after a lost
+	// answer, Refused those that an engine refused.
+	Orders, Retries, Refused uint64
+	// StaleFences counts answers and reports that showed a newer fence.
 	StaleFences uint64
-	// Guarded counts unloads put off because they would have taken the last
-	// warm engine away; each look at a put-off unload counts.
+	// Guarded counts checks that deferred an unload because it would have removed the last warm
+	// engine.
 	Guarded uint64
-	// Loading is the number of loads under way now.
+	// Loading is the number of loads in progress.
 	Loading int
-	// Engines is the size of the group, Settled how many of its engines are as
-	// the file says by their last reports.
+	// Engines is the size of the group, Settled how many of its engines match the fleet file by
+	// their last reports.
 	Engines, Settled int
 }
 
-// Planner decides on the orders of one group. It is a state machine without
-// I/O and is not safe for concurrent use.
+// Planner decides on the orders of one group. It is a state machine without I/O and is not safe for
+// concurrent use.
 //
-// Invariants: an engine has at most one order without an answer; an order
-// whose answer was lost is repeated under the same id or made void by a newer
-// fence; a version is unloaded only while, for every tenant that may use the
-// engine, an engine other than for that version stays warm that has taken this
-// fence, so that no order of an earlier holder can take it away.
+// Invariants: an engine has at most one order without an answer; an order whose answer was lost is
+// retried under the same id or invalidated by a newer fence; a version is unloaded only while every
+// tenant that may use the engine keeps a warm engine without it. That engine must have accepted this
+// fence, so that no order of an earlier holder can unload it.
 type Planner struct {
-	config   Config
-	name     string
-	compiled *fleet.Compiled
-	group    Group
-	needs    map[ident.Model][]need
-	share    float64
-	interval time.Duration
-	maxAge   time.Duration
-	engines  map[ident.Engine]*engineState
-	grant    lease.Grant
-	serial   uint64
-	nextLoad time.Time
-	floor    uint64
-	counters Counters
+	config         Config
+	name           string
+	compiled       *fleet.Compiled
+	group          Group
+	needs          map[ident.Model][]need
+	loadsPerSecond float64
+	reportInterval time.Duration
+	maxReportAge   time.Duration
+	engines        map[ident.Engine]*engineState
+	grant          lease.Grant
+	serial         uint64
+	nextLoad       time.Time
+	floor          uint64
+	counters       Counters
 }
 
-// NewPlanner returns a planner. The name goes into order ids.
+// NewPlanner returns a planner without engines. The name is a prefix of its order ids.
 func NewPlanner(config Config, name string) *Planner {
 	return &Planner{config: config.withDefaults(), name: name, engines: map[ident.Engine]*engineState{}}
 }
 
-// SetFleet puts a fleet file in force; groups is how many groups share the
-// weight store's limit.
+// SetFleet sets the fleet file and the planner's group; groups is the number of groups that share
+// the weight store's limit.
 func (p *Planner) SetFleet(compiled *fleet.Compiled, group Group, groups int) {
 	p.compiled, p.group, p.needs = compiled, group, needsOf(compiled)
-	p.share = p.config.LoadsPerSecond / float64(max(groups, 1))
-	p.interval = max(p.config.ReportInterval, time.Duration(len(group.Engines))*time.Second/maxReadsPerSecond)
-	p.maxAge = max(p.config.MaxReportAge, readsPerMaxAge*p.interval)
+	p.loadsPerSecond = p.config.LoadsPerSecond / float64(max(groups, 1))
+	p.reportInterval = max(p.config.ReportInterval, time.Duration(len(group.Engines))*time.Second/maxReadsPerSecond)
+	p.maxReportAge = max(p.config.MaxReportAge, readsPerMaxAge*p.reportInterval)
 	engines := map[ident.Engine]*engineState{}
 	for _, engine := range group.Engines {
 		state := p.engines[engine.Name]
@@ -89,7 +87,7 @@
 	p.engines = engines
 }
 
-// Counters returns what was counted so far.
+// Counters returns the current counts.
 func (p *Planner) Counters() Counters {
 	counters := p.counters
 	counters.Engines = len(p.engines)
@@ -104,61 +102,60 @@
 	return counters
 }
 
-// settled reports whether an engine has its role, has loaded all that the file
-// says, and holds nothing that is to go.
+// settled reports whether an engine has its role, has loaded all models of the file, and holds no
+// version to unload.
 func (p *Planner) settled(state *engineState) bool {
 	for _, name := range state.target.Models {
-		if model, known := p.compiled.Model(name); known && !state.asWanted(model) {
+		if model, known := p.compiled.Model(name); known && !state.upToDate(model) {
 			return false
 		}
 	}
 	return state.reachable && state.report.Role == state.target.Role &&
-		!slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.spare(state, loaded) })
+		!slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.removable(state, loaded) })
 }
 
-// Floor returns the highest fence met that is newer than the one held, or
-// that has to be left behind; zero means none. The shell steps down with it.
+// Floor returns the fence above which the lease has to be acquired again: an observed newer one, or
+// one to invalidate. Zero means none.
 func (p *Planner) Floor() uint64 { return p.floor }
 
-// Reported takes in a load report that was asked for at a time.
-func (p *Planner) Reported(askedAt time.Time, engine ident.Engine, report protocol.LoadReport) {
+// Reported records a load report that was requested at requestedAt.
+func (p *Planner) Reported(requestedAt time.Time, engine ident.Engine, report protocol.LoadReport) {
 	if state := p.engines[engine]; state != nil {
-		state.reported(askedAt, report)
+		state.recordReport(requestedAt, report)
 	}
 }
 
-// Unreachable takes in that no report could be read.
+// Unreachable records that an engine's report could not be read.
 func (p *Planner) Unreachable(engine ident.Engine) {
 	if state := p.engines[engine]; state != nil {
 		state.reachable = false
 	}
 }
 
-// ReportInterval returns how often each engine's report is to be read.
-func (p *Planner) ReportInterval() time.Duration { return p.interval }
+// ReportInterval returns the time between two reads of an engine's report.
+func (p *Planner) ReportInterval() time.Duration { return p.reportInterval }
 
-// Plan returns the orders to issue now under the grant. Each must be answered
-// by Ordered.
+// Plan returns the orders to issue now under the grant. The answer to each must be passed to
+// Ordered.
 func (p *Planner) Plan(now time.Time, grant lease.Grant) []Order {
 	p.useFence(grant)
 	if p.compiled == nil {
 		return nil
 	}
-	p.meetFences()
+	p.observeFences()
 	if p.floor >= grant.Fence {
 		return nil
 	}
 	var orders []Order
 	for _, target := range p.group.Engines {
-		if order, due := p.next(now, p.engines[target.Name]); due {
+		if order, due := p.nextOrder(now, p.engines[target.Name]); due {
 			orders = append(orders, Order{Engine: target.Name, Address: target.Address, Order: order})
 		}
 	}
 	return orders
 }
 
-// useFence forgets what was ordered under an older fence: an engine that has
-// taken the new one refuses it.
+// useFence drops orders under an older fence: an engine that has accepted the new one refuses them.
 func (p *Planner) useFence(grant lease.Grant) {
 	if grant.Fence != p.grant.Fence {
 		for _, state := range p.engines {
@@ -169,7 +166,7 @@
 	p.grant = grant
 }
 
-func (p *Planner) meetFences() {
+func (p *Planner) observeFences() {
 	for _, state := range p.engines {
 		if state.report.Fence > max(p.grant.Fence, p.floor) {
 			p.floor = state.report.Fence
@@ -178,15 +175,15 @@
 	}
 }
 
-// next returns the order that an engine shall get now.
-func (p *Planner) next(now time.Time, state *engineState) (protocol.Order, bool) {
+// nextOrder returns the order that is due for an engine, if any.
+func (p *Planner) nextOrder(now time.Time, state *engineState) (protocol.Order, bool) {
 	if state.pending != nil {
-		return p.repeat(now, state)
+		return p.retry(now, state)
 	}
-	if !p.usable(now, state) || !state.trueAt.After(state.settledAt) || now.Before(state.retryAt) {
+	if !p.usable(now, state) || !state.sampledAt.After(state.answeredAt) || now.Before(state.retryAt) {
 		return protocol.Order{}, false
 	}
-	state.noteLoaded(now, p.config.LoadTimeout)
+	state.finishLoad(now, p.config.LoadTimeout)
 	role := state.target.Role
 	if state.report.Fence < p.grant.Fence || state.report.Role != role {
 		return p.issue(state, protocol.Order{Kind: protocol.OrderRole, Role: role}), true
@@ -197,13 +194,13 @@
 	return p.unload(now, state)
 }
 
-// usable reports whether an engine's last report may be acted on.
+// usable reports whether an engine is reachable, not draining and its last report recent enough.
 func (p *Planner) usable(now time.Time, state *engineState) bool {
-	leaving := state.report.Leaving || state.target.State == fleet.BackendLeaving
-	return state.reachable && !leaving && now.Sub(state.trueAt) <= p.maxAge
+	draining := state.report.Leaving || state.target.State == fleet.BackendLeaving
+	return state.reachable && !draining && now.Sub(state.sampledAt) <= p.maxReportAge
 }
 
-// issue gives an order its id, fence and incarnation and awaits its answer.
+// issue sets an order's id, fence and incarnation and makes it the pending one.
 func (p *Planner) issue(state *engineState, order protocol.Order) protocol.Order {
 	p.serial++
 	p.counters.Orders++
@@ -214,44 +211,44 @@
 	return order
 }
 
-// repeat issues an order again whose answer was lost. An unload that is not
-// permitted any more cannot be called back; a newer fence makes it void.
-func (p *Planner) repeat(now time.Time, state *engineState) (protocol.Order, bool) {
+// retry issues an order again whose answer was lost. An unload that is no longer permitted cannot be
+// recalled; a newer fence invalidates it.
+func (p *Planner) retry(now time.Time, state *engineState) (protocol.Order, bool) {
 	pending := state.pending
 	if pending.inFlight || now.Before(pending.retryAt) {
 		return protocol.Order{}, false
 	}
-	if order := pending.order; order.Kind == protocol.OrderUnload && !p.permits(now, state, order.Model, order.Version) {
+	if order := pending.order; order.Kind == protocol.OrderUnload && !p.permitsUnload(now, state, order.Model, order.Version) {
 		p.floor = max(p.floor, p.grant.Fence)
 		return protocol.Order{}, false
 	}
 	pending.inFlight = true
-	p.counters.Repeats++
+	p.counters.Retries++
 	return pending.order, true
 }
 
-// load returns the order for the first model of the engine that is not loaded
-// as the file says, within the limits of the weight store.
+// load returns the order for the first model of the engine that is not up to date, within the limits
+// on loads.
 func (p *Planner) load(now time.Time, state *engineState) (protocol.Order, bool) {
 	if state.loading != nil || state.noRoom || now.Before(p.nextLoad) || p.loadingIn(now, state.target.Zone) >= p.config.MaxLoadsPerZone {
 		return protocol.Order{}, false
 	}
 	for _, name := range state.target.Models {
 		model, known := p.compiled.Model(name)
-		if !known || state.asWanted(model) {
+		if !known || state.upToDate(model) {
 			continue
 		}
 		order := p.issue(state, protocol.Order{
 			Kind: protocol.OrderLoad, Model: name, Version: model.Version, Adapters: slices.Clone(model.Adapters),
 		})
-		state.loading = &loadUnderWay{model: model, since: now}
-		p.nextLoad = now.Add(time.Duration(float64(time.Second) / p.share))
+		state.loading = &activeLoad{model: model, since: now}
+		p.nextLoad = now.Add(time.Duration(float64(time.Second) / p.loadsPerSecond))
 		return order, true
 	}
 	return protocol.Order{}, false
 }
 
-// loadingIn counts the usable engines of a zone that load or make room.
+// loadingIn counts the usable engines of a zone that load or unload to make room.
 func (p *Planner) loadingIn(now time.Time, zone ident.Zone) int {
 	count := 0
 	for _, state := range p.engines {
@@ -263,43 +260,42 @@
 	return count
 }
 
-// unload returns the order for the first version that the engine has no more
-// reason to hold, or that has to make room, if the guard permits it. Making
-// room takes one of the zone's places for loads.
+// unload returns the order for the first removable version whose unload is permitted. An unload to
+// make room counts towards MaxLoadsPerZone.
 func (p *Planner) unload(now time.Time, state *engineState) (protocol.Order, bool) {
 	if state.noRoom && p.loadingIn(now, state.target.Zone) >= p.config.MaxLoadsPerZone {
 		return protocol.Order{}, false
 	}
-	room := state.noRoom
+	neededRoom := state.noRoom
 	for _, loaded := range state.report.Loaded {
-		if !p.spare(state, loaded) {
+		if !p.removable(state, loaded) {
 			continue
 		}
-		if !p.permits(now, state, loaded.Model, loaded.Version) {
+		if !p.permitsUnload(now, state, loaded.Model, loaded.Version) {
 			p.counters.Guarded++
 			continue
 		}
 		return p.issue(state, protocol.Order{Kind: protocol.OrderUnload, Model: loaded.Model, Version: loaded.Version}), true
 	}
-	if room && !slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.spare(state, loaded) }) {
-		state.noRoom = false // nothing can go: try the load again later
+	if neededRoom && !slices.ContainsFunc(state.report.Loaded, func(loaded protocol.LoadedModel) bool { return p.removable(state, loaded) }) {
+		state.noRoom = false // nothing to unload: retry the load later
 		state.retryAt = now.Add(p.config.MaxRetryPause)
 	}
 	return protocol.Order{}, false
 }
 
-// permits reports whether a version may be taken from an engine now. One that
-// the file has withdrawn serves nobody, and goes at once where it is in the way.
-func (p *Planner) permits(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
+// permitsUnload reports whether a version may be unloaded now. A withdrawn version serves no
+// requests and may always make room for a load.
+func (p *Planner) permitsUnload(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
 	model, known := p.compiled.Model(name)
-	if known && state.noRoom && !tolerated(model, version) {
+	if known && state.noRoom && !accepted(model, version) {
 		return true
 	}
-	return p.mayUnload(now, state, name, version)
+	return p.keepsWarmEngine(now, state, name, version)
 }
 
-// spare reports whether a loaded version is not to stay on the engine.
-func (p *Planner) spare(state *engineState, loaded protocol.LoadedModel) bool {
+// removable reports whether a loaded version should be unloaded.
+func (p *Planner) removable(state *engineState, loaded protocol.LoadedModel) bool {
 	model, known := p.compiled.Model(loaded.Model)
 	if !known || !slices.Contains(state.target.Models, loaded.Model) {
 		return true
@@ -307,19 +303,20 @@
 	if state.noRoom {
 		return loaded.Version != model.Version
 	}
-	return state.asWanted(model) && !tolerated(model, loaded.Version)
+	return state.upToDate(model) && !accepted(model, loaded.Version)
 }
 
-func tolerated(model *fleet.Model, version ident.ModelVersion) bool {
+// accepted reports whether requests may use a version of the model.
+func accepted(model *fleet.Model, version ident.ModelVersion) bool {
 	return version == model.Version || slices.Contains(model.AcceptVersions, version)
 }
 
-// mayUnload reports whether, without that version on that engine, every tenant
-// that may use the engine keeps a warm engine for the model.
-func (p *Planner) mayUnload(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
+// keepsWarmEngine reports whether every tenant that may use the engine keeps a warm engine for the
+// model after the version is unloaded from this one.
+func (p *Planner) keepsWarmEngine(now time.Time, state *engineState, name ident.Model, version ident.ModelVersion) bool {
 	model, known := p.compiled.Model(name)
 	if !known {
-		return true // the file has no such model, so nobody may ask for it
+		return true // no tenant may use a model that the file does not have
 	}
 	for _, wanted := range p.needs[name] {
 		if !wanted.zones.Has(state.target.Zone) {
@@ -338,16 +335,16 @@
 	return true
 }
 
-// serves reports whether an engine surely serves a version of the model that
-// requests may use, other than the one left out. Only an engine that has taken
-// this fence and has no unload on its way counts.
-func (p *Planner) serves(state *engineState, model *fleet.Model, adapter ident.Adapter, leaveOut bool, version ident.ModelVersion) bool {
+// serves reports whether an engine surely serves an accepted version of the model, not counting the
+// given version if exclude is true. The engine must have accepted this fence, and the version must
+// not be subject to an unload in flight.
+func (p *Planner) serves(state *engineState, model *fleet.Model, adapter ident.Adapter, exclude bool, version ident.ModelVersion) bool {
 	if state.report.Fence != p.grant.Fence || !slices.Contains(state.target.Models, model.Name) {
 		return false
 	}
 	for _, loaded := range state.report.Loaded {
-		gone := leaveOut && loaded.Version == version || state.mayHaveUnloaded(loaded)
-		if loaded.Model == model.Name && tolerated(model, loaded.Version) && !gone &&
+		gone := exclude && loaded.Version == version || state.mayHaveUnloaded(loaded)
+		if loaded.Model == model.Name && accepted(model, loaded.Version) && !gone &&
 			(adapter == "" || slices.Contains(loaded.Adapters, adapter)) {
 			return true
 		}
--- a/internal/control/planner_test.go
+++ b/internal/control/planner_test.go
@@ -18,8 +18,7 @@
 
 var epoch = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// compiled returns a fleet of engines a1, a2, ... in zone a and so on, with a
-// tenant in each zone.
+// compiled returns a fleet of engines a1, a2, ... in zone a and so on, with a tenant in each zone.
 func compiled(perZone int, zones string, version ident.ModelVersion, accepted ...ident.ModelVersion) *fleet.Compiled {
 	document := &fleet.Document{
 		Models:   []fleet.Model{{Name: "m", Version: version, AcceptVersions: accepted}},
@@ -42,33 +41,35 @@
 	return fleet.Compile(document, 1, "d")
 }
 
-// rig drives a planner with reports that it writes by hand.
-type rig struct {
+// plannerHarness runs a planner with given reports.
+type plannerHarness struct {
 	planner *Planner
 	now     time.Time
 	grant   lease.Grant
 	reports map[ident.Engine]protocol.LoadReport
 }
 
-func newRig(file *fleet.Compiled) *rig {
-	r := &rig{planner: NewPlanner(Config{}, "x"), now: epoch, grant: lease.Grant{Fence: 7}, reports: map[ident.Engine]protocol.LoadReport{}}
-	r.use(file)
+func newPlannerHarness(file *fleet.Compiled) *plannerHarness {
+	r := &plannerHarness{planner: NewPlanner(Config{}, "x"), now: epoch, grant: lease.Grant{Fence: 7}, reports: map[ident.Engine]protocol.LoadReport{}}
+	r.setFleet(file)
 	return r
 }
 
-func (r *rig) use(file *fleet.Compiled) { r.planner.SetFleet(file, GroupsOf(file)[0], 1) }
+func (r *plannerHarness) setFleet(file *fleet.Compiled) {
+	r.planner.SetFleet(file, GroupsOf(file)[0], 1)
+}
 
-// report sets what an engine of the fence reports: its life and versions.
-func (r *rig) report(name ident.Engine, fence uint64, life ident.Incarnation, versions ...ident.ModelVersion) {
-	report := protocol.LoadReport{Incarnation: life, Role: "mixed", Fence: fence}
+// report sets the report of an engine.
+func (r *plannerHarness) report(name ident.Engine, fence uint64, incarnation ident.Incarnation, versions ...ident.ModelVersion) {
+	report := protocol.LoadReport{Incarnation: incarnation, Role: "mixed", Fence: fence}
 	for _, version := range versions {
 		report.Loaded = append(report.Loaded, protocol.LoadedModel{Model: "m", Version: version})
 	}
 	r.reports[name] = report
 }
 
-// plan moves time on, brings the reports in and lists the orders.
-func (r *rig) plan(step time.Duration) []Order {
+// plan advances the time, applies the reports and returns the orders.
+func (r *plannerHarness) plan(step time.Duration) []Order {
 	r.now = r.now.Add(step)
 	for name, report := range r.reports {
 		r.planner.Reported(r.now, name, report)
@@ -76,12 +77,12 @@
 	return r.planner.Plan(r.now, r.grant)
 }
 
-func (r *rig) answer(order Order, err error) {
+func (r *plannerHarness) answer(order Order, err error) {
 	r.planner.Ordered(r.now, order.Engine, order.Order.OrderID, err)
 }
 
-// words writes orders as "engine kind version".
-func words(orders []Order) (list []string) {
+// formatOrders formats orders as "engine kind version".
+func formatOrders(orders []Order) (list []string) {
 	for _, one := range orders {
 		list = append(list, fmt.Sprint(one.Engine, " ", one.Order.Kind, " ", one.Order.Version))
 	}
@@ -92,13 +93,13 @@
 	return fault.Wrap(&engine.RefusedError{Refusal: protocol.Refusal{Kind: kind}}, as, "refused")
 }
 
-func TestOneDecision(t *testing.T) {
-	type setting = func(r *rig)
+func TestPlan(t *testing.T) {
+	type setting = func(r *plannerHarness)
 	loaded := func(name ident.Engine, fence uint64, versions ...ident.ModelVersion) setting {
-		return func(r *rig) { r.report(name, fence, "life", versions...) }
+		return func(r *plannerHarness) { r.report(name, fence, "incarnation", versions...) }
 	}
-	leaving := func(name ident.Engine) setting {
-		return func(r *rig) {
+	draining := func(name ident.Engine) setting {
+		return func(r *plannerHarness) {
 			report := r.reports[name]
 			report.Leaving = true
 			r.reports[name] = report
@@ -111,74 +112,74 @@
 		wanted   []string
 	}{
 		{"a new holder fences first", compiled(1, "a", "v2"), []setting{loaded("a1", 6, "v1")}, []string{"a1 role "}},
-		{"new beside old", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1")}, []string{"a1 load v2"}},
-		{"accepted stays", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1", "v2")}, nil},
-		{"withdrawn goes", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1", "v2")}, []string{"a1 unload v1"}},
-		{"withdrawn stays until the new one serves", compiled(1, "a", "v2"), []setting{func(r *rig) {
+		{"new version is loaded beside the old", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1")}, []string{"a1 load v2"}},
+		{"accepted version stays", compiled(1, "a", "v2", "v1"), []setting{loaded("a1", 7, "v1", "v2")}, nil},
+		{"withdrawn version is unloaded", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1", "v2")}, []string{"a1 unload v1"}},
+		{"withdrawn version stays until the new one serves", compiled(1, "a", "v2"), []setting{func(r *plannerHarness) {
 			r.planner.nextLoad = r.now.Add(time.Hour)
 		}, loaded("a1", 7, "v1")}, nil},
-		{"one load a zone, one a pace", compiled(2, "ab", "v2"), []setting{
+		{"loads are limited by zone and rate", compiled(2, "ab", "v2"), []setting{
 			loaded("a1", 7), loaded("a2", 7), loaded("b1", 7), loaded("b2", 7),
 		}, []string{"a1 load v2"}},
-		{"unreported engines get nothing", compiled(2, "a", "v2"), nil, nil},
-		{"leaving engines get nothing", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1"), leaving("a1")}, nil},
-		{"a newer fence silences", compiled(2, "a", "v2"), []setting{loaded("a1", 7, "v1"), loaded("a2", 9, "v1")}, nil},
+		{"engines without a report get no orders", compiled(2, "a", "v2"), nil, nil},
+		{"draining engines get no orders", compiled(1, "a", "v2"), []setting{loaded("a1", 7, "v1"), draining("a1")}, nil},
+		{"no orders once a newer fence is observed", compiled(2, "a", "v2"), []setting{loaded("a1", 7, "v1"), loaded("a2", 9, "v1")}, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(test.file)
+			r := newPlannerHarness(test.file)
 			for _, set := range test.settings {
 				set(r)
 			}
-			is.Equal(words(r.plan(time.Second)), test.wanted)
+			is.Equal(formatOrders(r.plan(time.Second)), test.wanted)
 		})
 	}
 }
 
-// TestLastWarmEngineStays lets engines refuse to load beside the old version:
-// the old one makes room only where another engine surely serves the tenants.
-func TestLastWarmEngineStays(t *testing.T) {
+// An engine that refuses to load beside the old version unloads it only if another engine surely
+// serves the tenants.
+func TestUnloadKeepsAWarmEngine(t *testing.T) {
 	cases := []struct {
 		name   string
-		other  func(r *rig)
+		other  func(r *plannerHarness)
 		wanted []string
 	}{
-		{"no other", func(*rig) {}, nil},
-		{"other is warm", func(r *rig) { r.report("a2", 7, "life", "v1") }, []string{"a1 unload v1"}},
-		{"other may take stale orders", func(r *rig) { r.report("a2", 6, "life", "v1") }, []string{"a2 role "}},
-		{"other is in another zone", func(r *rig) { r.report("b1", 7, "life", "v1") }, nil},
-		{"other serves a withdrawn version", func(r *rig) { r.report("a2", 7, "life", "v0") }, nil},
+		{"no other", func(*plannerHarness) {}, nil},
+		{"other is warm", func(r *plannerHarness) { r.report("a2", 7, "incarnation", "v1") }, []string{"a1 unload v1"}},
+		{"other may accept stale orders", func(r *plannerHarness) { r.report("a2", 6, "incarnation", "v1") }, []string{"a2 role "}},
+		{"other is in another zone", func(r *plannerHarness) { r.report("b1", 7, "incarnation", "v1") }, nil},
+		{"other serves a withdrawn version", func(r *plannerHarness) { r.report("a2", 7, "incarnation", "v0") }, nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(compiled(2, "ab", "v2", "v1"))
-			r.report("a1", 7, "life", "v1")
+			r := newPlannerHarness(compiled(2, "ab", "v2", "v1"))
+			r.report("a1", 7, "incarnation", "v1")
 			first := r.plan(time.Second)
-			is.Equal(words(first), []string{"a1 load v2"})
+			is.Equal(formatOrders(first), []string{"a1 load v2"})
 			r.answer(first[0], refusal(protocol.RefusalFull, fault.BackendRefused))
 			test.other(r)
 			r.planner.nextLoad = r.now.Add(time.Hour)
-			is.Equal(words(r.plan(time.Second)), test.wanted)
+			is.Equal(formatOrders(r.plan(time.Second)), test.wanted)
 		})
 	}
 }
 
-func TestOneLoadInAZoneAtOnce(t *testing.T) {
+func TestOneLoadPerZone(t *testing.T) {
 	is := is.New(t)
-	r := newRig(compiled(2, "ab", "v2"))
+	r := newPlannerHarness(compiled(2, "ab", "v2"))
 	for _, name := range []ident.Engine{"a1", "a2", "b1", "b2"} {
-		r.report(name, 7, "life")
+		r.report(name, 7, "incarnation")
 	}
 	started := r.plan(time.Second)
 	r.answer(started[0], nil)
 	started = append(started, r.plan(5*time.Second)...)
 	r.answer(started[1], nil)
-	is.Equal(words(started), []string{"a1 load v2", "b1 load v2"})
+	is.Equal(formatOrders(started), []string{"a1 load v2", "b1 load v2"})
 	is.Equal(len(r.plan(5*time.Second)), 0)
-	r.report("a1", 7, "life", "v2")
-	is.Equal(words(r.plan(5*time.Second)), []string{"a2 load v2"})
+	r.report("a1", 7, "incarnation", "v2")
+	is.Equal(formatOrders(r.plan(5*time.Second)), []string{"a2 load v2"})
 }
 
 // countingEngines counts the orders that reach the engines.
@@ -192,24 +193,23 @@
 	return protocol.OrderResult{}, nil
 }
 
-// TestOrderIsNotSentAfterTheLeaseIsGone covers a holder that was paused between
-// its decision and the request.
-func TestOrderIsNotSentAfterTheLeaseIsGone(t *testing.T) {
+// A holder that was paused between its decision and the request must not send the order.
+func TestOrderIsNotSentWithoutLease(t *testing.T) {
 	is := is.New(t)
 	engines := &countingEngines{}
-	duty := New(Options{Engines: engines})
-	one := &runner{elector: lease.NewElector(nil, lease.Config{}, "x", "n")}
-	made := duty.request(t.Context(), call{runner: one, order: &protocol.Order{Fence: 7}})
-	is.Equal(made.err, lease.ErrNotHeld)
+	controller := New(Options{Engines: engines})
+	r := &runner{elector: lease.NewElector(nil, lease.Config{}, "x", "n")}
+	result := controller.execute(t.Context(), call{runner: r, order: &protocol.Order{Fence: 7}})
+	is.Equal(result.err, lease.ErrNotHeld)
 	is.Equal(engines.orders, 0)
 }
 
-func TestTwoEnginesNeverMakeRoomForEachOther(t *testing.T) {
+func TestOnlyOneEngineMakesRoom(t *testing.T) {
 	is := is.New(t)
-	r := newRig(compiled(2, "a", "v2", "v1"))
+	r := newPlannerHarness(compiled(2, "a", "v2", "v1"))
 	r.planner.config.MaxLoadsPerZone = 2
 	for _, name := range []ident.Engine{"a1", "a2"} {
-		r.report(name, 7, "life", "v1")
+		r.report(name, 7, "incarnation", "v1")
 		for _, order := range r.plan(5 * time.Second) {
 			r.answer(order, refusal(protocol.RefusalFull, fault.BackendRefused))
 		}
@@ -221,44 +221,44 @@
 
 func TestLostAnswersCrashesAndStaleFences(t *testing.T) {
 	is := is.New(t)
-	r := newRig(compiled(1, "a", "v2"))
+	r := newPlannerHarness(compiled(1, "a", "v2"))
 	lost := fault.New(fault.BackendLost, "no answer").WithRan(fault.RanUnknown)
-	r.report("a1", 7, "life-1")
+	r.report("a1", 7, "incarnation-1")
 	first := r.plan(time.Second)
 	r.answer(first[0], lost)
-	is.Equal(len(r.plan(100*time.Millisecond)), 0) // backoff
+	is.Equal(len(r.plan(100*time.Millisecond)), 0) // back-off
 	again := r.plan(time.Second)
-	is.Equal(again, first) // the very same order
+	is.Equal(again, first) // under the same id
 	r.answer(again[0], nil)
-	is.Equal(len(r.plan(time.Minute)), 0) // it loads
+	is.Equal(len(r.plan(time.Minute)), 0) // the load is in progress
 
-	r.report("a1", 0, "life-2") // crashed during the load
+	r.report("a1", 0, "incarnation-2") // crashed during the load
 	fenced := r.plan(time.Second)
-	is.Equal(words(fenced), []string{"a1 role "})
+	is.Equal(formatOrders(fenced), []string{"a1 role "})
 	r.answer(fenced[0], nil)
-	r.report("a1", 7, "life-2")
+	r.report("a1", 7, "incarnation-2")
 	reload := r.plan(time.Second)
-	is.Equal(words(reload), []string{"a1 load v2"})
-	is.Equal(reload[0].Order.ExpectedIncarnation, ident.Incarnation("life-2"))
+	is.Equal(formatOrders(reload), []string{"a1 load v2"})
+	is.Equal(reload[0].Order.ExpectedIncarnation, ident.Incarnation("incarnation-2"))
 	is.True(reload[0].Order.OrderID != first[0].Order.OrderID)
 
 	r.answer(reload[0], refusal(protocol.RefusalStaleFence, fault.StaleFence))
-	is.Equal(r.planner.Floor(), uint64(7)) // the shell steps down with it
+	is.Equal(r.planner.Floor(), uint64(7))
 	is.Equal(len(r.plan(time.Minute)), 0)
 	r.grant.Fence = 12
-	is.Equal(words(r.plan(time.Second)), []string{"a1 role "})
+	is.Equal(formatOrders(r.plan(time.Second)), []string{"a1 role "})
 }
 
-// TestLostUnloadIsMadeVoid covers an unload that may still arrive after it has
-// ceased to be permitted.
-func TestLostUnloadIsMadeVoid(t *testing.T) {
+// An unload without an answer may still arrive when it is no longer permitted: a newer fence
+// invalidates it.
+func TestLostUnloadIsFenced(t *testing.T) {
 	is := is.New(t)
-	r := newRig(compiled(1, "a", "v2"))
-	r.report("a1", 7, "life", "v1", "v2")
+	r := newPlannerHarness(compiled(1, "a", "v2"))
+	r.report("a1", 7, "incarnation", "v1", "v2")
 	orders := r.plan(time.Second)
-	is.Equal(words(orders), []string{"a1 unload v1"})
+	is.Equal(formatOrders(orders), []string{"a1 unload v1"})
 	r.answer(orders[0], fault.New(fault.BackendLost, "no answer").WithRan(fault.RanUnknown))
-	r.use(compiled(1, "a", "v1"))
+	r.setFleet(compiled(1, "a", "v1"))
 	is.Equal(len(r.plan(time.Second)), 0)
 	is.Equal(r.planner.Floor(), uint64(7))
 }
--- a/internal/lease/epoch.go
+++ b/internal/lease/epoch.go
@@ -6,45 +6,45 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// tableEpoch is the newest epoch of the table that answers showed.
+// tableEpoch is the newest observed epoch of the table.
 type tableEpoch struct {
 	known  bool
 	newest uint64
 }
 
-// saw takes in the epoch of an answer, and reports whether the table came back from an older
-// copy since another answer.
-func (e *tableEpoch) saw(epoch uint64) bool {
-	cameBack := e.known && epoch > e.newest
-	if !e.known || cameBack {
+// observe records the epoch of an answer, and reports whether the table was restored from an older
+// copy since an earlier answer.
+func (e *tableEpoch) observe(epoch uint64) bool {
+	restored := e.known && epoch > e.newest
+	if !e.known || restored {
 		e.known, e.newest = true, epoch
 	}
-	return cameBack
+	return restored
 }
 
-// noteEpoch takes in the epoch in which a row was read. A row that was written in an earlier one
-// may be a copy, and one that is missing may be lost; when the table came back is not known then
-// to a machine that saw no epoch before. A holder whose time is not over is the last one.
-func (m *Machine) noteEpoch(now time.Time, row *protocol.Row) {
-	before := m.epoch.known
-	cameBack := m.epoch.saw(row.Epoch)
-	copied := !before && m.record.Epoch < row.Epoch
-	if !cameBack && !copied {
+// observeEpoch records the epoch in which a row was read. After a restore the row may be an old
+// copy or missing; a machine that observed no epoch before then assumes that the restore was just
+// now. A holder whose lease has not expired is still the last one.
+func (m *Machine) observeEpoch(now time.Time, row *protocol.Row) {
+	knownBefore := m.epoch.known
+	restored := m.epoch.observe(row.Epoch)
+	rowCopied := !knownBefore && m.record.Epoch < row.Epoch
+	if !restored && !rowCopied {
 		return
 	}
-	m.cameBackAt = now
+	m.restoredAt = now
 	if m.held && now.Before(m.until) {
-		m.cameBackAt = time.Time{}
+		m.restoredAt = time.Time{}
 		m.floor = max(m.floor, m.fence-1)
 		return
 	}
-	// What this session once held may have been another one's since, and a write of before may
-	// still be carried out: it takes a fence of this epoch.
-	m.floor = max(m.floor, m.epoch.newest*fenceStep)
+	// Another session may have held the lease since, and an earlier write of this session may still
+	// be carried out: use only fences of this epoch.
+	m.floor = max(m.floor, m.epoch.newest*fencesPerEpoch)
 }
 
-// awaitsHolder reports whether another one may still hold the lease, although the row does not
-// tell it.
+// awaitsHolder reports whether a holder that the restored row does not show may still hold the
+// lease.
 func (m *Machine) awaitsHolder(now time.Time) bool {
-	return !m.cameBackAt.IsZero() && now.Before(m.cameBackAt.Add(m.config.Duration))
+	return !m.restoredAt.IsZero() && now.Before(m.restoredAt.Add(m.config.Duration))
 }
--- a/internal/lease/table_test.go
+++ b/internal/lease/table_test.go
@@ -11,11 +11,11 @@
 	"github.com/fieldpond/fieldpond/internal/store/storetest"
 )
 
-// tableModel is the table's truth: rows and versions, without any transport.
+// tableModel models the rows and versions of the table, without transport.
 type tableModel struct {
 	*storetest.Rows
-	// now is the table's own time, 0 if it tells none.
-	now time.Duration
+	// storeTime is the table's own time, 0 if it reports none.
+	storeTime time.Duration
 }
 
 func newTableModel() *tableModel { return &tableModel{Rows: storetest.NewRows()} }
@@ -29,7 +29,7 @@
 		outcome.Committed, outcome.Rows = result.Committed, result.Rows
 	}
 	for index := range outcome.Rows {
-		outcome.Rows[index].StoreTime, outcome.Rows[index].Epoch = m.now, m.Epoch()
+		outcome.Rows[index].StoreTime, outcome.Rows[index].Epoch = m.storeTime, m.Epoch()
 	}
 	return outcome
 }
@@ -59,7 +59,7 @@
 	f.down = down
 }
 
-// countOver returns the requests made in the coming span of time.
+// countOver waits for a span of time and returns the requests made in it.
 func (f *fakeTable) countOver(span time.Duration) int {
 	f.mutex.Lock()
 	before := f.requests
@@ -84,7 +84,7 @@
 	return protocol.RowList{}, fault.New(fault.Internal, "not used")
 }
 
-// link is one node's way to the table, which can be cut.
+// link is one node's connection to the table, which can be cut.
 type link struct {
 	*fakeTable
 	cut atomic.Bool
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -312,12 +312,12 @@
 		n.metrics.countOrder(result)
 		logOrder(order, result)
 	}
-	config.OnDoubt = func(doubt rollout.SuspectVersion) {
+	config.OnSuspectVersion = func(doubt rollout.SuspectVersion) {
 		n.metrics.suspectVersions.WithLabelValues(string(doubt.Model)).Inc()
-		log.WithFields(log.Fields{"model": doubt.Model, "version": doubt.Version, "ended": doubt.Ended}).Warn("version_doubted")
+		log.WithFields(log.Fields{"model": doubt.Model, "version": doubt.Version, "ended": doubt.Crashed}).Warn("version_doubted")
 	}
 	if socket != nil && n.config.Disabled.On(mechanism.Notices) {
-		config.Announcer = socket
+		config.Notifier = socket
 	}
 	controller := rollout.NewController(config, n.lease, n.engines, n.holder, n.backends)
 	follower := n.follower
--- a/internal/node/notifier.go
+++ b/internal/node/notifier.go
@@ -29,7 +29,7 @@
 )
 
 // notifier sends and receives notifications and other datagrams of routers, which are not
-// acknowledged. It implements rollout.Announcer.
+// acknowledged. It implements rollout.Notifier.
 type notifier struct {
 	socket     *net.UDPConn
 	backends   *backend.Registry
@@ -46,7 +46,7 @@
 	canaries *canaries
 }
 
-var _ rollout.Announcer = (*notifier)(nil)
+var _ rollout.Notifier = (*notifier)(nil)
 
 // datagram is a message between routers; each field but Scope is a kind of content.
 type datagram struct {
@@ -73,8 +73,8 @@
 	return &notifier{socket: socket, backends: backends, recipients: peers}, nil
 }
 
-// Announce implements rollout.Announcer.
-func (n *notifier) Announce(notification rollout.Notification) {
+// Notify implements rollout.Notifier.
+func (n *notifier) Notify(notification rollout.Notification) {
 	n.applyRollout(&notification)
 	for _, part := range splitRollout(notification) {
 		// It is not repeated later, so it goes by two relays if there are any.
@@ -158,15 +158,15 @@
 // splitRollout splits a notification into ones that fit into a datagram each.
 func splitRollout(notification rollout.Notification) []rollout.Notification {
 	var parts []rollout.Notification
-	for len(notification.Loading)+len(notification.Loaded)+len(notification.Unsettled)+len(notification.Emptying) > 0 {
+	for len(notification.Loading)+len(notification.Loaded)+len(notification.Unsettled)+len(notification.Quiescing) > 0 {
 		part := rollout.Notification{
-			Model: notification.Model, Version: notification.Version, LoadTime: notification.LoadTime, EmptyTime: notification.EmptyTime,
+			Model: notification.Model, Version: notification.Version, LoadTime: notification.LoadTime, QuiesceTime: notification.QuiesceTime,
 		}
 		room := enginesPerNotification
 		part.Loading, notification.Loading, room = splitOff(notification.Loading, room)
 		part.Loaded, notification.Loaded, room = splitOff(notification.Loaded, room)
 		part.Unsettled, notification.Unsettled, room = splitOff(notification.Unsettled, room)
-		part.Emptying, notification.Emptying, _ = splitOff(notification.Emptying, room)
+		part.Quiescing, notification.Quiescing, _ = splitOff(notification.Quiescing, room)
 		parts = append(parts, part)
 	}
 	return parts
@@ -247,8 +247,8 @@
 	for _, instance := range notification.Loading {
 		n.backends.MarkLoading(now, instance, notification.Model, notification.Version, notification.LoadTime)
 	}
-	for _, instance := range notification.Emptying {
-		n.backends.MarkLoading(now, instance, notification.Model, notification.Version, notification.EmptyTime+notification.LoadTime)
+	for _, instance := range notification.Quiescing {
+		n.backends.MarkLoading(now, instance, notification.Model, notification.Version, notification.QuiesceTime+notification.LoadTime)
 	}
 	for _, instance := range notification.Loaded {
 		n.backends.ObserveVersion(instance, notification.Model, notification.Version)
@@ -258,6 +258,6 @@
 	}
 	log.WithFields(log.Fields{
 		"model": notification.Model, "version": notification.Version, "loading": notification.Loading, "loaded": notification.Loaded,
-		"unsettled": notification.Unsettled, "emptying": notification.Emptying,
+		"unsettled": notification.Unsettled, "emptying": notification.Quiescing,
 	}).Info("engines_change")
 }
--- a/internal/node/notifier_test.go
+++ b/internal/node/notifier_test.go
@@ -48,7 +48,7 @@
 	for _, record := range own.Records() {
 		notification.Loading = append(notification.Loading, record.Instance)
 	}
-	holder.Announce(notification)
+	holder.Notify(notification)
 	query := &backend.Query{Service: "s", Model: model}
 	for _, known := range []*backend.Registry{own, other} {
 		eventually(t, func() bool {
@@ -59,7 +59,7 @@
 			return !found
 		})
 	}
-	holder.Announce(rollout.Notification{Model: model, Version: 2, Loaded: []ident.Incarnation{"i-007"}})
+	holder.Notify(rollout.Notification{Model: model, Version: 2, Loaded: []ident.Incarnation{"i-007"}})
 	eventually(t, func() bool {
 		choice, flight, found := other.Pick(time.Now(), query)
 		if found {
@@ -67,7 +67,7 @@
 		}
 		return found && choice.Instance == "i-007" && choice.Version == 2
 	})
-	holder.Announce(rollout.Notification{Model: model, Version: 2, Unsettled: []ident.Incarnation{"i-009"}})
+	holder.Notify(rollout.Notification{Model: model, Version: 2, Unsettled: []ident.Incarnation{"i-009"}})
 	query.Excluded = []ident.Incarnation{"i-007"}
 	eventually(t, func() bool {
 		choice, _, found := other.Pick(time.Now(), query)
@@ -165,8 +165,8 @@
 	known := backend.NewRegistry(backend.Config{})
 	known.ApplyList(time.Now(), []backend.Record{{Instance: "a", Service: "s", Models: map[ident.Model]int{model: 1}}})
 	sender := &notifier{backends: known, recipients: recipientsOf()}
-	sender.Announce(rollout.Notification{
-		Model: model, Version: 2, Emptying: []ident.Incarnation{"a"}, EmptyTime: time.Minute, LoadTime: time.Hour,
+	sender.Notify(rollout.Notification{
+		Model: model, Version: 2, Quiescing: []ident.Incarnation{"a"}, QuiesceTime: time.Minute, LoadTime: time.Hour,
 	})
 	tests := []struct {
 		name  string
@@ -197,7 +197,7 @@
 
 func TestLongNotificationIsSplit(t *testing.T) {
 	is := is.New(t)
-	notification := rollout.Notification{Model: model, Version: 2, LoadTime: time.Second, EmptyTime: time.Millisecond}
+	notification := rollout.Notification{Model: model, Version: 2, LoadTime: time.Second, QuiesceTime: time.Millisecond}
 	for index := range 95 {
 		notification.Loading = append(notification.Loading, ident.Incarnation(fmt.Sprint("l", index)))
 	}
@@ -208,14 +208,14 @@
 		notification.Unsettled = append(notification.Unsettled, ident.Incarnation(fmt.Sprint("u", index)))
 	}
 	for index := range 55 {
-		notification.Emptying = append(notification.Emptying, ident.Incarnation(fmt.Sprint("e", index)))
+		notification.Quiescing = append(notification.Quiescing, ident.Incarnation(fmt.Sprint("e", index)))
 	}
 	var joined rollout.Notification
 	for _, part := range splitRollout(notification) {
-		is.True(len(part.Loading)+len(part.Loaded)+len(part.Unsettled)+len(part.Emptying) <= enginesPerNotification)
+		is.True(len(part.Loading)+len(part.Loaded)+len(part.Unsettled)+len(part.Quiescing) <= enginesPerNotification)
 		is.Equal(part.LoadTime, notification.LoadTime)
-		is.Equal(part.EmptyTime, notification.EmptyTime)
-		joined.Emptying = append(joined.Emptying, part.Emptying...)
+		is.Equal(part.QuiesceTime, notification.QuiesceTime)
+		joined.Quiescing = append(joined.Quiescing, part.Quiescing...)
 		joined.Unsettled = append(joined.Unsettled, part.Unsettled...)
 		joined.Loading = append(joined.Loading, part.Loading...)
 		joined.Loaded = append(joined.Loaded, part.Loaded...)
@@ -223,6 +223,6 @@
 	is.Equal(joined.Loading, notification.Loading)
 	is.Equal(joined.Loaded, notification.Loaded)
 	is.Equal(joined.Unsettled, notification.Unsettled)
-	is.Equal(joined.Emptying, notification.Emptying)
+	is.Equal(joined.Quiescing, notification.Quiescing)
 	is.Equal(len(splitRollout(rollout.Notification{})), 0)
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -26,36 +26,37 @@
 type Lease interface {
 	// Held returns the grant, if there is one.
 	Held() (lease.Grant, error)
-	// Act returns it for an order that leaves now.
+	// Act returns the grant if an order may be sent now, and records the action.
 	Act() (lease.Grant, error)
+	// StepDown gives the lease up unless its fence is above floor.
 	StepDown(floor uint64)
 }
 
-// ControllerConfig sets the shell of a Planner.
+// ControllerConfig configures a Controller.
 type ControllerConfig struct {
 	Planner Config
-	// Tick is the time between two looks. Default: 100ms.
+	// Tick is the time between two planning steps. Default: 100ms.
 	Tick time.Duration
 	// ExchangeTimeout bounds one order or report. Default: 600ms.
 	ExchangeTimeout time.Duration
-	// OnOrder is told each order with its result. It must not block.
+	// OnOrder is called with each order and its result. It must not block.
 	OnOrder func(order *Order, result Result)
-	// OnDoubt is told each version that came to be doubted. It must not block; nil tells nobody.
-	OnDoubt func(doubt SuspectVersion)
-	// Emptying has engines emptied before their orders; it needs an Announcer.
-	Emptying bool
-	// Announcer tells other routers which engines are about to change; nil tells
-	// nobody.
-	Announcer Announcer
+	// OnSuspectVersion, if not nil, is called once for each version that becomes suspect. It must
+	// not block.
+	OnSuspectVersion func(suspect SuspectVersion)
+	// Quiesce makes engines quiesce before their orders; it needs a Notifier.
+	Quiesce bool
+	// Notifier notifies routers of engines that are about to change; nil disables notifications.
+	Notifier Notifier
 }
 
 const (
 	defaultTick            = 100 * time.Millisecond
 	defaultExchangeTimeout = 600 * time.Millisecond
-	// announcePause is the time between the notice of an order and the order, for
-	// the notice to arrive and for work under way to reach its engine.
-	announcePause = 30 * time.Millisecond
-	// resultCapacity holds the results of all exchanges that can be under way.
+	// notificationLead is the time between the notification of an order and the order, for the
+	// notification to arrive and for requests on their way to reach the engine.
+	notificationLead = 30 * time.Millisecond
+	// resultCapacity is above the number of exchanges in flight, so that none blocks.
 	resultCapacity = 1024
 )
 
@@ -79,9 +80,9 @@
 	if config.ExchangeTimeout <= 0 {
 		config.ExchangeTimeout = defaultExchangeTimeout
 	}
-	// Only routers that are told send no new work.
-	if config.Announcer != nil && config.Emptying {
-		config.Planner.Emptying = cmp.Or(config.Planner.Emptying, defaultEmptying)
+	// Routers that are not notified go on sending requests to quiescing engines.
+	if config.Notifier != nil && config.Quiesce {
+		config.Planner.QuiesceTime = cmp.Or(config.Planner.QuiesceTime, defaultQuiesceTime)
 	}
 	return &Controller{
 		config: config, planner: NewPlanner(config.Planner), lease: held, engines: engines,
@@ -97,9 +98,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case take := <-c.results:
-			take(clock.Now())
-			c.takeResults()
+		case apply := <-c.results:
+			apply(clock.Now())
+			c.applyResults()
 			c.step(ctx, clock.Now())
 		case <-ticker.C:
 			c.step(ctx, clock.Now())
@@ -107,12 +108,12 @@
 	}
 }
 
-// takeResults takes in all results there are.
-func (c *Controller) takeResults() {
+// applyResults applies the results that are available without blocking.
+func (c *Controller) applyResults() {
 	for {
 		select {
-		case take := <-c.results:
-			take(clock.Now())
+		case apply := <-c.results:
+			apply(clock.Now())
 		default:
 			return
 		}
@@ -126,9 +127,9 @@
 	}
 	if grant.Fence != c.fence {
 		c.fence = grant.Fence
-		c.planner.Forget()
+		c.planner.ForgetOrders()
 	}
-	// Orders of two holders must never take turns.
+	// Orders of two lease holders must not interleave.
 	if now.Before(grant.QuietUntil) || !now.Before(grant.ActUntil) {
 		return
 	}
@@ -137,59 +138,59 @@
 		return !view.Serves(record.Service)
 	})
 	c.planner.Observe(records, view.Models)
-	c.planner.Calm(c.calm(now, records))
+	c.planner.SetHeadroom(c.headroom(now, records))
 	actions := c.planner.Plan(now, grant.Fence)
-	for _, doubt := range c.planner.Doubts() {
-		if c.config.OnDoubt != nil {
-			c.config.OnDoubt(doubt)
+	for _, suspect := range c.planner.NewSuspects() {
+		if c.config.OnSuspectVersion != nil {
+			c.config.OnSuspectVersion(suspect)
 		}
 	}
-	c.announce(actions)
+	c.notifyChanges(actions)
 	for _, action := range actions {
 		go c.execute(ctx, now, action, grant.Fence)
 	}
 }
 
-// calm returns how calm the services of engines are, from 0 to 1.
-func (c *Controller) calm(now time.Time, records []backend.Record) map[ident.Service]float64 {
-	calm := make(map[ident.Service]float64)
+// headroom returns the headroom of each service with engines, from 0 (saturated) to 1 (idle).
+func (c *Controller) headroom(now time.Time, records []backend.Record) map[ident.Service]float64 {
+	headroom := make(map[ident.Service]float64)
 	for _, record := range records {
-		if _, known := calm[record.Service]; !known && len(record.Models) > 0 {
-			calm[record.Service] = c.backends.Headroom(now, record.Service)
+		if _, known := headroom[record.Service]; !known && len(record.Models) > 0 {
+			headroom[record.Service] = c.backends.Headroom(now, record.Service)
 		}
 	}
-	return calm
+	return headroom
 }
 
-// announce tells the engines that the actions change, those that are emptied, and
-// those that have their version since the last look.
-func (c *Controller) announce(actions []Action) {
-	loaded, emptying := c.planner.Loaded(), c.planner.Emptying()
-	if c.config.Announcer == nil {
+// notifyChanges notifies routers of the engines that are about to load, that began to quiesce, and
+// that loaded their version since the last step.
+func (c *Controller) notifyChanges(actions []Action) {
+	loaded, quiescing := c.planner.Loaded(), c.planner.Quiescing()
+	if c.config.Notifier == nil {
 		return
 	}
-	gathered := notices{loadTime: c.planner.LoadTime() + announcePause}
-	gathered.loading(actions)
+	pending := notificationBatch{loadTime: c.planner.LoadTime() + notificationLead}
+	pending.addLoading(actions)
 	for _, engine := range loaded {
-		notice := gathered.of(engine.Model, engine.Version)
-		notice.Loaded = append(notice.Loaded, engine.Instance)
+		notification := pending.forVersion(engine.Model, engine.Version)
+		notification.Loaded = append(notification.Loaded, engine.Instance)
 	}
-	gathered.emptying(emptying, c.config.Planner.Emptying)
-	gathered.announce(c.config.Announcer)
+	pending.addQuiescing(quiescing, c.config.Planner.QuiesceTime)
+	pending.send(c.config.Notifier)
 }
 
-// announceResult takes a notice back whose order may not have been taken.
-func (c *Controller) announceResult(order *Order, result Result) {
-	if c.config.Announcer == nil || result == Accepted {
+// notifyUnsettled retracts the notification of an order that the engine may not have accepted.
+func (c *Controller) notifyUnsettled(order *Order, result Result) {
+	if c.config.Notifier == nil || result == Accepted {
 		return
 	}
-	c.config.Announcer.Announce(Notification{
+	c.config.Notifier.Notify(Notification{
 		Model: order.Model, Version: order.Version, Unsettled: []ident.Incarnation{order.Target.Instance},
 	})
 }
 
-// execute makes one exchange and hands its result to the goroutine of Run.
-func (c *Controller) execute(ctx context.Context, askedAt time.Time, action Action, fence uint64) {
+// execute makes one exchange and passes its result to the goroutine of Run.
+func (c *Controller) execute(ctx context.Context, requestedAt time.Time, action Action, fence uint64) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.ExchangeTimeout)
 	defer cancel()
 	if action.Order == nil {
@@ -198,15 +199,15 @@
 			report = nil
 		}
 		c.results <- func(time.Time) {
-			c.planner.Reported(askedAt, action.Target.Instance, report)
-			c.tell(action.Target, report)
+			c.planner.Reported(requestedAt, action.Target.Instance, report)
+			c.observeVersions(action.Target, report)
 		}
 		return
 	}
-	if c.config.Announcer != nil && !action.Emptied {
-		wait.For(ctx, announcePause)
+	if c.config.Notifier != nil && !action.Quiesced {
+		wait.For(ctx, notificationLead)
 	}
-	// The lease is asked once more right before the order leaves.
+	// The lease may have been lost since Plan: check it right before sending.
 	result := NotSent
 	if grant, err := c.lease.Act(); err == nil && grant.Fence == fence {
 		result = c.engines.Order(ctx, action.Order)
@@ -214,15 +215,15 @@
 	c.results <- func(now time.Time) {
 		c.planner.Ordered(now, action.Order, result)
 		c.config.OnOrder(action.Order, result)
-		c.announceResult(action.Order, result)
+		c.notifyUnsettled(action.Order, result)
 		if result == Outdated {
 			c.lease.StepDown(fence)
 		}
 	}
 }
 
-// tell hands newer versions to the registry ahead of the list.
-func (c *Controller) tell(target backend.Record, report *Report) {
+// observeVersions records reported versions before the instance list shows them.
+func (c *Controller) observeVersions(target backend.Record, report *Report) {
 	if report == nil {
 		return
 	}
--- a/internal/rollout/loadtimes_test.go
+++ b/internal/rollout/loadtimes_test.go
@@ -11,14 +11,13 @@
 	"github.com/fieldpond/fieldpond/internal/rollout"
 )
 
-// The time of a load is learned from the loads that were seen, and sets when an engine
-// is asked whether it has its version.
-func TestTheTimeOfLoadsIsLearned(t *testing.T) {
+// The load time is learned from observed loads, and sets when an engine's report is read.
+func TestLoadTimeIsLearned(t *testing.T) {
 	tests := []struct {
 		name        string
 		load        time.Duration
 		least, most time.Duration
-		// reports is the most that are read for one of the later loads.
+		// reports is the largest number of reports read for the last load.
 		reports int
 	}{
 		{"fast", 300 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond, 4},
@@ -33,7 +32,7 @@
 			is.Equal(planner.LoadTime(), 1500*time.Millisecond) // before the first load
 			reports := 0
 			for version := 2; version <= 30; version++ {
-				reports = change(planner, engines, version, tt.load)
+				reports = changeVersion(planner, engines, version, tt.load)
 			}
 			is.True(planner.LoadTime() >= tt.least)
 			is.True(planner.LoadTime() <= tt.most)
@@ -42,28 +41,28 @@
 	}
 }
 
-// A load that lasted beyond all reason, as at an engine that froze, changes nothing.
-func TestALoadBeyondAllReasonIsNotLearned(t *testing.T) {
+// The load of an engine that froze does not change the estimate.
+func TestOutlierLoadTimeIsIgnored(t *testing.T) {
 	is := is.New(t)
 	engines := newFleet(1)
 	planner := rollout.NewPlanner(config)
-	change(planner, engines, 2, 6*time.Second)
+	changeVersion(planner, engines, 2, 6*time.Second)
 	is.Equal(planner.LoadTime(), 1500*time.Millisecond)
 }
 
-// change has one engine take a version that it loads for a time. It returns the number
-// of reports that were read after the order.
-func change(planner *rollout.Planner, engines *fleet, version int, load time.Duration) int {
+// changeVersion makes one engine load a version for some time. It returns the number of reports
+// read after the order.
+func changeVersion(planner *rollout.Planner, engines *fleet, version int, load time.Duration) int {
 	const name = ident.Incarnation("i-00")
 	from := start.Add(time.Duration(version) * time.Minute)
-	models := named(catalog.Publication{Version: version, SeenAt: from})
+	models := published(catalog.Publication{Version: version, SeenAt: from})
 	var order *rollout.Order
 	var orderedAt time.Time
 	reports := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
 		now := from.Add(at)
 		if order != nil && now.Sub(orderedAt) >= load {
-			engines.take(order)
+			engines.execute(order)
 			order = nil
 		}
 		planner.Observe(engines.records(), models)
