--- a/internal/canary/bench_test.go
+++ b/internal/canary/bench_test.go
@@ -12,9 +12,9 @@
 
 // BenchmarkNoOrder is what a request costs a router while no order exists.
 func BenchmarkNoOrder(b *testing.B) {
-	gate := NewGate(GateConfig{Life: testLife, Bounds: modelBounds})
-	gate.Listed(at(0), modelService, []ident.Release{modelOld})
-	gate.Know(at(0), at(time.Millisecond), Known{})
+	gate := NewGate(GateConfig{Incarnation: testLife, Bounds: modelBounds})
+	gate.SetReleases(at(0), modelService, []ident.Release{modelOld})
+	gate.ApplySnapshot(at(0), at(time.Millisecond), Snapshot{})
 	to, sample := record(modelOld, 0), Sample{Route: "draft", Outcome: Answered, Elapsed: time.Second, Predicted: time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -28,7 +28,7 @@
 // BenchmarkObserving is what a request costs a router while a target is observed.
 func BenchmarkObserving(b *testing.B) {
 	gate := guarded()
-	gate.Permitted(at(time.Second), changed(func(p *Permit) { p.Part, p.Sends = 0.1, 1<<30 }))
+	gate.ApplyPermit(at(time.Second), changed(func(p *Permit) { p.Fraction, p.MaxSends = 0.1, 1<<30 }))
 	old, fresh := record(modelOld, 0), record(modelNew, 0)
 	sample := Sample{Route: "draft", Outcome: Answered, Elapsed: time.Second, Predicted: time.Second}
 	b.ReportAllocs()
@@ -99,7 +99,7 @@
 				for index, router := range m.routers {
 					report := *reports[index]
 					report.Clock += m.now
-					director.Reported(m.time(), router.address, &report)
+					director.ApplyReport(m.time(), router.address, &report)
 				}
 				director.Step(m.time())
 			}
--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -71,8 +71,8 @@
 	Proved []ident.Release `cbor:"7,keyasint,omitempty"`
 }
 
-// Known is what the store tells of rollouts, as it was read.
-type Known struct {
+// Snapshot is what the store tells of rollouts, as it was read.
+type Snapshot struct {
 	Orders []Order `cbor:"1,keyasint,omitempty"`
 	States []State `cbor:"2,keyasint,omitempty"`
 }
--- a/internal/canary/director.go
+++ b/internal/canary/director.go
@@ -31,15 +31,15 @@
 	Version uint64
 }
 
-// Tell asks to send a permit to a router, which may be this one.
-type Tell struct {
+// SendPermit asks to send a permit to a router, which may be this one.
+type SendPermit struct {
 	To     netip.AddrPort
 	Permit *Permit
 }
 
-func (Fetch) action() {}
-func (Write) action() {}
-func (Tell) action()  {}
+func (Fetch) action()      {}
+func (Write) action()      {}
+func (SendPermit) action() {}
 
 // WriteResult is what came of a Write. It is one of Stored, Conflict and Unanswered.
 type WriteResult interface{ writeResult() }
@@ -91,8 +91,8 @@
 	return &Director{cfg: cfg}
 }
 
-// Hold says that the lease is held under a fence, or is not held any more if that is 0.
-func (d *Director) Hold(now time.Time, fence uint64) {
+// SetLease says that the lease is held under a fence, or is not held any more if that is 0.
+func (d *Director) SetLease(now time.Time, fence uint64) {
 	if fence == d.fence {
 		return
 	}
@@ -146,9 +146,9 @@
 	return nil
 }
 
-// Read takes in the row of a service's state as it lies in the store. A new holder is told
+// ApplyState takes in the row of a service's state as it lies in the store. A new holder is told
 // also those rows that it has not asked for: their orders may have been withdrawn.
-func (d *Director) Read(now time.Time, state State, version uint64) {
+func (d *Director) ApplyState(now time.Time, state State, version uint64) {
 	if d.fence == 0 {
 		return
 	}
@@ -169,8 +169,8 @@
 	return added
 }
 
-// Reported takes in a report of a router.
-func (d *Director) Reported(now time.Time, from netip.AddrPort, report *Report) {
+// ApplyReport takes in a report of a router.
+func (d *Director) ApplyReport(now time.Time, from netip.AddrPort, report *Report) {
 	if !report.sound() {
 		return
 	}
@@ -192,8 +192,8 @@
 	return actions
 }
 
-// Written takes in what came of the Write of a service's state.
-func (d *Director) Written(now time.Time, service ident.Service, result WriteResult) {
+// ApplyWriteResult takes in what came of the Write of a service's state.
+func (d *Director) ApplyWriteResult(now time.Time, service ident.Service, result WriteResult) {
 	if known := d.rollout(service); known != nil {
 		known.written(now, result)
 	}
--- a/internal/canary/director_test.go
+++ b/internal/canary/director_test.go
@@ -213,7 +213,7 @@
 	versions map[ident.Service]uint64
 	// deaf stands for writes of which nothing is heard.
 	deaf bool
-	told []Tell
+	told []SendPermit
 }
 
 func newDesk(off hooks) *desk {
@@ -232,7 +232,7 @@
 		case Fetch:
 			state := d.states[action.Service]
 			state.Order.Service = action.Service
-			d.director.Read(at(d.now), state, d.versions[action.Service])
+			d.director.ApplyState(at(d.now), state, d.versions[action.Service])
 		case Write:
 			if d.deaf {
 				continue
@@ -240,8 +240,8 @@
 			service := action.State.Order.Service
 			d.versions[service]++
 			d.states[service] = action.State
-			d.director.Written(at(d.now), service, Stored{Version: d.versions[service]})
-		case Tell:
+			d.director.ApplyWriteResult(at(d.now), service, Stored{Version: d.versions[service]})
+		case SendPermit:
 			d.told = append(d.told, action)
 		}
 	}
@@ -269,7 +269,7 @@
 	other.Service, other.Revision = "checkout", 8
 	d.observe()
 	d.observe(testOrder, other)
-	d.director.Hold(at(d.now), 1)
+	d.director.SetLease(at(d.now), 1)
 	for range 10 {
 		d.step()
 	}
@@ -290,7 +290,7 @@
 		d.observe(testOrder)
 		d.states[modelService] = State{Order: testOrder, Phase: Observing, Ceiling: 100, Fence: 4}
 		d.versions[modelService], d.deaf = 3, true
-		d.director.Hold(at(d.now), 5)
+		d.director.SetLease(at(d.now), 5)
 		for range 20 {
 			d.step()
 		}
@@ -305,7 +305,7 @@
 	is := is.New(t)
 	d := newDesk(hooks{})
 	d.observe(testOrder)
-	d.director.Hold(at(d.now), 1)
+	d.director.SetLease(at(d.now), 1)
 	for range 10 {
 		d.step()
 	}
@@ -315,9 +315,9 @@
 	verdict := earlier
 	verdict.Phase = RolledBack
 	known.writing = &verdict
-	d.director.Written(at(d.now), modelService, Stored{Version: version + 1})
+	d.director.ApplyWriteResult(at(d.now), modelService, Stored{Version: version + 1})
 	is.Equal(known.state.Phase, RolledBack)
-	d.director.Read(at(d.now), earlier, version)
+	d.director.ApplyState(at(d.now), earlier, version)
 	is.Equal(known.state.Phase, RolledBack)
 	is.Equal(known.version, version+1)
 }
@@ -326,16 +326,16 @@
 	is := is.New(t)
 	d := newDesk(hooks{})
 	d.observe(testOrder)
-	d.director.Hold(at(d.now), 1)
+	d.director.SetLease(at(d.now), 1)
 	for range 10 {
 		d.step()
 	}
 	is.True(len(d.told) > 0)
-	d.director.Hold(at(d.now), 0)
+	d.director.SetLease(at(d.now), 0)
 	is.Equal(d.director.Step(at(d.now+time.Second)), nil)
 
 	// A state of a newer holder is left alone as well.
-	d.director.Hold(at(d.now), 2)
+	d.director.SetLease(at(d.now), 2)
 	d.states[modelService] = State{Order: testOrder, Phase: Observing, Fence: 3}
 	d.told = nil
 	for range 10 {
@@ -359,13 +359,13 @@
 	is := is.New(t)
 	f := newFleet(1)
 	f.list(at(0), []netip.AddrPort{testRouter})
-	f.reported(at(0), testRouter, &Report{Life: 1, Clock: 10 * time.Second, Requests: 5})
-	f.reported(at(time.Second), testRouter, &Report{Life: 1, Clock: 9 * time.Second, Requests: 4})
+	f.reported(at(0), testRouter, &Report{Incarnation: 1, Clock: 10 * time.Second, Requests: 5})
+	f.reported(at(time.Second), testRouter, &Report{Incarnation: 1, Clock: 9 * time.Second, Requests: 4})
 	is.Equal(f.requests(), uint64(5)) // a late one changes nothing
-	f.reported(at(3*time.Second), testRouter, &Report{Life: 1, Clock: 11 * time.Second, Requests: 7})
+	f.reported(at(3*time.Second), testRouter, &Report{Incarnation: 1, Clock: 11 * time.Second, Requests: 7})
 	is.Equal(f.routers[0].current.heardAt, at(time.Second)) // it waited for two seconds
-	f.reported(at(3*time.Second), testRouter, &Report{Life: 2, Clock: time.Second, Requests: 3})
+	f.reported(at(3*time.Second), testRouter, &Report{Incarnation: 2, Clock: time.Second, Requests: 3})
 	is.Equal(f.requests(), uint64(10)) // both lives count
-	f.reported(at(3*time.Second), netip.MustParseAddrPort("10.9.9.9:7000"), &Report{Life: 3, Requests: 100})
+	f.reported(at(3*time.Second), netip.MustParseAddrPort("10.9.9.9:7000"), &Report{Incarnation: 3, Requests: 100})
 	is.Equal(f.requests(), uint64(10)) // a stranger does not
 }
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -57,14 +57,14 @@
 
 // add adds what a report's tally counts beyond an earlier report's.
 func (w *window) add(tally, earlier *Tally) {
-	if tally.Part == 0 {
+	if tally.Group == 0 {
 		w.others.add(tally, earlier)
 		return
 	}
-	index := slices.IndexFunc(w.parts, func(known partCell) bool { return known.part == tally.Part })
+	index := slices.IndexFunc(w.parts, func(known partCell) bool { return known.part == tally.Group })
 	if index < 0 {
 		index = len(w.parts)
-		w.parts = append(w.parts, partCell{part: tally.Part})
+		w.parts = append(w.parts, partCell{part: tally.Group})
 	}
 	w.parts[index].add(tally, earlier)
 }
@@ -101,7 +101,7 @@
 		tally := &report.Tallies[index]
 		before := none
 		if earlier != nil {
-			before = earlier.tally(tally.Route, tally.Part, none)
+			before = earlier.tally(tally.Route, tally.Group, none)
 		}
 		if tally.Answers > before.Answers {
 			open := e.window(now, tally.Route)
@@ -114,7 +114,7 @@
 // tally returns the report's tally of a route and part, or another one if it has none.
 func (r *Report) tally(route string, part uint32, otherwise *Tally) *Tally {
 	for index := range r.Tallies {
-		if r.Tallies[index].Part == part && r.Tallies[index].Route == route {
+		if r.Tallies[index].Group == part && r.Tallies[index].Route == route {
 			return &r.Tallies[index]
 		}
 	}
--- a/internal/canary/fleet.go
+++ b/internal/canary/fleet.go
@@ -98,13 +98,13 @@
 	if router == nil {
 		return
 	}
-	known := f.lives[report.Life]
+	known := f.lives[report.Incarnation]
 	if known == nil {
 		if len(f.lives) >= mostLives {
 			return
 		}
 		known = &life{base: report.Sent}
-		f.lives[report.Life] = known
+		f.lives[report.Incarnation] = known
 	}
 	if last := known.newest; last != nil {
 		if report.Clock <= last.Clock {
@@ -163,7 +163,7 @@
 	running, rate := uint64(0), f.rate()
 	for _, router := range f.routers {
 		if router.current != nil {
-			running += router.current.newest.Others
+			running += router.current.newest.OtherRuns
 		}
 	}
 	if rate == 0 {
@@ -197,7 +197,7 @@
 		if router.quiet(now) >= deadAfter {
 			continue
 		}
-		if life := router.current; life == nil || !life.turned(now) || life.newest.Others > 0 {
+		if life := router.current; life == nil || !life.turned(now) || life.newest.OtherRuns > 0 {
 			return false
 		}
 	}
@@ -219,7 +219,7 @@
 
 // turned reports whether the life sends to the target only, and will for long enough.
 func (l *life) turned(now time.Time) bool {
-	return l.newest.Phase == Promoting && l.newest.Left-now.Sub(l.heardAt) >= coveredFor
+	return l.newest.Phase == Promoting && l.newest.PermitLeft-now.Sub(l.heardAt) >= coveredFor
 }
 
 // grant gives routers a number of requests, in proportion to what they are asked for, and
--- a/internal/canary/fleet_test.go
+++ b/internal/canary/fleet_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			heard := &life{newest: &Report{Phase: tt.phase, Left: tt.left}, heardAt: at(time.Second)}
+			heard := &life{newest: &Report{Phase: tt.phase, PermitLeft: tt.left}, heardAt: at(time.Second)}
 			is.New(t).Equal(heard.turned(at(time.Second+tt.age)), tt.want)
 		})
 	}
@@ -53,7 +53,7 @@
 			}
 			f.list(at(0), addresses)
 			for index := range tt.heard {
-				f.reported(at(time.Second), addresses[index], &Report{Life: uint64(index + 1), Clock: time.Second})
+				f.reported(at(time.Second), addresses[index], &Report{Incarnation: uint64(index + 1), Clock: time.Second})
 			}
 			is.New(t).Equal(f.reaches(at(time.Second+tt.age)), tt.want)
 		})
--- a/internal/canary/fuzz_test.go
+++ b/internal/canary/fuzz_test.go
@@ -10,7 +10,7 @@
 // FuzzMessages hands whatever decodes as a report or permit to a director and a gate, which
 // must neither panic nor exceed the bounds of what they keep.
 func FuzzMessages(f *testing.F) {
-	report := Report{Service: modelService, Revision: testOrder.Revision, Life: 3, Tallies: []Tally{{Route: "draft", Part: 1, Answers: 2, Failures: 1, Times: Histogram{1}}}}
+	report := Report{Service: modelService, Revision: testOrder.Revision, Incarnation: 3, Tallies: []Tally{{Route: "draft", Group: 1, Answers: 2, Failures: 1, Times: Histogram{1}}}}
 	for _, seed := range []any{&report, allowing()} {
 		encoded, err := cbor.Marshal(seed)
 		if err != nil {
@@ -21,13 +21,13 @@
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		d := newDesk(hooks{})
 		d.observe(testOrder)
-		d.director.Hold(at(0), 1)
+		d.director.SetLease(at(0), 1)
 		for range 3 {
 			d.step()
 		}
 		var told Report
 		if cbor.Unmarshal(encoded, &told) == nil {
-			d.director.Reported(at(d.now), testRouter, &told)
+			d.director.ApplyReport(at(d.now), testRouter, &told)
 			for range 30 {
 				d.step()
 			}
@@ -35,7 +35,7 @@
 		gate := guarded()
 		var permit Permit
 		if cbor.Unmarshal(encoded, &permit) == nil {
-			gate.Permitted(at(time.Second), &permit)
+			gate.ApplyPermit(at(time.Second), &permit)
 		}
 		gate.Choose(at(time.Second), testAsk)
 		if made := gate.Report(at(time.Second), modelService); made != nil && !made.sound() {
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -10,10 +10,10 @@
 
 // GateConfig is what a Gate is made with.
 type GateConfig struct {
-	// Life names this life of the router. It differs from that of every other life of
+	// Incarnation names this life of the router. It differs from that of every other life of
 	// any router, so that a permit for an earlier one allows nothing.
-	Life   uint64
-	Bounds Bounds
+	Incarnation uint64
+	Bounds      Bounds
 }
 
 // Gate is one router's view of all rollouts. It tells where attempts may go, and counts
@@ -35,8 +35,8 @@
 	return &Gate{cfg: cfg, services: map[ident.Service]*traffic{}}
 }
 
-// Know takes in what the store tells, as it was read at confirmedAt.
-func (g *Gate) Know(now, confirmedAt time.Time, known Known) {
+// ApplySnapshot takes in what the store tells, as it was read at confirmedAt.
+func (g *Gate) ApplySnapshot(now, confirmedAt time.Time, known Snapshot) {
 	if !g.cfg.Bounds.Enabled() {
 		return
 	}
@@ -83,7 +83,7 @@
 	known := traffic.guard
 	switch {
 	case known == nil || known.order.Revision < order.Revision:
-		traffic.begin(order, g.cfg.Life)
+		traffic.begin(order, g.cfg.Incarnation)
 	case known.order.Revision > order.Revision:
 		return nil
 	}
@@ -100,8 +100,8 @@
 	return known
 }
 
-// Listed takes in the releases of all back ends of a service that are listed.
-func (g *Gate) Listed(now time.Time, service ident.Service, releases []ident.Release) {
+// SetReleases takes in the releases of all back ends of a service that are listed.
+func (g *Gate) SetReleases(now time.Time, service ident.Service, releases []ident.Release) {
 	if !g.cfg.Bounds.Enabled() {
 		return
 	}
@@ -127,7 +127,7 @@
 // Choose returns where an attempt may go. If it names the only release allowed and no
 // back end of that can be used, the caller says so by Declined and asks again, with First
 // unset.
-func (g *Gate) Choose(now time.Time, ask Ask) backend.Releases {
+func (g *Gate) Choose(now time.Time, ask ChooseRequest) backend.Releases {
 	traffic := g.services[ask.Service]
 	if traffic == nil {
 		return backend.Releases{}
@@ -188,9 +188,9 @@
 	}
 }
 
-// Permitted takes in a permit, which may also tell a final phase or an order that was not
+// ApplyPermit takes in a permit, which may also tell a final phase or an order that was not
 // known.
-func (g *Gate) Permitted(now time.Time, permit *Permit) {
+func (g *Gate) ApplyPermit(now time.Time, permit *Permit) {
 	if !g.cfg.Bounds.Enabled() || !permit.sound() {
 		return
 	}
@@ -201,7 +201,7 @@
 	}
 	guard.fence = max(guard.fence, permit.Fence)
 	guard.learn(permit.Phase, permit.Proved)
-	if permit.Life == g.cfg.Life || g.hooks.ignoreLife {
+	if permit.Incarnation == g.cfg.Incarnation || g.hooks.ignoreLife {
 		g.permit(now, guard, permit)
 	}
 	g.countBound()
@@ -231,15 +231,15 @@
 	g.start(now)
 	guard := traffic.guard
 	report := &Report{
-		Service: service, Revision: guard.order.Revision, Life: g.cfg.Life, Clock: now.Sub(g.epoch),
+		Service: service, Revision: guard.order.Revision, Incarnation: g.cfg.Incarnation, Clock: now.Sub(g.epoch),
 		Phase: guard.acts(now), Requests: guard.requests, Sent: guard.sent,
-		Others: traffic.runningElsewhere(guard.order.Target), Tallies: slices.Clone(guard.tallies),
+		OtherRuns: traffic.runningElsewhere(guard.order.Target), Tallies: slices.Clone(guard.tallies),
 	}
 	for index := range report.Tallies {
 		report.Tallies[index].Times = slices.Clone(report.Tallies[index].Times)
 	}
 	if guard.permitted(now) {
-		report.Left = guard.until.Sub(now)
+		report.PermitLeft = guard.until.Sub(now)
 	}
 	return report
 }
--- a/internal/canary/gate_test.go
+++ b/internal/canary/gate_test.go
@@ -16,7 +16,7 @@
 var (
 	testEpoch = time.Unix(1_700_000_000, 0)
 	testOrder = Order{Service: modelService, Target: modelNew, Duration: 12 * time.Second, Revision: 7}
-	testAsk   = Ask{Service: modelService, Route: "draft", First: true}
+	testAsk   = ChooseRequest{Service: modelService, Route: "draft", First: true}
 )
 
 // at returns a time of the test's gates, whose clock begins at 0.
@@ -24,16 +24,16 @@
 
 // guarded returns a gate at its time 0 that knows of the order, with both releases listed.
 func guarded() *Gate {
-	gate := NewGate(GateConfig{Life: testLife, Bounds: modelBounds})
-	gate.Listed(at(0), modelService, []ident.Release{modelOld})
-	gate.Listed(at(0), modelService, []ident.Release{modelOld, modelNew})
-	gate.Know(at(0), at(time.Millisecond), Known{Orders: []Order{testOrder}})
+	gate := NewGate(GateConfig{Incarnation: testLife, Bounds: modelBounds})
+	gate.SetReleases(at(0), modelService, []ident.Release{modelOld})
+	gate.SetReleases(at(0), modelService, []ident.Release{modelOld, modelNew})
+	gate.ApplySnapshot(at(0), at(time.Millisecond), Snapshot{Orders: []Order{testOrder}})
 	return gate
 }
 
 // allowing returns a permit for ten requests.
 func allowing() *Permit {
-	return &Permit{Order: testOrder, Fence: 2, Phase: Observing, Life: testLife, Clock: time.Second, Sends: 10, Part: 1, Among: 3}
+	return &Permit{Order: testOrder, Fence: 2, Phase: Observing, Incarnation: testLife, Clock: time.Second, MaxSends: 10, Fraction: 1, MaxBackends: 3}
 }
 
 // sends returns how many of a number of first requests go to the target.
@@ -60,22 +60,22 @@
 		{"repeated", []*Permit{allowing(), allowing()}, time.Second, 10},
 		{"shortly before its end", []*Permit{allowing()}, 1999 * time.Millisecond, 10},
 		{"after its end", []*Permit{allowing()}, 2 * time.Second, 0},
-		{"more", []*Permit{allowing(), changed(func(p *Permit) { p.Clock, p.Sends = 2*time.Second, 25 })}, 2 * time.Second, 25},
-		{"an older one late", []*Permit{changed(func(p *Permit) { p.Clock, p.Sends = 2*time.Second, 5 }), allowing()}, 2 * time.Second, 5},
+		{"more", []*Permit{allowing(), changed(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 25 })}, 2 * time.Second, 25},
+		{"an older one late", []*Permit{changed(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 5 }), allowing()}, 2 * time.Second, 5},
 		{"halted", []*Permit{allowing(), changed(func(p *Permit) { p.Clock, p.Halted = 2*time.Second, true })}, time.Second, 0},
 		{"rolled back", []*Permit{allowing(), changed(func(p *Permit) { p.Phase = RolledBack })}, time.Second, 0},
 		{"promoting", []*Permit{changed(func(p *Permit) { p.Phase = Promoting })}, time.Second, 40},
 		{"promoting, after its end", []*Permit{changed(func(p *Permit) { p.Phase = Promoting })}, 3 * time.Second, 0},
 		{"of an older order", []*Permit{changed(func(p *Permit) { p.Order.Revision = 6 })}, time.Second, 0},
-		{"half of the requests", []*Permit{changed(func(p *Permit) { p.Part, p.Sends = 0.5, 100 })}, time.Second, 20},
-		{"unsound", []*Permit{changed(func(p *Permit) { p.Part = -1 })}, time.Second, 0},
+		{"half of the requests", []*Permit{changed(func(p *Permit) { p.Fraction, p.MaxSends = 0.5, 100 })}, time.Second, 20},
+		{"unsound", []*Permit{changed(func(p *Permit) { p.Fraction = -1 })}, time.Second, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			gate := guarded()
 			for _, permit := range tt.permits {
-				gate.Permitted(at(tt.at), permit)
+				gate.ApplyPermit(at(tt.at), permit)
 			}
 			is.Equal(sends(gate, at(tt.at), 40), tt.want)
 		})
@@ -102,7 +102,7 @@
 		{"fence: the holder before grants what the next one has halted", hooks{ignoreFence: true}, []*Permit{
 			changed(func(p *Permit) { p.Fence, p.Halted = 3, true }), allowing(),
 		}, time.Second},
-		{"life: a permit for the life before", hooks{ignoreLife: true}, []*Permit{changed(func(p *Permit) { p.Life = testLife - 1 })}, time.Second},
+		{"life: a permit for the life before", hooks{ignoreLife: true}, []*Permit{changed(func(p *Permit) { p.Incarnation = testLife - 1 })}, time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 					gate.hooks = tt.off
 				}
 				for _, permit := range tt.permits {
-					gate.Permitted(at(tt.at), permit)
+					gate.ApplyPermit(at(tt.at), permit)
 				}
 				is.Equal(sends(gate, at(tt.at), 40) > 0, off) // sent only without the guard
 			}
@@ -130,40 +130,40 @@
 		name   string
 		first  []ident.Release
 		listed []ident.Release
-		known  Known
+		known  Snapshot
 		stale  bool
 		want   []ident.Release
 		active bool
 	}{
-		{"no order", []ident.Release{modelOld}, []ident.Release{modelOld}, Known{}, false, []ident.Release{modelOld}, false},
-		{"two releases, no order", nil, []ident.Release{modelOld, modelNew}, Known{}, false, []ident.Release{modelOld, modelNew}, false},
-		{"a release that an order may follow", []ident.Release{modelOld}, []ident.Release{modelOld, modelNew}, Known{}, true, []ident.Release{modelOld}, true},
-		{"the first list is younger than the orders", nil, []ident.Release{modelOld, modelNew}, Known{}, true, []ident.Release{modelOld, modelNew}, false},
-		{"the first list is younger than the order", nil, []ident.Release{modelOld, modelNew}, Known{Orders: []Order{testOrder}}, true, []ident.Release{modelOld}, true},
-		{"the first list is younger than the verdict", nil, []ident.Release{modelOld, modelNew}, Known{States: []State{state(RolledBack, modelOld)}}, true, []ident.Release{modelOld}, true},
-		{"order", nil, []ident.Release{modelOld, modelNew}, Known{Orders: []Order{testOrder}}, false, []ident.Release{modelOld}, true},
-		{"order, three releases", nil, []ident.Release{other, modelOld, modelNew}, Known{Orders: []Order{testOrder}}, false, []ident.Release{other, modelOld}, true},
-		{"promoting", nil, []ident.Release{modelOld, modelNew}, Known{States: []State{state(Promoting, modelOld)}}, false, []ident.Release{modelOld}, true},
-		{"succeeded", nil, []ident.Release{modelOld, modelNew}, Known{States: []State{state(Succeeded, modelOld)}}, false, []ident.Release{modelNew}, true},
-		{"succeeded, the others gone", nil, []ident.Release{modelNew}, Known{States: []State{state(Succeeded, modelOld)}}, false, []ident.Release{modelNew}, false},
-		{"succeeded, a later release without order", nil, []ident.Release{modelNew, third}, Known{States: []State{state(Succeeded, modelOld)}}, false, []ident.Release{modelNew, third}, false},
-		{"rolled back", nil, []ident.Release{modelOld, modelNew}, Known{States: []State{state(RolledBack, modelOld)}}, false, []ident.Release{modelOld}, true},
-		{"rolled back, target gone", nil, []ident.Release{modelOld}, Known{States: []State{state(RolledBack, modelOld)}}, false, []ident.Release{modelOld}, false},
+		{"no order", []ident.Release{modelOld}, []ident.Release{modelOld}, Snapshot{}, false, []ident.Release{modelOld}, false},
+		{"two releases, no order", nil, []ident.Release{modelOld, modelNew}, Snapshot{}, false, []ident.Release{modelOld, modelNew}, false},
+		{"a release that an order may follow", []ident.Release{modelOld}, []ident.Release{modelOld, modelNew}, Snapshot{}, true, []ident.Release{modelOld}, true},
+		{"the first list is younger than the orders", nil, []ident.Release{modelOld, modelNew}, Snapshot{}, true, []ident.Release{modelOld, modelNew}, false},
+		{"the first list is younger than the order", nil, []ident.Release{modelOld, modelNew}, Snapshot{Orders: []Order{testOrder}}, true, []ident.Release{modelOld}, true},
+		{"the first list is younger than the verdict", nil, []ident.Release{modelOld, modelNew}, Snapshot{States: []State{state(RolledBack, modelOld)}}, true, []ident.Release{modelOld}, true},
+		{"order", nil, []ident.Release{modelOld, modelNew}, Snapshot{Orders: []Order{testOrder}}, false, []ident.Release{modelOld}, true},
+		{"order, three releases", nil, []ident.Release{other, modelOld, modelNew}, Snapshot{Orders: []Order{testOrder}}, false, []ident.Release{other, modelOld}, true},
+		{"promoting", nil, []ident.Release{modelOld, modelNew}, Snapshot{States: []State{state(Promoting, modelOld)}}, false, []ident.Release{modelOld}, true},
+		{"succeeded", nil, []ident.Release{modelOld, modelNew}, Snapshot{States: []State{state(Succeeded, modelOld)}}, false, []ident.Release{modelNew}, true},
+		{"succeeded, the others gone", nil, []ident.Release{modelNew}, Snapshot{States: []State{state(Succeeded, modelOld)}}, false, []ident.Release{modelNew}, false},
+		{"succeeded, a later release without order", nil, []ident.Release{modelNew, third}, Snapshot{States: []State{state(Succeeded, modelOld)}}, false, []ident.Release{modelNew, third}, false},
+		{"rolled back", nil, []ident.Release{modelOld, modelNew}, Snapshot{States: []State{state(RolledBack, modelOld)}}, false, []ident.Release{modelOld}, true},
+		{"rolled back, target gone", nil, []ident.Release{modelOld}, Snapshot{States: []State{state(RolledBack, modelOld)}}, false, []ident.Release{modelOld}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			gate := NewGate(GateConfig{Life: testLife, Bounds: modelBounds})
+			gate := NewGate(GateConfig{Incarnation: testLife, Bounds: modelBounds})
 			if tt.first != nil {
-				gate.Listed(at(0), modelService, tt.first)
-				gate.Know(at(0), at(time.Millisecond), Known{})
+				gate.SetReleases(at(0), modelService, tt.first)
+				gate.ApplySnapshot(at(0), at(time.Millisecond), Snapshot{})
 			}
-			gate.Listed(at(time.Second), modelService, tt.listed)
+			gate.SetReleases(at(time.Second), modelService, tt.listed)
 			confirmed := at(2 * time.Second)
 			if tt.stale {
 				confirmed = at(time.Second)
 			}
-			gate.Know(at(2*time.Second), confirmed, tt.known)
+			gate.ApplySnapshot(at(2*time.Second), confirmed, tt.known)
 			releases := gate.Choose(at(3*time.Second), testAsk)
 			var allowed []ident.Release
 			for _, release := range tt.listed {
@@ -181,8 +181,8 @@
 	for _, final := range []Phase{Succeeded, RolledBack} {
 		is := is.New(t)
 		gate := guarded()
-		gate.Permitted(at(time.Second), changed(func(p *Permit) { p.Phase, p.Proved = final, []ident.Release{modelOld} }))
-		gate.Permitted(at(time.Second), changed(func(p *Permit) { p.Fence, p.Phase, p.Clock = 9, Promoting, time.Second }))
+		gate.ApplyPermit(at(time.Second), changed(func(p *Permit) { p.Phase, p.Proved = final, []ident.Release{modelOld} }))
+		gate.ApplyPermit(at(time.Second), changed(func(p *Permit) { p.Fence, p.Phase, p.Clock = 9, Promoting, time.Second }))
 		is.Equal(gate.Report(at(time.Second), modelService).Phase, final)
 	}
 }
@@ -191,9 +191,9 @@
 	is := is.New(t)
 	third := ident.Release("v3")
 	gate := guarded()
-	gate.Know(at(time.Second), at(time.Second), Known{States: []State{{Order: testOrder, Phase: RolledBack}}})
+	gate.ApplySnapshot(at(time.Second), at(time.Second), Snapshot{States: []State{{Order: testOrder, Phase: RolledBack}}})
 	next := Order{Service: modelService, Target: third, Duration: time.Minute, Revision: 8}
-	gate.Know(at(2*time.Second), at(2*time.Second), Known{Orders: []Order{next}})
+	gate.ApplySnapshot(at(2*time.Second), at(2*time.Second), Snapshot{Orders: []Order{next}})
 	releases := gate.Choose(at(2*time.Second), testAsk)
 	is.True(releases.Allows(modelOld))
 	is.True(!releases.Allows(modelNew)) // it was rolled back
@@ -219,10 +219,10 @@
 			is := is.New(t)
 			gate := guarded()
 			if !tt.missed {
-				gate.Know(at(time.Second), at(time.Second), Known{States: []State{{Order: testOrder, Phase: RolledBack}}})
+				gate.ApplySnapshot(at(time.Second), at(time.Second), Snapshot{States: []State{{Order: testOrder, Phase: RolledBack}}})
 			}
 			next := Order{Service: modelService, Target: third, Duration: time.Minute, Revision: 8}
-			gate.Know(at(2*time.Second), at(2*time.Second), Known{Orders: []Order{next}, States: []State{
+			gate.ApplySnapshot(at(2*time.Second), at(2*time.Second), Snapshot{Orders: []Order{next}, States: []State{
 				{Order: next, Phase: Observing, Proved: tt.proved},
 			}})
 			releases := gate.Choose(at(2*time.Second), testAsk)
@@ -236,22 +236,22 @@
 	is := is.New(t)
 	gate := guarded()
 	is.True(gate.Active())
-	gate.Know(at(time.Second), at(time.Second), Known{})
+	gate.ApplySnapshot(at(time.Second), at(time.Second), Snapshot{})
 	is.True(!gate.Active())
 }
 
 func TestReportCounts(t *testing.T) {
 	is := is.New(t)
-	gate := NewGate(GateConfig{Life: testLife, Bounds: modelBounds})
+	gate := NewGate(GateConfig{Incarnation: testLife, Bounds: modelBounds})
 	early := gate.Sent(at(0), modelService, record(modelOld, 0))
-	gate.Listed(at(0), modelService, []ident.Release{modelOld, modelNew})
-	gate.Know(at(0), at(time.Millisecond), Known{Orders: []Order{testOrder}})
-	gate.Permitted(at(time.Second), allowing())
+	gate.SetReleases(at(0), modelService, []ident.Release{modelOld, modelNew})
+	gate.ApplySnapshot(at(0), at(time.Millisecond), Snapshot{Orders: []Order{testOrder}})
+	gate.ApplyPermit(at(time.Second), allowing())
 	gate.Choose(at(time.Second), testAsk)
 	toNew := gate.Sent(at(time.Second), modelService, record(modelNew, 1))
 	gate.Choose(at(time.Second), testAsk)
 	toOld := gate.Sent(at(time.Second), modelService, record(modelOld, 1))
-	is.Equal(gate.Report(at(time.Second), modelService).Others, uint64(2)) // also that from before the order
+	is.Equal(gate.Report(at(time.Second), modelService).OtherRuns, uint64(2)) // also that from before the order
 
 	gate.Ended(at(time.Second), early, Sample{Route: "draft", Outcome: Failed})
 	gate.Ended(at(time.Second), toNew, Sample{Route: "draft", Outcome: Failed})
@@ -259,20 +259,20 @@
 	report := gate.Report(at(1500*time.Millisecond), modelService)
 	is.Equal(report.Requests, uint64(2))
 	is.Equal(report.Sent, uint64(1))
-	is.Equal(report.Others, uint64(0))
-	is.Equal(report.Left, 500*time.Millisecond)
+	is.Equal(report.OtherRuns, uint64(0))
+	is.Equal(report.PermitLeft, 500*time.Millisecond)
 	is.True(slices.EqualFunc(report.Tallies, []Tally{
-		{Route: "draft", Part: partOf("v2-1"), Answers: 1, Failures: 1},
+		{Route: "draft", Group: partOf("v2-1"), Answers: 1, Failures: 1},
 		{Route: "draft", Answers: 1, Times: Histogram{0, 0, 0, 0, 1}},
 	}, func(a, b Tally) bool {
-		return a.Part == b.Part && a.Answers == b.Answers && a.Failures == b.Failures && slices.Equal(a.Times, b.Times)
+		return a.Group == b.Group && a.Answers == b.Answers && a.Failures == b.Failures && slices.Equal(a.Times, b.Times)
 	}))
 }
 
 func TestDeclinedGrantIsUsedLater(t *testing.T) {
 	is := is.New(t)
 	gate := guarded()
-	gate.Permitted(at(time.Second), changed(func(p *Permit) { p.Sends = 1 }))
+	gate.ApplyPermit(at(time.Second), changed(func(p *Permit) { p.MaxSends = 1 }))
 	is.Equal(gate.Choose(at(time.Second), testAsk).Only, modelNew)
 	is.Equal(gate.Choose(at(time.Second), testAsk).Only, ident.Release("")) // the only grant is taken
 	gate.Declined(modelService)
@@ -296,19 +296,19 @@
 func TestRepeatsAvoidTheTarget(t *testing.T) {
 	is := is.New(t)
 	gate := guarded()
-	gate.Permitted(at(time.Second), allowing())
+	gate.ApplyPermit(at(time.Second), allowing())
 	for range 20 { // one of them would be the turn of the route, as the part is all
-		releases := gate.Choose(at(time.Second), Ask{Service: modelService, Route: "draft", Excluded: 1})
+		releases := gate.Choose(at(time.Second), ChooseRequest{Service: modelService, Route: "draft", Excluded: 1})
 		is.True(!releases.Allows(modelNew))
 	}
-	is.Equal(gate.Choose(at(time.Second), Ask{Service: modelService, Route: "draft", First: true}).Only, modelNew)
+	is.Equal(gate.Choose(at(time.Second), ChooseRequest{Service: modelService, Route: "draft", First: true}).Only, modelNew)
 }
 
 func TestUnguardedFleetPaysNothing(t *testing.T) {
 	is := is.New(t)
-	gate := NewGate(GateConfig{Life: testLife})
-	gate.Know(at(0), at(0), Known{Orders: []Order{testOrder}})
-	gate.Listed(at(0), modelService, []ident.Release{modelOld, modelNew})
+	gate := NewGate(GateConfig{Incarnation: testLife})
+	gate.ApplySnapshot(at(0), at(0), Snapshot{Orders: []Order{testOrder}})
+	gate.SetReleases(at(0), modelService, []ident.Release{modelOld, modelNew})
 	is.True(!gate.Active())
 	is.Equal(gate.Sent(at(0), modelService, record(modelNew, 0)), Run{})
 	is.Equal(gate.Report(at(0), modelService), nil)
--- a/internal/canary/guard.go
+++ b/internal/canary/guard.go
@@ -93,7 +93,7 @@
 
 // releases returns where an attempt may go. Forbidden are the releases that it may not go to
 // without a permit.
-func (g *guard) releases(now time.Time, ask Ask, forbidden []ident.Release) backend.Releases {
+func (g *guard) releases(now time.Time, ask ChooseRequest, forbidden []ident.Release) backend.Releases {
 	if ask.First {
 		g.requests++
 	}
@@ -103,12 +103,12 @@
 		return backend.Releases{Excluded: forbidden}
 	case g.permit.Phase == Promoting:
 		return backend.Releases{Only: g.order.Target}
-	case !turn || g.sent+g.pending >= g.permit.Sends:
+	case !turn || g.sent+g.pending >= g.permit.MaxSends:
 		return backend.Releases{Excluded: forbidden}
 	}
 	g.pending++
 	g.routes[g.route(ask.Route)].credit--
-	return backend.Releases{Only: g.order.Target, MaxBackends: g.permit.Among, Seed: g.permit.Seed}
+	return backend.Releases{Only: g.order.Target, MaxBackends: g.permit.MaxBackends, Seed: g.permit.Seed}
 }
 
 // forbids reports whether a release may not be used without a permit.
@@ -155,7 +155,7 @@
 	route.requests++
 	even := float64(g.requests) / float64(len(g.routes))
 	weight := min(max(even/float64(route.requests), 1/mostRarePart), mostRarePart)
-	route.credit = min(route.credit+g.permit.Part*weight, 1)
+	route.credit = min(route.credit+g.permit.Fraction*weight, 1)
 	return route.credit >= 1
 }
 
@@ -190,14 +190,14 @@
 		part = 1 + part%fewParts
 	}
 	for index := range g.tallies {
-		if g.tallies[index].Part == part && g.tallies[index].Route == route {
+		if g.tallies[index].Group == part && g.tallies[index].Route == route {
 			return &g.tallies[index]
 		}
 	}
 	if len(g.tallies) == maxTallies {
 		return nil
 	}
-	g.tallies = append(g.tallies, Tally{Route: route, Part: part})
+	g.tallies = append(g.tallies, Tally{Route: route, Group: part})
 	return &g.tallies[len(g.tallies)-1]
 }
 
--- a/internal/canary/guards_test.go
+++ b/internal/canary/guards_test.go
@@ -23,19 +23,19 @@
 	is := is.New(t)
 	d := newDesk(hooks{newVerdict: func() verdict { return &condemning{} }})
 	d.observe(testOrder)
-	d.director.Hold(at(d.now), 1)
+	d.director.SetLease(at(d.now), 1)
 	for range 10 {
 		d.step()
 	}
 	is.True(!d.told[len(d.told)-1].Permit.Halted)
 	d.deaf = true
-	report := &Report{Service: modelService, Revision: testOrder.Revision, Life: 1, Phase: Observing, Requests: 50, Sent: 5}
+	report := &Report{Service: modelService, Revision: testOrder.Revision, Incarnation: 1, Phase: Observing, Requests: 50, Sent: 5}
 	for second := range 2 {
 		report.Clock, report.Tallies = d.now+time.Second, []Tally{
-			{Route: "draft", Answers: uint64(40 * second)}, {Route: "draft", Part: 7, Answers: uint64(5 * second)},
+			{Route: "draft", Answers: uint64(40 * second)}, {Route: "draft", Group: 7, Answers: uint64(5 * second)},
 		}
 		sent := *report
-		d.director.Reported(at(d.now), testRouter, &sent)
+		d.director.ApplyReport(at(d.now), testRouter, &sent)
 		for range 40 {
 			d.step()
 		}
@@ -70,24 +70,24 @@
 	d.observe(testOrder)
 	d.states[modelService] = State{Order: testOrder, Phase: Observing, Ceiling: 10, Fence: 4}
 	d.versions[modelService] = 3
-	d.director.Hold(at(d.now), 5)
+	d.director.SetLease(at(d.now), 5)
 	const sent = 6
 	owned := time.Duration(0)
 	for d.now < 2*time.Second {
 		if d.states[modelService].Fence == 5 && owned == 0 {
 			owned = d.now
 		}
-		d.director.Reported(at(d.now), testRouter, &Report{
-			Service: modelService, Revision: testOrder.Revision, Life: 1, Clock: time.Minute + d.now, Phase: Observing,
+		d.director.ApplyReport(at(d.now), testRouter, &Report{
+			Service: modelService, Revision: testOrder.Revision, Incarnation: 1, Clock: time.Minute + d.now, Phase: Observing,
 			Requests: 1_000 + uint64(d.now/time.Millisecond), Sent: sent,
-			Tallies: []Tally{{Route: "draft", Answers: 900}, {Route: "draft", Part: 7, Answers: sent}},
+			Tallies: []Tally{{Route: "draft", Answers: 900}, {Route: "draft", Group: 7, Answers: sent}},
 		})
 		d.step()
 		for _, told := range d.told {
-			is.True(told.Permit.Sends <= sent || (owned > 0 && d.now-owned >= settleFor))
+			is.True(told.Permit.MaxSends <= sent || (owned > 0 && d.now-owned >= settleFor))
 		}
 	}
-	is.True(d.told[len(d.told)-1].Permit.Sends > sent)
+	is.True(d.told[len(d.told)-1].Permit.MaxSends > sent)
 }
 
 // TestPulsesShowWhatIsBadUnderLoad shows that few back ends of the target get the usual load
--- a/internal/canary/message.go
+++ b/internal/canary/message.go
@@ -24,24 +24,24 @@
 	Fence  uint64 `cbor:"2,keyasint"`
 	Phase  Phase  `cbor:"3,keyasint"`
 	Reason string `cbor:"4,keyasint,omitempty"`
-	// Life and Clock are those of the newest report that the holder has of the router.
+	// Incarnation and Clock are those of the newest report that the holder has of the router.
 	// A permit allows nothing to another life, nor when Clock is longer ago than a
 	// permit is valid.
-	Life  uint64        `cbor:"5,keyasint,omitempty"`
-	Clock time.Duration `cbor:"6,keyasint,omitempty"`
-	// Sends is the number of requests that this life may have sent to the target in all
+	Incarnation uint64        `cbor:"5,keyasint,omitempty"`
+	Clock       time.Duration `cbor:"6,keyasint,omitempty"`
+	// MaxSends is the number of requests that this life may have sent to the target in all
 	// while the phase is Observing.
-	Sends uint64 `cbor:"7,keyasint,omitempty"`
-	// Part is the part of the requests that are to go to the target while Sends allows it,
+	MaxSends uint64 `cbor:"7,keyasint,omitempty"`
+	// Fraction is the part of the requests that are to go to the target while Sends allows it,
 	// so that they are spread over the time.
-	Part float64 `cbor:"12,keyasint,omitempty"`
+	Fraction float64 `cbor:"12,keyasint,omitempty"`
 	// Halted says that nothing may be sent to the target for now, whatever the phase: a
 	// verdict against it is being written.
 	Halted bool `cbor:"8,keyasint,omitempty"`
-	// Among and Seed name the back ends of the target that are in use, as in
+	// MaxBackends and Seed name the back ends of the target that are in use, as in
 	// backend.Releases.
-	Among int    `cbor:"9,keyasint,omitempty"`
-	Seed  uint64 `cbor:"10,keyasint,omitempty"`
+	MaxBackends int    `cbor:"9,keyasint,omitempty"`
+	Seed        uint64 `cbor:"10,keyasint,omitempty"`
 	// Proved are the releases that served before the target.
 	Proved []ident.Release `cbor:"11,keyasint,omitempty"`
 }
@@ -51,10 +51,10 @@
 	if len(p.Order.Service) > maxNameBytes || len(p.Order.Target) > maxNameBytes {
 		return false
 	}
-	if !(p.Part >= 0 && p.Part <= 1) {
+	if !(p.Fraction >= 0 && p.Fraction <= 1) {
 		return false
 	}
-	return p.Order.Target != "" && p.Phase >= Observing && p.Phase <= RolledBack && p.Among >= 0
+	return p.Order.Target != "" && p.Phase >= Observing && p.Phase <= RolledBack && p.MaxBackends >= 0
 }
 
 // Report tells the holder what one life of a router has seen of a service since it learned
@@ -64,31 +64,31 @@
 	Service ident.Service `cbor:"1,keyasint"`
 	// Revision is that of the order.
 	Revision uint64 `cbor:"2,keyasint"`
-	// Life is that of the router, Clock its own time, which only it interprets.
-	Life  uint64        `cbor:"3,keyasint"`
-	Clock time.Duration `cbor:"4,keyasint"`
+	// Incarnation is that of the router, Clock its own time, which only it interprets.
+	Incarnation uint64        `cbor:"3,keyasint"`
+	Clock       time.Duration `cbor:"4,keyasint"`
 	// Phase is the one that the router acts upon: Promoting only while a permit for it
 	// is valid.
 	Phase Phase `cbor:"5,keyasint"`
-	// Left is the time for which the newest permit remains valid.
-	Left time.Duration `cbor:"6,keyasint,omitempty"`
+	// PermitLeft is the time for which the newest permit remains valid.
+	PermitLeft time.Duration `cbor:"6,keyasint,omitempty"`
 	// Requests is the number of requests for the service, Sent the number of attempts
 	// that went to the target.
 	Requests uint64 `cbor:"7,keyasint,omitempty"`
 	Sent     uint64 `cbor:"8,keyasint,omitempty"`
-	// Others is the number of runs that are under way on releases other than the
+	// OtherRuns is the number of runs that are under way on releases other than the
 	// target, also those that began before the order.
-	Others  uint64  `cbor:"9,keyasint,omitempty"`
-	Tallies []Tally `cbor:"10,keyasint,omitempty"`
+	OtherRuns uint64  `cbor:"9,keyasint,omitempty"`
+	Tallies   []Tally `cbor:"10,keyasint,omitempty"`
 }
 
 // Tally counts answers of a route by the back ends that gave them.
 type Tally struct {
 	_     struct{} `cbor:",toarray"`
 	Route string
-	// Part is 0 for all back ends of other releases together, and otherwise stands for
+	// Group is 0 for all back ends of other releases together, and otherwise stands for
 	// one back end of the target, or for a few of them once there are many.
-	Part uint32
+	Group uint32
 	// Answers counts answers, Failures those of them that say that the work failed.
 	Answers, Failures uint64
 	// Times tells how long the answers took that are no failures.
@@ -105,7 +105,7 @@
 			return false
 		}
 	}
-	return r.Phase <= RolledBack && r.Sent <= maxCount && r.Requests <= maxCount && r.Others <= maxCount
+	return r.Phase <= RolledBack && r.Sent <= maxCount && r.Requests <= maxCount && r.OtherRuns <= maxCount
 }
 
 // maxCount is the largest count that is taken from a message: sums of it over all routers
--- a/internal/canary/model_test.go
+++ b/internal/canary/model_test.go
@@ -202,7 +202,7 @@
 // live gives a router a new life.
 func (m *model) live(router *modelRouter) {
 	router.life = m.random.Uint64()
-	router.gate = NewGate(GateConfig{Life: router.life, Bounds: modelBounds})
+	router.gate = NewGate(GateConfig{Incarnation: router.life, Bounds: modelBounds})
 	router.gate.hooks = m.hooks
 	router.inbox, router.listed = nil, false
 }
--- a/internal/canary/modelstore_test.go
+++ b/internal/canary/modelstore_test.go
@@ -73,7 +73,7 @@
 		}
 		m.later(wakes, func() {
 			if m.holder != last {
-				held.Hold(m.time(), 0)
+				held.SetLease(m.time(), 0)
 			}
 		})
 	}
@@ -83,7 +83,7 @@
 	}
 	m.holder, m.leaseUntil = next, m.now+modelLease
 	m.fence++
-	m.directors[next].Hold(m.time(), m.fence)
+	m.directors[next].SetLease(m.time(), m.fence)
 }
 
 // listed returns the orders and back ends that are in the store.
@@ -139,7 +139,7 @@
 	}
 	router.lookAt = m.now + m.lookEvery
 	orders, records := m.listed()
-	known, releases := Known{Orders: orders}, []ident.Release(nil)
+	known, releases := Snapshot{Orders: orders}, []ident.Release(nil)
 	if m.state.Phase != 0 {
 		known.States = []State{m.state}
 	}
@@ -151,8 +151,8 @@
 	confirmedAt := m.time()
 	m.later(m.storeDelay(), func() {
 		router.listed = slices.Contains(releases, modelNew)
-		router.gate.Listed(m.time(), modelService, releases)
-		router.gate.Know(m.time(), confirmedAt, known)
+		router.gate.SetReleases(m.time(), modelService, releases)
+		router.gate.ApplySnapshot(m.time(), confirmedAt, known)
 	})
 	m.observe(m.directors[index])
 }
@@ -198,11 +198,11 @@
 	for _, letter := range letters {
 		if letter.report != nil {
 			if director := m.directors[index]; director != nil {
-				director.Reported(m.time(), letter.from, letter.report)
+				director.ApplyReport(m.time(), letter.from, letter.report)
 			}
 			continue
 		}
-		router.gate.Permitted(m.time(), letter.permit)
+		router.gate.ApplyPermit(m.time(), letter.permit)
 		if report := router.gate.Report(m.time(), modelService); report != nil {
 			m.send(index, datagram{to: m.indexOf(letter.from), report: report})
 		}
@@ -232,14 +232,14 @@
 // act does what a director wants.
 func (m *model) act(index int, director *Director, action Action) {
 	switch action := action.(type) {
-	case Tell:
+	case SendPermit:
 		m.send(index, datagram{to: m.indexOf(action.To), permit: action.Permit})
 	case Fetch:
 		m.later(m.storeDelay(), func() {
 			state := m.state
 			state.Order.Service = modelService
 			if !m.cut(index) && !m.stopped(index) {
-				director.Read(m.time(), state, m.version)
+				director.ApplyState(m.time(), state, m.version)
 			}
 		})
 	case Write:
@@ -263,7 +263,7 @@
 			answer = Unanswered{}
 		}
 		if !m.stopped(index) {
-			director.Written(m.time(), modelService, answer)
+			director.ApplyWriteResult(m.time(), modelService, answer)
 		}
 	})
 }
--- a/internal/canary/modelwork_test.go
+++ b/internal/canary/modelwork_test.go
@@ -50,12 +50,12 @@
 	gate := router.gate
 	var releases backend.Releases
 	if gate.Active() {
-		releases = gate.Choose(m.time(), Ask{Service: modelService, Route: route.name, First: true})
+		releases = gate.Choose(m.time(), ChooseRequest{Service: modelService, Route: route.name, First: true})
 	}
 	listed := router.listed
 	if releases.Only == modelNew && !listed {
 		gate.Declined(modelService)
-		releases = gate.Choose(m.time(), Ask{Service: modelService, Route: route.name})
+		releases = gate.Choose(m.time(), ChooseRequest{Service: modelService, Route: route.name})
 	}
 	var to backend.Record
 	switch {
--- a/internal/canary/sample.go
+++ b/internal/canary/sample.go
@@ -6,8 +6,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Ask describes the attempt that Gate.Choose is asked about.
-type Ask struct {
+// ChooseRequest describes the attempt that Gate.Choose is asked about.
+type ChooseRequest struct {
 	Service ident.Service
 	// Route is the name of the request's route.
 	Route string
--- a/internal/canary/tell.go
+++ b/internal/canary/tell.go
@@ -33,7 +33,7 @@
 	var actions []Action
 	for _, router := range r.fleet.routers {
 		if !r.informed(router) {
-			actions = append(actions, Tell{To: router.address, Permit: r.permit(router)})
+			actions = append(actions, SendPermit{To: router.address, Permit: r.permit(router)})
 		}
 	}
 	return actions
@@ -107,10 +107,10 @@
 	permit := &Permit{
 		Order: r.state.Order, Fence: r.fence, Phase: r.state.Phase, Reason: r.state.Reason,
 		Halted: !r.permitting(), Proved: r.state.Proved,
-		Part: r.part(), Among: r.engines.among(r.cfg.Bounds.Share), Seed: r.state.Order.Revision,
+		Fraction: r.part(), MaxBackends: r.engines.among(r.cfg.Bounds.Share), Seed: r.state.Order.Revision,
 	}
 	if life := router.current; life != nil {
-		permit.Life, permit.Clock, permit.Sends = life.newest.Life, life.newest.Clock, life.sends()
+		permit.Incarnation, permit.Clock, permit.MaxSends = life.newest.Incarnation, life.newest.Clock, life.sends()
 	}
 	return permit
 }
--- a/internal/forward/releases.go
+++ b/internal/forward/releases.go
@@ -14,7 +14,7 @@
 // concurrent use.
 type Releases interface {
 	// Choose returns the releases that an attempt may go to.
-	Choose(now time.Time, ask canary.Ask) backend.Releases
+	Choose(now time.Time, ask canary.ChooseRequest) backend.Releases
 	// StillAllowed reports whether an attempt that was allowed to go to some releases may still go to
 	// one of them.
 	StillAllowed(service ident.Service, allowed *backend.Releases, release ident.Release) bool
@@ -65,7 +65,7 @@
 
 // releases asks where the next attempt may go. Only the first question counts the request.
 func (r *run) releases(now time.Time) backend.Releases {
-	ask := canary.Ask{Service: r.service, Route: r.route.Name, First: !r.asked, Excluded: len(r.excluded)}
+	ask := canary.ChooseRequest{Service: r.service, Route: r.route.Name, First: !r.asked, Excluded: len(r.excluded)}
 	r.asked = true
 	return r.forwarder.Releases.Choose(now, ask)
 }
--- a/internal/forward/releases_test.go
+++ b/internal/forward/releases_test.go
@@ -23,7 +23,7 @@
 	mutex sync.Mutex
 	first backend.Releases
 	later backend.Releases
-	asks  []canary.Ask
+	asks  []canary.ChooseRequest
 	// withdrawn is a release that attempts may not go to any more once they were placed.
 	withdrawn ident.Release
 	declined  int
@@ -32,7 +32,7 @@
 }
 
 // Choose implements forward.Releases.
-func (f *fakeReleases) Choose(_ time.Time, ask canary.Ask) backend.Releases {
+func (f *fakeReleases) Choose(_ time.Time, ask canary.ChooseRequest) backend.Releases {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.asks = append(f.asks, ask)
@@ -107,26 +107,26 @@
 		first, later backend.Releases
 		answers      []answer
 		sent         []ident.Release
-		asks         []canary.Ask
+		asks         []canary.ChooseRequest
 		declined     int
 		status       int
 	}{
 		{
 			"the target answers", true, onlyNew, notNew, []answer{genuine(200, "ok")},
-			[]ident.Release{"v2"}, []canary.Ask{{Service: "s", Route: "safe", First: true}}, 0, 200,
+			[]ident.Release{"v2"}, []canary.ChooseRequest{{Service: "s", Route: "safe", First: true}}, 0, 200,
 		},
 		{
 			"the target fails, and the repeat goes elsewhere", true, onlyNew, notNew,
 			[]answer{genuine(500, "no"), genuine(200, "ok")}, []ident.Release{"v2", "v1"},
-			[]canary.Ask{{Service: "s", Route: "safe", First: true}, {Service: "s", Route: "safe", Excluded: 1}}, 0, 200,
+			[]canary.ChooseRequest{{Service: "s", Route: "safe", First: true}, {Service: "s", Route: "safe", Excluded: 1}}, 0, 200,
 		},
 		{
 			"no back end of the target is there", false, onlyNew, notNew, []answer{genuine(200, "ok")},
-			[]ident.Release{"v1"}, []canary.Ask{{Service: "s", Route: "safe", First: true}, {Service: "s", Route: "safe"}}, 1, 200,
+			[]ident.Release{"v1"}, []canary.ChooseRequest{{Service: "s", Route: "safe", First: true}, {Service: "s", Route: "safe"}}, 1, 200,
 		},
 		{
 			"the target is forbidden", true, notNew, notNew, []answer{genuine(200, "ok")},
-			[]ident.Release{"v1"}, []canary.Ask{{Service: "s", Route: "safe", First: true}}, 0, 200,
+			[]ident.Release{"v1"}, []canary.ChooseRequest{{Service: "s", Route: "safe", First: true}}, 0, 200,
 		},
 	}
 	for _, tt := range tests {
--- a/internal/node/canary.go
+++ b/internal/node/canary.go
@@ -80,7 +80,7 @@
 func newCanaries(bounds canary.Bounds, c *canaries) *canaries {
 	c.bounds = bounds
 	c.awake = make(chan struct{}, 1)
-	c.gate = canary.NewGate(canary.GateConfig{Life: rand.Uint64(), Bounds: bounds})
+	c.gate = canary.NewGate(canary.GateConfig{Incarnation: rand.Uint64(), Bounds: bounds})
 	c.listedReleases = make(map[ident.Service][]ident.Release)
 	c.trails = make(map[ident.Service]*rolloutTrail)
 	return c
@@ -95,7 +95,7 @@
 }
 
 // Choose implements forward.Releases.
-func (c *canaries) Choose(now time.Time, ask canary.Ask) backend.Releases {
+func (c *canaries) Choose(now time.Time, ask canary.ChooseRequest) backend.Releases {
 	if !c.bound.Load() {
 		return backend.Releases{}
 	}
@@ -141,7 +141,7 @@
 	defer c.mu.Unlock()
 	now := clock.Now()
 	c.rollouts = rollouts
-	c.gate.Know(now, confirmedAt, rollouts.known())
+	c.gate.ApplySnapshot(now, confirmedAt, rollouts.known())
 	c.changed(now)
 }
 
@@ -155,12 +155,12 @@
 	releases := releasesOf(records)
 	for service := range c.listedReleases {
 		if releases[service] == nil {
-			c.gate.Listed(listedAt, service, nil)
+			c.gate.SetReleases(listedAt, service, nil)
 		}
 	}
 	for service, now := range releases {
 		if !slices.Equal(now, c.listedReleases[service]) {
-			c.gate.Listed(listedAt, service, now)
+			c.gate.SetReleases(listedAt, service, now)
 		}
 	}
 	c.listedReleases = releases
@@ -200,13 +200,13 @@
 		}
 	}
 	if told.Report != nil && c.directing != nil {
-		c.directing.director.Reported(now, from, told.Report)
+		c.directing.director.ApplyReport(now, from, told.Report)
 	}
 }
 
 // permitted takes in a permit, and returns the report that answers it, if any.
 func (c *canaries) permitted(now time.Time, permit *canary.Permit) *canary.Report {
-	c.gate.Permitted(now, permit)
+	c.gate.ApplyPermit(now, permit)
 	c.note(permit.Order.Service).reason = permit.Reason
 	c.changed(now)
 	return c.gate.Report(now, permit.Order.Service)
--- a/internal/node/canary_test.go
+++ b/internal/node/canary_test.go
@@ -288,7 +288,7 @@
 	c.applyList(time.Now(), record)
 	c.setRollouts(time.Now(), nil)
 	now := time.Now()
-	ask := canary.Ask{Service: "s", Route: "route", First: true}
+	ask := canary.ChooseRequest{Service: "s", Route: "route", First: true}
 	allocs := testing.AllocsPerRun(500, func() {
 		releases := c.Choose(now, ask)
 		if releases.Restricted() {
--- a/internal/node/canarybench_test.go
+++ b/internal/node/canarybench_test.go
@@ -63,7 +63,7 @@
 		f.others[other.self] = other
 	}
 	f.holder.hold(f.now, 1)
-	f.holder.directing.director.Read(f.now, canary.State{Order: known.orders[0], Phase: canary.Observing, Ceiling: 1 << 20, Fence: 1}, 1)
+	f.holder.directing.director.ApplyState(f.now, canary.State{Order: known.orders[0], Phase: canary.Observing, Ceiling: 1 << 20, Fence: 1}, 1)
 	return f
 }
 
@@ -79,10 +79,10 @@
 func (f *benchFleet) pass(to netip.AddrPort, told datagram) {
 	f.permits += size(told)
 	other := f.others[to]
-	other.gate.Permitted(f.now, told.Permit)
+	other.gate.ApplyPermit(f.now, told.Permit)
 	report := other.gate.Report(f.now, "s")
 	f.reports += size(datagram{Report: report})
-	f.holder.directing.director.Reported(f.now, to, report)
+	f.holder.directing.director.ApplyReport(f.now, to, report)
 }
 
 // second plays a second: each router serves a request of each route at either release.
@@ -103,7 +103,7 @@
 		}
 		f.holder.directing.observe(f.now, f.holder.rollouts, records, addrs)
 		for _, action := range f.holder.directing.director.Step(f.now) {
-			if tell, told := action.(canary.Tell); told && tell.To != f.holder.self {
+			if tell, told := action.(canary.SendPermit); told && tell.To != f.holder.self {
 				f.pass(tell.To, datagram{Permit: tell.Permit})
 			}
 		}
--- a/internal/node/canaryfleet_test.go
+++ b/internal/node/canaryfleet_test.go
@@ -254,7 +254,7 @@
 func (r *guardedRouter) request(ctx context.Context) {
 	now := time.Now()
 	query := backend.Query{Service: "s", SpreadKey: r.random.Uint64(), Expected: guardedWork}
-	ask := canary.Ask{Service: "s", Route: "route", First: true}
+	ask := canary.ChooseRequest{Service: "s", Route: "route", First: true}
 	query.Releases = r.canaries.Choose(now, ask)
 	choice, flight, found := r.backends.Pick(now, &query)
 	if !found && query.Releases.Only != "" {
--- a/internal/node/director.go
+++ b/internal/node/director.go
@@ -42,7 +42,7 @@
 		return
 	}
 	c.directing = &directing{fence: fence, director: canary.NewDirector(canary.DirectorConfig{Bounds: c.bounds})}
-	c.directing.director.Hold(now, fence)
+	c.directing.director.SetLease(now, fence)
 }
 
 // direct lets the director decide, and carries out what it wants; the caller holds the
@@ -56,7 +56,7 @@
 	c.fetchWithdrawn(ctx, now)
 	for _, action := range held.director.Step(now) {
 		switch action := action.(type) {
-		case canary.Tell:
+		case canary.SendPermit:
 			c.tell(now, &action)
 		case canary.Fetch:
 			go c.fetch(ctx, held, action.Service)
@@ -97,13 +97,13 @@
 }
 
 // tell sends a permit to a router, which may be this one.
-func (c *canaries) tell(now time.Time, action *canary.Tell) {
+func (c *canaries) tell(now time.Time, action *canary.SendPermit) {
 	if action.To != c.self {
 		c.send(action.To, datagram{Permit: action.Permit})
 		return
 	}
 	if report := c.permitted(now, action.Permit); report != nil {
-		c.directing.director.Reported(now, c.self, report)
+		c.directing.director.ApplyReport(now, c.self, report)
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held.director.Read(clock.Now(), state, version)
+	held.director.ApplyState(clock.Now(), state, version)
 }
 
 // write writes a state for the director, if the lease is still held.
@@ -131,5 +131,5 @@
 	if _, stored := result.(canary.Stored); stored {
 		c.wrote(held.fence, &action.State)
 	}
-	held.director.Written(clock.Now(), service, result)
+	held.director.ApplyWriteResult(clock.Now(), service, result)
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -21,8 +21,8 @@
 		{Health: &health.Notification{Silent: []ident.Incarnation{"a"}, Answering: []ident.Incarnation{"b"}}},
 		{Health: &health.Notification{Queues: []health.Queue{{Instance: "a", Waiting: -1}, {Instance: "b", Waiting: 1 << 62}}}},
 		{Rollout: &rollout.Notification{Model: model, Version: 2, Loaded: []ident.Incarnation{"x"}}},
-		{Permit: &canary.Permit{Order: fuzzedOrder, Fence: 1, Phase: canary.Promoting, Clock: time.Hour, Sends: 1 << 63, Among: 1 << 30}},
-		{Report: &canary.Report{Service: "s", Revision: 1, Life: 7, Sent: 1 << 63, Tallies: []canary.Tally{{Route: "r", Answers: 2, Failures: 3}}}},
+		{Permit: &canary.Permit{Order: fuzzedOrder, Fence: 1, Phase: canary.Promoting, Clock: time.Hour, MaxSends: 1 << 63, MaxBackends: 1 << 30}},
+		{Report: &canary.Report{Service: "s", Revision: 1, Incarnation: 7, Sent: 1 << 63, Tallies: []canary.Tally{{Route: "r", Answers: 2, Failures: 3}}}},
 		{},
 	}
 	for _, seed := range seeds {
@@ -66,6 +66,6 @@
 	c.setRollouts(now, &knownRollouts{orders: []canary.Order{fuzzedOrder}, readAt: now})
 	c.hold(now, 1)
 	c.directing.observe(now, c.rollouts, recordsOf(oldRelease, newRelease), c.peers())
-	c.directing.director.Read(now, canary.State{Order: fuzzedOrder, Phase: canary.Observing}, 1)
+	c.directing.director.ApplyState(now, canary.State{Order: fuzzedOrder, Phase: canary.Observing}, 1)
 	return c
 }
--- a/internal/node/rollouts.go
+++ b/internal/node/rollouts.go
@@ -52,11 +52,11 @@
 }
 
 // known returns the orders and states; there may be none.
-func (k *knownRollouts) known() canary.Known {
+func (k *knownRollouts) known() canary.Snapshot {
 	if k == nil {
-		return canary.Known{}
+		return canary.Snapshot{}
 	}
-	return canary.Known{Orders: k.orders, States: k.states}
+	return canary.Snapshot{Orders: k.orders, States: k.states}
 }
 
 // newestRevision returns the revision of the newest order, 0 for none.
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -116,7 +116,7 @@
 		Order: canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}, Fence: 1, Phase: canary.Succeeded,
 		Proved: []ident.Release{oldRelease},
 	}
-	choice := func() backend.Releases { return c.Choose(time.Now(), canary.Ask{Service: "s", First: true}) }
+	choice := func() backend.Releases { return c.Choose(time.Now(), canary.ChooseRequest{Service: "s", First: true}) }
 	c.receive(stranger, &datagram{Permit: permit})
 	releases := choice()
 	is.True(!releases.Allows(newRelease))
--- a/internal/node/rollouttrail.go
+++ b/internal/node/rollouttrail.go
@@ -54,7 +54,7 @@
 	if report == nil || report.Revision != order.Revision {
 		return
 	}
-	if permitted := report.Left > 0; permitted != trail.permitted {
+	if permitted := report.PermitLeft > 0; permitted != trail.permitted {
 		trail.permitted = permitted
 		log.WithFields(fields).WithField("permitted", permitted).Info("rollout_permit")
 	}
--- a/internal/upstream/update.go
+++ b/internal/upstream/update.go
@@ -94,7 +94,7 @@
 
 // Rollouts is what the store tells of rollouts.
 type Rollouts struct {
-	Known canary.Known `cbor:"1,keyasint"`
+	Known canary.Snapshot `cbor:"1,keyasint"`
 	// StoreTime is the store's own steady time at the read of the orders; at Absent the
 	// newest of them was not there yet, 0 if that is not known.
 	StoreTime time.Duration `cbor:"2,keyasint"`
