--- a/internal/canary/bench_test.go
+++ b/internal/canary/bench_test.go
@@ -12,7 +12,7 @@
 
 // BenchmarkNoOrder is what a request costs a router while no order exists.
 func BenchmarkNoOrder(b *testing.B) {
-	gate := NewGate(GateConfig{Incarnation: testLife, Bounds: modelBounds})
+	gate := NewGate(GateConfig{Incarnation: testIncarnation, Bounds: modelBounds})
 	gate.SetReleases(at(0), modelService, []ident.Release{modelOld})
 	gate.ApplySnapshot(at(0), at(time.Millisecond), Snapshot{})
 	to, sample := record(modelOld, 0), Sample{Route: "draft", Outcome: Answered, Elapsed: time.Second, Predicted: time.Second}
@@ -27,14 +27,14 @@
 
 // BenchmarkObserving is what a request costs a router while a target is observed.
 func BenchmarkObserving(b *testing.B) {
-	gate := guarded()
-	gate.ApplyPermit(at(time.Second), changed(func(p *Permit) { p.Fraction, p.MaxSends = 0.1, 1<<30 }))
+	gate := gateWithOrder()
+	gate.ApplyPermit(at(time.Second), permitWith(func(p *Permit) { p.Fraction, p.MaxSends = 0.1, 1<<30 }))
 	old, fresh := record(modelOld, 0), record(modelNew, 0)
 	sample := Sample{Route: "draft", Outcome: Answered, Elapsed: time.Second, Predicted: time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
 		to := old
-		if releases := gate.Choose(at(time.Second), testAsk); releases.Only != "" {
+		if releases := gate.Choose(at(time.Second), testRequest); releases.Only != "" {
 			to = fresh
 		}
 		gate.Ended(testEpoch, gate.Sent(testEpoch, modelService, to), sample)
@@ -44,7 +44,7 @@
 // BenchmarkReport makes and encodes the report of a router that has sent to eight back ends of
 // the target on four routes.
 func BenchmarkReport(b *testing.B) {
-	gate := guarded()
+	gate := gateWithOrder()
 	for index := range 4000 {
 		to := record(modelOld, index%70)
 		if index%10 == 0 {
@@ -68,7 +68,7 @@
 
 // BenchmarkPermit encodes a permit.
 func BenchmarkPermit(b *testing.B) {
-	permit := changed(func(p *Permit) { p.Proved, p.Seed = []ident.Release{modelOld}, 1<<40 })
+	permit := permitWith(func(p *Permit) { p.Proved, p.Seed = []ident.Release{modelOld}, 1<<40 })
 	bytes := 0
 	for b.Loop() {
 		encoded, err := cbor.Marshal(permit)
@@ -84,7 +84,7 @@
 func BenchmarkDirector(b *testing.B) {
 	for _, routers := range []int{83, 390} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
-			h := calmHistory()
+			h := undisturbedHistory()
 			h.routers, h.duration = routers, time.Hour
 			m := newModel(h)
 			for m.now = modelStart; m.now < modelStart+4*time.Second; m.now += modelStep {
--- a/internal/canary/decide.go
+++ b/internal/canary/decide.go
@@ -5,8 +5,8 @@
 // decide returns the phase that the rollout should be in, and why.
 func (r *rollout) decide(now time.Time) (Phase, string) {
 	switch {
-	case r.halted != "":
-		return RolledBack, r.halted
+	case r.haltReason != "":
+		return RolledBack, r.haltReason
 	case !r.missingSince.IsZero() && now.Sub(r.missingSince) >= withdrawnAfter:
 		return RolledBack, reasonWithdrawn
 	case r.state.Phase == Promoting:
@@ -21,15 +21,15 @@
 	if now.Before(plan.promoteAt) {
 		return Observing, ""
 	}
-	if !now.Before(r.deadline(&r.state).Add(-lastWrite - switchFor)) {
+	if !now.Before(r.deadline(&r.state).Add(-lastWriteMargin - minSwitchTime)) {
 		return RolledBack, reasonNotObserved
 	}
-	if !r.fleet.reaches(now) || !r.settled {
+	if !r.fleet.hasQuorum(now) || !r.caughtUp {
 		// A new holder knows nothing until most routers have reported to it.
 		return Observing, ""
 	}
 	last := !now.Before(plan.lastPromoteAt)
-	switch why := r.against(last); {
+	switch why := r.promotionBlocker(last); {
 	case why == "":
 		return Promoting, ""
 	case last:
@@ -38,47 +38,47 @@
 	return Observing, ""
 }
 
-// against returns what speaks against promoting the target now, or nothing.
-func (r *rollout) against(last bool) string {
+// promotionBlocker returns what speaks against promoting the target now, or nothing.
+func (r *rollout) promotionBlocker(last bool) string {
 	switch {
-	case r.engines.target == 0:
+	case r.backends.target == 0:
 		return reasonNoBackEnds
-	case !r.engines.carries():
+	case !r.backends.hasCapacity():
 		return reasonTooFew
 	}
-	if scarce := r.verdict.scarce(); scarce != "" {
-		return scarce
+	if shortage := r.evaluator.insufficient(); shortage != "" {
+		return shortage
 	}
-	return r.verdict.doubt(r.engines.target > 1, last)
+	return r.evaluator.inconclusive(r.backends.target > 1, last)
 }
 
 // decidePromoting decides whether the target has succeeded.
 func (r *rollout) decidePromoting(now time.Time) (Phase, string) {
 	plan := r.plan()
 	switch {
-	case r.engines.target == 0:
+	case r.backends.target == 0:
 		return RolledBack, reasonNoBackEnds
 	case !now.Before(plan.verdictAt):
-		return r.decideLast(now)
-	case now.Sub(r.promotedAt) < promotingFor || !r.fleet.reaches(now):
+		return r.decideAtDeadline(now)
+	case now.Sub(r.promotedAt) < minPromotingTime || !r.fleet.hasQuorum(now):
 		return Promoting, ""
-	case r.fleet.moved(now):
+	case r.fleet.allMoved(now):
 		return Succeeded, reasonMoved
 	}
 	return Promoting, ""
 }
 
-// decideLast decides in the last moment before the deadline. Runs on other releases are not
+// decideAtDeadline decides in the last moment before the deadline. Runs on other releases are not
 // waited for any more, but all routers that are heard: what they sent there once the target
 // has succeeded would be lost.
-func (r *rollout) decideLast(now time.Time) (Phase, string) {
+func (r *rollout) decideAtDeadline(now time.Time) (Phase, string) {
 	switch {
-	case r.fleet.reaches(now) && r.fleet.turned(now):
+	case r.fleet.hasQuorum(now) && r.fleet.allPromoted(now):
 		return Succeeded, reasonDeadline
-	case now.Before(r.deadline(&r.state).Add(-lastWrite)):
+	case now.Before(r.deadline(&r.state).Add(-lastWriteMargin)):
 		return Promoting, ""
-	case !r.fleet.reaches(now):
-		return RolledBack, reasonUnheard
+	case !r.fleet.hasQuorum(now):
+		return RolledBack, reasonFewRouters
 	}
 	return RolledBack, reasonNotMoved
 }
--- a/internal/canary/director.go
+++ b/internal/canary/director.go
@@ -63,9 +63,9 @@
 	defaultTick = 250 * time.Millisecond
 	// largeFleet is the number of routers above which permits are sent half as often.
 	largeFleet = 250
-	// firstLookBack is how long before its first look at the orders a router takes one
+	// firstOrderAge is how long before its first look at the orders a router takes one
 	// that it finds to have been written, at most: a lease is vacant for about as long.
-	firstLookBack = 3 * time.Second
+	firstOrderAge = 3 * time.Second
 )
 
 // Director directs all rollouts while its router holds the lease for them. It is not safe
@@ -75,12 +75,12 @@
 	hooks    hooks
 	fence    uint64
 	rollouts []*rollout
-	// origin is the local time of the store's time 0, the earliest that was seen.
-	origin time.Time
-	// looked says that orders were observed, last at the store's time lookedAt.
-	looked   bool
-	lookedAt time.Duration
-	routers  []netip.AddrPort
+	// storeEpoch is the local time of the store's time 0, the earliest that was seen.
+	storeEpoch time.Time
+	// observed says that orders were observed, last at the store's time observedAt.
+	observed   bool
+	observedAt time.Duration
+	routers    []netip.AddrPort
 }
 
 // NewDirector returns a director that holds no lease.
@@ -98,16 +98,16 @@
 	}
 	d.fence = fence
 	for _, rollout := range d.rollouts {
-		rollout.hold(now, fence)
+		rollout.setFence(now, fence)
 	}
 }
 
 // Observe takes in the orders, all back ends and all routers as they were read, and the
 // store's own time at that moment. It is called whether the lease is held or not, so that
 // a new holder knows since when an order can have been there.
-func (d *Director) Observe(now time.Time, storeNow time.Duration, orders []Order, engines []backend.Record, routers []netip.AddrPort) {
-	if origin := now.Add(-storeNow); d.origin.IsZero() || origin.Before(d.origin) {
-		d.origin = origin
+func (d *Director) Observe(now time.Time, storeNow time.Duration, orders []Order, backends []backend.Record, routers []netip.AddrPort) {
+	if origin := now.Add(-storeNow); d.storeEpoch.IsZero() || origin.Before(d.storeEpoch) {
+		d.storeEpoch = origin
 	}
 	d.routers = routers
 	listed := map[ident.Service]bool{}
@@ -116,23 +116,23 @@
 		d.observeOrder(now, storeNow, order)
 	}
 	for _, rollout := range d.rollouts {
-		rollout.observe(now, d.origin, listed[rollout.service], engines, routers)
+		rollout.observe(now, d.storeEpoch, listed[rollout.service], backends, routers)
 	}
-	d.looked, d.lookedAt = true, storeNow
+	d.observed, d.observedAt = true, storeNow
 }
 
 // observeOrder takes in an order that is listed.
 func (d *Director) observeOrder(now time.Time, storeNow time.Duration, order Order) {
 	known := d.rollout(order.Service)
 	if known == nil {
-		known = d.add(now, order)
+		known = d.addRollout(now, order)
 	} else if order.Revision <= known.order.Revision {
 		return
 	}
 	known.order = order
-	known.orderedAt = max(0, storeNow-firstLookBack)
-	if d.looked {
-		known.orderedAt = d.lookedAt
+	known.orderedAt = max(0, storeNow-firstOrderAge)
+	if d.observed {
+		known.orderedAt = d.observedAt
 	}
 }
 
@@ -154,17 +154,17 @@
 	}
 	known := d.rollout(state.Order.Service)
 	if known == nil && state.Phase != 0 && !state.Phase.Final() {
-		known = d.add(now, state.Order)
+		known = d.addRollout(now, state.Order)
 	}
 	if known != nil {
-		known.read(now, state, version)
+		known.applyState(now, state, version)
 	}
 }
 
-// add begins to direct the rollout of an order.
-func (d *Director) add(now time.Time, order Order) *rollout {
-	added := &rollout{service: order.Service, cfg: d.cfg, hooks: d.hooks, order: order, routers: d.routers, origin: d.origin}
-	added.hold(now, d.fence)
+// addRollout begins to direct the rollout of an order.
+func (d *Director) addRollout(now time.Time, order Order) *rollout {
+	added := &rollout{service: order.Service, cfg: d.cfg, hooks: d.hooks, order: order, routers: d.routers, storeEpoch: d.storeEpoch}
+	added.setFence(now, d.fence)
 	d.rollouts = append(d.rollouts, added)
 	return added
 }
@@ -176,7 +176,7 @@
 	}
 	known := d.rollout(report.Service)
 	if known != nil && d.fence != 0 && known.state.Order.Revision == report.Revision {
-		known.fleet.reported(now, from, report)
+		known.fleet.applyReport(now, from, report)
 	}
 }
 
@@ -195,6 +195,6 @@
 // ApplyWriteResult takes in what came of the Write of a service's state.
 func (d *Director) ApplyWriteResult(now time.Time, service ident.Service, result WriteResult) {
 	if known := d.rollout(service); known != nil {
-		known.written(now, result)
+		known.applyWriteResult(now, result)
 	}
 }
--- a/internal/canary/director_test.go
+++ b/internal/canary/director_test.go
@@ -11,19 +11,19 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// calmHistory is a small fleet with a good target and no trouble.
-func calmHistory() history {
+// undisturbedHistory is a small fleet with a good target and no trouble.
+func undisturbedHistory() history {
 	return history{
-		seed: 5, routers: 8, old: 12, new: 12, rate: 500, duration: 12 * time.Second, lookEvery: 200 * time.Millisecond,
+		seed: 5, routers: 8, old: 12, new: 12, rate: 500, duration: 12 * time.Second, readInterval: 200 * time.Millisecond,
 		routes: []modelRoute{
-			{name: "draft", part: 0.5, usual: 150 * time.Millisecond},
-			{name: "commit", part: 0.5, usual: 60 * time.Millisecond},
+			{name: "draft", share: 0.5, usual: 150 * time.Millisecond},
+			{name: "commit", share: 0.5, usual: 60 * time.Millisecond},
 		},
 	}
 }
 
-// outcomeTest is a case in which an order does not just run to its end.
-type outcomeTest struct {
+// outcomeCase is a case in which an order does not just run to its end.
+type outcomeCase struct {
 	name   string
 	change func(h *history)
 	want   []string
@@ -34,8 +34,8 @@
 	return Order{Service: modelService, Target: target, Duration: duration, Revision: revision}
 }
 
-// from lists the first order, and only the others from a later moment on.
-func from(begin time.Duration, orders ...Order) func(time.Duration) []Order {
+// replaceOrder lists the first order, and only the others from a later moment on.
+func replaceOrder(begin time.Duration, orders ...Order) func(time.Duration) []Order {
 	return func(since time.Duration) []Order {
 		if since < 0 {
 			return nil
@@ -47,8 +47,8 @@
 	}
 }
 
-// always lists back ends from the first order on.
-func always(old, fresh int) func(time.Duration) (int, int) {
+// constantBackends lists back ends from the first order on.
+func constantBackends(old, fresh int) func(time.Duration) (int, int) {
 	return func(since time.Duration) (int, int) {
 		if since < 0 && old > 0 {
 			return old, 0
@@ -57,8 +57,8 @@
 	}
 }
 
-// until lists twelve back ends of the target until some moment.
-func until(end time.Duration) func(time.Duration) (int, int) {
+// targetUntil lists twelve back ends of the target until some moment.
+func targetUntil(end time.Duration) func(time.Duration) (int, int) {
 	return func(since time.Duration) (int, int) {
 		if since < 0 || since > end {
 			return 12, 0
@@ -67,8 +67,8 @@
 	}
 }
 
-// steps lists back ends of the others of which the number changes at some moment.
-func steps(change time.Duration, before, after, fresh int) func(time.Duration) (int, int) {
+// changeOthers lists back ends of the others of which the number changes at some moment.
+func changeOthers(change time.Duration, before, after, fresh int) func(time.Duration) (int, int) {
 	return func(since time.Duration) (int, int) {
 		switch {
 		case since < 0:
@@ -80,10 +80,10 @@
 	}
 }
 
-// fewerLeft lists twelve back ends of the target until some moment, and fewer from then on.
-func fewerLeft(change time.Duration, left int) func(time.Duration) (int, int) {
+// reduceTarget lists twelve back ends of the target until some moment, and fewer from then on.
+func reduceTarget(change time.Duration, left int) func(time.Duration) (int, int) {
 	return func(since time.Duration) (int, int) {
-		old, fresh := until(change)(since)
+		old, fresh := targetUntil(change)(since)
 		if since > change {
 			fresh = left
 		}
@@ -98,38 +98,38 @@
 	}
 }
 
-func outcomeTests() []outcomeTest {
+func outcomeCases() []outcomeCase {
 	third := ident.Release("v3")
-	return []outcomeTest{
+	return []outcomeCase{
 		{"a good target", func(*history) {}, []string{"v2 succeeded: " + reasonMoved}},
-		{"no back end of it ever", func(h *history) { h.backEnds = always(12, 0) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
-		{"too few of them", func(h *history) { h.backEnds = always(12, 5) }, []string{"v2 rolled back: " + reasonTooFew}},
-		{"all of them go while it is observed", func(h *history) { h.backEnds = until(5 * time.Second) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
-		{"all of them go while it is promoted", func(h *history) { h.backEnds = until(9 * time.Second) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
-		{"it serves alone already", func(h *history) { h.backEnds = always(0, 12) }, []string{"v2 succeeded: " + reasonAlreadyServing}},
+		{"no back end of it ever", func(h *history) { h.backEnds = constantBackends(12, 0) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
+		{"too few of them", func(h *history) { h.backEnds = constantBackends(12, 5) }, []string{"v2 rolled back: " + reasonTooFew}},
+		{"all of them go while it is observed", func(h *history) { h.backEnds = targetUntil(5 * time.Second) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
+		{"all of them go while it is promoted", func(h *history) { h.backEnds = targetUntil(9 * time.Second) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
+		{"it serves alone already", func(h *history) { h.backEnds = constantBackends(0, 12) }, []string{"v2 succeeded: " + reasonAlreadyServing}},
 		{"all are unreachable", func(h *history) {
-			h.faults = []fault{{until: forever, target: true, silent: true}}
+			h.faults = []fault{{until: allHistory, target: true, silent: true}}
 		}, []string{"v2 rolled back: too little evidence: 0 answers of the target"}},
 		{"few requests", func(h *history) { h.rate = 10 }, []string{"v2 rolled back: too little evidence: 19 answers of the target"}},
 		{"a short time", func(h *history) { h.duration = 5 * time.Second }, []string{"v2 rolled back: " + reasonTooLate}},
 		{"a time that is over", func(h *history) { h.duration = 0 }, []string{"v2 rolled back: " + reasonTooLate}},
 		{"written twice", func(h *history) {
-			h.ordersAt = from(4*time.Second, orderFor(modelNew, 7, 12*time.Second), orderFor(modelNew, 8, 20*time.Second))
+			h.ordersAt = replaceOrder(4*time.Second, orderFor(modelNew, 7, 12*time.Second), orderFor(modelNew, 8, 20*time.Second))
 		}, []string{"v2 succeeded: " + reasonMoved}},
 		{"replaced by one for another target", func(h *history) {
 			h.duration = 20 * time.Second
-			h.ordersAt = from(4*time.Second, orderFor(modelNew, 7, 12*time.Second), orderFor(third, 8, 8*time.Second))
+			h.ordersAt = replaceOrder(4*time.Second, orderFor(modelNew, 7, 12*time.Second), orderFor(third, 8, 8*time.Second))
 		}, []string{"v2 rolled back: " + reasonReplaced, "v3 rolled back: " + reasonNoBackEnds}},
 		{"withdrawn", func(h *history) {
-			h.ordersAt = from(2*time.Second, orderFor(modelNew, 7, 12*time.Second))
+			h.ordersAt = replaceOrder(2*time.Second, orderFor(modelNew, 7, 12*time.Second))
 		}, []string{"v2 rolled back: " + reasonWithdrawn}},
 		{"again after it was rolled back", func(h *history) {
 			h.duration = 20 * time.Second
-			h.ordersAt = from(6*time.Second, orderFor(modelNew, 7, 5*time.Second), orderFor(modelNew, 8, 12*time.Second))
+			h.ordersAt = replaceOrder(6*time.Second, orderFor(modelNew, 7, 5*time.Second), orderFor(modelNew, 8, 12*time.Second))
 		}, []string{"v2 rolled back: " + reasonTooLate, "v2 succeeded: " + reasonMoved}},
-		{"back ends of the others are taken away meanwhile", func(h *history) { h.backEnds = steps(3*time.Second, 12, 6, 12) }, []string{"v2 succeeded: " + reasonMoved}},
-		{"back ends of the others are replaced meanwhile", func(h *history) { h.backEnds = steps(3*time.Second, 6, 12, 12) }, []string{"v2 succeeded: " + reasonMoved}},
-		{"too few of its back ends are left meanwhile", func(h *history) { h.backEnds = fewerLeft(5*time.Second, 5) }, []string{"v2 rolled back: " + reasonTooFew}},
+		{"back ends of the others are taken away meanwhile", func(h *history) { h.backEnds = changeOthers(3*time.Second, 12, 6, 12) }, []string{"v2 succeeded: " + reasonMoved}},
+		{"back ends of the others are replaced meanwhile", func(h *history) { h.backEnds = changeOthers(3*time.Second, 6, 12, 12) }, []string{"v2 succeeded: " + reasonMoved}},
+		{"too few of its back ends are left meanwhile", func(h *history) { h.backEnds = reduceTarget(5*time.Second, 5) }, []string{"v2 rolled back: " + reasonTooFew}},
 		{"its route is moved away at once", func(h *history) { h.endsAt = modelStart + time.Second }, []string{"v2 rolled back: too little evidence: 15 answers of the target"}},
 		{"its route is moved away late", func(h *history) { h.endsAt = modelStart + 7*time.Second }, []string{"v2 succeeded: " + reasonMoved}},
 		{"read late since the store was down", func(h *history) { storeDown(h, 9*time.Second) }, []string{"v2 rolled back: " + reasonTooLate}},
@@ -137,10 +137,10 @@
 }
 
 func TestOutcomes(t *testing.T) {
-	for _, tt := range outcomeTests() {
+	for _, tt := range outcomeCases() {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			h := calmHistory()
+			h := undisturbedHistory()
 			tt.change(&h)
 			got := newModel(h).play()
 			var finals []string
@@ -149,23 +149,23 @@
 			}
 			is.Equal(finals, tt.want)
 			if tt.name != "it serves alone already" { // that is asked to get all requests
-				is.Equal(got.broken, nil)
+				is.Equal(got.violations, nil)
 			}
 		})
 	}
 }
 
-// TestSwitchWaitsForRuns shows that success is not told while runs that take longer than the
+// TestSuccessWaitsForRuns shows that success is not told while runs that take longer than the
 // least time of Promoting are under way on the releases that end with it.
-func TestSwitchWaitsForRuns(t *testing.T) {
+func TestSuccessWaitsForRuns(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(4) {
-		h := calmHistory()
+		h := undisturbedHistory()
 		h.seed, h.duration = seed, 20*time.Second
-		h.routes = append(h.routes, modelRoute{name: "story", part: 0.1, usual: 2 * time.Second})
-		h.routes[0].part = 0.4
+		h.routes = append(h.routes, modelRoute{name: "story", share: 0.1, usual: 2 * time.Second})
+		h.routes[0].share = 0.4
 		got := newModel(h).play()
-		is.Equal(got.broken, nil)
+		is.Equal(got.violations, nil)
 		is.Equal(got.verdicts, []Phase{Succeeded})
 		is.Equal(got.reason, reasonMoved)
 	}
@@ -174,15 +174,15 @@
 // A holder that takes over in the last second promotes no target for good while a router that
 // has heard nothing of it may still send to the releases that end: the routers of this
 // history are killed, frozen and cut off, the holder among them.
-func TestLastMomentWaitsForAllRouters(t *testing.T) {
+func TestDeadlineDecisionWaitsForRouters(t *testing.T) {
 	is := is.New(t)
 	const lateTakeover = 50
-	for _, tt := range troubles {
+	for _, tt := range disturbances {
 		if tt.name != "routers killed, frozen and cut off" {
 			continue
 		}
 		got := newModel(drawGood(lateTakeover, tt)).play()
-		is.Equal(got.broken, nil)
+		is.Equal(got.violations, nil)
 		is.Equal(len(got.verdicts), 1)
 		return
 	}
@@ -196,28 +196,28 @@
 	for _, off := range []bool{false, true} {
 		broken := 0
 		for seed := range uint64(2) {
-			h := calmHistory()
+			h := undisturbedHistory()
 			h.seed, h.duration, h.hooks.ignoreCeiling = seed, time.Minute, off
 			h.outages = []outage{{from: modelStart + 4*time.Second, until: modelStart + 7*time.Second, router: -1, killed: true}}
-			broken += len(newModel(h).play().broken)
+			broken += len(newModel(h).play().violations)
 		}
 		is.Equal(broken > 0, off) // broken only without the ceiling
 	}
 }
 
-// desk is a director whose store and routers answer at once.
-type desk struct {
+// directorHarness is a director whose store and routers answer at once.
+type directorHarness struct {
 	director *Director
 	now      time.Duration
 	states   map[ident.Service]State
 	versions map[ident.Service]uint64
-	// deaf stands for writes of which nothing is heard.
-	deaf bool
-	told []SendPermit
+	// dropWrites stands for writes of which nothing is heard.
+	dropWrites bool
+	permits    []SendPermit
 }
 
-func newDesk(off hooks) *desk {
-	d := &desk{director: NewDirector(DirectorConfig{Bounds: modelBounds}), states: map[ident.Service]State{}, versions: map[ident.Service]uint64{}}
+func newHarness(off hooks) *directorHarness {
+	d := &directorHarness{director: NewDirector(DirectorConfig{Bounds: modelBounds}), states: map[ident.Service]State{}, versions: map[ident.Service]uint64{}}
 	d.director.hooks = off
 	return d
 }
@@ -225,7 +225,7 @@
 var testRouter = netip.MustParseAddrPort("10.0.0.1:7000")
 
 // step lets the director act, and its store answer.
-func (d *desk) step() {
+func (d *directorHarness) step() {
 	d.now += 50 * time.Millisecond
 	for _, action := range d.director.Step(at(d.now)) {
 		switch action := action.(type) {
@@ -234,7 +234,7 @@
 			state.Order.Service = action.Service
 			d.director.ApplyState(at(d.now), state, d.versions[action.Service])
 		case Write:
-			if d.deaf {
+			if d.dropWrites {
 				continue
 			}
 			service := action.State.Order.Service
@@ -242,13 +242,13 @@
 			d.states[service] = action.State
 			d.director.ApplyWriteResult(at(d.now), service, Stored{Version: d.versions[service]})
 		case SendPermit:
-			d.told = append(d.told, action)
+			d.permits = append(d.permits, action)
 		}
 	}
 }
 
 // observe lists orders with twelve back ends of each release for every service.
-func (d *desk) observe(orders ...Order) {
+func (d *directorHarness) observe(orders ...Order) {
 	var records []backend.Record
 	for _, order := range orders {
 		for index := range 12 {
@@ -264,7 +264,7 @@
 
 func TestTwoServicesAtOnce(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(hooks{})
+	d := newHarness(hooks{})
 	other := testOrder
 	other.Service, other.Revision = "checkout", 8
 	d.observe()
@@ -281,29 +281,29 @@
 	}
 }
 
-// TestHolderGrantsAfterItsOwnWrite shows the guard of the fence: a holder grants nothing until
+// TestHolderGrantsAfterOwnWrite shows the guard of the fence: a holder grants nothing until
 // its own write lies in the store, as the one before may still raise the ceiling.
-func TestHolderGrantsAfterItsOwnWrite(t *testing.T) {
+func TestHolderGrantsAfterOwnWrite(t *testing.T) {
 	is := is.New(t)
 	for _, off := range []bool{false, true} {
-		d := newDesk(hooks{ignoreFence: off})
+		d := newHarness(hooks{ignoreFence: off})
 		d.observe(testOrder)
 		d.states[modelService] = State{Order: testOrder, Phase: Observing, Ceiling: 100, Fence: 4}
-		d.versions[modelService], d.deaf = 3, true
+		d.versions[modelService], d.dropWrites = 3, true
 		d.director.SetLease(at(d.now), 5)
 		for range 20 {
 			d.step()
 		}
-		last := d.told[len(d.told)-1].Permit
+		last := d.permits[len(d.permits)-1].Permit
 		is.Equal(last.Halted, !off)
 		is.Equal(last.Fence, uint64(5))
 	}
 }
 
 // A read that was under way while a verdict was stored does not take the verdict back.
-func TestLateReadTakesNothingBack(t *testing.T) {
+func TestStaleReadKeepsFinalPhase(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(hooks{})
+	d := newHarness(hooks{})
 	d.observe(testOrder)
 	d.director.SetLease(at(d.now), 1)
 	for range 10 {
@@ -322,50 +322,50 @@
 	is.Equal(known.version, version+1)
 }
 
-func TestLoserOfLeaseFallsSilent(t *testing.T) {
+func TestNoPermitsAfterLeaseLoss(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(hooks{})
+	d := newHarness(hooks{})
 	d.observe(testOrder)
 	d.director.SetLease(at(d.now), 1)
 	for range 10 {
 		d.step()
 	}
-	is.True(len(d.told) > 0)
+	is.True(len(d.permits) > 0)
 	d.director.SetLease(at(d.now), 0)
 	is.Equal(d.director.Step(at(d.now+time.Second)), nil)
 
 	// A state of a newer holder is left alone as well.
 	d.director.SetLease(at(d.now), 2)
 	d.states[modelService] = State{Order: testOrder, Phase: Observing, Fence: 3}
-	d.told = nil
+	d.permits = nil
 	for range 10 {
 		d.step()
 	}
-	is.Equal(len(d.told), 0)
+	is.Equal(len(d.permits), 0)
 	is.Equal(d.states[modelService].Fence, uint64(3))
 }
 
-func TestAnotherReleaseIsAmongTheOthers(t *testing.T) {
+func TestCountBackends(t *testing.T) {
 	is := is.New(t)
 	records := []backend.Record{record("v0", 0), record(modelOld, 0), record(modelOld, 1), record(modelNew, 0)}
 	records[0].Draining = true
-	count := countEngines(append(records, record("v3", 0)), modelService, modelNew)
+	count := countBackends(append(records, record("v3", 0)), modelService, modelNew)
 	is.Equal(count.releases, []ident.Release{modelOld, "v3"}) // nothing new runs on what drains
 	is.Equal(count.others, 3)
 	is.Equal(count.target, 1)
 }
 
-func TestReportsAreTakenByTheClockOfTheirLife(t *testing.T) {
+func TestReportsOrderedBySenderClock(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
-	f.list(at(0), []netip.AddrPort{testRouter})
-	f.reported(at(0), testRouter, &Report{Incarnation: 1, Clock: 10 * time.Second, Requests: 5})
-	f.reported(at(time.Second), testRouter, &Report{Incarnation: 1, Clock: 9 * time.Second, Requests: 4})
+	f.setRouters(at(0), []netip.AddrPort{testRouter})
+	f.applyReport(at(0), testRouter, &Report{Incarnation: 1, Clock: 10 * time.Second, Requests: 5})
+	f.applyReport(at(time.Second), testRouter, &Report{Incarnation: 1, Clock: 9 * time.Second, Requests: 4})
 	is.Equal(f.requests(), uint64(5)) // a late one changes nothing
-	f.reported(at(3*time.Second), testRouter, &Report{Incarnation: 1, Clock: 11 * time.Second, Requests: 7})
-	is.Equal(f.routers[0].current.heardAt, at(time.Second)) // it waited for two seconds
-	f.reported(at(3*time.Second), testRouter, &Report{Incarnation: 2, Clock: time.Second, Requests: 3})
+	f.applyReport(at(3*time.Second), testRouter, &Report{Incarnation: 1, Clock: 11 * time.Second, Requests: 7})
+	is.Equal(f.routers[0].current.reportedAt, at(time.Second)) // it waited for two seconds
+	f.applyReport(at(3*time.Second), testRouter, &Report{Incarnation: 2, Clock: time.Second, Requests: 3})
 	is.Equal(f.requests(), uint64(10)) // both lives count
-	f.reported(at(3*time.Second), netip.MustParseAddrPort("10.9.9.9:7000"), &Report{Incarnation: 3, Requests: 100})
+	f.applyReport(at(3*time.Second), netip.MustParseAddrPort("10.9.9.9:7000"), &Report{Incarnation: 3, Requests: 100})
 	is.Equal(f.requests(), uint64(10)) // a stranger does not
 }
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// windowAnswers is the number of answers of other releases from which a window of a
+	// fullWindowAnswers is the number of answers of other releases from which a window of a
 	// route is judged: their rate of failures is then known to 3 in 100 or so.
-	windowAnswers = 80
-	// windowFor is the time after which a window is judged in any case.
-	windowFor = time.Second
+	fullWindowAnswers = 80
+	// maxWindowAge is the time after which a window is judged in any case.
+	maxWindowAge = time.Second
 )
 
 // cell counts answers.
@@ -21,10 +21,10 @@
 
 // add adds the answers that a tally counts beyond those of an earlier one.
 func (c *cell) add(tally, earlier *Tally) {
-	c.answers += less(tally.Answers, earlier.Answers)
-	c.failures += less(tally.Failures, earlier.Failures)
+	c.answers += saturatingSub(tally.Answers, earlier.Answers)
+	c.failures += saturatingSub(tally.Failures, earlier.Failures)
 	for bin := range c.times {
-		c.times[bin] += less(uint64(tally.Times.at(bin)), uint64(earlier.Times.at(bin)))
+		c.times[bin] += saturatingSub(uint64(tally.Times.at(bin)), uint64(earlier.Times.at(bin)))
 	}
 }
 
@@ -37,9 +37,9 @@
 	return sum
 }
 
-// partCell counts answers of one part of the target.
-type partCell struct {
-	part uint32
+// groupCell counts answers of one part of the target.
+type groupCell struct {
+	group uint32
 	cell
 }
 
@@ -52,7 +52,7 @@
 	// earlier holder.
 	inherited bool
 	others    cell
-	parts     []partCell
+	groups    []groupCell
 }
 
 // add adds what a report's tally counts beyond an earlier report's.
@@ -61,23 +61,23 @@
 		w.others.add(tally, earlier)
 		return
 	}
-	index := slices.IndexFunc(w.parts, func(known partCell) bool { return known.part == tally.Group })
+	index := slices.IndexFunc(w.groups, func(known groupCell) bool { return known.group == tally.Group })
 	if index < 0 {
-		index = len(w.parts)
-		w.parts = append(w.parts, partCell{part: tally.Group})
+		index = len(w.groups)
+		w.groups = append(w.groups, groupCell{group: tally.Group})
 	}
-	w.parts[index].add(tally, earlier)
+	w.groups[index].add(tally, earlier)
 }
 
 // target returns the answers of all parts together.
 func (w *window) target() cell {
 	var sum cell
-	for index := range w.parts {
-		part := &w.parts[index].cell
-		sum.answers += part.answers
-		sum.failures += part.failures
+	for index := range w.groups {
+		group := &w.groups[index].cell
+		sum.answers += group.answers
+		sum.failures += group.failures
 		for bin := range sum.times {
-			sum.times[bin] += part.times[bin]
+			sum.times[bin] += group.times[bin]
 		}
 	}
 	return sum
@@ -85,17 +85,17 @@
 
 // due reports whether the window is to be judged.
 func (w *window) due(now time.Time) bool {
-	return w.others.answers >= windowAnswers || now.Sub(w.since) >= windowFor
+	return w.others.answers >= fullWindowAnswers || now.Sub(w.since) >= maxWindowAge
 }
 
-// evidence puts the reports of all routers together.
-type evidence struct {
+// openWindows puts the reports of all routers together.
+type openWindows struct {
 	windows []*window
 }
 
 // add takes in the difference of two reports of the same life; earlier may be nil. Inherited
 // says that the life sent to the target under an earlier holder.
-func (e *evidence) add(now time.Time, report, earlier *Report, inherited bool) {
+func (e *openWindows) add(now time.Time, report, earlier *Report, inherited bool) {
 	none := &Tally{}
 	for index := range report.Tallies {
 		tally := &report.Tallies[index]
@@ -112,9 +112,9 @@
 }
 
 // tally returns the report's tally of a route and part, or another one if it has none.
-func (r *Report) tally(route string, part uint32, otherwise *Tally) *Tally {
+func (r *Report) tally(route string, group uint32, otherwise *Tally) *Tally {
 	for index := range r.Tallies {
-		if r.Tallies[index].Group == part && r.Tallies[index].Route == route {
+		if r.Tallies[index].Group == group && r.Tallies[index].Route == route {
 			return &r.Tallies[index]
 		}
 	}
@@ -122,7 +122,7 @@
 }
 
 // window returns the open window of a route.
-func (e *evidence) window(now time.Time, route string) *window {
+func (e *openWindows) window(now time.Time, route string) *window {
 	for _, open := range e.windows {
 		if open.route == route {
 			return open
@@ -133,8 +133,8 @@
 	return open
 }
 
-// due removes and returns the windows that are to be judged, or all.
-func (e *evidence) due(now time.Time, all bool) []*window {
+// removeDue removes and returns the windows that are to be judged, or all.
+func (e *openWindows) removeDue(now time.Time, all bool) []*window {
 	var due []*window
 	e.windows = slices.DeleteFunc(e.windows, func(open *window) bool {
 		if all || open.due(now) {
--- a/internal/canary/fleet_test.go
+++ b/internal/canary/fleet_test.go
@@ -10,7 +10,7 @@
 
 // A router has turned to the target only if it acts upon an order to promote that remains
 // valid until the verdict can have been written.
-func TestTurnedWhileThePermitCoversTheWrite(t *testing.T) {
+func TestPromotedNeedsPermitForWrite(t *testing.T) {
 	tests := []struct {
 		name  string
 		phase Phase
@@ -18,21 +18,21 @@
 		age   time.Duration
 		want  bool
 	}{
-		{"covered", Promoting, coveredFor, 0, true},
-		{"too short", Promoting, coveredFor - time.Millisecond, 0, false},
-		{"heard some time ago", Promoting, coveredFor + 100*time.Millisecond, 200 * time.Millisecond, false},
+		{"covered", Promoting, minPermitLeft, 0, true},
+		{"too short", Promoting, minPermitLeft - time.Millisecond, 0, false},
+		{"heard some time ago", Promoting, minPermitLeft + 100*time.Millisecond, 200 * time.Millisecond, false},
 		{"observing", Observing, time.Second, 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			heard := &life{newest: &Report{Phase: tt.phase, PermitLeft: tt.left}, heardAt: at(time.Second)}
-			is.New(t).Equal(heard.turned(at(time.Second+tt.age)), tt.want)
+			gate := &gateState{newest: &Report{Phase: tt.phase, PermitLeft: tt.left}, reportedAt: at(time.Second)}
+			is.New(t).Equal(gate.promoted(at(time.Second+tt.age)), tt.want)
 		})
 	}
 }
 
 // A holder that hears fewer than half of the routers is cut off itself.
-func TestReachesHalfOfTheRouters(t *testing.T) {
+func TestQuorumOfRouters(t *testing.T) {
 	tests := []struct {
 		name  string
 		heard int
@@ -42,7 +42,7 @@
 		{"none", 0, 0, false},
 		{"fewer than half", 1, 0, false},
 		{"half", 2, 0, true},
-		{"half, long ago", 2, deadAfter, false},
+		{"half, long ago", 2, silentAfter, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -51,11 +51,11 @@
 			for index := range byte(4) {
 				addresses = append(addresses, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, index + 1}), 7000))
 			}
-			f.list(at(0), addresses)
+			f.setRouters(at(0), addresses)
 			for index := range tt.heard {
-				f.reported(at(time.Second), addresses[index], &Report{Incarnation: uint64(index + 1), Clock: time.Second})
+				f.applyReport(at(time.Second), addresses[index], &Report{Incarnation: uint64(index + 1), Clock: time.Second})
 			}
-			is.New(t).Equal(f.reaches(at(time.Second+tt.age)), tt.want)
+			is.New(t).Equal(f.hasQuorum(at(time.Second+tt.age)), tt.want)
 		})
 	}
 }
--- a/internal/canary/fuzz_test.go
+++ b/internal/canary/fuzz_test.go
@@ -11,7 +11,7 @@
 // must neither panic nor exceed the bounds of what they keep.
 func FuzzMessages(f *testing.F) {
 	report := Report{Service: modelService, Revision: testOrder.Revision, Incarnation: 3, Tallies: []Tally{{Route: "draft", Group: 1, Answers: 2, Failures: 1, Times: Histogram{1}}}}
-	for _, seed := range []any{&report, allowing()} {
+	for _, seed := range []any{&report, testPermit()} {
 		encoded, err := cbor.Marshal(seed)
 		if err != nil {
 			f.Fatal(err)
@@ -19,7 +19,7 @@
 		f.Add(encoded)
 	}
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		d := newDesk(hooks{})
+		d := newHarness(hooks{})
 		d.observe(testOrder)
 		d.director.SetLease(at(0), 1)
 		for range 3 {
@@ -32,12 +32,12 @@
 				d.step()
 			}
 		}
-		gate := guarded()
+		gate := gateWithOrder()
 		var permit Permit
 		if cbor.Unmarshal(encoded, &permit) == nil {
 			gate.ApplyPermit(at(time.Second), &permit)
 		}
-		gate.Choose(at(time.Second), testAsk)
+		gate.Choose(at(time.Second), testRequest)
 		if made := gate.Report(at(time.Second), modelService); made != nil && !made.sound() {
 			t.Fatalf("unsound report: %+v", made)
 		}
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -20,14 +20,14 @@
 // what comes of them. It is not safe for concurrent use: its owner guards it by a mutex.
 type Gate struct {
 	cfg GateConfig
-	// epoch is the begin of the gate's own clock.
-	epoch time.Time
+	// clockOrigin is the begin of the gate's own clock.
+	clockOrigin time.Time
 	// confirmedAt is the time at which the orders that are known were the newest ones.
 	confirmedAt time.Time
 	services    map[ident.Service]*traffic
-	// bound is the number of services for which Choose has to be asked.
-	bound int
-	hooks hooks
+	// restricted is the number of services for which Choose has to be asked.
+	restricted int
+	hooks      hooks
 }
 
 // NewGate returns a gate that knows of nothing.
@@ -40,7 +40,7 @@
 	if !g.cfg.Bounds.Enabled() {
 		return
 	}
-	g.start(now)
+	g.startClock(now)
 	if !confirmedAt.Before(g.confirmedAt) {
 		g.confirmedAt = confirmedAt
 		g.dropWithdrawn(known.Orders)
@@ -48,14 +48,14 @@
 	for index := range known.States {
 		state := &known.States[index]
 		if guard := g.guard(state.Order); guard != nil {
-			guard.learn(state.Phase, state.Proved)
+			guard.applyPhase(state.Phase, state.Proved)
 		}
 	}
 	// An order may be newer than the state, whose target is then known to be unproved.
 	for _, order := range known.Orders {
 		g.guard(order)
 	}
-	g.countBound()
+	g.countRestricted()
 }
 
 // dropWithdrawn drops the guards of orders that are not listed any more and that no holder
@@ -69,10 +69,10 @@
 	}
 }
 
-// start begins the gate's clock.
-func (g *Gate) start(now time.Time) {
-	if g.epoch.IsZero() {
-		g.epoch = now
+// startClock begins the gate's clock.
+func (g *Gate) startClock(now time.Time) {
+	if g.clockOrigin.IsZero() {
+		g.clockOrigin = now
 	}
 }
 
@@ -83,7 +83,7 @@
 	known := traffic.guard
 	switch {
 	case known == nil || known.order.Revision < order.Revision:
-		traffic.begin(order, g.cfg.Incarnation)
+		traffic.startOrder(order, g.cfg.Incarnation)
 	case known.order.Revision > order.Revision:
 		return nil
 	}
@@ -105,37 +105,37 @@
 	if !g.cfg.Bounds.Enabled() {
 		return
 	}
-	g.start(now)
-	g.traffic(service).list(now, releases)
-	g.countBound()
+	g.startClock(now)
+	g.traffic(service).setListed(now, releases)
+	g.countRestricted()
 }
 
-// countBound counts the services for which Choose has to be asked.
-func (g *Gate) countBound() {
-	g.bound = 0
+// countRestricted counts the services for which Choose has to be asked.
+func (g *Gate) countRestricted() {
+	g.restricted = 0
 	for _, traffic := range g.services {
-		traffic.settle(g.confirmedAt)
-		if traffic.binding() {
-			g.bound++
+		traffic.updateForbidden(g.confirmedAt)
+		if traffic.restricts() {
+			g.restricted++
 		}
 	}
 }
 
 // Active reports whether any attempt may have to be kept from a release: if not, Choose need not be asked.
-func (g *Gate) Active() bool { return g.bound > 0 }
+func (g *Gate) Active() bool { return g.restricted > 0 }
 
 // Choose returns where an attempt may go. If it names the only release allowed and no
 // back end of that can be used, the caller says so by Declined and asks again, with First
 // unset.
-func (g *Gate) Choose(now time.Time, ask ChooseRequest) backend.Releases {
-	traffic := g.services[ask.Service]
+func (g *Gate) Choose(now time.Time, request ChooseRequest) backend.Releases {
+	traffic := g.services[request.Service]
 	if traffic == nil {
 		return backend.Releases{}
 	}
 	if traffic.guard == nil {
 		return backend.Releases{Excluded: traffic.forbidden}
 	}
-	return traffic.guard.releases(now, ask, traffic.forbidden)
+	return traffic.guard.releases(now, request, traffic.forbidden)
 }
 
 // StillAllowed reports whether an attempt that Choose allowed to go to some releases may still go to
@@ -163,15 +163,15 @@
 		return Run{}
 	}
 	traffic := g.traffic(service)
-	traffic.presence(to.Release).running++
+	traffic.release(to.Release).running++
 	run := Run{service: service, release: to.Release, counted: true}
 	if traffic.guard == nil {
 		return run
 	}
 	run.revision = traffic.guard.order.Revision
 	if to.Release == traffic.guard.order.Target {
-		run.part = partOf(to.Instance)
-		traffic.guard.sending()
+		run.group = groupOf(to.Instance)
+		traffic.guard.countSent()
 	}
 	return run
 }
@@ -182,9 +182,9 @@
 		return
 	}
 	traffic := g.services[run.service]
-	traffic.presence(run.release).running--
+	traffic.release(run.release).running--
 	if traffic.guard != nil && traffic.guard.order.Revision == run.revision {
-		traffic.guard.count(run.part, &sample)
+		traffic.guard.countAnswer(run.group, &sample)
 	}
 }
 
@@ -194,17 +194,17 @@
 	if !g.cfg.Bounds.Enabled() || !permit.sound() {
 		return
 	}
-	g.start(now)
+	g.startClock(now)
 	guard := g.guard(permit.Order)
 	if guard == nil || (permit.Fence < guard.fence && !g.hooks.ignoreFence) {
 		return
 	}
 	guard.fence = max(guard.fence, permit.Fence)
-	guard.learn(permit.Phase, permit.Proved)
-	if permit.Incarnation == g.cfg.Incarnation || g.hooks.ignoreLife {
+	guard.applyPhase(permit.Phase, permit.Proved)
+	if permit.Incarnation == g.cfg.Incarnation || g.hooks.ignoreIncarnation {
 		g.permit(now, guard, permit)
 	}
-	g.countBound()
+	g.countRestricted()
 }
 
 // permit makes a permit for this life the one that holds, unless it is older than that.
@@ -215,9 +215,9 @@
 	}
 	guard.permit = *permit
 	valid := g.cfg.Bounds.validity(permit.Phase)
-	guard.until = g.epoch.Add(permit.Clock + valid)
+	guard.permittedUntil = g.clockOrigin.Add(permit.Clock + valid)
 	if g.hooks.ignoreClock {
-		guard.until = now.Add(valid)
+		guard.permittedUntil = now.Add(valid)
 	}
 }
 
@@ -228,18 +228,18 @@
 	if traffic == nil || traffic.guard == nil {
 		return nil
 	}
-	g.start(now)
+	g.startClock(now)
 	guard := traffic.guard
 	report := &Report{
-		Service: service, Revision: guard.order.Revision, Incarnation: g.cfg.Incarnation, Clock: now.Sub(g.epoch),
-		Phase: guard.acts(now), Requests: guard.requests, Sent: guard.sent,
+		Service: service, Revision: guard.order.Revision, Incarnation: g.cfg.Incarnation, Clock: now.Sub(g.clockOrigin),
+		Phase: guard.actingPhase(now), Requests: guard.requests, Sent: guard.sent,
 		OtherRuns: traffic.runningElsewhere(guard.order.Target), Tallies: slices.Clone(guard.tallies),
 	}
 	for index := range report.Tallies {
 		report.Tallies[index].Times = slices.Clone(report.Tallies[index].Times)
 	}
 	if guard.permitted(now) {
-		report.PermitLeft = guard.until.Sub(now)
+		report.PermitLeft = guard.permittedUntil.Sub(now)
 	}
 	return report
 }
--- a/internal/canary/gate_test.go
+++ b/internal/canary/gate_test.go
@@ -11,36 +11,36 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-const testLife = 99
+const testIncarnation = 99
 
 var (
-	testEpoch = time.Unix(1_700_000_000, 0)
-	testOrder = Order{Service: modelService, Target: modelNew, Duration: 12 * time.Second, Revision: 7}
-	testAsk   = ChooseRequest{Service: modelService, Route: "draft", First: true}
+	testEpoch   = time.Unix(1_700_000_000, 0)
+	testOrder   = Order{Service: modelService, Target: modelNew, Duration: 12 * time.Second, Revision: 7}
+	testRequest = ChooseRequest{Service: modelService, Route: "draft", First: true}
 )
 
 // at returns a time of the test's gates, whose clock begins at 0.
 func at(clock time.Duration) time.Time { return testEpoch.Add(clock) }
 
-// guarded returns a gate at its time 0 that knows of the order, with both releases listed.
-func guarded() *Gate {
-	gate := NewGate(GateConfig{Incarnation: testLife, Bounds: modelBounds})
+// gateWithOrder returns a gate at its time 0 that knows of the order, with both releases listed.
+func gateWithOrder() *Gate {
+	gate := NewGate(GateConfig{Incarnation: testIncarnation, Bounds: modelBounds})
 	gate.SetReleases(at(0), modelService, []ident.Release{modelOld})
 	gate.SetReleases(at(0), modelService, []ident.Release{modelOld, modelNew})
 	gate.ApplySnapshot(at(0), at(time.Millisecond), Snapshot{Orders: []Order{testOrder}})
 	return gate
 }
 
-// allowing returns a permit for ten requests.
-func allowing() *Permit {
-	return &Permit{Order: testOrder, Fence: 2, Phase: Observing, Incarnation: testLife, Clock: time.Second, MaxSends: 10, Fraction: 1, MaxBackends: 3}
+// testPermit returns a permit for ten requests.
+func testPermit() *Permit {
+	return &Permit{Order: testOrder, Fence: 2, Phase: Observing, Incarnation: testIncarnation, Clock: time.Second, MaxSends: 10, Fraction: 1, MaxBackends: 3}
 }
 
-// sends returns how many of a number of first requests go to the target.
-func sends(gate *Gate, now time.Time, requests int) int {
+// countSends returns how many of a number of first requests go to the target.
+func countSends(gate *Gate, now time.Time, requests int) int {
 	count := 0
 	for range requests {
-		if releases := gate.Choose(now, testAsk); releases.Only == modelNew {
+		if releases := gate.Choose(now, testRequest); releases.Only == modelNew {
 			gate.Sent(now, modelService, record(modelNew, 0))
 			count++
 		}
@@ -56,35 +56,35 @@
 		want    int
 	}{
 		{"none", nil, time.Second, 0},
-		{"one", []*Permit{allowing()}, time.Second, 10},
-		{"repeated", []*Permit{allowing(), allowing()}, time.Second, 10},
-		{"shortly before its end", []*Permit{allowing()}, 1999 * time.Millisecond, 10},
-		{"after its end", []*Permit{allowing()}, 2 * time.Second, 0},
-		{"more", []*Permit{allowing(), changed(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 25 })}, 2 * time.Second, 25},
-		{"an older one late", []*Permit{changed(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 5 }), allowing()}, 2 * time.Second, 5},
-		{"halted", []*Permit{allowing(), changed(func(p *Permit) { p.Clock, p.Halted = 2*time.Second, true })}, time.Second, 0},
-		{"rolled back", []*Permit{allowing(), changed(func(p *Permit) { p.Phase = RolledBack })}, time.Second, 0},
-		{"promoting", []*Permit{changed(func(p *Permit) { p.Phase = Promoting })}, time.Second, 40},
-		{"promoting, after its end", []*Permit{changed(func(p *Permit) { p.Phase = Promoting })}, 3 * time.Second, 0},
-		{"of an older order", []*Permit{changed(func(p *Permit) { p.Order.Revision = 6 })}, time.Second, 0},
-		{"half of the requests", []*Permit{changed(func(p *Permit) { p.Fraction, p.MaxSends = 0.5, 100 })}, time.Second, 20},
-		{"unsound", []*Permit{changed(func(p *Permit) { p.Fraction = -1 })}, time.Second, 0},
+		{"one", []*Permit{testPermit()}, time.Second, 10},
+		{"repeated", []*Permit{testPermit(), testPermit()}, time.Second, 10},
+		{"shortly before its end", []*Permit{testPermit()}, 1999 * time.Millisecond, 10},
+		{"after its end", []*Permit{testPermit()}, 2 * time.Second, 0},
+		{"more", []*Permit{testPermit(), permitWith(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 25 })}, 2 * time.Second, 25},
+		{"an older one late", []*Permit{permitWith(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 5 }), testPermit()}, 2 * time.Second, 5},
+		{"halted", []*Permit{testPermit(), permitWith(func(p *Permit) { p.Clock, p.Halted = 2*time.Second, true })}, time.Second, 0},
+		{"rolled back", []*Permit{testPermit(), permitWith(func(p *Permit) { p.Phase = RolledBack })}, time.Second, 0},
+		{"promoting", []*Permit{permitWith(func(p *Permit) { p.Phase = Promoting })}, time.Second, 40},
+		{"promoting, after its end", []*Permit{permitWith(func(p *Permit) { p.Phase = Promoting })}, 3 * time.Second, 0},
+		{"of an older order", []*Permit{permitWith(func(p *Permit) { p.Order.Revision = 6 })}, time.Second, 0},
+		{"half of the requests", []*Permit{permitWith(func(p *Permit) { p.Fraction, p.MaxSends = 0.5, 100 })}, time.Second, 20},
+		{"unsound", []*Permit{permitWith(func(p *Permit) { p.Fraction = -1 })}, time.Second, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			gate := guarded()
+			gate := gateWithOrder()
 			for _, permit := range tt.permits {
 				gate.ApplyPermit(at(tt.at), permit)
 			}
-			is.Equal(sends(gate, at(tt.at), 40), tt.want)
+			is.Equal(countSends(gate, at(tt.at), 40), tt.want)
 		})
 	}
 }
 
-// changed returns a permit for ten requests with a change.
-func changed(change func(*Permit)) *Permit {
-	permit := allowing()
+// permitWith returns a permit for ten requests with a change.
+func permitWith(change func(*Permit)) *Permit {
+	permit := testPermit()
 	change(permit)
 	return permit
 }
@@ -98,24 +98,24 @@
 		permits []*Permit
 		at      time.Duration
 	}{
-		{"clock: a permit that waited in the socket of a frozen router", hooks{ignoreClock: true}, []*Permit{allowing()}, 5 * time.Second},
+		{"clock: a permit that waited in the socket of a frozen router", hooks{ignoreClock: true}, []*Permit{testPermit()}, 5 * time.Second},
 		{"fence: the holder before grants what the next one has halted", hooks{ignoreFence: true}, []*Permit{
-			changed(func(p *Permit) { p.Fence, p.Halted = 3, true }), allowing(),
+			permitWith(func(p *Permit) { p.Fence, p.Halted = 3, true }), testPermit(),
 		}, time.Second},
-		{"life: a permit for the life before", hooks{ignoreLife: true}, []*Permit{changed(func(p *Permit) { p.Incarnation = testLife - 1 })}, time.Second},
+		{"life: a permit for the life before", hooks{ignoreIncarnation: true}, []*Permit{permitWith(func(p *Permit) { p.Incarnation = testIncarnation - 1 })}, time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			for _, off := range []bool{false, true} {
-				gate := guarded()
+				gate := gateWithOrder()
 				if off {
 					gate.hooks = tt.off
 				}
 				for _, permit := range tt.permits {
 					gate.ApplyPermit(at(tt.at), permit)
 				}
-				is.Equal(sends(gate, at(tt.at), 40) > 0, off) // sent only without the guard
+				is.Equal(countSends(gate, at(tt.at), 40) > 0, off) // sent only without the guard
 			}
 		})
 	}
@@ -153,7 +153,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			gate := NewGate(GateConfig{Incarnation: testLife, Bounds: modelBounds})
+			gate := NewGate(GateConfig{Incarnation: testIncarnation, Bounds: modelBounds})
 			if tt.first != nil {
 				gate.SetReleases(at(0), modelService, tt.first)
 				gate.ApplySnapshot(at(0), at(time.Millisecond), Snapshot{})
@@ -164,7 +164,7 @@
 				confirmed = at(time.Second)
 			}
 			gate.ApplySnapshot(at(2*time.Second), confirmed, tt.known)
-			releases := gate.Choose(at(3*time.Second), testAsk)
+			releases := gate.Choose(at(3*time.Second), testRequest)
 			var allowed []ident.Release
 			for _, release := range tt.listed {
 				if releases.Allows(release) {
@@ -180,21 +180,21 @@
 func TestFinalPhaseStays(t *testing.T) {
 	for _, final := range []Phase{Succeeded, RolledBack} {
 		is := is.New(t)
-		gate := guarded()
-		gate.ApplyPermit(at(time.Second), changed(func(p *Permit) { p.Phase, p.Proved = final, []ident.Release{modelOld} }))
-		gate.ApplyPermit(at(time.Second), changed(func(p *Permit) { p.Fence, p.Phase, p.Clock = 9, Promoting, time.Second }))
+		gate := gateWithOrder()
+		gate.ApplyPermit(at(time.Second), permitWith(func(p *Permit) { p.Phase, p.Proved = final, []ident.Release{modelOld} }))
+		gate.ApplyPermit(at(time.Second), permitWith(func(p *Permit) { p.Fence, p.Phase, p.Clock = 9, Promoting, time.Second }))
 		is.Equal(gate.Report(at(time.Second), modelService).Phase, final)
 	}
 }
 
-func TestNextOrderBeginsAnew(t *testing.T) {
+func TestNextOrderReplacesGuard(t *testing.T) {
 	is := is.New(t)
 	third := ident.Release("v3")
-	gate := guarded()
+	gate := gateWithOrder()
 	gate.ApplySnapshot(at(time.Second), at(time.Second), Snapshot{States: []State{{Order: testOrder, Phase: RolledBack}}})
 	next := Order{Service: modelService, Target: third, Duration: time.Minute, Revision: 8}
 	gate.ApplySnapshot(at(2*time.Second), at(2*time.Second), Snapshot{Orders: []Order{next}})
-	releases := gate.Choose(at(2*time.Second), testAsk)
+	releases := gate.Choose(at(2*time.Second), testRequest)
 	is.True(releases.Allows(modelOld))
 	is.True(!releases.Allows(modelNew)) // it was rolled back
 	is.True(!releases.Allows(third))    // it is not proved
@@ -202,7 +202,7 @@
 
 // A router that was cut off during a verdict learns from the next order's state whether its
 // target has succeeded; one that was rolled back is never among the proved ones.
-func TestMissedVerdictIsLearnedFromTheNextOrder(t *testing.T) {
+func TestMissedVerdictFromNextOrder(t *testing.T) {
 	third := ident.Release("v3")
 	tests := []struct {
 		name   string
@@ -217,7 +217,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			gate := guarded()
+			gate := gateWithOrder()
 			if !tt.missed {
 				gate.ApplySnapshot(at(time.Second), at(time.Second), Snapshot{States: []State{{Order: testOrder, Phase: RolledBack}}})
 			}
@@ -225,16 +225,16 @@
 			gate.ApplySnapshot(at(2*time.Second), at(2*time.Second), Snapshot{Orders: []Order{next}, States: []State{
 				{Order: next, Phase: Observing, Proved: tt.proved},
 			}})
-			releases := gate.Choose(at(2*time.Second), testAsk)
+			releases := gate.Choose(at(2*time.Second), testRequest)
 			is.Equal(releases.Allows(modelNew), tt.want)
 			is.True(!releases.Allows(third))
 		})
 	}
 }
 
-func TestWithdrawnOrderBindsNothing(t *testing.T) {
+func TestWithdrawnOrderRestrictsNothing(t *testing.T) {
 	is := is.New(t)
-	gate := guarded()
+	gate := gateWithOrder()
 	is.True(gate.Active())
 	gate.ApplySnapshot(at(time.Second), at(time.Second), Snapshot{})
 	is.True(!gate.Active())
@@ -242,14 +242,14 @@
 
 func TestReportCounts(t *testing.T) {
 	is := is.New(t)
-	gate := NewGate(GateConfig{Incarnation: testLife, Bounds: modelBounds})
+	gate := NewGate(GateConfig{Incarnation: testIncarnation, Bounds: modelBounds})
 	early := gate.Sent(at(0), modelService, record(modelOld, 0))
 	gate.SetReleases(at(0), modelService, []ident.Release{modelOld, modelNew})
 	gate.ApplySnapshot(at(0), at(time.Millisecond), Snapshot{Orders: []Order{testOrder}})
-	gate.ApplyPermit(at(time.Second), allowing())
-	gate.Choose(at(time.Second), testAsk)
+	gate.ApplyPermit(at(time.Second), testPermit())
+	gate.Choose(at(time.Second), testRequest)
 	toNew := gate.Sent(at(time.Second), modelService, record(modelNew, 1))
-	gate.Choose(at(time.Second), testAsk)
+	gate.Choose(at(time.Second), testRequest)
 	toOld := gate.Sent(at(time.Second), modelService, record(modelOld, 1))
 	is.Equal(gate.Report(at(time.Second), modelService).OtherRuns, uint64(2)) // also that from before the order
 
@@ -262,26 +262,26 @@
 	is.Equal(report.OtherRuns, uint64(0))
 	is.Equal(report.PermitLeft, 500*time.Millisecond)
 	is.True(slices.EqualFunc(report.Tallies, []Tally{
-		{Route: "draft", Group: partOf("v2-1"), Answers: 1, Failures: 1},
+		{Route: "draft", Group: groupOf("v2-1"), Answers: 1, Failures: 1},
 		{Route: "draft", Answers: 1, Times: Histogram{0, 0, 0, 0, 1}},
 	}, func(a, b Tally) bool {
 		return a.Group == b.Group && a.Answers == b.Answers && a.Failures == b.Failures && slices.Equal(a.Times, b.Times)
 	}))
 }
 
-func TestDeclinedGrantIsUsedLater(t *testing.T) {
+func TestDeclinedGrantIsReused(t *testing.T) {
 	is := is.New(t)
-	gate := guarded()
-	gate.ApplyPermit(at(time.Second), changed(func(p *Permit) { p.MaxSends = 1 }))
-	is.Equal(gate.Choose(at(time.Second), testAsk).Only, modelNew)
-	is.Equal(gate.Choose(at(time.Second), testAsk).Only, ident.Release("")) // the only grant is taken
+	gate := gateWithOrder()
+	gate.ApplyPermit(at(time.Second), permitWith(func(p *Permit) { p.MaxSends = 1 }))
+	is.Equal(gate.Choose(at(time.Second), testRequest).Only, modelNew)
+	is.Equal(gate.Choose(at(time.Second), testRequest).Only, ident.Release("")) // the only grant is taken
 	gate.Declined(modelService)
-	is.Equal(gate.Choose(at(time.Second), testAsk).Only, modelNew)
+	is.Equal(gate.Choose(at(time.Second), testRequest).Only, modelNew)
 }
 
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
-	gate := guarded()
+	gate := gateWithOrder()
 	for route := range 10 {
 		for instance := range 50 {
 			run := gate.Sent(at(time.Second), modelService, record(modelNew, instance))
@@ -293,10 +293,10 @@
 	is.True(report.sound())
 }
 
-func TestRepeatsAvoidTheTarget(t *testing.T) {
+func TestRetriesAvoidTarget(t *testing.T) {
 	is := is.New(t)
-	gate := guarded()
-	gate.ApplyPermit(at(time.Second), allowing())
+	gate := gateWithOrder()
+	gate.ApplyPermit(at(time.Second), testPermit())
 	for range 20 { // one of them would be the turn of the route, as the part is all
 		releases := gate.Choose(at(time.Second), ChooseRequest{Service: modelService, Route: "draft", Excluded: 1})
 		is.True(!releases.Allows(modelNew))
@@ -304,9 +304,9 @@
 	is.Equal(gate.Choose(at(time.Second), ChooseRequest{Service: modelService, Route: "draft", First: true}).Only, modelNew)
 }
 
-func TestUnguardedFleetPaysNothing(t *testing.T) {
+func TestDisabledGateCountsNothing(t *testing.T) {
 	is := is.New(t)
-	gate := NewGate(GateConfig{Incarnation: testLife})
+	gate := NewGate(GateConfig{Incarnation: testIncarnation})
 	gate.ApplySnapshot(at(0), at(0), Snapshot{Orders: []Order{testOrder}})
 	gate.SetReleases(at(0), modelService, []ident.Release{modelOld, modelNew})
 	is.True(!gate.Active())
@@ -314,7 +314,7 @@
 	is.Equal(gate.Report(at(0), modelService), nil)
 }
 
-func TestNarrowIsTheSameEverywhere(t *testing.T) {
+func TestSelectIgnoresInputOrder(t *testing.T) {
 	is := is.New(t)
 	releases := backend.Releases{Only: modelNew, MaxBackends: 3, Seed: 7}
 	names := []ident.Incarnation{"a", "b", "c", "d", "e", "f"}
--- a/internal/canary/guards_test.go
+++ b/internal/canary/guards_test.go
@@ -7,28 +7,28 @@
 	"github.com/matryer/is"
 )
 
-// condemning is a verdict to which every target with an answer is bad.
-type condemning struct{ sequential }
+// alwaysRejecting is a verdict to which every target with an answer is bad.
+type alwaysRejecting struct{ sequentialEvaluator }
 
-func (c *condemning) bad(bool) string {
-	if c.total() == 0 {
+func (c *alwaysRejecting) rejection(bool) string {
+	if c.targetAnswers() == 0 {
 		return ""
 	}
 	return "bad"
 }
 
-// TestBadTargetIsStoppedBeforeTheVerdictIsStored shows that routers are told to stop from the
+// TestBadTargetHaltsBeforeWrite shows that routers are told to stop from the
 // moment at which a target is found bad, though the store gives no answer to the verdict.
-func TestBadTargetIsStoppedBeforeTheVerdictIsStored(t *testing.T) {
+func TestBadTargetHaltsBeforeWrite(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(hooks{newVerdict: func() verdict { return &condemning{} }})
+	d := newHarness(hooks{newEvaluator: func() evaluator { return &alwaysRejecting{} }})
 	d.observe(testOrder)
 	d.director.SetLease(at(d.now), 1)
 	for range 10 {
 		d.step()
 	}
-	is.True(!d.told[len(d.told)-1].Permit.Halted)
-	d.deaf = true
+	is.True(!d.permits[len(d.permits)-1].Permit.Halted)
+	d.dropWrites = true
 	report := &Report{Service: modelService, Revision: testOrder.Revision, Incarnation: 1, Phase: Observing, Requests: 50, Sent: 5}
 	for second := range 2 {
 		report.Clock, report.Tallies = d.now+time.Second, []Tally{
@@ -41,32 +41,32 @@
 		}
 	}
 	is.Equal(d.states[modelService].Phase, Observing)
-	is.True(d.told[len(d.told)-1].Permit.Halted)
+	is.True(d.permits[len(d.permits)-1].Permit.Halted)
 }
 
-// doubting is a verdict to which there is doubt, whatever comes.
-type doubting struct{ sequential }
+// alwaysInconclusive is a verdict to which there is doubt, whatever comes.
+type alwaysInconclusive struct{ sequentialEvaluator }
 
-func (d *doubting) doubt(bool, bool) string { return "in doubt" }
+func (d *alwaysInconclusive) inconclusive(bool, bool) string { return "in doubt" }
 
-// TestDoubtfulTargetIsNotPromoted shows that a target against which there is evidence, too
+// TestInconclusiveTargetIsNotPromoted shows that a target against which there is evidence, too
 // little of it to be bad, gets no more than its share.
-func TestDoubtfulTargetIsNotPromoted(t *testing.T) {
+func TestInconclusiveTargetIsNotPromoted(t *testing.T) {
 	is := is.New(t)
-	h := calmHistory()
-	h.hooks.newVerdict = func() verdict { return &doubting{} }
+	h := undisturbedHistory()
+	h.hooks.newEvaluator = func() evaluator { return &alwaysInconclusive{} }
 	got := newModel(h).play()
 	is.Equal(got.verdicts, []Phase{RolledBack})
 	is.Equal(got.reason, "in doubt")
 	is.Equal(got.promoted, time.Duration(0))
-	is.Equal(got.broken, nil)
+	is.Equal(got.violations, nil)
 }
 
-// TestTakeoverJudgesBeforeItGrants shows that a new holder grants nothing until most routers
+// TestTakeoverEvaluatesBeforeGrants shows that a new holder grants nothing until most routers
 // can have reported what they had counted before.
-func TestTakeoverJudgesBeforeItGrants(t *testing.T) {
+func TestTakeoverEvaluatesBeforeGrants(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(hooks{})
+	d := newHarness(hooks{})
 	d.observe(testOrder)
 	d.states[modelService] = State{Order: testOrder, Phase: Observing, Ceiling: 10, Fence: 4}
 	d.versions[modelService] = 3
@@ -83,25 +83,25 @@
 			Tallies: []Tally{{Route: "draft", Answers: 900}, {Route: "draft", Group: 7, Answers: sent}},
 		})
 		d.step()
-		for _, told := range d.told {
-			is.True(told.Permit.MaxSends <= sent || (owned > 0 && d.now-owned >= settleFor))
+		for _, told := range d.permits {
+			is.True(told.Permit.MaxSends <= sent || (owned > 0 && d.now-owned >= settleTime))
 		}
 	}
-	is.True(d.told[len(d.told)-1].Permit.MaxSends > sent)
+	is.True(d.permits[len(d.permits)-1].Permit.MaxSends > sent)
 }
 
-// TestPulsesShowWhatIsBadUnderLoad shows that few back ends of the target get the usual load
+// TestPulsesRevealLoadFailures shows that few back ends of the target get the usual load
 // for long enough: one that fails from that load on only would otherwise be promoted.
-func TestPulsesShowWhatIsBadUnderLoad(t *testing.T) {
+func TestPulsesRevealLoadFailures(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(24) {
-		h := calmHistory()
+		h := undisturbedHistory()
 		h.seed, h.rate = seed, 400
-		h.routes = []modelRoute{{name: "draft", part: 1, usual: 400 * time.Millisecond}}
+		h.routes = []modelRoute{{name: "draft", share: 1, usual: 400 * time.Millisecond}}
 		h.addBad(fault{failures: 0.3, load: h.usualLoad()})
 		got := newModel(h).play()
 		is.Equal(got.verdicts, []Phase{RolledBack})
 		is.Equal(got.promoted, time.Duration(0))
-		is.Equal(got.broken, nil)
+		is.Equal(got.violations, nil)
 	}
 }
--- a/internal/canary/histories_test.go
+++ b/internal/canary/histories_test.go
@@ -13,21 +13,21 @@
 	"github.com/fieldpond/fieldpond/internal/backend"
 )
 
-const forever = time.Hour
+const allHistory = time.Hour
 
 // drawHistory draws a fleet and an order without any trouble.
 func drawHistory(seed uint64, random *rand.Rand) history {
-	fleets := []struct{ routers, old int }{{12, 8}, {12, 24}, {30, 40}, {83, 70}}
-	fleet := fleets[random.IntN(len(fleets))]
+	sizes := []struct{ routers, old int }{{12, 8}, {12, 24}, {30, 40}, {83, 70}}
+	size := sizes[random.IntN(len(sizes))]
 	return history{
-		seed: seed, routers: fleet.routers, old: fleet.old, new: fleet.old,
+		seed: seed, routers: size.routers, old: size.old, new: size.old,
 		rate: 450 + 150*random.Float64(), duration: time.Duration(12+random.IntN(9)) * time.Second,
 		routes: []modelRoute{
-			{name: "draft", part: 0.4, usual: 150 * time.Millisecond, failures: 0.002, cached: 0.35},
-			{name: "commit", part: 0.3, usual: 60 * time.Millisecond, failures: 0.01},
-			{name: "lookup", part: 0.3, usual: 80 * time.Millisecond},
+			{name: "draft", share: 0.4, usual: 150 * time.Millisecond, failures: 0.002, cached: 0.35},
+			{name: "commit", share: 0.3, usual: 60 * time.Millisecond, failures: 0.01},
+			{name: "lookup", share: 0.3, usual: 80 * time.Millisecond},
 		},
-		lookEvery:    500 * time.Millisecond,
+		readInterval: 500 * time.Millisecond,
 		targetListed: time.Duration(random.IntN(1500)) * time.Millisecond,
 	}
 }
@@ -38,19 +38,19 @@
 	return modelStart + scale(h.duration, part).Truncate(modelStep)
 }
 
-// trouble is something that a history may meet.
-type trouble struct {
+// disturbance is something that a history may meet.
+type disturbance struct {
 	name string
 	add  func(h *history, random *rand.Rand)
 }
 
-// some returns a few indexes below a number.
-func some(random *rand.Rand, count, below int) []int {
+// randomIndexes returns a few indexes below a number.
+func randomIndexes(random *rand.Rand, count, below int) []int {
 	return random.Perm(below)[:min(count, below)]
 }
 
-// inUse returns the index of a back end of the target that is in use.
-func (h *history) inUse(random *rand.Rand) []int {
+// testedBackend returns the index of a back end of the target that is in use.
+func (h *history) testedBackend(random *rand.Rand) []int {
 	m := newModel(*h)
 	releases := permitReleases(h)
 	chosen := releases.Select(append(m.instances[:0:0], m.instances...))
@@ -63,31 +63,31 @@
 }
 
 // badKinds are the ways in which a target is bad.
-var badKinds = []trouble{
+var badKinds = []disturbance{
 	{"10 in 100 fail on one route", func(h *history, random *rand.Rand) {
 		h.addBad(fault{route: h.anyRoute(random), failures: 0.1})
 	}},
 	{"3 times slower on one route", func(h *history, random *rand.Rand) {
-		h.addBad(fault{route: h.anyRoute(random), times: 3})
+		h.addBad(fault{route: h.anyRoute(random), slowdown: 3})
 	}},
 	{"30 in 100 fail at once", func(h *history, _ *rand.Rand) { h.addBad(fault{failures: 0.3}) }},
-	{"30 in 100 are 4 times slower", func(h *history, _ *rand.Rand) { h.addBad(fault{times: 4, part: 0.3}) }},
+	{"30 in 100 are 4 times slower", func(h *history, _ *rand.Rand) { h.addBad(fault{slowdown: 4, slowFraction: 0.3}) }},
 	{"late, 30 in 100 fail on one route", func(h *history, random *rand.Rand) {
 		h.addBad(fault{from: h.within(random, 0.2, 0.4), route: h.anyRoute(random), failures: 0.3})
 	}},
 	{"late, 4 times slower", func(h *history, random *rand.Rand) {
-		h.addBad(fault{from: h.within(random, 0.2, 0.4), times: 4})
+		h.addBad(fault{from: h.within(random, 0.2, 0.4), slowdown: 4})
 	}},
 	{"under load, 30 in 100 fail", func(h *history, _ *rand.Rand) {
 		h.addBad(fault{failures: 0.3, load: h.usualLoad()})
 	}},
 	{"under load, 3 times slower", func(h *history, _ *rand.Rand) {
-		h.addBad(fault{times: 3, load: h.usualLoad()})
+		h.addBad(fault{slowdown: 3, load: h.usualLoad()})
 	}},
 }
 
 func (h *history) addBad(bad fault) {
-	bad.target, bad.bad, bad.until = true, true, forever
+	bad.target, bad.bad, bad.until = true, true, allHistory
 	h.faults = append(h.faults, bad)
 }
 
@@ -99,27 +99,27 @@
 func (h *history) usualLoad() int {
 	mean := 0.0
 	for _, route := range h.routes {
-		mean += route.part * route.usual.Seconds()
+		mean += route.share * route.usual.Seconds()
 	}
 	return max(1, int(mean*h.rate/float64(h.old)+0.5))
 }
 
-// troubles are what also may happen, whether the target is good or bad.
-var troubles = []trouble{
+// disturbances are what also may happen, whether the target is good or bad.
+var disturbances = []disturbance{
 	{"one of its back ends in use is grey", func(h *history, random *rand.Rand) {
-		h.faults = append(h.faults, fault{until: forever, target: true, on: h.inUse(random), failures: 0.3})
+		h.faults = append(h.faults, fault{until: allHistory, target: true, on: h.testedBackend(random), failures: 0.3})
 	}},
 	{"one of its back ends in use is 5 times slower", func(h *history, random *rand.Rand) {
-		h.faults = append(h.faults, fault{until: forever, target: true, on: h.inUse(random), times: 5})
+		h.faults = append(h.faults, fault{until: allHistory, target: true, on: h.testedBackend(random), slowdown: 5})
 	}},
 	{"one of its back ends crashes", func(h *history, random *rand.Rand) {
-		h.faults = append(h.faults, fault{from: h.within(random, 0.1, 0.6), until: forever, target: true, on: h.inUse(random), silent: true})
+		h.faults = append(h.faults, fault{from: h.within(random, 0.1, 0.6), until: allHistory, target: true, on: h.testedBackend(random), silent: true})
 	}},
 	{"old back ends turn grey", func(h *history, random *rand.Rand) {
-		h.faults = append(h.faults, fault{from: h.within(random, 0, 0.5), until: forever, on: some(random, 2, h.old), failures: 0.3})
+		h.faults = append(h.faults, fault{from: h.within(random, 0, 0.5), until: allHistory, on: randomIndexes(random, 2, h.old), failures: 0.3})
 	}},
 	{"old back ends turn slow", func(h *history, random *rand.Rand) {
-		h.faults = append(h.faults, fault{from: h.within(random, 0, 0.5), until: forever, on: some(random, max(1, h.old/10), h.old), times: 5})
+		h.faults = append(h.faults, fault{from: h.within(random, 0, 0.5), until: allHistory, on: randomIndexes(random, max(1, h.old/10), h.old), slowdown: 5})
 	}},
 	{"requests that every back end fails", func(h *history, random *rand.Rand) {
 		from, route := h.within(random, 0, 0.6), h.anyRoute(random)
@@ -131,7 +131,7 @@
 		from := h.within(random, 0, 0.6)
 		h.burst = [2]time.Duration{from, from + 3*time.Second}
 		for _, target := range []bool{false, true} {
-			h.faults = append(h.faults, fault{from: from, until: from + 3*time.Second, target: target, times: 4})
+			h.faults = append(h.faults, fault{from: from, until: from + 3*time.Second, target: target, slowdown: 4})
 		}
 	}},
 	{"new weights", func(h *history, random *rand.Rand) {
@@ -155,7 +155,7 @@
 		h.outages = append(h.outages, outage{from: from, until: from + 4*time.Second, router: -1, cut: true})
 	}},
 	{"routers killed, frozen and cut off", func(h *history, random *rand.Rand) {
-		for _, index := range some(random, h.routers/4, h.routers) {
+		for _, index := range randomIndexes(random, h.routers/4, h.routers) {
 			from := h.within(random, 0, 0.9)
 			kind := random.IntN(3)
 			h.outages = append(h.outages, outage{
@@ -175,10 +175,10 @@
 type outcomes struct {
 	mutex                                  sync.Mutex
 	histories, succeeded, rolledBack, open int
-	late, lostLate, promoted               int
+	late, holderLostLate, promoted         int
 	bad, sent, requests                    int
 	seconds                                float64
-	broken, wrong                          []string
+	violations, wrong                      []string
 }
 
 // add counts one history.
@@ -189,15 +189,15 @@
 	o.bad += got.bad
 	o.sent += got.sent
 	o.requests += got.requests
-	o.seconds += got.at.Seconds()
+	o.seconds += got.decidedAt.Seconds()
 	if got.promoted > 0 {
 		o.promoted++
 	}
-	if len(got.broken) > 0 {
-		o.broken = append(o.broken, fmt.Sprintf("seed %d (%s): %s", h.seed, name, got.broken[0]))
+	if len(got.violations) > 0 {
+		o.violations = append(o.violations, fmt.Sprintf("seed %d (%s): %s", h.seed, name, got.violations[0]))
 	}
 	isBad := len(h.faults) > 0 && h.faults[0].bad
-	lost := !isBad && h.lostLate(got.holderLost)
+	lost := !isBad && h.holderLostLate(got.holderLost)
 	right := Succeeded
 	if isBad {
 		right = RolledBack
@@ -210,22 +210,22 @@
 	default:
 		o.rolledBack++
 	}
-	if got.at > h.duration {
+	if got.decidedAt > h.duration {
 		o.late++
 	}
-	wrong := len(got.verdicts) != 1 || got.verdicts[0] != right || got.at > h.duration
+	wrong := len(got.verdicts) != 1 || got.verdicts[0] != right || got.decidedAt > h.duration
 	if wrong && lost {
-		o.lostLate++
+		o.holderLostLate++
 	}
 	if wrong || (isBad && got.promoted > 0) {
-		o.wrong = append(o.wrong, fmt.Sprintf("seed %d (%s): %v at %v of %v: %s", h.seed, name, got.verdicts, got.at, h.duration, got.reason))
+		o.wrong = append(o.wrong, fmt.Sprintf("seed %d (%s): %v at %v of %v: %s", h.seed, name, got.verdicts, got.decidedAt, h.duration, got.reason))
 	}
 }
 
-// lostLate reports whether the holder was lost so late that the lease was vacant until a
+// holderLostLate reports whether the holder was lost so late that the lease was vacant until a
 // target that was not yet promoted could not be promoted any more, or until the deadline.
-func (h *history) lostLate(at time.Duration) bool {
-	return at > 0 && at+modelLease > h.duration-lastWrite-switchFor-2*settleFor
+func (h *history) holderLostLate(at time.Duration) bool {
+	return at > 0 && at+modelLease > h.duration-lastWriteMargin-minSwitchTime-2*settleTime
 }
 
 // merge adds other outcomes.
@@ -235,7 +235,7 @@
 	o.rolledBack += more.rolledBack
 	o.open += more.open
 	o.late += more.late
-	o.lostLate += more.lostLate
+	o.holderLostLate += more.holderLostLate
 	o.promoted += more.promoted
 	o.bad += more.bad
 	o.sent += more.sent
@@ -247,14 +247,14 @@
 func (o *outcomes) String() string {
 	count := float64(max(o.histories, 1))
 	return fmt.Sprintf("%d histories: %d succeeded, %d rolled back, %d without one verdict, %d late, %d wrong since the holder was lost late, %d promoted; %.1f s to the verdict, exposure %.3f, %.1f bad answers",
-		o.histories, o.succeeded, o.rolledBack, o.open, o.late, o.lostLate, o.promoted,
+		o.histories, o.succeeded, o.rolledBack, o.open, o.late, o.holderLostLate, o.promoted,
 		o.seconds/count, float64(o.sent)/float64(max(o.requests, 1)), float64(o.bad)/count)
 }
 
 // report prints what came of histories, and fails if a promise was broken.
 func (o *outcomes) report(t *testing.T, name string) {
 	t.Logf("%s: %v", name, o)
-	for _, broken := range o.broken[:min(len(o.broken), 3)] {
+	for _, broken := range o.violations[:min(len(o.violations), 3)] {
 		t.Errorf("%s: broken: %s", name, broken)
 	}
 	for _, wrong := range o.wrong[:min(len(o.wrong), 4)] {
@@ -283,35 +283,35 @@
 	return sum
 }
 
-// histories returns how many histories of a kind are played: a few by default, more if the
+// historyCount returns how many histories of a kind are played: a few by default, more if the
 // environment says so.
-func histories(few int) int {
+func historyCount(few int) int {
 	if count, err := strconv.Atoi(os.Getenv("FIELDPOND_CANARY_HISTORIES")); err == nil {
 		return count
 	}
 	return few
 }
 
-// most is the part of the histories of a kind that may end with the wrong verdict when many
+// maxWrongFraction is the part of the histories of a kind that may end with the wrong verdict when many
 // are played. The holder of a short order that is lost just before the target is promoted
 // has no successor in time: that is not counted as wrong.
-const most = 1.0 / 200
+const maxWrongFraction = 1.0 / 200
 
 // Every kind of trouble is played with a few seeds by default, and with as many as
 // FIELDPOND_CANARY_HISTORIES says for the figures of the design note.
 func TestGoodTargetsSucceed(t *testing.T) {
-	kinds := append([]trouble{{"no trouble", func(*history, *rand.Rand) {}}}, troubles...)
+	kinds := append([]disturbance{{"no trouble", func(*history, *rand.Rand) {}}}, disturbances...)
 	all := &outcomes{}
 	for _, tt := range kinds {
-		got := playAll(histories(2), func(seed uint64) (history, string) { return drawGood(seed, tt), tt.name })
+		got := playAll(historyCount(2), func(seed uint64) (history, string) { return drawGood(seed, tt), tt.name })
 		got.report(t, tt.name)
 		all.merge(got)
 	}
 	t.Logf("all: %v", all)
-	if wrong := all.histories - all.succeeded - all.lostLate; float64(wrong) > most*float64(all.histories) {
+	if wrong := all.histories - all.succeeded - all.holderLostLate; float64(wrong) > maxWrongFraction*float64(all.histories) {
 		t.Errorf("%d good targets of %d did not succeed", wrong, all.histories)
 	}
-	if all.late > all.lostLate {
+	if all.late > all.holderLostLate {
 		t.Errorf("%d verdicts came late", all.late)
 	}
 }
@@ -319,19 +319,19 @@
 func TestBadTargetsAreRolledBack(t *testing.T) {
 	all := &outcomes{}
 	for _, tt := range badKinds {
-		got := playAll(histories(3), func(seed uint64) (history, string) { return drawBad(seed, tt) })
+		got := playAll(historyCount(3), func(seed uint64) (history, string) { return drawBad(seed, tt) })
 		got.report(t, tt.name)
 		all.merge(got)
 	}
 	t.Logf("all: %v", all)
 	// One that is promoted gets all requests, though it may be rolled back after that.
-	if all.promoted > int(most*float64(all.histories)) {
+	if all.promoted > int(maxWrongFraction*float64(all.histories)) {
 		t.Errorf("%d bad targets of %d were promoted, %d succeeded", all.promoted, all.histories, all.succeeded)
 	}
 }
 
 // permitReleases returns the choice of the target's back ends that a permit names.
 func permitReleases(h *history) backend.Releases {
-	count := engines{others: h.old}
-	return backend.Releases{MaxBackends: count.among(modelBounds.Share), Seed: 7}
+	count := backendCounts{others: h.old}
+	return backend.Releases{MaxBackends: count.testedBackends(modelBounds.Share), Seed: 7}
 }
--- a/internal/canary/hooks.go
+++ b/internal/canary/hooks.go
@@ -3,15 +3,15 @@
 // hooks switch guards off in tests, which show that each of them is needed, and put another
 // verdict in the place of the sequential one, for a comparison.
 type hooks struct {
-	ignoreClock, ignoreFence, ignoreLife, ignoreCeiling bool
+	ignoreClock, ignoreFence, ignoreIncarnation, ignoreCeiling bool
 
-	newVerdict func() verdict
+	newEvaluator func() evaluator
 }
 
-// verdict returns the verdict of a new rollout.
-func (h *hooks) verdict() verdict {
-	if h.newVerdict != nil {
-		return h.newVerdict()
+// evaluator returns the verdict of a new rollout.
+func (h *hooks) evaluator() evaluator {
+	if h.newEvaluator != nil {
+		return h.newEvaluator()
 	}
-	return &sequential{}
+	return &sequentialEvaluator{}
 }
--- a/internal/canary/model_test.go
+++ b/internal/canary/model_test.go
@@ -28,7 +28,7 @@
 // modelRoute is a kind of request.
 type modelRoute struct {
 	name     string
-	part     float64
+	share    float64
 	usual    time.Duration
 	failures float64
 	// cached is the part of the usual time in which a back end answers that has the
@@ -44,9 +44,9 @@
 	on     []int
 	route  string
 	// failures is the part of the answers that fail, times by what the rest is slower.
-	failures, times float64
-	// part is the part of the answers that are slower; 0 means all.
-	part float64
+	failures, slowdown float64
+	// slowFraction is the part of the answers that are slower; 0 means all.
+	slowFraction float64
 	// silent back ends give no answer; paused ones give it when the fault is over.
 	silent, paused bool
 	// load is the number of runs under way at a back end from which the fault shows.
@@ -77,7 +77,7 @@
 	loss         float64
 	slowStore    [2]time.Duration
 	burst        [2]time.Duration
-	lookEvery    time.Duration
+	readInterval time.Duration
 	hooks        hooks
 	targetListed time.Duration
 	// endsAt is when requests cease to come, if it is set.
@@ -90,14 +90,14 @@
 
 // modelRouter is one router of the model.
 type modelRouter struct {
-	address netip.AddrPort
-	gate    *Gate
-	life    uint64
-	// lookAt is when it reads orders and back ends next.
-	lookAt time.Duration
-	// troubledUntil is the end of its last outage.
-	troubledUntil time.Duration
-	inbox         []datagram
+	address     netip.AddrPort
+	gate        *Gate
+	incarnation uint64
+	// nextReadAt is when it reads orders and back ends next.
+	nextReadAt time.Duration
+	// disturbedUntil is the end of its last outage.
+	disturbedUntil time.Duration
+	inbox          []datagram
 	// listed says that it knows of the target's back ends.
 	listed bool
 }
@@ -112,18 +112,18 @@
 
 // result is what the model has counted.
 type result struct {
-	verdicts []Phase
-	finals   []State
-	reason   string
-	at       time.Duration
-	promoted time.Duration
+	verdicts  []Phase
+	finals    []State
+	reason    string
+	decidedAt time.Duration
+	promoted  time.Duration
 	// holderLost is when the holder was last lost, before the verdict.
-	holderLost time.Duration
-	requests   int
-	sent       int
-	bad        int
-	fiftieth   time.Duration
-	broken     []string
+	holderLost    time.Duration
+	requests      int
+	sent          int
+	bad           int
+	fiftiethBadAt time.Duration
+	violations    []string
 }
 
 // event is something that happens later.
@@ -165,8 +165,8 @@
 	fence       uint64
 	leaseUntil  time.Duration
 	busy        map[ident.Incarnation]int
-	oldOnes     []backend.Record
-	newOnes     []backend.Record
+	oldRecords  []backend.Record
+	newRecords  []backend.Record
 	instances   []ident.Incarnation
 	result      result
 	othersAfter time.Duration
@@ -178,17 +178,17 @@
 		directors: map[int]*Director{}, holder: -1, busy: map[ident.Incarnation]int{},
 	}
 	for index := range h.old {
-		m.oldOnes = append(m.oldOnes, record(modelOld, index))
+		m.oldRecords = append(m.oldRecords, record(modelOld, index))
 	}
 	for index := range h.new {
-		m.newOnes = append(m.newOnes, record(modelNew, index))
-		m.instances = append(m.instances, m.newOnes[index].Instance)
+		m.newRecords = append(m.newRecords, record(modelNew, index))
+		m.instances = append(m.instances, m.newRecords[index].Instance)
 	}
 	for index := range h.routers {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(index / 250), byte(index%250 + 1)}), 7000)
-		router := &modelRouter{address: address, lookAt: time.Duration(m.random.IntN(1000)) * time.Millisecond}
+		router := &modelRouter{address: address, nextReadAt: time.Duration(m.random.IntN(1000)) * time.Millisecond}
 		m.routers = append(m.routers, router)
-		m.live(router)
+		m.restart(router)
 		m.directors[index] = m.newDirector()
 	}
 	return m
@@ -199,24 +199,24 @@
 	return backend.Record{Instance: instance, Service: modelService, Release: release, Slots: 24}
 }
 
-// live gives a router a new life.
-func (m *model) live(router *modelRouter) {
-	router.life = m.random.Uint64()
-	router.gate = NewGate(GateConfig{Incarnation: router.life, Bounds: modelBounds})
+// restart gives a router a new life.
+func (m *model) restart(router *modelRouter) {
+	router.incarnation = m.random.Uint64()
+	router.gate = NewGate(GateConfig{Incarnation: router.incarnation, Bounds: modelBounds})
 	router.gate.hooks = m.hooks
 	router.inbox, router.listed = nil, false
 }
 
 func (m *model) time() time.Time { return m.epoch.Add(m.now) }
 
-func (m *model) later(after time.Duration, do func()) {
+func (m *model) schedule(after time.Duration, do func()) {
 	m.queued++
 	heap.Push(&m.events, event{at: m.now + after, order: m.queued, do: do})
 }
 
-func (m *model) brokenf(format string, args ...any) {
-	if len(m.result.broken) < 3 {
-		m.result.broken = append(m.result.broken, fmt.Sprintf("%v: ", m.now)+fmt.Sprintf(format, args...))
+func (m *model) violationf(format string, args ...any) {
+	if len(m.result.violations) < 3 {
+		m.result.violations = append(m.result.violations, fmt.Sprintf("%v: ", m.now)+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -237,12 +237,12 @@
 	for len(m.events) > 0 && m.events[0].at <= m.now {
 		heap.Pop(&m.events).(event).do()
 	}
-	m.trouble()
+	m.applyOutages()
 	m.lease()
 	for index, router := range m.routers {
-		m.look(index, router)
+		m.readStore(index, router)
 		m.receive(index, router)
 	}
-	m.direct()
-	m.arrive()
+	m.stepDirectors()
+	m.generateRequests()
 }
--- a/internal/canary/modelwork_test.go
+++ b/internal/canary/modelrequests_test.go
@@ -8,8 +8,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// arrive lets requests come.
-func (m *model) arrive() {
+// generateRequests lets requests come.
+func (m *model) generateRequests() {
 	rate := m.rate
 	if m.now >= m.burst[0] && m.now < m.burst[1] {
 		rate *= 2
@@ -34,7 +34,7 @@
 func (m *model) route() *modelRoute {
 	pick := m.random.Float64()
 	for index := range m.routes {
-		if pick -= m.routes[index].part; pick < 0 {
+		if pick -= m.routes[index].share; pick < 0 {
 			return &m.routes[index]
 		}
 	}
@@ -65,13 +65,13 @@
 		if !listed || !releases.Allows(modelNew) {
 			return
 		}
-		to = m.newOnes[m.random.IntN(len(m.newOnes))]
+		to = m.newRecords[m.random.IntN(len(m.newRecords))]
 	case listed && releases.Allows(modelNew):
-		to = m.newOnes[m.random.IntN(len(m.newOnes))]
+		to = m.newRecords[m.random.IntN(len(m.newRecords))]
 	default:
-		to = m.oldOnes[m.random.IntN(len(m.oldOnes))]
+		to = m.oldRecords[m.random.IntN(len(m.oldRecords))]
 	}
-	m.judgeSend(index, to.Release)
+	m.checkSend(index, to.Release)
 	run := gate.Sent(m.time(), modelService, to)
 	m.busy[to.Instance]++
 	m.run(router, gate, run, route, to)
@@ -81,18 +81,18 @@
 func (m *model) pickNew(releases *backend.Releases) backend.Record {
 	narrowed := releases.Select(slices.Clone(m.instances))
 	instance := narrowed[m.random.IntN(len(narrowed))]
-	return m.newOnes[slices.Index(m.instances, instance)]
+	return m.newRecords[slices.Index(m.instances, instance)]
 }
 
-// judgeSend checks the promises at the moment of a send.
-func (m *model) judgeSend(index int, release ident.Release) {
+// checkSend checks the promises at the moment of a send.
+func (m *model) checkSend(index int, release ident.Release) {
 	if m.now < modelStart {
 		return
 	}
 	if release != modelNew {
-		if m.state.Phase == Succeeded && m.calm(index) && m.othersAfter == 0 && m.now-modelStart < m.result.at+permitFor/4 {
+		if m.state.Phase == Succeeded && m.undisturbed(index) && m.othersAfter == 0 && m.now-modelStart < m.result.decidedAt+permitValidity/4 {
 			m.othersAfter = m.now
-			m.brokenf("router %d sends to others after success", index)
+			m.violationf("router %d sends to others after success", index)
 		}
 		return
 	}
@@ -101,22 +101,22 @@
 	}
 	m.result.sent++
 	if allowed := modelBounds.Share*float64(m.result.requests) + modelBounds.Slack; float64(m.result.sent) > allowed {
-		m.brokenf("%d sent to the target, %.0f allowed", m.result.sent, allowed)
+		m.violationf("%d sent to the target, %.0f allowed", m.result.sent, allowed)
 	}
-	if m.result.fiftieth > 0 && m.now > m.result.fiftieth+modelRollback {
-		m.brokenf("sent %v after the 50th bad answer", m.now-m.result.fiftieth)
+	if m.result.fiftiethBadAt > 0 && m.now > m.result.fiftiethBadAt+modelRollback {
+		m.violationf("sent %v after the 50th bad answer", m.now-m.result.fiftiethBadAt)
 	}
 }
 
 // run lets a back end work on a request.
 func (m *model) run(router *modelRouter, gate *Gate, run Run, route *modelRoute, to backend.Record) {
 	sample, bad := m.answer(route, to)
-	m.later(sample.Elapsed, func() {
+	m.schedule(sample.Elapsed, func() {
 		m.busy[to.Instance]--
 		if bad {
 			m.result.bad++
 			if m.result.bad == 50 {
-				m.result.fiftieth = m.now
+				m.result.fiftiethBadAt = m.now
 			}
 		}
 		if router.gate == gate {
@@ -141,7 +141,7 @@
 	}
 	for index := range m.faults {
 		fault := &m.faults[index]
-		if !m.applies(fault, route, to) {
+		if !m.faultApplies(fault, route, to) {
 			continue
 		}
 		if fault.silent {
@@ -152,16 +152,16 @@
 		}
 		if m.random.Float64() < fault.failures {
 			sample.Outcome, bad = Failed, bad || fault.bad
-		} else if fault.times > 0 && (fault.part == 0 || m.random.Float64() < fault.part) {
-			elapsed, bad = scale(elapsed, fault.times), bad || fault.bad
+		} else if fault.slowdown > 0 && (fault.slowFraction == 0 || m.random.Float64() < fault.slowFraction) {
+			elapsed, bad = scale(elapsed, fault.slowdown), bad || fault.bad
 		}
 	}
 	sample.Elapsed = elapsed
 	return sample, bad
 }
 
-// applies reports whether a fault touches a run that begins now.
-func (m *model) applies(fault *fault, route *modelRoute, to backend.Record) bool {
+// faultApplies reports whether a fault touches a run that begins now.
+func (m *model) faultApplies(fault *fault, route *modelRoute, to backend.Record) bool {
 	if m.now < fault.from || m.now >= fault.until || (to.Release == modelNew) != fault.target {
 		return false
 	}
@@ -174,9 +174,9 @@
 	if fault.on == nil {
 		return true
 	}
-	records := m.oldOnes
+	records := m.oldRecords
 	if fault.target {
-		records = m.newOnes
+		records = m.newRecords
 	}
 	return slices.ContainsFunc(fault.on, func(index int) bool {
 		return index < len(records) && records[index].Instance == to.Instance
--- a/internal/canary/modelstore_test.go
+++ b/internal/canary/modelstore_test.go
@@ -9,8 +9,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// trouble begins and ends outages.
-func (m *model) trouble() {
+// applyOutages begins and ends outages.
+func (m *model) applyOutages() {
 	for index := range m.outages {
 		outage := &m.outages[index]
 		if outage.from == m.now && outage.router < 0 {
@@ -20,10 +20,10 @@
 			continue
 		}
 		router := m.routers[outage.router]
-		router.troubledUntil = m.now
+		router.disturbedUntil = m.now
 		if m.now == outage.until && outage.killed {
-			m.live(router)
-			router.lookAt = m.now
+			m.restart(router)
+			router.nextReadAt = m.now
 			m.directors[outage.router] = m.newDirector()
 			if m.holder == outage.router {
 				m.holder = -1
@@ -32,8 +32,8 @@
 	}
 }
 
-// hit reports whether a router has some outage now.
-func (m *model) hit(router int, kind func(*outage) bool) bool {
+// hasOutage reports whether a router has some outage now.
+func (m *model) hasOutage(router int, kind func(*outage) bool) bool {
 	for index := range m.outages {
 		outage := &m.outages[index]
 		if outage.router == router && m.now >= outage.from && m.now < outage.until && kind(outage) {
@@ -44,10 +44,12 @@
 }
 
 func (m *model) stopped(router int) bool {
-	return m.hit(router, func(o *outage) bool { return o.killed || o.frozen })
+	return m.hasOutage(router, func(o *outage) bool { return o.killed || o.frozen })
 }
 
-func (m *model) cut(router int) bool { return m.hit(router, func(o *outage) bool { return o.cut }) }
+func (m *model) cut(router int) bool {
+	return m.hasOutage(router, func(o *outage) bool { return o.cut })
+}
 
 // lease keeps one holder, and gives the lease to another router after it ends. A holder
 // that is cut off or wakes up learns of its loss only when its lease is over by its clock,
@@ -71,7 +73,7 @@
 		if m.cut(last) {
 			wakes = modelStep
 		}
-		m.later(wakes, func() {
+		m.schedule(wakes, func() {
 			if m.holder != last {
 				held.SetLease(m.time(), 0)
 			}
@@ -88,15 +90,15 @@
 
 // listed returns the orders and back ends that are in the store.
 func (m *model) listed() ([]Order, []backend.Record) {
-	old, fresh := len(m.oldOnes), 0
+	old, fresh := len(m.oldRecords), 0
 	if m.now >= modelStart+m.targetListed {
-		fresh = len(m.newOnes)
+		fresh = len(m.newRecords)
 	}
 	since := m.now - modelStart
 	if m.backEnds != nil {
 		old, fresh = m.backEnds(since)
 	}
-	records := append(slices.Clone(m.oldOnes[:old]), m.newOnes[:fresh]...)
+	records := append(slices.Clone(m.oldRecords[:old]), m.newRecords[:fresh]...)
 	switch {
 	case m.ordersAt != nil:
 		return m.ordersAt(since), records
@@ -132,12 +134,12 @@
 	return m.now >= m.slowStore[0] && m.now < m.slowStore[1]
 }
 
-// look lets a router read what is in the store.
-func (m *model) look(index int, router *modelRouter) {
-	if m.now < router.lookAt || m.stopped(index) || m.cut(index) {
+// readStore lets a router read what is in the store.
+func (m *model) readStore(index int, router *modelRouter) {
+	if m.now < router.nextReadAt || m.stopped(index) || m.cut(index) {
 		return
 	}
-	router.lookAt = m.now + m.lookEvery
+	router.nextReadAt = m.now + m.readInterval
 	orders, records := m.listed()
 	known, releases := Snapshot{Orders: orders}, []ident.Release(nil)
 	if m.state.Phase != 0 {
@@ -149,7 +151,7 @@
 		}
 	}
 	confirmedAt := m.time()
-	m.later(m.storeDelay(), func() {
+	m.schedule(m.storeDelay(), func() {
 		router.listed = slices.Contains(releases, modelNew)
 		router.gate.SetReleases(m.time(), modelService, releases)
 		router.gate.ApplySnapshot(m.time(), confirmedAt, known)
@@ -165,7 +167,7 @@
 }
 
 // send puts a datagram on its way.
-func (m *model) send(sender int, letter datagram) {
+func (m *model) send(sender int, message datagram) {
 	copies := 1
 	if m.random.Float64() < 0.01 {
 		copies = 2
@@ -178,11 +180,11 @@
 		if m.random.Float64() < 0.01 {
 			delay += time.Duration(m.random.IntN(3000)) * time.Millisecond
 		}
-		letter.from = m.routers[sender].address
-		m.later(delay, func() {
-			if !m.cut(sender) && !m.cut(letter.to) {
+		message.from = m.routers[sender].address
+		m.schedule(delay, func() {
+			if !m.cut(sender) && !m.cut(message.to) {
 				// What reaches a stopped router waits in its socket.
-				m.routers[letter.to].inbox = append(m.routers[letter.to].inbox, letter)
+				m.routers[message.to].inbox = append(m.routers[message.to].inbox, message)
 			}
 		})
 	}
@@ -193,18 +195,18 @@
 	if len(router.inbox) == 0 || m.stopped(index) {
 		return
 	}
-	letters := router.inbox
+	messages := router.inbox
 	router.inbox = nil
-	for _, letter := range letters {
-		if letter.report != nil {
+	for _, message := range messages {
+		if message.report != nil {
 			if director := m.directors[index]; director != nil {
-				director.ApplyReport(m.time(), letter.from, letter.report)
+				director.ApplyReport(m.time(), message.from, message.report)
 			}
 			continue
 		}
-		router.gate.ApplyPermit(m.time(), letter.permit)
+		router.gate.ApplyPermit(m.time(), message.permit)
 		if report := router.gate.Report(m.time(), modelService); report != nil {
-			m.send(index, datagram{to: m.indexOf(letter.from), report: report})
+			m.send(index, datagram{to: m.indexOf(message.from), report: report})
 		}
 	}
 }
@@ -213,8 +215,8 @@
 	return slices.IndexFunc(m.routers, func(router *modelRouter) bool { return router.address == address })
 }
 
-// direct lets all directors do what they want.
-func (m *model) direct() {
+// stepDirectors lets all directors do what they want.
+func (m *model) stepDirectors() {
 	if m.now%(50*time.Millisecond) != 0 {
 		return
 	}
@@ -224,18 +226,18 @@
 			continue
 		}
 		for _, action := range director.Step(m.time()) {
-			m.act(index, director, action)
+			m.perform(index, director, action)
 		}
 	}
 }
 
-// act does what a director wants.
-func (m *model) act(index int, director *Director, action Action) {
+// perform does what a director wants.
+func (m *model) perform(index int, director *Director, action Action) {
 	switch action := action.(type) {
 	case SendPermit:
 		m.send(index, datagram{to: m.indexOf(action.To), permit: action.Permit})
 	case Fetch:
-		m.later(m.storeDelay(), func() {
+		m.schedule(m.storeDelay(), func() {
 			state := m.state
 			state.Order.Service = modelService
 			if !m.cut(index) && !m.stopped(index) {
@@ -243,7 +245,7 @@
 			}
 		})
 	case Write:
-		m.later(m.storeDelay(), func() { m.write(index, director, action) })
+		m.schedule(m.storeDelay(), func() { m.write(index, director, action) })
 	}
 }
 
@@ -258,7 +260,7 @@
 			answer = Stored{Version: m.version}
 		}
 	}
-	m.later(m.storeDelay(), func() {
+	m.schedule(m.storeDelay(), func() {
 		if m.cut(index) {
 			answer = Unanswered{}
 		}
@@ -273,34 +275,34 @@
 	last := m.state
 	m.state = state
 	if last.Phase.Final() && last.Order.Revision == state.Order.Revision {
-		m.brokenf("%v written after %v", state.Phase, last.Phase)
+		m.violationf("%v written after %v", state.Phase, last.Phase)
 	}
 	if state.Phase == Promoting && last.Phase != Promoting {
 		m.result.promoted = m.now
 	}
 	if state.Phase.Final() {
 		m.result.verdicts, m.result.finals = append(m.result.verdicts, state.Phase), append(m.result.finals, state)
-		m.result.reason, m.result.at = state.Reason, m.now-modelStart
+		m.result.reason, m.result.decidedAt = state.Reason, m.now-modelStart
 		if state.Phase == Succeeded && state.Reason != reasonDeadline {
 			m.checkMoved()
 		}
 	}
 }
 
-// calm reports whether a router had no outage for long enough to be heard.
-func (m *model) calm(index int) bool {
+// undisturbed reports whether a router had no outage for long enough to be heard.
+func (m *model) undisturbed(index int) bool {
 	router := m.routers[index]
-	return m.loss < 0.05 && (router.troubledUntil == 0 || m.now-router.troubledUntil > deadAfter)
+	return m.loss < 0.05 && (router.disturbedUntil == 0 || m.now-router.disturbedUntil > silentAfter)
 }
 
 // checkMoved checks that nothing of a router that is heard runs on other releases.
 func (m *model) checkMoved() {
 	for index, router := range m.routers {
-		if !m.calm(index) {
+		if !m.undisturbed(index) {
 			continue
 		}
 		if running := router.gate.services[modelService].runningElsewhere(modelNew); running > 0 {
-			m.brokenf("succeeded while router %d runs %d elsewhere", index, running)
+			m.violationf("succeeded while router %d runs %d elsewhere", index, running)
 		}
 	}
 }
--- a/internal/canary/sample.go
+++ b/internal/canary/sample.go
@@ -26,7 +26,7 @@
 	release ident.Release
 	// revision is that of the order that was known when the attempt was sent, 0 if none.
 	revision uint64
-	part     uint32
+	group    uint32
 	counted  bool
 }
 
--- a/internal/canary/stream.go
+++ b/internal/canary/stream.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// test weighs whether a target has an excess of bad answers from some moment on: a
+// cusum weighs whether a target has an excess of bad answers from some moment on: a
 // cumulative sum of the logarithms of likelihood ratios that never falls below zero.
-type test struct {
-	full float64
-	// only is the same for each part of the target by itself, without for all but it.
-	only, without []float64
+type cusum struct {
+	total float64
+	// single is the same for each part of the target by itself, without for all but it.
+	single, rest []float64
 	// largest are the two windows that have added most since the sum was zero.
 	largest [2]float64
 }
@@ -26,12 +26,12 @@
 	targetAnswers, targetBad, othersAnswers, othersBad uint64
 	// windows is the number of windows with answers of the target.
 	windows int
-	tests   [len(excesses)]test
+	tests   [len(excessRates)]cusum
 }
 
-// evidenceOf returns the logarithm of the ratio of how likely some bad answers are if the
+// logLikelihoodRatio returns the logarithm of the ratio of how likely some bad answers are if the
 // target has an excess of them, and if it has the rate of the other releases.
-func evidenceOf(bad, answers uint64, rate, excess float64) float64 {
+func logLikelihoodRatio(bad, answers uint64, rate, excess float64) float64 {
 	higher := rate + excess*(1-rate)
 	good := float64(answers - bad)
 	return float64(bad)*math.Log(higher/rate) + good*math.Log((1-higher)/(1-rate))
@@ -39,29 +39,29 @@
 
 // add takes in the weights of one window. One that is inherited from an earlier holder covers
 // a longer time.
-func (t *test) add(full float64, only, without []float64, inherited bool) {
-	for len(t.only) < len(only) {
+func (t *cusum) add(total float64, single, rest []float64, inherited bool) {
+	for len(t.single) < len(single) {
 		// A part that is new has added nothing so far.
-		t.only, t.without = append(t.only, 0), append(t.without, t.full)
+		t.single, t.rest = append(t.single, 0), append(t.rest, t.total)
 	}
-	t.full = max(0, t.full+full)
-	for part := range only {
-		t.only[part] = max(0, t.only[part]+only[part])
-		t.without[part] = max(0, t.without[part]+without[part])
+	t.total = max(0, t.total+total)
+	for group := range single {
+		t.single[group] = max(0, t.single[group]+single[group])
+		t.rest[group] = max(0, t.rest[group]+rest[group])
 	}
 	switch {
-	case t.full == 0:
+	case t.total == 0:
 		t.largest = [2]float64{}
 	case inherited:
-	case full > t.largest[0]:
-		t.largest = [2]float64{full, t.largest[0]}
-	case full > t.largest[1]:
-		t.largest[1] = full
+	case total > t.largest[0]:
+		t.largest = [2]float64{total, t.largest[0]}
+	case total > t.largest[1]:
+		t.largest[1] = total
 	}
 }
 
-// lasting returns the weight without the two windows that weigh most.
-func (t *test) lasting() float64 { return t.full - t.largest[0] - t.largest[1] }
+// withoutLargest returns the weight without the two windows that weigh most.
+func (t *cusum) withoutLargest() float64 { return t.total - t.largest[0] - t.largest[1] }
 
 // weight returns the most weight against the target of all tests, and how much of it is
 // left when it is held against the chance that one of its back ends is broken, which is
@@ -70,29 +70,29 @@
 // Paused says that slow answers came
 // within so short a time that all back ends may have paused once, as when they load
 // weights.
-func (s *stream) weight(several bool, prior float64) (full, left float64, paused bool) {
-	single, others, lasting := 0.0, 0.0, 0.0
+func (s *stream) weight(several bool, prior float64) (total, left float64, paused bool) {
+	single, rest, lasting := 0.0, 0.0, 0.0
 	for index := range s.tests {
 		test := &s.tests[index]
-		full = max(full, test.full)
-		lasting = max(lasting, test.lasting())
-		if len(test.only) > 0 {
-			single = max(single, slices.Max(test.only))
-			others = max(others, slices.Min(test.without))
+		total = max(total, test.total)
+		lasting = max(lasting, test.withoutLargest())
+		if len(test.single) > 0 {
+			single = max(single, slices.Max(test.single))
+			rest = max(rest, slices.Min(test.rest))
 		}
 	}
-	left = full
+	left = total
 	if several {
-		left = max(full-max(0, single-prior), others-othersPrior)
+		left = max(total-max(0, single-prior), rest-restPrior)
 	}
-	return full, left, s.kind == slow && lasting < leastLasting
+	return total, left, s.kind == slow && lasting < minLastingWeight
 }
 
 // rate returns the rate of bad answers of the other releases in a window.
 func (s *stream) rate(bad, answers uint64) float64 {
-	least := leastFailing
+	least := minFailureRate
 	if s.kind == slow {
-		least = leastSlow
+		least = minSlowRate
 	}
 	usual := least
 	if s.answers > 0 {
@@ -106,10 +106,10 @@
 	return min(max(rate, least), 1-least)
 }
 
-// learn adds a window of the other releases to their long-run rate.
-func (s *stream) learn(bad, answers uint64) {
-	s.answers = s.answers*decay + float64(answers)
-	s.bad = s.bad*decay + float64(bad)
+// addBaseline adds a window of the other releases to their long-run rate.
+func (s *stream) addBaseline(bad, answers uint64) {
+	s.answers = s.answers*baselineDecay + float64(answers)
+	s.bad = s.bad*baselineDecay + float64(bad)
 	s.othersAnswers += answers
 	s.othersBad += bad
 }
--- a/internal/canary/thresholds_test.go
+++ b/internal/canary/thresholds_test.go
@@ -25,20 +25,20 @@
 	thresholdExcess  = 0.08
 )
 
-func (v *thresholds) weigh(seen *window) {
-	target := seen.target()
+func (v *thresholds) addWindow(observed *window) {
+	target := observed.target()
 	v.answered += target.answers
 	for _, known := range v.routes {
-		if known.route == seen.route {
-			known.windows = append(known.windows, seen)
+		if known.route == observed.route {
+			known.windows = append(known.windows, observed)
 			known.windows = known.windows[max(0, len(known.windows)-thresholdWindows):]
 			return
 		}
 	}
-	v.routes = append(v.routes, &thresholdRoute{route: seen.route, windows: []*window{seen}})
+	v.routes = append(v.routes, &thresholdRoute{route: observed.route, windows: []*window{observed}})
 }
 
-func (v *thresholds) bad(several bool) string {
+func (v *thresholds) rejection(several bool) string {
 	for _, route := range v.routes {
 		if route.exceeds(several) {
 			return "over the threshold on route " + route.route
@@ -52,15 +52,15 @@
 func (r *thresholdRoute) exceeds(several bool) bool {
 	var others, target cell
 	parts := map[uint32]*cell{}
-	for _, seen := range r.windows {
-		merge(&others, &seen.others)
-		for index := range seen.parts {
-			part := seen.parts[index].part
+	for _, observed := range r.windows {
+		merge(&others, &observed.others)
+		for index := range observed.groups {
+			part := observed.groups[index].group
 			if parts[part] == nil {
 				parts[part] = &cell{}
 			}
-			merge(parts[part], &seen.parts[index].cell)
-			merge(&target, &seen.parts[index].cell)
+			merge(parts[part], &observed.groups[index].cell)
+			merge(&target, &observed.groups[index].cell)
 		}
 	}
 	usual := median{}
@@ -105,64 +105,64 @@
 	}
 }
 
-func (v *thresholds) doubt(bool, bool) string { return "" }
+func (v *thresholds) inconclusive(bool, bool) string { return "" }
 
-func (v *thresholds) scarce() string {
-	if v.answered < leastAnswers {
+func (v *thresholds) insufficient() string {
+	if v.answered < minAnswers {
 		return fmt.Sprintf("%d answers", v.answered)
 	}
 	return ""
 }
 
-func (v *thresholds) total() uint64 { return v.answered }
+func (v *thresholds) targetAnswers() uint64 { return v.answered }
 
-// fewCompared is the number of histories of a bad and of a good target that are played
+// defaultCompared is the number of histories of a bad and of a good target that are played
 // under each verdict by default: a second or two under the race detector.
-const fewCompared = 2
+const defaultCompared = 2
 
-// TestVerdictsCompared prints what the two verdicts make of the same histories; under the one
+// TestCompareEvaluators prints what the two verdicts make of the same histories; under the one
 // in use none may break a promise. By default it plays the first few, and for the figures of
 // the design note as many of each kind as FIELDPOND_CANARY_HISTORIES says.
-func TestVerdictsCompared(t *testing.T) {
-	perKind, good := histories(0), len(troubles)*histories(0)
+func TestCompareEvaluators(t *testing.T) {
+	perKind, good := historyCount(0), len(disturbances)*historyCount(0)
 	kinds := badKinds
 	if perKind == 0 {
-		perKind, good, kinds = fewCompared, fewCompared, badKinds[:1]
+		perKind, good, kinds = defaultCompared, defaultCompared, badKinds[:1]
 	}
-	verdicts := []struct {
+	evaluators := []struct {
 		name  string
-		make  func() verdict
+		make  func() evaluator
 		judge func(got *outcomes, name string)
 	}{
 		{"likelihood ratios", nil, func(got *outcomes, name string) { got.report(t, name) }},
 		// Those that pass a bad target break the bound on what follows its 50th bad answer.
-		{"thresholds", func() verdict { return &thresholds{} }, func(got *outcomes, name string) { t.Logf("%s: %v", name, got) }},
+		{"thresholds", func() evaluator { return &thresholds{} }, func(got *outcomes, name string) { t.Logf("%s: %v", name, got) }},
 	}
-	for _, tt := range verdicts {
+	for _, tt := range evaluators {
 		for _, bad := range kinds {
 			got := playAll(perKind, func(seed uint64) (history, string) {
 				h, name := drawBad(seed, bad)
-				h.hooks.newVerdict = tt.make
+				h.hooks.newEvaluator = tt.make
 				return h, name
 			})
 			tt.judge(got, tt.name+": bad, "+bad.name)
 		}
 		got := playAll(good, func(seed uint64) (history, string) {
-			trouble := troubles[seed%uint64(len(troubles))]
-			h := drawGood(seed, trouble)
-			h.hooks.newVerdict = tt.make
-			return h, trouble.name
+			extra := disturbances[seed%uint64(len(disturbances))]
+			h := drawGood(seed, extra)
+			h.hooks.newEvaluator = tt.make
+			return h, extra.name
 		})
 		tt.judge(got, tt.name+": good, all troubles")
 	}
 }
 
 // drawBad draws a history of a bad target, every other one with some trouble besides.
-func drawBad(seed uint64, bad trouble) (history, string) {
+func drawBad(seed uint64, bad disturbance) (history, string) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	h := drawHistory(seed, random)
 	bad.add(&h, random)
-	also := troubles[random.IntN(len(troubles))]
+	also := disturbances[random.IntN(len(disturbances))]
 	if seed%2 == 0 {
 		return h, bad.name
 	}
@@ -171,9 +171,9 @@
 }
 
 // drawGood draws a history of a good target with some trouble.
-func drawGood(seed uint64, trouble trouble) history {
+func drawGood(seed uint64, extra disturbance) history {
 	random := rand.New(rand.NewPCG(seed, 1))
 	h := drawHistory(seed, random)
-	trouble.add(&h, random)
+	extra.add(&h, random)
 	return h
 }
