--- a/internal/canary/account.go
+++ b/internal/canary/account.go
@@ -3,34 +3,33 @@
 import "math"
 
 const (
-	// slackFraction is the part of Bounds.Slack that is granted beside the share. The rest
-	// is left for what two counts of the same requests differ by at the deadline.
+	// slackFraction is the fraction of Bounds.Slack granted beside the share; the rest
+	// covers differences between two counts of the same requests.
 	slackFraction = 0.7
-	// initialSlackFraction is the part of Bounds.Slack that is granted before the first answers of the
-	// target have come: enough to see that it fails at once.
+	// initialSlackFraction is the fraction of Bounds.Slack granted before the target's
+	// first answers.
 	initialSlackFraction = 0.3
-	// ceilingLeadSeconds is the time, in seconds, for which a ceiling is kept ahead, so that
-	// the store is written to once in two seconds and not with every permit.
+	// ceilingLeadSeconds is the time for which a ceiling is raised ahead, so that not every
+	// permit needs a store write.
 	ceilingLeadSeconds = 2
 	// minCeilingStep is the least number of requests by which a ceiling is raised.
 	minCeilingStep = 16
 )
 
-// account bounds the requests that may go to the target of an order. What was granted is
-// never above the share of the requests that are known to have come, plus a part of the
-// slack, at no moment; nor above the ceiling that lies in the store.
+// account bounds the requests that may go to an order's target: grants never exceed the
+// share of the known requests plus a fraction of the slack, nor the stored ceiling.
 type account struct {
 	bounds Bounds
 	hooks  *hooks
 	// inherited is the number that earlier holders may have granted: their ceiling.
 	inherited uint64
-	// granted is the number that this holder has granted.
+	// granted is the number granted by this holder.
 	granted uint64
 	// ceiling is the one in the store, written by this holder.
 	ceiling uint64
 }
 
-// takeOver begins the account of a holder, which can only know the ceiling of those before.
+// takeOver starts a new holder's account, which knows only its predecessors' ceiling.
 func (a *account) takeOver(ceiling uint64) {
 	a.inherited, a.granted = ceiling, 0
 	if a.hooks.ignoreCeiling {
@@ -41,13 +40,13 @@
 // totalGranted returns the number that may have been granted so far.
 func (a *account) totalGranted() uint64 { return a.inherited + a.granted }
 
-// allowance returns the number that may be granted in all once some requests have come.
+// allowance returns how many grants a number of requests allows in total.
 func (a *account) allowance(requests uint64, fraction float64) uint64 {
 	return uint64(math.Floor(a.bounds.Share*float64(requests) + fraction*a.bounds.Slack))
 }
 
-// available returns the number that may be granted now. Before the first answers have come
-// only the trickle may.
+// available returns how many grants may be given now. Before the first answers only the
+// initial fraction of the slack is allowed.
 func (a *account) available(requests uint64, answered bool) uint64 {
 	allowed := a.allowance(requests, slackFraction)
 	if !answered {
@@ -59,10 +58,9 @@
 	return saturatingSub(allowed, a.totalGranted())
 }
 
-// nextCeiling returns the ceiling that should lie in the store, which is the present one while
-// that suffices, also for a burst. Rate is the number of requests a second, burst the number of grants that
-// are given within a short time. The ceiling is not above what may be granted soon, as a
-// successor has to take it for granted.
+// nextCeiling returns the ceiling to store: the present one while it suffices for the rate
+// (requests a second) and a burst of grants. It stays close to what may be granted soon, as
+// a successor must assume that all of it was.
 func (a *account) nextCeiling(requests uint64, rate float64, burst uint64) uint64 {
 	growth := a.bounds.Share * rate * ceilingLeadSeconds
 	ahead := max(uint64(growth), burst) + minCeilingStep
@@ -75,7 +73,7 @@
 	return target
 }
 
-// saturatingSub returns the difference of two numbers, or 0 if the second one is larger.
+// saturatingSub returns a-b, or 0 if b is larger.
 func saturatingSub(a, b uint64) uint64 {
 	if b >= a {
 		return 0
--- a/internal/canary/account_test.go
+++ b/internal/canary/account_test.go
@@ -18,8 +18,7 @@
 	}
 }
 
-// TestCeilingAllowsBurst shows that grants that are saved up for a burst are always
-// given at last: the ceiling is raised when it keeps them back, whatever it was before.
+// A ceiling that blocks grants saved up for a burst must be raised, whatever it was before.
 func TestCeilingAllowsBurst(t *testing.T) {
 	is := is.New(t)
 	const requests, rate, spent = 5_000, 500, 15
--- a/internal/canary/adopt.go
+++ b/internal/canary/adopt.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	// minCapacityFraction is the part of the other releases' slots that the target's back ends
-	// need to have to take over from them.
+	// minCapacityFraction is the fraction of the other releases' slots that the target
+	// needs to replace them.
 	minCapacityFraction = 0.5
-	// minTestedBackends is the least number of the target's back ends in use, if there are as
-	// many: with fewer, one that is broken hides among them.
+	// minTestedBackends is the least number of the target's back ends in use, if there are
+	// as many: among fewer, a broken one is hard to tell from a bad release.
 	minTestedBackends = 3
 )
 
-// backendCounts is what is listed of a service's back ends.
+// backendCounts counts the listed back ends of a service.
 type backendCounts struct {
 	// target and others count back ends, targetSlots and otherSlots their slots.
 	target, others          int
@@ -41,7 +41,7 @@
 	releases []ident.Release
 }
 
-// countBackends counts the back ends of a service. Draining ones serve nothing new.
+// countBackends counts the back ends of a service, except draining ones.
 func countBackends(records []backend.Record, service ident.Service, target ident.Release) backendCounts {
 	var count backendCounts
 	for index := range records {
@@ -63,20 +63,20 @@
 	return count
 }
 
-// hasCapacity reports whether the target's back ends can take over.
+// hasCapacity reports whether the target's back ends can replace the others.
 func (e *backendCounts) hasCapacity() bool {
 	return float64(e.targetSlots) >= minCapacityFraction*float64(e.otherSlots)
 }
 
-// testedBackends returns the number of the target's back ends in use while it is observed: so few
-// that its share of the requests is a usual load for each.
+// testedBackends returns how many of the target's back ends are used during observation: so
+// few that the target's share is a normal load for each.
 func (e *backendCounts) testedBackends(share float64) int {
 	return max(minTestedBackends, int(share*float64(e.others)+0.5))
 }
 
-// adoptOrder returns the state that follows from a new order, given the state of the one before
-// it, which is zero if there was none. OrderedAt is the store's time before which the
-// order was not written, left the time to its deadline.
+// adoptOrder returns the state that follows from a new order and the previous state, which
+// is zero if there was none. OrderedAt is a store time before which the order was not
+// written, timeLeft the time to its deadline.
 func adoptOrder(previous *State, order Order, orderedAt, timeLeft time.Duration, backends *backendCounts) State {
 	next := State{Order: order, OrderedAt: orderedAt, Proved: backends.releases}
 	if previous.Phase == RolledBack && previous.Order.Target != order.Target {
--- a/internal/canary/bench_test.go
+++ b/internal/canary/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// BenchmarkNoOrder is what a request costs a router while no order exists.
+// BenchmarkNoOrder measures a request without any order.
 func BenchmarkNoOrder(b *testing.B) {
 	gate := NewGate(GateConfig{Incarnation: testIncarnation, Bounds: modelBounds})
 	gate.SetReleases(at(0), modelService, []ident.Release{modelOld})
@@ -19,13 +19,13 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if gate.Active() {
-			b.Fatal("bound without an order")
+			b.Fatal("restricted without an order")
 		}
 		gate.Ended(testEpoch, gate.Sent(testEpoch, modelService, to), sample)
 	}
 }
 
-// BenchmarkObserving is what a request costs a router while a target is observed.
+// BenchmarkObserving measures a request while a target is observed.
 func BenchmarkObserving(b *testing.B) {
 	gate := gateWithOrder()
 	gate.ApplyPermit(at(time.Second), permitWith(func(p *Permit) { p.Fraction, p.MaxSends = 0.1, 1<<30 }))
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkReport makes and encodes the report of a router that has sent to eight back ends of
-// the target on four routes.
+// BenchmarkReport makes and encodes a report on four routes and eight back ends of the
+// target.
 func BenchmarkReport(b *testing.B) {
 	gate := gateWithOrder()
 	for index := range 4000 {
@@ -80,7 +80,7 @@
 	b.ReportMetric(float64(bytes), "bytes")
 }
 
-// BenchmarkDirector is what the holder spends on one round of permits and reports.
+// BenchmarkDirector measures one round of permits and reports at the holder.
 func BenchmarkDirector(b *testing.B) {
 	for _, routers := range []int{83, 390} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -1,11 +1,10 @@
-// Package canary moves a service to back ends of a new release, on request and under
-// guard: the new release gets few requests until its answers have been judged against
-// those of the releases that served before.
+// Package canary rolls a service over to back ends of a new release on an operator's order:
+// the new release gets few requests until its answers compare well with those of the
+// releases that served before.
 //
-// One router, the holder of the lease for orders, directs a rollout (Director). Every
-// router asks its own Gate where an attempt may go, counts what came of it, and reports
-// that to the holder. Without a permit of the holder that is young enough a Gate lets
-// nothing go to a release that has not been proved.
+// One router, the holder of the lease for orders, directs a rollout (Director). Each router
+// has a Gate that restricts where attempts may go, counts their outcomes and reports them
+// to the holder. Without a valid permit a Gate sends nothing to an unproved release.
 //
 // Director and Gate are state machines without I/O or clock: their inputs are orders,
 // states, messages and a time.
@@ -23,22 +22,22 @@
 	Target  ident.Release `cbor:"2,keyasint"`
 	// Duration is the time from the order to the deadline of its verdict.
 	Duration time.Duration `cbor:"3,keyasint"`
-	// Revision is that of the order's row; one that is written anew has a higher one.
+	// Revision is that of the order's row; an order that is written again has a higher one.
 	Revision uint64 `cbor:"4,keyasint"`
 }
 
-// Phase is how far a rollout has come.
+// Phase is the progress of a rollout.
 type Phase uint8
 
 const (
 	// Observing gives the target a bounded share of the requests.
 	Observing Phase = iota + 1
-	// Promoting gives the target all new requests, while what runs on other releases
-	// comes to its end. It can still be rolled back.
+	// Promoting gives the target all new requests while runs on other releases finish. It
+	// can still be rolled back.
 	Promoting
-	// Succeeded is final: the other releases end at once.
+	// Succeeded is final: the other releases get no more requests.
 	Succeeded
-	// RolledBack is final: the target gets nothing any more.
+	// RolledBack is final: the target gets no more requests.
 	RolledBack
 )
 
@@ -53,17 +52,17 @@
 // Final reports whether the phase never changes.
 func (p Phase) Final() bool { return p == Succeeded || p == RolledBack }
 
-// State is what is kept in the store of the newest rollout of a service. A successor of
-// the holder goes on from it.
+// State is the stored state of a service's newest rollout, from which a new holder
+// continues.
 type State struct {
 	Order Order `cbor:"1,keyasint"`
 	Phase Phase `cbor:"2,keyasint"`
-	// Reason says in a few words what decided a final phase.
+	// Reason is a short explanation of a final phase.
 	Reason string `cbor:"3,keyasint,omitempty"`
 	// OrderedAt is the store's own time before which the order was not written.
 	OrderedAt time.Duration `cbor:"4,keyasint"`
-	// Ceiling is the number of requests that the holders so far may have permitted to
-	// go to the target: a permit is granted only below the ceiling that is kept.
+	// Ceiling is the number of requests that all holders so far may have permitted to go to
+	// the target. No permit exceeds it.
 	Ceiling uint64 `cbor:"5,keyasint"`
 	// Fence is that of the lease under which the state was written.
 	Fence uint64 `cbor:"6,keyasint"`
@@ -71,22 +70,21 @@
 	Proved []ident.Release `cbor:"7,keyasint,omitempty"`
 }
 
-// Snapshot is what the store tells of rollouts, as it was read.
+// Snapshot holds the orders and states as read from the store.
 type Snapshot struct {
 	Orders []Order `cbor:"1,keyasint,omitempty"`
 	States []State `cbor:"2,keyasint,omitempty"`
 }
 
-// Bounds are the figures within which a release that proves bad must stay.
+// Bounds limit the exposure of a rollout.
 type Bounds struct {
-	// Share is the part of a service's requests from the order to its deadline that may
-	// go to the target; Slack is the number of requests that may go there besides.
+	// Share is the fraction of a service's requests between order and deadline that may go
+	// to the target; Slack is the number of requests allowed in addition.
 	Share, Slack float64
-	// Rollback is the time after the 50th bad answer of the target from which nothing
-	// may be sent there.
+	// Rollback is the time after the target's 50th bad answer from which nothing may be
+	// sent there.
 	Rollback time.Duration
 }
 
-// Enabled reports whether rollouts are guarded at all; without bounds they are not asked
-// for, and no router spends anything on them.
+// Enabled reports whether rollouts are guarded; without bounds the gate counts nothing.
 func (b Bounds) Enabled() bool { return b.Share > 0 }
--- a/internal/canary/decide.go
+++ b/internal/canary/decide.go
@@ -25,7 +25,7 @@
 		return RolledBack, reasonNotObserved
 	}
 	if !r.fleet.hasQuorum(now) || !r.caughtUp {
-		// A new holder knows nothing until most routers have reported to it.
+		// A new holder has too little evidence until most routers have reported to it.
 		return Observing, ""
 	}
 	last := !now.Before(plan.lastPromoteAt)
@@ -38,7 +38,7 @@
 	return Observing, ""
 }
 
-// promotionBlocker returns what speaks against promoting the target now, or nothing.
+// promotionBlocker returns why the target cannot be promoted now, or "".
 func (r *rollout) promotionBlocker(last bool) string {
 	switch {
 	case r.backends.target == 0:
@@ -68,9 +68,9 @@
 	return Promoting, ""
 }
 
-// decideAtDeadline decides in the last moment before the deadline. Runs on other releases are not
-// waited for any more, but all routers that are heard: what they sent there once the target
-// has succeeded would be lost.
+// decideAtDeadline decides just before the deadline. It no longer waits for runs on other
+// releases, but for all reachable routers: what they send there after success would be
+// lost.
 func (r *rollout) decideAtDeadline(now time.Time) (Phase, string) {
 	switch {
 	case r.fleet.hasQuorum(now) && r.fleet.allPromoted(now):
@@ -83,7 +83,7 @@
 	return RolledBack, reasonNotMoved
 }
 
-// plan returns when the rollout goes on.
+// plan returns the times of the next phases.
 func (r *rollout) plan() plan {
 	var length time.Duration
 	if r.state.Phase == Observing {
--- a/internal/canary/director.go
+++ b/internal/canary/director.go
@@ -8,30 +8,28 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// DirectorConfig is what a Director is made with.
+// DirectorConfig configures a Director.
 type DirectorConfig struct {
 	Bounds Bounds
 	// Tick is the time between two permits to the same router; 0 means 250 ms.
 	Tick time.Duration
 }
 
-// Action is something that the owner of a Director is to do. It is one of Fetch, Write and
-// Tell.
+// Action is a Fetch, Write or SendPermit for the owner of a Director to carry out.
 type Action interface{ action() }
 
-// Fetch asks for the row of a service's state, which is told by Director.Read; a service
-// without one has a zero State of version 0, in which the service is set.
+// Fetch requests the row of a service's state, passed to Director.ApplyState; a missing row
+// is a zero State of version 0 with the service set.
 type Fetch struct{ Service ident.Service }
 
-// Write asks to write the row of a state, with the operator's status in the same
-// transaction, under the condition that the row is the one of Version (0: none yet). What
-// came of it is told by Director.Written.
+// Write requests to write a state and the operator's status in one transaction if the row
+// has Version (0: none yet). Its result is passed to Director.ApplyWriteResult.
 type Write struct {
 	State   State
 	Version uint64
 }
 
-// SendPermit asks to send a permit to a router, which may be this one.
+// SendPermit requests to send a permit to a router, possibly this one.
 type SendPermit struct {
 	To     netip.AddrPort
 	Permit *Permit
@@ -41,17 +39,17 @@
 func (Write) action()      {}
 func (SendPermit) action() {}
 
-// WriteResult is what came of a Write. It is one of Stored, Conflict and Unanswered.
+// WriteResult is the result of a Write: Stored, Conflict or Unanswered.
 type WriteResult interface{ writeResult() }
 
-// Stored says that the row was written and has a new version.
+// Stored means that the row was written and has a new version.
 type Stored struct{ Version uint64 }
 
-// Conflict says that the row was not of the version that was asked for, or that the lease
-// is not held any more: nothing was written.
+// Conflict means that nothing was written: the row had another version, or the lease is
+// lost.
 type Conflict struct{}
 
-// Unanswered says that nothing is known of the write: it may have been done.
+// Unanswered means that the result is unknown: the row may have been written.
 type Unanswered struct{}
 
 func (Stored) writeResult()     {}
@@ -59,12 +57,12 @@
 func (Unanswered) writeResult() {}
 
 const (
-	// defaultTick is the time between two permits: four in the time for which one is valid.
+	// defaultTick sends four permits in the time for which one is valid.
 	defaultTick = 250 * time.Millisecond
 	// largeFleet is the number of routers above which permits are sent half as often.
 	largeFleet = 250
-	// firstOrderAge is how long before its first look at the orders a router takes one
-	// that it finds to have been written, at most: a lease is vacant for about as long.
+	// firstOrderAge is the greatest age assumed of an order that is found at the first
+	// read: a lease is vacant for about as long.
 	firstOrderAge = 3 * time.Second
 )
 
@@ -75,9 +73,9 @@
 	hooks    hooks
 	fence    uint64
 	rollouts []*rollout
-	// storeEpoch is the local time of the store's time 0, the earliest that was seen.
+	// storeEpoch is the local time of the store's time 0, the earliest observed.
 	storeEpoch time.Time
-	// observed says that orders were observed, last at the store's time observedAt.
+	// observed is set once orders were observed, last at the store's time observedAt.
 	observed   bool
 	observedAt time.Duration
 	routers    []netip.AddrPort
@@ -91,7 +89,7 @@
 	return &Director{cfg: cfg}
 }
 
-// SetLease says that the lease is held under a fence, or is not held any more if that is 0.
+// SetLease sets the fence under which the lease is held; 0 means that it is not held.
 func (d *Director) SetLease(now time.Time, fence uint64) {
 	if fence == d.fence {
 		return
@@ -102,9 +100,9 @@
 	}
 }
 
-// Observe takes in the orders, all back ends and all routers as they were read, and the
-// store's own time at that moment. It is called whether the lease is held or not, so that
-// a new holder knows since when an order can have been there.
+// Observe applies the orders, back ends and routers read from the store, and the store's
+// time then. It is also called without the lease, so that a new holder knows how old an
+// order can be.
 func (d *Director) Observe(now time.Time, storeNow time.Duration, orders []Order, backends []backend.Record, routers []netip.AddrPort) {
 	if origin := now.Add(-storeNow); d.storeEpoch.IsZero() || origin.Before(d.storeEpoch) {
 		d.storeEpoch = origin
@@ -121,7 +119,7 @@
 	d.observed, d.observedAt = true, storeNow
 }
 
-// observeOrder takes in an order that is listed.
+// observeOrder records a listed order if it is new.
 func (d *Director) observeOrder(now time.Time, storeNow time.Duration, order Order) {
 	known := d.rollout(order.Service)
 	if known == nil {
@@ -146,8 +144,8 @@
 	return nil
 }
 
-// ApplyState takes in the row of a service's state as it lies in the store. A new holder is told
-// also those rows that it has not asked for: their orders may have been withdrawn.
+// ApplyState applies the stored row of a service's state. A new holder also receives rows
+// that it did not fetch: their orders may have been withdrawn.
 func (d *Director) ApplyState(now time.Time, state State, version uint64) {
 	if d.fence == 0 {
 		return
@@ -161,7 +159,6 @@
 	}
 }
 
-// addRollout begins to direct the rollout of an order.
 func (d *Director) addRollout(now time.Time, order Order) *rollout {
 	added := &rollout{service: order.Service, cfg: d.cfg, hooks: d.hooks, order: order, routers: d.routers, storeEpoch: d.storeEpoch}
 	added.setFence(now, d.fence)
@@ -169,7 +166,7 @@
 	return added
 }
 
-// ApplyReport takes in a report of a router.
+// ApplyReport applies a router's report.
 func (d *Director) ApplyReport(now time.Time, from netip.AddrPort, report *Report) {
 	if !report.sound() {
 		return
@@ -180,7 +177,7 @@
 	}
 }
 
-// Step returns what is to be done now. It is called a few times in each tick.
+// Step returns the actions that are due. It is called several times per tick.
 func (d *Director) Step(now time.Time) []Action {
 	if d.fence == 0 {
 		return nil
@@ -192,7 +189,7 @@
 	return actions
 }
 
-// ApplyWriteResult takes in what came of the Write of a service's state.
+// ApplyWriteResult applies the result of the Write of a service's state.
 func (d *Director) ApplyWriteResult(now time.Time, service ident.Service, result WriteResult) {
 	if known := d.rollout(service); known != nil {
 		known.applyWriteResult(now, result)
--- a/internal/canary/director_test.go
+++ b/internal/canary/director_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// undisturbedHistory is a small fleet with a good target and no trouble.
+// undisturbedHistory is a small fleet with a good target and no faults.
 func undisturbedHistory() history {
 	return history{
 		seed: 5, routers: 8, old: 12, new: 12, rate: 500, duration: 12 * time.Second, readInterval: 200 * time.Millisecond,
@@ -22,19 +22,18 @@
 	}
 }
 
-// outcomeCase is a case in which an order does not just run to its end.
+// outcomeCase is a history with the outcomes that it must have.
 type outcomeCase struct {
 	name   string
 	change func(h *history)
 	want   []string
 }
 
-// orderFor returns an order for a target.
 func orderFor(target ident.Release, revision uint64, duration time.Duration) Order {
 	return Order{Service: modelService, Target: target, Duration: duration, Revision: revision}
 }
 
-// replaceOrder lists the first order, and only the others from a later moment on.
+// replaceOrder lists the first order, and from some time on only the others.
 func replaceOrder(begin time.Duration, orders ...Order) func(time.Duration) []Order {
 	return func(since time.Duration) []Order {
 		if since < 0 {
@@ -57,7 +56,7 @@
 	}
 }
 
-// targetUntil lists twelve back ends of the target until some moment.
+// targetUntil lists twelve back ends of the target until some time.
 func targetUntil(end time.Duration) func(time.Duration) (int, int) {
 	return func(since time.Duration) (int, int) {
 		if since < 0 || since > end {
@@ -67,7 +66,7 @@
 	}
 }
 
-// changeOthers lists back ends of the others of which the number changes at some moment.
+// changeOthers lists back ends of the others whose number changes at some time.
 func changeOthers(change time.Duration, before, after, fresh int) func(time.Duration) (int, int) {
 	return func(since time.Duration) (int, int) {
 		switch {
@@ -80,7 +79,8 @@
 	}
 }
 
-// reduceTarget lists twelve back ends of the target until some moment, and fewer from then on.
+// reduceTarget lists twelve back ends of the target until some time, and fewer from then
+// on.
 func reduceTarget(change time.Duration, left int) func(time.Duration) (int, int) {
 	return func(since time.Duration) (int, int) {
 		old, fresh := targetUntil(change)(since)
@@ -91,7 +91,7 @@
 	}
 }
 
-// storeDown keeps all routers from the store until some time after the order.
+// storeDown cuts all routers off from the store until some time after the order.
 func storeDown(h *history, end time.Duration) {
 	for router := range h.routers {
 		h.outages = append(h.outages, outage{from: modelStart - 500*time.Millisecond, until: modelStart + end, router: router, cut: true})
@@ -102,37 +102,37 @@
 	third := ident.Release("v3")
 	return []outcomeCase{
 		{"a good target", func(*history) {}, []string{"v2 succeeded: " + reasonMoved}},
-		{"no back end of it ever", func(h *history) { h.backEnds = constantBackends(12, 0) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
-		{"too few of them", func(h *history) { h.backEnds = constantBackends(12, 5) }, []string{"v2 rolled back: " + reasonTooFew}},
-		{"all of them go while it is observed", func(h *history) { h.backEnds = targetUntil(5 * time.Second) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
-		{"all of them go while it is promoted", func(h *history) { h.backEnds = targetUntil(9 * time.Second) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
-		{"it serves alone already", func(h *history) { h.backEnds = constantBackends(0, 12) }, []string{"v2 succeeded: " + reasonAlreadyServing}},
-		{"all are unreachable", func(h *history) {
+		{"no back ends", func(h *history) { h.backEnds = constantBackends(12, 0) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
+		{"too few back ends", func(h *history) { h.backEnds = constantBackends(12, 5) }, []string{"v2 rolled back: " + reasonTooFew}},
+		{"back ends removed while observing", func(h *history) { h.backEnds = targetUntil(5 * time.Second) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
+		{"back ends removed while promoting", func(h *history) { h.backEnds = targetUntil(9 * time.Second) }, []string{"v2 rolled back: " + reasonNoBackEnds}},
+		{"target already serves alone", func(h *history) { h.backEnds = constantBackends(0, 12) }, []string{"v2 succeeded: " + reasonAlreadyServing}},
+		{"back ends unreachable", func(h *history) {
 			h.faults = []fault{{until: allHistory, target: true, silent: true}}
 		}, []string{"v2 rolled back: too little evidence: 0 answers of the target"}},
 		{"few requests", func(h *history) { h.rate = 10 }, []string{"v2 rolled back: too little evidence: 19 answers of the target"}},
-		{"a short time", func(h *history) { h.duration = 5 * time.Second }, []string{"v2 rolled back: " + reasonTooLate}},
-		{"a time that is over", func(h *history) { h.duration = 0 }, []string{"v2 rolled back: " + reasonTooLate}},
-		{"written twice", func(h *history) {
+		{"short duration", func(h *history) { h.duration = 5 * time.Second }, []string{"v2 rolled back: " + reasonTooLate}},
+		{"no duration", func(h *history) { h.duration = 0 }, []string{"v2 rolled back: " + reasonTooLate}},
+		{"order written twice", func(h *history) {
 			h.ordersAt = replaceOrder(4*time.Second, orderFor(modelNew, 7, 12*time.Second), orderFor(modelNew, 8, 20*time.Second))
 		}, []string{"v2 succeeded: " + reasonMoved}},
-		{"replaced by one for another target", func(h *history) {
+		{"order replaced by one for another target", func(h *history) {
 			h.duration = 20 * time.Second
 			h.ordersAt = replaceOrder(4*time.Second, orderFor(modelNew, 7, 12*time.Second), orderFor(third, 8, 8*time.Second))
 		}, []string{"v2 rolled back: " + reasonReplaced, "v3 rolled back: " + reasonNoBackEnds}},
-		{"withdrawn", func(h *history) {
+		{"order withdrawn", func(h *history) {
 			h.ordersAt = replaceOrder(2*time.Second, orderFor(modelNew, 7, 12*time.Second))
 		}, []string{"v2 rolled back: " + reasonWithdrawn}},
-		{"again after it was rolled back", func(h *history) {
+		{"second order after a rollback", func(h *history) {
 			h.duration = 20 * time.Second
 			h.ordersAt = replaceOrder(6*time.Second, orderFor(modelNew, 7, 5*time.Second), orderFor(modelNew, 8, 12*time.Second))
 		}, []string{"v2 rolled back: " + reasonTooLate, "v2 succeeded: " + reasonMoved}},
-		{"back ends of the others are taken away meanwhile", func(h *history) { h.backEnds = changeOthers(3*time.Second, 12, 6, 12) }, []string{"v2 succeeded: " + reasonMoved}},
-		{"back ends of the others are replaced meanwhile", func(h *history) { h.backEnds = changeOthers(3*time.Second, 6, 12, 12) }, []string{"v2 succeeded: " + reasonMoved}},
-		{"too few of its back ends are left meanwhile", func(h *history) { h.backEnds = reduceTarget(5*time.Second, 5) }, []string{"v2 rolled back: " + reasonTooFew}},
-		{"its route is moved away at once", func(h *history) { h.endsAt = modelStart + time.Second }, []string{"v2 rolled back: too little evidence: 15 answers of the target"}},
-		{"its route is moved away late", func(h *history) { h.endsAt = modelStart + 7*time.Second }, []string{"v2 succeeded: " + reasonMoved}},
-		{"read late since the store was down", func(h *history) { storeDown(h, 9*time.Second) }, []string{"v2 rolled back: " + reasonTooLate}},
+		{"other back ends removed", func(h *history) { h.backEnds = changeOthers(3*time.Second, 12, 6, 12) }, []string{"v2 succeeded: " + reasonMoved}},
+		{"other back ends added", func(h *history) { h.backEnds = changeOthers(3*time.Second, 6, 12, 12) }, []string{"v2 succeeded: " + reasonMoved}},
+		{"too few back ends left", func(h *history) { h.backEnds = reduceTarget(5*time.Second, 5) }, []string{"v2 rolled back: " + reasonTooFew}},
+		{"requests end early", func(h *history) { h.endsAt = modelStart + time.Second }, []string{"v2 rolled back: too little evidence: 15 answers of the target"}},
+		{"requests end late", func(h *history) { h.endsAt = modelStart + 7*time.Second }, []string{"v2 succeeded: " + reasonMoved}},
+		{"order read late after a store outage", func(h *history) { storeDown(h, 9*time.Second) }, []string{"v2 rolled back: " + reasonTooLate}},
 	}
 }
 
@@ -148,15 +148,15 @@
 				finals = append(finals, string(state.Order.Target)+" "+state.Phase.String()+": "+state.Reason)
 			}
 			is.Equal(finals, tt.want)
-			if tt.name != "it serves alone already" { // that is asked to get all requests
+			if tt.name != "target already serves alone" { // it may receive all requests
 				is.Equal(got.violations, nil)
 			}
 		})
 	}
 }
 
-// TestSuccessWaitsForRuns shows that success is not told while runs that take longer than the
-// least time of Promoting are under way on the releases that end with it.
+// Success must not end runs that take longer than the least time of Promoting on other
+// releases.
 func TestSuccessWaitsForRuns(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(4) {
@@ -171,9 +171,8 @@
 	}
 }
 
-// A holder that takes over in the last second promotes no target for good while a router that
-// has heard nothing of it may still send to the releases that end: the routers of this
-// history are killed, frozen and cut off, the holder among them.
+// A holder that takes over in the last second must not promote the target for good while a
+// router without a permit may still send to other releases.
 func TestDeadlineDecisionWaitsForRouters(t *testing.T) {
 	is := is.New(t)
 	const lateTakeover = 50
@@ -186,22 +185,21 @@
 		is.Equal(len(got.verdicts), 1)
 		return
 	}
-	t.Error("no such trouble")
+	t.Error("no such disturbance")
 }
 
-// TestCeilingBoundsSuccessors shows that exposure stays bounded when holders change, and that
-// it does not without the ceiling in the store.
+// Exposure must stay bounded when holders change; without the stored ceiling it does not.
 func TestCeilingBoundsSuccessors(t *testing.T) {
 	is := is.New(t)
 	for _, off := range []bool{false, true} {
-		broken := 0
+		violations := 0
 		for seed := range uint64(2) {
 			h := undisturbedHistory()
 			h.seed, h.duration, h.hooks.ignoreCeiling = seed, time.Minute, off
 			h.outages = []outage{{from: modelStart + 4*time.Second, until: modelStart + 7*time.Second, router: -1, killed: true}}
-			broken += len(newModel(h).play().violations)
+			violations += len(newModel(h).play().violations)
 		}
-		is.Equal(broken > 0, off) // broken only without the ceiling
+		is.Equal(violations > 0, off) // violated only without the ceiling
 	}
 }
 
@@ -211,7 +209,7 @@
 	now      time.Duration
 	states   map[ident.Service]State
 	versions map[ident.Service]uint64
-	// dropWrites stands for writes of which nothing is heard.
+	// dropWrites drops writes without a result.
 	dropWrites bool
 	permits    []SendPermit
 }
@@ -224,7 +222,7 @@
 
 var testRouter = netip.MustParseAddrPort("10.0.0.1:7000")
 
-// step lets the director act, and its store answer.
+// step runs the director's actions and answers them.
 func (d *directorHarness) step() {
 	d.now += 50 * time.Millisecond
 	for _, action := range d.director.Step(at(d.now)) {
@@ -281,8 +279,8 @@
 	}
 }
 
-// TestHolderGrantsAfterOwnWrite shows the guard of the fence: a holder grants nothing until
-// its own write lies in the store, as the one before may still raise the ceiling.
+// A holder must grant nothing until its own write is stored, as the one before may still
+// raise the ceiling.
 func TestHolderGrantsAfterOwnWrite(t *testing.T) {
 	is := is.New(t)
 	for _, off := range []bool{false, true} {
@@ -300,7 +298,7 @@
 	}
 }
 
-// A read that was under way while a verdict was stored does not take the verdict back.
+// A read that was under way while a verdict was stored must not revert it.
 func TestStaleReadKeepsFinalPhase(t *testing.T) {
 	is := is.New(t)
 	d := newHarness(hooks{})
@@ -350,7 +348,7 @@
 	records := []backend.Record{record("v0", 0), record(modelOld, 0), record(modelOld, 1), record(modelNew, 0)}
 	records[0].Draining = true
 	count := countBackends(append(records, record("v3", 0)), modelService, modelNew)
-	is.Equal(count.releases, []ident.Release{modelOld, "v3"}) // nothing new runs on what drains
+	is.Equal(count.releases, []ident.Release{modelOld, "v3"}) // draining ones do not count
 	is.Equal(count.others, 3)
 	is.Equal(count.target, 1)
 }
@@ -361,11 +359,11 @@
 	f.setRouters(at(0), []netip.AddrPort{testRouter})
 	f.applyReport(at(0), testRouter, &Report{Incarnation: 1, Clock: 10 * time.Second, Requests: 5})
 	f.applyReport(at(time.Second), testRouter, &Report{Incarnation: 1, Clock: 9 * time.Second, Requests: 4})
-	is.Equal(f.requests(), uint64(5)) // a late one changes nothing
+	is.Equal(f.requests(), uint64(5)) // an older report changes nothing
 	f.applyReport(at(3*time.Second), testRouter, &Report{Incarnation: 1, Clock: 11 * time.Second, Requests: 7})
-	is.Equal(f.routers[0].current.reportedAt, at(time.Second)) // it waited for two seconds
+	is.Equal(f.routers[0].current.reportedAt, at(time.Second)) // it was delayed for two seconds
 	f.applyReport(at(3*time.Second), testRouter, &Report{Incarnation: 2, Clock: time.Second, Requests: 3})
-	is.Equal(f.requests(), uint64(10)) // both lives count
+	is.Equal(f.requests(), uint64(10)) // both incarnations count
 	f.applyReport(at(3*time.Second), netip.MustParseAddrPort("10.9.9.9:7000"), &Report{Incarnation: 3, Requests: 100})
-	is.Equal(f.requests(), uint64(10)) // a stranger does not
+	is.Equal(f.requests(), uint64(10)) // an unlisted router does not
 }
--- a/internal/canary/evaluator.go
+++ b/internal/canary/evaluator.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// evaluator weighs the answers of a target against those of the other releases.
+// evaluator compares the answers of a target with those of the other releases.
 type evaluator interface {
-	// addWindow takes in one window of a route.
+	// addWindow adds one window of a route.
 	addWindow(seen *window)
-	// rejection returns why the target is bad, or nothing. Several says that the target has
-	// more than one back end, so that the evidence has to come from more than one.
+	// rejection returns why the target is bad, or "". With several, the target has more
+	// than one back end, and the evidence must come from more than one.
 	rejection(several bool) string
-	// inconclusive returns why the target is not to be promoted, or nothing; last says that
-	// there is no time for more evidence.
+	// inconclusive returns why the target cannot be promoted, or "". With last, there is no
+	// time for more evidence.
 	inconclusive(several, last bool) string
-	// insufficient returns what the target has too few answers of to be promoted, or nothing.
+	// insufficient returns which answers are too few to promote the target, or "".
 	insufficient() string
 	// targetAnswers returns the number of answers of the target.
 	targetAnswers() uint64
 }
 
-// kind says what is bad of an answer.
+// kind is a way in which an answer is bad.
 type kind uint8
 
 const (
@@ -33,65 +33,60 @@
 // kindNames are the names of kinds in reasons.
 var kindNames = [kinds]string{failing: "failed", slow: "slow"}
 
-// excessRates are the parts of a bad target's answers that are bad beyond those of the other
-// releases, under each of which the evidence is weighed: the least that is to be found in
-// the shortest rollouts, and two by which larger ones are found sooner.
+// excessRates are the tested rates of bad answers beyond those of the other releases. The
+// higher ones detect worse targets sooner.
 var excessRates = [...]float64{0.1, 0.3, 0.8}
 
 const (
-	// slowBins is the number of bins by which a slow answer lies above the median of the
-	// other releases: two to three times their time.
+	// slowBins is by how many bins a slow answer exceeds the other releases' median: two to
+	// three times their time.
 	slowBins = 3
-	// leastRate is the least rate of bad answers that is taken for granted of any release,
-	// by kind: a handful of failures is no proof where there were none before.
+	// minFailureRate and minSlowRate are the least rates assumed of any release, so that a
+	// few bad answers prove nothing where there were none before.
 	minFailureRate, minSlowRate = 0.005, 0.01
-	// priorAnswers is the weight of the long-run rate of the other releases in that of a
-	// window, in answers; burstPrior is the one for a window in which they had more bad
-	// answers than chance explains, by burstSigmas standard deviations.
+	// priorAnswers is the weight, in answers, of the other releases' long-run rate in that
+	// of a window; burstPrior replaces it if they exceed the long-run rate by burstSigmas
+	// standard deviations.
 	priorAnswers = 200.0
 	burstPrior   = 10.0
 	burstSigmas  = 3.0
-	// baselineDecay is the weight that earlier windows keep in the long-run rate and median.
+	// baselineDecay is the weight of earlier windows in the long-run rate and median.
 	baselineDecay = 0.93
-	// rejectWeight is the logarithm of the likelihood ratio from which a target is bad. Good
-	// ones reach it in under 1 in 200 histories (table in the design note).
+	// rejectWeight is the log-likelihood ratio from which a target is bad.
 	rejectWeight = 11.0
-	// rejectWeightLeft is what has to be left of it against the chance that one back end of
-	// the target is broken, and rejectSinglePrior by how much less likely that is than that
-	// the target is bad.
+	// rejectWeightLeft is what must remain of it after discounting that only one back end
+	// is broken; rejectSinglePrior is how much less likely that is than a bad target.
 	rejectWeightLeft  = 6.0
 	rejectSinglePrior = 4.0
-	// doubtful is the one up to which a target is promoted, maxLastPromoteWeight up to which it
-	// is when there is no time for more evidence.
+	// maxPromoteWeight is the weight below which a target is promoted, maxLastPromoteWeight
+	// the same when there is no time for more evidence.
 	maxPromoteWeight, maxLastPromoteWeight = 3.0, 4.5
-	// restPrior is what the others may weigh by chance while one back end is broken: in
-	// 8 of 300 histories more than 6 without it.
+	// restPrior is what the rest may weigh by chance while one back end is broken.
 	restPrior = 3.0
-	// promoteSinglePrior is the same when it is asked whether there is doubt.
+	// promoteSinglePrior replaces rejectSinglePrior in the decision to promote.
 	promoteSinglePrior = 10.0
-	// minLastingWeight is what slow answers have to weigh without the two windows that weigh
-	// most: a pause of all back ends in use shows in no more.
+	// minLastingWeight is the weight that slow answers need without the two largest
+	// windows, as a pause of all back ends in use shows in no more than two.
 	minLastingWeight = 2.0
-	// minPauseWindows is the number of windows from which a pause is told from that.
+	// minPauseWindows is the number of windows needed to detect a pause.
 	minPauseWindows = 6
-	// noBaselineRate is the least rate of failures that is taken for granted while there are
-	// hardly any answers of other releases to compare with, and minBaselineAnswers the number
-	// below which that is so.
+	// noBaselineRate is the least failure rate assumed while the other releases have fewer
+	// than minBaselineAnswers answers in a window.
 	noBaselineRate     = 0.05
 	minBaselineAnswers = 10
-	// noBaselineExcess is the least excess that is looked for then.
+	// noBaselineExcess is the least excess rate tested in such a window.
 	noBaselineExcess = 0.3
-	// minAnswers is the number of answers of the target without which it is not
-	// promoted, minRouteAnswers that of each route with a tenth of all answers.
+	// minAnswers is the number of answers needed to promote the target, minRouteAnswers
+	// that on each frequent route.
 	minAnswers, minRouteAnswers = 30, 8
-	// minRouteFraction is the part of all answers that makes a route count for that.
+	// minRouteFraction is the fraction of all answers that makes a route frequent.
 	minRouteFraction = 0.1
 )
 
-// sequentialEvaluator is the verdict by likelihood ratios: it compares the answers of the target
-// with those of the other releases in the same seconds, by route.
+// sequentialEvaluator compares the target with the other releases in the same seconds, by
+// route, with sequential likelihood ratio tests.
 type sequentialEvaluator struct {
-	// groups are the parts of the target that have answered, with their answers.
+	// groups are the target's back-end groups that answered, answers their counts.
 	groups  []uint32
 	answers []uint64
 	streams []*stream
@@ -100,13 +95,13 @@
 	medians []*median
 }
 
-// median follows the usual time of a route's answers by other releases.
+// median tracks the median time of the other releases on a route.
 type median struct {
 	route string
 	times [timeBins]float64
 }
 
-// add takes in a window of other releases.
+// add adds a window of the other releases.
 func (m *median) add(others *cell) {
 	for bin := range m.times {
 		m.times[bin] = m.times[bin]*baselineDecay + float64(others.times[bin])
@@ -129,7 +124,7 @@
 	return 0
 }
 
-// addWindow takes in one window of a route.
+// addWindow implements evaluator.
 func (s *sequentialEvaluator) addWindow(observed *window) {
 	usual := s.median(observed.route)
 	usual.add(&observed.others)
@@ -145,7 +140,7 @@
 	s.excess.update(observed.since)
 }
 
-// addKind takes in one kind of bad answers of a window.
+// addKind adds one kind of bad answers of a window.
 func (s *sequentialEvaluator) addKind(observed *window, kind kind, noBaseline bool, count func(*cell) (bad, answers uint64)) {
 	routeStream, totalStream := s.stream(observed.route, kind), s.stream("", kind)
 	othersBad, others := count(&observed.others)
@@ -191,7 +186,7 @@
 	}
 }
 
-// group returns the index of a part, which is added if it is new.
+// group returns the index of a group, which is added if it is new.
 func (s *sequentialEvaluator) group(id uint32) int {
 	if index := slices.Index(s.groups, id); index >= 0 {
 		return index
@@ -201,7 +196,7 @@
 	return len(s.groups) - 1
 }
 
-// median returns the usual time of a route.
+// median returns the median of a route, which is added if it is new.
 func (s *sequentialEvaluator) median(route string) *median {
 	for _, known := range s.medians {
 		if known.route == route {
@@ -212,7 +207,7 @@
 	return s.medians[len(s.medians)-1]
 }
 
-// stream returns the stream of a route and kind.
+// stream returns the stream of a route and kind, which is added if it is new.
 func (s *sequentialEvaluator) stream(route string, kind kind) *stream {
 	for _, known := range s.streams {
 		if known.route == route && known.kind == kind {
@@ -223,7 +218,7 @@
 	return s.streams[len(s.streams)-1]
 }
 
-// rejection implements verdict.
+// rejection implements evaluator.
 func (s *sequentialEvaluator) rejection(several bool) string {
 	for _, stream := range s.streams {
 		total, left, paused := stream.weight(several, rejectSinglePrior)
@@ -237,7 +232,7 @@
 	return ""
 }
 
-// inconclusive implements verdict.
+// inconclusive implements evaluator.
 func (s *sequentialEvaluator) inconclusive(several, last bool) string {
 	limit := maxPromoteWeight
 	if last {
@@ -246,8 +241,8 @@
 	for _, stream := range s.streams {
 		total, left, paused := stream.weight(several, promoteSinglePrior)
 		if paused && stream.windows < minPauseWindows {
-			// A new holder sees all that came before it in a few windows, and cannot
-			// tell a pause from a target that is slow.
+			// A new holder gets all earlier answers in a few windows, where a pause looks
+			// the same as a slow target.
 			left, paused = total, false
 		}
 		if left >= limit && !paused {
@@ -257,7 +252,7 @@
 	return ""
 }
 
-// targetAnswers implements verdict.
+// targetAnswers implements evaluator.
 func (s *sequentialEvaluator) targetAnswers() uint64 {
 	var sum uint64
 	for _, answers := range s.answers {
@@ -266,7 +261,7 @@
 	return sum
 }
 
-// insufficient implements verdict.
+// insufficient implements evaluator.
 func (s *sequentialEvaluator) insufficient() string {
 	if total := s.targetAnswers(); total < minAnswers {
 		return fmt.Sprintf("too little evidence: %d answers of the target", total)
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -6,20 +6,18 @@
 )
 
 const (
-	// fullWindowAnswers is the number of answers of other releases from which a window of a
-	// route is judged: their rate of failures is then known to 3 in 100 or so.
+	// fullWindowAnswers is the number of other releases' answers that completes a window.
 	fullWindowAnswers = 80
-	// maxWindowAge is the time after which a window is judged in any case.
+	// maxWindowAge is the age at which any window is complete.
 	maxWindowAge = time.Second
 )
 
-// cell counts answers.
 type cell struct {
 	answers, failures uint64
 	times             [timeBins]uint64
 }
 
-// add adds the answers that a tally counts beyond those of an earlier one.
+// add adds the answers that a tally counts beyond an earlier one.
 func (c *cell) add(tally, earlier *Tally) {
 	c.answers += saturatingSub(tally.Answers, earlier.Answers)
 	c.failures += saturatingSub(tally.Failures, earlier.Failures)
@@ -37,19 +35,18 @@
 	return sum
 }
 
-// groupCell counts answers of one part of the target.
+// groupCell counts answers of one back-end group of the target.
 type groupCell struct {
 	group uint32
 	cell
 }
 
-// window holds the answers of one route within about a second, so that the target is
-// compared with the other releases under the same conditions.
+// window holds the answers of one route within about a second, so that the target and the
+// other releases are compared under the same conditions.
 type window struct {
 	route string
 	since time.Time
-	// inherited says that answers are among it which came over a longer time, under an
-	// earlier holder.
+	// inherited is set if it contains answers from a longer time, under an earlier holder.
 	inherited bool
 	others    cell
 	groups    []groupCell
@@ -69,7 +66,7 @@
 	w.groups[index].add(tally, earlier)
 }
 
-// target returns the answers of all parts together.
+// target returns the answers of all groups together.
 func (w *window) target() cell {
 	var sum cell
 	for index := range w.groups {
@@ -83,18 +80,18 @@
 	return sum
 }
 
-// due reports whether the window is to be judged.
+// due reports whether the window is complete.
 func (w *window) due(now time.Time) bool {
 	return w.others.answers >= fullWindowAnswers || now.Sub(w.since) >= maxWindowAge
 }
 
-// openWindows puts the reports of all routers together.
+// openWindows collects the reports of all routers.
 type openWindows struct {
 	windows []*window
 }
 
-// add takes in the difference of two reports of the same life; earlier may be nil. Inherited
-// says that the life sent to the target under an earlier holder.
+// add adds the difference of two reports of one incarnation; earlier may be nil. Inherited
+// is set if it sent to the target under an earlier holder.
 func (e *openWindows) add(now time.Time, report, earlier *Report, inherited bool) {
 	none := &Tally{}
 	for index := range report.Tallies {
@@ -111,7 +108,7 @@
 	}
 }
 
-// tally returns the report's tally of a route and part, or another one if it has none.
+// tally returns the report's tally of a route and group, or otherwise if it has none.
 func (r *Report) tally(route string, group uint32, otherwise *Tally) *Tally {
 	for index := range r.Tallies {
 		if r.Tallies[index].Group == group && r.Tallies[index].Route == route {
@@ -121,7 +118,7 @@
 	return otherwise
 }
 
-// window returns the open window of a route.
+// window returns the open window of a route, which is added if it is new.
 func (e *openWindows) window(now time.Time, route string) *window {
 	for _, open := range e.windows {
 		if open.route == route {
@@ -133,7 +130,7 @@
 	return open
 }
 
-// removeDue removes and returns the windows that are to be judged, or all.
+// removeDue removes and returns the complete windows, or all.
 func (e *openWindows) removeDue(now time.Time, all bool) []*window {
 	var due []*window
 	e.windows = slices.DeleteFunc(e.windows, func(open *window) bool {
--- a/internal/canary/excess.go
+++ b/internal/canary/excess.go
@@ -6,25 +6,23 @@
 )
 
 const (
-	// excessLimit is the number of bad answers beyond the usual from which a target is not
-	// given the benefit of the doubt for long: from the 50th on it may get requests for
-	// Bounds.Rollback only. Of these excessElsewhere have to come from other back ends than
-	// the worst.
+	// excessLimit is the number of bad answers beyond the baseline after which a suspected
+	// pause protects the target for maxExcessTime only: Bounds.Rollback begins at the 50th.
+	// At least excessElsewhere of them must come from groups other than the worst.
 	excessLimit, excessElsewhere = 45, 20
-	// maxExcessTime is the time for which it is given all the same, half of the 5 s that the
-	// users allow. The verdict and its way to the routers take the rest.
+	// maxExcessTime leaves time within Bounds.Rollback for the verdict to reach the
+	// routers.
 	maxExcessTime = 2500 * time.Millisecond
 )
 
-// excessCounter counts the bad answers of the target beyond those that other releases would have had.
+// excessCounter counts the target's bad answers beyond the baseline rate.
 type excessCounter struct {
-	// byGroup is the number by part.
+	// byGroup is the excess by index of the group.
 	byGroup []float64
-	// exceededAt is when there were many, newest the time of the newest window.
+	// exceededAt is when the limit was reached, newest the time of the newest window.
 	exceededAt, newest time.Time
 }
 
-// add adds bad answers of a part beyond the usual.
 func (m *excessCounter) add(group int, excess float64) {
 	for len(m.byGroup) <= group {
 		m.byGroup = append(m.byGroup, 0)
@@ -32,7 +30,7 @@
 	m.byGroup[group] += excess
 }
 
-// update says that a window was weighed.
+// update is called after each window that was added.
 func (m *excessCounter) update(at time.Time) {
 	if at.After(m.newest) {
 		m.newest = at
@@ -42,7 +40,7 @@
 	}
 }
 
-// exceeded reports whether there are many now.
+// exceeded reports whether the limit is reached now.
 func (m *excessCounter) exceeded() bool {
 	if len(m.byGroup) == 0 {
 		return false
@@ -54,7 +52,7 @@
 	return total >= excessLimit && (len(m.byGroup) == 1 || total-slices.Max(m.byGroup) >= excessElsewhere)
 }
 
-// expired reports whether there have been many for as long as is allowed.
+// expired reports whether the limit was reached maxExcessTime ago.
 func (m *excessCounter) expired() bool {
 	return !m.exceededAt.IsZero() && m.newest.Sub(m.exceededAt) >= maxExcessTime
 }
--- a/internal/canary/fleet.go
+++ b/internal/canary/fleet.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// maxGates bounds the lives of routers that are remembered in a rollout: ten times
-	// the routers of the largest fleet.
+	// maxGates bounds the router incarnations remembered in a rollout, well above any
+	// fleet.
 	maxGates = 4_000
-	// rateWindow is the time over which a router's rate of requests is smoothed.
+	// rateWindow is the time over which a router's request rate is smoothed.
 	rateWindow = 2 * time.Second
-	// unusedGrantTime is the time of requests that a router's unused grants may be worth; at
+	// unusedGrantTime is the time whose requests a router's unused grants may cover; at
 	// least minUnusedGrants may be unused.
 	unusedGrantTime = 750 * time.Millisecond
 	minUnusedGrants = 1
 )
 
-// gateState is one life of a router's gate.
+// gateState is what one incarnation of a router's gate has reported.
 type gateState struct {
 	newest *Report
-	// evaluated is the report up to which its answers were taken in.
+	// evaluated is the newest report whose answers were evaluated.
 	evaluated *Report
-	// clockOrigin is the earliest time at which its clock can have been 0, and reportedAt the time
-	// of the newest report by that: reports may have waited on their way.
+	// clockOrigin is the earliest local time at which its clock can have been 0, and
+	// reportedAt the newest report's clock in local time: reports may be delayed.
 	clockOrigin, reportedAt time.Time
-	// sentBefore is what it had sent to the target when this holder heard of it first, granted
-	// what this holder granted it since.
+	// sentBefore is what it had sent to the target at its first report to this holder,
+	// granted what this holder has granted it since.
 	sentBefore, granted uint64
-	// rate is its requests a second, watched the time over which they were counted.
+	// rate is its requests a second, rateSpan the time over which they were counted.
 	rate     float64
 	rateSpan time.Duration
 }
 
-// maxSends returns the number of requests that it may have sent in all.
+// maxSends returns the number of requests that it may have sent in total.
 func (l *gateState) maxSends() uint64 { return l.sentBefore + l.granted }
 
 // unused returns the number of grants that are not known to be used.
 func (l *gateState) unused() uint64 { return saturatingSub(l.maxSends(), l.newest.Sent) }
 
-// router is one router of the roster.
+// router is one entry of the router list.
 type router struct {
 	address netip.AddrPort
 	current *gateState
@@ -49,7 +49,7 @@
 	awaitedSince time.Time
 }
 
-// silence returns the time for which the router was not heard.
+// silence returns the time since the router's newest report.
 func (r *router) silence(now time.Time) time.Duration {
 	since := r.awaitedSince
 	if r.current != nil && r.current.reportedAt.After(since) {
@@ -58,19 +58,19 @@
 	return now.Sub(since)
 }
 
-// fleet holds what the routers have reported of one rollout.
+// fleet holds the reports of all routers on one rollout.
 type fleet struct {
 	routers []*router
 	gates   map[uint64]*gateState
 	random  *rand.Rand
 }
 
-// newFleet returns a fleet of which nothing is known.
+// newFleet returns a fleet without routers or reports.
 func newFleet(seed uint64) *fleet {
 	return &fleet{gates: map[uint64]*gateState{}, random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// setRouters takes in the addresses of all routers.
+// setRouters sets the addresses of all routers.
 func (f *fleet) setRouters(now time.Time, addresses []netip.AddrPort) {
 	known := make(map[netip.AddrPort]*router, len(f.routers))
 	for _, router := range f.routers {
@@ -85,14 +85,14 @@
 	}
 }
 
-// awaitReports begins to wait for all routers, also for those that were not heard lately.
+// awaitReports waits for all routers again, also for silent ones.
 func (f *fleet) awaitReports(now time.Time) {
 	for _, router := range f.routers {
 		router.awaitedSince = now
 	}
 }
 
-// applyReport takes in a report, unless it is older than one of the same life.
+// applyReport records a report, unless it is older than one of the same incarnation.
 func (f *fleet) applyReport(now time.Time, from netip.AddrPort, report *Report) {
 	router := f.router(from)
 	if router == nil {
@@ -119,8 +119,7 @@
 	router.current = known
 }
 
-// updateRate takes in the requests of some time: the mean at first, later ones counting more once
-// there is enough of it.
+// updateRate updates the rate: first the mean, after rateWindow an exponential average.
 func (l *gateState) updateRate(span time.Duration, requests uint64) {
 	l.rateSpan += span
 	weight := span.Seconds() / min(l.rateSpan, max(rateWindow, span)).Seconds()
@@ -137,7 +136,7 @@
 	return nil
 }
 
-// requests returns the number of requests that are known to have come.
+// requests returns the number of requests reported.
 func (f *fleet) requests() uint64 {
 	var sum uint64
 	for _, gate := range f.gates {
@@ -157,8 +156,7 @@
 	return sum
 }
 
-// runLength returns the mean length of runs on other releases, which follows from how many
-// are under way.
+// runLength returns the mean length of runs on other releases, by Little's law.
 func (f *fleet) runLength() time.Duration {
 	running, rate := uint64(0), f.rate()
 	for _, router := range f.routers {
@@ -172,7 +170,7 @@
 	return time.Duration(float64(running) / rate * float64(time.Second))
 }
 
-// reporting returns the number of routers that were heard lately.
+// reporting returns the number of routers with a recent report.
 func (f *fleet) reporting(now time.Time) int {
 	count := 0
 	for _, router := range f.routers {
@@ -183,15 +181,14 @@
 	return count
 }
 
-// hasQuorum reports whether half of the routers at least are heard: a holder that hears fewer
-// is itself cut off, and knows too little for a verdict that the target is good.
+// hasQuorum reports whether at least half of the routers report: with fewer, the holder
+// itself is cut off and cannot promote the target.
 func (f *fleet) hasQuorum(now time.Time) bool {
 	return len(f.routers) > 0 && 2*f.reporting(now) >= len(f.routers)
 }
 
-// allMoved reports whether no router that is heard can send anything to other releases until
-// it learns of a verdict, and none has a run there. Routers that were not heard for long are
-// not waited for.
+// allMoved reports whether all routers are promoted until a verdict can reach them, and
+// none has runs on other releases. Silent routers are ignored.
 func (f *fleet) allMoved(now time.Time) bool {
 	for _, router := range f.routers {
 		if router.silence(now) >= silentAfter {
@@ -204,7 +201,7 @@
 	return true
 }
 
-// allPromoted reports whether all routers that are heard send to the target only.
+// allPromoted reports whether all routers but silent ones send to the target only.
 func (f *fleet) allPromoted(now time.Time) bool {
 	for _, router := range f.routers {
 		if router.silence(now) >= silentAfter {
@@ -217,14 +214,14 @@
 	return true
 }
 
-// promoted reports whether the life sends to the target only, and will for long enough.
+// promoted reports whether the gate sends to the target only, for long enough.
 func (l *gateState) promoted(now time.Time) bool {
 	return l.newest.Phase == Promoting && l.newest.PermitLeft-now.Sub(l.reportedAt) >= minPermitLeft
 }
 
-// grant gives routers a number of requests, in proportion to what they are asked for, and
-// returns how many were given. Those that have not used theirs get none. Part is the part of
-// their requests that go to the target.
+// grant distributes up to available grants over routers in proportion to their rates, and
+// returns how many were given. Routers with enough unused grants get none. Fraction is the
+// fraction of their requests that go to the target.
 func (f *fleet) grant(now time.Time, available uint64, fraction float64) uint64 {
 	gates := f.grantable(now, fraction)
 	total := 0.0
@@ -234,8 +231,7 @@
 	if available == 0 || total == 0 {
 		return 0
 	}
-	// Systematic sampling: each router gets its part rounded up or down, and the sum is
-	// exact.
+	// Systematic sampling: each share is rounded up or down, and the sum is exact.
 	given := uint64(0)
 	position := f.random.Float64()
 	for _, gate := range gates {
@@ -248,7 +244,7 @@
 	return given
 }
 
-// grantable returns the lives that may be given more.
+// grantable returns the gates with recent reports that can use more grants.
 func (f *fleet) grantable(now time.Time, fraction float64) []*gateState {
 	var gates []*gateState
 	for _, router := range f.routers {
@@ -260,7 +256,7 @@
 	return gates
 }
 
-// wants returns how many more grants the life can make use of soon.
+// grantDemand returns how many more grants the gate can use soon.
 func (l *gateState) grantDemand(fraction float64) uint64 {
 	useful := uint64(l.rate*fraction*unusedGrantTime.Seconds()) + minUnusedGrants
 	return saturatingSub(useful, l.unused())
--- a/internal/canary/fleet_test.go
+++ b/internal/canary/fleet_test.go
@@ -8,8 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// A router has turned to the target only if it acts upon an order to promote that remains
-// valid until the verdict can have been written.
+// A router counts as promoted only if its permit remains valid until the verdict is stored.
 func TestPromotedNeedsPermitForWrite(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -20,7 +19,7 @@
 	}{
 		{"covered", Promoting, minPermitLeft, 0, true},
 		{"too short", Promoting, minPermitLeft - time.Millisecond, 0, false},
-		{"heard some time ago", Promoting, minPermitLeft + 100*time.Millisecond, 200 * time.Millisecond, false},
+		{"too short since its report", Promoting, minPermitLeft + 100*time.Millisecond, 200 * time.Millisecond, false},
 		{"observing", Observing, time.Second, 0, false},
 	}
 	for _, tt := range tests {
@@ -31,7 +30,7 @@
 	}
 }
 
-// A holder that hears fewer than half of the routers is cut off itself.
+// A holder with reports of fewer than half of the routers is cut off itself.
 func TestQuorumOfRouters(t *testing.T) {
 	tests := []struct {
 		name  string
--- a/internal/canary/fuzz_test.go
+++ b/internal/canary/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzMessages hands whatever decodes as a report or permit to a director and a gate, which
-// must neither panic nor exceed the bounds of what they keep.
+// FuzzMessages passes decoded reports and permits to a director and a gate, which must
+// neither panic nor exceed the bounds of what they keep.
 func FuzzMessages(f *testing.F) {
 	report := Report{Service: modelService, Revision: testOrder.Revision, Incarnation: 3, Tallies: []Tally{{Route: "draft", Group: 1, Answers: 2, Failures: 1, Times: Histogram{1}}}}
 	for _, seed := range []any{&report, testPermit()} {
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -8,34 +8,34 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// GateConfig is what a Gate is made with.
+// GateConfig configures a Gate.
 type GateConfig struct {
-	// Incarnation names this life of the router. It differs from that of every other life of
-	// any router, so that a permit for an earlier one allows nothing.
+	// Incarnation identifies this process among all routers' incarnations, so that a permit
+	// for an earlier one allows nothing.
 	Incarnation uint64
 	Bounds      Bounds
 }
 
-// Gate is one router's view of all rollouts. It tells where attempts may go, and counts
-// what comes of them. It is not safe for concurrent use: its owner guards it by a mutex.
+// Gate restricts where one router's attempts may go during rollouts, and counts their
+// outcomes. It is not safe for concurrent use: its owner guards it by a mutex.
 type Gate struct {
 	cfg GateConfig
-	// clockOrigin is the begin of the gate's own clock.
+	// clockOrigin is the origin of the gate's own clock.
 	clockOrigin time.Time
-	// confirmedAt is the time at which the orders that are known were the newest ones.
+	// confirmedAt is the time at which the known orders were the newest ones.
 	confirmedAt time.Time
 	services    map[ident.Service]*traffic
-	// restricted is the number of services for which Choose has to be asked.
+	// restricted is the number of services for which Choose has to be called.
 	restricted int
 	hooks      hooks
 }
 
-// NewGate returns a gate that knows of nothing.
+// NewGate returns a gate without orders.
 func NewGate(cfg GateConfig) *Gate {
 	return &Gate{cfg: cfg, services: map[ident.Service]*traffic{}}
 }
 
-// ApplySnapshot takes in what the store tells, as it was read at confirmedAt.
+// ApplySnapshot applies orders and states read from the store at confirmedAt.
 func (g *Gate) ApplySnapshot(now, confirmedAt time.Time, known Snapshot) {
 	if !g.cfg.Bounds.Enabled() {
 		return
@@ -51,15 +51,15 @@
 			guard.applyPhase(state.Phase, state.Proved)
 		}
 	}
-	// An order may be newer than the state, whose target is then known to be unproved.
+	// An order may be newer than the state; its target is unproved from now on.
 	for _, order := range known.Orders {
 		g.guard(order)
 	}
 	g.countRestricted()
 }
 
-// dropWithdrawn drops the guards of orders that are not listed any more and that no holder
-// has taken up.
+// dropWithdrawn drops the guards of orders that are no longer listed and that no holder has
+// started.
 func (g *Gate) dropWithdrawn(orders []Order) {
 	for service, traffic := range g.services {
 		listed := slices.ContainsFunc(orders, func(order Order) bool { return order.Service == service })
@@ -69,15 +69,14 @@
 	}
 }
 
-// startClock begins the gate's clock.
 func (g *Gate) startClock(now time.Time) {
 	if g.clockOrigin.IsZero() {
 		g.clockOrigin = now
 	}
 }
 
-// guard returns the guard of an order, which replaces that of an older one; it is nil if
-// a newer order is known.
+// guard returns the guard of an order, which replaces that of an older one; it is nil if a
+// newer order is known.
 func (g *Gate) guard(order Order) *guard {
 	traffic := g.traffic(order.Service)
 	known := traffic.guard
@@ -90,7 +89,7 @@
 	return traffic.guard
 }
 
-// traffic returns what is known of a service.
+// traffic returns the traffic of a service, which is added if it is new.
 func (g *Gate) traffic(service ident.Service) *traffic {
 	known := g.services[service]
 	if known == nil {
@@ -100,7 +99,7 @@
 	return known
 }
 
-// SetReleases takes in the releases of all back ends of a service that are listed.
+// SetReleases sets the releases of all listed back ends of a service.
 func (g *Gate) SetReleases(now time.Time, service ident.Service, releases []ident.Release) {
 	if !g.cfg.Bounds.Enabled() {
 		return
@@ -110,7 +109,7 @@
 	g.countRestricted()
 }
 
-// countRestricted counts the services for which Choose has to be asked.
+// countRestricted counts the services for which Choose has to be called.
 func (g *Gate) countRestricted() {
 	g.restricted = 0
 	for _, traffic := range g.services {
@@ -121,12 +120,11 @@
 	}
 }
 
-// Active reports whether any attempt may have to be kept from a release: if not, Choose need not be asked.
+// Active reports whether any attempt may be restricted; if not, Choose need not be called.
 func (g *Gate) Active() bool { return g.restricted > 0 }
 
-// Choose returns where an attempt may go. If it names the only release allowed and no
-// back end of that can be used, the caller says so by Declined and asks again, with First
-// unset.
+// Choose returns where an attempt may go. If it names the only release allowed and no back
+// end of that can be used, the caller calls Declined, and Choose again with First unset.
 func (g *Gate) Choose(now time.Time, request ChooseRequest) backend.Releases {
 	traffic := g.services[request.Service]
 	if traffic == nil {
@@ -138,8 +136,8 @@
 	return traffic.guard.releases(now, request, traffic.forbidden)
 }
 
-// StillAllowed reports whether an attempt that Choose allowed to go to some releases may still go to
-// one of them.
+// StillAllowed reports whether an attempt may still go to a release among those that Choose
+// allowed.
 func (g *Gate) StillAllowed(service ident.Service, allowed *backend.Releases, release ident.Release) bool {
 	traffic := g.services[service]
 	if traffic == nil || allowed.Only == release {
@@ -148,16 +146,15 @@
 	return !slices.Contains(traffic.forbidden, release)
 }
 
-// Declined says that a request for which Choose named only the target of a rollout will
-// not be sent there after all.
+// Declined records that a request that Choose assigned to the target is not sent there.
 func (g *Gate) Declined(service ident.Service) {
 	if traffic := g.services[service]; traffic != nil && traffic.guard != nil && traffic.guard.pending > 0 {
 		traffic.guard.pending--
 	}
 }
 
-// Sent counts an attempt that is sent to a back end. Every attempt is told, whether
-// Choose was asked or not: runs that began before an order are waited for, too.
+// Sent counts an attempt that is sent to a back end. It is called for every attempt, as
+// runs that began before an order are waited for, too.
 func (g *Gate) Sent(_ time.Time, service ident.Service, to backend.Record) Run {
 	if !g.cfg.Bounds.Enabled() {
 		return Run{}
@@ -176,7 +173,7 @@
 	return run
 }
 
-// Ended takes in what came of an attempt.
+// Ended records the outcome of an attempt.
 func (g *Gate) Ended(_ time.Time, run Run, sample Sample) {
 	if !run.counted {
 		return
@@ -188,8 +185,7 @@
 	}
 }
 
-// ApplyPermit takes in a permit, which may also tell a final phase or an order that was not
-// known.
+// ApplyPermit applies a permit, which may also carry a final phase or a new order.
 func (g *Gate) ApplyPermit(now time.Time, permit *Permit) {
 	if !g.cfg.Bounds.Enabled() || !permit.sound() {
 		return
@@ -207,7 +203,7 @@
 	g.countRestricted()
 }
 
-// permit makes a permit for this life the one that holds, unless it is older than that.
+// permit applies a permit for this incarnation, unless it is older than the current one.
 func (g *Gate) permit(now time.Time, guard *guard, permit *Permit) {
 	newer := permit.Fence > guard.permit.Fence || permit.Clock >= guard.permit.Clock
 	if !newer && !g.hooks.ignoreFence {
@@ -221,8 +217,7 @@
 	}
 }
 
-// Report returns what the holder is to know of a service, or nil if no order for it is
-// known.
+// Report returns the report for the holder, or nil if no order for the service is known.
 func (g *Gate) Report(now time.Time, service ident.Service) *Report {
 	traffic := g.services[service]
 	if traffic == nil || traffic.guard == nil {
--- a/internal/canary/gate_test.go
+++ b/internal/canary/gate_test.go
@@ -19,10 +19,10 @@
 	testRequest = ChooseRequest{Service: modelService, Route: "draft", First: true}
 )
 
-// at returns a time of the test's gates, whose clock begins at 0.
+// at returns a local time by the clock of the tests' gates.
 func at(clock time.Duration) time.Time { return testEpoch.Add(clock) }
 
-// gateWithOrder returns a gate at its time 0 that knows of the order, with both releases listed.
+// gateWithOrder returns a gate at clock 0 with the order and both releases listed.
 func gateWithOrder() *Gate {
 	gate := NewGate(GateConfig{Incarnation: testIncarnation, Bounds: modelBounds})
 	gate.SetReleases(at(0), modelService, []ident.Release{modelOld})
@@ -36,7 +36,7 @@
 	return &Permit{Order: testOrder, Fence: 2, Phase: Observing, Incarnation: testIncarnation, Clock: time.Second, MaxSends: 10, Fraction: 1, MaxBackends: 3}
 }
 
-// countSends returns how many of a number of first requests go to the target.
+// countSends returns how many of some first requests go to the target.
 func countSends(gate *Gate, now time.Time, requests int) int {
 	count := 0
 	for range requests {
@@ -57,15 +57,15 @@
 	}{
 		{"none", nil, time.Second, 0},
 		{"one", []*Permit{testPermit()}, time.Second, 10},
-		{"repeated", []*Permit{testPermit(), testPermit()}, time.Second, 10},
-		{"shortly before its end", []*Permit{testPermit()}, 1999 * time.Millisecond, 10},
-		{"after its end", []*Permit{testPermit()}, 2 * time.Second, 0},
-		{"more", []*Permit{testPermit(), permitWith(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 25 })}, 2 * time.Second, 25},
-		{"an older one late", []*Permit{permitWith(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 5 }), testPermit()}, 2 * time.Second, 5},
+		{"duplicate", []*Permit{testPermit(), testPermit()}, time.Second, 10},
+		{"shortly before its expiry", []*Permit{testPermit()}, 1999 * time.Millisecond, 10},
+		{"after its expiry", []*Permit{testPermit()}, 2 * time.Second, 0},
+		{"followed by a larger one", []*Permit{testPermit(), permitWith(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 25 })}, 2 * time.Second, 25},
+		{"followed by an older one", []*Permit{permitWith(func(p *Permit) { p.Clock, p.MaxSends = 2*time.Second, 5 }), testPermit()}, 2 * time.Second, 5},
 		{"halted", []*Permit{testPermit(), permitWith(func(p *Permit) { p.Clock, p.Halted = 2*time.Second, true })}, time.Second, 0},
 		{"rolled back", []*Permit{testPermit(), permitWith(func(p *Permit) { p.Phase = RolledBack })}, time.Second, 0},
 		{"promoting", []*Permit{permitWith(func(p *Permit) { p.Phase = Promoting })}, time.Second, 40},
-		{"promoting, after its end", []*Permit{permitWith(func(p *Permit) { p.Phase = Promoting })}, 3 * time.Second, 0},
+		{"promoting, after its expiry", []*Permit{permitWith(func(p *Permit) { p.Phase = Promoting })}, 3 * time.Second, 0},
 		{"of an older order", []*Permit{permitWith(func(p *Permit) { p.Order.Revision = 6 })}, time.Second, 0},
 		{"half of the requests", []*Permit{permitWith(func(p *Permit) { p.Fraction, p.MaxSends = 0.5, 100 })}, time.Second, 20},
 		{"unsound", []*Permit{permitWith(func(p *Permit) { p.Fraction = -1 })}, time.Second, 0},
@@ -82,15 +82,14 @@
 	}
 }
 
-// permitWith returns a permit for ten requests with a change.
+// permitWith returns a changed testPermit.
 func permitWith(change func(*Permit)) *Permit {
 	permit := testPermit()
 	change(permit)
 	return permit
 }
 
-// TestGuardsOfGate shows for each guard of a gate what it keeps out, and that it is let in
-// without it.
+// Each guard of a gate must block what passes without it.
 func TestGuardsOfGate(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -98,11 +97,11 @@
 		permits []*Permit
 		at      time.Duration
 	}{
-		{"clock: a permit that waited in the socket of a frozen router", hooks{ignoreClock: true}, []*Permit{testPermit()}, 5 * time.Second},
-		{"fence: the holder before grants what the next one has halted", hooks{ignoreFence: true}, []*Permit{
+		{"clock: a permit that was delayed in the socket of a frozen router", hooks{ignoreClock: true}, []*Permit{testPermit()}, 5 * time.Second},
+		{"fence: a permit of the previous holder after the next one halted", hooks{ignoreFence: true}, []*Permit{
 			permitWith(func(p *Permit) { p.Fence, p.Halted = 3, true }), testPermit(),
 		}, time.Second},
-		{"life: a permit for the life before", hooks{ignoreIncarnation: true}, []*Permit{permitWith(func(p *Permit) { p.Incarnation = testIncarnation - 1 })}, time.Second},
+		{"incarnation: a permit for the previous incarnation", hooks{ignoreIncarnation: true}, []*Permit{permitWith(func(p *Permit) { p.Incarnation = testIncarnation - 1 })}, time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -137,10 +136,10 @@
 	}{
 		{"no order", []ident.Release{modelOld}, []ident.Release{modelOld}, Snapshot{}, false, []ident.Release{modelOld}, false},
 		{"two releases, no order", nil, []ident.Release{modelOld, modelNew}, Snapshot{}, false, []ident.Release{modelOld, modelNew}, false},
-		{"a release that an order may follow", []ident.Release{modelOld}, []ident.Release{modelOld, modelNew}, Snapshot{}, true, []ident.Release{modelOld}, true},
-		{"the first list is younger than the orders", nil, []ident.Release{modelOld, modelNew}, Snapshot{}, true, []ident.Release{modelOld, modelNew}, false},
-		{"the first list is younger than the order", nil, []ident.Release{modelOld, modelNew}, Snapshot{Orders: []Order{testOrder}}, true, []ident.Release{modelOld}, true},
-		{"the first list is younger than the verdict", nil, []ident.Release{modelOld, modelNew}, Snapshot{States: []State{state(RolledBack, modelOld)}}, true, []ident.Release{modelOld}, true},
+		{"new release, orders older", []ident.Release{modelOld}, []ident.Release{modelOld, modelNew}, Snapshot{}, true, []ident.Release{modelOld}, true},
+		{"first list newer than the orders", nil, []ident.Release{modelOld, modelNew}, Snapshot{}, true, []ident.Release{modelOld, modelNew}, false},
+		{"first list newer than an order", nil, []ident.Release{modelOld, modelNew}, Snapshot{Orders: []Order{testOrder}}, true, []ident.Release{modelOld}, true},
+		{"first list newer than a verdict", nil, []ident.Release{modelOld, modelNew}, Snapshot{States: []State{state(RolledBack, modelOld)}}, true, []ident.Release{modelOld}, true},
 		{"order", nil, []ident.Release{modelOld, modelNew}, Snapshot{Orders: []Order{testOrder}}, false, []ident.Release{modelOld}, true},
 		{"order, three releases", nil, []ident.Release{other, modelOld, modelNew}, Snapshot{Orders: []Order{testOrder}}, false, []ident.Release{other, modelOld}, true},
 		{"promoting", nil, []ident.Release{modelOld, modelNew}, Snapshot{States: []State{state(Promoting, modelOld)}}, false, []ident.Release{modelOld}, true},
@@ -200,8 +199,8 @@
 	is.True(!releases.Allows(third))    // it is not proved
 }
 
-// A router that was cut off during a verdict learns from the next order's state whether its
-// target has succeeded; one that was rolled back is never among the proved ones.
+// A router that missed a verdict must learn from the next order's state whether that target
+// succeeded; a target that was rolled back is never among the proved ones.
 func TestMissedVerdictFromNextOrder(t *testing.T) {
 	third := ident.Release("v3")
 	tests := []struct {
@@ -212,7 +211,7 @@
 	}{
 		{"it succeeded", []ident.Release{modelNew}, true, true},
 		{"it was rolled back", []ident.Release{modelOld}, true, false},
-		{"its rollback was not missed", []ident.Release{modelOld, modelNew}, false, false},
+		{"its rollback was received", []ident.Release{modelOld, modelNew}, false, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -251,7 +250,7 @@
 	toNew := gate.Sent(at(time.Second), modelService, record(modelNew, 1))
 	gate.Choose(at(time.Second), testRequest)
 	toOld := gate.Sent(at(time.Second), modelService, record(modelOld, 1))
-	is.Equal(gate.Report(at(time.Second), modelService).OtherRuns, uint64(2)) // also that from before the order
+	is.Equal(gate.Report(at(time.Second), modelService).OtherRuns, uint64(2)) // including the one from before the order
 
 	gate.Ended(at(time.Second), early, Sample{Route: "draft", Outcome: Failed})
 	gate.Ended(at(time.Second), toNew, Sample{Route: "draft", Outcome: Failed})
@@ -274,7 +273,7 @@
 	gate := gateWithOrder()
 	gate.ApplyPermit(at(time.Second), permitWith(func(p *Permit) { p.MaxSends = 1 }))
 	is.Equal(gate.Choose(at(time.Second), testRequest).Only, modelNew)
-	is.Equal(gate.Choose(at(time.Second), testRequest).Only, ident.Release("")) // the only grant is taken
+	is.Equal(gate.Choose(at(time.Second), testRequest).Only, ident.Release("")) // the only grant is in use
 	gate.Declined(modelService)
 	is.Equal(gate.Choose(at(time.Second), testRequest).Only, modelNew)
 }
@@ -297,7 +296,7 @@
 	is := is.New(t)
 	gate := gateWithOrder()
 	gate.ApplyPermit(at(time.Second), testPermit())
-	for range 20 { // one of them would be the turn of the route, as the part is all
+	for range 20 { // the fraction is 1, so that each request has enough credit
 		releases := gate.Choose(at(time.Second), ChooseRequest{Service: modelService, Route: "draft", Excluded: 1})
 		is.True(!releases.Allows(modelNew))
 	}
--- a/internal/canary/guard.go
+++ b/internal/canary/guard.go
@@ -12,25 +12,24 @@
 )
 
 const (
-	// permitValidity is the time for which a permit is valid, from the moment at which the
-	// router sent the report whose clock it carries. It is four permits long, so that
-	// two of them in a row may be lost.
+	// permitValidity is the time for which a permit is valid after the router sent the
+	// report whose clock it carries: two permits in a row may be lost.
 	permitValidity = time.Second
-	// promotingPermitValidity is the same while the target gets all requests: a router that
-	// misses permits would begin to send to the releases that are to end.
+	// promotingPermitValidity is longer, as a router without a permit would send to the
+	// releases that are about to end.
 	promotingPermitValidity = 2 * time.Second
-	// rollbackDivisor is the divisor of Bounds.Rollback that bounds both (the second one to
-	// two parts): finding out and telling take the rest.
+	// rollbackDivisor bounds both by Bounds.Rollback/rollbackDivisor (the second by twice
+	// that); detection and notification need the rest.
 	rollbackDivisor = 5
-	// coarseGroups is the number of parts into which back ends of the target are put together
-	// once half of the tallies of a report are taken.
+	// coarseGroups is the number of groups for the target's back ends once half of a
+	// report's tallies are in use.
 	coarseGroups = 8
-	// maxRareRouteWeight is how much greater the part of a rare route's requests may be that go
-	// to the target: its callers are not to bear the test alone.
+	// maxRareRouteWeight limits how much more of a rare route's requests go to the target
+	// than of others.
 	maxRareRouteWeight = 2
 )
 
-// guard is what a Gate knows and counts of one rollout.
+// guard is a Gate's state of one rollout.
 type guard struct {
 	order Order
 	phase Phase
@@ -38,19 +37,19 @@
 	previous []ident.Release
 	// unproved are the targets of earlier orders that did not succeed.
 	unproved []ident.Release
-	// undecided is that of them of whose order no verdict was learned; empty if there is none.
+	// undecided is the unproved release whose order's verdict was missed, or empty.
 	undecided ident.Release
-	// servedAlone says that the target served alone before the order came: nothing else can.
+	// servedAlone is set if the target served alone before the order: nothing else can.
 	servedAlone bool
 	// creditSeed differs from router to router.
 	creditSeed uint64
-	// fence is the highest that a permit or state has carried.
+	// fence is the highest one received in a permit.
 	fence  uint64
 	permit Permit
-	// permittedUntil is the time to which the permit is valid.
+	// permittedUntil is when the permit expires.
 	permittedUntil time.Time
-	// requests, sent and pending count requests for the service, attempts sent to the
-	// target, and requests that were told to go there and are not yet sent.
+	// requests counts the service's requests, sent the attempts sent to the target, and
+	// pending the requests assigned to it but not yet sent.
 	requests, sent, pending uint64
 	tallies                 []Tally
 	routes                  []routeShare
@@ -64,7 +63,7 @@
 	return min(permitValidity, b.Rollback/rollbackDivisor)
 }
 
-// applyPhase takes in a phase and its releases; a final phase stays.
+// applyPhase applies a phase and its proved releases; a final phase stays.
 func (g *guard) applyPhase(phase Phase, proved []ident.Release) {
 	if g.phase.Final() {
 		return
@@ -76,13 +75,13 @@
 		g.previous = slices.Clone(proved)
 	}
 	if phase == Observing {
-		// Later states name all other releases that are listed.
+		// Later states contain all other releases that are listed.
 		g.acceptProved(proved)
 	}
 }
 
-// acceptProved lets a release serve that is proved, though its verdict was not learned: a router
-// that was cut off meanwhile would forbid the one release that serves.
+// acceptProved lets a proved release serve whose verdict was missed: a router that was cut
+// off would otherwise forbid the only serving release.
 func (g *guard) acceptProved(proved []ident.Release) {
 	if g.undecided == "" || !slices.Contains(proved, g.undecided) {
 		return
@@ -91,8 +90,8 @@
 	g.undecided = ""
 }
 
-// releases returns where an attempt may go. Forbidden are the releases that it may not go to
-// without a permit.
+// releases returns where an attempt may go. Forbidden are the releases not allowed without
+// a permit.
 func (g *guard) releases(now time.Time, request ChooseRequest, forbidden []ident.Release) backend.Releases {
 	if request.First {
 		g.requests++
@@ -122,7 +121,7 @@
 	return slices.Contains(g.unproved, release)
 }
 
-// permitted reports whether there is a permit that is still valid.
+// permitted reports whether there is a valid permit.
 func (g *guard) permitted(now time.Time) bool {
 	return !g.permit.Halted && now.Before(g.permittedUntil)
 }
@@ -131,7 +130,7 @@
 type routeShare struct {
 	name     string
 	requests uint64
-	// credit is the part of a request that may go to the target; at 1 the next one may.
+	// credit is the fraction of a request that may go to the target; at 1 the next one may.
 	credit float64
 }
 
@@ -142,16 +141,16 @@
 			return index
 		}
 	}
-	// Routers begin at different credits, so that their first requests to the target come
-	// one after the other.
+	// Routers begin at different credits, so that their first requests to the target are
+	// spread over time.
 	credit := float64(xxhash.Sum64String(name)^g.creditSeed) / math.MaxUint64
 	g.routes = append(g.routes, routeShare{name: name, credit: credit})
 	return len(g.routes) - 1
 }
 
-// takeTurn counts a request, and reports whether it is its route's turn to send one to the
-// target. Routes with few requests send a greater part of them, up to maxRareRouteWeight times,
-// so that what is bad on one of them alone is found about as soon.
+// takeTurn counts a request, and reports whether the route's credit allows it to go to the
+// target. Rare routes send a larger fraction, so that faults on one of them alone are found
+// about as soon.
 func (g *guard) takeTurn(name string) bool {
 	route := &g.routes[g.route(name)]
 	route.requests++
@@ -161,7 +160,7 @@
 	return route.credit >= 1
 }
 
-// countSent counts an attempt that goes to the target.
+// countSent counts an attempt sent to the target.
 func (g *guard) countSent() {
 	g.sent++
 	if g.pending > 0 {
@@ -169,7 +168,7 @@
 	}
 }
 
-// countAnswer adds the answer of a run.
+// countAnswer counts the answer of a run.
 func (g *guard) countAnswer(group uint32, sample *Sample) {
 	if sample.Outcome != Answered && sample.Outcome != Failed {
 		return
@@ -186,7 +185,7 @@
 	tally.Times.add(sample.Elapsed, sample.Predicted)
 }
 
-// tally returns the tally of a route and part, or nil if there are too many.
+// tally returns the tally of a route and group, or nil if there are too many.
 func (g *guard) tally(route string, group uint32) *Tally {
 	if group != 0 && len(g.tallies) >= maxTallies/2 {
 		group = 1 + group%coarseGroups
@@ -203,7 +202,7 @@
 	return &g.tallies[len(g.tallies)-1]
 }
 
-// groupOf returns the part that stands for a back end of the target, which is never 0.
+// groupOf returns the group of a back end of the target, which is never 0.
 func groupOf(instance ident.Incarnation) uint32 {
 	return uint32(xxhash.Sum64String(string(instance))) | 1
 }
--- a/internal/canary/guards_test.go
+++ b/internal/canary/guards_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// alwaysRejecting is a verdict to which every target with an answer is bad.
+// alwaysRejecting rejects every target with an answer.
 type alwaysRejecting struct{ sequentialEvaluator }
 
 func (c *alwaysRejecting) rejection(bool) string {
@@ -17,8 +17,8 @@
 	return "bad"
 }
 
-// TestBadTargetHaltsBeforeWrite shows that routers are told to stop from the
-// moment at which a target is found bad, though the store gives no answer to the verdict.
+// Routers must be stopped as soon as a target is rejected, even if the store does not
+// answer.
 func TestBadTargetHaltsBeforeWrite(t *testing.T) {
 	is := is.New(t)
 	d := newHarness(hooks{newEvaluator: func() evaluator { return &alwaysRejecting{} }})
@@ -44,13 +44,12 @@
 	is.True(d.permits[len(d.permits)-1].Permit.Halted)
 }
 
-// alwaysInconclusive is a verdict to which there is doubt, whatever comes.
+// alwaysInconclusive never promotes a target.
 type alwaysInconclusive struct{ sequentialEvaluator }
 
 func (d *alwaysInconclusive) inconclusive(bool, bool) string { return "in doubt" }
 
-// TestInconclusiveTargetIsNotPromoted shows that a target against which there is evidence, too
-// little of it to be bad, gets no more than its share.
+// A target with some evidence against it must not get more than its share.
 func TestInconclusiveTargetIsNotPromoted(t *testing.T) {
 	is := is.New(t)
 	h := undisturbedHistory()
@@ -62,8 +61,8 @@
 	is.Equal(got.violations, nil)
 }
 
-// TestTakeoverEvaluatesBeforeGrants shows that a new holder grants nothing until most routers
-// can have reported what they had counted before.
+// A new holder must grant nothing until most routers can have reported their earlier
+// counts.
 func TestTakeoverEvaluatesBeforeGrants(t *testing.T) {
 	is := is.New(t)
 	d := newHarness(hooks{})
@@ -90,8 +89,8 @@
 	is.True(d.permits[len(d.permits)-1].Permit.MaxSends > sent)
 }
 
-// TestPulsesRevealLoadFailures shows that few back ends of the target get the usual load
-// for long enough: one that fails from that load on only would otherwise be promoted.
+// Few back ends of a target must get the usual load: one that fails only under that load
+// must not be promoted.
 func TestPulsesRevealLoadFailures(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(24) {
--- a/internal/canary/histogram.go
+++ b/internal/canary/histogram.go
@@ -6,23 +6,20 @@
 )
 
 const (
-	// timeBins is the number of bins of a Histogram. With steps of the square root of two
-	// they reach from firstBin to 128 times the predicted time; what lies beyond falls
-	// into the last one.
+	// timeBins is the number of bins of a Histogram. In steps of the square root of two
+	// they reach from firstBin to 128 times the predicted time; the last one has no upper
+	// end.
 	timeBins = 15
-	// firstBin is the end of the first bin, as a multiple of the predicted time. What is
-	// faster counts as equally fast: answers that make use of a cached prompt come in a
-	// third of the time that is predicted without one, and those of a new back end, which
-	// has none cached, are no slower for that.
+	// firstBin is the end of the first bin, as a multiple of the predicted time. It
+	// includes all faster answers, so that a new back end without cached prompts does not
+	// seem slower than others that have them.
 	firstBin = 1
 )
 
-// Histogram counts answers by the time that they took, in bins of its ratio to the time
-// that was predicted for them (Sample.Predicted). Bins at its end that are empty may be
-// missing.
+// Histogram counts answers by the ratio of their time to the predicted one
+// (Sample.Predicted). Trailing empty bins may be omitted.
 type Histogram []uint32
 
-// add counts one answer.
 func (h *Histogram) add(elapsed, predicted time.Duration) {
 	bin := timeBin(elapsed, predicted)
 	for len(*h) <= bin {
--- a/internal/canary/histories_test.go
+++ b/internal/canary/histories_test.go
@@ -15,7 +15,7 @@
 
 const allHistory = time.Hour
 
-// drawHistory draws a fleet and an order without any trouble.
+// drawHistory draws a fleet and an order without disturbances.
 func drawHistory(seed uint64, random *rand.Rand) history {
 	sizes := []struct{ routers, old int }{{12, 8}, {12, 24}, {30, 40}, {83, 70}}
 	size := sizes[random.IntN(len(sizes))]
@@ -32,24 +32,24 @@
 	}
 }
 
-// within returns a time in some part of the order's duration.
+// within returns a random time within a part of the order's duration.
 func (h *history) within(random *rand.Rand, from, until float64) time.Duration {
-	part := from + (until-from)*random.Float64()
-	return modelStart + scale(h.duration, part).Truncate(modelStep)
+	fraction := from + (until-from)*random.Float64()
+	return modelStart + scale(h.duration, fraction).Truncate(modelStep)
 }
 
-// disturbance is something that a history may meet.
+// disturbance adds faults or outages to a history.
 type disturbance struct {
 	name string
 	add  func(h *history, random *rand.Rand)
 }
 
-// randomIndexes returns a few indexes below a number.
+// randomIndexes returns some distinct indexes below a number.
 func randomIndexes(random *rand.Rand, count, below int) []int {
 	return random.Perm(below)[:min(count, below)]
 }
 
-// testedBackend returns the index of a back end of the target that is in use.
+// testedBackend returns the index of a random back end of the target that is in use.
 func (h *history) testedBackend(random *rand.Rand) []int {
 	m := newModel(*h)
 	releases := permitReleases(h)
@@ -104,37 +104,37 @@
 	return max(1, int(mean*h.rate/float64(h.old)+0.5))
 }
 
-// disturbances are what also may happen, whether the target is good or bad.
+// disturbances can occur with good and bad targets.
 var disturbances = []disturbance{
-	{"one of its back ends in use is grey", func(h *history, random *rand.Rand) {
+	{"one back end in use fails often", func(h *history, random *rand.Rand) {
 		h.faults = append(h.faults, fault{until: allHistory, target: true, on: h.testedBackend(random), failures: 0.3})
 	}},
-	{"one of its back ends in use is 5 times slower", func(h *history, random *rand.Rand) {
+	{"one back end in use is 5 times slower", func(h *history, random *rand.Rand) {
 		h.faults = append(h.faults, fault{until: allHistory, target: true, on: h.testedBackend(random), slowdown: 5})
 	}},
-	{"one of its back ends crashes", func(h *history, random *rand.Rand) {
+	{"one back end in use crashes", func(h *history, random *rand.Rand) {
 		h.faults = append(h.faults, fault{from: h.within(random, 0.1, 0.6), until: allHistory, target: true, on: h.testedBackend(random), silent: true})
 	}},
-	{"old back ends turn grey", func(h *history, random *rand.Rand) {
+	{"old back ends fail often", func(h *history, random *rand.Rand) {
 		h.faults = append(h.faults, fault{from: h.within(random, 0, 0.5), until: allHistory, on: randomIndexes(random, 2, h.old), failures: 0.3})
 	}},
-	{"old back ends turn slow", func(h *history, random *rand.Rand) {
+	{"old back ends become slow", func(h *history, random *rand.Rand) {
 		h.faults = append(h.faults, fault{from: h.within(random, 0, 0.5), until: allHistory, on: randomIndexes(random, max(1, h.old/10), h.old), slowdown: 5})
 	}},
-	{"requests that every back end fails", func(h *history, random *rand.Rand) {
+	{"requests that fail everywhere", func(h *history, random *rand.Rand) {
 		from, route := h.within(random, 0, 0.6), h.anyRoute(random)
 		for _, target := range []bool{false, true} {
 			h.faults = append(h.faults, fault{from: from, until: from + time.Second, target: target, route: route, failures: 0.4})
 		}
 	}},
-	{"a burst that makes all slower", func(h *history, random *rand.Rand) {
+	{"burst of requests", func(h *history, random *rand.Rand) {
 		from := h.within(random, 0, 0.6)
 		h.burst = [2]time.Duration{from, from + 3*time.Second}
 		for _, target := range []bool{false, true} {
 			h.faults = append(h.faults, fault{from: from, until: from + 3*time.Second, target: target, slowdown: 4})
 		}
 	}},
-	{"new weights", func(h *history, random *rand.Rand) {
+	{"pauses to load weights", func(h *history, random *rand.Rand) {
 		from := h.within(random, 0.1, 0.5)
 		h.faults = append(h.faults, fault{from: from, until: from + 570*time.Millisecond, target: true, paused: true})
 		for index := range h.old {
@@ -164,14 +164,14 @@
 			})
 		}
 	}},
-	{"one in ten datagrams is lost", func(h *history, _ *rand.Rand) { h.loss = 0.1 }},
+	{"10 in 100 datagrams lost", func(h *history, _ *rand.Rand) { h.loss = 0.1 }},
 	{"store slow", func(h *history, random *rand.Rand) {
 		from := h.within(random, 0, 0.8)
 		h.slowStore = [2]time.Duration{from, from + 3*time.Second}
 	}},
 }
 
-// outcomes counts what came of many histories.
+// outcomes counts the results of many histories.
 type outcomes struct {
 	mutex                                  sync.Mutex
 	histories, succeeded, rolledBack, open int
@@ -181,7 +181,6 @@
 	violations, wrong                      []string
 }
 
-// add counts one history.
 func (o *outcomes) add(h *history, name string, got result) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -197,7 +196,7 @@
 		o.violations = append(o.violations, fmt.Sprintf("seed %d (%s): %s", h.seed, name, got.violations[0]))
 	}
 	isBad := len(h.faults) > 0 && h.faults[0].bad
-	lost := !isBad && h.holderLostLate(got.holderLost)
+	excused := !isBad && h.holderLostLate(got.holderLost)
 	right := Succeeded
 	if isBad {
 		right = RolledBack
@@ -214,7 +213,7 @@
 		o.late++
 	}
 	wrong := len(got.verdicts) != 1 || got.verdicts[0] != right || got.decidedAt > h.duration
-	if wrong && lost {
+	if wrong && excused {
 		o.holderLostLate++
 	}
 	if wrong || (isBad && got.promoted > 0) {
@@ -222,8 +221,8 @@
 	}
 }
 
-// holderLostLate reports whether the holder was lost so late that the lease was vacant until a
-// target that was not yet promoted could not be promoted any more, or until the deadline.
+// holderLostLate reports whether the holder was lost too late for a successor to promote
+// the target or to write a verdict in time.
 func (h *history) holderLostLate(at time.Duration) bool {
 	return at > 0 && at+modelLease > h.duration-lastWriteMargin-minSwitchTime-2*settleTime
 }
@@ -246,23 +245,23 @@
 // String implements fmt.Stringer.
 func (o *outcomes) String() string {
 	count := float64(max(o.histories, 1))
-	return fmt.Sprintf("%d histories: %d succeeded, %d rolled back, %d without one verdict, %d late, %d wrong since the holder was lost late, %d promoted; %.1f s to the verdict, exposure %.3f, %.1f bad answers",
+	return fmt.Sprintf("%d histories: %d succeeded, %d rolled back, %d without one verdict, %d late, %d wrong after a late loss of the holder, %d promoted; %.1f s to the verdict, exposure %.3f, %.1f bad answers",
 		o.histories, o.succeeded, o.rolledBack, o.open, o.late, o.holderLostLate, o.promoted,
 		o.seconds/count, float64(o.sent)/float64(max(o.requests, 1)), float64(o.bad)/count)
 }
 
-// report prints what came of histories, and fails if a promise was broken.
+// report logs the outcomes, and fails if a bound was violated.
 func (o *outcomes) report(t *testing.T, name string) {
 	t.Logf("%s: %v", name, o)
-	for _, broken := range o.violations[:min(len(o.violations), 3)] {
-		t.Errorf("%s: broken: %s", name, broken)
+	for _, violation := range o.violations[:min(len(o.violations), 3)] {
+		t.Errorf("%s: bound violated: %s", name, violation)
 	}
 	for _, wrong := range o.wrong[:min(len(o.wrong), 4)] {
 		t.Logf("%s: %s", name, wrong)
 	}
 }
 
-// playAll plays histories on all processors.
+// playAll plays histories in parallel.
 func playAll(count int, draw func(seed uint64) (history, string)) *outcomes {
 	sum := &outcomes{}
 	seeds := make(chan uint64)
@@ -283,8 +282,7 @@
 	return sum
 }
 
-// historyCount returns how many histories of a kind are played: a few by default, more if the
-// environment says so.
+// historyCount returns FIELDPOND_CANARY_HISTORIES if it is set, else few.
 func historyCount(few int) int {
 	if count, err := strconv.Atoi(os.Getenv("FIELDPOND_CANARY_HISTORIES")); err == nil {
 		return count
@@ -292,15 +290,14 @@
 	return few
 }
 
-// maxWrongFraction is the part of the histories of a kind that may end with the wrong verdict when many
-// are played. The holder of a short order that is lost just before the target is promoted
-// has no successor in time: that is not counted as wrong.
+// maxWrongFraction is the greatest fraction of histories with a wrong verdict. Those whose
+// holder was lost too late for a successor do not count.
 const maxWrongFraction = 1.0 / 200
 
-// Every kind of trouble is played with a few seeds by default, and with as many as
-// FIELDPOND_CANARY_HISTORIES says for the figures of the design note.
+// Good targets must succeed under each disturbance. FIELDPOND_CANARY_HISTORIES sets how
+// many histories of each kind are played.
 func TestGoodTargetsSucceed(t *testing.T) {
-	kinds := append([]disturbance{{"no trouble", func(*history, *rand.Rand) {}}}, disturbances...)
+	kinds := append([]disturbance{{"no disturbance", func(*history, *rand.Rand) {}}}, disturbances...)
 	all := &outcomes{}
 	for _, tt := range kinds {
 		got := playAll(historyCount(2), func(seed uint64) (history, string) { return drawGood(seed, tt), tt.name })
@@ -312,7 +309,7 @@
 		t.Errorf("%d good targets of %d did not succeed", wrong, all.histories)
 	}
 	if all.late > all.holderLostLate {
-		t.Errorf("%d verdicts came late", all.late)
+		t.Errorf("%d verdicts were late", all.late)
 	}
 }
 
@@ -324,13 +321,13 @@
 		all.merge(got)
 	}
 	t.Logf("all: %v", all)
-	// One that is promoted gets all requests, though it may be rolled back after that.
+	// A promoted target gets all requests, even if it is rolled back later.
 	if all.promoted > int(maxWrongFraction*float64(all.histories)) {
 		t.Errorf("%d bad targets of %d were promoted, %d succeeded", all.promoted, all.histories, all.succeeded)
 	}
 }
 
-// permitReleases returns the choice of the target's back ends that a permit names.
+// permitReleases returns the selection of the target's back ends in a permit.
 func permitReleases(h *history) backend.Releases {
 	count := backendCounts{others: h.old}
 	return backend.Releases{MaxBackends: count.testedBackends(modelBounds.Share), Seed: 7}
--- a/internal/canary/hooks.go
+++ b/internal/canary/hooks.go
@@ -1,14 +1,14 @@
 package canary
 
-// hooks switch guards off in tests, which show that each of them is needed, and put another
-// verdict in the place of the sequential one, for a comparison.
+// hooks disable guards in tests that show each to be needed, and replace the evaluator for
+// comparison.
 type hooks struct {
 	ignoreClock, ignoreFence, ignoreIncarnation, ignoreCeiling bool
 
 	newEvaluator func() evaluator
 }
 
-// evaluator returns the verdict of a new rollout.
+// evaluator returns the evaluator of a new rollout.
 func (h *hooks) evaluator() evaluator {
 	if h.newEvaluator != nil {
 		return h.newEvaluator()
--- a/internal/canary/message.go
+++ b/internal/canary/message.go
@@ -7,46 +7,43 @@
 )
 
 const (
-	// maxTallies bounds the tallies of a report, and with them its bytes: a tally takes
-	// about 45 (benchmark).
+	// maxTallies bounds the tallies of a report, and with them its size.
 	maxTallies = 64
-	// maxNameBytes bounds the names in a message, so that what a stranger sends takes
-	// little memory.
+	// maxNameBytes bounds the memory used for names in messages of unauthenticated senders.
 	maxNameBytes = 256
 )
 
 // Permit allows one router's Gate to send requests to the target of an order. Permits may
-// be lost, repeated or late.
+// be lost, duplicated or late.
 type Permit struct {
 	Order Order `cbor:"1,keyasint"`
-	// Fence is that of the holder's lease. Permits with an older one than was seen are
-	// dropped.
+	// Fence is that of the holder's lease. Permits with an older one than received before
+	// are dropped.
 	Fence  uint64 `cbor:"2,keyasint"`
 	Phase  Phase  `cbor:"3,keyasint"`
 	Reason string `cbor:"4,keyasint,omitempty"`
-	// Incarnation and Clock are those of the newest report that the holder has of the router.
-	// A permit allows nothing to another life, nor when Clock is longer ago than a
-	// permit is valid.
+	// Incarnation and Clock are those of the newest report that the holder received from
+	// the router. A permit allows nothing to another incarnation, nor when Clock is older
+	// than its validity.
 	Incarnation uint64        `cbor:"5,keyasint,omitempty"`
 	Clock       time.Duration `cbor:"6,keyasint,omitempty"`
-	// MaxSends is the number of requests that this life may have sent to the target in all
-	// while the phase is Observing.
+	// MaxSends is the total number of requests that this incarnation may send to the target
+	// while Observing.
 	MaxSends uint64 `cbor:"7,keyasint,omitempty"`
-	// Fraction is the part of the requests that are to go to the target while Sends allows it,
-	// so that they are spread over the time.
+	// Fraction is the fraction of requests to send to the target within MaxSends, so that
+	// they are spread over time.
 	Fraction float64 `cbor:"12,keyasint,omitempty"`
-	// Halted says that nothing may be sent to the target for now, whatever the phase: a
-	// verdict against it is being written.
+	// Halted forbids sending to the target in any phase while a verdict against it is being
+	// written.
 	Halted bool `cbor:"8,keyasint,omitempty"`
-	// MaxBackends and Seed name the back ends of the target that are in use, as in
-	// backend.Releases.
+	// MaxBackends and Seed select the target's back ends in use, as in backend.Releases.
 	MaxBackends int    `cbor:"9,keyasint,omitempty"`
 	Seed        uint64 `cbor:"10,keyasint,omitempty"`
 	// Proved are the releases that served before the target.
 	Proved []ident.Release `cbor:"11,keyasint,omitempty"`
 }
 
-// sound reports whether the permit may be looked at: a stranger may send anything.
+// sound reports whether the permit's values are valid: its sender is not authenticated.
 func (p *Permit) sound() bool {
 	if len(p.Order.Service) > maxNameBytes || len(p.Order.Target) > maxNameBytes {
 		return false
@@ -57,9 +54,8 @@
 	return p.Order.Target != "" && p.Phase >= Observing && p.Phase <= RolledBack && p.MaxBackends >= 0
 }
 
-// Report tells the holder what one life of a router has seen of a service since it learned
-// of the order. All counts are cumulative, so that a report makes up for those that were
-// lost before it.
+// Report carries what one incarnation of a router has counted for a service since it
+// received the order. All counts are cumulative, so that a report replaces lost ones.
 type Report struct {
 	Service ident.Service `cbor:"1,keyasint"`
 	// Revision is that of the order.
@@ -67,35 +63,35 @@
 	// Incarnation is that of the router, Clock its own time, which only it interprets.
 	Incarnation uint64        `cbor:"3,keyasint"`
 	Clock       time.Duration `cbor:"4,keyasint"`
-	// Phase is the one that the router acts upon: Promoting only while a permit for it
-	// is valid.
+	// Phase is the one that the router acts upon: Promoting only while a permit for it is
+	// valid.
 	Phase Phase `cbor:"5,keyasint"`
 	// PermitLeft is the time for which the newest permit remains valid.
 	PermitLeft time.Duration `cbor:"6,keyasint,omitempty"`
-	// Requests is the number of requests for the service, Sent the number of attempts
-	// that went to the target.
+	// Requests is the number of requests for the service, Sent the number of attempts sent
+	// to the target.
 	Requests uint64 `cbor:"7,keyasint,omitempty"`
 	Sent     uint64 `cbor:"8,keyasint,omitempty"`
-	// OtherRuns is the number of runs that are under way on releases other than the
-	// target, also those that began before the order.
+	// OtherRuns is the number of runs under way on releases other than the target,
+	// including those that began before the order.
 	OtherRuns uint64  `cbor:"9,keyasint,omitempty"`
 	Tallies   []Tally `cbor:"10,keyasint,omitempty"`
 }
 
-// Tally counts answers of a route by the back ends that gave them.
+// Tally counts answers of a route from one group of back ends.
 type Tally struct {
 	_     struct{} `cbor:",toarray"`
 	Route string
-	// Group is 0 for all back ends of other releases together, and otherwise stands for
-	// one back end of the target, or for a few of them once there are many.
+	// Group is 0 for all back ends of other releases together; otherwise it identifies one
+	// back end of the target, or several once there are many.
 	Group uint32
-	// Answers counts answers, Failures those of them that say that the work failed.
+	// Answers counts all answers, Failures those that report that the work failed.
 	Answers, Failures uint64
-	// Times tells how long the answers took that are no failures.
+	// Times counts the answers that are no failures by duration.
 	Times Histogram
 }
 
-// sound reports whether the report may be counted.
+// sound reports whether the report's values are valid.
 func (r *Report) sound() bool {
 	if len(r.Service) > maxNameBytes || len(r.Tallies) > maxTallies {
 		return false
@@ -108,11 +104,11 @@
 	return r.Phase <= RolledBack && r.Sent <= maxCount && r.Requests <= maxCount && r.OtherRuns <= maxCount
 }
 
-// maxCount is the largest count that is taken from a message: sums of it over all routers
-// cannot overflow, and no router serves as many requests in the course of a rollout.
+// maxCount is the largest count accepted from a message, so that sums over all routers
+// cannot overflow.
 const maxCount = 1 << 40
 
-// sound reports whether the tally may be counted.
+// sound reports whether the tally's values are valid.
 func (t *Tally) sound() bool {
 	if len(t.Route) > maxNameBytes || len(t.Times) > timeBins {
 		return false
--- a/internal/canary/model_test.go
+++ b/internal/canary/model_test.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// The model joins one Director per holder and many Gates by a network that loses, delays
-// and repeats datagrams, and a store that may be slow. Its own counts judge the promises.
+// The model connects Directors and Gates by a network that loses, delays and duplicates
+// datagrams, and a store that may be slow. It checks the bounds by its own counts.
 
 const (
 	modelStep     = 10 * time.Millisecond
@@ -31,8 +31,8 @@
 	share    float64
 	usual    time.Duration
 	failures float64
-	// cached is the part of the usual time in which a back end answers that has the
-	// prompt; the target's have none.
+	// cached is the fraction of the usual time for a cached prompt; the target has none
+	// cached.
 	cached float64
 }
 
@@ -43,28 +43,28 @@
 	target bool
 	on     []int
 	route  string
-	// failures is the part of the answers that fail, times by what the rest is slower.
+	// failures is the fraction of answers that fail, slowdown the factor for the rest.
 	failures, slowdown float64
-	// slowFraction is the part of the answers that are slower; 0 means all.
+	// slowFraction is the fraction of the answers that are slower; 0 means all.
 	slowFraction float64
-	// silent back ends give no answer; paused ones give it when the fault is over.
+	// silent back ends give no answer; paused ones answer when the fault is over.
 	silent, paused bool
-	// load is the number of runs under way at a back end from which the fault shows.
+	// load is the least number of runs under way at a back end for the fault to show.
 	load int
-	// bad says that the answers are those of a bad release.
+	// bad marks the fault of a bad release.
 	bad bool
 }
 
-// outage is a trouble of a router, or of the holder if router is negative.
+// outage is an outage of a router, or of the holder if router is negative.
 type outage struct {
 	from, until time.Duration
 	router      int
-	// killed routers come back with a new life, frozen ones as they were; cut ones reach
-	// nobody but back ends and clients. A cut holder goes on until its lease is over.
+	// killed routers restart, frozen ones continue with their state; cut ones reach only
+	// back ends and clients. A cut holder continues until its lease is over.
 	killed, frozen, cut bool
 }
 
-// history is what happens in one play of the model.
+// history is the input of the model.
 type history struct {
 	seed         uint64
 	routers      int
@@ -80,15 +80,13 @@
 	readInterval time.Duration
 	hooks        hooks
 	targetListed time.Duration
-	// endsAt is when requests cease to come, if it is set.
+	// endsAt is when requests end, if it is set.
 	endsAt time.Duration
-	// ordersAt and backEnds tell what is listed at a time after the first order, if they
-	// are set.
+	// ordersAt and backEnds return what is listed at a time after the first order.
 	ordersAt func(since time.Duration) []Order
 	backEnds func(since time.Duration) (old, fresh int)
 }
 
-// modelRouter is one router of the model.
 type modelRouter struct {
 	address     netip.AddrPort
 	gate        *Gate
@@ -98,11 +96,11 @@
 	// disturbedUntil is the end of its last outage.
 	disturbedUntil time.Duration
 	inbox          []datagram
-	// listed says that it knows of the target's back ends.
+	// listed is set once it has listed the target's back ends.
 	listed bool
 }
 
-// datagram is a permit or report on its way.
+// datagram is a permit or report in transit.
 type datagram struct {
 	from   netip.AddrPort
 	to     int
@@ -126,7 +124,7 @@
 	violations    []string
 }
 
-// event is something that happens later.
+// event is a scheduled action.
 type event struct {
 	at    time.Duration
 	order int
@@ -199,7 +197,7 @@
 	return backend.Record{Instance: instance, Service: modelService, Release: release, Slots: 24}
 }
 
-// restart gives a router a new life.
+// restart gives a router a new incarnation.
 func (m *model) restart(router *modelRouter) {
 	router.incarnation = m.random.Uint64()
 	router.gate = NewGate(GateConfig{Incarnation: router.incarnation, Bounds: modelBounds})
@@ -220,7 +218,7 @@
 	}
 }
 
-// modelStart is when the order is written: everything runs for a while before.
+// modelStart is when the order is written, after a warm-up.
 const modelStart = 2 * time.Second
 
 // play runs the history to some seconds after its deadline.
@@ -232,7 +230,7 @@
 	return m.result
 }
 
-// step lets everything happen that happens now.
+// step runs everything that is due now.
 func (m *model) step() {
 	for len(m.events) > 0 && m.events[0].at <= m.now {
 		heap.Pop(&m.events).(event).do()
--- a/internal/canary/modelrequests_test.go
+++ b/internal/canary/modelrequests_test.go
@@ -8,7 +8,6 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// generateRequests lets requests come.
 func (m *model) generateRequests() {
 	rate := m.rate
 	if m.now >= m.burst[0] && m.now < m.burst[1] {
@@ -84,7 +83,7 @@
 	return m.newRecords[slices.Index(m.instances, instance)]
 }
 
-// checkSend checks the promises at the moment of a send.
+// checkSend checks the bounds at the time of a send.
 func (m *model) checkSend(index int, release ident.Release) {
 	if m.now < modelStart {
 		return
@@ -92,7 +91,7 @@
 	if release != modelNew {
 		if m.state.Phase == Succeeded && m.undisturbed(index) && m.othersAfter == 0 && m.now-modelStart < m.result.decidedAt+permitValidity/4 {
 			m.othersAfter = m.now
-			m.violationf("router %d sends to others after success", index)
+			m.violationf("router %d sent to other releases after success", index)
 		}
 		return
 	}
@@ -108,7 +107,7 @@
 	}
 }
 
-// run lets a back end work on a request.
+// run simulates the run of a request at a back end.
 func (m *model) run(router *modelRouter, gate *Gate, run Run, route *modelRoute, to backend.Record) {
 	sample, bad := m.answer(route, to)
 	m.schedule(sample.Elapsed, func() {
@@ -125,13 +124,13 @@
 	})
 }
 
-// answer returns what comes of a request, and whether it is the answer of a bad release.
+// answer returns the sample of a request, and whether a bad release's fault affected it.
 func (m *model) answer(route *modelRoute, to backend.Record) (sample Sample, bad bool) {
 	elapsed := scale(route.usual, math.Exp(0.25*m.random.NormFloat64()))
 	sample = Sample{Route: route.name, Outcome: Answered, Predicted: route.usual}
 	if to.Release == modelOld && route.cached > 0 {
 		sample.Predicted = scale(route.usual, route.cached)
-		// One belief in ten about what is cached is wrong.
+		// One prediction in ten about cached prompts is wrong.
 		if m.random.Float64() < 0.9 {
 			elapsed = scale(elapsed, route.cached)
 		}
@@ -160,7 +159,7 @@
 	return sample, bad
 }
 
-// faultApplies reports whether a fault touches a run that begins now.
+// faultApplies reports whether a fault affects a run that begins now.
 func (m *model) faultApplies(fault *fault, route *modelRoute, to backend.Record) bool {
 	if m.now < fault.from || m.now >= fault.until || (to.Release == modelNew) != fault.target {
 		return false
--- a/internal/canary/modelstore_test.go
+++ b/internal/canary/modelstore_test.go
@@ -9,7 +9,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// applyOutages begins and ends outages.
+// applyOutages starts and ends outages.
 func (m *model) applyOutages() {
 	for index := range m.outages {
 		outage := &m.outages[index]
@@ -51,9 +51,9 @@
 	return m.hasOutage(router, func(o *outage) bool { return o.cut })
 }
 
-// lease keeps one holder, and gives the lease to another router after it ends. A holder
-// that is cut off or wakes up learns of its loss only when its lease is over by its clock,
-// or 200 ms after it woke up.
+// lease keeps one holder, and gives the lease to another router after it expires. A holder
+// that is cut off learns of the loss when the lease expires, a frozen one 200 ms after it
+// resumes.
 func (m *model) lease() {
 	if m.holder >= 0 && !m.stopped(m.holder) && !m.cut(m.holder) && m.now <= m.leaseUntil {
 		m.leaseUntil = m.now + modelLease
@@ -63,19 +63,19 @@
 	if m.now <= m.leaseUntil {
 		return
 	}
-	if last, held := m.holder, m.directors[m.holder]; held != nil {
-		wakes := modelStep
+	if last, director := m.holder, m.directors[m.holder]; director != nil {
+		resumesIn := modelStep
 		for _, outage := range m.outages {
 			if outage.router == last && m.now < outage.until {
-				wakes = outage.until - m.now + 200*time.Millisecond
+				resumesIn = outage.until - m.now + 200*time.Millisecond
 			}
 		}
 		if m.cut(last) {
-			wakes = modelStep
+			resumesIn = modelStep
 		}
-		m.schedule(wakes, func() {
+		m.schedule(resumesIn, func() {
 			if m.holder != last {
-				held.SetLease(m.time(), 0)
+				director.SetLease(m.time(), 0)
 			}
 		})
 	}
@@ -88,7 +88,7 @@
 	m.directors[next].SetLease(m.time(), m.fence)
 }
 
-// listed returns the orders and back ends that are in the store.
+// listed returns the stored orders and back ends.
 func (m *model) listed() ([]Order, []backend.Record) {
 	old, fresh := len(m.oldRecords), 0
 	if m.now >= modelStart+m.targetListed {
@@ -108,12 +108,10 @@
 	return []Order{m.order(7)}, records
 }
 
-// order returns an order for the target under a revision.
 func (m *model) order(revision uint64) Order {
 	return Order{Service: modelService, Target: modelNew, Duration: m.duration, Revision: revision}
 }
 
-// newDirector returns the director of a router's new life.
 func (m *model) newDirector() *Director {
 	director := NewDirector(DirectorConfig{Bounds: modelBounds})
 	director.hooks = m.hooks
@@ -129,12 +127,12 @@
 	director.Observe(m.time(), m.now, orders, records, addresses)
 }
 
-// storeSlow reports whether the store takes one to two seconds for an answer.
+// storeSlow reports whether the store is slow now.
 func (m *model) storeSlow() bool {
 	return m.now >= m.slowStore[0] && m.now < m.slowStore[1]
 }
 
-// readStore lets a router read what is in the store.
+// readStore lets a router read the store.
 func (m *model) readStore(index int, router *modelRouter) {
 	if m.now < router.nextReadAt || m.stopped(index) || m.cut(index) {
 		return
@@ -166,7 +164,7 @@
 	return time.Duration(4+m.random.IntN(40)) * time.Millisecond
 }
 
-// send puts a datagram on its way.
+// send sends a datagram, which may be lost, delayed or duplicated.
 func (m *model) send(sender int, message datagram) {
 	copies := 1
 	if m.random.Float64() < 0.01 {
@@ -183,14 +181,14 @@
 		message.from = m.routers[sender].address
 		m.schedule(delay, func() {
 			if !m.cut(sender) && !m.cut(message.to) {
-				// What reaches a stopped router waits in its socket.
+				// Datagrams to a stopped router wait in its socket.
 				m.routers[message.to].inbox = append(m.routers[message.to].inbox, message)
 			}
 		})
 	}
 }
 
-// receive lets a router take in what reached it.
+// receive lets a router handle its inbox.
 func (m *model) receive(index int, router *modelRouter) {
 	if len(router.inbox) == 0 || m.stopped(index) {
 		return
@@ -215,7 +213,7 @@
 	return slices.IndexFunc(m.routers, func(router *modelRouter) bool { return router.address == address })
 }
 
-// stepDirectors lets all directors do what they want.
+// stepDirectors steps all running directors every 50 ms.
 func (m *model) stepDirectors() {
 	if m.now%(50*time.Millisecond) != 0 {
 		return
@@ -231,7 +229,7 @@
 	}
 }
 
-// perform does what a director wants.
+// perform carries out a director's action.
 func (m *model) perform(index int, director *Director, action Action) {
 	switch action := action.(type) {
 	case SendPermit:
@@ -249,7 +247,7 @@
 	}
 }
 
-// write does a write at the store, and takes its answer back.
+// write writes to the store, and returns the result to the director.
 func (m *model) write(index int, director *Director, write Write) {
 	var answer WriteResult = Unanswered{}
 	if !m.cut(index) {
@@ -270,7 +268,7 @@
 	})
 }
 
-// stored takes in a state that came to lie in the store.
+// stored sets the stored state, and checks it.
 func (m *model) stored(state State) {
 	last := m.state
 	m.state = state
@@ -289,20 +287,20 @@
 	}
 }
 
-// undisturbed reports whether a router had no outage for long enough to be heard.
+// undisturbed reports whether a router's reports can reach the holder.
 func (m *model) undisturbed(index int) bool {
 	router := m.routers[index]
 	return m.loss < 0.05 && (router.disturbedUntil == 0 || m.now-router.disturbedUntil > silentAfter)
 }
 
-// checkMoved checks that nothing of a router that is heard runs on other releases.
+// checkMoved checks that no undisturbed router has runs on other releases.
 func (m *model) checkMoved() {
 	for index, router := range m.routers {
 		if !m.undisturbed(index) {
 			continue
 		}
 		if running := router.gate.services[modelService].runningElsewhere(modelNew); running > 0 {
-			m.violationf("succeeded while router %d runs %d elsewhere", index, running)
+			m.violationf("succeeded while router %d has %d runs on other releases", index, running)
 		}
 	}
 }
--- a/internal/canary/permits.go
+++ b/internal/canary/permits.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// settleTime is the time after a takeover within which the reports of most routers have
-// come, before which nothing is granted: the evidence that they carry may be against the
-// target.
+// settleTime is the time after a takeover in which most routers report. Nothing is granted
+// before that, as their evidence may be against the target.
 const settleTime = 300 * time.Millisecond
 
 const (
-	// steadyFactor is by how much the part of the requests that routers send to the target
-	// exceeds the share, so that grants are used up though requests come unevenly.
+	// steadyFactor is the ratio of the target's fraction of requests to the share, so that
+	// grants are used up although requests arrive unevenly.
 	steadyFactor = 1.3
-	// The usual load is given for pulseRunLengths mean run lengths once it is, so that requests
-	// meet others at the same back end, within minPulse and maxPulse.
+	// Grants for the usual load are given for pulseRunLengths mean run lengths, within
+	// minPulse and maxPulse, so that requests overlap at a back end.
 	pulseRunLengths = 3
 	minPulse        = 250 * time.Millisecond
 	maxPulse        = 750 * time.Millisecond
-	// maxPulseFactor is the most that is given in pulses, in units of the share.
+	// maxPulseFactor is the greatest mean rate of pulses, in units of the share.
 	maxPulseFactor = 2.0
 )
 
@@ -47,12 +46,12 @@
 	return r.cfg.Tick
 }
 
-// knowsFinal reports whether a router is known to know a final phase.
+// knowsFinal reports whether a router has reported the final phase.
 func (r *rollout) knowsFinal(router *router) bool {
 	return r.state.Phase.Final() && router.current != nil && router.current.newest.Phase == r.state.Phase
 }
 
-// grant gives routers more requests that may go to the target, while it is observed.
+// grant distributes grants to routers while the target is observed.
 func (r *rollout) grant(now time.Time) {
 	if r.state.Phase != Observing || !r.mayPermit() || r.backends.target == 0 || !r.caughtUp {
 		return
@@ -67,8 +66,8 @@
 	r.pulseLeft = saturatingSub(r.pulseLeft, given)
 }
 
-// targetFraction returns the part of the requests that go to the target while there are grants, which
-// is as much as gives each of its back ends in use the usual load.
+// targetFraction returns the fraction of requests to send to the target while there are
+// grants: enough for the usual load at each of its back ends in use.
 func (r *rollout) targetFraction() float64 {
 	steady := r.cfg.Bounds.Share * steadyFactor
 	if r.backends.others == 0 {
@@ -78,7 +77,7 @@
 	return min(max(steady, float64(among)/float64(r.backends.others)), 1)
 }
 
-// burstSize returns the number of grants that are saved up before they are given, or 0.
+// burstSize returns the number of grants saved up for a pulse, or 0 if none are needed.
 func (r *rollout) burstSize() uint64 {
 	if r.targetFraction() <= steadyFactor*r.cfg.Bounds.Share {
 		return 0
@@ -87,10 +86,10 @@
 	return uint64(r.targetFraction() * r.fleet.rate() * length.Seconds())
 }
 
-// pulse returns how much of the room is granted now. If the share gives the back ends in use
-// much less than the usual load, grants are saved up and then given for some time at a
-// rate that is the usual load, so that a target shows that is bad under load only. Pulses
-// are kept apart, so that no single moment decides on the target.
+// pulse returns how many of the available grants are given now. If the share gives the
+// target's back ends much less than the usual load, grants are saved up and then given at
+// the usual load, so that faults under load show. Pulses are spaced, so that no single
+// moment decides.
 func (r *rollout) pulse(now time.Time, available, burst uint64) uint64 {
 	interval := float64(burst) / (maxPulseFactor * r.cfg.Bounds.Share * r.fleet.rate())
 	if available >= burst && now.Sub(r.pulseStartedAt).Seconds() >= interval {
@@ -102,7 +101,7 @@
 // mayPermit reports whether anything may be sent to the target.
 func (r *rollout) mayPermit() bool { return r.haltReason == "" && r.owned() }
 
-// permit returns the permit for a router as of now.
+// permit returns the current permit for a router.
 func (r *rollout) permit(router *router) *Permit {
 	permit := &Permit{
 		Order: r.state.Order, Fence: r.fence, Phase: r.state.Phase, Reason: r.state.Reason,
--- a/internal/canary/rollout.go
+++ b/internal/canary/rollout.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// fetchInterval is the time between two tries to read the row of a state.
+	// fetchInterval is the time between two attempts to read a state's row.
 	fetchInterval = 250 * time.Millisecond
-	// writeTimeout is the time after which a write that nothing is heard of, as when this
-	// router stood still, counts as unanswered.
+	// writeTimeout is the time after which a write without a result counts as unanswered,
+	// for example because this router was suspended.
 	writeTimeout = 2 * time.Second
-	// finalPermitTime is the time for which a final phase is told to routers that do not say
-	// they know of it. Those that come later learn it from the shared state.
+	// finalPermitTime is the time for which routers that do not report a final phase are
+	// notified of it. Later ones read it from the store.
 	finalPermitTime = 10 * time.Second
-	// withdrawnAfter is the time for which an order has to be missing to count as
-	// withdrawn: a list of orders may have been read before the state.
+	// withdrawnAfter is the time for which an order must be missing to count as withdrawn:
+	// orders may have been read before the state.
 	withdrawnAfter = 3 * time.Second
 )
 
@@ -28,23 +28,23 @@
 	cfg     DirectorConfig
 	hooks   hooks
 
-	// order is the newest that is listed, orderedAt the store's time before which it was
-	// not written, awaitedSince when it was not listed any more.
+	// order is the newest one listed, orderedAt a store time before which it was not
+	// written, missingSince when it was no longer listed.
 	order        Order
 	orderedAt    time.Duration
 	missingSince time.Time
 	backends     backendCounts
 	routers      []netip.AddrPort
 
-	// fence is that of this holder's lease. The state is the row as it was last read or
-	// written, at a version; until it is known nothing is done.
+	// fence is that of this holder's lease. The state is the row as last read or written,
+	// at a version; until it is loaded, nothing is done.
 	fence     uint64
 	state     State
 	version   uint64
 	loaded    bool
 	refetch   bool
 	fetchedAt time.Time
-	// writing is the state of which a write is under way since writeStartedAt.
+	// writing is the state being written since writeStartedAt.
 	writing        *State
 	writeStartedAt time.Time
 
@@ -54,12 +54,12 @@
 	account    account
 	windows    openWindows
 	evaluator  evaluator
-	// haltReason is why the target is bad, from the moment at which that was found.
+	// haltReason is why the target is bad, set as soon as that is found.
 	haltReason string
-	// caughtUp says that what routers had to report at a takeover was judged.
+	// caughtUp is set once the reports due after a takeover were evaluated.
 	caughtUp bool
-	// pulseLeft is the number of grants that are left of those that were saved up, and
-	// pulseStartedAt when they began to be given.
+	// pulseLeft is the number of grants left of the current pulse, pulseStartedAt its
+	// start.
 	pulseLeft      uint64
 	pulseStartedAt time.Time
 	// ownedAt is when this holder's first write was stored, promotedAt and finalAt when
@@ -68,14 +68,14 @@
 	permitsSentAt                time.Time
 }
 
-// setFence begins anew under a fence.
+// setFence restarts the rollout under a fence.
 func (r *rollout) setFence(now time.Time, fence uint64) {
 	r.fence, r.loaded, r.writing = fence, false, nil
 	r.fetchedAt, r.permitsSentAt = time.Time{}, time.Time{}
 	r.reset(now)
 }
 
-// reset forgets what was reported, as for a new order.
+// reset drops all reports, as for a new order.
 func (r *rollout) reset(now time.Time) {
 	r.fleet = newFleet(r.fence ^ r.order.Revision)
 	r.fleet.setRouters(now, r.routers)
@@ -84,7 +84,7 @@
 	r.ownedAt, r.promotedAt, r.finalAt = time.Time{}, time.Time{}, time.Time{}
 }
 
-// observe takes in what is listed.
+// observe applies what is listed.
 func (r *rollout) observe(now, origin time.Time, ordered bool, records []backend.Record, routers []netip.AddrPort) {
 	r.storeEpoch, r.routers = origin, routers
 	r.fleet.setRouters(now, routers)
@@ -97,9 +97,8 @@
 	}
 }
 
-// applyState takes in the row as it lies in the store. One that was read before this holder's last
-// write was stored is dropped, as a read that nobody asked for may be: it would take back a
-// phase, a final one too, until the next write fails.
+// applyState applies the stored row. A read from before this holder's last stored write is
+// dropped, as it would revert the phase, even a final one, until the next write fails.
 func (r *rollout) applyState(now time.Time, state State, version uint64) {
 	if r.loaded && !r.refetch && version < r.version {
 		return
@@ -115,7 +114,7 @@
 	r.setState(now, state, version)
 }
 
-// setState makes a state of the store the one that is acted upon.
+// setState makes a stored state the current one.
 func (r *rollout) setState(now time.Time, state State, version uint64) {
 	r.state, r.version = state, version
 	r.account.ceiling = state.Ceiling
@@ -131,7 +130,7 @@
 	}
 }
 
-// applyWriteResult takes in what came of the write that was under way.
+// applyWriteResult applies the result of the write under way.
 func (r *rollout) applyWriteResult(now time.Time, result WriteResult) {
 	if r.writing == nil {
 		return
@@ -149,9 +148,8 @@
 	}
 }
 
-// applyOrderChange begins anew what routers are told and count under an order, if the state is that of
-// another one. If the rollout goes on under it, what was granted stays granted, and the
-// evidence is kept.
+// applyOrderChange restarts permits and counts if the state is that of another order. If
+// the rollout continues under it, grants and evidence are kept.
 func (r *rollout) applyOrderChange(now time.Time, state *State) {
 	if state.Order.Revision == r.state.Order.Revision {
 		return
@@ -170,11 +168,11 @@
 	return r.storeEpoch.Add(state.OrderedAt + state.Order.Duration)
 }
 
-// owned reports whether the state was written under this holder's fence, so that no other
-// can have changed it since without this one's next write failing.
+// owned reports whether the state was written under this holder's fence, so that any change
+// by another makes this one's next write fail.
 func (r *rollout) owned() bool { return r.state.Fence == r.fence || r.hooks.ignoreFence }
 
-// step returns what is to be done now.
+// step returns the actions that are due.
 func (r *rollout) step(now time.Time) []Action {
 	r.evaluate(now)
 	if r.writing != nil && now.Sub(r.writeStartedAt) >= writeTimeout {
@@ -195,7 +193,7 @@
 	return append(actions, r.sendPermits(now)...)
 }
 
-// evaluate takes in what was reported since the last step.
+// evaluate evaluates the reports since the last step.
 func (r *rollout) evaluate(now time.Time) {
 	for _, router := range r.fleet.routers {
 		gate := router.current
@@ -205,7 +203,7 @@
 		r.windows.add(now, gate.newest, gate.evaluated, gate.evaluated == nil && gate.sentBefore > 0)
 		gate.evaluated = gate.newest
 	}
-	// What most routers had to report is judged before anything is granted.
+	// The reports of most routers are evaluated before anything is granted.
 	settled := !r.ownedAt.IsZero() && now.Sub(r.ownedAt) >= settleTime
 	for _, window := range r.windows.removeDue(now, settled && !r.caughtUp) {
 		r.evaluator.addWindow(window)
@@ -216,8 +214,7 @@
 	}
 }
 
-// nextState returns the state that should lie in the store, and whether it differs from the one
-// that does.
+// nextState returns the state to store, and whether it differs from the stored one.
 func (r *rollout) nextState(now time.Time) (State, bool) {
 	state := r.state
 	if state.Fence > r.fence {
@@ -249,7 +246,7 @@
 	return state, state.Ceiling != r.state.Ceiling || state.Fence != r.fence
 }
 
-// firstCeiling returns the ceiling of a state that was adopted.
+// firstCeiling returns the ceiling of an adopted order's state.
 func (r *rollout) firstCeiling(next *State) uint64 {
 	if next.Phase != Observing && next.Phase != Promoting {
 		return next.Ceiling
--- a/internal/canary/stream.go
+++ b/internal/canary/stream.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// cusum weighs whether a target has an excess of bad answers from some moment on: a
-// cumulative sum of the logarithms of likelihood ratios that never falls below zero.
+// cusum is a cumulative sum of log-likelihood ratios that never falls below zero. It
+// detects an excess of bad answers that begins at any time.
 type cusum struct {
 	total float64
-	// single is the same for each part of the target by itself, without for all but it.
+	// single is the same sum for each group of the target alone, rest for all but it.
 	single, rest []float64
-	// largest are the two windows that have added most since the sum was zero.
+	// largest are the two largest windows since the sum was zero.
 	largest [2]float64
 }
 
@@ -20,7 +20,7 @@
 type stream struct {
 	route string
 	kind  kind
-	// answers and bad are those of the other releases, earlier ones counting less.
+	// answers and bad are decayed counts of the other releases.
 	answers, bad float64
 	// targetAnswers and targetBad, othersAnswers and othersBad are counts for reasons.
 	targetAnswers, targetBad, othersAnswers, othersBad uint64
@@ -29,19 +29,19 @@
 	tests   [len(excessRates)]cusum
 }
 
-// logLikelihoodRatio returns the logarithm of the ratio of how likely some bad answers are if the
-// target has an excess of them, and if it has the rate of the other releases.
+// logLikelihoodRatio compares the likelihoods of some bad answers with an excess rate and
+// at the other releases' rate.
 func logLikelihoodRatio(bad, answers uint64, rate, excess float64) float64 {
 	higher := rate + excess*(1-rate)
 	good := float64(answers - bad)
 	return float64(bad)*math.Log(higher/rate) + good*math.Log((1-higher)/(1-rate))
 }
 
-// add takes in the weights of one window. One that is inherited from an earlier holder covers
-// a longer time.
+// add adds the weights of one window. An inherited one covers a longer time, and is never
+// among the largest.
 func (t *cusum) add(total float64, single, rest []float64, inherited bool) {
 	for len(t.single) < len(single) {
-		// A part that is new has added nothing so far.
+		// A new group has added nothing so far.
 		t.single, t.rest = append(t.single, 0), append(t.rest, t.total)
 	}
 	t.total = max(0, t.total+total)
@@ -60,16 +60,14 @@
 	}
 }
 
-// withoutLargest returns the weight without the two windows that weigh most.
+// withoutLargest returns the weight without the two largest windows.
 func (t *cusum) withoutLargest() float64 { return t.total - t.largest[0] - t.largest[1] }
 
-// weight returns the most weight against the target of all tests, and how much of it is
-// left when it is held against the chance that one of its back ends is broken, which is
-// less likely by prior: what counts is by how much the weight exceeds the one against that
-// back end alone, or what the others weigh without it, less what chance may add to that.
-// Paused says that slow answers came
-// within so short a time that all back ends may have paused once, as when they load
-// weights.
+// weight returns the greatest weight of all tests against the target, and how much of it is
+// left after discounting that only one back end is broken, which is less likely by prior:
+// its excess over the weight against that back end alone, or the weight of the rest less
+// what chance may add. Paused is set if slow answers came in so short a time that all back
+// ends may have paused once, as when they load weights.
 func (s *stream) weight(several bool, prior float64) (total, left float64, paused bool) {
 	single, rest, lasting := 0.0, 0.0, 0.0
 	for index := range s.tests {
@@ -114,7 +112,7 @@
 	s.othersBad += bad
 }
 
-// reason says what the stream has counted.
+// reason describes the stream's counts.
 func (s *stream) reason() string {
 	route := "all routes"
 	if s.route != "" {
--- a/internal/canary/thresholds_test.go
+++ b/internal/canary/thresholds_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// thresholds is the other verdict that was weighed: rates over the last windows of a route
-// against fixed limits.
+// thresholds is an alternative evaluator: it compares the rates of a route's last windows
+// with fixed limits.
 type thresholds struct {
 	routes   []*thresholdRoute
 	answered uint64
@@ -47,19 +47,19 @@
 	return ""
 }
 
-// exceeds reports whether the rate of failures, or of slow answers, is too high over the last
-// windows, also without any one part of the target.
+// exceeds reports whether the rate of failures or slow answers is too high over the last
+// windows, also without any one group of the target.
 func (r *thresholdRoute) exceeds(several bool) bool {
 	var others, target cell
-	parts := map[uint32]*cell{}
+	groups := map[uint32]*cell{}
 	for _, observed := range r.windows {
 		merge(&others, &observed.others)
 		for index := range observed.groups {
-			part := observed.groups[index].group
-			if parts[part] == nil {
-				parts[part] = &cell{}
+			group := observed.groups[index].group
+			if groups[group] == nil {
+				groups[group] = &cell{}
 			}
-			merge(parts[part], &observed.groups[index].cell)
+			merge(groups[group], &observed.groups[index].cell)
 			merge(&target, &observed.groups[index].cell)
 		}
 	}
@@ -83,12 +83,12 @@
 	if !several {
 		return true
 	}
-	for _, part := range parts {
+	for _, group := range groups {
 		rest := target
-		rest.answers -= part.answers
-		rest.failures -= part.failures
+		rest.answers -= group.answers
+		rest.failures -= group.failures
 		for bin := range rest.times {
-			rest.times[bin] -= part.times[bin]
+			rest.times[bin] -= group.times[bin]
 		}
 		if rest.answers >= thresholdAnswers && !exceeds(&rest) {
 			return false
@@ -116,13 +116,12 @@
 
 func (v *thresholds) targetAnswers() uint64 { return v.answered }
 
-// defaultCompared is the number of histories of a bad and of a good target that are played
-// under each verdict by default: a second or two under the race detector.
+// defaultCompared is the default number of histories of a bad and of a good target for each
+// evaluator.
 const defaultCompared = 2
 
-// TestCompareEvaluators prints what the two verdicts make of the same histories; under the one
-// in use none may break a promise. By default it plays the first few, and for the figures of
-// the design note as many of each kind as FIELDPOND_CANARY_HISTORIES says.
+// TestCompareEvaluators logs the outcomes of the same histories under both evaluators; the
+// one in use must violate no bound. FIELDPOND_CANARY_HISTORIES sets how many are played.
 func TestCompareEvaluators(t *testing.T) {
 	perKind, good := historyCount(0), len(disturbances)*historyCount(0)
 	kinds := badKinds
@@ -135,7 +134,7 @@
 		judge func(got *outcomes, name string)
 	}{
 		{"likelihood ratios", nil, func(got *outcomes, name string) { got.report(t, name) }},
-		// Those that pass a bad target break the bound on what follows its 50th bad answer.
+		// Promoting a bad target violates the bound after its 50th bad answer.
 		{"thresholds", func() evaluator { return &thresholds{} }, func(got *outcomes, name string) { t.Logf("%s: %v", name, got) }},
 	}
 	for _, tt := range evaluators {
@@ -153,24 +152,24 @@
 			h.hooks.newEvaluator = tt.make
 			return h, extra.name
 		})
-		tt.judge(got, tt.name+": good, all troubles")
+		tt.judge(got, tt.name+": good, all disturbances")
 	}
 }
 
-// drawBad draws a history of a bad target, every other one with some trouble besides.
+// drawBad draws a history of a bad target, every other one with a disturbance.
 func drawBad(seed uint64, bad disturbance) (history, string) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	h := drawHistory(seed, random)
 	bad.add(&h, random)
-	also := disturbances[random.IntN(len(disturbances))]
+	extra := disturbances[random.IntN(len(disturbances))]
 	if seed%2 == 0 {
 		return h, bad.name
 	}
-	also.add(&h, random)
-	return h, bad.name + ", " + also.name
+	extra.add(&h, random)
+	return h, bad.name + ", " + extra.name
 }
 
-// drawGood draws a history of a good target with some trouble.
+// drawGood draws a history of a good target with a disturbance.
 func drawGood(seed uint64, extra disturbance) history {
 	random := rand.New(rand.NewPCG(seed, 1))
 	h := drawHistory(seed, random)
--- a/internal/canary/traffic.go
+++ b/internal/canary/traffic.go
@@ -7,14 +7,14 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// traffic is what a Gate knows of one service: its releases, what runs on each, and the
-// guard of its newest order.
+// traffic is a Gate's state of one service: its releases, their runs, and the guard of its
+// newest order.
 type traffic struct {
 	// releases are the releases that are listed or have runs under way. There are few, so
-	// that they are searched one by one.
+	// that a linear search suffices.
 	releases []releaseState
-	// forbidden are listed releases that may not be used without a permit. The slice is
-	// handed out, and is replaced as a whole.
+	// forbidden are releases that may not be used without a permit. The slice is shared
+	// with callers: it is replaced, never changed.
 	forbidden []ident.Release
 	guard     *guard
 }
@@ -23,17 +23,17 @@
 type releaseState struct {
 	release ident.Release
 	listed  bool
-	// listedAt is the time at which it was listed for the first time.
+	// listedAt is the time at which it was first listed.
 	listedAt time.Time
-	// confirmed says that no order for it was on its way when it was listed.
+	// confirmed is set once no order for it can have been unread when it was listed.
 	confirmed bool
-	// servedUnordered says that it was there while no order for it was.
+	// servedUnordered is set if it was listed while there was no order for it.
 	servedUnordered bool
-	// running is the number of attempts that are under way there.
+	// running is the number of attempts under way there.
 	running int
 }
 
-// release returns the entry of a release.
+// release returns the state of a release, which is added if it is new.
 func (t *traffic) release(release ident.Release) *releaseState {
 	for index := range t.releases {
 		if t.releases[index].release == release {
@@ -44,8 +44,8 @@
 	return &t.releases[len(t.releases)-1]
 }
 
-// setListed takes in which releases are listed. One that comes alone has nothing beside it
-// that could serve in its place, and is used at once.
+// setListed sets which releases are listed. One that is listed alone is used at once, as no
+// other can serve instead.
 func (t *traffic) setListed(now time.Time, releases []ident.Release) {
 	for index := range t.releases {
 		t.releases[index].listed = slices.Contains(releases, t.releases[index].release)
@@ -63,11 +63,10 @@
 	})
 }
 
-// updateForbidden works out which releases are forbidden: those that the guard forbids, and those
-// that were listed since the orders were confirmed, as an order may be on its way. The
-// latter are used all the same if no other is left, as at the start of a router whose list
-// is a moment younger than its orders: it would serve nothing until the next confirmation,
-// which is far off while the store is down.
+// updateForbidden determines the forbidden releases: those that the guard forbids, and
+// those listed since the orders were confirmed, as an order may be unread. The latter are
+// used if no other is left: otherwise a router that starts while the store is down could
+// serve nothing.
 func (t *traffic) updateForbidden(confirmedAt time.Time) {
 	t.forbidden = nil
 	var unconfirmed []ident.Release
@@ -99,14 +98,14 @@
 	}
 }
 
-// begin makes an order the newest one of the service. Spread differs from router to router.
+// startOrder sets the newest order of the service. CreditSeed differs between routers.
 func (t *traffic) startOrder(order Order, creditSeed uint64) {
 	next := &guard{order: order, creditSeed: creditSeed}
 	target := t.release(order.Target)
 	next.servedAlone = target.listed && target.servedUnordered
 	for index := range t.releases {
-		// Releases that are listed beside the target when the order is learned can
-		// have served before it.
+		// Releases that are listed beside the target when the order is received can have
+		// served before it.
 		if release := t.releases[index].release; t.releases[index].listed && release != order.Target {
 			next.previous, next.servedAlone = append(next.previous, release), false
 		}
