--- a/internal/canary/evaluator.go
+++ b/internal/canary/evaluator.go
@@ -8,7 +8,7 @@
 // evaluator compares the answers of a target with those of the other releases.
 type evaluator interface {
 	// addWindow adds one window of a route.
-	addWindow(seen *window)
+	addWindow(observed *window)
 	// rejection returns why the target is bad, or "". With several, the target has more
 	// than one back end, and the evidence must come from more than one.
 	rejection(several bool) string
--- a/internal/canary/excess.go
+++ b/internal/canary/excess.go
@@ -23,36 +23,36 @@
 	exceededAt, newest time.Time
 }
 
-func (m *excessCounter) add(group int, excess float64) {
-	for len(m.byGroup) <= group {
-		m.byGroup = append(m.byGroup, 0)
+func (c *excessCounter) add(group int, excess float64) {
+	for len(c.byGroup) <= group {
+		c.byGroup = append(c.byGroup, 0)
 	}
-	m.byGroup[group] += excess
+	c.byGroup[group] += excess
 }
 
 // update is called after each window that was added.
-func (m *excessCounter) update(at time.Time) {
-	if at.After(m.newest) {
-		m.newest = at
+func (c *excessCounter) update(at time.Time) {
+	if at.After(c.newest) {
+		c.newest = at
 	}
-	if m.exceededAt.IsZero() && m.exceeded() {
-		m.exceededAt = m.newest
+	if c.exceededAt.IsZero() && c.exceeded() {
+		c.exceededAt = c.newest
 	}
 }
 
 // exceeded reports whether the limit is reached now.
-func (m *excessCounter) exceeded() bool {
-	if len(m.byGroup) == 0 {
+func (c *excessCounter) exceeded() bool {
+	if len(c.byGroup) == 0 {
 		return false
 	}
 	total := 0.0
-	for _, excess := range m.byGroup {
+	for _, excess := range c.byGroup {
 		total += max(0, excess)
 	}
-	return total >= excessLimit && (len(m.byGroup) == 1 || total-slices.Max(m.byGroup) >= excessElsewhere)
+	return total >= excessLimit && (len(c.byGroup) == 1 || total-slices.Max(c.byGroup) >= excessElsewhere)
 }
 
 // expired reports whether the limit was reached maxExcessTime ago.
-func (m *excessCounter) expired() bool {
-	return !m.exceededAt.IsZero() && m.newest.Sub(m.exceededAt) >= maxExcessTime
+func (c *excessCounter) expired() bool {
+	return !c.exceededAt.IsZero() && c.newest.Sub(c.exceededAt) >= maxExcessTime
 }
--- a/internal/canary/fleet.go
+++ b/internal/canary/fleet.go
@@ -36,10 +36,10 @@
 }
 
 // maxSends returns the number of requests that it may have sent in total.
-func (l *gateState) maxSends() uint64 { return l.sentBefore + l.granted }
+func (g *gateState) maxSends() uint64 { return g.sentBefore + g.granted }
 
 // unused returns the number of grants that are not known to be used.
-func (l *gateState) unused() uint64 { return saturatingSub(l.maxSends(), l.newest.Sent) }
+func (g *gateState) unused() uint64 { return saturatingSub(g.maxSends(), g.newest.Sent) }
 
 // router is one entry of the router list.
 type router struct {
@@ -49,7 +49,7 @@
 	awaitedSince time.Time
 }
 
-// silence returns the time since the router's newest report.
+// silence returns the time since the newest report, or since awaitedSince if that is later.
 func (r *router) silence(now time.Time) time.Duration {
 	since := r.awaitedSince
 	if r.current != nil && r.current.reportedAt.After(since) {
@@ -120,10 +120,10 @@
 }
 
 // updateRate updates the rate: first the mean, after rateWindow an exponential average.
-func (l *gateState) updateRate(span time.Duration, requests uint64) {
-	l.rateSpan += span
-	weight := span.Seconds() / min(l.rateSpan, max(rateWindow, span)).Seconds()
-	l.rate += weight * (float64(requests)/span.Seconds() - l.rate)
+func (g *gateState) updateRate(span time.Duration, requests uint64) {
+	g.rateSpan += span
+	weight := span.Seconds() / min(g.rateSpan, max(rateWindow, span)).Seconds()
+	g.rate += weight * (float64(requests)/span.Seconds() - g.rate)
 }
 
 // router returns the router of an address, or nil.
@@ -215,8 +215,8 @@
 }
 
 // promoted reports whether the gate sends to the target only, for long enough.
-func (l *gateState) promoted(now time.Time) bool {
-	return l.newest.Phase == Promoting && l.newest.PermitLeft-now.Sub(l.reportedAt) >= minPermitLeft
+func (g *gateState) promoted(now time.Time) bool {
+	return g.newest.Phase == Promoting && g.newest.PermitLeft-now.Sub(g.reportedAt) >= minPermitLeft
 }
 
 // grant distributes up to available grants over routers in proportion to their rates, and
@@ -257,7 +257,7 @@
 }
 
 // grantDemand returns how many more grants the gate can use soon.
-func (l *gateState) grantDemand(fraction float64) uint64 {
-	useful := uint64(l.rate*fraction*unusedGrantTime.Seconds()) + minUnusedGrants
-	return saturatingSub(useful, l.unused())
+func (g *gateState) grantDemand(fraction float64) uint64 {
+	useful := uint64(g.rate*fraction*unusedGrantTime.Seconds()) + minUnusedGrants
+	return saturatingSub(useful, g.unused())
 }
--- a/internal/canary/fleet_test.go
+++ b/internal/canary/fleet_test.go
@@ -33,10 +33,10 @@
 // A holder with reports of fewer than half of the routers is cut off itself.
 func TestQuorumOfRouters(t *testing.T) {
 	tests := []struct {
-		name  string
-		heard int
-		age   time.Duration
-		want  bool
+		name      string
+		reporting int
+		age       time.Duration
+		want      bool
 	}{
 		{"none", 0, 0, false},
 		{"fewer than half", 1, 0, false},
@@ -51,7 +51,7 @@
 				addresses = append(addresses, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, index + 1}), 7000))
 			}
 			f.setRouters(at(0), addresses)
-			for index := range tt.heard {
+			for index := range tt.reporting {
 				f.applyReport(at(time.Second), addresses[index], &Report{Incarnation: uint64(index + 1), Clock: time.Second})
 			}
 			is.New(t).Equal(f.hasQuorum(at(time.Second+tt.age)), tt.want)
--- a/internal/canary/fuzz_test.go
+++ b/internal/canary/fuzz_test.go
@@ -25,9 +25,9 @@
 		for range 3 {
 			d.step()
 		}
-		var told Report
-		if cbor.Unmarshal(encoded, &told) == nil {
-			d.director.ApplyReport(at(d.now), testRouter, &told)
+		var received Report
+		if cbor.Unmarshal(encoded, &received) == nil {
+			d.director.ApplyReport(at(d.now), testRouter, &received)
 			for range 30 {
 				d.step()
 			}
--- a/internal/canary/guards_test.go
+++ b/internal/canary/guards_test.go
@@ -82,8 +82,8 @@
 			Tallies: []Tally{{Route: "draft", Answers: 900}, {Route: "draft", Group: 7, Answers: sent}},
 		})
 		d.step()
-		for _, told := range d.permits {
-			is.True(told.Permit.MaxSends <= sent || (owned > 0 && d.now-owned >= settleTime))
+		for _, action := range d.permits {
+			is.True(action.Permit.MaxSends <= sent || (owned > 0 && d.now-owned >= settleTime))
 		}
 	}
 	is.True(d.permits[len(d.permits)-1].Permit.MaxSends > sent)
--- a/internal/canary/permits.go
+++ b/internal/canary/permits.go
@@ -73,8 +73,8 @@
 	if r.backends.others == 0 {
 		return min(steady, 1)
 	}
-	among := min(r.backends.testedBackends(r.cfg.Bounds.Share), r.backends.target)
-	return min(max(steady, float64(among)/float64(r.backends.others)), 1)
+	tested := min(r.backends.testedBackends(r.cfg.Bounds.Share), r.backends.target)
+	return min(max(steady, float64(tested)/float64(r.backends.others)), 1)
 }
 
 // burstSize returns the number of grants saved up for a pulse, or 0 if none are needed.
--- a/internal/canary/stream.go
+++ b/internal/canary/stream.go
@@ -39,29 +39,29 @@
 
 // add adds the weights of one window. An inherited one covers a longer time, and is never
 // among the largest.
-func (t *cusum) add(total float64, single, rest []float64, inherited bool) {
-	for len(t.single) < len(single) {
+func (c *cusum) add(total float64, single, rest []float64, inherited bool) {
+	for len(c.single) < len(single) {
 		// A new group has added nothing so far.
-		t.single, t.rest = append(t.single, 0), append(t.rest, t.total)
+		c.single, c.rest = append(c.single, 0), append(c.rest, c.total)
 	}
-	t.total = max(0, t.total+total)
+	c.total = max(0, c.total+total)
 	for group := range single {
-		t.single[group] = max(0, t.single[group]+single[group])
-		t.rest[group] = max(0, t.rest[group]+rest[group])
+		c.single[group] = max(0, c.single[group]+single[group])
+		c.rest[group] = max(0, c.rest[group]+rest[group])
 	}
 	switch {
-	case t.total == 0:
-		t.largest = [2]float64{}
+	case c.total == 0:
+		c.largest = [2]float64{}
 	case inherited:
-	case total > t.largest[0]:
-		t.largest = [2]float64{total, t.largest[0]}
-	case total > t.largest[1]:
-		t.largest[1] = total
+	case total > c.largest[0]:
+		c.largest = [2]float64{total, c.largest[0]}
+	case total > c.largest[1]:
+		c.largest[1] = total
 	}
 }
 
 // withoutLargest returns the weight without the two largest windows.
-func (t *cusum) withoutLargest() float64 { return t.total - t.largest[0] - t.largest[1] }
+func (c *cusum) withoutLargest() float64 { return c.total - c.largest[0] - c.largest[1] }
 
 // weight returns the greatest weight of all tests against the target, and how much of it is
 // left after discounting that only one back end is broken, which is less likely by prior:
