--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -8,39 +8,39 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// GateConfig is what a Gate is made with.
+// GateConfig configures a Gate.
 type GateConfig struct {
-	// Life names this life of the router. It differs from that of every other life of
-	// any router, so that a permit for an earlier one allows nothing.
-	Life   uint64
-	Bounds Bounds
+	// Incarnation identifies this process among all routers' incarnations, so that a permit
+	// for an earlier one allows nothing.
+	Incarnation uint64
+	Bounds      Bounds
 }
 
-// Gate is one router's view of all rollouts. It tells where attempts may go, and counts
-// what comes of them. It is not safe for concurrent use: its owner guards it by a mutex.
+// Gate restricts where one router's attempts may go during rollouts, and counts their
+// outcomes. It is not safe for concurrent use: its owner guards it by a mutex.
 type Gate struct {
 	cfg GateConfig
-	// epoch is the begin of the gate's own clock.
-	epoch time.Time
-	// confirmedAt is the time at which the orders that are known were the newest ones.
+	// clockOrigin is the origin of the gate's own clock.
+	clockOrigin time.Time
+	// confirmedAt is the time at which the known orders were the newest ones.
 	confirmedAt time.Time
 	services    map[ident.Service]*traffic
-	// bound is the number of services for which Choose has to be asked.
-	bound int
-	hooks hooks
+	// restricted is the number of services for which Choose has to be called.
+	restricted int
+	hooks      hooks
 }
 
-// NewGate returns a gate that knows of nothing.
+// NewGate returns a gate without orders.
 func NewGate(cfg GateConfig) *Gate {
 	return &Gate{cfg: cfg, services: map[ident.Service]*traffic{}}
 }
 
-// Know takes in what the store tells, as it was read at confirmedAt.
-func (g *Gate) Know(now, confirmedAt time.Time, known Known) {
+// ApplySnapshot applies orders and states read from the store at confirmedAt.
+func (g *Gate) ApplySnapshot(now, confirmedAt time.Time, known Snapshot) {
 	if !g.cfg.Bounds.Enabled() {
 		return
 	}
-	g.start(now)
+	g.startClock(now)
 	if !confirmedAt.Before(g.confirmedAt) {
 		g.confirmedAt = confirmedAt
 		g.dropWithdrawn(known.Orders)
@@ -48,18 +48,18 @@
 	for index := range known.States {
 		state := &known.States[index]
 		if guard := g.guard(state.Order); guard != nil {
-			guard.learn(state.Phase, state.Proved)
+			guard.applyPhase(state.Phase, state.Proved)
 		}
 	}
-	// An order may be newer than the state, whose target is then known to be unproved.
+	// An order may be newer than the state; its target is unproved from now on.
 	for _, order := range known.Orders {
 		g.guard(order)
 	}
-	g.countBound()
+	g.countRestricted()
 }
 
-// dropWithdrawn drops the guards of orders that are not listed any more and that no holder
-// has taken up.
+// dropWithdrawn drops the guards of orders that are no longer listed and that no holder has
+// started.
 func (g *Gate) dropWithdrawn(orders []Order) {
 	for service, traffic := range g.services {
 		listed := slices.ContainsFunc(orders, func(order Order) bool { return order.Service == service })
@@ -69,28 +69,27 @@
 	}
 }
 
-// start begins the gate's clock.
-func (g *Gate) start(now time.Time) {
-	if g.epoch.IsZero() {
-		g.epoch = now
+func (g *Gate) startClock(now time.Time) {
+	if g.clockOrigin.IsZero() {
+		g.clockOrigin = now
 	}
 }
 
-// guard returns the guard of an order, which replaces that of an older one; it is nil if
-// a newer order is known.
+// guard returns the guard of an order, which replaces that of an older one; it is nil if a
+// newer order is known.
 func (g *Gate) guard(order Order) *guard {
 	traffic := g.traffic(order.Service)
 	known := traffic.guard
 	switch {
 	case known == nil || known.order.Revision < order.Revision:
-		traffic.begin(order, g.cfg.Life)
+		traffic.startOrder(order, g.cfg.Incarnation)
 	case known.order.Revision > order.Revision:
 		return nil
 	}
 	return traffic.guard
 }
 
-// traffic returns what is known of a service.
+// traffic returns the traffic of a service, which is added if it is new.
 func (g *Gate) traffic(service ident.Service) *traffic {
 	known := g.services[service]
 	if known == nil {
@@ -100,46 +99,45 @@
 	return known
 }
 
-// Listed takes in the releases of all back ends of a service that are listed.
-func (g *Gate) Listed(now time.Time, service ident.Service, releases []ident.Release) {
+// SetReleases sets the releases of all listed back ends of a service.
+func (g *Gate) SetReleases(now time.Time, service ident.Service, releases []ident.Release) {
 	if !g.cfg.Bounds.Enabled() {
 		return
 	}
-	g.start(now)
-	g.traffic(service).list(now, releases)
-	g.countBound()
+	g.startClock(now)
+	g.traffic(service).setListed(now, releases)
+	g.countRestricted()
 }
 
-// countBound counts the services for which Choose has to be asked.
-func (g *Gate) countBound() {
-	g.bound = 0
+// countRestricted counts the services for which Choose has to be called.
+func (g *Gate) countRestricted() {
+	g.restricted = 0
 	for _, traffic := range g.services {
-		traffic.settle(g.confirmedAt)
-		if traffic.binding() {
-			g.bound++
+		traffic.updateForbidden(g.confirmedAt)
+		if traffic.restricts() {
+			g.restricted++
 		}
 	}
 }
 
-// Active reports whether any attempt may have to be kept from a release: if not, Choose need not be asked.
-func (g *Gate) Active() bool { return g.bound > 0 }
+// Active reports whether any attempt may be restricted; if not, Choose need not be called.
+func (g *Gate) Active() bool { return g.restricted > 0 }
 
-// Choose returns where an attempt may go. If it names the only release allowed and no
-// back end of that can be used, the caller says so by Declined and asks again, with First
-// unset.
-func (g *Gate) Choose(now time.Time, ask Ask) backend.Releases {
-	traffic := g.services[ask.Service]
+// Choose returns where an attempt may go. If it names the only release allowed and no back
+// end of that can be used, the caller calls Declined, and Choose again with First unset.
+func (g *Gate) Choose(now time.Time, request ChooseRequest) backend.Releases {
+	traffic := g.services[request.Service]
 	if traffic == nil {
 		return backend.Releases{}
 	}
 	if traffic.guard == nil {
 		return backend.Releases{Excluded: traffic.forbidden}
 	}
-	return traffic.guard.releases(now, ask, traffic.forbidden)
+	return traffic.guard.releases(now, request, traffic.forbidden)
 }
 
-// StillAllowed reports whether an attempt that Choose allowed to go to some releases may still go to
-// one of them.
+// StillAllowed reports whether an attempt may still go to a release among those that Choose
+// allowed.
 func (g *Gate) StillAllowed(service ident.Service, allowed *backend.Releases, release ident.Release) bool {
 	traffic := g.services[service]
 	if traffic == nil || allowed.Only == release {
@@ -148,66 +146,64 @@
 	return !slices.Contains(traffic.forbidden, release)
 }
 
-// Declined says that a request for which Choose named only the target of a rollout will
-// not be sent there after all.
+// Declined records that a request that Choose assigned to the target is not sent there.
 func (g *Gate) Declined(service ident.Service) {
 	if traffic := g.services[service]; traffic != nil && traffic.guard != nil && traffic.guard.pending > 0 {
 		traffic.guard.pending--
 	}
 }
 
-// Sent counts an attempt that is sent to a back end. Every attempt is told, whether
-// Choose was asked or not: runs that began before an order are waited for, too.
+// Sent counts an attempt that is sent to a back end. It is called for every attempt, as
+// runs that began before an order are waited for, too.
 func (g *Gate) Sent(_ time.Time, service ident.Service, to backend.Record) Run {
 	if !g.cfg.Bounds.Enabled() {
 		return Run{}
 	}
 	traffic := g.traffic(service)
-	traffic.presence(to.Release).running++
+	traffic.release(to.Release).running++
 	run := Run{service: service, release: to.Release, counted: true}
 	if traffic.guard == nil {
 		return run
 	}
 	run.revision = traffic.guard.order.Revision
 	if to.Release == traffic.guard.order.Target {
-		run.part = partOf(to.Instance)
-		traffic.guard.sending()
+		run.group = groupOf(to.Instance)
+		traffic.guard.countSent()
 	}
 	return run
 }
 
-// Ended takes in what came of an attempt.
+// Ended records the outcome of an attempt.
 func (g *Gate) Ended(_ time.Time, run Run, sample Sample) {
 	if !run.counted {
 		return
 	}
 	traffic := g.services[run.service]
-	traffic.presence(run.release).running--
+	traffic.release(run.release).running--
 	if traffic.guard != nil && traffic.guard.order.Revision == run.revision {
-		traffic.guard.count(run.part, &sample)
+		traffic.guard.countAnswer(run.group, &sample)
 	}
 }
 
-// Permitted takes in a permit, which may also tell a final phase or an order that was not
-// known.
-func (g *Gate) Permitted(now time.Time, permit *Permit) {
+// ApplyPermit applies a permit, which may also carry a final phase or a new order.
+func (g *Gate) ApplyPermit(now time.Time, permit *Permit) {
 	if !g.cfg.Bounds.Enabled() || !permit.sound() {
 		return
 	}
-	g.start(now)
+	g.startClock(now)
 	guard := g.guard(permit.Order)
 	if guard == nil || (permit.Fence < guard.fence && !g.hooks.ignoreFence) {
 		return
 	}
 	guard.fence = max(guard.fence, permit.Fence)
-	guard.learn(permit.Phase, permit.Proved)
-	if permit.Life == g.cfg.Life || g.hooks.ignoreLife {
+	guard.applyPhase(permit.Phase, permit.Proved)
+	if permit.Incarnation == g.cfg.Incarnation || g.hooks.ignoreIncarnation {
 		g.permit(now, guard, permit)
 	}
-	g.countBound()
+	g.countRestricted()
 }
 
-// permit makes a permit for this life the one that holds, unless it is older than that.
+// permit applies a permit for this incarnation, unless it is older than the current one.
 func (g *Gate) permit(now time.Time, guard *guard, permit *Permit) {
 	newer := permit.Fence > guard.permit.Fence || permit.Clock >= guard.permit.Clock
 	if !newer && !g.hooks.ignoreFence {
@@ -215,31 +211,30 @@
 	}
 	guard.permit = *permit
 	valid := g.cfg.Bounds.validity(permit.Phase)
-	guard.until = g.epoch.Add(permit.Clock + valid)
+	guard.permittedUntil = g.clockOrigin.Add(permit.Clock + valid)
 	if g.hooks.ignoreClock {
-		guard.until = now.Add(valid)
+		guard.permittedUntil = now.Add(valid)
 	}
 }
 
-// Report returns what the holder is to know of a service, or nil if no order for it is
-// known.
+// Report returns the report for the holder, or nil if no order for the service is known.
 func (g *Gate) Report(now time.Time, service ident.Service) *Report {
 	traffic := g.services[service]
 	if traffic == nil || traffic.guard == nil {
 		return nil
 	}
-	g.start(now)
+	g.startClock(now)
 	guard := traffic.guard
 	report := &Report{
-		Service: service, Revision: guard.order.Revision, Life: g.cfg.Life, Clock: now.Sub(g.epoch),
-		Phase: guard.acts(now), Requests: guard.requests, Sent: guard.sent,
-		Others: traffic.runningElsewhere(guard.order.Target), Tallies: slices.Clone(guard.tallies),
+		Service: service, Revision: guard.order.Revision, Incarnation: g.cfg.Incarnation, Clock: now.Sub(g.clockOrigin),
+		Phase: guard.actingPhase(now), Requests: guard.requests, Sent: guard.sent,
+		OtherRuns: traffic.runningElsewhere(guard.order.Target), Tallies: slices.Clone(guard.tallies),
 	}
 	for index := range report.Tallies {
 		report.Tallies[index].Times = slices.Clone(report.Tallies[index].Times)
 	}
 	if guard.permitted(now) {
-		report.Left = guard.until.Sub(now)
+		report.PermitLeft = guard.permittedUntil.Sub(now)
 	}
 	return report
 }
--- a/internal/canary/modelwork_test.go
+++ b/internal/canary/modelrequests_test.go
@@ -8,8 +8,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// arrive lets requests come.
-func (m *model) arrive() {
+func (m *model) generateRequests() {
 	rate := m.rate
 	if m.now >= m.burst[0] && m.now < m.burst[1] {
 		rate *= 2
@@ -34,7 +33,7 @@
 func (m *model) route() *modelRoute {
 	pick := m.random.Float64()
 	for index := range m.routes {
-		if pick -= m.routes[index].part; pick < 0 {
+		if pick -= m.routes[index].share; pick < 0 {
 			return &m.routes[index]
 		}
 	}
@@ -50,12 +49,12 @@
 	gate := router.gate
 	var releases backend.Releases
 	if gate.Active() {
-		releases = gate.Choose(m.time(), Ask{Service: modelService, Route: route.name, First: true})
+		releases = gate.Choose(m.time(), ChooseRequest{Service: modelService, Route: route.name, First: true})
 	}
 	listed := router.listed
 	if releases.Only == modelNew && !listed {
 		gate.Declined(modelService)
-		releases = gate.Choose(m.time(), Ask{Service: modelService, Route: route.name})
+		releases = gate.Choose(m.time(), ChooseRequest{Service: modelService, Route: route.name})
 	}
 	var to backend.Record
 	switch {
@@ -65,13 +64,13 @@
 		if !listed || !releases.Allows(modelNew) {
 			return
 		}
-		to = m.newOnes[m.random.IntN(len(m.newOnes))]
+		to = m.newRecords[m.random.IntN(len(m.newRecords))]
 	case listed && releases.Allows(modelNew):
-		to = m.newOnes[m.random.IntN(len(m.newOnes))]
+		to = m.newRecords[m.random.IntN(len(m.newRecords))]
 	default:
-		to = m.oldOnes[m.random.IntN(len(m.oldOnes))]
+		to = m.oldRecords[m.random.IntN(len(m.oldRecords))]
 	}
-	m.judgeSend(index, to.Release)
+	m.checkSend(index, to.Release)
 	run := gate.Sent(m.time(), modelService, to)
 	m.busy[to.Instance]++
 	m.run(router, gate, run, route, to)
@@ -81,18 +80,18 @@
 func (m *model) pickNew(releases *backend.Releases) backend.Record {
 	narrowed := releases.Select(slices.Clone(m.instances))
 	instance := narrowed[m.random.IntN(len(narrowed))]
-	return m.newOnes[slices.Index(m.instances, instance)]
+	return m.newRecords[slices.Index(m.instances, instance)]
 }
 
-// judgeSend checks the promises at the moment of a send.
-func (m *model) judgeSend(index int, release ident.Release) {
+// checkSend checks the bounds at the time of a send.
+func (m *model) checkSend(index int, release ident.Release) {
 	if m.now < modelStart {
 		return
 	}
 	if release != modelNew {
-		if m.state.Phase == Succeeded && m.calm(index) && m.othersAfter == 0 && m.now-modelStart < m.result.at+permitFor/4 {
+		if m.state.Phase == Succeeded && m.undisturbed(index) && m.othersAfter == 0 && m.now-modelStart < m.result.decidedAt+permitValidity/4 {
 			m.othersAfter = m.now
-			m.brokenf("router %d sends to others after success", index)
+			m.violationf("router %d sent to other releases after success", index)
 		}
 		return
 	}
@@ -101,22 +100,22 @@
 	}
 	m.result.sent++
 	if allowed := modelBounds.Share*float64(m.result.requests) + modelBounds.Slack; float64(m.result.sent) > allowed {
-		m.brokenf("%d sent to the target, %.0f allowed", m.result.sent, allowed)
+		m.violationf("%d sent to the target, %.0f allowed", m.result.sent, allowed)
 	}
-	if m.result.fiftieth > 0 && m.now > m.result.fiftieth+modelRollback {
-		m.brokenf("sent %v after the 50th bad answer", m.now-m.result.fiftieth)
+	if m.result.fiftiethBadAt > 0 && m.now > m.result.fiftiethBadAt+modelRollback {
+		m.violationf("sent %v after the 50th bad answer", m.now-m.result.fiftiethBadAt)
 	}
 }
 
-// run lets a back end work on a request.
+// run simulates the run of a request at a back end.
 func (m *model) run(router *modelRouter, gate *Gate, run Run, route *modelRoute, to backend.Record) {
 	sample, bad := m.answer(route, to)
-	m.later(sample.Elapsed, func() {
+	m.schedule(sample.Elapsed, func() {
 		m.busy[to.Instance]--
 		if bad {
 			m.result.bad++
 			if m.result.bad == 50 {
-				m.result.fiftieth = m.now
+				m.result.fiftiethBadAt = m.now
 			}
 		}
 		if router.gate == gate {
@@ -125,13 +124,13 @@
 	})
 }
 
-// answer returns what comes of a request, and whether it is the answer of a bad release.
+// answer returns the sample of a request, and whether a bad release's fault affected it.
 func (m *model) answer(route *modelRoute, to backend.Record) (sample Sample, bad bool) {
 	elapsed := scale(route.usual, math.Exp(0.25*m.random.NormFloat64()))
 	sample = Sample{Route: route.name, Outcome: Answered, Predicted: route.usual}
 	if to.Release == modelOld && route.cached > 0 {
 		sample.Predicted = scale(route.usual, route.cached)
-		// One belief in ten about what is cached is wrong.
+		// One prediction in ten about cached prompts is wrong.
 		if m.random.Float64() < 0.9 {
 			elapsed = scale(elapsed, route.cached)
 		}
@@ -141,7 +140,7 @@
 	}
 	for index := range m.faults {
 		fault := &m.faults[index]
-		if !m.applies(fault, route, to) {
+		if !m.faultApplies(fault, route, to) {
 			continue
 		}
 		if fault.silent {
@@ -152,16 +151,16 @@
 		}
 		if m.random.Float64() < fault.failures {
 			sample.Outcome, bad = Failed, bad || fault.bad
-		} else if fault.times > 0 && (fault.part == 0 || m.random.Float64() < fault.part) {
-			elapsed, bad = scale(elapsed, fault.times), bad || fault.bad
+		} else if fault.slowdown > 0 && (fault.slowFraction == 0 || m.random.Float64() < fault.slowFraction) {
+			elapsed, bad = scale(elapsed, fault.slowdown), bad || fault.bad
 		}
 	}
 	sample.Elapsed = elapsed
 	return sample, bad
 }
 
-// applies reports whether a fault touches a run that begins now.
-func (m *model) applies(fault *fault, route *modelRoute, to backend.Record) bool {
+// faultApplies reports whether a fault affects a run that begins now.
+func (m *model) faultApplies(fault *fault, route *modelRoute, to backend.Record) bool {
 	if m.now < fault.from || m.now >= fault.until || (to.Release == modelNew) != fault.target {
 		return false
 	}
@@ -174,9 +173,9 @@
 	if fault.on == nil {
 		return true
 	}
-	records := m.oldOnes
+	records := m.oldRecords
 	if fault.target {
-		records = m.newOnes
+		records = m.newRecords
 	}
 	return slices.ContainsFunc(fault.on, func(index int) bool {
 		return index < len(records) && records[index].Instance == to.Instance
--- a/internal/canary/modelstore_test.go
+++ b/internal/canary/modelstore_test.go
@@ -9,8 +9,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// trouble begins and ends outages.
-func (m *model) trouble() {
+// applyOutages starts and ends outages.
+func (m *model) applyOutages() {
 	for index := range m.outages {
 		outage := &m.outages[index]
 		if outage.from == m.now && outage.router < 0 {
@@ -20,10 +20,10 @@
 			continue
 		}
 		router := m.routers[outage.router]
-		router.troubledUntil = m.now
+		router.disturbedUntil = m.now
 		if m.now == outage.until && outage.killed {
-			m.live(router)
-			router.lookAt = m.now
+			m.restart(router)
+			router.nextReadAt = m.now
 			m.directors[outage.router] = m.newDirector()
 			if m.holder == outage.router {
 				m.holder = -1
@@ -32,8 +32,8 @@
 	}
 }
 
-// hit reports whether a router has some outage now.
-func (m *model) hit(router int, kind func(*outage) bool) bool {
+// hasOutage reports whether a router has some outage now.
+func (m *model) hasOutage(router int, kind func(*outage) bool) bool {
 	for index := range m.outages {
 		outage := &m.outages[index]
 		if outage.router == router && m.now >= outage.from && m.now < outage.until && kind(outage) {
@@ -44,14 +44,16 @@
 }
 
 func (m *model) stopped(router int) bool {
-	return m.hit(router, func(o *outage) bool { return o.killed || o.frozen })
+	return m.hasOutage(router, func(o *outage) bool { return o.killed || o.frozen })
 }
 
-func (m *model) cut(router int) bool { return m.hit(router, func(o *outage) bool { return o.cut }) }
+func (m *model) cut(router int) bool {
+	return m.hasOutage(router, func(o *outage) bool { return o.cut })
+}
 
-// lease keeps one holder, and gives the lease to another router after it ends. A holder
-// that is cut off or wakes up learns of its loss only when its lease is over by its clock,
-// or 200 ms after it woke up.
+// lease keeps one holder, and gives the lease to another router after it expires. A holder
+// that is cut off learns of the loss when the lease expires, a frozen one 200 ms after it
+// resumes.
 func (m *model) lease() {
 	if m.holder >= 0 && !m.stopped(m.holder) && !m.cut(m.holder) && m.now <= m.leaseUntil {
 		m.leaseUntil = m.now + modelLease
@@ -61,19 +63,19 @@
 	if m.now <= m.leaseUntil {
 		return
 	}
-	if last, held := m.holder, m.directors[m.holder]; held != nil {
-		wakes := modelStep
+	if last, director := m.holder, m.directors[m.holder]; director != nil {
+		resumesIn := modelStep
 		for _, outage := range m.outages {
 			if outage.router == last && m.now < outage.until {
-				wakes = outage.until - m.now + 200*time.Millisecond
+				resumesIn = outage.until - m.now + 200*time.Millisecond
 			}
 		}
 		if m.cut(last) {
-			wakes = modelStep
+			resumesIn = modelStep
 		}
-		m.later(wakes, func() {
+		m.schedule(resumesIn, func() {
 			if m.holder != last {
-				held.Hold(m.time(), 0)
+				director.SetLease(m.time(), 0)
 			}
 		})
 	}
@@ -83,20 +85,20 @@
 	}
 	m.holder, m.leaseUntil = next, m.now+modelLease
 	m.fence++
-	m.directors[next].Hold(m.time(), m.fence)
+	m.directors[next].SetLease(m.time(), m.fence)
 }
 
-// listed returns the orders and back ends that are in the store.
+// listed returns the stored orders and back ends.
 func (m *model) listed() ([]Order, []backend.Record) {
-	old, fresh := len(m.oldOnes), 0
+	old, fresh := len(m.oldRecords), 0
 	if m.now >= modelStart+m.targetListed {
-		fresh = len(m.newOnes)
+		fresh = len(m.newRecords)
 	}
 	since := m.now - modelStart
 	if m.backEnds != nil {
 		old, fresh = m.backEnds(since)
 	}
-	records := append(slices.Clone(m.oldOnes[:old]), m.newOnes[:fresh]...)
+	records := append(slices.Clone(m.oldRecords[:old]), m.newRecords[:fresh]...)
 	switch {
 	case m.ordersAt != nil:
 		return m.ordersAt(since), records
@@ -106,12 +108,10 @@
 	return []Order{m.order(7)}, records
 }
 
-// order returns an order for the target under a revision.
 func (m *model) order(revision uint64) Order {
 	return Order{Service: modelService, Target: modelNew, Duration: m.duration, Revision: revision}
 }
 
-// newDirector returns the director of a router's new life.
 func (m *model) newDirector() *Director {
 	director := NewDirector(DirectorConfig{Bounds: modelBounds})
 	director.hooks = m.hooks
@@ -127,19 +127,19 @@
 	director.Observe(m.time(), m.now, orders, records, addresses)
 }
 
-// storeSlow reports whether the store takes one to two seconds for an answer.
+// storeSlow reports whether the store is slow now.
 func (m *model) storeSlow() bool {
 	return m.now >= m.slowStore[0] && m.now < m.slowStore[1]
 }
 
-// look lets a router read what is in the store.
-func (m *model) look(index int, router *modelRouter) {
-	if m.now < router.lookAt || m.stopped(index) || m.cut(index) {
+// readStore lets a router read the store.
+func (m *model) readStore(index int, router *modelRouter) {
+	if m.now < router.nextReadAt || m.stopped(index) || m.cut(index) {
 		return
 	}
-	router.lookAt = m.now + m.lookEvery
+	router.nextReadAt = m.now + m.readInterval
 	orders, records := m.listed()
-	known, releases := Known{Orders: orders}, []ident.Release(nil)
+	known, releases := Snapshot{Orders: orders}, []ident.Release(nil)
 	if m.state.Phase != 0 {
 		known.States = []State{m.state}
 	}
@@ -149,10 +149,10 @@
 		}
 	}
 	confirmedAt := m.time()
-	m.later(m.storeDelay(), func() {
+	m.schedule(m.storeDelay(), func() {
 		router.listed = slices.Contains(releases, modelNew)
-		router.gate.Listed(m.time(), modelService, releases)
-		router.gate.Know(m.time(), confirmedAt, known)
+		router.gate.SetReleases(m.time(), modelService, releases)
+		router.gate.ApplySnapshot(m.time(), confirmedAt, known)
 	})
 	m.observe(m.directors[index])
 }
@@ -164,8 +164,8 @@
 	return time.Duration(4+m.random.IntN(40)) * time.Millisecond
 }
 
-// send puts a datagram on its way.
-func (m *model) send(sender int, letter datagram) {
+// send sends a datagram, which may be lost, delayed or duplicated.
+func (m *model) send(sender int, message datagram) {
 	copies := 1
 	if m.random.Float64() < 0.01 {
 		copies = 2
@@ -178,33 +178,33 @@
 		if m.random.Float64() < 0.01 {
 			delay += time.Duration(m.random.IntN(3000)) * time.Millisecond
 		}
-		letter.from = m.routers[sender].address
-		m.later(delay, func() {
-			if !m.cut(sender) && !m.cut(letter.to) {
-				// What reaches a stopped router waits in its socket.
-				m.routers[letter.to].inbox = append(m.routers[letter.to].inbox, letter)
+		message.from = m.routers[sender].address
+		m.schedule(delay, func() {
+			if !m.cut(sender) && !m.cut(message.to) {
+				// Datagrams to a stopped router wait in its socket.
+				m.routers[message.to].inbox = append(m.routers[message.to].inbox, message)
 			}
 		})
 	}
 }
 
-// receive lets a router take in what reached it.
+// receive lets a router handle its inbox.
 func (m *model) receive(index int, router *modelRouter) {
 	if len(router.inbox) == 0 || m.stopped(index) {
 		return
 	}
-	letters := router.inbox
+	messages := router.inbox
 	router.inbox = nil
-	for _, letter := range letters {
-		if letter.report != nil {
+	for _, message := range messages {
+		if message.report != nil {
 			if director := m.directors[index]; director != nil {
-				director.Reported(m.time(), letter.from, letter.report)
+				director.ApplyReport(m.time(), message.from, message.report)
 			}
 			continue
 		}
-		router.gate.Permitted(m.time(), letter.permit)
+		router.gate.ApplyPermit(m.time(), message.permit)
 		if report := router.gate.Report(m.time(), modelService); report != nil {
-			m.send(index, datagram{to: m.indexOf(letter.from), report: report})
+			m.send(index, datagram{to: m.indexOf(message.from), report: report})
 		}
 	}
 }
@@ -213,8 +213,8 @@
 	return slices.IndexFunc(m.routers, func(router *modelRouter) bool { return router.address == address })
 }
 
-// direct lets all directors do what they want.
-func (m *model) direct() {
+// stepDirectors steps all running directors every 50 ms.
+func (m *model) stepDirectors() {
 	if m.now%(50*time.Millisecond) != 0 {
 		return
 	}
@@ -224,30 +224,30 @@
 			continue
 		}
 		for _, action := range director.Step(m.time()) {
-			m.act(index, director, action)
+			m.perform(index, director, action)
 		}
 	}
 }
 
-// act does what a director wants.
-func (m *model) act(index int, director *Director, action Action) {
+// perform carries out a director's action.
+func (m *model) perform(index int, director *Director, action Action) {
 	switch action := action.(type) {
-	case Tell:
+	case SendPermit:
 		m.send(index, datagram{to: m.indexOf(action.To), permit: action.Permit})
 	case Fetch:
-		m.later(m.storeDelay(), func() {
+		m.schedule(m.storeDelay(), func() {
 			state := m.state
 			state.Order.Service = modelService
 			if !m.cut(index) && !m.stopped(index) {
-				director.Read(m.time(), state, m.version)
+				director.ApplyState(m.time(), state, m.version)
 			}
 		})
 	case Write:
-		m.later(m.storeDelay(), func() { m.write(index, director, action) })
+		m.schedule(m.storeDelay(), func() { m.write(index, director, action) })
 	}
 }
 
-// write does a write at the store, and takes its answer back.
+// write writes to the store, and returns the result to the director.
 func (m *model) write(index int, director *Director, write Write) {
 	var answer WriteResult = Unanswered{}
 	if !m.cut(index) {
@@ -258,49 +258,49 @@
 			answer = Stored{Version: m.version}
 		}
 	}
-	m.later(m.storeDelay(), func() {
+	m.schedule(m.storeDelay(), func() {
 		if m.cut(index) {
 			answer = Unanswered{}
 		}
 		if !m.stopped(index) {
-			director.Written(m.time(), modelService, answer)
+			director.ApplyWriteResult(m.time(), modelService, answer)
 		}
 	})
 }
 
-// stored takes in a state that came to lie in the store.
+// stored sets the stored state, and checks it.
 func (m *model) stored(state State) {
 	last := m.state
 	m.state = state
 	if last.Phase.Final() && last.Order.Revision == state.Order.Revision {
-		m.brokenf("%v written after %v", state.Phase, last.Phase)
+		m.violationf("%v written after %v", state.Phase, last.Phase)
 	}
 	if state.Phase == Promoting && last.Phase != Promoting {
 		m.result.promoted = m.now
 	}
 	if state.Phase.Final() {
 		m.result.verdicts, m.result.finals = append(m.result.verdicts, state.Phase), append(m.result.finals, state)
-		m.result.reason, m.result.at = state.Reason, m.now-modelStart
+		m.result.reason, m.result.decidedAt = state.Reason, m.now-modelStart
 		if state.Phase == Succeeded && state.Reason != reasonDeadline {
 			m.checkMoved()
 		}
 	}
 }
 
-// calm reports whether a router had no outage for long enough to be heard.
-func (m *model) calm(index int) bool {
+// undisturbed reports whether a router's reports can reach the holder.
+func (m *model) undisturbed(index int) bool {
 	router := m.routers[index]
-	return m.loss < 0.05 && (router.troubledUntil == 0 || m.now-router.troubledUntil > deadAfter)
+	return m.loss < 0.05 && (router.disturbedUntil == 0 || m.now-router.disturbedUntil > silentAfter)
 }
 
-// checkMoved checks that nothing of a router that is heard runs on other releases.
+// checkMoved checks that no undisturbed router has runs on other releases.
 func (m *model) checkMoved() {
 	for index, router := range m.routers {
-		if !m.calm(index) {
+		if !m.undisturbed(index) {
 			continue
 		}
 		if running := router.gate.services[modelService].runningElsewhere(modelNew); running > 0 {
-			m.brokenf("succeeded while router %d runs %d elsewhere", index, running)
+			m.violationf("succeeded while router %d has %d runs on other releases", index, running)
 		}
 	}
 }
--- a/internal/canary/stream.go
+++ b/internal/canary/stream.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// test weighs whether a target has an excess of bad answers from some moment on: a
-// cumulative sum of the logarithms of likelihood ratios that never falls below zero.
-type test struct {
-	full float64
-	// only is the same for each part of the target by itself, without for all but it.
-	only, without []float64
-	// largest are the two windows that have added most since the sum was zero.
+// cusum is a cumulative sum of log-likelihood ratios that never falls below zero. It
+// detects an excess of bad answers that begins at any time.
+type cusum struct {
+	total float64
+	// single is the same sum for each group of the target alone, rest for all but it.
+	single, rest []float64
+	// largest are the two largest windows since the sum was zero.
 	largest [2]float64
 }
 
@@ -20,79 +20,77 @@
 type stream struct {
 	route string
 	kind  kind
-	// answers and bad are those of the other releases, earlier ones counting less.
+	// answers and bad are decayed counts of the other releases.
 	answers, bad float64
 	// targetAnswers and targetBad, othersAnswers and othersBad are counts for reasons.
 	targetAnswers, targetBad, othersAnswers, othersBad uint64
 	// windows is the number of windows with answers of the target.
 	windows int
-	tests   [len(excesses)]test
+	tests   [len(excessRates)]cusum
 }
 
-// evidenceOf returns the logarithm of the ratio of how likely some bad answers are if the
-// target has an excess of them, and if it has the rate of the other releases.
-func evidenceOf(bad, answers uint64, rate, excess float64) float64 {
+// logLikelihoodRatio compares the likelihoods of some bad answers with an excess rate and
+// at the other releases' rate.
+func logLikelihoodRatio(bad, answers uint64, rate, excess float64) float64 {
 	higher := rate + excess*(1-rate)
 	good := float64(answers - bad)
 	return float64(bad)*math.Log(higher/rate) + good*math.Log((1-higher)/(1-rate))
 }
 
-// add takes in the weights of one window. One that is inherited from an earlier holder covers
-// a longer time.
-func (t *test) add(full float64, only, without []float64, inherited bool) {
-	for len(t.only) < len(only) {
-		// A part that is new has added nothing so far.
-		t.only, t.without = append(t.only, 0), append(t.without, t.full)
+// add adds the weights of one window. An inherited one covers a longer time, and is never
+// among the largest.
+func (c *cusum) add(total float64, single, rest []float64, inherited bool) {
+	for len(c.single) < len(single) {
+		// A new group has added nothing so far.
+		c.single, c.rest = append(c.single, 0), append(c.rest, c.total)
 	}
-	t.full = max(0, t.full+full)
-	for part := range only {
-		t.only[part] = max(0, t.only[part]+only[part])
-		t.without[part] = max(0, t.without[part]+without[part])
+	c.total = max(0, c.total+total)
+	for group := range single {
+		c.single[group] = max(0, c.single[group]+single[group])
+		c.rest[group] = max(0, c.rest[group]+rest[group])
 	}
 	switch {
-	case t.full == 0:
-		t.largest = [2]float64{}
+	case c.total == 0:
+		c.largest = [2]float64{}
 	case inherited:
-	case full > t.largest[0]:
-		t.largest = [2]float64{full, t.largest[0]}
-	case full > t.largest[1]:
-		t.largest[1] = full
+	case total > c.largest[0]:
+		c.largest = [2]float64{total, c.largest[0]}
+	case total > c.largest[1]:
+		c.largest[1] = total
 	}
 }
 
-// lasting returns the weight without the two windows that weigh most.
-func (t *test) lasting() float64 { return t.full - t.largest[0] - t.largest[1] }
+// withoutLargest returns the weight without the two largest windows.
+func (c *cusum) withoutLargest() float64 { return c.total - c.largest[0] - c.largest[1] }
 
-// weight returns the most weight against the target of all tests, and how much of it is
-// left when it is held against the chance that one of its back ends is broken, which is
-// less likely by prior: what counts is by how much the weight exceeds the one against that
-// back end alone, or what the others weigh without it, less what chance may add to that.
-// Paused says that slow answers came
-// within so short a time that all back ends may have paused once, as when they load
-// weights.
-func (s *stream) weight(several bool, prior float64) (full, left float64, paused bool) {
-	single, others, lasting := 0.0, 0.0, 0.0
+// weight returns the greatest weight of all tests against the target, and how much of it is
+// left after discounting that only one back end is broken, which is less likely by prior:
+// its excess over the weight against that back end alone, or the weight of the rest less
+// what chance may add. Paused is set if slow answers came in so short a time that all back
+// ends may have paused once, as when they load weights.
+func (s *stream) weight(several bool, prior float64) (total, left float64, paused bool) {
+	single, rest, lasting := 0.0, 0.0, 0.0
 	for index := range s.tests {
 		test := &s.tests[index]
-		full = max(full, test.full)
-		lasting = max(lasting, test.lasting())
-		if len(test.only) > 0 {
-			single = max(single, slices.Max(test.only))
-			others = max(others, slices.Min(test.without))
+		total = max(total, test.total)
+		lasting = max(lasting, test.withoutLargest())
+		if len(test.single) > 0 {
+			single = max(single, slices.Max(test.single))
+			rest = max(rest, slices.Min(test.rest))
 		}
 	}
-	left = full
+	left = total
 	if several {
-		left = max(full-max(0, single-prior), others-othersPrior)
+		left = max(total-max(0, single-prior), rest-restPrior)
 	}
-	return full, left, s.kind == slow && lasting < leastLasting
+	return total, left, s.kind == slow && lasting < minLastingWeight
 }
 
 // rate returns the rate of bad answers of the other releases in a window.
 func (s *stream) rate(bad, answers uint64) float64 {
-	least := leastFailing
+	least := minFailureRate
 	if s.kind == slow {
-		least = leastSlow
+		least = minSlowRate
 	}
 	usual := least
 	if s.answers > 0 {
@@ -106,15 +104,15 @@
 	return min(max(rate, least), 1-least)
 }
 
-// learn adds a window of the other releases to their long-run rate.
-func (s *stream) learn(bad, answers uint64) {
-	s.answers = s.answers*decay + float64(answers)
-	s.bad = s.bad*decay + float64(bad)
+// addBaseline adds a window of the other releases to their long-run rate.
+func (s *stream) addBaseline(bad, answers uint64) {
+	s.answers = s.answers*baselineDecay + float64(answers)
+	s.bad = s.bad*baselineDecay + float64(bad)
 	s.othersAnswers += answers
 	s.othersBad += bad
 }
 
-// reason says what the stream has counted.
+// reason describes the stream's counts.
 func (s *stream) reason() string {
 	route := "all routes"
 	if s.route != "" {
--- a/internal/canary/thresholds_test.go
+++ b/internal/canary/thresholds_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// thresholds is the other verdict that was weighed: rates over the last windows of a route
-// against fixed limits.
+// thresholds is an alternative evaluator: it compares the rates of a route's last windows
+// with fixed limits.
 type thresholds struct {
 	routes   []*thresholdRoute
 	answered uint64
@@ -25,20 +25,20 @@
 	thresholdExcess  = 0.08
 )
 
-func (v *thresholds) weigh(seen *window) {
-	target := seen.target()
+func (v *thresholds) addWindow(observed *window) {
+	target := observed.target()
 	v.answered += target.answers
 	for _, known := range v.routes {
-		if known.route == seen.route {
-			known.windows = append(known.windows, seen)
+		if known.route == observed.route {
+			known.windows = append(known.windows, observed)
 			known.windows = known.windows[max(0, len(known.windows)-thresholdWindows):]
 			return
 		}
 	}
-	v.routes = append(v.routes, &thresholdRoute{route: seen.route, windows: []*window{seen}})
+	v.routes = append(v.routes, &thresholdRoute{route: observed.route, windows: []*window{observed}})
 }
 
-func (v *thresholds) bad(several bool) string {
+func (v *thresholds) rejection(several bool) string {
 	for _, route := range v.routes {
 		if route.exceeds(several) {
 			return "over the threshold on route " + route.route
@@ -47,20 +47,20 @@
 	return ""
 }
 
-// exceeds reports whether the rate of failures, or of slow answers, is too high over the last
-// windows, also without any one part of the target.
+// exceeds reports whether the rate of failures or slow answers is too high over the last
+// windows, also without any one group of the target.
 func (r *thresholdRoute) exceeds(several bool) bool {
 	var others, target cell
-	parts := map[uint32]*cell{}
-	for _, seen := range r.windows {
-		merge(&others, &seen.others)
-		for index := range seen.parts {
-			part := seen.parts[index].part
-			if parts[part] == nil {
-				parts[part] = &cell{}
+	groups := map[uint32]*cell{}
+	for _, observed := range r.windows {
+		merge(&others, &observed.others)
+		for index := range observed.groups {
+			group := observed.groups[index].group
+			if groups[group] == nil {
+				groups[group] = &cell{}
 			}
-			merge(parts[part], &seen.parts[index].cell)
-			merge(&target, &seen.parts[index].cell)
+			merge(groups[group], &observed.groups[index].cell)
+			merge(&target, &observed.groups[index].cell)
 		}
 	}
 	usual := median{}
@@ -83,12 +83,12 @@
 	if !several {
 		return true
 	}
-	for _, part := range parts {
+	for _, group := range groups {
 		rest := target
-		rest.answers -= part.answers
-		rest.failures -= part.failures
+		rest.answers -= group.answers
+		rest.failures -= group.failures
 		for bin := range rest.times {
-			rest.times[bin] -= part.times[bin]
+			rest.times[bin] -= group.times[bin]
 		}
 		if rest.answers >= thresholdAnswers && !exceeds(&rest) {
 			return false
@@ -105,75 +105,74 @@
 	}
 }
 
-func (v *thresholds) doubt(bool, bool) string { return "" }
+func (v *thresholds) inconclusive(bool, bool) string { return "" }
 
-func (v *thresholds) scarce() string {
-	if v.answered < leastAnswers {
+func (v *thresholds) insufficient() string {
+	if v.answered < minAnswers {
 		return fmt.Sprintf("%d answers", v.answered)
 	}
 	return ""
 }
 
-func (v *thresholds) total() uint64 { return v.answered }
+func (v *thresholds) targetAnswers() uint64 { return v.answered }
 
-// fewCompared is the number of histories of a bad and of a good target that are played
-// under each verdict by default: a second or two under the race detector.
-const fewCompared = 2
+// defaultCompared is the default number of histories of a bad and of a good target for each
+// evaluator.
+const defaultCompared = 2
 
-// TestVerdictsCompared prints what the two verdicts make of the same histories; under the one
-// in use none may break a promise. By default it plays the first few, and for the figures of
-// the design note as many of each kind as FIELDPOND_CANARY_HISTORIES says.
-func TestVerdictsCompared(t *testing.T) {
-	perKind, good := histories(0), len(troubles)*histories(0)
+// TestCompareEvaluators logs the outcomes of the same histories under both evaluators; the
+// one in use must violate no bound. FIELDPOND_CANARY_HISTORIES sets how many are played.
+func TestCompareEvaluators(t *testing.T) {
+	perKind, good := historyCount(0), len(disturbances)*historyCount(0)
 	kinds := badKinds
 	if perKind == 0 {
-		perKind, good, kinds = fewCompared, fewCompared, badKinds[:1]
+		perKind, good, kinds = defaultCompared, defaultCompared, badKinds[:1]
 	}
-	verdicts := []struct {
+	evaluators := []struct {
 		name  string
-		make  func() verdict
+		make  func() evaluator
 		judge func(got *outcomes, name string)
 	}{
 		{"likelihood ratios", nil, func(got *outcomes, name string) { got.report(t, name) }},
-		// Those that pass a bad target break the bound on what follows its 50th bad answer.
-		{"thresholds", func() verdict { return &thresholds{} }, func(got *outcomes, name string) { t.Logf("%s: %v", name, got) }},
+		// Promoting a bad target violates the bound after its 50th bad answer.
+		{"thresholds", func() evaluator { return &thresholds{} }, func(got *outcomes, name string) { t.Logf("%s: %v", name, got) }},
 	}
-	for _, tt := range verdicts {
+	for _, tt := range evaluators {
 		for _, bad := range kinds {
 			got := playAll(perKind, func(seed uint64) (history, string) {
 				h, name := drawBad(seed, bad)
-				h.hooks.newVerdict = tt.make
+				h.hooks.newEvaluator = tt.make
 				return h, name
 			})
 			tt.judge(got, tt.name+": bad, "+bad.name)
 		}
 		got := playAll(good, func(seed uint64) (history, string) {
-			trouble := troubles[seed%uint64(len(troubles))]
-			h := drawGood(seed, trouble)
-			h.hooks.newVerdict = tt.make
-			return h, trouble.name
+			extra := disturbances[seed%uint64(len(disturbances))]
+			h := drawGood(seed, extra)
+			h.hooks.newEvaluator = tt.make
+			return h, extra.name
 		})
-		tt.judge(got, tt.name+": good, all troubles")
+		tt.judge(got, tt.name+": good, all disturbances")
 	}
 }
 
-// drawBad draws a history of a bad target, every other one with some trouble besides.
-func drawBad(seed uint64, bad trouble) (history, string) {
+// drawBad draws a history of a bad target, every other one with a disturbance.
+func drawBad(seed uint64, bad disturbance) (history, string) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	h := drawHistory(seed, random)
 	bad.add(&h, random)
-	also := troubles[random.IntN(len(troubles))]
+	extra := disturbances[random.IntN(len(disturbances))]
 	if seed%2 == 0 {
 		return h, bad.name
 	}
-	also.add(&h, random)
-	return h, bad.name + ", " + also.name
+	extra.add(&h, random)
+	return h, bad.name + ", " + extra.name
 }
 
-// drawGood draws a history of a good target with some trouble.
-func drawGood(seed uint64, trouble trouble) history {
+// drawGood draws a history of a good target with a disturbance.
+func drawGood(seed uint64, extra disturbance) history {
 	random := rand.New(rand.NewPCG(seed, 1))
 	h := drawHistory(seed, random)
-	trouble.add(&h, random)
+	extra.add(&h, random)
 	return h
 }
--- a/internal/forward/releases.go
+++ b/internal/forward/releases.go
@@ -14,7 +14,7 @@
 // concurrent use.
 type Releases interface {
 	// Choose returns the releases that an attempt may go to.
-	Choose(now time.Time, ask canary.Ask) backend.Releases
+	Choose(now time.Time, ask canary.ChooseRequest) backend.Releases
 	// StillAllowed reports whether an attempt that was allowed to go to some releases may
 	// still go to one of them.
 	StillAllowed(service ident.Service, allowed *backend.Releases, release ident.Release) bool
@@ -63,7 +63,7 @@
 
 // chooseReleases returns the releases for the next attempt. Only the first call counts the request.
 func (r *run) chooseReleases(now time.Time) backend.Releases {
-	ask := canary.Ask{Service: r.service, Route: r.route.Name, First: !r.counted, Excluded: len(r.excluded)}
+	ask := canary.ChooseRequest{Service: r.service, Route: r.route.Name, First: !r.counted, Excluded: len(r.excluded)}
 	r.counted = true
 	return r.forwarder.Releases.Choose(now, ask)
 }
--- a/internal/node/canary.go
+++ b/internal/node/canary.go
@@ -78,7 +78,7 @@
 func newCanaries(bounds canary.Bounds, c *canaries) *canaries {
 	c.bounds = bounds
 	c.wakeups = make(chan struct{}, 1)
-	c.gate = canary.NewGate(canary.GateConfig{Life: rand.Uint64(), Bounds: bounds})
+	c.gate = canary.NewGate(canary.GateConfig{Incarnation: rand.Uint64(), Bounds: bounds})
 	c.listedReleases = make(map[ident.Service][]ident.Release)
 	c.logged = make(map[ident.Service]*loggedRollout)
 	return c
@@ -93,7 +93,7 @@
 }
 
 // Choose implements forward.Releases.
-func (c *canaries) Choose(now time.Time, ask canary.Ask) backend.Releases {
+func (c *canaries) Choose(now time.Time, ask canary.ChooseRequest) backend.Releases {
 	if !c.restricted.Load() {
 		return backend.Releases{}
 	}
@@ -139,7 +139,7 @@
 	defer c.mu.Unlock()
 	now := clock.Now()
 	c.rollouts = rollouts
-	c.gate.Know(now, confirmedAt, rollouts.known())
+	c.gate.ApplySnapshot(now, confirmedAt, rollouts.known())
 	c.gateChanged(now)
 }
 
@@ -153,12 +153,12 @@
 	releases := releasesOf(records)
 	for service := range c.listedReleases {
 		if releases[service] == nil {
-			c.gate.Listed(listedAt, service, nil)
+			c.gate.SetReleases(listedAt, service, nil)
 		}
 	}
 	for service, now := range releases {
 		if !slices.Equal(now, c.listedReleases[service]) {
-			c.gate.Listed(listedAt, service, now)
+			c.gate.SetReleases(listedAt, service, now)
 		}
 	}
 	c.listedReleases = releases
@@ -198,14 +198,14 @@
 		}
 	}
 	if received.Report != nil && c.term != nil {
-		c.term.director.Reported(now, from, received.Report)
+		c.term.director.ApplyReport(now, from, received.Report)
 	}
 }
 
 // applyPermit applies a permit and returns the report that answers it, if any; the caller
 // holds the mutex.
 func (c *canaries) applyPermit(now time.Time, permit *canary.Permit) *canary.Report {
-	c.gate.Permitted(now, permit)
+	c.gate.ApplyPermit(now, permit)
 	c.loggedOf(permit.Order.Service).reason = permit.Reason
 	c.gateChanged(now)
 	return c.gate.Report(now, permit.Order.Service)
--- a/internal/node/canarybench_test.go
+++ b/internal/node/canarybench_test.go
@@ -62,7 +62,7 @@
 		f.others[other.self] = other
 	}
 	f.holder.setFence(f.now, 1)
-	f.holder.term.director.Read(f.now, canary.State{Order: known.orders[0], Phase: canary.Observing, Ceiling: 1 << 20, Fence: 1}, 1)
+	f.holder.term.director.ApplyState(f.now, canary.State{Order: known.orders[0], Phase: canary.Observing, Ceiling: 1 << 20, Fence: 1}, 1)
 	return f
 }
 
@@ -78,10 +78,10 @@
 func (f *benchFleet) deliver(to netip.AddrPort, sent datagram) {
 	f.permits += encodedSize(sent)
 	other := f.others[to]
-	other.gate.Permitted(f.now, sent.Permit)
+	other.gate.ApplyPermit(f.now, sent.Permit)
 	report := other.gate.Report(f.now, "s")
 	f.reports += encodedSize(datagram{Report: report})
-	f.holder.term.director.Reported(f.now, to, report)
+	f.holder.term.director.ApplyReport(f.now, to, report)
 }
 
 // playSecond simulates a second, in which each router serves requests of each route at both
@@ -103,7 +103,7 @@
 		}
 		f.holder.term.observe(f.now, f.holder.rollouts, records, addrs)
 		for _, action := range f.holder.term.director.Step(f.now) {
-			if permit, ok := action.(canary.Tell); ok && permit.To != f.holder.self {
+			if permit, ok := action.(canary.SendPermit); ok && permit.To != f.holder.self {
 				f.deliver(permit.To, datagram{Permit: permit.Permit})
 			}
 		}
--- a/internal/node/director.go
+++ b/internal/node/director.go
@@ -41,7 +41,7 @@
 		return
 	}
 	c.term = &leaseTerm{fence: fence, director: canary.NewDirector(canary.DirectorConfig{Bounds: c.bounds})}
-	c.term.director.Hold(now, fence)
+	c.term.director.SetLease(now, fence)
 }
 
 // direct runs one step of the director and its actions; the caller holds the mutex.
@@ -54,7 +54,7 @@
 	c.readWithdrawn(ctx, now)
 	for _, action := range term.director.Step(now) {
 		switch action := action.(type) {
-		case canary.Tell:
+		case canary.SendPermit:
 			c.sendPermit(now, &action)
 		case canary.Fetch:
 			go c.readState(ctx, term, action.Service)
@@ -95,13 +95,13 @@
 }
 
 // sendPermit sends a permit to a router, or applies it if this is the router.
-func (c *canaries) sendPermit(now time.Time, action *canary.Tell) {
+func (c *canaries) sendPermit(now time.Time, action *canary.SendPermit) {
 	if action.To != c.self {
 		c.send(action.To, datagram{Permit: action.Permit})
 		return
 	}
 	if report := c.applyPermit(now, action.Permit); report != nil {
-		c.term.director.Reported(now, c.self, report)
+		c.term.director.ApplyReport(now, c.self, report)
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	term.director.Read(clock.Now(), state, version)
+	term.director.ApplyState(clock.Now(), state, version)
 }
 
 // writeState writes a state for the director, if the lease is still held under its fence.
@@ -129,5 +129,5 @@
 	if _, stored := result.(canary.Stored); stored {
 		c.logWritten(term.fence, &action.State)
 	}
-	term.director.Written(clock.Now(), service, result)
+	term.director.ApplyWriteResult(clock.Now(), service, result)
 }
--- a/internal/node/rolloutlog.go
+++ b/internal/node/rolloutlog.go
@@ -54,7 +54,7 @@
 	if report == nil || report.Revision != order.Revision {
 		return
 	}
-	if permitted := report.Left > 0; permitted != last.permitted {
+	if permitted := report.PermitLeft > 0; permitted != last.permitted {
 		last.permitted = permitted
 		log.WithFields(fields).WithField("permitted", permitted).Info("rollout_permit")
 	}
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -115,7 +115,7 @@
 		Order: canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}, Fence: 1, Phase: canary.Succeeded,
 		Proved: []ident.Release{oldRelease},
 	}
-	allowed := func() backend.Releases { return c.Choose(time.Now(), canary.Ask{Service: "s", First: true}) }
+	allowed := func() backend.Releases { return c.Choose(time.Now(), canary.ChooseRequest{Service: "s", First: true}) }
 	c.receive(stranger, &datagram{Permit: permit})
 	releases := allowed()
 	is.True(!releases.Allows(newRelease))
--- a/internal/upstream/update.go
+++ b/internal/upstream/update.go
@@ -92,7 +92,7 @@
 
 // Rollouts is the state of rollouts in the store.
 type Rollouts struct {
-	Known canary.Known `cbor:"1,keyasint"`
+	Known canary.Snapshot `cbor:"1,keyasint"`
 	// StoreTime is the store's monotonic time at which the orders were read, AbsentAt one at
 	// which the newest of them did not exist yet, 0 if unknown.
 	StoreTime time.Duration `cbor:"2,keyasint"`
