--- a/internal/backend/home.go
+++ b/internal/backend/home.go
@@ -75,7 +75,7 @@
 		}
 		name := ident.Engine(candidate.record.Instance)
 		score := rendezvous.Score(query.HomeKey, name)
-		if best == nil || rendezvous.Better(score, name, bestScore, ident.Engine(best.record.Instance)) {
+		if best == nil || rendezvous.RanksAbove(score, name, bestScore, ident.Engine(best.record.Instance)) {
 			best, bestScore = candidate, score
 		}
 	}
--- a/internal/backend/releases.go
+++ b/internal/backend/releases.go
@@ -46,7 +46,7 @@
 		return 0
 	}
 	first, second := ident.Engine(a), ident.Engine(b)
-	if rendezvous.Better(rendezvous.Score(r.Seed, first), first, rendezvous.Score(r.Seed, second), second) {
+	if rendezvous.RanksAbove(rendezvous.Score(r.Seed, first), first, rendezvous.Score(r.Seed, second), second) {
 		return -1
 	}
 	return 1
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -217,7 +217,7 @@
 		case best == nil || distance < bestDistance:
 		case distance > bestDistance:
 			continue
-		case !rendezvous.Better(score, name, bestScore, ident.Engine(best.Name)):
+		case !rendezvous.RanksAbove(score, name, bestScore, ident.Engine(best.Name)):
 			continue
 		}
 		best, bestScore, bestDistance = store, score, distance
--- a/internal/endpoint/registry.go
+++ b/internal/endpoint/registry.go
@@ -169,7 +169,7 @@
 	}
 	known.loaded = loaded
 	known.role = report.Role
-	known.queue.Report(now, report)
+	known.queue.RecordReport(now, report)
 	known.reported = true
 	if report.Leaving {
 		changes = append(changes, known.markDraining(now, engine)...)
@@ -363,7 +363,7 @@
 		Zone:        s.target.Zone,
 		Incarnation: s.incarnation,
 		Alive:       s.alive && s.reported,
-		Leaving:     s.target.Draining || s.listedDraining || now.Before(s.drainingUntil),
+		Draining:    s.target.Draining || s.listedDraining || now.Before(s.drainingUntil),
 		Role:        role,
 		Loaded:      s.loaded,
 		Load:        s.load(now),
--- a/internal/endpoint/registry_test.go
+++ b/internal/endpoint/registry_test.go
@@ -81,7 +81,7 @@
 			is.Equal(kinds(step.do(registry)), step.want)
 			endpoint := registry.Endpoints(start)[0]
 			is.Equal(endpoint.Alive, step.alive)
-			is.Equal(endpoint.Leaving, step.draining)
+			is.Equal(endpoint.Draining, step.draining)
 		})
 	}
 }
@@ -140,7 +140,7 @@
 	changes := registry.Configure([]Target{{Engine: "a", Address: "a:1", Zone: "z", Draining: true}, {Engine: "b", Address: "b:2"}})
 	is.Equal(kinds(changes), []ChangeKind{ChangeRemoved})
 	is.Equal(registry.Incarnation("a"), report("1").Incarnation)
-	is.True(registry.Endpoints(start)[0].Leaving)
+	is.True(registry.Endpoints(start)[0].Draining)
 }
 
 func TestDuePollsLeastRecentlyPolledFirst(t *testing.T) {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -24,14 +24,14 @@
 	// Header holds the other headers; framing headers in it are ignored.
 	Header http.Header
 	Body   []byte
-	// Due reports whether an answer with this header is the one to this
+	// Matches reports whether an answer with this header is the one to this
 	// request. Answers that are not are dropped. Nil takes the first answer.
-	Due func(header http.Header) bool
+	Matches func(header http.Header) bool
 	// MaxConnections bounds the connections to the address; 0 means no bound.
 	MaxConnections int
-	// AckWithin is how long bytes of the request may stay unacknowledged before the
+	// AckTimeout is how long bytes of the request may stay unacknowledged before the
 	// connection counts as silent; 0 means the pool's UserTimeout.
-	AckWithin time.Duration
+	AckTimeout time.Duration
 	// Withdrawn reports, right before the first byte leaves, that the request is not to be sent
 	// any more: time passes while a connection is opened. It may be nil.
 	Withdrawn func() bool
@@ -62,8 +62,8 @@
 	Header http.Header
 	// Length is the length of the body in bytes, or -1 if it is not told.
 	Length int64
-	// Opening is how long it took to open the connection; 0 if an open one was used.
-	Opening time.Duration
+	// ConnectTime is how long it took to open the connection; 0 if an open one was used.
+	ConnectTime time.Duration
 	// Body gives io.EOF only at the proven end of the answer; an answer that
 	// breaks off gives another error. It may be closed at any time, which ends
 	// the connection if the answer is not whole.
@@ -95,7 +95,7 @@
 
 // ackWithin returns how long bytes of a request may stay unacknowledged.
 func (p *Pool) ackWithin(request *Request) time.Duration {
-	within := cmp.Or(request.AckWithin, p.options.UserTimeout)
+	within := cmp.Or(request.AckTimeout, p.options.UserTimeout)
 	if len(request.Body) > windowBytes {
 		return max(within, longBodyAck)
 	}
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, err
 	}
-	response := &Response{Status: answer.StatusCode, Header: answer.Header, Length: answer.ContentLength, Opening: r.connection.opening}
+	response := &Response{Status: answer.StatusCode, Header: answer.Header, Length: answer.ContentLength, ConnectTime: r.connection.opening}
 	r.connection.opening = 0
 	response.Body = &answerBody{running: r, answer: answer}
 	return response, nil
@@ -210,7 +210,7 @@
 		if answer.StatusCode < http.StatusOK {
 			continue
 		}
-		if request.Due == nil || request.Due(answer.Header) {
+		if request.Matches == nil || request.Matches(answer.Header) {
 			return answer, nil
 		}
 		r.excess = true
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -84,8 +84,8 @@
 func ask(id string) *exchange.Request {
 	return &exchange.Request{
 		Method: http.MethodPost, Target: "/a?b=c", Host: "h.example", Body: []byte("body"),
-		Header: http.Header{"Id": {id}, "Connection": {"close"}},
-		Due:    func(header http.Header) bool { return header.Get("Id") == id },
+		Header:  http.Header{"Id": {id}, "Connection": {"close"}},
+		Matches: func(header http.Header) bool { return header.Get("Id") == id },
 	}
 }
 
--- a/internal/exchange/silence_test.go
+++ b/internal/exchange/silence_test.go
@@ -96,7 +96,7 @@
 	is.NoErr(exchangeWhole(t, pool, relay))
 	is.NoErr(relay.Silence())
 	request := ask("1")
-	request.AckWithin = ackBound
+	request.AckTimeout = ackBound
 	begun := time.Now()
 	_, err := pool.Do(t.Context(), relay.Addr().String(), request)
 	silentWithin(t, begun, err)
@@ -161,7 +161,7 @@
 			pool := exchange.NewPool(exchange.Options{})
 			t.Cleanup(func() { pool.CloseIdle(true) })
 			request := ask("1")
-			request.Method, request.Body, request.AckWithin = http.MethodPost, make([]byte, tt.bytes), ackBound
+			request.Method, request.Body, request.AckTimeout = http.MethodPost, make([]byte, tt.bytes), ackBound
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			response, err := pool.Do(ctx, late.address(), request)
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -91,9 +91,9 @@
 	return c.exchange(guarded)
 }
 
-// DoRepeatable sends a request that does no harm when it runs twice; the
+// DoRetryable sends a request that does no harm when it runs twice; the
 // transport may repeat it on a fresh connection.
-func (c *Client) DoRepeatable(request *http.Request) (*http.Response, error) {
+func (c *Client) DoRetryable(request *http.Request) (*http.Response, error) {
 	return c.exchange(request)
 }
 
--- a/internal/inbound/clients.go
+++ b/internal/inbound/clients.go
@@ -255,9 +255,9 @@
 	return c.busy >= c.cfg.MaxConnections
 }
 
-// Open returns how many connections are open, and how many connections and bodies
+// Counts returns how many connections are open, and how many connections and bodies
 // were turned away so far because of a bound.
-func (c *Clients) Open() (open int, refused uint64) {
+func (c *Clients) Counts() (open int, refused uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open), c.refused
@@ -268,7 +268,7 @@
 func (c *Clients) Handler(next http.Handler) http.Handler {
 	retryAfter := strconv.FormatFloat(c.cfg.RetryAfter.Seconds(), 'f', -1, 64)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		conn := Of(r.Context())
+		conn := ConnFromContext(r.Context())
 		if conn == nil {
 			next.ServeHTTP(w, r)
 			return
--- a/internal/inbound/clients_test.go
+++ b/internal/inbound/clients_test.go
@@ -111,7 +111,7 @@
 }
 
 func (f *front) open() int {
-	open, _ := f.clients.Open()
+	open, _ := f.clients.Counts()
 	return open
 }
 
@@ -147,7 +147,7 @@
 	is.Equal(rsp.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(rsp.Header.Get("Retry-After"), "0.3")
 	is.True(rsp.Close)
-	_, refused := f.clients.Open()
+	_, refused := f.clients.Counts()
 	is.Equal(refused, uint64(1))
 }
 
@@ -231,10 +231,10 @@
 	is.NoErr(err)
 	conn := accepted.(*inbound.Conn)
 	defer func() { _ = conn.Close() }()
-	is.True(!conn.Left())
+	is.True(!conn.ClientClosed())
 	is.NoErr(sent.Close())
-	eventually(t, "the close arrives", conn.Left)
-	open, _ := clients.Open()
+	eventually(t, "the close arrives", conn.ClientClosed)
+	open, _ := clients.Counts()
 	is.Equal(open, 1)
 }
 
--- a/internal/inbound/conn.go
+++ b/internal/inbound/conn.go
@@ -52,9 +52,9 @@
 	return c.TCPConn.Close()
 }
 
-// Left reports whether the client has closed its side, or the connection broke.
+// ClientClosed reports whether the client has closed its side, or the connection broke.
 // What it sent before its close may still be unread.
-func (c *Conn) Left() bool {
+func (c *Conn) ClientClosed() bool {
 	var count int
 	var found error
 	var peeked [1]byte
@@ -82,9 +82,9 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// Of returns the connection of a request, or nil if it came on no connection of a
+// ConnFromContext returns the connection of a request, or nil if it came on no connection of a
 // client.
-func Of(ctx context.Context) *Conn {
+func ConnFromContext(ctx context.Context) *Conn {
 	conn, _ := ctx.Value(connKey{}).(*Conn)
 	return conn
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -257,7 +257,7 @@
 	if n.ports.LinesDropped != nil {
 		now.linesDropped = n.ports.LinesDropped()
 	}
-	now.clients, now.clientsRefused = n.clients.Open()
+	now.clients, now.clientsRefused = n.clients.Counts()
 	now.silentConnections = n.peers.SilentConnections()
 	if n.ports.SilentConnections != nil {
 		now.silentConnections += n.ports.SilentConnections()
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -59,9 +59,9 @@
 
 // passReserve decides again about a held job, without the reserve.
 func (c *Core) passReserve(now time.Time, job *Job) framework.Decision {
-	job.Request.PassReserve = true
+	job.Request.BypassReserve = true
 	decision := c.config.Scheduler.Schedule(&job.Request, &c.snapshot)
-	job.Request.PassReserve = false
+	job.Request.BypassReserve = false
 	if decision.Action == framework.Dispatch {
 		c.passed[job.Request.Priority] = now
 	}
--- a/internal/router/applications.go
+++ b/internal/router/applications.go
@@ -89,7 +89,7 @@
 	}
 	unfit := make(map[ident.Engine]bool)
 	for _, backend := range p.health.Endpoints(time.Now()) {
-		unfit[backend.Engine] = backend.Leaving || p.health.Dead(backend.Engine)
+		unfit[backend.Engine] = backend.Draining || p.health.Dead(backend.Engine)
 	}
 	zones := compiled.PermittedZones(job.Tenant)
 	var permitted []*fleet.Application
@@ -197,7 +197,7 @@
 		name := ident.Application(backend.Engine)
 		applications = append(applications, status.Application{
 			Application: name, Zone: backend.Zone, Incarnation: backend.Incarnation,
-			Alive: backend.Alive, Leaving: backend.Leaving, Running: backend.Load.Running, OwnInFlight: p.calls[name],
+			Alive: backend.Alive, Leaving: backend.Draining, Running: backend.Load.Running, OwnInFlight: p.calls[name],
 		})
 	}
 	return applications
--- a/internal/router/metricsplacement.go
+++ b/internal/router/metricsplacement.go
@@ -51,7 +51,7 @@
 func enginesByState(p placement.Reading) map[string]float64 {
 	states := backendStates{"alive": 0, "leaving": 0, "dead": 0}
 	for _, endpoint := range p.Endpoints {
-		states.count(endpoint.Alive, endpoint.Leaving)
+		states.count(endpoint.Alive, endpoint.Draining)
 	}
 	return states
 }
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -115,7 +115,7 @@
 	for _, endpoint := range endpoints {
 		shown := status.Engine{
 			Engine: endpoint.Engine, Zone: endpoint.Zone, Incarnation: endpoint.Incarnation,
-			Alive: endpoint.Alive, Leaving: endpoint.Leaving,
+			Alive: endpoint.Alive, Leaving: endpoint.Draining,
 			Running: endpoint.Load.Running, Waiting: endpoint.Load.Waiting,
 			QueuedPrefillTokens: int(endpoint.Load.QueuedPrefillTokens),
 			OwnInFlight:         endpoint.Load.OwnInFlight, ConcurrencyLimit: endpoint.Load.ConcurrencyLimit,
--- a/internal/routing/filter/capacity.go
+++ b/internal/routing/filter/capacity.go
@@ -35,7 +35,7 @@
 // share is the part of an engine's batch that the request may help to fill.
 func (c Capacity) share(request *framework.Request) float64 {
 	switch {
-	case request.Priority <= 0 || request.PassReserve:
+	case request.Priority <= 0 || request.BypassReserve:
 		return 1
 	case request.Priority == 1:
 		return 1 - c.Reserve/2
--- a/internal/routing/filter/filter_test.go
+++ b/internal/routing/filter/filter_test.go
@@ -32,7 +32,7 @@
 	}{
 		{filter.Places{}, []framework.Endpoint{{Engine: "a", Zone: "cok"}, {Engine: "b", Zone: "cnn"}, {Engine: "c", Zone: "ccj"}, {Engine: "d", Zone: "trv"}, {Engine: "e"}}, "ad"},
 		{filter.Alive{}, []framework.Endpoint{{Engine: "a", Alive: true, Incarnation: "1"}, {Engine: "b", Incarnation: "1"}, {Engine: "c", Alive: true}}, "a"},
-		{filter.Leaving{}, []framework.Endpoint{{Engine: "a", Leaving: true}, {Engine: "b"}}, "b"},
+		{filter.Leaving{}, []framework.Endpoint{{Engine: "a", Draining: true}, {Engine: "b"}}, "b"},
 		{filter.Excluded{}, []framework.Endpoint{{Engine: "a"}, {Engine: "b"}, {Engine: "c"}}, "ac"},
 		{filter.Role{}, []framework.Endpoint{{Engine: "a", Role: "decode"}, {Engine: "b", Role: "mixed"}, {Engine: "c", Role: "prefill"}}, "bc"},
 		{filter.Role{}, []framework.Endpoint{{Engine: "a", Role: "decode"}, {Engine: "b", Role: "decode"}}, "ab"},
@@ -69,7 +69,7 @@
 		{0.5, 0, false, "ab"}, {0.5, 1, false, "ab"}, {0.5, 2, false, "b"}, {0.5, 9, false, "b"},
 		{0.5, 9, true, "ab"}, {0.4, 9, false, "ab"}, {0, 9, false, "ab"}, {1, 1, false, "b"},
 	} {
-		request := &framework.Request{Priority: test.priority, PassReserve: test.pass}
+		request := &framework.Request{Priority: test.priority, BypassReserve: test.pass}
 		endpoints := []framework.Endpoint{{Engine: "a", Load: load}, {Engine: "b", Load: framework.Load{Running: 99}}} // b tells no limit
 		kept := filter.Capacity{Reserve: test.reserve}.Filter(request, nil, candidates(endpoints))
 		is.New(t).Equal(names(kept), test.kept)
--- a/internal/routing/filter/leaving.go
+++ b/internal/routing/filter/leaving.go
@@ -10,5 +10,5 @@
 
 // Filter implements framework.Filter.
 func (Leaving) Filter(_ *framework.Request, _ *framework.Snapshot, candidates []framework.Candidate) []framework.Candidate {
-	return keep(candidates, func(candidate *framework.Candidate) bool { return !candidate.Endpoint.Leaving })
+	return keep(candidates, func(candidate *framework.Candidate) bool { return !candidate.Endpoint.Draining })
 }
--- a/internal/routing/framework/framework.go
+++ b/internal/routing/framework/framework.go
@@ -21,8 +21,8 @@
 	Incarnation ident.Incarnation
 	// Alive is false once the engine is believed dead.
 	Alive bool
-	// Leaving is true from the first sign that the engine takes no new work.
-	Leaving bool
+	// Draining is true from the first sign that the engine takes no new work.
+	Draining bool
 	// Role is "mixed", "prefill" or "decode".
 	Role string
 	// Loaded lists the model versions that the engine can serve now.
@@ -83,8 +83,8 @@
 	Excluded map[ident.Engine]bool
 	// Waited is how long the request has been held.
 	Waited time.Duration
-	// PassReserve lets the request use what is kept for more urgent classes.
-	PassReserve bool
+	// BypassReserve lets the request use what is kept for more urgent classes.
+	BypassReserve bool
 	// HomeZone is the zone of the deciding router.
 	HomeZone ident.Zone
 }
--- a/internal/routing/load/tracker.go
+++ b/internal/routing/load/tracker.go
@@ -48,9 +48,9 @@
 	return &Tracker{defaultPrefill: defaultPrefillPerToken}
 }
 
-// Report takes a load report received now. One that is older than the last is
+// RecordReport takes a load report received now. One that is older than the last is
 // ignored.
-func (t *Tracker) Report(now time.Time, report protocol.LoadReport) {
+func (t *Tracker) RecordReport(now time.Time, report protocol.LoadReport) {
 	measured := now.Add(-time.Duration(max(0, report.AgeMillis)) * time.Millisecond)
 	if measured.Before(t.measured) {
 		return
--- a/internal/routing/load/tracker_test.go
+++ b/internal/routing/load/tracker_test.go
@@ -41,13 +41,13 @@
 		{"a refused dispatch leaves nothing", func(t *load.Tracker) { t.Dispatched(at(600), one, 400); t.Finished(at(601), one) },
 			framework.Load{QueuedPrefillTokens: 300, Running: 3}},
 		{"an older report is ignored", func(t *load.Tracker) {
-			t.Report(at(900), protocol.LoadReport{AgeMillis: 700, Running: 40})
+			t.RecordReport(at(900), protocol.LoadReport{AgeMillis: 700, Running: 40})
 		}, framework.Load{QueuedPrefillTokens: 300, Running: 3}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			tracker := load.NewTracker(time.Second)
-			tracker.Report(at(500), protocol.LoadReport{
+			tracker.RecordReport(at(500), protocol.LoadReport{
 				AgeMillis: 200, Running: 3, MaxRunning: 4, QueuedPrefillTokens: 1000, PrefillMicrosPerToken: 1000,
 			})
 			test.happens(tracker)
--- a/internal/routing/picker/lowestcost.go
+++ b/internal/routing/picker/lowestcost.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		score := rendezvous.Score(key, candidate.Endpoint.Engine)
-		if best < 0 || rendezvous.Better(score, candidate.Endpoint.Engine, bestScore, candidates[best].Endpoint.Engine) {
+		if best < 0 || rendezvous.RanksAbove(score, candidate.Endpoint.Engine, bestScore, candidates[best].Endpoint.Engine) {
 			best, bestScore = index, score
 		}
 	}
--- a/internal/routing/policies_test.go
+++ b/internal/routing/policies_test.go
@@ -57,9 +57,9 @@
 		credits[engine] = rapid.Float64Range(0, 60).Draw(t, "credit")
 		snapshot.Endpoints = append(snapshot.Endpoints, framework.Endpoint{
 			Engine: engine, Zone: zones.Draw(t, "zone"), Incarnation: "i",
-			Alive:   rapid.IntRange(0, 4).Draw(t, "alive") > 0,
-			Leaving: rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
-			Loaded:  []framework.LoadedModel{{Model: "m", Version: versions.Draw(t, "version")}},
+			Alive:    rapid.IntRange(0, 4).Draw(t, "alive") > 0,
+			Draining: rapid.IntRange(0, 4).Draw(t, "leaving") == 0,
+			Loaded:   []framework.LoadedModel{{Model: "m", Version: versions.Draw(t, "version")}},
 			Load: framework.Load{
 				QueuedPrefillTokens: rapid.Float64Range(0, 9000).Draw(t, "queue"),
 				OwnInFlight:         rapid.IntRange(0, 3).Draw(t, "own"), ConcurrencyLimit: 3,
@@ -72,7 +72,7 @@
 // permitted is the rule that every decision is judged by, written apart from
 // the filters.
 func permitted(request *framework.Request, endpoint framework.Endpoint) bool {
-	return request.Zones[endpoint.Zone] && endpoint.Alive && !endpoint.Leaving && !request.Excluded[endpoint.Engine] &&
+	return request.Zones[endpoint.Zone] && endpoint.Alive && !endpoint.Draining && !request.Excluded[endpoint.Engine] &&
 		slices.Contains(request.Versions, endpoint.Loaded[0].Version)
 }
 
--- a/internal/routing/rendezvous/rendezvous.go
+++ b/internal/routing/rendezvous/rendezvous.go
@@ -32,9 +32,9 @@
 	return mixed ^ mixed>>31
 }
 
-// Better reports whether the first engine ranks above the second; names break
+// RanksAbove reports whether the first engine ranks above the second; names break
 // equal scores, so the order of the input never matters.
-func Better(firstScore uint64, first ident.Engine, secondScore uint64, second ident.Engine) bool {
+func RanksAbove(firstScore uint64, first ident.Engine, secondScore uint64, second ident.Engine) bool {
 	if firstScore != secondScore {
 		return firstScore > secondScore
 	}
--- a/internal/routing/rendezvous/top.go
+++ b/internal/routing/rendezvous/top.go
@@ -61,7 +61,7 @@
 }
 
 func above(first, second *Ranked) bool {
-	return Better(first.Score, first.Engine, second.Score, second.Engine)
+	return RanksAbove(first.Score, first.Engine, second.Score, second.Engine)
 }
 
 func (t *Top) siftUp() {
--- a/internal/store/http.go
+++ b/internal/store/http.go
@@ -98,7 +98,7 @@
 	}
 	send := c.exchanges.Do
 	if out.method == http.MethodGet {
-		send = c.exchanges.DoRepeatable
+		send = c.exchanges.DoRetryable
 	}
 	response, err := send(request)
 	if err != nil {
