--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -13,9 +13,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// BenchmarkSchedule measures one decision over a fleet of the given size in
-// which every endpoint is permitted, with credits from a constant, with and
-// without a known generation of the snapshot.
+// BenchmarkSchedule measures one decision on a fleet in which every endpoint is
+// permitted, with constant credits, with and without a known generation.
 func BenchmarkSchedule(b *testing.B) {
 	for _, engines := range []int{12, 100, 860} {
 		benchSchedule(b, engines, 0)
@@ -58,8 +57,8 @@
 	return request, snapshot
 }
 
-// BenchmarkScheduleWithBeliefs measures one decision with credits out of a
-// store of beliefs in which every eighth engine holds the prefix.
+// BenchmarkScheduleWithBeliefs measures one decision with credits from a belief
+// store in which every eighth engine has the prefix cached.
 func BenchmarkScheduleWithBeliefs(b *testing.B) {
 	for _, engines := range []int{12, 100, 860} {
 		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
--- a/internal/routing/burst_test.go
+++ b/internal/routing/burst_test.go
@@ -14,9 +14,9 @@
 	"github.com/fieldpond/fieldpond/internal/routing/load"
 )
 
-// burst sends requests for one new prefix, a millisecond apart, into idle
-// engines that answer nothing meanwhile, and returns how many of the engines
-// compute the prefix and the longest predicted time to first token.
+// burst schedules requests for one new prefix, a millisecond apart, on idle
+// engines that do not answer during it, and returns how many engines compute the
+// prefix and the longest predicted time to first token.
 func burst(t testing.TB, config routing.Config, requests int) (homes int, worst time.Duration) {
 	request, snapshot := benchCase(12)
 	request.RecomputationWeight = 0
@@ -52,9 +52,9 @@
 	return len(used), worst
 }
 
-// A burst for a new prefix is not recomputed on every idle engine; the weight
-// sets how many homes it gets.
-func TestBurstForANewPrefixDoesNotStampede(t *testing.T) {
+// Guards against recomputing a new prefix on every idle engine during a burst;
+// the recomputation weight limits the number of homes.
+func TestBurstForNewPrefixUsesFewEngines(t *testing.T) {
 	for _, test := range []struct {
 		floor         float64
 		least, most   int
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -8,41 +8,41 @@
 	"github.com/fieldpond/fieldpond/internal/routing/rendezvous"
 )
 
-// Config sets the predictive scheduler. A zero field takes its default.
+// Config configures the predictive scheduler. A zero field takes its default.
 type Config struct {
-	// DefaultPrefillPerToken is the prefill slope of an engine that has not
-	// told its own. Default: 100us.
+	// DefaultPrefillPerToken is the prefill time per token of an engine that
+	// has not reported its own. Default: 100us.
 	DefaultPrefillPerToken time.Duration
 	// RequestDuration is the assumed time that a running request keeps its
-	// batch slot; it prices waiting behind a full batch. Default: 2s.
+	// batch slot, used to predict the wait for a full batch. Default: 2s.
 	RequestDuration time.Duration
-	// TieTolerance is the difference of cost that counts as a tie. It should
-	// exceed the difference of hops between zones. Default: 5ms.
+	// TieTolerance is the cost difference that counts as a tie. It should exceed
+	// the difference of network times between zones. Default: 5ms.
 	TieTolerance time.Duration
 	// TieShare widens the tolerance to this share of the time to prefill the
 	// whole prompt. Default: 0.05.
 	TieShare float64
-	// RecomputationFloor is the recomputation weight of services that ask for
-	// less: without one, a burst for a new prefix is recomputed on every idle
-	// engine, which delays others. Default: 0.25.
+	// RecomputationFloor is the least recomputation weight of a service: without
+	// one, a burst for a new prefix is recomputed on every idle engine, which
+	// delays other requests. Default: 0.25.
 	RecomputationFloor float64
-	// UrgentReserve is the part of an engine's batch that is kept from classes
-	// of priority 2 and above; those of priority 1 are kept from half of it.
-	// Below zero means none. Default: 0.75.
+	// UrgentReserve is the part of an engine's batch that classes of priority 2
+	// and above may not use; priority 1 may use half of it. Below zero means
+	// none. Default: 0.75.
 	UrgentReserve float64
 	// SlotWait is the assumed wait for room on an engine that has none for the
 	// request's class. A request is held for an engine that has its prefix
-	// while this and the time it has been held cost less than recomputing
+	// while this plus the time already held costs less than recomputing
 	// elsewhere. Below zero means never. Default: 100ms.
 	SlotWait time.Duration
-	// Window is the number of candidates that are scored, the highest ranking
-	// ones for the prompt's leading blocks; at most 128. Default: 32.
+	// Window is the number of candidates that are scored, those ranking highest
+	// for the prompt's leading blocks; at most 128. Default: 32.
 	Window int
 	// TransferPerToken is the assumed time to export one token's cache from an
 	// engine, and again to import it into another. Default: 7us.
 	TransferPerToken time.Duration
-	// MinMoveTokens is the smallest gain in cached tokens worth a move; NeverMove
-	// turns moves off. Default: 256.
+	// MinMoveTokens is the smallest gain in cached tokens that justifies a move;
+	// NeverMove disables moves. Default: 256.
 	MinMoveTokens int
 }
 
@@ -59,16 +59,16 @@
 	defaultMinMoveTokens   = 256
 )
 
-// NeverMove is a MinMoveTokens beyond every prompt.
+// NeverMove is a MinMoveTokens above every prompt length.
 const NeverMove = 1 << 30
 
-// shortlistFactor is the length of a shortlist in windows: up to half of a
-// shortlist may be dead, leaving or excluded before all endpoints are looked at.
+// shortlistFactor is the length of a shortlist in windows: up to half of it may
+// be dead, draining or excluded before all endpoints are scanned.
 const shortlistFactor = 2
 
 const maxFloor = 100
 
-// maxReserve leaves less urgent classes a part of every batch.
+// maxReserve guarantees less urgent classes a part of every batch.
 const maxReserve = 0.95
 
 const maxWindow = rendezvous.MaxTop / shortlistFactor
--- a/internal/routing/filter/alive.go
+++ b/internal/routing/filter/alive.go
@@ -2,8 +2,8 @@
 
 import "github.com/fieldpond/fieldpond/internal/routing/framework"
 
-// Alive keeps endpoints that are believed alive and whose incarnation is
-// known: a dispatch has to name the incarnation it expects.
+// Alive keeps endpoints that are believed alive and whose incarnation is known:
+// a dispatch must state the expected incarnation.
 type Alive struct{}
 
 // Name implements framework.Filter.
--- a/internal/routing/filter/capacity.go
+++ b/internal/routing/filter/capacity.go
@@ -4,16 +4,14 @@
 
 // Capacity keeps endpoints below their limit of this router's unanswered
 // attempts and, for classes that are not the most urgent, below the part of
-// the engine's batch that they may fill. When it leaves none the request is
-// held, not refused.
+// the engine's batch that they may fill. If none remains, the request is held,
+// not refused.
 //
-// The reserve keeps batch slots and cache room for urgent requests: an engine
-// can order what waits by priority, but it cannot take back a slot or the
-// blocks of a running request.
+// The reserve keeps batch slots and cache space for urgent requests, since an
+// engine orders waiting requests by priority but does not preempt running ones.
 type Capacity struct {
-	// Reserve is the part of an engine's batch, from 0 to 1, that is kept from
-	// classes of priority 2 and above; those of priority 1 are kept from half
-	// of it.
+	// Reserve is the part of an engine's batch, from 0 to 1, that classes of
+	// priority 2 and above may not use; priority 1 may use half of it.
 	Reserve float64
 }
 
@@ -32,7 +30,7 @@
 	})
 }
 
-// share is the part of an engine's batch that the request may help to fill.
+// share returns the part of an engine's batch that the request's class may fill.
 func (c Capacity) share(request *framework.Request) float64 {
 	switch {
 	case request.Priority <= 0 || request.BypassReserve:
--- a/internal/routing/filter/filter.go
+++ b/internal/routing/filter/filter.go
@@ -1,14 +1,13 @@
-// Package filter holds the Filter plug-ins of a routing decision, one a file.
-// Each keeps the order of its candidates and compacts them in place, so that a
-// decision allocates nothing.
+// Package filter holds the Filter plug-ins of a routing decision. Each compacts
+// its candidates in place, without allocations, and keeps their order.
 package filter
 
 import "github.com/fieldpond/fieldpond/internal/routing/framework"
 
-func keep(candidates []framework.Candidate, wanted func(*framework.Candidate) bool) []framework.Candidate {
+func keep(candidates []framework.Candidate, accept func(*framework.Candidate) bool) []framework.Candidate {
 	kept := 0
 	for index := range candidates {
-		if !wanted(&candidates[index]) {
+		if !accept(&candidates[index]) {
 			continue
 		}
 		if kept != index {
--- a/internal/routing/filter/filter_test.go
+++ b/internal/routing/filter/filter_test.go
@@ -16,7 +16,7 @@
 	return []framework.LoadedModel{{Model: "m", Version: version, Adapters: adapters}}
 }
 
-// The table lists, for each filter, endpoints and the names of those that stay.
+// Each case lists a filter's endpoints and the names of those that remain.
 func TestFilters(t *testing.T) {
 	request := &framework.Request{
 		Model:    "m",
@@ -32,7 +32,7 @@
 	}{
 		{filter.Places{}, []framework.Endpoint{{Engine: "a", Zone: "cok"}, {Engine: "b", Zone: "cnn"}, {Engine: "c", Zone: "ccj"}, {Engine: "d", Zone: "trv"}, {Engine: "e"}}, "ad"},
 		{filter.Alive{}, []framework.Endpoint{{Engine: "a", Alive: true, Incarnation: "1"}, {Engine: "b", Incarnation: "1"}, {Engine: "c", Alive: true}}, "a"},
-		{filter.Leaving{}, []framework.Endpoint{{Engine: "a", Draining: true}, {Engine: "b"}}, "b"},
+		{filter.Draining{}, []framework.Endpoint{{Engine: "a", Draining: true}, {Engine: "b"}}, "b"},
 		{filter.Excluded{}, []framework.Endpoint{{Engine: "a"}, {Engine: "b"}, {Engine: "c"}}, "ac"},
 		{filter.Role{}, []framework.Endpoint{{Engine: "a", Role: "decode"}, {Engine: "b", Role: "mixed"}, {Engine: "c", Role: "prefill"}}, "bc"},
 		{filter.Role{}, []framework.Endpoint{{Engine: "a", Role: "decode"}, {Engine: "b", Role: "decode"}}, "ab"},
@@ -70,15 +70,15 @@
 		{0.5, 9, true, "ab"}, {0.4, 9, false, "ab"}, {0, 9, false, "ab"}, {1, 1, false, "b"},
 	} {
 		request := &framework.Request{Priority: test.priority, BypassReserve: test.pass}
-		endpoints := []framework.Endpoint{{Engine: "a", Load: load}, {Engine: "b", Load: framework.Load{Running: 99}}} // b tells no limit
+		endpoints := []framework.Endpoint{{Engine: "a", Load: load}, {Engine: "b", Load: framework.Load{Running: 99}}} // b reports no limit
 		kept := filter.Capacity{Reserve: test.reserve}.Filter(request, nil, candidates(endpoints))
 		is.New(t).Equal(names(kept), test.kept)
 	}
 }
 
-// The window keeps the same engines whatever the order of its input, and a
-// larger window contains a smaller one.
-func TestWindowIsOrderFreeAndNested(t *testing.T) {
+// The window does not depend on the input order, and a larger window contains a
+// smaller one.
+func TestWindowIsOrderIndependentAndNested(t *testing.T) {
 	is := is.New(t)
 	var endpoints, reversed []framework.Endpoint
 	for name := 'A'; name <= 'z'; name++ {
--- a/internal/routing/filter/role.go
+++ b/internal/routing/filter/role.go
@@ -5,9 +5,8 @@
 // RoleDecode is the role of engines that should not prefill whole prompts.
 const RoleDecode = "decode"
 
-// Role drops engines of the role "decode" while any other is left: a new
-// request starts with a prefill. With only such engines left they serve, since
-// the role is a preference of the operator and not a matter of correctness.
+// Role drops engines of the role "decode" unless only such remain: a new request
+// starts with a prefill, but the role is only the operator's preference.
 type Role struct{}
 
 // Name implements framework.Filter.
--- a/internal/routing/filter/version.go
+++ b/internal/routing/filter/version.go
@@ -7,8 +7,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// Version keeps endpoints that have loaded a permitted version of the model,
-// with the adapter, and sets Candidate.Version to the most preferred of them.
+// Version keeps endpoints that have loaded a permitted version of the model, with
+// the adapter, and sets Candidate.Version to the most preferred loaded version.
 type Version struct{}
 
 // Name implements framework.Filter.
--- a/internal/routing/filter/window.go
+++ b/internal/routing/filter/window.go
@@ -6,8 +6,8 @@
 )
 
 // Window keeps the Size candidates that rank highest for the prompt's leading
-// blocks, best first. Every router keeps the same ones, so a prefix's cached
-// blocks and its requests stay within them and the rest need not be scored.
+// blocks, best first. Every router keeps the same ones, so a prefix's requests
+// and cached blocks stay within them and the others need no score.
 type Window struct {
 	// Size is the number of candidates kept; zero keeps all, in their order.
 	Size int
--- a/internal/routing/framework/framework.go
+++ b/internal/routing/framework/framework.go
@@ -1,9 +1,8 @@
-// Package framework declares the types of a routing decision: the snapshot it
-// is taken over, the request, the result, and the small Filter, Scorer and
-// Picker plug-ins a decision is composed of.
+// Package framework declares the types of a routing decision: the snapshot, the
+// request, the result, and the Filter, Scorer and Picker plug-ins.
 //
 // Everything here is pure: no clock, socket, goroutine or global random
-// source. Equal inputs give equal decisions at every router.
+// source. Equal inputs give equal decisions on every router.
 package framework
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// Endpoint is what one router believes of one engine at the time of a decision.
+// Endpoint is one router's view of one engine at the time of a decision.
 type Endpoint struct {
 	Engine      ident.Engine
 	Address     string
@@ -21,7 +20,7 @@
 	Incarnation ident.Incarnation
 	// Alive is false once the engine is believed dead.
 	Alive bool
-	// Draining is true from the first sign that the engine takes no new work.
+	// Draining is true once the engine is known to accept no new requests.
 	Draining bool
 	// Role is "mixed", "prefill" or "decode".
 	Role string
@@ -45,10 +44,10 @@
 	// Running and Waiting count requests on the engine, own dispatches since
 	// the report included.
 	Running, Waiting int
-	// MaxRunning is the engine's batch limit; zero means not known.
+	// MaxRunning is the engine's batch limit; zero means unknown.
 	MaxRunning int
-	// QueuedPrefillTokens counts prompt tokens not yet prefilled, those of own
-	// dispatches since the report included and those surely done taken off.
+	// QueuedPrefillTokens estimates the prompt tokens not yet prefilled, own
+	// dispatches since the report included.
 	QueuedPrefillTokens float64
 	// PrefillPerToken is the time to prefill one token.
 	PrefillPerToken time.Duration
@@ -58,7 +57,7 @@
 	ConcurrencyLimit int
 }
 
-// Request is what a decision needs to know of one request.
+// Request is the part of a request that a decision depends on.
 type Request struct {
 	ID       ident.Request
 	Tenant   ident.Tenant
@@ -69,7 +68,7 @@
 	// Versions lists the permitted versions, the preferred one first.
 	Versions []ident.ModelVersion
 	Adapter  ident.Adapter
-	// Zones is the set of places the tenant's data may be in.
+	// Zones is the set of zones where the tenant's data may be.
 	Zones map[ident.Zone]bool
 	// Chains holds the prompt's block hashes under each permitted version.
 	Chains map[ident.ModelVersion]prefix.Chain
@@ -77,47 +76,47 @@
 	BlockTokens int
 	// PromptTokens is the length of the prompt in tokens.
 	PromptTokens int
-	// RecomputationWeight is the service's objective.
+	// RecomputationWeight is the service's weight of recomputed prefill time.
 	RecomputationWeight float64
 	// Excluded lists engines that already refused or failed this request.
 	Excluded map[ident.Engine]bool
 	// Waited is how long the request has been held.
 	Waited time.Duration
-	// BypassReserve lets the request use what is kept for more urgent classes.
+	// BypassReserve lets the request use capacity reserved for more urgent classes.
 	BypassReserve bool
 	// HomeZone is the zone of the deciding router.
 	HomeZone ident.Zone
 }
 
-// Credits says how many leading blocks of a chain each engine is believed to
-// hold. Implementations must be keyed by incarnation.
+// Credits estimates how many leading blocks of a chain each engine has cached.
+// Implementations must be keyed by incarnation.
 type Credits interface {
-	// Credit returns the number of leading blocks of chain that the given
-	// incarnation of the engine is believed to hold, as an expectation.
+	// Credit returns the expected number of leading blocks of chain that the
+	// given incarnation of the engine has cached.
 	Credit(engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain) float64
 }
 
-// Snapshot is the state a decision is taken over. It is not changed by it.
+// Snapshot is the input state of a decision, which does not modify it.
 type Snapshot struct {
 	Now time.Time
-	// Endpoints lists the engines that may matter; at best those of the
-	// request's model, grouped by zone.
+	// Endpoints lists the candidate engines, best only those of the request's
+	// model, grouped by zone.
 	Endpoints []Endpoint
 	// Generation identifies the engines of Endpoints with their zones and
 	// order, and the fleet version. Equal generations let a scheduler reuse
-	// what it worked out from these alone; zero means not known.
+	// results computed from these alone; zero means unknown.
 	Generation uint64
 	Credits    Credits
 	// Hop is the one-way network time to an endpoint of the given zone.
 	Hop func(zone ident.Zone) time.Duration
 }
 
-// Candidate is an endpoint under consideration, with what was worked out for it.
+// Candidate is an endpoint under consideration, with the computed predictions.
 type Candidate struct {
 	Endpoint *Endpoint
 	// Version is the model version the endpoint would serve the request with.
 	Version ident.ModelVersion
-	// CreditTokens is the number of prompt tokens believed to be cached.
+	// CreditTokens is the expected number of cached prompt tokens.
 	CreditTokens float64
 	// Wait, Prefill and Hop add up to the predicted time to first token.
 	Wait, Prefill, Hop time.Duration
@@ -152,7 +151,7 @@
 	Pick(request *Request, snapshot *Snapshot, candidates []Candidate) int
 }
 
-// Action is what a decision says to do.
+// Action is the outcome of a decision.
 type Action int
 
 const (
@@ -160,12 +159,12 @@
 	Dispatch Action = iota
 	// Hold keeps the request until capacity frees or its hold time ends.
 	Hold
-	// Refuse answers at once that the request did not run.
+	// Refuse rejects the request at once; it did not run.
 	Refuse
 )
 
-// ReasonHome is the reason of a Hold though an engine is open: waiting for one
-// that holds the prefix costs less than recomputing it.
+// ReasonHome is the reason of a Hold although an engine has room: waiting for one
+// that has the prefix cached costs less than recomputing it.
 const ReasonHome = "home"
 
 // Decision is the result of scheduling one request.
@@ -183,10 +182,10 @@
 	MoveFrom ident.Engine
 }
 
-// Scheduler decides about requests. Policies of the experiment implement it too.
+// Scheduler decides where requests run. Experiment policies implement it too.
 type Scheduler interface {
 	// Name is the policy's name.
 	Name() string
-	// Schedule decides about one request over one snapshot.
+	// Schedule decides about one request on one snapshot.
 	Schedule(request *Request, snapshot *Snapshot) Decision
 }
--- a/internal/routing/load/tracker.go
+++ b/internal/routing/load/tracker.go
@@ -1,5 +1,5 @@
 // Package load estimates an engine's queue at the time of a decision from its
-// last, lagging report and from this router's own dispatches since.
+// last report, which lags, and this router's own dispatches since.
 package load
 
 import (
@@ -11,27 +11,27 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// maxFinishedAge is how long an ended attempt is remembered while no report
-// says that it is accounted for.
+// maxFinishedAge is how long a finished attempt is kept while no report accounts
+// for it.
 const maxFinishedAge = 30 * time.Second
 
-// AttemptKey names one attempt of a request.
+// AttemptKey identifies one attempt of a request.
 type AttemptKey struct {
 	Request ident.Request
 	Attempt ident.Attempt
 }
 
-// Tracker follows one incarnation of one engine. A new incarnation gets a new
-// Tracker. It is used by one goroutine at a time.
+// Tracker tracks the load of one incarnation of one engine. A new incarnation
+// needs a new Tracker. It is not safe for concurrent use.
 type Tracker struct {
-	// defaultPrefill is the slope until the engine has told its own.
+	// defaultPrefill is the prefill time per token until the engine reports its own.
 	defaultPrefill time.Duration
 	report         protocol.LoadReport
-	// measured is when the report was true, on this router's clock; zero
-	// before the first report.
+	// measured is the time of the report's measurement by this router's clock;
+	// zero before the first report.
 	measured time.Time
-	// own lists this router's attempts in the order of their dispatch.
-	own []attempt
+	// attempts lists this router's attempts in order of dispatch.
+	attempts []attempt
 }
 
 type attempt struct {
@@ -43,12 +43,12 @@
 }
 
 // NewTracker returns a Tracker that assumes the given prefill time per token
-// until the engine has told its own.
+// until the engine reports its own.
 func NewTracker(defaultPrefillPerToken time.Duration) *Tracker {
 	return &Tracker{defaultPrefill: defaultPrefillPerToken}
 }
 
-// RecordReport takes a load report received now. One that is older than the last is
+// RecordReport records a load report received now; one older than the last is
 // ignored.
 func (t *Tracker) RecordReport(now time.Time, report protocol.LoadReport) {
 	measured := now.Add(-time.Duration(max(0, report.AgeMillis)) * time.Millisecond)
@@ -56,14 +56,14 @@
 		return
 	}
 	t.report, t.measured = report, measured
-	t.forget(measured)
+	t.dropFinished(measured)
 }
 
-// Dispatched records an attempt sent now with the prompt tokens that the
-// engine is expected to prefill: those not credited.
+// Dispatched records an attempt sent now with the number of uncached prompt
+// tokens that the engine is expected to prefill.
 func (t *Tracker) Dispatched(now time.Time, key AttemptKey, tokens float64) {
-	t.forget(now.Add(-maxFinishedAge))
-	t.own = append(t.own, attempt{key: key, tokens: max(0, tokens), dispatched: now})
+	t.dropFinished(now.Add(-maxFinishedAge))
+	t.attempts = append(t.attempts, attempt{key: key, tokens: max(0, tokens), dispatched: now})
 }
 
 // FirstToken records that an attempt's prefill is done.
@@ -73,18 +73,18 @@
 	}
 }
 
-// Finished records the end of an attempt, however it ended.
+// Finished records the end of an attempt, whatever its result.
 func (t *Tracker) Finished(now time.Time, key AttemptKey) {
 	if own := t.find(key); own != nil && own.finished.IsZero() {
 		own.finished = now
 	}
 }
 
-// InFlight returns the number of this router's attempts that have not ended.
+// InFlight returns the number of this router's unfinished attempts.
 func (t *Tracker) InFlight() int {
 	count := 0
-	for index := range t.own {
-		if t.own[index].finished.IsZero() {
+	for index := range t.attempts {
+		if t.attempts[index].finished.IsZero() {
 			count++
 		}
 	}
@@ -96,14 +96,14 @@
 	estimate := framework.Load{
 		MaxRunning:          t.report.MaxRunning,
 		PrefillPerToken:     t.slope(),
-		QueuedPrefillTokens: t.queued(now),
+		QueuedPrefillTokens: t.queuedTokens(now),
 	}
 	if !t.measured.IsZero() {
 		estimate.ReportAge = now.Sub(t.measured)
 	}
 	requests := t.report.Running + t.report.Waiting
-	for index := range t.own {
-		own := &t.own[index]
+	for index := range t.attempts {
+		own := &t.attempts[index]
 		reported := !t.measured.IsZero() && !own.dispatched.After(t.measured)
 		switch {
 		case own.finished.IsZero():
@@ -122,13 +122,13 @@
 	return estimate
 }
 
-// queued plays the engine's prefill queue forward: it drains at the slope from
-// what was reported and grows with each dispatch since. An attempt that has
-// had its first token proves that all before it is done.
-func (t *Tracker) queued(now time.Time) float64 {
+// queuedTokens extrapolates the engine's prefill queue: the reported queue shrinks
+// by the prefill time per token and grows with each dispatch since. The first
+// token of an attempt proves that all before it is done.
+func (t *Tracker) queuedTokens(now time.Time) float64 {
 	tokens, at := float64(t.report.QueuedPrefillTokens), t.measured
-	for index := range t.own {
-		own := &t.own[index]
+	for index := range t.attempts {
+		own := &t.attempts[index]
 		if !own.dispatched.After(t.measured) {
 			continue
 		}
@@ -139,13 +139,13 @@
 		if !own.finished.IsZero() {
 			continue
 		}
-		tokens = t.drained(tokens, own.dispatched.Sub(at)) + own.tokens
+		tokens = t.remaining(tokens, own.dispatched.Sub(at)) + own.tokens
 		at = later(at, own.dispatched)
 	}
-	return t.drained(tokens, now.Sub(at))
+	return t.remaining(tokens, now.Sub(at))
 }
 
-func (t *Tracker) drained(tokens float64, elapsed time.Duration) float64 {
+func (t *Tracker) remaining(tokens float64, elapsed time.Duration) float64 {
 	slope := t.slope()
 	if elapsed <= 0 || slope <= 0 || tokens <= 0 {
 		return max(0, tokens)
@@ -161,17 +161,17 @@
 }
 
 func (t *Tracker) find(key AttemptKey) *attempt {
-	for index := range t.own {
-		if t.own[index].key == key {
-			return &t.own[index]
+	for index := range t.attempts {
+		if t.attempts[index].key == key {
+			return &t.attempts[index]
 		}
 	}
 	return nil
 }
 
-// forget drops attempts that ended before a time.
-func (t *Tracker) forget(before time.Time) {
-	t.own = slices.DeleteFunc(t.own, func(own attempt) bool {
+// dropFinished removes attempts that finished before a time.
+func (t *Tracker) dropFinished(before time.Time) {
+	t.attempts = slices.DeleteFunc(t.attempts, func(own attempt) bool {
 		return !own.finished.IsZero() && own.finished.Before(before)
 	})
 }
--- a/internal/routing/mover.go
+++ b/internal/routing/mover.go
@@ -8,11 +8,11 @@
 	"github.com/fieldpond/fieldpond/internal/routing/scorer"
 )
 
-// transferLegs counts the export and the import of a move.
+// transferLegs is the number of transfers of a move: export and import.
 const transferLegs = 2
 
-// mover decides whether the chosen engine should import the prefix from
-// another permitted one in place of recomputing it.
+// mover decides whether the chosen engine imports the prefix from another
+// permitted engine instead of recomputing it.
 type mover struct {
 	perToken  time.Duration
 	minTokens float64
--- a/internal/routing/picker/leastload.go
+++ b/internal/routing/picker/leastload.go
@@ -3,7 +3,7 @@
 import "github.com/fieldpond/fieldpond/internal/routing/framework"
 
 // LeastLoad picks the candidate with the fewest running and waiting requests,
-// then the fewest queued tokens; names break ties.
+// then the fewest queued tokens; engine names break ties.
 type LeastLoad struct{}
 
 // Name implements framework.Picker.
@@ -13,14 +13,14 @@
 func (LeastLoad) Pick(_ *framework.Request, _ *framework.Snapshot, candidates []framework.Candidate) int {
 	best := 0
 	for index := range candidates {
-		if lighter(candidates[index].Endpoint, candidates[best].Endpoint) {
+		if lessLoaded(candidates[index].Endpoint, candidates[best].Endpoint) {
 			best = index
 		}
 	}
 	return best
 }
 
-func lighter(first, second *framework.Endpoint) bool {
+func lessLoaded(first, second *framework.Endpoint) bool {
 	firstCount := first.Load.Running + first.Load.Waiting
 	secondCount := second.Load.Running + second.Load.Waiting
 	if firstCount != secondCount {
--- a/internal/routing/picker/lowestcost.go
+++ b/internal/routing/picker/lowestcost.go
@@ -1,4 +1,4 @@
-// Package picker holds the Picker plug-ins of a routing decision, one a file.
+// Package picker holds the Picker plug-ins of a routing decision.
 package picker
 
 import (
@@ -9,17 +9,16 @@
 	"github.com/fieldpond/fieldpond/internal/routing/scorer"
 )
 
-// LowestCost picks the cheapest candidate. Candidates within a tolerance of it
-// count as tied and the tie goes to the one that ranks highest for the
-// prompt's leading blocks: small differences in what routers believe of load
-// then do not scatter a prefix over engines.
+// LowestCost picks the cheapest candidate. Of candidates within a tolerance of it
+// the one that ranks highest for the prompt's leading blocks wins, so that small
+// differences in the routers' load estimates do not spread a prefix over engines.
 type LowestCost struct {
-	// Tolerance is the difference of cost that always counts as a tie.
+	// Tolerance is the cost difference that always counts as a tie.
 	Tolerance time.Duration
 	// ToleranceShare widens the tolerance to this share of the time to prefill
-	// the whole prompt: what a scattered prefix would cost later on.
+	// the whole prompt, the later cost of spreading a prefix.
 	ToleranceShare float64
-	// DefaultPrefillPerToken is the slope of an engine that has not told its own.
+	// DefaultPrefillPerToken applies to an engine that has not reported its own.
 	DefaultPrefillPerToken time.Duration
 }
 
@@ -32,7 +31,7 @@
 	for index := range candidates {
 		cheapest = min(cheapest, candidates[index].Cost)
 	}
-	return Highest(request, candidates, func(candidate *framework.Candidate) bool {
+	return HighestRanked(request, candidates, func(candidate *framework.Candidate) bool {
 		return candidate.Cost-cheapest <= p.tolerance(request, candidate)
 	})
 }
@@ -43,14 +42,14 @@
 	return max(p.Tolerance, share)
 }
 
-// Highest returns the index of the candidate among those wanted that ranks
-// highest for the prompt's leading blocks; at least one must be wanted.
-func Highest(request *framework.Request, candidates []framework.Candidate, wanted func(*framework.Candidate) bool) int {
+// HighestRanked returns the index of the accepted candidate that ranks highest
+// for the prompt's leading blocks; at least one must be accepted.
+func HighestRanked(request *framework.Request, candidates []framework.Candidate, accept func(*framework.Candidate) bool) int {
 	key, _ := rendezvous.Key(request)
 	best, bestScore := -1, uint64(0)
 	for index := range candidates {
 		candidate := &candidates[index]
-		if !wanted(candidate) {
+		if !accept(candidate) {
 			continue
 		}
 		score := rendezvous.Score(key, candidate.Endpoint.Engine)
--- a/internal/routing/picker/picker_test.go
+++ b/internal/routing/picker/picker_test.go
@@ -30,7 +30,7 @@
 	list[other].Cost--
 	is.Equal(plugin.Pick(request, nil, list), other) // beyond it
 
-	// The tail of a prompt does not move its home; its leading blocks do.
+	// Only the leading blocks of a prompt determine its home.
 	request.Chains[""] = prefix.Chain{7, 8, 9, 4, 1000, 1001}
 	is.Equal(picker.Rendezvous{}.Pick(request, nil, list), home)
 	homes := map[int]bool{}
--- a/internal/routing/picker/roundrobin.go
+++ b/internal/routing/picker/roundrobin.go
@@ -6,7 +6,7 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// RoundRobin picks the candidates in turn. It is the one picker with a state.
+// RoundRobin picks the candidates in turn. It is the only stateful picker.
 type RoundRobin struct{ picks atomic.Uint64 }
 
 // Name implements framework.Picker.
--- a/internal/routing/policies.go
+++ b/internal/routing/policies.go
@@ -8,7 +8,7 @@
 )
 
 // NewPredictive returns the scheduler that minimises predicted time to first
-// token plus weighted recomputation. Invalid settings are a *fault.Fault.
+// token plus weighted recomputation, or a *fault.Fault for invalid settings.
 func NewPredictive(config Config) (*Pipeline, error) {
 	if err := config.Validate(); err != nil {
 		return nil, err
@@ -23,23 +23,23 @@
 	pipeline.shortlists.size = shortlistFactor * config.Window
 	pipeline.capacity = filter.Capacity{Reserve: config.UrgentReserve}
 	pipeline.slotWait = max(0, config.SlotWait)
-	pipeline.credits = true
+	pipeline.usesCredits = true
 	pipeline.mover = mover{perToken: config.TransferPerToken, minTokens: float64(config.MinMoveTokens), fallback: slope}
 	return pipeline, nil
 }
 
-// NewRoundRobin returns the baseline that takes permitted engines in turn.
+// NewRoundRobin returns the baseline that picks permitted engines in turn.
 func NewRoundRobin() *Pipeline { return newPipeline("round-robin", &picker.RoundRobin{}) }
 
-// NewLeastLoad returns the baseline that takes the least loaded permitted engine.
+// NewLeastLoad returns the baseline that picks the least loaded permitted engine.
 func NewLeastLoad() *Pipeline { return newPipeline("least-load", picker.LeastLoad{}) }
 
 // NewPrefixHash returns the baseline that hashes the prompt's leading blocks
-// and looks at neither load nor beliefs.
+// and ignores load and cache beliefs.
 func NewPrefixHash() *Pipeline { return newPipeline("prefix-hash", picker.Rendezvous{}) }
 
-// Oracle is the predictive scheduler with exact credits in place of beliefs:
-// what perfect knowledge of every cache would give. It serves experiments.
+// Oracle is the predictive scheduler with exact cache contents in place of
+// beliefs, for experiments.
 type Oracle struct {
 	pipeline *Pipeline
 	exact    framework.Credits
--- a/internal/routing/policies_test.go
+++ b/internal/routing/policies_test.go
@@ -69,7 +69,7 @@
 	return request, snapshot
 }
 
-// permitted is the rule that every decision is judged by, written apart from
+// permitted is the rule that every decision is checked against, independent of
 // the filters.
 func permitted(request *framework.Request, endpoint framework.Endpoint) bool {
 	return request.Zones[endpoint.Zone] && endpoint.Alive && !endpoint.Draining && !request.Excluded[endpoint.Engine] &&
@@ -113,7 +113,7 @@
 		shuffled := *snapshot
 		shuffled.Endpoints = rapid.Permutation(snapshot.Endpoints).Draw(t, "order")
 		first, second := policies(&testing.T{}, snapshot.Credits), policies(&testing.T{}, snapshot.Credits)
-		for _, index := range []int{0, 1, 3, 4} { // round robin depends on the order by design
+		for _, index := range []int{0, 1, 3, 4} { // round robin depends on the order
 			got, want := second[index].Schedule(request, &shuffled), first[index].Schedule(request, snapshot)
 			got.Chosen.Endpoint, want.Chosen.Endpoint = clone(got.Chosen.Endpoint), clone(want.Chosen.Endpoint)
 			if !reflect.DeepEqual(got, want) {
@@ -131,8 +131,8 @@
 	return &copied
 }
 
-// A router without any belief and with equal loads chooses as prefix hashing does.
-func TestZeroBeliefEqualsRendezvous(t *testing.T) {
+// Without beliefs and with equal loads the choice equals that of prefix hashing.
+func TestWithoutBeliefsChoosesByRendezvous(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request, snapshot := drawCase(t)
 		snapshot.Credits = fixedCredits{}
@@ -147,9 +147,9 @@
 	})
 }
 
-// The shortlists of a known generation change the cost of a decision only,
-// however the endpoints' liveness, versions and loads moved since.
-func TestShortlistsNeverChangeADecision(t *testing.T) {
+// The shortlists of a known generation do not change decisions, even if the
+// endpoints' liveness, roles and loads have changed since.
+func TestShortlistsDoNotChangeDecisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request, snapshot := drawCase(t)
 		scheduler := policies(&testing.T{}, snapshot.Credits)[0]
@@ -171,9 +171,9 @@
 	})
 }
 
-// A hot prefix stays at its home until the wait there exceeds one
-// recomputation; then it gets a second home, and the weight delays that.
-func TestSecondHomeFollowsFromCost(t *testing.T) {
+// A hot prefix gets a second home only once the wait at its home exceeds the
+// recomputation; a higher weight delays that.
+func TestHotPrefixGetsSecondHomeByCost(t *testing.T) {
 	const promptTokens, held = 1600, 1520
 	cases := []struct {
 		name   string
@@ -184,8 +184,8 @@
 		{"short wait", 1000, 0, "home"},
 		{"wait of one recomputation", held + 100, 0, "home"},
 		{"wait above one and a quarter", 1.25*held + 100, 0, "second"},
-		{"the weight keeps it home", held + 100, 1, "home"},
-		{"a long wait beats the weight", 2*held + 100, 1, "second"},
+		{"the weight keeps it at home", held + 100, 1, "home"},
+		{"a long wait outweighs the weight", 2*held + 100, 1, "second"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -207,14 +207,14 @@
 			decision := scheduler.Schedule(request, snapshot)
 			is.Equal(decision.Chosen.Endpoint.Engine, test.want)
 			is.Equal(decision.BestCreditTokens, float64(held))
-			is.Equal(decision.MoveFrom == "home", test.want == "second") // a cheap transfer beats recomputing
+			is.Equal(decision.MoveFrom == "home", test.want == "second") // a cheap transfer replaces recomputing
 		})
 	}
 }
 
-// Engines outside the window serve when all of the window is at its limit or
-// its queues are far too long.
-func TestCrowdedWindowWidens(t *testing.T) {
+// Engines outside the window are used when the whole window is at its limit or
+// its queues are too long.
+func TestOverloadedWindowWidens(t *testing.T) {
 	for name, load := range map[string]framework.Load{
 		"at the limit": {OwnInFlight: 3, ConcurrencyLimit: 3},
 		"long queues":  {QueuedPrefillTokens: 50_000},
@@ -237,7 +237,7 @@
 	}
 }
 
-// Many goroutines share a scheduler; the race detector judges.
+// Guards against data races in a scheduler shared by goroutines.
 func TestSchedulerIsSharedByGoroutines(t *testing.T) {
 	scheduler, err := routing.NewPredictive(routing.Config{Window: 4})
 	is.New(t).NoErr(err)
@@ -265,9 +265,9 @@
 	}
 }
 
-// A request waits for room where its prefix is only while that is cheaper
-// than recomputing the prefix on an engine that has room.
-func TestHoldForAHomeIsBoundedByItsGain(t *testing.T) {
+// A request waits for room at its prefix's home only while that is cheaper than
+// recomputing the prefix on an engine that has room.
+func TestHoldForHomeIsBoundedByRecomputation(t *testing.T) {
 	const held = 1520 // tokens, 152 ms of prefill
 	for _, test := range []struct {
 		name     string
@@ -276,10 +276,10 @@
 		weight   float64
 		want     ident.Engine // empty: held
 	}{
-		{"a short wait beats recomputing", 2, 0, 0.1, ""},
-		{"not for longer than that", 2, 80 * time.Millisecond, 0.1, "second"},
-		{"the weight lengthens it", 2, 80 * time.Millisecond, 1, ""},
-		{"an urgent request has room at home", 0, 0, 0.1, "home"},
+		{"a short wait is cheaper than recomputing", 2, 0, 0.1, ""},
+		{"a longer wait is not", 2, 80 * time.Millisecond, 0.1, "second"},
+		{"the weight allows a longer wait", 2, 80 * time.Millisecond, 1, ""},
+		{"an urgent request may use the reserve at home", 0, 0, 0.1, "home"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/routing/purity_test.go
+++ b/internal/routing/purity_test.go
@@ -13,13 +13,13 @@
 	"github.com/matryer/is"
 )
 
-// impure lists the imports that a decision core must not have.
+// impure lists the imports that the decision packages must not have.
 var impure = map[string]bool{
 	"net": true, "net/http": true, "os": true, "io": true, "context": true, "math/rand": true, "math/rand/v2": true,
 	"crypto/rand": true, "log": true, "github.com/apex/log": true,
 }
 
-// The decision cores have no clock, socket, goroutine, channel or global
+// The decision packages use no clock, socket, goroutine, channel or global
 // random source.
 func TestDecisionCoresArePure(t *testing.T) {
 	for _, root := range []string{".", "../prefix"} {
--- a/internal/routing/rendezvous/top.go
+++ b/internal/routing/rendezvous/top.go
@@ -13,12 +13,12 @@
 type Ranked struct {
 	Score  uint64
 	Engine ident.Engine
-	// Index is the caller's position of the engine.
+	// Index is the engine's position in the caller's list.
 	Index int32
 }
 
-// Top keeps the highest ranking engines of those offered to it, in a heap with
-// the lowest of them first, so that most offers cost one comparison.
+// Top keeps the highest ranking engines offered to it in a min-heap, so that
+// most offers cost one comparison.
 type Top struct {
 	size    int
 	length  int
@@ -44,7 +44,7 @@
 	}
 }
 
-// Sorted returns the engines kept, best first. The slice is valid until the
+// Sorted returns the kept engines, best first. The slice is valid until the
 // next Offer or Reset.
 func (t *Top) Sorted() []Ranked {
 	kept := t.entries[:t.length]
--- a/internal/routing/scorer/recomputation.go
+++ b/internal/routing/scorer/recomputation.go
@@ -6,14 +6,14 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// Recomputation adds the service's weight times the time an endpoint would
-// spend on tokens that the best permitted candidate is believed to hold. The
-// cost runs from 0 (the best holder) to weight times the whole prefill.
+// Recomputation adds the service's weight times the time that an endpoint would
+// spend on tokens that the best permitted candidate has cached: from 0 for that
+// candidate to weight times the whole prefill.
 type Recomputation struct {
-	// DefaultPrefillPerToken is the slope of an engine that has not told its own.
+	// DefaultPrefillPerToken applies to an engine that has not reported its own.
 	DefaultPrefillPerToken time.Duration
-	// Floor is the weight of services that ask for less. Recomputing takes
-	// engine time from other requests, so it is never free.
+	// Floor is the least weight: recomputation always takes engine time from
+	// other requests.
 	Floor float64
 }
 
--- a/internal/routing/scorer/timetofirsttoken.go
+++ b/internal/routing/scorer/timetofirsttoken.go
@@ -1,4 +1,4 @@
-// Package scorer holds the Scorer plug-ins of a routing decision, one a file.
+// Package scorer holds the Scorer plug-ins of a routing decision.
 // Every cost is a time; smaller is better.
 package scorer
 
@@ -9,10 +9,10 @@
 )
 
 // TimeToFirstToken predicts the time until the first token: the wait in the
-// engine's queue, the prefill of what is not cached, and the hop. It fills
-// Candidate.Wait, Prefill and Hop and adds their sum to the cost (0 and up).
+// engine's queue, the prefill of uncached tokens, and the network time. It sets
+// Candidate.Wait, Prefill and Hop and adds their sum to the cost.
 type TimeToFirstToken struct {
-	// DefaultPrefillPerToken is the slope of an engine that has not told its own.
+	// DefaultPrefillPerToken applies to an engine that has not reported its own.
 	DefaultPrefillPerToken time.Duration
 	// RequestDuration is the assumed time a running request keeps its batch slot.
 	RequestDuration time.Duration
@@ -37,9 +37,8 @@
 	}
 }
 
-// wait is the time to prefill what is queued, plus, with the batch full, the
-// time until enough running requests have ended: slots free at the rate of
-// MaxRunning a RequestDuration.
+// wait is the time to prefill the queue plus, if the batch is full, the time
+// until a slot is free: MaxRunning slots become free per RequestDuration.
 func (s TimeToFirstToken) wait(load *framework.Load, slope time.Duration) time.Duration {
 	wait := time.Duration(max(0, load.QueuedPrefillTokens) * float64(slope))
 	if load.MaxRunning > 0 && load.Running >= load.MaxRunning {
--- a/internal/routing/shortlist.go
+++ b/internal/routing/shortlist.go
@@ -7,24 +7,23 @@
 	"github.com/fieldpond/fieldpond/internal/routing/rendezvous"
 )
 
-// maxShortlists bounds the shortlists kept; at 64 positions of 4 bytes each
-// they take about 1.2 MB. Being full, they are dropped and made anew.
+// maxShortlists bounds the number of cached shortlists; a full cache is cleared.
 const maxShortlists = 4096
 
-// shortlists remembers, for each prompt root, which positions of the snapshot
-// rank highest among the endpoints in the request's places. Roots are salted
-// by tenant, so all requests of a root have the same places. It is a memo: it
-// changes the cost of a decision and never its result.
+// shortlists caches, for each prompt root, the positions of the snapshot that
+// rank highest among the endpoints in the request's zones. Roots are salted by
+// tenant, so all requests of a root have the same zones. The cache never
+// changes the result of a decision.
 type shortlists struct {
-	// size is the number of positions in a list.
+	// size is the largest number of positions in a list.
 	size       int
 	mutex      sync.RWMutex
 	generation uint64
 	lists      map[uint64][]int32
 }
 
-// get returns the list of a request's root, best first, working it out if
-// needed. It is nil for a snapshot of unknown generation.
+// get returns the list of a request's root, best first, and computes it if
+// needed. It returns nil for a snapshot of unknown generation.
 func (s *shortlists) get(request *framework.Request, snapshot *framework.Snapshot) []int32 {
 	if snapshot.Generation == 0 {
 		return nil
