--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -1,15 +1,15 @@
 // Package exchange sends HTTP/1.1 requests over pooled connections. It sends
-// each request at most once, knows when it fails whether any byte left this
-// process, tells answers in excess from the one that is due, and never reuses
-// a connection that carries bytes which belong to no request.
+// each request at most once, reports on a failure whether any byte left this
+// process, matches answers to their requests, and never reuses a connection
+// with bytes that belong to no request.
 //
-// Connections may fall silent without a reset. The kernel finds that out by
-// bytes and probes that nobody acknowledges; connections that were open at the
-// time of one found silent are not used again.
+// A connection is silent if its peer stops acknowledging without a reset. The
+// kernel detects that by unacknowledged bytes and probes; idle connections whose
+// peer has not been heard since are then closed.
 //
-// net/http's Transport reads answers in the background and repeats some
-// requests by itself; both lose what this package has to know. Requests and
-// answers are still written and parsed by net/http.
+// net/http's Transport reads answers in the background and retries some requests
+// by itself, which hides what was sent. This package uses net/http only to parse
+// answers.
 package exchange
 
 import (
@@ -18,18 +18,18 @@
 	"time"
 )
 
-// connection is one TCP connection to a back end; one exchange uses it at a
-// time.
+// connection is one TCP connection to a back end, used by one exchange at a time.
 type connection struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// idleSince and idleUntil bound the rest between two exchanges; told says
-	// that the peer named the time. The peer was last heard at idleSince.
+	// idleSince and idleUntil bound the idle time between two exchanges;
+	// timeoutAdvertised is true if the peer advertised it. The peer was last
+	// heard at idleSince.
 	idleSince, idleUntil time.Time
-	told                 bool
-	// ackWithin is how long sent bytes may stay unacknowledged.
-	ackWithin time.Duration
-	// opening is how long it took to open, until the first exchange has told it.
-	opening time.Duration
+	timeoutAdvertised    bool
+	// ackTimeout is how long sent bytes may stay unacknowledged.
+	ackTimeout time.Duration
+	// connectTime is how long opening took; 0 once the first exchange reported it.
+	connectTime time.Duration
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -17,35 +17,35 @@
 // Request is one request to a back end.
 type Request struct {
 	Method string
-	// Target is the request target exactly as it is written: path and query.
+	// Target is the request target, path and query, sent unchanged.
 	Target string
 	// Host is the value of the Host header.
 	Host string
 	// Header holds the other headers; framing headers in it are ignored.
 	Header http.Header
 	Body   []byte
-	// Matches reports whether an answer with this header is the one to this
-	// request. Answers that are not are dropped. Nil takes the first answer.
+	// Matches reports whether an answer with this header belongs to this request;
+	// others are dropped. Nil accepts the first answer.
 	Matches func(header http.Header) bool
-	// MaxConnections bounds the connections to the address; 0 means no bound.
+	// MaxConnections limits the connections to the address; 0 means no limit.
 	MaxConnections int
-	// AckTimeout is how long bytes of the request may stay unacknowledged before the
-	// connection counts as silent; 0 means the pool's UserTimeout.
+	// AckTimeout is how long bytes of the request may stay unacknowledged before
+	// the connection counts as silent; 0 means the pool's UserTimeout.
 	AckTimeout time.Duration
-	// Withdrawn reports, right before the first byte leaves, that the request is not to be sent
-	// any more: time passes while a connection is opened. It may be nil.
+	// Withdrawn is called right before the first byte is sent, since opening a
+	// connection takes time; true cancels the request. It may be nil.
 	Withdrawn func() bool
 }
 
-// ErrWithdrawn says that a request was withdrawn before a byte of it left.
+// ErrWithdrawn is the cause if a request was withdrawn before a byte of it was sent.
 var ErrWithdrawn = errors.New("the request was withdrawn before it was sent")
 
-// Error is a failed exchange: no answer to the request arrived.
+// Error is a failed exchange: no answer to the request was received.
 type Error struct {
 	// Sent is false only if no byte of the request left this process.
 	Sent bool
-	// Silent is true if the peer acknowledged nothing any more. The request may have
-	// arrived all the same.
+	// Silent is true if the peer stopped acknowledging. It may still have
+	// received the request.
 	Silent bool
 	Cause  error
 }
@@ -60,66 +60,63 @@
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body in bytes, or -1 if it is not told.
+	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
-	// ConnectTime is how long it took to open the connection; 0 if an open one was used.
+	// ConnectTime is how long opening the connection took; 0 if it was reused.
 	ConnectTime time.Duration
-	// Body gives io.EOF only at the proven end of the answer; an answer that
-	// breaks off gives another error. It may be closed at any time, which ends
-	// the connection if the answer is not whole.
+	// Body returns io.EOF only at the proven end of the answer, and another error
+	// if the answer is cut off. Closing it early closes the connection.
 	Body io.ReadCloser
 }
 
 const (
-	// maxExcessAnswers and maxExcessBytes bound what is read past for the
-	// answer that is due.
+	// maxExcessAnswers and maxExcessBytes limit what is skipped before the
+	// matching answer.
 	maxExcessAnswers = 4
 	maxExcessBytes   = 1 << 20
 	// inlineBodyBytes is the largest body written before the answer is read; a
-	// back end may answer a longer one before it has read it.
+	// back end may answer a longer one before reading all of it.
 	inlineBodyBytes = 8 << 10
 )
 
-// errExcess says that too many answers to other requests came.
-var errExcess = errors.New("too many answers to other requests on one connection")
+var errExcessAnswers = errors.New("too many answers to other requests on one connection")
 
 const (
-	// windowBytes is the longest body that the window of a back end takes whole, so that
-	// its machine acknowledges it before the back end reads it.
-	windowBytes = 32 << 10
-	// longBodyAck bounds a closed window for longer bodies: the kernel counts the time for
-	// which a living back end reads nothing as if nothing were acknowledged. With a bound
-	// of 250 ms a back end that read a body of 16 MiB after 2 s was given up after 0.5 s.
-	longBodyAck = 3 * time.Second
+	// receiveWindowBytes is the longest body that fits a back end's receive window,
+	// so that its kernel acknowledges the body before the back end reads it.
+	receiveWindowBytes = 32 << 10
+	// longBodyAckTimeout is the least timeout for longer bodies: the kernel counts the
+	// time with a closed window, while a back end does not read, as unacknowledged.
+	longBodyAckTimeout = 3 * time.Second
 )
 
-// ackWithin returns how long bytes of a request may stay unacknowledged.
-func (p *Pool) ackWithin(request *Request) time.Duration {
-	within := cmp.Or(request.AckTimeout, p.options.UserTimeout)
-	if len(request.Body) > windowBytes {
-		return max(within, longBodyAck)
+// ackTimeout returns how long bytes of a request may stay unacknowledged.
+func (p *Pool) ackTimeout(request *Request) time.Duration {
+	timeout := cmp.Or(request.AckTimeout, p.options.UserTimeout)
+	if len(request.Body) > receiveWindowBytes {
+		return max(timeout, longBodyAckTimeout)
 	}
-	return within
+	return timeout
 }
 
 // Do sends a request once. An error is an *Error. When ctx ends, the
-// connection is closed, also while the body of the answer is read.
+// connection is closed, also during reads of the answer's body.
 func (p *Pool) Do(ctx context.Context, address string, request *Request) (*Response, error) {
-	used, err := p.get(ctx, address, request.MaxConnections)
+	conn, err := p.get(ctx, address, request.MaxConnections)
 	if err != nil {
 		return nil, &Error{Cause: err}
 	}
 	if request.Withdrawn != nil && request.Withdrawn() {
-		p.drop(used)
+		p.drop(conn)
 		return nil, &Error{Cause: ErrWithdrawn}
 	}
-	used.expectAcks(p.ackWithin(request))
-	exchange := &running{pool: p, connection: used, begunAt: time.Now()}
-	exchange.stop = context.AfterFunc(ctx, exchange.giveUp)
+	conn.setAckTimeout(p.ackTimeout(request))
+	exchange := &call{pool: p, connection: conn, startedAt: time.Now()}
+	exchange.stop = context.AfterFunc(ctx, exchange.cancel)
 	response, err := exchange.run(request)
 	if err != nil {
-		failed := &Error{Sent: exchange.sent.Load(), Silent: silent(err), Cause: err}
-		exchange.failed(err)
+		failed := &Error{Sent: exchange.sent.Load(), Silent: isSilent(err), Cause: err}
+		exchange.recordFailure(err)
 		exchange.abort()
 		if ctx.Err() != nil {
 			failed.Cause = errors.Wrap(context.Cause(ctx), err.Error())
@@ -129,81 +126,81 @@
 	return response, nil
 }
 
-// leastUnacknowledged is how long the bytes of a request that is given up must be
-// without an acknowledgement for its connection to count as silent: a lost packet
-// is sent again after 200 ms at least.
-const leastUnacknowledged = 250 * time.Millisecond
+// minUnacknowledged is the least age of a cancelled request with unacknowledged
+// bytes for its connection to count as silent: a lost packet is retransmitted
+// after 200 ms at the earliest.
+const minUnacknowledged = 250 * time.Millisecond
 
-// giveUp ends the connection of an exchange that nobody waits for.
-func (r *running) giveUp() {
-	unheard := time.Since(r.begunAt) >= leastUnacknowledged && r.connection.unacknowledged()
-	_ = r.connection.Close()
-	if unheard {
-		r.pool.foundSilent(r.connection.address, r.begunAt)
+// cancel closes the connection of an exchange whose context has ended.
+func (c *call) cancel() {
+	silent := time.Since(c.startedAt) >= minUnacknowledged && c.connection.unacknowledged()
+	_ = c.connection.Close()
+	if silent {
+		c.pool.recordSilent(c.connection.address, c.startedAt)
 	}
 }
 
-// failed takes in why an exchange broke off.
-func (r *running) failed(err error) {
-	if !silent(err) {
+// recordFailure records the connection as silent if that is why the exchange failed.
+func (c *call) recordFailure(err error) {
+	if !isSilent(err) {
 		return
 	}
-	since := r.begunAt
+	since := c.startedAt
 	if probed := time.Now().Add(-probeInterval); probed.After(since) {
 		since = probed
 	}
-	r.pool.foundSilent(r.connection.address, since)
+	c.pool.recordSilent(c.connection.address, since)
 }
 
-// running is one exchange under way.
-type running struct {
+// call is one exchange in progress.
+type call struct {
 	pool       *Pool
 	connection *connection
 	stop       func() bool
-	begunAt    time.Time
-	// sent is true once a byte may have left, written once all have.
+	startedAt  time.Time
+	// sent is true once a byte may have been sent, written once all were.
 	sent, written atomic.Bool
 	excess        bool
 	ended         bool
 }
 
-func (r *running) run(request *Request) (*Response, error) {
+func (c *call) run(request *Request) (*Response, error) {
 	head := requestHead(request)
-	r.sent.Store(true)
+	c.sent.Store(true)
 	if len(request.Body) <= inlineBodyBytes {
-		if _, err := r.connection.Write(append(head, request.Body...)); err != nil {
+		if _, err := c.connection.Write(append(head, request.Body...)); err != nil {
 			return nil, errors.Wrap(err, "send the request")
 		}
-		r.written.Store(true)
+		c.written.Store(true)
 	} else {
-		go r.write(head, request.Body)
+		go c.write(head, request.Body)
 	}
-	answer, err := r.due(request)
+	answer, err := c.readMatching(request)
 	if err != nil {
 		return nil, err
 	}
-	response := &Response{Status: answer.StatusCode, Header: answer.Header, Length: answer.ContentLength, ConnectTime: r.connection.opening}
-	r.connection.opening = 0
-	response.Body = &answerBody{running: r, answer: answer}
+	response := &Response{Status: answer.StatusCode, Header: answer.Header, Length: answer.ContentLength, ConnectTime: c.connection.connectTime}
+	c.connection.connectTime = 0
+	response.Body = &answerBody{call: c, answer: answer}
 	return response, nil
 }
 
-// write sends a long request while its answer is awaited. When it fails, the
-// back end may still have answered.
-func (r *running) write(head, body []byte) {
-	if _, err := r.connection.Write(head); err != nil {
+// write sends a long request while its answer is awaited. Errors are ignored: the
+// back end may still answer.
+func (c *call) write(head, body []byte) {
+	if _, err := c.connection.Write(head); err != nil {
 		return
 	}
-	if _, err := r.connection.Write(body); err == nil {
-		r.written.Store(true)
+	if _, err := c.connection.Write(body); err == nil {
+		c.written.Store(true)
 	}
 }
 
-// due reads the answer to the request, past answers to others.
-func (r *running) due(request *Request) (*http.Response, error) {
-	asked := &http.Request{Method: request.Method}
+// readMatching reads the answer to the request and skips answers to others.
+func (c *call) readMatching(request *Request) (*http.Response, error) {
+	methodOnly := &http.Request{Method: request.Method}
 	for range maxExcessAnswers {
-		answer, err := http.ReadResponse(r.connection.reader, asked)
+		answer, err := http.ReadResponse(c.connection.reader, methodOnly)
 		if err != nil {
 			return nil, errors.Wrap(err, "read the answer")
 		}
@@ -213,50 +210,50 @@
 		if request.Matches == nil || request.Matches(answer.Header) {
 			return answer, nil
 		}
-		r.excess = true
+		c.excess = true
 		if answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 {
-			return nil, errExcess
+			return nil, errExcessAnswers
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxExcessBytes)); err != nil {
-			return nil, errors.Wrap(err, "read past an answer in excess")
+			return nil, errors.Wrap(err, "skip an answer to another request")
 		}
 	}
-	return nil, errExcess
+	return nil, errExcessAnswers
 }
 
 // abort ends the exchange and its connection.
-func (r *running) abort() {
-	if r.ended {
+func (c *call) abort() {
+	if c.ended {
 		return
 	}
-	r.ended = true
-	r.stop()
-	r.pool.drop(r.connection)
+	c.ended = true
+	c.stop()
+	c.pool.drop(c.connection)
 }
 
-// finish ends an exchange whose answer was read whole, and keeps the
-// connection if nothing speaks against it.
-func (r *running) finish(answer *http.Response) {
-	if r.ended {
+// finish ends an exchange whose answer was read completely, and keeps the
+// connection if it is reusable.
+func (c *call) finish(answer *http.Response) {
+	if c.ended {
 		return
 	}
-	reusable := !r.excess && r.written.Load() && !answer.Close && r.connection.reader.Buffered() == 0 &&
+	reusable := !c.excess && c.written.Load() && !answer.Close && c.connection.reader.Buffered() == 0 &&
 		(answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0)
-	// A context that has ended closes the connection by itself.
-	if !reusable || !r.stop() {
-		r.abort()
+	// stop returns false if the context has ended, which closes the connection.
+	if !reusable || !c.stop() {
+		c.abort()
 		return
 	}
-	r.ended = true
-	r.pool.put(r.connection, keepAlive(answer.Header))
+	c.ended = true
+	c.pool.put(c.connection, keepAlive(answer.Header))
 }
 
 // answerBody is the body of an answer.
 type answerBody struct {
-	running *running
-	answer  *http.Response
-	// whole is true once the proven end was read, broken once a read failed.
-	whole, broken bool
+	call   *call
+	answer *http.Response
+	// complete is true once the proven end was read, failed once a read failed.
+	complete, failed bool
 }
 
 // Read implements io.Reader.
@@ -264,25 +261,25 @@
 	count, err := b.answer.Body.Read(buffer)
 	switch {
 	case err == io.EOF:
-		b.whole = true
-	case err != nil && !b.broken:
-		b.broken = true
-		b.running.failed(err)
+		b.complete = true
+	case err != nil && !b.failed:
+		b.failed = true
+		b.call.recordFailure(err)
 	}
 	return count, err
 }
 
 // Close implements io.Closer.
 func (b *answerBody) Close() error {
-	if b.whole {
-		b.running.finish(b.answer)
+	if b.complete {
+		b.call.finish(b.answer)
 	} else {
-		b.running.abort()
+		b.call.abort()
 	}
 	return nil
 }
 
-// keepAlive returns how long the peer keeps a resting connection, or 0.
+// keepAlive returns how long the peer keeps an idle connection, or 0 if unknown.
 func keepAlive(header http.Header) time.Duration {
 	for parameter := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(parameter), "timeout=")
@@ -296,7 +293,7 @@
 	return 0
 }
 
-// requestHead writes the request line and the headers.
+// requestHead returns the request line and the headers.
 func requestHead(request *Request) []byte {
 	var head bytes.Buffer
 	head.WriteString(request.Method + " " + request.Target + " HTTP/1.1\r\nHost: " + request.Host + "\r\n")
@@ -315,8 +312,8 @@
 	return head.Bytes()
 }
 
-// framing holds the headers that this package sets, or that belong to one
-// connection only.
+// framing holds the headers that this package sets or that apply to a single
+// connection.
 var framing = map[string]bool{
 	"Connection": true, "Content-Length": true, "Expect": true, "Host": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true, "Te": true,
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// backEnd answers each connection by a function of its own.
+// backEnd serves each connection with a function of the test.
 type backEnd struct {
 	listener net.Listener
 	accepted atomic.Int64
@@ -67,8 +67,8 @@
 	return request, string(body), err
 }
 
-// answering sends the same bytes for each request until the client closes.
-func answering(answer string) func(net.Conn, *bufio.Reader) {
+// respondWith sends the same bytes for each request until the client closes.
+func respondWith(answer string) func(net.Conn, *bufio.Reader) {
 	return func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			if _, _, err := readRequest(reader); err != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-func ask(id string) *exchange.Request {
+func requestWithID(id string) *exchange.Request {
 	return &exchange.Request{
 		Method: http.MethodPost, Target: "/a?b=c", Host: "h.example", Body: []byte("body"),
 		Header:  http.Header{"Id": {id}, "Connection": {"close"}},
@@ -89,15 +89,15 @@
 	}
 }
 
-const whole = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
+const completeAnswer = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
 
-func TestAWholeAnswerKeepsItsConnection(t *testing.T) {
+func TestCompleteAnswerKeepsConnection(t *testing.T) {
 	is := is.New(t)
-	server := listen(t, answering(whole))
+	server := listen(t, respondWith(completeAnswer))
 	pool := exchange.NewPool(exchange.Options{})
 	defer pool.CloseIdle(true)
 	for range 3 {
-		response, err := pool.Do(t.Context(), server.address(), ask("1"))
+		response, err := pool.Do(t.Context(), server.address(), requestWithID("1"))
 		is.NoErr(err)
 		body, err := io.ReadAll(response.Body)
 		is.NoErr(err)
@@ -107,7 +107,7 @@
 	is.Equal(pool.Opened(), uint64(1))
 }
 
-func TestTheRequestIsWrittenAsGiven(t *testing.T) {
+func TestRequestIsWrittenAsGiven(t *testing.T) {
 	is := is.New(t)
 	seen := make(chan *http.Request, 1)
 	server := listen(t, func(connection net.Conn, reader *bufio.Reader) {
@@ -116,29 +116,29 @@
 			return
 		}
 		seen <- request
-		_, _ = io.WriteString(connection, whole)
+		_, _ = io.WriteString(connection, completeAnswer)
 	})
 	pool := exchange.NewPool(exchange.Options{})
 	defer pool.CloseIdle(true)
-	response, err := pool.Do(t.Context(), server.address(), ask("1"))
+	response, err := pool.Do(t.Context(), server.address(), requestWithID("1"))
 	is.NoErr(err)
 	is.NoErr(response.Body.Close())
 	request := <-seen
 	is.Equal(request.RequestURI, "/a?b=c")
 	is.Equal(request.Host, "h.example")
-	is.True(!request.Close) // a header of the other connection is not passed on
+	is.True(!request.Close) // the Connection header is not forwarded
 }
 
-func TestAnswersThatMayNotBeTaken(t *testing.T) {
+func TestInvalidAnswersAreErrors(t *testing.T) {
 	cases := []struct{ name, answer string }{
 		{"no answer", ""},
-		{"bytes that are no answer", "garbage\r\n\r\n"},
-		{"cut in the head", "HTTP/1.1 200 OK\r\nId: 1\r\n"},
-		{"cut in the body", "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nok"},
-		{"cut in a chunk", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok"},
-		{"chunks without an end", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"},
-		{"only answers to others", "HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 2\r\n\r\nno"},
-		{"another's answer without a length", "HTTP/1.1 200 OK\r\nId: 7\r\n\r\nno"},
+		{"malformed answer", "garbage\r\n\r\n"},
+		{"cut off in the header", "HTTP/1.1 200 OK\r\nId: 1\r\n"},
+		{"cut off in the body", "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nok"},
+		{"cut off in a chunk", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok"},
+		{"chunks without a last one", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"},
+		{"only answers to other requests", "HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 2\r\n\r\nno"},
+		{"answer to another request without a length", "HTTP/1.1 200 OK\r\nId: 7\r\n\r\nno"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -149,7 +149,7 @@
 			})
 			pool := exchange.NewPool(exchange.Options{})
 			defer pool.CloseIdle(true)
-			response, err := pool.Do(t.Context(), server.address(), ask("1"))
+			response, err := pool.Do(t.Context(), server.address(), requestWithID("1"))
 			if err == nil {
 				_, err = io.ReadAll(response.Body)
 				_ = response.Body.Close()
@@ -163,39 +163,39 @@
 	}
 }
 
-func TestTheDueAnswerIsFoundBehindOneInExcess(t *testing.T) {
+func TestExcessAnswerIsSkipped(t *testing.T) {
 	is := is.New(t)
-	server := listen(t, answering("HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 2\r\n\r\nno"+whole))
+	server := listen(t, respondWith("HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 2\r\n\r\nno"+completeAnswer))
 	pool := exchange.NewPool(exchange.Options{})
 	defer pool.CloseIdle(true)
 	for range 2 {
-		response, err := pool.Do(t.Context(), server.address(), ask("1"))
+		response, err := pool.Do(t.Context(), server.address(), requestWithID("1"))
 		is.NoErr(err)
 		body, err := io.ReadAll(response.Body)
 		is.NoErr(err)
 		is.Equal(string(body), "ok")
 		is.NoErr(response.Body.Close())
 	}
-	is.Equal(pool.Opened(), uint64(2)) // such a connection is not used again
+	is.Equal(pool.Opened(), uint64(2)) // a connection with an excess answer is not reused
 }
 
-func TestAConnectionWithStrayBytesIsNotReused(t *testing.T) {
+func TestConnectionWithStrayBytesIsNotReused(t *testing.T) {
 	is := is.New(t)
 	stray := make(chan struct{})
 	server := listen(t, func(connection net.Conn, reader *bufio.Reader) {
 		if _, _, err := readRequest(reader); err != nil {
 			return
 		}
-		_, _ = io.WriteString(connection, whole)
+		_, _ = io.WriteString(connection, completeAnswer)
 		time.Sleep(5 * time.Millisecond)
-		_, _ = io.WriteString(connection, whole)
+		_, _ = io.WriteString(connection, completeAnswer)
 		stray <- struct{}{}
 		_, _, _ = readRequest(reader)
 	})
 	pool := exchange.NewPool(exchange.Options{})
 	defer pool.CloseIdle(true)
 	for range 2 {
-		response, err := pool.Do(t.Context(), server.address(), ask("1"))
+		response, err := pool.Do(t.Context(), server.address(), requestWithID("1"))
 		is.NoErr(err)
 		_, err = io.ReadAll(response.Body)
 		is.NoErr(err)
@@ -205,19 +205,19 @@
 	is.Equal(pool.Opened(), uint64(2))
 }
 
-func TestAnEarlyAnswerEndsItsConnection(t *testing.T) {
+func TestEarlyAnswerClosesConnection(t *testing.T) {
 	is := is.New(t)
 	server := listen(t, func(connection net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		_, _ = io.WriteString(connection, whole)
+		_, _ = io.WriteString(connection, completeAnswer)
 		_, _ = io.Copy(io.Discard, reader)
 	})
 	pool := exchange.NewPool(exchange.Options{})
 	defer pool.CloseIdle(true)
-	long := ask("1")
-	long.Body = []byte(strings.Repeat("x", 32<<20)) // more than the sockets hold
+	long := requestWithID("1")
+	long.Body = []byte(strings.Repeat("x", 32<<20)) // more than the socket buffers hold
 	for range 2 {
 		response, err := pool.Do(t.Context(), server.address(), long)
 		is.NoErr(err)
@@ -228,19 +228,19 @@
 	is.Equal(pool.Opened(), uint64(2))
 }
 
-func TestWhatNeverLeftIsSaid(t *testing.T) {
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	is := is.New(t)
-	server := listen(t, answering(whole))
+	server := listen(t, respondWith(completeAnswer))
 	address := server.address()
 	_ = server.listener.Close()
-	_, err := exchange.NewPool(exchange.Options{}).Do(t.Context(), address, ask("1"))
+	_, err := exchange.NewPool(exchange.Options{}).Do(t.Context(), address, requestWithID("1"))
 	var failed *exchange.Error
 	is.True(errors.As(err, &failed))
 	is.True(!failed.Sent)
 }
 
-// A request that is withdrawn while its connection is opened never arrives.
-func TestAWithdrawnRequestNeverLeaves(t *testing.T) {
+// Guards against sending a request that is withdrawn while its connection is opened.
+func TestWithdrawnRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	arrived := make(chan struct{}, 1)
 	server := listen(t, func(_ net.Conn, reader *bufio.Reader) {
@@ -263,10 +263,10 @@
 
 func TestConnectionsToAnAddressAreBounded(t *testing.T) {
 	is := is.New(t)
-	server := listen(t, answering(whole))
+	server := listen(t, respondWith(completeAnswer))
 	pool := exchange.NewPool(exchange.Options{})
 	defer pool.CloseIdle(true)
-	bounded := ask("1")
+	bounded := requestWithID("1")
 	bounded.MaxConnections = 1
 	first, err := pool.Do(t.Context(), server.address(), bounded)
 	is.NoErr(err)
@@ -278,7 +278,7 @@
 	is.NoErr(second.Body.Close())
 }
 
-func TestAGivenUpExchangeEndsTheConnection(t *testing.T) {
+func TestCancelledExchangeClosesConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	server := listen(t, func(connection net.Conn, reader *bufio.Reader) {
@@ -289,7 +289,7 @@
 	})
 	pool := exchange.NewPool(exchange.Options{})
 	ctx, cancel := context.WithCancel(t.Context())
-	response, err := pool.Do(ctx, server.address(), ask("1"))
+	response, err := pool.Do(ctx, server.address(), requestWithID("1"))
 	is.NoErr(err)
 	cancel()
 	<-closed
@@ -298,7 +298,7 @@
 	_ = response.Body.Close()
 }
 
-func TestAnAnswerEndedByItsConnection(t *testing.T) {
+func TestAnswerEndedByConnectionClose(t *testing.T) {
 	cases := []struct {
 		name  string
 		reset bool
@@ -315,27 +315,27 @@
 				}
 			})
 			pool := exchange.NewPool(exchange.Options{})
-			response, err := pool.Do(t.Context(), server.address(), ask("1"))
+			response, err := pool.Do(t.Context(), server.address(), requestWithID("1"))
 			is.NoErr(err)
 			body, err := io.ReadAll(response.Body)
 			is.Equal(string(body), "ok")
-			is.Equal(err != nil, c.reset) // a reset proves no end
+			is.Equal(err != nil, c.reset) // a reset is not a proven end
 			is.NoErr(response.Body.Close())
 		})
 	}
 }
 
-func TestRestingConnectionsAreDroppedBeforeTheirPeerDoes(t *testing.T) {
+func TestIdleConnectionsAreDroppedBeforePeerTimeout(t *testing.T) {
 	is := is.New(t)
-	server := listen(t, answering("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\nKeep-Alive: timeout=1\r\n\r\nok"))
+	server := listen(t, respondWith("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\nKeep-Alive: timeout=1\r\n\r\nok"))
 	pool := exchange.NewPool(exchange.Options{})
-	response, err := pool.Do(t.Context(), server.address(), ask("1"))
+	response, err := pool.Do(t.Context(), server.address(), requestWithID("1"))
 	is.NoErr(err)
 	_, err = io.ReadAll(response.Body)
 	is.NoErr(err)
 	is.NoErr(response.Body.Close())
-	time.Sleep(850 * time.Millisecond) // past the margin before the second told
-	response, err = pool.Do(t.Context(), server.address(), ask("1"))
+	time.Sleep(850 * time.Millisecond) // within the margin before the advertised second
+	response, err = pool.Do(t.Context(), server.address(), requestWithID("1"))
 	is.NoErr(err)
 	is.NoErr(response.Body.Close())
 	is.Equal(pool.Opened(), uint64(2))
--- a/internal/exchange/idle.go
+++ b/internal/exchange/idle.go
@@ -3,35 +3,36 @@
 import "time"
 
 const (
-	// leastIdle is how long a connection may rest at least whose peer told no time.
-	leastIdle = time.Second
-	// idleKept is the part, in tenths, of the rest that a peer ended which later
-	// rests may last.
-	idleKept = 7
-	// idleGrowth is the part, in hundredths, by which the limit grows when a long
-	// rest turns out to have been borne.
-	idleGrowth = 5
+	// minIdle is the least idle limit, unless the configured one is shorter.
+	minIdle = time.Second
+	// shortenTenths is the new limit in tenths of the idle time after which a peer
+	// closed a connection.
+	shortenTenths = 7
+	// growthHundredths is the growth of the limit, in hundredths, when a connection
+	// is still open after a long idle time.
+	growthHundredths = 5
 )
 
-// idleLimit learns how long connections may rest whose peers tell no time. A rest
-// that a peer ended shortens it, long ones that were borne let it grow again, so
-// that peers which crash do not shorten it for good.
+// idleLimit adapts the idle time of connections whose peers advertise no timeout.
+// A close by a peer shortens it; connections still open after long idle times let
+// it grow again, so that crashes of peers do not shorten it permanently.
 type idleLimit struct {
-	current, most time.Duration
+	current, longest time.Duration
 }
 
-func newIdleLimit(most time.Duration) idleLimit {
-	return idleLimit{current: most, most: most}
+func newIdleLimit(longest time.Duration) idleLimit {
+	return idleLimit{current: longest, longest: longest}
 }
 
-// ended takes in that a peer ended a connection which had rested for so long.
-func (l *idleLimit) ended(rested time.Duration) {
-	l.current = min(l.current, max(rested*idleKept/10, min(leastIdle, l.most)))
+// shorten reduces the limit after a peer closed a connection idle for this time.
+func (l *idleLimit) shorten(idleTime time.Duration) {
+	l.current = min(l.current, max(idleTime*shortenTenths/10, min(minIdle, l.longest)))
 }
 
-// borne takes in that a connection was still open after a rest.
-func (l *idleLimit) borne(rested time.Duration) {
-	if 2*rested >= l.current {
-		l.current = min(l.current+l.current*idleGrowth/100, l.most)
+// extend raises the limit after a connection idle for this time was still open,
+// unless the time was short.
+func (l *idleLimit) extend(idleTime time.Duration) {
+	if 2*idleTime >= l.current {
+		l.current = min(l.current+l.current*growthHundredths/100, l.longest)
 	}
 }
--- a/internal/exchange/idle_test.go
+++ b/internal/exchange/idle_test.go
@@ -7,37 +7,37 @@
 	"github.com/matryer/is"
 )
 
-func TestTheLimitOfRestsFollowsThePeers(t *testing.T) {
+func TestIdleLimitAdaptsToPeers(t *testing.T) {
 	const most = 10 * time.Second
-	type rest struct {
+	type idlePeriod struct {
 		lasted time.Duration
 		ended  bool
 		times  int
 	}
 	tests := []struct {
-		name string
-		most time.Duration
-		rest []rest
-		want time.Duration
+		name    string
+		most    time.Duration
+		periods []idlePeriod
+		want    time.Duration
 	}{
-		{"nothing seen", most, nil, most},
-		{"a rest was ended", most, []rest{{5 * time.Second, true, 1}}, 3500 * time.Millisecond},
-		{"a longer one after it", most, []rest{{5 * time.Second, true, 1}, {8 * time.Second, true, 1}}, 3500 * time.Millisecond},
-		{"crashes of peers", most, []rest{{time.Millisecond, true, 9}}, leastIdle},
-		{"short rests say nothing", most, []rest{{time.Millisecond, true, 1}, {400 * time.Millisecond, false, 99}}, leastIdle},
-		{"long rests are borne again", most, []rest{{time.Millisecond, true, 1}, {most, false, 99}}, most},
-		{"a short bound stands", 500 * time.Millisecond, []rest{{time.Millisecond, true, 1}}, 500 * time.Millisecond},
+		{"no observation", most, nil, most},
+		{"closed by the peer", most, []idlePeriod{{5 * time.Second, true, 1}}, 3500 * time.Millisecond},
+		{"closed again after a longer time", most, []idlePeriod{{5 * time.Second, true, 1}, {8 * time.Second, true, 1}}, 3500 * time.Millisecond},
+		{"crashes of peers", most, []idlePeriod{{time.Millisecond, true, 9}}, minIdle},
+		{"short idle times do not extend", most, []idlePeriod{{time.Millisecond, true, 1}, {400 * time.Millisecond, false, 99}}, minIdle},
+		{"long idle times extend", most, []idlePeriod{{time.Millisecond, true, 1}, {most, false, 99}}, most},
+		{"a short configured limit is kept", 500 * time.Millisecond, []idlePeriod{{time.Millisecond, true, 1}}, 500 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			limit := newIdleLimit(tt.most)
-			for _, seen := range tt.rest {
-				for range seen.times {
-					if seen.ended {
-						limit.ended(seen.lasted)
+			for _, observed := range tt.periods {
+				for range observed.times {
+					if observed.ended {
+						limit.shorten(observed.lasted)
 					} else {
-						limit.borne(seen.lasted)
+						limit.extend(observed.lasted)
 					}
 				}
 			}
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -12,20 +12,20 @@
 	"github.com/pkg/errors"
 )
 
-// Options bounds the connections of a Pool. Zero values take the defaults.
+// Options configures a Pool. Zero values take the defaults.
 type Options struct {
-	// ConnectTimeout bounds opening a connection. Default: 300ms.
+	// ConnectTimeout limits opening a connection. Default: 300ms.
 	ConnectTimeout time.Duration
-	// UserTimeout is how long sent bytes may stay unacknowledged, and how long
-	// probes may where nothing is sent, besides the time between two of them. Default: 1s.
+	// UserTimeout is how long sent bytes may stay unacknowledged, and likewise
+	// keep-alive probes, in addition to the probe interval. Default: 1s.
 	UserTimeout time.Duration
-	// IdleTimeout is how long a connection rests at most whose peer told no
-	// time; it rests shorter once peers were seen to end such rests.
+	// IdleTimeout limits the idle time of connections whose peer advertises no
+	// timeout; the limit shrinks when peers close idle connections earlier.
 	// Default: 15s.
 	IdleTimeout time.Duration
-	// MaxHeaderBytes bounds the header of an answer. Default: 64 KiB.
+	// MaxHeaderBytes limits the header of an answer. Default: 64 KiB.
 	MaxHeaderBytes int
-	// MaxIdlePerAddress bounds resting connections to one address. Default: 64.
+	// MaxIdlePerAddress limits idle connections to one address. Default: 64.
 	MaxIdlePerAddress int
 }
 
@@ -37,12 +37,12 @@
 	defaultMaxIdle        = 64
 	// readerBytes is the size of a connection's read buffer.
 	readerBytes = 2 << 10
-	// idleMargin is how long before the peer's own time a resting connection
-	// is no longer used, so that no request crosses its close.
+	// idleMargin is how long before the peer's idle timeout a connection is no
+	// longer used, so that no request races with the close.
 	idleMargin = 200 * time.Millisecond
 )
 
-// ErrConnectionLimit says that all connections allowed to an address are in use.
+// ErrConnectionLimit is the cause if all connections allowed to an address are in use.
 var ErrConnectionLimit = errors.New("all connections allowed to the back end are in use")
 
 // Pool keeps connections to back ends. It is safe for concurrent use.
@@ -53,10 +53,10 @@
 	mutex   sync.Mutex
 	targets map[string]*target
 	opened  uint64
-	// silent counts the connections that were found silent.
+	// silent counts the connections detected as silent.
 	silent   uint64
-	suspects suspicion
-	// idle bounds rests that no peer bounds.
+	silences silenceDetector
+	// idle limits idle times for which the peer advertises no timeout.
 	idle idleLimit
 }
 
@@ -77,7 +77,7 @@
 		options: options,
 		dialer: net.Dialer{
 			Timeout:         options.ConnectTimeout,
-			KeepAliveConfig: proofOfLife,
+			KeepAliveConfig: keepAliveProbes,
 			Control: func(_, _ string, raw syscall.RawConn) error {
 				return setUserTimeout(raw, options.UserTimeout)
 			},
@@ -94,48 +94,48 @@
 	return p.opened
 }
 
-// get returns a connection for one exchange: the one that rested the shortest
-// time, or a new one. limit is the most connections to the address, 0 none.
+// get returns a connection for one exchange: the one idle for the shortest time,
+// or a new one. limit bounds the connections to the address; 0 means no limit.
 func (p *Pool) get(ctx context.Context, address string, limit int) (*connection, error) {
 	for {
-		resting, full := p.take(address, limit)
+		conn, full := p.acquire(address, limit)
 		if full {
 			return nil, ErrConnectionLimit
 		}
-		if resting == nil {
+		if conn == nil {
 			return p.dial(ctx, address)
 		}
-		found := resting.look()
-		p.rested(resting, found)
-		switch found {
-		case restOpen:
-			return resting, nil
-		case restSilent:
-			p.drop(resting)
-			p.foundSilent(address, time.Now().Add(-probeInterval))
+		state := conn.checkIdle()
+		p.observeIdle(conn, state)
+		switch state {
+		case idleOpen:
+			return conn, nil
+		case idleSilent:
+			p.drop(conn)
+			p.recordSilent(address, time.Now().Add(-probeInterval))
 		default:
-			p.drop(resting)
+			p.drop(conn)
 		}
 	}
 }
 
-// rested takes in what became of a connection during its rest.
-func (p *Pool) rested(used *connection, found rest) {
-	if used.told || found == restSilent {
+// observeIdle adapts the idle limit to the state of a connection after its idle time.
+func (p *Pool) observeIdle(used *connection, state idleState) {
+	if used.timeoutAdvertised || state == idleSilent {
 		return
 	}
-	lasted := time.Since(used.idleSince)
+	duration := time.Since(used.idleSince)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if found == restOpen {
-		p.idle.borne(lasted)
+	if state == idleOpen {
+		p.idle.extend(duration)
 	} else {
-		p.idle.ended(lasted)
+		p.idle.shorten(duration)
 	}
 }
 
-// take returns a resting connection, or nil after counting a new one.
-func (p *Pool) take(address string, limit int) (resting *connection, full bool) {
+// acquire returns an idle connection, or nil after counting a new one as open.
+func (p *Pool) acquire(address string, limit int) (conn *connection, full bool) {
 	now := time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -159,67 +159,67 @@
 	return nil, false
 }
 
-// closeIdle closes all resting connections of a target; the caller holds the mutex.
+// closeIdle closes all idle connections of a target; the caller holds the mutex.
 func (p *Pool) closeIdle(known *target) {
-	for _, resting := range known.idle {
-		_ = resting.Close()
+	for _, conn := range known.idle {
+		_ = conn.Close()
 		known.open--
 	}
 	known.idle = known.idle[:0]
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (*connection, error) {
-	begun := time.Now()
+	start := time.Now()
 	opened, err := p.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
-		p.forget(address)
+		p.release(address)
 		return nil, errors.Wrap(err, "open a connection")
 	}
-	p.connected(address)
+	p.recordConnected(address)
 	return &connection{
 		Conn: opened, address: address, reader: bufio.NewReaderSize(opened, readerBytes),
-		ackWithin: p.options.UserTimeout, opening: time.Since(begun),
+		ackTimeout: p.options.UserTimeout, connectTime: time.Since(start),
 	}, nil
 }
 
-// put takes back a connection whose exchange is whole. keep is how long the
-// peer keeps it open, 0 if it told nothing.
-func (p *Pool) put(used *connection, keep time.Duration) {
-	used.told = keep > 0
-	if used.told && keep <= idleMargin {
+// put returns a connection to the pool after a complete exchange. idleTimeout is
+// the one that the peer advertised, 0 if none.
+func (p *Pool) put(used *connection, idleTimeout time.Duration) {
+	used.timeoutAdvertised = idleTimeout > 0
+	if used.timeoutAdvertised && idleTimeout <= idleMargin {
 		p.drop(used)
 		return
 	}
 	used.idleSince = time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if !used.told {
-		keep = p.idle.current
+	if !used.timeoutAdvertised {
+		idleTimeout = p.idle.current
 	}
-	used.idleUntil = used.idleSince.Add(keep - idleMargin)
+	used.idleUntil = used.idleSince.Add(idleTimeout - idleMargin)
 	known := p.targets[used.address]
 	if known == nil || len(known.idle) >= p.options.MaxIdlePerAddress {
 		_ = used.Close()
-		p.release(used.address)
+		p.releaseLocked(used.address)
 		return
 	}
 	known.idle = append(known.idle, used)
 }
 
-// drop closes a connection that is not to be used again.
+// drop closes a connection instead of reusing it.
 func (p *Pool) drop(used *connection) {
 	_ = used.Close()
-	p.forget(used.address)
+	p.release(used.address)
 }
 
-func (p *Pool) forget(address string) {
+func (p *Pool) release(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.release(address)
+	p.releaseLocked(address)
 }
 
-// release counts a connection as closed; the caller holds the mutex.
-func (p *Pool) release(address string) {
+// releaseLocked counts a connection as closed; the caller holds the mutex.
+func (p *Pool) releaseLocked(address string) {
 	known := p.targets[address]
 	if known == nil {
 		return
@@ -230,20 +230,20 @@
 	}
 }
 
-// CloseIdle closes every resting connection whose time is over, or all of them.
+// CloseIdle closes the idle connections that have expired, or all of them.
 func (p *Pool) CloseIdle(all bool) {
 	now := time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.suspects.prune(now)
+	p.silences.prune(now)
 	for address, known := range p.targets {
 		kept := known.idle[:0]
-		for _, resting := range known.idle {
-			if !all && now.Before(resting.idleUntil) {
-				kept = append(kept, resting)
+		for _, conn := range known.idle {
+			if !all && now.Before(conn.idleUntil) {
+				kept = append(kept, conn)
 				continue
 			}
-			_ = resting.Close()
+			_ = conn.Close()
 			known.open--
 		}
 		known.idle = kept
--- a/internal/exchange/silence.go
+++ b/internal/exchange/silence.go
@@ -6,56 +6,56 @@
 	"github.com/apex/log"
 )
 
-// Silent returns how many connections were found silent so far.
+// Silent returns how many connections were detected as silent so far.
 func (p *Pool) Silent() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.silent
 }
 
-// foundSilent takes in that a connection has been silent since a time. The resting
-// ones to the same address that were not heard since are closed.
-func (p *Pool) foundSilent(address string, since time.Time) {
+// recordSilent records that a connection has been silent since a time. It closes
+// the idle connections to the same address whose peer was not heard since.
+func (p *Pool) recordSilent(address string, since time.Time) {
 	p.mutex.Lock()
 	p.silent++
-	p.suspects.silent(time.Now(), address, since)
+	p.silences.recordSilent(time.Now(), address, since)
 	closed := 0
 	if known := p.targets[address]; known != nil {
-		closed = p.closeUnheard(known, since)
+		closed = p.closeIdleBefore(known, since)
 	}
 	p.mutex.Unlock()
 	log.WithFields(log.Fields{"address": address, "closed": closed}).Info("connection_silent")
 }
 
-// connected counts a new connection. If it shows that an address lives to which a
-// connection fell silent, all resting ones of that time are closed, to whatever
-// address.
-func (p *Pool) connected(address string) {
+// recordConnected counts a new connection. If it proves that an address with a
+// silent connection is reachable, the idle connections to all addresses whose
+// peer was not heard since the silence are closed.
+func (p *Pool) recordConnected(address string) {
 	p.mutex.Lock()
 	p.opened++
-	since, all := p.suspects.opened(time.Now(), address)
+	since, suspectAll := p.silences.recordConnected(time.Now(), address)
 	closed := 0
-	if all {
+	if suspectAll {
 		for _, known := range p.targets {
-			closed += p.closeUnheard(known, since)
+			closed += p.closeIdleBefore(known, since)
 		}
 	}
 	p.mutex.Unlock()
-	if all {
+	if suspectAll {
 		log.WithFields(log.Fields{"closed": closed}).Warn("connections_suspected")
 	}
 }
 
-// closeUnheard closes the resting connections whose peer was not heard since a
-// time, and returns how many there were; the caller holds the mutex.
-func (p *Pool) closeUnheard(known *target, since time.Time) int {
+// closeIdleBefore closes the idle connections whose peer was not heard since a
+// time, and returns their number; the caller holds the mutex.
+func (p *Pool) closeIdleBefore(known *target, since time.Time) int {
 	kept := known.idle[:0]
-	for _, resting := range known.idle {
-		if resting.idleSince.After(since) {
-			kept = append(kept, resting)
+	for _, conn := range known.idle {
+		if conn.idleSince.After(since) {
+			kept = append(kept, conn)
 			continue
 		}
-		_ = resting.Close()
+		_ = conn.Close()
 	}
 	closed := len(known.idle) - len(kept)
 	known.idle = kept
--- a/internal/exchange/silence_test.go
+++ b/internal/exchange/silence_test.go
@@ -17,23 +17,23 @@
 	"github.com/fieldpond/fieldpond/internal/relaytest"
 )
 
-// ackBound is the shortest bound that the tests use; foundWithin is far above what
-// the kernel takes to find a silent connection with it (0.7 s under way, 2.1 s at rest).
+// ackBound is the shortest timeout that the tests use; detectTimeout is far above the
+// time in which the kernel detects a silent connection with it.
 const (
-	ackBound    = 250 * time.Millisecond
-	foundWithin = 15 * time.Second
+	ackBound      = 250 * time.Millisecond
+	detectTimeout = 15 * time.Second
 )
 
-// behindRelay starts a back end whose connections can be made silent.
+// behindRelay starts a back end behind a relay that can silence its connections.
 func behindRelay(t *testing.T, serve func(net.Conn, *bufio.Reader)) *relaytest.Relay {
 	t.Helper()
 	return relaytest.New(t, netip.MustParseAddrPort(listen(t, serve).address()))
 }
 
-// exchangeWhole makes one whole exchange.
-func exchangeWhole(t *testing.T, pool *exchange.Pool, relay *relaytest.Relay) error {
+// doExchange makes one complete exchange.
+func doExchange(t *testing.T, pool *exchange.Pool, relay *relaytest.Relay) error {
 	t.Helper()
-	response, err := pool.Do(t.Context(), relay.Addr().String(), ask("1"))
+	response, err := pool.Do(t.Context(), relay.Addr().String(), requestWithID("1"))
 	if err != nil {
 		return err
 	}
@@ -43,13 +43,13 @@
 	return response.Body.Close()
 }
 
-// restingPair leaves two resting connections to the relay.
-func restingPair(t *testing.T, pool *exchange.Pool, relay *relaytest.Relay) {
+// openIdlePair leaves two idle connections to the relay.
+func openIdlePair(t *testing.T, pool *exchange.Pool, relay *relaytest.Relay) {
 	t.Helper()
 	is := is.New(t)
 	var open []*exchange.Response
 	for range 2 {
-		response, err := pool.Do(t.Context(), relay.Addr().String(), ask("1"))
+		response, err := pool.Do(t.Context(), relay.Addr().String(), requestWithID("1"))
 		is.NoErr(err)
 		_, err = io.ReadAll(response.Body)
 		is.NoErr(err)
@@ -61,48 +61,48 @@
 	is.Equal(relay.Taken(), 2)
 }
 
-// silentWithin checks that an error tells of a silent connection, in time.
-func silentWithin(t *testing.T, begun time.Time, err error) {
+// checkSilentError checks that an error reports a silent connection in time.
+func checkSilentError(t *testing.T, start time.Time, err error) {
 	t.Helper()
 	is := is.New(t)
 	var failed *exchange.Error
 	is.True(errors.As(err, &failed))
 	is.True(failed.Sent)
 	is.True(failed.Silent)
-	is.True(time.Since(begun) < foundWithin)
+	is.True(time.Since(start) < detectTimeout)
 }
 
-func TestARequestOnASilentConnectionFailsInTime(t *testing.T) {
+func TestRequestOnSilentConnectionFailsInTime(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	relay := behindRelay(t, answering(whole))
+	relay := behindRelay(t, respondWith(completeAnswer))
 	pool := exchange.NewPool(exchange.Options{UserTimeout: ackBound})
 	defer pool.CloseIdle(true)
-	restingPair(t, pool, relay)
+	openIdlePair(t, pool, relay)
 	is.NoErr(relay.Silence())
 	begun := time.Now()
-	silentWithin(t, begun, exchangeWhole(t, pool, relay))
-	is.NoErr(exchangeWhole(t, pool, relay)) // the other resting one is not tried
+	checkSilentError(t, begun, doExchange(t, pool, relay))
+	is.NoErr(doExchange(t, pool, relay)) // the other idle connection is not tried
 	is.Equal(relay.Taken(), 3)
 	is.Equal(pool.Silent(), uint64(1))
 }
 
-func TestTheBoundOfARequestCounts(t *testing.T) {
+func TestAckTimeoutOfRequestApplies(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	relay := behindRelay(t, answering(whole))
+	relay := behindRelay(t, respondWith(completeAnswer))
 	pool := exchange.NewPool(exchange.Options{UserTimeout: time.Hour})
 	defer pool.CloseIdle(true)
-	is.NoErr(exchangeWhole(t, pool, relay))
+	is.NoErr(doExchange(t, pool, relay))
 	is.NoErr(relay.Silence())
-	request := ask("1")
+	request := requestWithID("1")
 	request.AckTimeout = ackBound
 	begun := time.Now()
 	_, err := pool.Do(t.Context(), relay.Addr().String(), request)
-	silentWithin(t, begun, err)
+	checkSilentError(t, begun, err)
 }
 
-func TestAnAnswerUnderWayThatFallsSilentFailsInTime(t *testing.T) {
+func TestAnswerOnSilentConnectionFailsInTime(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	relay := behindRelay(t, func(connection net.Conn, reader *bufio.Reader) {
@@ -111,7 +111,7 @@
 		_, _ = reader.ReadByte()
 	})
 	pool := exchange.NewPool(exchange.Options{UserTimeout: ackBound})
-	response, err := pool.Do(t.Context(), relay.Addr().String(), ask("1"))
+	response, err := pool.Do(t.Context(), relay.Addr().String(), requestWithID("1"))
 	is.NoErr(err)
 	begun := make([]byte, 2)
 	_, err = io.ReadFull(response.Body, begun)
@@ -120,47 +120,47 @@
 	at := time.Now()
 	_, err = io.ReadAll(response.Body)
 	is.True(err != nil)
-	is.True(time.Since(at) < foundWithin)
+	is.True(time.Since(at) < detectTimeout)
 	is.NoErr(response.Body.Close())
 	is.Equal(pool.Silent(), uint64(1))
 }
 
-func TestASlowAnswerIsNotTakenForSilence(t *testing.T) {
+func TestSlowAnswerIsNotSilent(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	relay := behindRelay(t, func(connection net.Conn, reader *bufio.Reader) {
 		_, _, _ = readRequest(reader)
-		time.Sleep(3 * time.Second) // longer than the kernel takes to find a silent peer
-		_, _ = io.WriteString(connection, whole)
+		time.Sleep(3 * time.Second) // longer than the kernel needs to detect a silent peer
+		_, _ = io.WriteString(connection, completeAnswer)
 	})
 	pool := exchange.NewPool(exchange.Options{UserTimeout: ackBound})
 	defer pool.CloseIdle(true)
-	is.NoErr(exchangeWhole(t, pool, relay))
+	is.NoErr(doExchange(t, pool, relay))
 }
 
-// The window of a back end that reads a long body late is closed for a time; its machine
-// answers all the while, so that the request must not fail.
-func TestABackEndThatReadsALongBodyLateIsNotSilent(t *testing.T) {
+// Guards against treating a back end as silent that reads a long body late: its
+// receive window is closed, but its kernel still acknowledges.
+func TestLateReaderOfLongBodyIsNotSilent(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name  string
 		bytes int
 	}{
-		{"a body that the window takes", 32 << 10},
-		{"one that it does not", 16 << 20},
+		{"a body that fits the window", 32 << 10},
+		{"one that does not fit", 16 << 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			answer := answering("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 0\r\n\r\n")
+			answer := respondWith("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 0\r\n\r\n")
 			late := listen(t, func(connection net.Conn, reader *bufio.Reader) {
 				time.Sleep(8 * ackBound)
 				answer(connection, reader)
 			})
 			pool := exchange.NewPool(exchange.Options{})
 			t.Cleanup(func() { pool.CloseIdle(true) })
-			request := ask("1")
+			request := requestWithID("1")
 			request.Method, request.Body, request.AckTimeout = http.MethodPost, make([]byte, tt.bytes), ackBound
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
@@ -174,37 +174,37 @@
 	}
 }
 
-func TestARestingConnectionThatFellSilentIsNotUsed(t *testing.T) {
+func TestSilentIdleConnectionIsNotUsed(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	relay := behindRelay(t, answering(whole))
+	relay := behindRelay(t, respondWith(completeAnswer))
 	pool := exchange.NewPool(exchange.Options{UserTimeout: ackBound})
 	defer pool.CloseIdle(true)
-	restingPair(t, pool, relay)
+	openIdlePair(t, pool, relay)
 	is.NoErr(relay.Silence())
-	time.Sleep(4 * time.Second) // twice what the kernel takes
-	is.NoErr(exchangeWhole(t, pool, relay))
+	time.Sleep(4 * time.Second) // twice what the kernel needs
+	is.NoErr(doExchange(t, pool, relay))
 	is.Equal(relay.Taken(), 3)
 	is.Equal(pool.Silent(), uint64(1))
 }
 
-func TestSilenceAtAnAddressThatLivesIsTakenForThatOfAll(t *testing.T) {
+func TestSilenceAtReachableAddressClosesAllIdle(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	pool := exchange.NewPool(exchange.Options{UserTimeout: ackBound})
 	defer pool.CloseIdle(true)
 	var relays []*relaytest.Relay
 	for range 3 {
-		relay := behindRelay(t, answering(whole))
-		is.NoErr(exchangeWhole(t, pool, relay))
+		relay := behindRelay(t, respondWith(completeAnswer))
+		is.NoErr(doExchange(t, pool, relay))
 		relays = append(relays, relay)
 	}
 	for _, relay := range relays {
 		is.NoErr(relay.Silence())
 	}
-	silentWithin(t, time.Now(), exchangeWhole(t, pool, relays[0]))
+	checkSilentError(t, time.Now(), doExchange(t, pool, relays[0]))
 	for _, relay := range relays {
-		is.NoErr(exchangeWhole(t, pool, relay)) // the others without a failure before
+		is.NoErr(doExchange(t, pool, relay)) // the other addresses without a failure first
 		is.Equal(relay.Taken(), 2)
 	}
 }
--- a/internal/exchange/silencedetector.go
+++ b/internal/exchange/silencedetector.go
@@ -2,52 +2,52 @@
 
 import "time"
 
-// suspicionMemory is how long after a connection was found silent a new one to its
-// address shows that the address lived meanwhile: back ends that crashed are away for
-// longer, seconds at least.
-const suspicionMemory = 2 * time.Second
+// confirmationWindow is how long after a connection was found silent a new one to its
+// address proves that the address was reachable all along: crashed back ends are
+// unreachable for longer.
+const confirmationWindow = 2 * time.Second
 
-// finding is a connection that was found silent.
+// finding is a connection found silent.
 type finding struct {
 	at time.Time
-	// since is a time at which the connection was silent already.
+	// since is a time at which the connection was already silent.
 	since time.Time
 }
 
-// suspicion decides when the silence of a connection is taken for a fault of all that
-// were open then. An address that takes no new connection says nothing: it is down,
-// and the others are not. To wait for a second address that lives costs 23 of 192
-// unsafe requests on a day with four such faults, and saves no new connection on
-// days without one.
-type suspicion struct{ found map[string]finding }
+// silenceDetector decides whether a silent connection indicates a fault of all that
+// were open then: only if its address accepts new connections. Otherwise that address
+// is down, which is no evidence about others. One reachable address is enough, since
+// waiting for a second one fails more requests.
+type silenceDetector struct{ findings map[string]finding }
 
-// silent takes in that a connection to an address has been silent since a time.
-func (s *suspicion) silent(now time.Time, address string, since time.Time) {
-	if s.found == nil {
-		s.found = make(map[string]finding)
+// recordSilent records that a connection to an address has been silent since a time.
+func (s *silenceDetector) recordSilent(now time.Time, address string, since time.Time) {
+	if s.findings == nil {
+		s.findings = make(map[string]finding)
 	}
-	if known, found := s.found[address]; found && now.Sub(known.at) <= suspicionMemory {
+	if known, found := s.findings[address]; found && now.Sub(known.at) <= confirmationWindow {
 		return
 	}
-	s.found[address] = finding{at: now, since: since}
+	s.findings[address] = finding{at: now, since: since}
 }
 
-// opened takes in that a new connection to an address was opened. It returns true,
-// once, if no connection that was not heard since the returned time is to be used.
-func (s *suspicion) opened(now time.Time, address string) (since time.Time, all bool) {
-	known, found := s.found[address]
+// recordConnected records a new connection to an address. It returns true, once per
+// finding, if all connections whose peer was not heard since the returned time are
+// suspect.
+func (s *silenceDetector) recordConnected(now time.Time, address string) (since time.Time, suspectAll bool) {
+	known, found := s.findings[address]
 	if !found {
 		return time.Time{}, false
 	}
-	delete(s.found, address)
-	return known.since, now.Sub(known.at) <= suspicionMemory
+	delete(s.findings, address)
+	return known.since, now.Sub(known.at) <= confirmationWindow
 }
 
-// prune forgets findings that are too old to be confirmed.
-func (s *suspicion) prune(now time.Time) {
-	for address, known := range s.found {
-		if now.Sub(known.at) > suspicionMemory {
-			delete(s.found, address)
+// prune removes findings that are too old to be confirmed.
+func (s *silenceDetector) prune(now time.Time) {
+	for address, known := range s.findings {
+		if now.Sub(known.at) > confirmationWindow {
+			delete(s.findings, address)
 		}
 	}
 }
--- a/internal/exchange/silencedetector_test.go
+++ b/internal/exchange/silencedetector_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWhenAllConnectionsAreSuspected(t *testing.T) {
+func TestAllConnectionsAreSuspected(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	type event struct {
 		at      time.Duration
@@ -19,30 +19,30 @@
 		events []event
 		want   int
 	}{
-		{"nothing was found", []event{{0, "a", true}, {1, "b", true}}, 0},
-		{"an address that lives", []event{{0, "a", false}, {1, "a", true}, {2, "a", true}}, 1},
+		{"no silent connection", []event{{0, "a", true}, {1, "b", true}}, 0},
+		{"a reachable address", []event{{0, "a", false}, {1, "a", true}, {2, "a", true}}, 1},
 		{"an address that is down", []event{{0, "a", false}, {1, "b", true}}, 0},
 		{"one of two is down", []event{{0, "a", false}, {1, "b", false}, {2, "a", true}, {3, "c", true}}, 1},
-		{"one that came back late", []event{{0, "a", false}, {3 * time.Second, "a", true}}, 0},
-		{"one found again, as it came back", []event{{0, "a", false}, {3 * time.Second, "a", false}, {3*time.Second + 1, "a", true}}, 1},
+		{"one reachable again late", []event{{0, "a", false}, {3 * time.Second, "a", true}}, 0},
+		{"one found silent again and then reachable", []event{{0, "a", false}, {3 * time.Second, "a", false}, {3*time.Second + 1, "a", true}}, 1},
 		{"the first finding counts", []event{{0, "a", false}, {time.Second, "a", false}, {time.Second + 1, "a", true}}, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			var suspects suspicion
+			var suspects silenceDetector
 			silentSince := map[string]time.Time{}
 			count := 0
 			for _, event := range tt.events {
 				now := begin.Add(event.at)
 				if !event.opened {
-					if now.Sub(silentSince[event.address]) > suspicionMemory+time.Second {
+					if now.Sub(silentSince[event.address]) > confirmationWindow+time.Second {
 						silentSince[event.address] = now.Add(-time.Second)
 					}
-					suspects.silent(now, event.address, now.Add(-time.Second))
+					suspects.recordSilent(now, event.address, now.Add(-time.Second))
 					continue
 				}
-				since, all := suspects.opened(now, event.address)
+				since, all := suspects.recordConnected(now, event.address)
 				if all {
 					count++
 					is.Equal(since, silentSince[event.address])
@@ -53,13 +53,13 @@
 	}
 }
 
-func TestFindingsAreForgotten(t *testing.T) {
+func TestOldFindingsArePruned(t *testing.T) {
 	is := is.New(t)
 	begin := time.Unix(1000, 0)
-	var suspects suspicion
-	suspects.silent(begin, "a", begin)
-	suspects.prune(begin.Add(suspicionMemory))
-	is.Equal(len(suspects.found), 1)
-	suspects.prune(begin.Add(suspicionMemory + 1))
-	is.Equal(len(suspects.found), 0)
+	var suspects silenceDetector
+	suspects.recordSilent(begin, "a", begin)
+	suspects.prune(begin.Add(confirmationWindow))
+	is.Equal(len(suspects.findings), 1)
+	suspects.prune(begin.Add(confirmationWindow + 1))
+	is.Equal(len(suspects.findings), 0)
 }
--- a/internal/exchange/socket.go
+++ b/internal/exchange/socket.go
@@ -9,31 +9,31 @@
 	"github.com/pkg/errors"
 )
 
-// Socket options of Linux that package syscall does not name.
+// Linux socket options that package syscall does not define.
 const (
 	// tcpUserTimeout is TCP_USER_TIMEOUT.
 	tcpUserTimeout = 0x12
-	// siocOutQueue is SIOCOUTQ: the bytes sent and not yet acknowledged.
+	// siocOutQueue is SIOCOUTQ: the number of unacknowledged bytes.
 	siocOutQueue = 0x5411
 )
 
 const (
-	// probeInterval is the time between two keep-alive probes of a connection on
-	// which nothing moves, and before the first one: the least the kernel knows. A
-	// connection that fell silent ends two of them later (2.05 s on Linux 6.18).
+	// probeInterval is the time between two keep-alive probes of an idle connection
+	// and before the first one, the least the kernel allows. A silent connection
+	// ends after two intervals.
 	probeInterval = time.Second
-	// probeCount is the number of probes without an answer that end a connection
-	// without a user timeout; with one, the timeout counts.
+	// probeCount is the number of unanswered probes that end a connection; it has
+	// no effect with a user timeout.
 	probeCount = 2
 )
 
-// proofOfLife lets the kernel ask peers of resting connections whether they are
-// still there. Probes carry no request and cost a peer no work.
-var proofOfLife = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount}
+// keepAliveProbes makes the kernel probe the peers of idle connections. Probes
+// carry no data and cost the back end no work.
+var keepAliveProbes = net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount}
 
-// setUserTimeout makes the kernel give up a connection whose peer does not
-// acknowledge what was sent for so long. The first retransmission, 200 ms after
-// the sending at least, always gets its chance.
+// setUserTimeout makes the kernel end a connection whose peer does not acknowledge
+// sent bytes for so long. The first retransmission, 200 ms after the sending at the
+// earliest, always takes place.
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var failed error
 	err := raw.Control(func(descriptor uintptr) {
@@ -45,27 +45,27 @@
 	return failed
 }
 
-// rest is what became of a resting connection.
-type rest uint8
+// idleState is the state of a connection after its idle time.
+type idleState uint8
 
 const (
-	// restOpen is a connection on which nothing came.
-	restOpen rest = iota
-	// restEnded is one that its peer ended, or that carries bytes which no request
-	// asked for.
-	restEnded
-	// restSilent is one whose peer did not answer probes.
-	restSilent
+	// idleOpen means that nothing was received.
+	idleOpen idleState = iota
+	// idleClosed means that the peer closed the connection or sent bytes that belong
+	// to no request.
+	idleClosed
+	// idleSilent means that the peer did not answer probes.
+	idleSilent
 )
 
-// look tells what became of a resting connection.
-func (c *connection) look() rest {
+// checkIdle returns the state of an idle connection without reading from it.
+func (c *connection) checkIdle() idleState {
 	if c.reader.Buffered() > 0 {
-		return restEnded
+		return idleClosed
 	}
 	raw := c.raw()
 	if raw == nil {
-		return restEnded
+		return idleClosed
 	}
 	var found error
 	var peeked [1]byte
@@ -74,15 +74,15 @@
 	})
 	switch {
 	case err == nil && found == syscall.EAGAIN:
-		return restOpen
-	case silent(found):
-		return restSilent
+		return idleOpen
+	case isSilent(found):
+		return idleSilent
 	default:
-		return restEnded
+		return idleClosed
 	}
 }
 
-// unacknowledged reports whether bytes sent are still on their way.
+// unacknowledged reports whether sent bytes are not acknowledged yet.
 func (c *connection) unacknowledged() bool {
 	raw := c.raw()
 	if raw == nil {
@@ -96,19 +96,19 @@
 	return err == nil && errno == 0 && count > 0
 }
 
-// expectAcks bounds how long sent bytes may stay unacknowledged.
-func (c *connection) expectAcks(within time.Duration) {
-	if within == c.ackWithin {
+// setAckTimeout limits how long sent bytes may stay unacknowledged.
+func (c *connection) setAckTimeout(within time.Duration) {
+	if within == c.ackTimeout {
 		return
 	}
 	raw := c.raw()
 	if raw == nil {
 		return
 	}
-	// A connection that refuses keeps its former bound; it fails by itself if it
-	// is closed.
+	// On an error the previous timeout stays; a closed connection fails on its next
+	// use.
 	if setUserTimeout(raw, within) == nil {
-		c.ackWithin = within
+		c.ackTimeout = within
 	}
 }
 
@@ -124,6 +124,6 @@
 	return raw
 }
 
-// silent reports whether an error says that the peer acknowledged neither bytes nor
-// probes in time.
-func silent(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
+// isSilent reports whether an error means that the peer acknowledged neither bytes
+// nor probes in time.
+func isSilent(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
--- a/internal/httpclient/body.go
+++ b/internal/httpclient/body.go
@@ -9,11 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBodyTooLarge is returned for a body above the reader's bound.
+// ErrBodyTooLarge is returned for a body above the size limit.
 var ErrBodyTooLarge = errors.New("response body above its size limit")
 
-// ReadBody reads the whole body of a response, at most limit bytes, and closes
-// it.
+// ReadBody reads the whole body of a response, at most limit bytes, and closes it.
 func ReadBody(response *http.Response, limit int64) ([]byte, error) {
 	defer func() { _ = response.Body.Close() }()
 	if response.ContentLength > limit {
@@ -29,8 +28,8 @@
 	return data, nil
 }
 
-// RetryAfter returns the Retry-After header in its form of seconds, fractions
-// allowed, or fallback if there is none.
+// RetryAfter returns the value of a Retry-After header in seconds, fractions
+// allowed, or fallback if it is missing, invalid or above one hour.
 func RetryAfter(header http.Header, fallback time.Duration) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || seconds <= 0 || seconds > time.Hour.Seconds() {
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,11 +1,10 @@
-// Package httpclient sends one HTTP exchange at most once and knows, when it
-// fails, whether any byte of the request can have left this process.
+// Package httpclient sends each HTTP request at most once and reports, on a
+// failure, whether any byte of the request may have left this process.
 //
-// net/http's Transport repeats requests by itself in two cases that would run
-// work twice: a request without a body under a safe method, and any request
-// with an Idempotency-Key header whose body is empty or can be rewound. Do
-// gives every request a body that is neither nil nor rewindable, which is the
-// one condition that rules both out.
+// net/http's Transport retries requests by itself in two cases, which could
+// execute work twice: a request without a body with a safe method, and any
+// request with an Idempotency-Key header whose body is empty or can be rewound.
+// Do prevents both by a body that is neither nil nor rewindable.
 package httpclient
 
 import (
@@ -20,17 +19,17 @@
 	"github.com/pkg/errors"
 )
 
-// Options bounds the connections of a Client. Zero values take the defaults.
+// Options configures a Client. Zero values take the defaults.
 type Options struct {
-	// ConnectTimeout bounds opening a connection. Default: 1s.
+	// ConnectTimeout limits opening a connection. Default: 1s.
 	ConnectTimeout time.Duration
-	// IdleTimeout closes connections unused for so long. Default: 30s.
+	// IdleTimeout is the time after which idle connections are closed. Default: 30s.
 	IdleTimeout time.Duration
-	// MaxIdle bounds idle connections over all hosts. Default: 4096.
+	// MaxIdle limits idle connections to all hosts. Default: 4096.
 	MaxIdle int
-	// MaxIdlePerHost bounds idle connections to one host. Default: 64.
+	// MaxIdlePerHost limits idle connections to one host. Default: 64.
 	MaxIdlePerHost int
-	// MaxHeaderBytes bounds the header of a response. Default: 64 KiB.
+	// MaxHeaderBytes limits the header of a response. Default: 64 KiB.
 	MaxHeaderBytes int64
 }
 
@@ -66,10 +65,10 @@
 	}}
 }
 
-// Error is a failed exchange: no response header arrived.
+// Error is a failed exchange: no response header was received.
 type Error struct {
-	// Sent is false only if no byte of the request left this process, and none
-	// will leave it any more.
+	// Sent is false only if no byte of the request left this process and none
+	// will.
 	Sent  bool
 	Cause error
 }
@@ -80,8 +79,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Do sends the request once and returns the response, whose body the caller
-// closes. An error is an *Error.
+// Do sends the request once. The caller closes the response body. An error is an
+// *Error.
 func (c *Client) Do(request *http.Request) (*http.Response, error) {
 	guarded := request.Clone(request.Context())
 	if guarded.Body == nil || guarded.Body == http.NoBody {
@@ -91,8 +90,8 @@
 	return c.exchange(guarded)
 }
 
-// DoRetryable sends a request that does no harm when it runs twice; the
-// transport may repeat it on a fresh connection.
+// DoRetryable sends a request that may safely run twice; the transport may retry
+// it on a new connection.
 func (c *Client) DoRetryable(request *http.Request) (*http.Response, error) {
 	return c.exchange(request)
 }
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -17,8 +17,8 @@
 	"github.com/fieldpond/fieldpond/internal/httpclient"
 )
 
-// serveScript accepts connections and runs script with each until the test
-// ends; script returns when the connection shall be closed.
+// serveScript accepts connections until the test ends and runs script with each;
+// the connection is closed when script returns.
 func serveScript(t *testing.T, script func(connection net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,8 +41,9 @@
 	return listener.Addr().String()
 }
 
-// answerFirstThenCut answers the first request of each connection and cuts the
-// connection after reading any later one, which counts as executed.
+// answerFirstThenCut answers the first request of each connection and closes the
+// connection after reading the second one. Requests other than warm-ups count as
+// executed.
 func answerFirstThenCut(executed *atomic.Int64) func(net.Conn) {
 	return func(connection net.Conn) {
 		reader := bufio.NewReader(connection)
@@ -63,9 +64,9 @@
 	}
 }
 
-// TestNoTransparentRepeat reuses a connection that the server cuts after it
-// has read the request: exactly one execution, and the fate is unknown.
-func TestNoTransparentRepeat(t *testing.T) {
+// Guards against a retry by the transport when the server closes a reused
+// connection after it has read the request.
+func TestNoTransparentRetry(t *testing.T) {
 	for _, method := range []string{"GET", "POST", "DELETE", "OPTIONS"} {
 		for _, body := range []string{"", "work"} {
 			t.Run(method+" "+body, func(t *testing.T) {
@@ -105,8 +106,8 @@
 		sent   bool
 	}{
 		{"cancelled before connecting", cut(0), true, false},
-		{"cut inside the header", cut(10), false, true},
-		{"cut inside the body", cut(5000), false, true},
+		{"cut off in the header", cut(10), false, true},
+		{"cut off in the body", cut(5000), false, true},
 		{"malformed answer", func(connection net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(connection))
 			_, _ = io.WriteString(connection, "nonsense\r\n\r\n")
@@ -145,7 +146,7 @@
 }
 
 func TestBodiesAreBounded(t *testing.T) {
-	for _, length := range []int64{5, -1} { // told and not told in the header
+	for _, length := range []int64{5, -1} { // with and without Content-Length
 		is := is.New(t)
 		response := &http.Response{ContentLength: length, Body: io.NopCloser(bytes.NewBufferString("12345"))}
 		_, err := httpclient.ReadBody(response, 4)
--- a/internal/httpclient/gate.go
+++ b/internal/httpclient/gate.go
@@ -9,13 +9,12 @@
 	"github.com/pkg/errors"
 )
 
-// errSealed is returned for a write after the exchange was given up.
-var errSealed = errors.New("exchange was given up before it was sent")
+// errSealed is returned for a write after the exchange was abandoned.
+var errSealed = errors.New("exchange was abandoned before it was sent")
 
-// gatedConnection counts the writes begun on a connection and can be sealed
-// against further ones. Without the seal, a request given up by its context
-// could still be written by the transport's own goroutine after it was judged
-// unsent.
+// gatedConnection counts the writes started on a connection and can be sealed
+// against further ones. Without the seal, the transport's goroutine could still
+// write a cancelled request after it was reported as unsent.
 type gatedConnection struct {
 	net.Conn
 	mutex  sync.Mutex
@@ -41,7 +40,7 @@
 	return g.writes
 }
 
-// seal forbids further writes and returns the number begun.
+// seal prevents further writes and returns the number started.
 func (g *gatedConnection) seal() uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -59,16 +58,16 @@
 	}
 }
 
-// sentTracker follows one exchange over the connections it was given. The
-// transport calls it from the goroutine of RoundTrip.
+// sentTracker tracks the connections that one exchange used. The transport calls
+// it from the goroutine of RoundTrip.
 type sentTracker struct {
-	given []givenConnection
-	// opaque is set when a connection is not a gated one; nothing can be
-	// promised about it then.
-	opaque bool
+	used []usedConnection
+	// untracked is set if a connection is not gated, so that it is unknown whether
+	// bytes were sent.
+	untracked bool
 }
 
-type givenConnection struct {
+type usedConnection struct {
 	gate   *gatedConnection
 	before uint64
 }
@@ -76,18 +75,18 @@
 func (t *sentTracker) gotConnection(info httptrace.GotConnInfo) {
 	gate, known := info.Conn.(*gatedConnection)
 	if !known {
-		t.opaque = true
+		t.untracked = true
 		return
 	}
-	t.given = append(t.given, givenConnection{gate: gate, before: gate.begun()})
+	t.used = append(t.used, usedConnection{gate: gate, before: gate.begun()})
 }
 
-// sealAll seals the connections of a failed exchange and reports whether a
-// byte of it can have been written. The transport does not reuse a connection
-// whose exchange failed; if it did, the next exchange would fail as unsent.
+// sealAll seals the connections of a failed exchange and reports whether a byte
+// of it may have been written. The transport does not reuse a connection after a
+// failed exchange; if it did, the next exchange would fail as unsent.
 func (t *sentTracker) sealAll() bool {
-	sent := t.opaque
-	for _, given := range t.given {
+	sent := t.untracked
+	for _, given := range t.used {
 		if given.gate.seal() != given.before {
 			sent = true
 		}
--- a/internal/httpclient/gate_test.go
+++ b/internal/httpclient/gate_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestSealStopsLateWrites covers an exchange given up between getting its
-// connection and writing to it, and one on a connection with earlier writes.
+// Guards against a write after an exchange was reported as unsent, on a connection
+// with earlier writes.
 func TestSealStopsLateWrites(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
@@ -28,5 +28,5 @@
 
 	var opaque sentTracker
 	opaque.gotConnection(httptrace.GotConnInfo{Conn: near})
-	is.True(opaque.sealAll()) // nothing is promised of a connection not gated
+	is.True(opaque.sealAll()) // a connection that is not gated counts as sent
 }
--- a/internal/httpclient/leak_test.go
+++ b/internal/httpclient/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No test of this package may leave a goroutine of a duty behind.
+// Guards against leaked goroutines.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
