--- a/internal/inbound/clients.go
+++ b/internal/inbound/clients.go
@@ -1,7 +1,6 @@
-// Package inbound keeps the connections of clients within bounds, so that a router
-// takes new ones whatever its load: their number, how long they rest or send a
-// header, and the memory of the bodies that are held. It finds connections whose
-// client has left or fell silent.
+// Package inbound limits the connections of clients, so that a router accepts new
+// ones at any load: their number, their idle and header time, and the memory of
+// request bodies. It detects connections whose client closed them or is silent.
 package inbound
 
 import (
@@ -15,24 +14,24 @@
 	"github.com/pkg/errors"
 )
 
-// Limits are the bounds that the configuration in force sets on clients; zero
-// fields take the defaults.
+// Limits are the time limits of the current configuration. Zero fields take the
+// defaults.
 type Limits struct {
 	// Header is how long the header of a request may take. Default: 30s.
 	Header time.Duration
-	// Idle is how long a connection may rest. Default: 2m.
+	// Idle is how long a connection may be idle. Default: 2m.
 	Idle time.Duration
 }
 
-// Config bounds the connections of clients. Zero fields take the defaults.
+// Config limits the connections of clients. Zero fields take the defaults.
 type Config struct {
-	// MaxConnections bounds the open connections. Default: 2000.
+	// MaxConnections limits the open connections. Default: 2000.
 	MaxConnections int
-	// MaxBodyBytes bounds the bodies that are held at one time. Default: 64 MiB.
+	// MaxBodyBytes limits the memory of request bodies. Default: 64 MiB.
 	MaxBodyBytes int64
-	// RetryAfter is told to clients above the bound. Default: 300ms.
+	// RetryAfter is sent to clients above MaxConnections. Default: 300ms.
 	RetryAfter time.Duration
-	// Limits returns the limits in force; nil means the defaults.
+	// Limits returns the current limits; nil means the defaults.
 	Limits func() Limits
 }
 
@@ -42,11 +41,11 @@
 	defaultRetryAfter  = 300 * time.Millisecond
 	defaultHeader      = 30 * time.Second
 	defaultIdle        = 2 * time.Minute
-	// extraConnections above the bound are open at most, to be told so.
-	extraConnections = 64
-	// extraHeader is how long such a connection may take to send its header.
-	extraHeader = time.Second
-	// SweepInterval is the time between two looks at how long connections rest.
+	// maxOverLimit limits the connections above MaxConnections, which only get a 503.
+	maxOverLimit = 64
+	// overLimitHeader is how long such a connection may take to send its header.
+	overLimitHeader = time.Second
+	// SweepInterval is the time between two calls of Clients.Sweep.
 	SweepInterval = 500 * time.Millisecond
 )
 
@@ -54,11 +53,11 @@
 type Clients struct {
 	cfg Config
 
-	mu   sync.Mutex
-	open map[*Conn]struct{}
-	busy int
-	held int64
-	// refused counts what was turned away because of a bound.
+	mu        sync.Mutex
+	open      map[*Conn]struct{}
+	busy      int
+	bodyBytes int64
+	// refused counts the connections and bodies refused because of a limit.
 	refused uint64
 }
 
@@ -73,9 +72,8 @@
 	return &Clients{cfg: cfg, open: make(map[*Conn]struct{})}
 }
 
-// Listener wraps a TCP listener. Its Accept waits for nothing but a connection: one
-// above the bound takes the place of the one that rests longest, or is told to come
-// back, or is closed.
+// Listener wraps a TCP listener. Its Accept waits only for connections: one above
+// MaxConnections replaces the longest idle one, or gets a 503, or is closed.
 func (c *Clients) Listener(listener net.Listener) net.Listener {
 	return &boundedListener{Listener: listener, clients: c}
 }
@@ -92,15 +90,15 @@
 		if err != nil {
 			return nil, err
 		}
-		if conn := l.clients.take(accepted); conn != nil {
+		if conn := l.clients.admit(accepted); conn != nil {
 			return conn, nil
 		}
 	}
 }
 
-// take takes in a new connection, or returns nil after closing it.
-func (c *Clients) take(accepted net.Conn) *Conn {
-	conn := &Conn{clients: c, since: time.Now(), rests: c.limits().Idle}
+// admit registers a new connection, or returns nil after closing it.
+func (c *Clients) admit(accepted net.Conn) *Conn {
+	conn := &Conn{clients: c, phaseSince: time.Now(), idleLimit: c.limits().Idle}
 	if err := conn.prepare(accepted); err != nil {
 		_ = accepted.Close()
 		return nil
@@ -109,14 +107,14 @@
 	var longest *Conn
 	over := len(c.open) - c.cfg.MaxConnections
 	if over >= 0 {
-		longest = c.restingLongest()
+		longest = c.longestIdle()
 	}
-	conn.extra = over >= 0 && longest == nil
-	admitted := longest != nil || over < extraConnections
+	conn.overLimit = over >= 0 && longest == nil
+	admitted := longest != nil || over < maxOverLimit
 	if admitted {
 		c.open[conn] = struct{}{}
 	}
-	if !admitted || conn.extra {
+	if !admitted || conn.overLimit {
 		c.refused++
 	}
 	c.mu.Unlock()
@@ -130,47 +128,47 @@
 	return conn
 }
 
-// prepare sets the proofs of life of a connection that was accepted.
+// prepare enables keep-alive on an accepted connection.
 func (c *Conn) prepare(accepted net.Conn) error {
 	tcp, ok := accepted.(*net.TCPConn)
 	if !ok {
-		return errors.Errorf("a connection of type %T", accepted)
+		return errors.Errorf("connection of type %T is not a TCP connection", accepted)
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return err
 	}
 	c.TCPConn, c.raw = tcp, raw
-	return proveLife(tcp, raw)
+	return enableKeepAlive(tcp, raw)
 }
 
-// restingLongest returns the connection that rests longest, or nil; the caller
+// longestIdle returns the connection idle for the longest time, or nil; the caller
 // holds the mutex.
-func (c *Clients) restingLongest() (longest *Conn) {
+func (c *Clients) longestIdle() (longest *Conn) {
 	for conn := range c.open {
-		if conn.phase == resting && (longest == nil || conn.since.Before(longest.since)) {
+		if conn.phase == phaseIdle && (longest == nil || conn.phaseSince.Before(longest.phaseSince)) {
 			longest = conn
 		}
 	}
 	return longest
 }
 
-// began takes in that bytes came on a connection.
-func (c *Clients) began(conn *Conn) {
+// recordRead records that bytes were received on a connection.
+func (c *Clients) recordRead(conn *Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if conn.phase != resting || conn.closed {
+	if conn.phase != phaseIdle || conn.closed {
 		return
 	}
-	c.count(conn, reading)
-	conn.since = time.Now()
+	c.setPhaseLocked(conn, phaseHeader)
+	conn.phaseSince = time.Now()
 }
 
-// turn takes in what a connection is used for from now on.
-func (c *Clients) turn(conn *Conn, next phase) {
-	rests := time.Duration(0)
-	if next == resting {
-		rests = c.limits().Idle
+// setPhase sets the phase of a connection and its start.
+func (c *Clients) setPhase(conn *Conn, next phase) {
+	idleLimit := time.Duration(0)
+	if next == phaseIdle {
+		idleLimit = c.limits().Idle
 	}
 	now := time.Now()
 	c.mu.Lock()
@@ -178,33 +176,33 @@
 	if conn.closed {
 		return
 	}
-	c.count(conn, next)
-	conn.since, conn.rests = now, rests
+	c.setPhaseLocked(conn, next)
+	conn.phaseSince, conn.idleLimit = now, idleLimit
 }
 
-// count keeps the number of connections in use; the caller holds the mutex.
-func (c *Clients) count(conn *Conn, next phase) {
-	if conn.phase == resting && next != resting {
+// setPhaseLocked updates the phase and the busy count; the caller holds the mutex.
+func (c *Clients) setPhaseLocked(conn *Conn, next phase) {
+	if conn.phase == phaseIdle && next != phaseIdle {
 		c.busy++
 	}
-	if conn.phase != resting && next == resting {
+	if conn.phase != phaseIdle && next == phaseIdle {
 		c.busy--
 	}
 	conn.phase = next
 }
 
-func (c *Clients) forget(conn *Conn) {
+func (c *Clients) remove(conn *Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if conn.closed {
 		return
 	}
-	c.count(conn, resting)
+	c.setPhaseLocked(conn, phaseIdle)
 	conn.closed = true
 	delete(c.open, conn)
 }
 
-// limits returns the limits in force, with defaults.
+// limits returns the current limits, with defaults.
 func (c *Clients) limits() Limits {
 	limits := c.cfg.Limits()
 	limits.Header = cmp.Or(limits.Header, defaultHeader)
@@ -212,15 +210,15 @@
 	return limits
 }
 
-// Sweep closes connections that rest, or send a header, for longer than the limits
-// allow. A rest is bounded by the longer of the limits at its begin and now, since
-// its client may not know the newer one.
+// Sweep closes connections that are idle, or send a header, for longer than the
+// limits allow. For an idle one the longer of the limits at its start and now
+// applies, since its client may not know a reduced one.
 func (c *Clients) Sweep(now time.Time) {
 	limits := c.limits()
 	var over []*Conn
 	c.mu.Lock()
 	for conn := range c.open {
-		if now.Sub(conn.since) > conn.bound(limits) {
+		if now.Sub(conn.phaseSince) > conn.timeLimit(limits) {
 			over = append(over, conn)
 		}
 	}
@@ -230,25 +228,25 @@
 	}
 }
 
-// forever bounds what the request itself bounds.
-const forever = time.Duration(1<<63 - 1)
+// unbounded is the limit of requests being served, which have their own timeouts.
+const unbounded = time.Duration(1<<63 - 1)
 
-// bound returns how long the connection may stay as it is; the caller holds the
-// mutex.
-func (c *Conn) bound(limits Limits) time.Duration {
+// timeLimit returns how long the connection may stay in its phase; the caller holds
+// the mutex.
+func (c *Conn) timeLimit(limits Limits) time.Duration {
 	switch {
-	case c.phase == serving:
-		return forever
-	case c.extra:
-		return extraHeader
-	case c.phase == reading:
+	case c.phase == phaseServing:
+		return unbounded
+	case c.overLimit:
+		return overLimitHeader
+	case c.phase == phaseHeader:
 		return limits.Header
 	default:
-		return max(c.rests, limits.Idle)
+		return max(c.idleLimit, limits.Idle)
 	}
 }
 
-// Full reports whether as many connections are in use as may be open.
+// Full reports whether MaxConnections connections are in use.
 func (c *Clients) Full() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -256,15 +254,15 @@
 }
 
 // Counts returns how many connections are open, and how many connections and bodies
-// were turned away so far because of a bound.
+// were refused so far because of a limit.
 func (c *Clients) Counts() (open int, refused uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open), c.refused
 }
 
-// Handler passes on the requests of connections within the bound, and tells the
-// others to come back.
+// Handler forwards the requests of connections within MaxConnections, and answers
+// the others with 503 and Retry-After.
 func (c *Clients) Handler(next http.Handler) http.Handler {
 	retryAfter := strconv.FormatFloat(c.cfg.RetryAfter.Seconds(), 'f', -1, 64)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -273,7 +271,7 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		if !conn.extra {
+		if !conn.overLimit {
 			next.ServeHTTP(w, r)
 			return
 		}
@@ -283,21 +281,21 @@
 	})
 }
 
-// Reserve sets memory for a body aside, and reports whether it may be taken.
+// Reserve reserves memory for a body, and reports whether the limit allows it.
 func (c *Clients) Reserve(bytes int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.held+bytes > c.cfg.MaxBodyBytes {
+	if c.bodyBytes+bytes > c.cfg.MaxBodyBytes {
 		c.refused++
 		return false
 	}
-	c.held += bytes
+	c.bodyBytes += bytes
 	return true
 }
 
-// Release gives memory back that Reserve set aside.
+// Release returns memory that Reserve reserved.
 func (c *Clients) Release(bytes int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.held -= bytes
+	c.bodyBytes -= bytes
 }
--- a/internal/inbound/conn.go
+++ b/internal/inbound/conn.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// phase is what a client's connection is used for.
+// phase is the current use of a client's connection.
 type phase uint8
 
 const (
-	// resting is a connection on which no byte of a request came yet.
-	resting phase = iota
-	// reading is one on which the header of a request comes.
-	reading
-	// serving is one whose request is run; its body may still come.
-	serving
+	// phaseIdle lasts until the first byte of a request.
+	phaseIdle phase = iota
+	// phaseHeader lasts while the header of a request is received.
+	phaseHeader
+	// phaseServing lasts while a request is served; its body may still arrive.
+	phaseServing
 )
 
 // Conn is one connection of a client. The fields from phase on are guarded by the
@@ -26,34 +26,34 @@
 	*net.TCPConn
 	clients *Clients
 	raw     syscall.RawConn
-	// extra says that the connection is above the bound.
-	extra bool
+	// overLimit is true for a connection above MaxConnections.
+	overLimit bool
 
-	phase phase
-	since time.Time
-	// rests is how long the connection may rest by the limits at the rest's begin.
-	rests  time.Duration
-	closed bool
+	phase      phase
+	phaseSince time.Time
+	// idleLimit is the limit of the idle time as configured at its start.
+	idleLimit time.Duration
+	closed    bool
 }
 
-// Read implements net.Conn. The first bytes after a rest begin a header; net/http
-// tells of them only once the header is whole.
+// Read implements net.Conn. The first bytes on an idle connection start a header;
+// net/http reports them only once the header is complete.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	count, err := c.TCPConn.Read(buffer)
 	if count > 0 {
-		c.clients.began(c)
+		c.clients.recordRead(c)
 	}
 	return count, err
 }
 
 // Close implements net.Conn.
 func (c *Conn) Close() error {
-	c.clients.forget(c)
+	c.clients.remove(c)
 	return c.TCPConn.Close()
 }
 
 // ClientClosed reports whether the client has closed its side, or the connection broke.
-// What it sent before its close may still be unread.
+// Data sent before the close may still be unread.
 func (c *Conn) ClientClosed() bool {
 	var count int
 	var found error
@@ -74,22 +74,22 @@
 	}
 }
 
-// connKey is where the context of a request holds its connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// ConnContext is for http.Server: requests find their connection in their context.
+// ConnContext is for http.Server; it adds the connection to the context of requests.
 func (c *Clients) ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// ConnFromContext returns the connection of a request, or nil if it came on no connection of a
-// client.
+// ConnFromContext returns the connection of a request, or nil if the context has
+// none.
 func ConnFromContext(ctx context.Context) *Conn {
 	conn, _ := ctx.Value(connKey{}).(*Conn)
 	return conn
 }
 
-// ConnState is for http.Server: it follows what connections are used for.
+// ConnState is for http.Server; it tracks the phases of connections.
 func (c *Clients) ConnState(conn net.Conn, state http.ConnState) {
 	known, ok := conn.(*Conn)
 	if !ok {
@@ -97,10 +97,10 @@
 	}
 	switch state {
 	case http.StateActive:
-		c.turn(known, serving)
+		c.setPhase(known, phaseServing)
 	case http.StateIdle:
-		c.turn(known, resting)
+		c.setPhase(known, phaseIdle)
 	case http.StateHijacked, http.StateClosed:
-		c.forget(known)
+		c.remove(known)
 	}
 }
--- a/internal/inbound/keepalive.go
+++ b/internal/inbound/keepalive.go
@@ -9,17 +9,17 @@
 const (
 	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux.
 	tcpUserTimeout = 0x12
-	// silentAfter is how long a client's machine may acknowledge nothing: clients on
-	// radio links are away for some seconds.
-	silentAfter = 5 * time.Second
-	// probeInterval is the time between two keep-alive probes; a client that fell
-	// silent is found by the third one.
+	// ackTimeout is how long a client may acknowledge nothing: clients on radio
+	// links are unreachable for some seconds.
+	ackTimeout = 5 * time.Second
+	// probeInterval is the time between two keep-alive probes; probeCount unanswered
+	// ones end the connection.
 	probeInterval = 2 * time.Second
 	probeCount    = 3
 )
 
-// proveLife lets the kernel find out that a client fell silent.
-func proveLife(conn *net.TCPConn, raw syscall.RawConn) error {
+// enableKeepAlive makes the kernel end the connection of a silent client.
+func enableKeepAlive(conn *net.TCPConn, raw syscall.RawConn) error {
 	err := conn.SetKeepAliveConfig(net.KeepAliveConfig{
 		Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount,
 	})
@@ -28,7 +28,7 @@
 	}
 	var failed error
 	err = raw.Control(func(descriptor uintptr) {
-		failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(silentAfter.Milliseconds()))
+		failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/internal/routing/load/tracker.go
+++ b/internal/routing/load/tracker.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// Finished records the end of an attempt, whatever its result.
+// Finished records the end of an attempt with any result.
 func (t *Tracker) Finished(now time.Time, key AttemptKey) {
 	if own := t.find(key); own != nil && own.finished.IsZero() {
 		own.finished = now
