--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -374,7 +374,7 @@
 	case promptcache.Held:
 		return false
 	case promptcache.Missing:
-		return r.forwarder.Caches.Reserve(now, store, part)
+		return r.forwarder.Caches.ReserveSave(now, store, part)
 	default:
 		return unseen
 	}
--- a/internal/node/caches_test.go
+++ b/internal/node/caches_test.go
@@ -50,7 +50,7 @@
 		reader         fakeCaches
 		follows        bool
 		lists, changes int
-		want           promptcache.Belief
+		want           promptcache.Presence
 	}{
 		{name: "listed once, then followed", lists: 1, changes: 9, want: promptcache.Held},
 		{name: "listed again after a gap", reader: fakeCaches{lost: true}, lists: 5, changes: 5, want: promptcache.Unknown},
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -33,8 +33,8 @@
 					b.Fatal("not placed")
 				}
 				life := placed[0].Candidate.Endpoint.Incarnation
-				core.Started(now, job.Key, life, protocol.Usage{PromptTokens: 256})
-				core.Ended(now, job.Key, Result{Incarnation: life, TimeToFirstToken: time.Second, Duration: time.Second})
+				core.RecordStart(now, job.Key, life, protocol.Usage{PromptTokens: 256})
+				core.RecordEnd(now, job.Key, Result{Incarnation: life, TimeToFirstToken: time.Second, Duration: time.Second})
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 	}
 	core.Configure(start, targets)
 	for _, target := range targets {
-		core.Reported(start, target.Engine, reportOf(ident.Incarnation(target.Engine)+"-life"))
+		core.ObserveReport(start, target.Engine, reportOf(ident.Incarnation(target.Engine)+"-life"))
 	}
 	return core
 }
--- a/internal/placement/core.go
+++ b/internal/placement/core.go
@@ -210,43 +210,43 @@
 	return expiry, waits
 }
 
-// Reported takes in a load report.
-func (c *Core) Reported(now time.Time, engine ident.Engine, report protocol.LoadReport) Effects {
+// ObserveReport takes in a load report.
+func (c *Core) ObserveReport(now time.Time, engine ident.Engine, report protocol.LoadReport) Effects {
 	c.changed(c.registry.ObserveReport(now, engine, report))
 	return c.pump(now)
 }
 
-// ReportFailed takes in that a load report could not be read.
-func (c *Core) ReportFailed(now time.Time, engine ident.Engine) Effects {
+// ObserveReportFailure takes in that a load report could not be read.
+func (c *Core) ObserveReportFailure(now time.Time, engine ident.Engine) Effects {
 	c.changed(c.registry.ObserveReportFailure(engine))
 	return c.pump(now)
 }
 
-// LeavingSeen takes in a sign that an engine is leaving.
-func (c *Core) LeavingSeen(now time.Time, engine ident.Engine, incarnation ident.Incarnation) Effects {
+// ObserveDraining takes in a sign that an engine is leaving.
+func (c *Core) ObserveDraining(now time.Time, engine ident.Engine, incarnation ident.Incarnation) Effects {
 	c.changed(c.registry.ObserveDraining(now, engine, incarnation))
 	return c.pump(now)
 }
 
-// Listed takes in a machine list: for each engine, whether its machine leaves.
-func (c *Core) Listed(now time.Time, leaving map[ident.Engine]bool) Effects {
+// ApplyMachineList takes in a machine list: for each engine, whether its machine leaves.
+func (c *Core) ApplyMachineList(now time.Time, leaving map[ident.Engine]bool) Effects {
 	c.changed(c.registry.ApplyMachineList(now, leaving))
 	return c.pump(now)
 }
 
-// CacheEvents takes in a batch of cache events.
-func (c *Core) CacheEvents(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) {
+// ApplyCacheEvents takes in a batch of cache events.
+func (c *Core) ApplyCacheEvents(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) {
 	c.heard(engine, batch.Incarnation)
-	c.config.Beliefs.Events(now, engine, batch)
+	c.config.Beliefs.ApplyEvents(now, engine, batch)
 	if c.directory != nil {
-		c.effects.Messages = append(c.effects.Messages, c.directory.Events(now, engine, batch)...)
+		c.effects.Messages = append(c.effects.Messages, c.directory.ApplyEvents(now, engine, batch)...)
 	}
 }
 
-// CacheSnapshot takes in the whole state of an engine's cache.
-func (c *Core) CacheSnapshot(now time.Time, engine ident.Engine, snapshot protocol.CacheSnapshot) {
+// ApplyCacheSnapshot takes in the whole state of an engine's cache.
+func (c *Core) ApplyCacheSnapshot(now time.Time, engine ident.Engine, snapshot protocol.CacheSnapshot) {
 	c.heard(engine, snapshot.Incarnation)
-	c.config.Beliefs.Snapshot(now, engine, snapshot)
+	c.config.Beliefs.ApplySnapshot(now, engine, snapshot)
 }
 
 // heard takes in the incarnation of cache events or of a snapshot. They come
@@ -258,9 +258,9 @@
 	}
 }
 
-// SnapshotWanted reports whether a snapshot of the engine is to be read now.
-func (c *Core) SnapshotWanted(now time.Time, engine ident.Engine) bool {
-	return c.config.Beliefs.SnapshotWanted(now, engine)
+// SnapshotDue reports whether a snapshot of the engine is to be read now.
+func (c *Core) SnapshotDue(now time.Time, engine ident.Engine) bool {
+	return c.config.Beliefs.SnapshotDue(now, engine)
 }
 
 // changed acts on changes of the registry and reports them.
@@ -269,15 +269,15 @@
 		c.tellDirectory(change)
 		switch change.Kind {
 		case endpoint.ChangeIncarnation, endpoint.ChangeRevived:
-			c.config.Beliefs.Incarnation(change.Engine, change.Incarnation)
+			c.config.Beliefs.SetIncarnation(change.Engine, change.Incarnation)
 			delete(c.limiters, change.Engine)
 		case endpoint.ChangeDead:
-			c.config.Beliefs.Forget(change.Engine)
+			c.config.Beliefs.RecordDeath(change.Engine)
 		case endpoint.ChangeRemoved:
 			c.config.Beliefs.Remove(change.Engine)
 			delete(c.limiters, change.Engine)
 		case endpoint.ChangeLoaded:
-			c.config.Beliefs.WeightsChanged(change.Engine)
+			c.config.Beliefs.RecordWeightsChange(change.Engine)
 		case endpoint.ChangeDraining:
 			// A leaving engine keeps its cache and gets no new work.
 		}
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -63,7 +63,7 @@
 	effects := core.Offer(start, jobOf("r1", time.Second))
 	is.Equal(len(effects.Refused)+len(effects.Placed), 0) // held: neither engine has been asked yet
 
-	effects = core.Reported(start.Add(20*time.Millisecond), "a", reportOf("a1"))
+	effects = core.ObserveReport(start.Add(20*time.Millisecond), "a", reportOf("a1"))
 	is.Equal(len(effects.Placed), 1)
 	is.Equal(effects.Placed[0].Candidate.Endpoint.Incarnation, ident.Incarnation("a1"))
 }
@@ -76,15 +76,15 @@
 	effects := core.Offer(start, jobOf("r1", time.Second))
 	is.Equal(len(effects.Refused), 0)
 	core.Configure(start, []endpoint.Target{{Engine: "a", Address: "a:1", Zone: zone}})
-	is.Equal(len(core.Reported(start, "a", reportOf("a1")).Placed), 1)
+	is.Equal(len(core.ObserveReport(start, "a", reportOf("a1")).Placed), 1)
 }
 
 func TestARequestIsRefusedAtOnceWhenEveryEngineIsDead(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 8)
 	for range 3 {
-		core.ReportFailed(start, "a")
-		core.ReportFailed(start, "b")
+		core.ObserveReportFailure(start, "a")
+		core.ObserveReportFailure(start, "b")
 	}
 	effects := core.Offer(start, jobOf("r1", time.Second))
 	is.Equal(len(effects.Refused), 1)
@@ -96,8 +96,8 @@
 func TestAHeldRequestIsGivenUpWhenItsHoldEnds(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 1)
-	core.Reported(start, "a", reportOf("a1"))
-	core.Reported(start, "b", reportOf("b1"))
+	core.ObserveReport(start, "a", reportOf("a1"))
+	core.ObserveReport(start, "b", reportOf("b1"))
 	core.Offer(start, jobOf("r1", time.Second))
 	core.Offer(start, jobOf("r2", time.Second))
 	is.Equal(core.InFlight(), 2)
@@ -126,15 +126,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			core := newTestCore(t, 1)
-			core.Reported(start, "a", reportOf("a1"))
+			core.ObserveReport(start, "a", reportOf("a1"))
 			core.Offer(start, jobOf("r1", time.Second))
 			var got []endpoint.ChangeKind
-			for _, change := range core.Ended(start, AttemptKeyOf("r1", 1), test.result).Changes {
+			for _, change := range core.RecordEnd(start, AttemptKeyOf("r1", 1), test.result).Changes {
 				got = append(got, change.Kind)
 			}
 			is.Equal(got, test.want)
 			is.Equal(core.InFlight(), 0)
-			is.Equal(len(core.Ended(start, AttemptKeyOf("r1", 1), test.result).Changes), 0) // repeats do nothing
+			is.Equal(len(core.RecordEnd(start, AttemptKeyOf("r1", 1), test.result).Changes), 0) // repeats do nothing
 		})
 	}
 }
@@ -142,13 +142,13 @@
 func TestABeliefIsDroppedWithTheLifeOfItsEngine(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 8)
-	core.Reported(start, "a", reportOf("a1"))
+	core.ObserveReport(start, "a", reportOf("a1"))
 	job := jobOf("r1", time.Second)
 	core.Offer(start, job)
-	core.Started(start, job.Key, "a1", protocol.Usage{PromptTokens: 256, CachedTokens: 0})
+	core.RecordStart(start, job.Key, "a1", protocol.Usage{PromptTokens: 256, CachedTokens: 0})
 	chain := job.Request.Chains["v1"]
 	is.True(core.config.Beliefs.At(start).Credit("a", "a1", chain) > 10)
-	core.Reported(start, "a", reportOf("a2"))
+	core.ObserveReport(start, "a", reportOf("a2"))
 	is.Equal(core.config.Beliefs.At(start).Credit("a", "a1", chain), 0.0)
 	is.Equal(core.config.Beliefs.At(start).Credit("a", "a2", chain), 0.0)
 }
@@ -166,16 +166,16 @@
 		{"an attempt ends at the address that the file has replaced", func(core *Core) {
 			core.Offer(start, jobOf("r0", time.Second))
 			core.Configure(start, []endpoint.Target{{Engine: "a", Address: "a:2", Zone: zone}})
-			core.Reported(start, "a", reportOf("a2"))
-			core.Ended(start, AttemptKeyOf("r0", 1), Result{Incarnation: "a1", TimeToFirstToken: time.Millisecond})
+			core.ObserveReport(start, "a", reportOf("a2"))
+			core.RecordEnd(start, AttemptKeyOf("r0", 1), Result{Incarnation: "a1", TimeToFirstToken: time.Millisecond})
 		}, 0},
 		{"a report of the life before comes late", func(core *Core) {
-			core.Reported(start, "a", reportOf("a2"))
-			core.Reported(start, "a", reportOf("a1"))
+			core.ObserveReport(start, "a", reportOf("a2"))
+			core.ObserveReport(start, "a", reportOf("a1"))
 		}, 0},
 		{"a report of the life before, never heard of, comes late", func(core *Core) {
-			core.Reported(start, "a", reportOf("a2"))
-			core.Reported(start, "a", reportOf("a1b"))
+			core.ObserveReport(start, "a", reportOf("a2"))
+			core.ObserveReport(start, "a", reportOf("a1b"))
 		}, 3},
 	}
 	for _, test := range cases {
@@ -183,10 +183,10 @@
 			is := is.New(t)
 			core := newTestCore(t, 8)
 			core.Configure(start, []endpoint.Target{{Engine: "a", Address: "a:1", Zone: zone}})
-			core.Reported(start, "a", reportOf("a1"))
+			core.ObserveReport(start, "a", reportOf("a1"))
 			test.do(core)
 			for range test.reports {
-				core.Reported(start.Add(time.Second), "a", reportOf("a2"))
+				core.ObserveReport(start.Add(time.Second), "a", reportOf("a2"))
 			}
 			effects := core.Offer(start.Add(time.Second), jobOf("r1", time.Second))
 			is.Equal(len(effects.Placed), 1)
@@ -200,8 +200,8 @@
 func TestLessUrgentRequestsLeaveAReserve(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 8)
-	core.Reported(start, "a", reportOf("a1"))
-	core.Reported(start, "b", reportOf("b1"))
+	core.ObserveReport(start, "a", reportOf("a1"))
+	core.ObserveReport(start, "b", reportOf("b1"))
 	later := start.Add(time.Millisecond)
 	offer := func(id string, priority int) int {
 		job := jobOf(id, time.Minute)
@@ -217,7 +217,7 @@
 	for index := range 40 { // also when a summary's turn has come, which it cannot take
 		id := fmt.Sprint("order-", index)
 		is.Equal(offer(id, 0), 1)
-		core.Ended(later, AttemptKeyOf(ident.Request(id), 1), Result{})
+		core.RecordEnd(later, AttemptKeyOf(ident.Request(id), 1), Result{})
 	}
 	is.Equal(len(core.Tick(later.Add(999*time.Millisecond)).Placed), 0)
 	is.Equal(len(core.Tick(later.Add(time.Second)).Placed), 1)
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -90,7 +90,7 @@
 	uncached := max(0, job.Request.PromptTokens-int(chosen.CreditTokens))
 	c.registry.Sent(now, copied.Engine, job.Key, uncached)
 	c.registry.MarkCandidate(now, copied.Engine)
-	c.config.Beliefs.Dispatched(now, copied.Engine, copied.Incarnation, job.Request.Chains[chosen.Version])
+	c.config.Beliefs.RecordDispatch(now, copied.Engine, copied.Incarnation, job.Request.Chains[chosen.Version])
 	if limiter := c.limiter(copied.Engine); limiter != nil {
 		limiter.Started(now)
 	}
@@ -101,8 +101,8 @@
 	})
 }
 
-// Started takes in that an engine accepted an attempt and counted its tokens.
-func (c *Core) Started(now time.Time, key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
+// RecordStart takes in that an engine accepted an attempt and counted its tokens.
+func (c *Core) RecordStart(now time.Time, key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
 	flight := c.flights[key]
 	if flight == nil || flight.incarnation != incarnation {
 		return
@@ -111,9 +111,9 @@
 	chain := request.Chains[flight.version]
 	if request.BlockTokens > 0 {
 		held := usage.CachedTokens / request.BlockTokens
-		c.config.Beliefs.Answered(now, flight.engine, incarnation, chain, held)
+		c.config.Beliefs.RecordAnswer(now, flight.engine, incarnation, chain, held)
 		if c.directory != nil {
-			c.directory.Observed(now, flight.engine, incarnation, chain, held)
+			c.directory.RecordAnswer(now, flight.engine, incarnation, chain, held)
 		}
 	}
 	c.count(flight, usage)
@@ -135,9 +135,9 @@
 	}
 }
 
-// FirstToken takes in that an engine has prefilled an attempt's prompt: it
+// RecordFirstToken takes in that an engine has prefilled an attempt's prompt: it
 // proves that all the engine had to prefill before is done as well.
-func (c *Core) FirstToken(now time.Time, key endpoint.AttemptKey) {
+func (c *Core) RecordFirstToken(now time.Time, key endpoint.AttemptKey) {
 	if flight := c.flights[key]; flight != nil {
 		c.registry.FirstToken(now, flight.engine, key)
 	}
@@ -159,9 +159,9 @@
 	Duration time.Duration
 }
 
-// Ended takes in the end of an attempt. The zero Result is a place that was
+// RecordEnd takes in the end of an attempt. The zero Result is a place that was
 // handed back unused.
-func (c *Core) Ended(now time.Time, key endpoint.AttemptKey, result Result) Effects {
+func (c *Core) RecordEnd(now time.Time, key endpoint.AttemptKey, result Result) Effects {
 	flight := c.flights[key]
 	if flight == nil {
 		return c.pump(now)
@@ -177,7 +177,7 @@
 	}
 	if result.Unreachable || result.Refusal != "" || result == (Result{}) {
 		chain := flight.job.Request.Chains[flight.version]
-		c.config.Beliefs.Refused(flight.engine, flight.incarnation, chain)
+		c.config.Beliefs.RecordRefusal(flight.engine, flight.incarnation, chain)
 	}
 	switch {
 	case result.Unreachable:
--- a/internal/placement/directory.go
+++ b/internal/placement/directory.go
@@ -31,13 +31,13 @@
 func (c *Core) lookUp(now time.Time, job *Job) (wait bool) {
 	chain := preferredChain(&job.Request)
 	result := c.directory.Lookup(now, chain)
-	if result.Ask != nil {
-		c.effects.Messages = append(c.effects.Messages, *result.Ask)
+	if result.Request != nil {
+		c.effects.Messages = append(c.effects.Messages, *result.Request)
 	}
 	for _, holder := range result.Holders {
 		incarnation := c.registry.Incarnation(holder.Engine)
-		if incarnation != "" && directory.LifeDigest(incarnation) == holder.Life {
-			c.config.Beliefs.Told(now, holder.Engine, incarnation, chain, holder.Blocks)
+		if incarnation != "" && directory.IncarnationDigest(incarnation) == holder.Incarnation {
+			c.config.Beliefs.RecordDirectoryAnswer(now, holder.Engine, incarnation, chain, holder.Blocks)
 		}
 	}
 	return !result.Known
@@ -71,8 +71,8 @@
 	}
 }
 
-// DirectoryMessage takes in a message of another router's directory.
-func (c *Core) DirectoryMessage(now time.Time, from ident.Node, message directory.Message) Effects {
+// HandleDirectoryMessage takes in a message of another router's directory.
+func (c *Core) HandleDirectoryMessage(now time.Time, from ident.Node, message directory.Message) Effects {
 	if c.directory == nil {
 		return Effects{}
 	}
@@ -124,9 +124,9 @@
 	}
 	switch change.Kind {
 	case endpoint.ChangeIncarnation, endpoint.ChangeRevived:
-		c.config.Directory.Incarnation(change.Engine, change.Incarnation)
+		c.config.Directory.SetIncarnation(change.Engine, change.Incarnation)
 	case endpoint.ChangeDead:
-		c.config.Directory.Incarnation(change.Engine, "")
+		c.config.Directory.SetIncarnation(change.Engine, "")
 	case endpoint.ChangeRemoved:
 		c.config.Directory.Remove(change.Engine)
 	case endpoint.ChangeDraining, endpoint.ChangeLoaded:
--- a/internal/placement/directory_test.go
+++ b/internal/placement/directory_test.go
@@ -52,7 +52,7 @@
 		}
 		core.Configure(start, targets)
 		for _, target := range targets {
-			core.Reported(start, target.Engine, reportOf(ident.Incarnation(target.Engine)+"-life"))
+			core.ObserveReport(start, target.Engine, reportOf(ident.Incarnation(target.Engine)+"-life"))
 		}
 		made.cores[node] = core
 	}
@@ -66,7 +66,7 @@
 		if n.lose {
 			continue
 		}
-		answer := n.cores[envelope.To].DirectoryMessage(now, from, envelope.Message)
+		answer := n.cores[envelope.To].HandleDirectoryMessage(now, from, envelope.Message)
 		placed = append(placed, n.settle(now, envelope.To, answer)...)
 	}
 	return placed
@@ -81,7 +81,7 @@
 	is.Equal(len(first), 1)
 	// The engine that got it is not the one that rendezvous would choose now.
 	filled := first[0].Candidate.Endpoint
-	net.cores["router-1"].Started(now, AttemptKeyOf("r1", 1), filled.Incarnation, protocol.Usage{PromptTokens: 256})
+	net.cores["router-1"].RecordStart(now, AttemptKeyOf("r1", 1), filled.Incarnation, protocol.Usage{PromptTokens: 256})
 	now = now.Add(time.Second)
 	net.settle(now, "router-1", net.cores["router-1"].Tick(now))
 
--- a/internal/placement/reading.go
+++ b/internal/placement/reading.go
@@ -10,8 +10,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// Reading is the state of a core at one moment, for operators.
-type Reading struct {
+// State is the state of a core at one moment, for operators.
+type State struct {
 	// Endpoints are copies of the engines in the order of the registry.
 	Endpoints []framework.Endpoint
 	// Waiting counts the jobs without a place by priority; InFlight those on
@@ -26,9 +26,9 @@
 	Directory directory.Counters
 }
 
-// Read returns the core's state.
-func (c *Core) Read(now time.Time) Reading {
-	reading := Reading{
+// State returns the core's state.
+func (c *Core) State(now time.Time) State {
+	reading := State{
 		Endpoints: slices.Clone(c.registry.Endpoints(now)),
 		Waiting:   make(map[int]int),
 		InFlight:  len(c.flights),
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -27,9 +27,9 @@
 	// OnChange is called, in the goroutine of the duty, for every change of an
 	// engine's state. It must not block.
 	OnChange func(endpoint.Change)
-	// OnSnapshotWanted is called, in the goroutine of the duty, when a cache
+	// OnSnapshotDue is called, in the goroutine of the duty, when a cache
 	// snapshot of an engine is to be read. It must not block.
-	OnSnapshotWanted func(ident.Engine)
+	OnSnapshotDue func(ident.Engine)
 	// OnMessage is called, in the goroutine of the duty, for every message to
 	// another router's directory. It must not block.
 	OnMessage func(directory.Envelope)
@@ -135,10 +135,10 @@
 			continue
 		}
 		if answer.Err != nil {
-			d.apply(d.core.ReportFailed(time.Now(), answer.Engine))
+			d.apply(d.core.ObserveReportFailure(time.Now(), answer.Engine))
 			continue
 		}
-		d.apply(d.core.Reported(time.Now(), answer.Engine, answer.Report))
+		d.apply(d.core.ObserveReport(time.Now(), answer.Engine, answer.Report))
 	}
 	for run, ok := d.news.Pop(); ok; run, ok = d.news.Pop() {
 		d.apply(run(time.Now()))
@@ -202,29 +202,29 @@
 	d.commands.Push(func(now time.Time) Effects {
 		delete(d.replies, job.Key)
 		d.core.Withdraw(now, job.Request.ID)
-		return d.core.Ended(now, job.Key, Result{})
+		return d.core.RecordEnd(now, job.Key, Result{})
 	})
 }
 
-// Started reports that an engine accepted an attempt.
-func (d *Runner) Started(key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
+// RecordStart reports that an engine accepted an attempt.
+func (d *Runner) RecordStart(key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
 	d.news.Push(func(now time.Time) Effects {
-		d.core.Started(now, key, incarnation, usage)
+		d.core.RecordStart(now, key, incarnation, usage)
 		return Effects{}
 	})
 }
 
-// FirstToken reports that an engine has prefilled an attempt's prompt.
-func (d *Runner) FirstToken(key endpoint.AttemptKey) {
+// RecordFirstToken reports that an engine has prefilled an attempt's prompt.
+func (d *Runner) RecordFirstToken(key endpoint.AttemptKey) {
 	d.news.Push(func(now time.Time) Effects {
-		d.core.FirstToken(now, key)
+		d.core.RecordFirstToken(now, key)
 		return Effects{}
 	})
 }
 
-// Ended reports the end of an attempt; it is called exactly once for each place.
-func (d *Runner) Ended(key endpoint.AttemptKey, result Result) {
-	d.commands.Push(func(now time.Time) Effects { return d.core.Ended(now, key, result) })
+// RecordEnd reports the end of an attempt; it is called exactly once for each place.
+func (d *Runner) RecordEnd(key endpoint.AttemptKey, result Result) {
+	d.commands.Push(func(now time.Time) Effects { return d.core.RecordEnd(now, key, result) })
 }
 
 // Configure takes over the engines of a fleet file.
@@ -234,14 +234,14 @@
 	d.commands.Push(func(time.Time) Effects { return Effects{} })
 }
 
-// LeavingSeen reports a sign that an engine is leaving.
-func (d *Runner) LeavingSeen(engine ident.Engine, incarnation ident.Incarnation) {
-	d.commands.Push(func(now time.Time) Effects { return d.core.LeavingSeen(now, engine, incarnation) })
+// ObserveDraining reports a sign that an engine is leaving.
+func (d *Runner) ObserveDraining(engine ident.Engine, incarnation ident.Incarnation) {
+	d.commands.Push(func(now time.Time) Effects { return d.core.ObserveDraining(now, engine, incarnation) })
 }
 
-// DirectoryMessage reports a message of another router's directory.
-func (d *Runner) DirectoryMessage(from ident.Node, message directory.Message) {
-	d.news.Push(func(now time.Time) Effects { return d.core.DirectoryMessage(now, from, message) })
+// HandleDirectoryMessage reports a message of another router's directory.
+func (d *Runner) HandleDirectoryMessage(from ident.Node, message directory.Message) {
+	d.news.Push(func(now time.Time) Effects { return d.core.HandleDirectoryMessage(now, from, message) })
 }
 
 // SetView reports which routers there are.
@@ -252,50 +252,50 @@
 	})
 }
 
-// Listed reports a machine list: for each engine, whether its machine leaves.
+// ApplyMachineList reports a machine list: for each engine, whether its machine leaves.
 // The map must not be changed afterwards.
-func (d *Runner) Listed(leaving map[ident.Engine]bool) {
-	d.commands.Push(func(now time.Time) Effects { return d.core.Listed(now, leaving) })
+func (d *Runner) ApplyMachineList(leaving map[ident.Engine]bool) {
+	d.commands.Push(func(now time.Time) Effects { return d.core.ApplyMachineList(now, leaving) })
 }
 
-// CacheEvents reports a batch of cache events.
-func (d *Runner) CacheEvents(engine ident.Engine, batch protocol.CacheEventBatch) {
+// ApplyCacheEvents reports a batch of cache events.
+func (d *Runner) ApplyCacheEvents(engine ident.Engine, batch protocol.CacheEventBatch) {
 	d.news.Push(func(now time.Time) Effects {
-		d.core.CacheEvents(now, engine, batch)
-		if d.core.SnapshotWanted(now, engine) {
-			d.config.OnSnapshotWanted(engine)
+		d.core.ApplyCacheEvents(now, engine, batch)
+		if d.core.SnapshotDue(now, engine) {
+			d.config.OnSnapshotDue(engine)
 		}
 		return Effects{}
 	})
 }
 
-// CacheSnapshot reports the whole state of an engine's cache.
-func (d *Runner) CacheSnapshot(engine ident.Engine, snapshot protocol.CacheSnapshot) {
+// ApplyCacheSnapshot reports the whole state of an engine's cache.
+func (d *Runner) ApplyCacheSnapshot(engine ident.Engine, snapshot protocol.CacheSnapshot) {
 	d.news.Push(func(now time.Time) Effects {
-		d.core.CacheSnapshot(now, engine, snapshot)
+		d.core.ApplyCacheSnapshot(now, engine, snapshot)
 		return Effects{}
 	})
 }
 
-// Read returns the state of the core. It waits for the goroutine of the duty,
+// State returns the state of the core. It waits for the goroutine of the duty,
 // at most until ctx ends.
-func (d *Runner) Read(ctx context.Context) (Reading, error) {
+func (d *Runner) State(ctx context.Context) (State, error) {
 	// The buffer lets the duty go on when the reader has left.
-	answer := make(chan Reading, 1)
+	answer := make(chan State, 1)
 	asked := d.commands.Push(func(now time.Time) Effects {
-		answer <- d.core.Read(now)
+		answer <- d.core.State(now)
 		return Effects{}
 	})
 	if !asked {
-		return Reading{}, fault.New(fault.Overloaded, "the placement duty has too many inputs waiting").
+		return State{}, fault.New(fault.Overloaded, "the placement duty has too many inputs waiting").
 			WithRetryAfter(overloadedRetryAfter)
 	}
 	select {
 	case reading := <-answer:
 		return reading, nil
 	case <-ctx.Done():
-		return Reading{}, fault.Wrap(ctx.Err(), fault.Timeout, "the placement duty did not answer")
+		return State{}, fault.Wrap(ctx.Err(), fault.Timeout, "the placement duty did not answer")
 	case <-d.done:
-		return Reading{}, fault.New(fault.Leaving, "this router has stopped")
+		return State{}, fault.New(fault.Leaving, "this router has stopped")
 	}
 }
--- a/internal/placement/runner_test.go
+++ b/internal/placement/runner_test.go
@@ -35,7 +35,7 @@
 	poller := endpoint.NewPoller(observer, time.Second, 16)
 	duty := NewRunner(RunnerConfig{
 		MaxOpen: maxOpen, PollInterval: 250 * time.Millisecond, PollsPerTick: 8, PollTick: 50 * time.Millisecond,
-		OnChange: func(endpoint.Change) {}, OnSnapshotWanted: func(ident.Engine) {}, OnMessage: func(directory.Envelope) {},
+		OnChange: func(endpoint.Change) {}, OnSnapshotDue: func(ident.Engine) {}, OnMessage: func(directory.Envelope) {},
 	}, newTestCore(t, 1), poller)
 	poller.Start(ctx, 2)
 	go duty.Run(ctx)
@@ -60,7 +60,7 @@
 
 		_, err = duty.Place(t.Context(), jobOf("r3", time.Second))
 		is.True(fault.Is(err, fault.DeadlineExceeded)) // both full until the hold ended
-		duty.Ended(first.Job.Key, Result{Incarnation: "life", TimeToFirstToken: time.Millisecond})
+		duty.RecordEnd(first.Job.Key, Result{Incarnation: "life", TimeToFirstToken: time.Millisecond})
 		third, err := duty.Place(t.Context(), jobOf("r4", time.Second))
 		is.NoErr(err)
 		is.Equal(third.Candidate.Endpoint.Engine, first.Candidate.Endpoint.Engine)
--- a/internal/prefix/beliefs/learn.go
+++ b/internal/prefix/beliefs/learn.go
@@ -19,10 +19,10 @@
 	maxLost = 1 << 12
 )
 
-// Dispatched tells that a request with this chain was just sent to an engine,
+// RecordDispatch tells that a request with this chain was just sent to an engine,
 // which will soon hold all of it. Requests decided next then follow it in
 // place of each starting a recomputation elsewhere.
-func (s *Store) Dispatched(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain) {
+func (s *Store) RecordDispatch(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain) {
 	known := s.observe(engine, incarnation)
 	if known == nil {
 		return
@@ -33,9 +33,9 @@
 	}
 }
 
-// Refused tells that the engine refused a request of which Dispatched was told:
+// RecordRefusal tells that the engine refused a request of which Dispatched was told:
 // it will not hold the chain because of it.
-func (s *Store) Refused(engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain) {
+func (s *Store) RecordRefusal(engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain) {
 	known := s.current(engine, incarnation)
 	if known == nil {
 		return
@@ -48,9 +48,9 @@
 	}
 }
 
-// Answered tells an engine's own count: it held the first held blocks of the
+// RecordAnswer tells an engine's own count: it held the first held blocks of the
 // chain when it took the request, and has computed the rest.
-func (s *Store) Answered(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, held int) {
+func (s *Store) RecordAnswer(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, held int) {
 	known := s.observe(engine, incarnation)
 	if known == nil {
 		return
@@ -91,9 +91,9 @@
 	}
 }
 
-// Told records an answer of the directory: the incarnation holds the first
+// RecordDirectoryAnswer records an answer of the directory: the incarnation holds the first
 // blocks blocks of the chain. Better knowledge is left as it is.
-func (s *Store) Told(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, blocks int) {
+func (s *Store) RecordDirectoryAnswer(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, blocks int) {
 	known := s.observe(engine, incarnation)
 	if known == nil {
 		return
@@ -109,10 +109,10 @@
 	}
 }
 
-// Events applies a batch of an engine's event stream. A gap in the sequence
+// ApplyEvents applies a batch of an engine's event stream. A gap in the sequence
 // lessens the trust in what events gave so far, by the blocks that the lost
 // events may have removed, and asks for a snapshot.
-func (s *Store) Events(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) {
+func (s *Store) ApplyEvents(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) {
 	known := s.observe(engine, batch.Incarnation)
 	if known == nil {
 		return
@@ -165,9 +165,9 @@
 	}
 }
 
-// Snapshot replaces what is believed of an engine by its whole state. One that
+// ApplySnapshot replaces what is believed of an engine by its whole state. One that
 // is older than the events already applied is ignored and asked for again.
-func (s *Store) Snapshot(now time.Time, engine ident.Engine, snapshot protocol.CacheSnapshot) {
+func (s *Store) ApplySnapshot(now time.Time, engine ident.Engine, snapshot protocol.CacheSnapshot) {
 	known := s.observe(engine, snapshot.Incarnation)
 	if known == nil {
 		return
@@ -185,9 +185,9 @@
 	}
 }
 
-// SnapshotWanted reports whether the caller should fetch a snapshot of the
+// SnapshotDue reports whether the caller should fetch a snapshot of the
 // engine now; it says so at most once in a SnapshotInterval.
-func (s *Store) SnapshotWanted(now time.Time, engine ident.Engine) bool {
+func (s *Store) SnapshotDue(now time.Time, engine ident.Engine) bool {
 	known := s.lives[engine]
 	if known == nil || !known.active || !known.snapshotWanted || s.stamp(now) < known.nextSnapshot {
 		return false
--- a/internal/prefix/beliefs/store.go
+++ b/internal/prefix/beliefs/store.go
@@ -110,10 +110,10 @@
 	return config
 }
 
-// Incarnation tells which incarnation of an engine is alive. Beliefs about any
+// SetIncarnation tells which incarnation of an engine is alive. Beliefs about any
 // other one are dropped at once. Observations never do this by themselves: a
 // late answer of an earlier life must not bring its beliefs back.
-func (s *Store) Incarnation(engine ident.Engine, incarnation ident.Incarnation) {
+func (s *Store) SetIncarnation(engine ident.Engine, incarnation ident.Incarnation) {
 	known := s.lives[engine]
 	if known == nil {
 		known = &life{lifetime: s.config.DefaultLifetime}
@@ -128,8 +128,8 @@
 	known.removedPerEvent = 0
 }
 
-// Forget drops every belief about an engine that is believed dead.
-func (s *Store) Forget(engine ident.Engine) {
+// RecordDeath drops every belief about an engine that is believed dead.
+func (s *Store) RecordDeath(engine ident.Engine) {
 	if known := s.lives[engine]; known != nil {
 		known.active = false
 		s.drop(known)
@@ -138,13 +138,13 @@
 
 // Remove forgets an engine that the fleet no longer has.
 func (s *Store) Remove(engine ident.Engine) {
-	s.Forget(engine)
+	s.RecordDeath(engine)
 	delete(s.lives, engine)
 }
 
-// WeightsChanged drops every belief about an engine whose loaded versions or
+// RecordWeightsChange drops every belief about an engine whose loaded versions or
 // adapters changed; the incarnation stays.
-func (s *Store) WeightsChanged(engine ident.Engine) {
+func (s *Store) RecordWeightsChange(engine ident.Engine) {
 	if known := s.lives[engine]; known != nil {
 		s.drop(known)
 		known.snapshotWanted = known.synced
--- a/internal/prefix/beliefs/store_test.go
+++ b/internal/prefix/beliefs/store_test.go
@@ -23,7 +23,7 @@
 func newStore(t testing.TB, config beliefs.Config) *beliefs.Store {
 	store, err := beliefs.New(config, start)
 	is.New(t).NoErr(err)
-	store.Incarnation(engine, first)
+	store.SetIncarnation(engine, first)
 	return store
 }
 
@@ -51,40 +51,40 @@
 		want        float64
 	}{
 		{"nothing", func(*beliefs.Store) {}, first, 40},
-		{"same incarnation again", func(s *beliefs.Store) { s.Incarnation(engine, first) }, first, 40},
+		{"same incarnation again", func(s *beliefs.Store) { s.SetIncarnation(engine, first) }, first, 40},
 		{"asked about another incarnation", func(*beliefs.Store) {}, second, 0},
-		{"crash: new incarnation", func(s *beliefs.Store) { s.Incarnation(engine, second) }, second, 0},
+		{"crash: new incarnation", func(s *beliefs.Store) { s.SetIncarnation(engine, second) }, second, 0},
 		{"crash: late answer of the old life", func(s *beliefs.Store) {
-			s.Incarnation(engine, second)
-			s.Answered(start, engine, first, chain, 40)
+			s.SetIncarnation(engine, second)
+			s.RecordAnswer(start, engine, first, chain, 40)
 		}, second, 0},
 		{"back to the old name of a life", func(s *beliefs.Store) {
-			s.Incarnation(engine, second)
-			s.Incarnation(engine, first)
+			s.SetIncarnation(engine, second)
+			s.SetIncarnation(engine, first)
 		}, first, 0},
-		{"believed dead", func(s *beliefs.Store) { s.Forget(engine) }, first, 0},
+		{"believed dead", func(s *beliefs.Store) { s.RecordDeath(engine) }, first, 0},
 		{"believed dead, then a late answer", func(s *beliefs.Store) {
-			s.Forget(engine)
-			s.Answered(start, engine, first, chain, 40)
+			s.RecordDeath(engine)
+			s.RecordAnswer(start, engine, first, chain, 40)
 		}, first, 0},
 		{"believed dead, then found alive", func(s *beliefs.Store) {
-			s.Forget(engine)
-			s.Incarnation(engine, first)
+			s.RecordDeath(engine)
+			s.SetIncarnation(engine, first)
 		}, first, 0},
-		{"weights changed", func(s *beliefs.Store) { s.WeightsChanged(engine) }, first, 0},
+		{"weights changed", func(s *beliefs.Store) { s.RecordWeightsChange(engine) }, first, 0},
 		{"cache cleared", func(s *beliefs.Store) {
-			s.Events(start, engine, batch(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheCleared}))
+			s.ApplyEvents(start, engine, batch(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheCleared}))
 		}, first, 0},
 		{"deep blocks evicted", func(s *beliefs.Store) {
-			s.Events(start, engine, batch(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheRemoved, Hashes: chain[20:]}))
+			s.ApplyEvents(start, engine, batch(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheRemoved, Hashes: chain[20:]}))
 		}, first, 16}, // the deepest checkpoint inside 20 blocks
-		{"unknown incarnation", func(s *beliefs.Store) { s.Incarnation(engine, "") }, "", 0},
+		{"unknown incarnation", func(s *beliefs.Store) { s.SetIncarnation(engine, "") }, "", 0},
 		{"engine removed from the fleet", func(s *beliefs.Store) { s.Remove(engine) }, first, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			store := newStore(t, beliefs.Config{})
-			store.Answered(start, engine, first, chain, 0)
+			store.RecordAnswer(start, engine, first, chain, 0)
 			test.happens(store)
 			is.New(t).Equal(store.At(start).Credit(engine, test.incarnation, chain), test.want)
 		})
@@ -95,30 +95,30 @@
 	is := is.New(t)
 	chain, other := chainOf("t", 64), chainOf("u", 64)
 	store := newStore(t, beliefs.Config{})
-	store.Events(start, engine, batch(stored(1, chain)))
+	store.ApplyEvents(start, engine, batch(stored(1, chain)))
 	held, known := store.Holds(engine, first, chain[63])
 	is.True(held && known)
-	is.True(!store.SnapshotWanted(start, engine))
+	is.True(!store.SnapshotDue(start, engine))
 
-	store.Events(start, engine, batch(stored(3, other))) // 2 was lost
+	store.ApplyEvents(start, engine, batch(stored(3, other))) // 2 was lost
 	view := store.At(start)
 	credit := view.Credit(engine, first, chain)
 	is.True(credit > 60 && credit < 64)               // one event removes few of the blocks
 	is.Equal(view.Credit(engine, first, other), 64.0) // told after the gap
 	_, known = store.Holds(engine, first, chain[63])
 	is.True(!known)
-	is.True(store.SnapshotWanted(start, engine))
-	is.True(!store.SnapshotWanted(start.Add(4*time.Second), engine)) // bounded rate
-	is.True(store.SnapshotWanted(start.Add(5*time.Second), engine))
+	is.True(store.SnapshotDue(start, engine))
+	is.True(!store.SnapshotDue(start.Add(4*time.Second), engine)) // bounded rate
+	is.True(store.SnapshotDue(start.Add(5*time.Second), engine))
 
 	snapshot := protocol.CacheSnapshot{Incarnation: first, Sequence: 9, Hashes: chain[:32]}
-	store.Snapshot(start, engine, snapshot)
-	store.Events(start, engine, batch(stored(8, other))) // older than the snapshot
+	store.ApplySnapshot(start, engine, snapshot)
+	store.ApplyEvents(start, engine, batch(stored(8, other))) // older than the snapshot
 	view = store.At(start)
 	is.Equal(view.Credit(engine, first, chain), 32.0)
 	is.Equal(view.Credit(engine, first, other), 0.0)
 	is.Equal(store.Counters().Gaps, uint64(1))
-	store.Events(start, engine, batch(stored(100_009, other))) // the stream was away for long
+	store.ApplyEvents(start, engine, batch(stored(100_009, other))) // the stream was away for long
 	is.True(store.At(start).Credit(engine, first, chain) < 1)
 	is.Equal(store.At(start).Credit(engine, first, other), 64.0)
 }
@@ -134,9 +134,9 @@
 			if removing {
 				kind = protocol.CacheRemoved
 			}
-			store.Events(start, engine, batch(stored(2*pair+1, brief), protocol.CacheEvent{Sequence: 2*pair + 2, Kind: kind, Hashes: brief}))
+			store.ApplyEvents(start, engine, batch(stored(2*pair+1, brief), protocol.CacheEvent{Sequence: 2*pair + 2, Kind: kind, Hashes: brief}))
 		}
-		store.Events(start, engine, batch(stored(201, chain), stored(207, brief)))
+		store.ApplyEvents(start, engine, batch(stored(201, chain), stored(207, brief)))
 		return store.At(start).Credit(engine, first, chain)
 	}
 	is.True(creditAfterGap(false) > 63)
@@ -151,14 +151,14 @@
 	chain := chainOf("t", 64)
 	for sequence, want := range map[uint64]float64{2: 16, 3: 64} {
 		store := newStore(t, beliefs.Config{})
-		store.Events(start, engine, batch(stored(1, chain[:16]), stored(sequence, chain[32:])))
+		store.ApplyEvents(start, engine, batch(stored(1, chain[:16]), stored(sequence, chain[32:])))
 		is.Equal(store.At(start).Credit(engine, first, chain), want)
 	}
 }
 
 func TestTenantSaltsNeverMeet(t *testing.T) {
 	store := newStore(t, beliefs.Config{})
-	store.Answered(start, engine, first, chainOf("t", 40), 0)
+	store.RecordAnswer(start, engine, first, chainOf("t", 40), 0)
 	is.New(t).Equal(store.At(start).Credit(engine, first, chainOf("u", 40)), 0.0)
 }
 
@@ -167,25 +167,25 @@
 	chain := chainOf("t", 40)
 	later := start.Add(20 * time.Second)
 	store := newStore(t, beliefs.Config{ExpectationLifetime: 10 * time.Second})
-	store.Dispatched(start, engine, first, chain)
+	store.RecordDispatch(start, engine, first, chain)
 	is.Equal(store.At(start).Credit(engine, first, chain), 39.2) // expected soon
 	is.Equal(store.At(later).Credit(engine, first, chain), 0.0)  // and never answered
 
-	store.Answered(start, engine, first, chain, 0)
+	store.RecordAnswer(start, engine, first, chain, 0)
 	before := store.At(later).Credit(engine, first, chain)
 	is.True(before > 10 && before < 40)
 	for sequence := uint64(1); sequence < 60; sequence += 2 { // blocks live 2 s
 		at := start.Add(time.Duration(sequence) * time.Second)
 		brief := chainOf("brief", 8)
-		store.Events(at, engine, batch(stored(sequence, brief)))
-		store.Events(at.Add(2*time.Second), engine, batch(protocol.CacheEvent{Sequence: sequence + 1, Kind: protocol.CacheRemoved, Hashes: brief}))
+		store.ApplyEvents(at, engine, batch(stored(sequence, brief)))
+		store.ApplyEvents(at.Add(2*time.Second), engine, batch(protocol.CacheEvent{Sequence: sequence + 1, Kind: protocol.CacheRemoved, Hashes: brief}))
 	}
 	is.True(store.Lifetime(engine) < 4*time.Second)
 	is.Equal(store.At(later).Credit(engine, first, chain), 0.0)
 
 	// An engine that still holds what was long out of sight has a longer one.
 	measured := store.Lifetime(engine)
-	store.Answered(start.Add(time.Minute), engine, first, chain, 40)
+	store.RecordAnswer(start.Add(time.Minute), engine, first, chain, 40)
 	is.True(store.Lifetime(engine) > measured)
 }
 
@@ -204,7 +204,7 @@
 			}
 		}
 		store := newStore(&testing.T{}, beliefs.Config{})
-		store.Answered(start, engine, first, held, 0)
+		store.RecordAnswer(start, engine, first, held, 0)
 		credit := int(store.At(start).Credit(engine, first, asked))
 		slack := 8
 		if shared > 256 {
@@ -223,11 +223,11 @@
 	is := is.New(t)
 	store := newStore(t, beliefs.Config{MaxBlocks: 100})
 	recent := chainOf("t", 40)
-	store.Answered(start, engine, first, recent, 0)
+	store.RecordAnswer(start, engine, first, recent, 0)
 	for sequence := range uint64(50) {
-		store.Events(start, engine, batch(stored(sequence+1, chainOf(ident.Tenant(rune('a'+sequence)), 30))))
+		store.ApplyEvents(start, engine, batch(stored(sequence+1, chainOf(ident.Tenant(rune('a'+sequence)), 30))))
 		is.Equal(store.At(start).Credit(engine, first, recent), 40.0) // recently confirmed ones stay
-		store.Answered(start, engine, first, recent, 0)
+		store.RecordAnswer(start, engine, first, recent, 0)
 	}
 	is.Equal(store.Counters().Blocks, 100)
 	_, err := beliefs.New(beliefs.Config{MaxBlocks: -1}, start)
@@ -237,7 +237,7 @@
 func BenchmarkCredit(b *testing.B) {
 	store := newStore(b, beliefs.Config{})
 	chain := chainOf("t", 300)
-	store.Answered(start, engine, first, chain, 0)
+	store.RecordAnswer(start, engine, first, chain, 0)
 	view := store.At(start)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -259,7 +259,7 @@
 			for index := range hashes {
 				hashes[index] = prefix.Hash(sequence*100 + uint64(index))
 			}
-			store.Events(start, engine, batch(stored(sequence+1, hashes)))
+			store.ApplyEvents(start, engine, batch(stored(sequence+1, hashes)))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/prefix/directory/asker.go
+++ b/internal/prefix/directory/asker.go
@@ -16,11 +16,11 @@
 	uses int
 }
 
-// HeldBy says how much of one chain an engine holds.
-type HeldBy struct {
+// ChainHolder says how much of one chain an engine holds.
+type ChainHolder struct {
 	Engine ident.Engine
-	// Life is to be compared with the LifeDigest of the present incarnation.
-	Life uint32
+	// Incarnation is to be compared with the IncarnationDigest of the present incarnation.
+	Incarnation uint32
 	// Blocks is the number of leading blocks held.
 	Blocks int
 }
@@ -41,12 +41,12 @@
 // LookupResult is what Node.Lookup found.
 type LookupResult struct {
 	// Holders lists engines that hold a part of the chain, each once.
-	Holders []HeldBy
+	Holders []ChainHolder
 	// Known is false if the shard has not been heard in time; the reply to
 	// Ask, if any, makes it known.
 	Known bool
-	// Ask is a message to send, if not nil.
-	Ask *Envelope
+	// Request is a message to send, if not nil.
+	Request *Envelope
 }
 
 // Lookup returns which engines hold the leading blocks of a chain. An answer
@@ -79,7 +79,7 @@
 	}
 	if now.Sub(cached.asked) >= n.config.CacheLifetime { // else the reply is on its way
 		ask := n.ask(now, owner, root, cached)
-		result.Ask = &ask
+		result.Request = &ask
 	}
 	return result
 }
@@ -100,7 +100,7 @@
 	if answer.Tag != cached.answer.Tag {
 		cached.answer = *answer
 	}
-	goodFor := min(time.Duration(answer.GoodForMillis)*time.Millisecond, maxStretch*n.config.CacheLifetime)
+	goodFor := min(time.Duration(answer.TTLMillis)*time.Millisecond, maxStretch*n.config.CacheLifetime)
 	cached.goodUntil, cached.uses = now.Add(goodFor), 0
 }
 
@@ -122,26 +122,26 @@
 }
 
 // heldBy returns how much of a chain each holder of the answer has.
-func (a *Answer) heldBy(chain prefix.Chain) []HeldBy {
+func (a *Answer) heldBy(chain prefix.Chain) []ChainHolder {
 	if len(a.Holders) == 0 {
 		return nil
 	}
 	marks := marksOf(chain)
-	held := make([]HeldBy, 0, len(a.Holders))
+	held := make([]ChainHolder, 0, len(a.Holders))
 	for _, holder := range a.Holders {
 		landmark := min(sharedLandmarks(a.Paths[holder.Path], marks), holder.Landmarks)
 		if landmark <= 0 {
 			continue
 		}
-		held = deepest(held, HeldBy{holder.Engine, holder.Life, landmarkAt(landmark-1, len(chain)) + 1})
+		held = deepest(held, ChainHolder{holder.Engine, holder.Incarnation, landmarkAt(landmark-1, len(chain)) + 1})
 	}
 	return held
 }
 
 // deepest keeps one entry for each engine, the one with the most blocks.
-func deepest(list []HeldBy, added HeldBy) []HeldBy {
+func deepest(list []ChainHolder, added ChainHolder) []ChainHolder {
 	for index := range list {
-		if list[index].Engine == added.Engine && list[index].Life == added.Life {
+		if list[index].Engine == added.Engine && list[index].Incarnation == added.Incarnation {
 			list[index].Blocks = max(list[index].Blocks, added.Blocks)
 			return list
 		}
@@ -149,12 +149,12 @@
 	return append(list, added)
 }
 
-// Observed records an engine's own answer: the incarnation held the first held
+// RecordAnswer records an engine's own answer: the incarnation held the first held
 // blocks of the chain when it took the request and has computed the rest. The
 // next Tick reports to the chain's shard the part that was held, since two
 // requests shared it, or for a new prefix the whole chain. What the shard is
 // known to know already is not reported.
-func (n *Node) Observed(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, held int) {
+func (n *Node) RecordAnswer(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, held int) {
 	root, rooted := chain.Root()
 	holding, shared := holdingOf(engine, incarnation, chain, held)
 	if !shared {
@@ -181,14 +181,14 @@
 	if !found || !now.Before(cached.goodUntil) {
 		return false
 	}
-	marks, life := holding.marks(), LifeDigest(holding.Incarnation)
+	marks, life := holding.marks(), IncarnationDigest(holding.Incarnation)
 	holdAsMuch := 0
 	for _, holder := range cached.answer.Holders {
 		known := min(sharedLandmarks(cached.answer.Paths[holder.Path], marks), holder.Landmarks)
 		if known*markBytes != len(marks) {
 			continue
 		}
-		if holder.Engine == holding.Engine && holder.Life == life {
+		if holder.Engine == holding.Engine && holder.Incarnation == life {
 			return true
 		}
 		holdAsMuch++
--- a/internal/prefix/directory/fuzz_test.go
+++ b/internal/prefix/directory/fuzz_test.go
@@ -21,10 +21,10 @@
 func FuzzDecode(f *testing.F) {
 	for _, message := range []Message{
 		{Lookup: &Lookup{Root: 7}},
-		{Answer: &Answer{Root: 7, GoodForMillis: 1000, Paths: [][]byte{{1, 2, 3, 4}}, Holders: []Holder{{Engine: "e", Path: 0, Landmarks: 1}}}},
+		{Answer: &Answer{Root: 7, TTLMillis: 1000, Paths: [][]byte{{1, 2, 3, 4}}, Holders: []Holder{{Engine: "e", Path: 0, Landmarks: 1}}}},
 		{Report: &Report{Holdings: []Holding{{Engine: "e", Incarnation: "i", Hashes: make([]byte, 16)}}}},
 		{Watch: &Watch{Engine: "e", Incarnation: "i", Hashes: make([]byte, 8)}},
-		{Notice: &Notice{Engine: "e", Incarnation: "i", Lost: make([]byte, 8)}},
+		{Notification: &Notification{Engine: "e", Incarnation: "i", Lost: make([]byte, 8)}},
 	} {
 		encoded, err := Encode(message)
 		if err != nil {
--- a/internal/prefix/directory/hot_test.go
+++ b/internal/prefix/directory/hot_test.go
@@ -27,23 +27,23 @@
 		return int(c.nodes[at].Counters().Reports - before)
 	}
 	for index := range places - 1 {
-		c.nodes[other].Observed(c.now, name(index), first, chain, 64)
+		c.nodes[other].RecordAnswer(c.now, name(index), first, chain, 64)
 	}
 	is.Equal(reports(other), places-1)
 	c.blocks(another, first, chain)
-	c.nodes[another].Observed(c.now, name(places-1), first, chain, 64) // the last free place
+	c.nodes[another].RecordAnswer(c.now, name(places-1), first, chain, 64) // the last free place
 	is.Equal(reports(another), 1)
 
 	c.blocks(other, first, chain)
-	c.nodes[other].Observed(c.now, name(places), first, chain, 64)
+	c.nodes[other].RecordAnswer(c.now, name(places), first, chain, 64)
 	is.Equal(reports(other), 0)
-	c.nodes[other].Observed(c.now, name(places), first, chain, 128) // it holds more
+	c.nodes[other].RecordAnswer(c.now, name(places), first, chain, 128) // it holds more
 	is.Equal(reports(other), 1)
 
-	c.nodes[shard].Incarnation(name(3), "")
+	c.nodes[shard].SetIncarnation(name(3), "")
 	c.tick()
 	c.now = c.now.Add(2 * time.Second)
 	c.blocks(another, first, chain)
-	c.nodes[another].Observed(c.now, name(places+1), first, chain, 64)
+	c.nodes[another].RecordAnswer(c.now, name(places+1), first, chain, 64)
 	is.Equal(reports(another), 1)
 }
--- a/internal/prefix/directory/messages.go
+++ b/internal/prefix/directory/messages.go
@@ -14,11 +14,11 @@
 
 // Message is one message between directory nodes; exactly one field is set.
 type Message struct {
-	Lookup *Lookup `cbor:"1,keyasint,omitempty"`
-	Answer *Answer `cbor:"2,keyasint,omitempty"`
-	Report *Report `cbor:"3,keyasint,omitempty"`
-	Watch  *Watch  `cbor:"4,keyasint,omitempty"`
-	Notice *Notice `cbor:"5,keyasint,omitempty"`
+	Lookup       *Lookup       `cbor:"1,keyasint,omitempty"`
+	Answer       *Answer       `cbor:"2,keyasint,omitempty"`
+	Report       *Report       `cbor:"3,keyasint,omitempty"`
+	Watch        *Watch        `cbor:"4,keyasint,omitempty"`
+	Notification *Notification `cbor:"5,keyasint,omitempty"`
 }
 
 // Lookup asks a root's shard which engines hold chains of that root.
@@ -35,8 +35,8 @@
 	// Tag names the content. An answer with the Tag of the Lookup has no
 	// content: what the asker has still stands.
 	Tag uint32 `cbor:"2,keyasint"`
-	// GoodForMillis is how long the asker may use the answer.
-	GoodForMillis uint32 `cbor:"3,keyasint"`
+	// TTLMillis is how long the asker may use the answer.
+	TTLMillis uint32 `cbor:"3,keyasint"`
 	// Paths lists the chains held, each as the low 4 bytes of its landmarks'
 	// hashes, big-endian. Within one root that tells chains apart.
 	Paths   [][]byte `cbor:"4,keyasint,omitempty"`
@@ -46,8 +46,8 @@
 // Holder says how much of a path an engine holds.
 type Holder struct {
 	Engine ident.Engine `cbor:"1,keyasint"`
-	// Life is the LifeDigest of the incarnation.
-	Life uint32 `cbor:"2,keyasint"`
+	// Incarnation is the IncarnationDigest of the incarnation.
+	Incarnation uint32 `cbor:"2,keyasint"`
 	// Path is the index of the path in Answer.Paths.
 	Path int `cbor:"3,keyasint"`
 	// Landmarks is the number of landmarks of the path that are held.
@@ -75,8 +75,8 @@
 	Hashes      []byte            `cbor:"3,keyasint"`
 }
 
-// Notice is what the owner of an engine's event stream tells a shard.
-type Notice struct {
+// Notification is what the owner of an engine's event stream tells a shard.
+type Notification struct {
 	Engine      ident.Engine      `cbor:"1,keyasint"`
 	Incarnation ident.Incarnation `cbor:"2,keyasint"`
 	// Lost lists blocks that are not held: pairs of root and hash, 8 bytes each.
@@ -112,10 +112,10 @@
 	return message, nil
 }
 
-// LifeDigest shortens an incarnation for answers. Two lives of one engine
+// IncarnationDigest shortens an incarnation for answers. Two lives of one engine
 // share a digest once in four billion; then a belief is wrong, which the
 // engine's own check of the incarnation makes harmless.
-func LifeDigest(incarnation ident.Incarnation) uint32 {
+func IncarnationDigest(incarnation ident.Incarnation) uint32 {
 	return uint32(xxhash.Sum64String(string(incarnation)))
 }
 
--- a/internal/prefix/directory/node.go
+++ b/internal/prefix/directory/node.go
@@ -149,9 +149,9 @@
 	})
 }
 
-// Incarnation tells which incarnation of an engine is alive; the empty one
+// SetIncarnation tells which incarnation of an engine is alive; the empty one
 // means that it is believed dead. Holdings of other lives are not told on.
-func (n *Node) Incarnation(engine ident.Engine, incarnation ident.Incarnation) {
+func (n *Node) SetIncarnation(engine ident.Engine, incarnation ident.Incarnation) {
 	n.lives[engine] = incarnation
 }
 
@@ -169,10 +169,10 @@
 		return n.handleReport(now, message.Report)
 	case message.Watch != nil:
 		if notice := n.handleWatch(from, message.Watch); notice != nil {
-			return []Envelope{{To: from, Message: Message{Notice: notice}}}
+			return []Envelope{{To: from, Message: Message{Notification: notice}}}
 		}
-	case message.Notice != nil:
-		n.handleNotice(now, message.Notice)
+	case message.Notification != nil:
+		n.handleNotice(now, message.Notification)
 	default:
 		n.counters.Malformed++
 	}
--- a/internal/prefix/directory/node_test.go
+++ b/internal/prefix/directory/node_test.go
@@ -60,7 +60,7 @@
 func (c *cluster) setView() {
 	for name, node := range c.nodes {
 		node.SetView(membership.View{Self: name, Members: c.view.Members})
-		node.Incarnation(engine, first)
+		node.SetIncarnation(engine, first)
 	}
 }
 
@@ -88,13 +88,13 @@
 // life holds, once a reply had time to come.
 func (c *cluster) blocks(at ident.Node, incarnation ident.Incarnation, chain prefix.Chain) int {
 	result := c.nodes[at].Lookup(c.now, chain)
-	if result.Ask != nil {
-		c.deliver(at, []directory.Envelope{*result.Ask})
+	if result.Request != nil {
+		c.deliver(at, []directory.Envelope{*result.Request})
 		result = c.nodes[at].Lookup(c.now, chain)
 	}
 	is.New(c.t).True(result.Known)
 	for _, held := range result.Holders {
-		if held.Engine == engine && held.Life == directory.LifeDigest(incarnation) {
+		if held.Engine == engine && held.Incarnation == directory.IncarnationDigest(incarnation) {
 			return held.Blocks
 		}
 	}
@@ -128,8 +128,8 @@
 		{"diverges after 20 blocks", nil, append(chain[:20:20], make(prefix.Chain, 61)...), first, 16},
 		{"another prompt", nil, chainOf("tariff", ""), first, 0},
 		{"another life is asked for", nil, chain, second, 0},
-		{"engine crashed", func(c *cluster, owner ident.Node) { c.nodes[owner].Incarnation(engine, second) }, chain, first, 0},
-		{"engine believed dead", func(c *cluster, owner ident.Node) { c.nodes[owner].Incarnation(engine, "") }, chain, first, 0},
+		{"engine crashed", func(c *cluster, owner ident.Node) { c.nodes[owner].SetIncarnation(engine, second) }, chain, first, 0},
+		{"engine believed dead", func(c *cluster, owner ident.Node) { c.nodes[owner].SetIncarnation(engine, "") }, chain, first, 0},
 		{"block evicted", func(c *cluster, _ ident.Node) {
 			c.events(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheRemoved, Hashes: chain[15:16]})
 		}, chain, first, 8},
@@ -164,7 +164,7 @@
 				c.truth.held[hash] = true
 			}
 			owner, other, another := c.owner(chain)
-			c.nodes[other].Observed(c.now, engine, first, chain, 0)
+			c.nodes[other].RecordAnswer(c.now, engine, first, chain, 0)
 			c.tick()
 			if test.happens != nil {
 				test.happens(c, owner)
@@ -178,7 +178,7 @@
 func (c *cluster) events(events ...protocol.CacheEvent) {
 	owner := directory.EngineOwners(c.view, engine)[0].Node
 	batch := protocol.CacheEventBatch{Incarnation: first, Events: events}
-	c.deliver(owner, c.nodes[owner].Events(c.now, engine, batch))
+	c.deliver(owner, c.nodes[owner].ApplyEvents(c.now, engine, batch))
 }
 
 // later lets time pass with ticks, the chain being asked for now and then.
@@ -187,8 +187,8 @@
 	_, _, another := c.owner(chain)
 	for end := c.now.Add(duration); c.now.Before(end); c.now = c.now.Add(500 * time.Millisecond) {
 		c.tick()
-		if result := c.nodes[another].Lookup(c.now, chain); result.Ask != nil {
-			c.deliver(another, []directory.Envelope{*result.Ask})
+		if result := c.nodes[another].Lookup(c.now, chain); result.Request != nil {
+			c.deliver(another, []directory.Envelope{*result.Request})
 		}
 	}
 }
@@ -200,7 +200,7 @@
 	c := newCluster(t, 5)
 	prompt := chainOf("open order book ", "a")[:50]
 	_, other, another := c.owner(prompt)
-	c.nodes[another].Observed(c.now, engine, first, prompt, 0)
+	c.nodes[another].RecordAnswer(c.now, engine, first, prompt, 0)
 	c.tick()
 	for request := range 200 {
 		chain := prompt[:50:50]
@@ -208,7 +208,7 @@
 			chain = append(chain, prefix.Hash(request*1000+tail))
 		}
 		is.Equal(c.blocks(other, first, chain), 48)
-		c.nodes[other].Observed(c.now, "busy", first, chain, min(request, 1)*50)
+		c.nodes[other].RecordAnswer(c.now, "busy", first, chain, min(request, 1)*50)
 		c.tick()
 		c.now = c.now.Add(250 * time.Millisecond)
 	}
@@ -238,7 +238,7 @@
 		{Report: &directory.Report{Holdings: []directory.Holding{{Engine: engine, Hashes: long}}}},
 		{Report: &directory.Report{Holdings: make([]directory.Holding, 99)}},
 		{Watch: &directory.Watch{Hashes: []byte{1}}},
-		{Notice: &directory.Notice{Lost: []byte{1}}},
+		{Notification: &directory.Notification{Lost: []byte{1}}},
 	}
 	for _, message := range messages {
 		is.Equal(len(node.Handle(start, "x", message)), 0)
@@ -259,7 +259,7 @@
 	node.SetView(view)
 	for index := range 500 {
 		chain := prefix.Chain{prefix.Hash(index), 0, 0, prefix.Hash(index), 5, 6, 7, prefix.Hash(index * 3)}
-		node.Observed(start, engine, first, chain, 8)
+		node.RecordAnswer(start, engine, first, chain, 8)
 		node.Tick(start)
 		node.Lookup(start, chain)
 	}
@@ -277,7 +277,7 @@
 		chain := prefix.ChainOf(7, strings.Repeat("open order book ", 4*512), prefix.DefaultBlockTokens)
 		owner, other, _ := c.owner(chain)
 		for index := range 8 {
-			c.nodes[other].Observed(c.now, ident.Engine(fmt.Sprintf("engine-%03d", index)), first, chain, 512)
+			c.nodes[other].RecordAnswer(c.now, ident.Engine(fmt.Sprintf("engine-%03d", index)), first, chain, 512)
 		}
 		c.tick()
 		b.ReportMetric(float64(c.sent[other])/8, "B/report")
@@ -293,8 +293,8 @@
 				if (index+step)%10 != 0 {
 					continue
 				}
-				if result := c.nodes[member.Node].Lookup(c.now, chain); result.Ask != nil {
-					c.deliver(member.Node, []directory.Envelope{*result.Ask})
+				if result := c.nodes[member.Node].Lookup(c.now, chain); result.Request != nil {
+					c.deliver(member.Node, []directory.Envelope{*result.Request})
 				}
 			}
 			c.now = c.now.Add(100 * time.Millisecond)
@@ -322,7 +322,7 @@
 					chain[index] = prefix.Hash(root<<32 | index<<8)
 				}
 				holder := ident.Engine(fmt.Sprintf("engine-%03d", branch))
-				node.Observed(start, holder, first, chain, 512)
+				node.RecordAnswer(start, holder, first, chain, 512)
 			}
 			if root%32 == 31 {
 				node.Tick(start)
--- a/internal/prefix/directory/owner.go
+++ b/internal/prefix/directory/owner.go
@@ -24,13 +24,13 @@
 
 // handleWatch registers a shard's interest and returns what the engine's
 // events say of the blocks, or nil if they do not settle it.
-func (n *Node) handleWatch(from ident.Node, watch *Watch) *Notice {
+func (n *Node) handleWatch(from ident.Node, watch *Watch) *Notification {
 	if !wellFormed(watch.Hashes, hashBytes) {
 		n.counters.Malformed++
 		return nil
 	}
 	n.counters.Watches++
-	notice := Notice{Engine: watch.Engine, Incarnation: watch.Incarnation}
+	notice := Notification{Engine: watch.Engine, Incarnation: watch.Incarnation}
 	root := hashAt(watch.Hashes, 0)
 	settled := true
 	for index := range len(watch.Hashes) / hashBytes {
@@ -50,7 +50,7 @@
 	return &notice
 }
 
-func (m *Notice) lose(root, hash prefix.Hash) {
+func (m *Notification) lose(root, hash prefix.Hash) {
 	m.Lost = binary.BigEndian.AppendUint64(m.Lost, uint64(root))
 	m.Lost = binary.BigEndian.AppendUint64(m.Lost, uint64(hash))
 }
@@ -62,20 +62,20 @@
 	envelopes []Envelope
 }
 
-func (l *notices) to(shard ident.Node) *Notice {
+func (l *notices) to(shard ident.Node) *Notification {
 	for _, envelope := range l.envelopes {
 		if envelope.To == shard {
-			return envelope.Message.Notice
+			return envelope.Message.Notification
 		}
 	}
-	notice := &Notice{Engine: l.engine, Incarnation: l.batch.Incarnation}
-	l.envelopes = append(l.envelopes, Envelope{To: shard, Message: Message{Notice: notice}})
+	notice := &Notification{Engine: l.engine, Incarnation: l.batch.Incarnation}
+	l.envelopes = append(l.envelopes, Envelope{To: shard, Message: Message{Notification: notice}})
 	return notice
 }
 
-// Events reads a batch of the event stream of an engine that this router owns
+// ApplyEvents reads a batch of the event stream of an engine that this router owns
 // and returns what the shards that watch its blocks have to know.
-func (n *Node) Events(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) []Envelope {
+func (n *Node) ApplyEvents(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) []Envelope {
 	list := &notices{batch: &batch, engine: engine}
 	for _, event := range batch.Events {
 		switch event.Kind {
@@ -115,7 +115,7 @@
 	others := envelopes[:0]
 	for _, envelope := range envelopes {
 		if envelope.To == n.view.Self {
-			n.handleNotice(now, envelope.Message.Notice)
+			n.handleNotice(now, envelope.Message.Notification)
 			continue
 		}
 		others = append(others, envelope)
--- a/internal/prefix/directory/shard.go
+++ b/internal/prefix/directory/shard.go
@@ -38,7 +38,7 @@
 	answer := n.answer(now, lookup.Root)
 	if entry, found := n.shard.get(lookup.Root); found {
 		entry.adapt(now, n.config.CacheLifetime)
-		answer.GoodForMillis = uint32(entry.stretch * float64(n.config.CacheLifetime/time.Millisecond))
+		answer.TTLMillis = uint32(entry.stretch * float64(n.config.CacheLifetime/time.Millisecond))
 	}
 	if answer.Tag == lookup.Tag {
 		answer.Paths, answer.Holders = nil, nil
@@ -67,7 +67,7 @@
 
 // answer describes all holdings of a root. Its tag depends on the content only.
 func (n *Node) answer(now time.Time, root prefix.Hash) Answer {
-	answer := Answer{Root: root, GoodForMillis: uint32(n.config.CacheLifetime / time.Millisecond)}
+	answer := Answer{Root: root, TTLMillis: uint32(n.config.CacheLifetime / time.Millisecond)}
 	entry, found := n.shard.get(root)
 	if !found {
 		return answer
@@ -81,7 +81,7 @@
 		}
 		marks := held.marks()
 		answer.Holders = append(answer.Holders, Holder{
-			Engine: held.Engine, Life: LifeDigest(held.Incarnation), Path: answer.path(marks), Landmarks: len(marks) / markBytes,
+			Engine: held.Engine, Incarnation: IncarnationDigest(held.Incarnation), Path: answer.path(marks), Landmarks: len(marks) / markBytes,
 		})
 		_, _ = digest.WriteString(string(held.Engine) + "/" + string(held.Incarnation) + "/")
 		_, _ = digest.Write(marks)
@@ -195,7 +195,7 @@
 
 // handleNotice takes what the owner of an engine's events knows: blocks that
 // are not held cut holdings short, checked ones confirm them.
-func (n *Node) handleNotice(now time.Time, notice *Notice) {
+func (n *Node) handleNotice(now time.Time, notice *Notification) {
 	const pair = 2 * hashBytes
 	if len(notice.Lost)%pair != 0 || len(notice.Checked)%hashBytes != 0 {
 		n.counters.Malformed++
@@ -216,7 +216,7 @@
 
 // eachHolding visits the holdings of one root on the notice's engine life and
 // drops those left empty.
-func (n *Node) eachHolding(root prefix.Hash, notice *Notice, visit func(*shardHolding)) {
+func (n *Node) eachHolding(root prefix.Hash, notice *Notification, visit func(*shardHolding)) {
 	entry, found := n.shard.get(root)
 	if !found {
 		return
@@ -229,7 +229,7 @@
 	n.prune(root, entry, func(*shardHolding) bool { return false })
 }
 
-func (n *Node) dropAll(notice *Notice) {
+func (n *Node) dropAll(notice *Notification) {
 	n.shard.each(func(root prefix.Hash, entry *rootEntry) bool {
 		n.prune(root, entry, func(held *shardHolding) bool {
 			return held.Engine == notice.Engine && held.Incarnation == notice.Incarnation
--- a/internal/promptcache/copy.go
+++ b/internal/promptcache/copy.go
@@ -27,9 +27,9 @@
 type Update struct {
 	// Position names the copy that comes out.
 	Position Position `cbor:"1,keyasint"`
-	// Whole says that Entries are all that the store holds; else they change the
+	// Full says that Entries are all that the store holds; else they change the
 	// copy of the same epoch that ends at Since.
-	Whole   bool    `cbor:"2,keyasint,omitempty"`
+	Full    bool    `cbor:"2,keyasint,omitempty"`
 	Since   uint64  `cbor:"3,keyasint,omitempty"`
 	Entries []Entry `cbor:"4,keyasint,omitempty"`
 	// Age is the time since the store was asked.
@@ -84,9 +84,9 @@
 	return updates
 }
 
-// Take takes in updates of another router, whose ages count up to a time. Those that
+// ApplyUpdates takes in updates of another router, whose ages count up to a time. Those that
 // are not newer than the copies held here, or do not fit them, change nothing.
-func (x *Index) Take(at time.Time, updates []Update) {
+func (x *Index) ApplyUpdates(at time.Time, updates []Update) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, update := range updates {
@@ -100,7 +100,7 @@
 	switch {
 	case found != nil && !heardAt.After(found.heardAt):
 		return
-	case update.Whole:
+	case update.Full:
 		found = newContents(position.Epoch, position.Next, found)
 		x.stores[position.Store] = found
 	case found == nil || found.epoch != position.Epoch || found.next != update.Since:
@@ -129,7 +129,7 @@
 		}
 		return update
 	}
-	update := Update{Whole: true, Entries: make([]Entry, 0, len(c.held))}
+	update := Update{Full: true, Entries: make([]Entry, 0, len(c.held))}
 	for key, tokens := range c.held {
 		update.Entries = append(update.Entries, Entry{Key: key, Tokens: tokens})
 	}
--- a/internal/promptcache/copy_test.go
+++ b/internal/promptcache/copy_test.go
@@ -35,7 +35,7 @@
 				}
 				reader.Apply(now, store, changes)
 				if step%tt.every == 0 {
-					follower.Take(now, reader.Updates(now, follower.Positions()))
+					follower.ApplyUpdates(now, reader.Updates(now, follower.Positions()))
 					is.Equal(follower.Positions(), reader.Positions())
 					for range 10 {
 						part := randomPart(random)
@@ -59,20 +59,20 @@
 	tests := []struct {
 		name   string
 		update promptcache.Update
-		want   promptcache.Belief
+		want   promptcache.Presence
 	}{
 		{"next changes", promptcache.Update{Position: position, Since: 10, Entries: entries}, promptcache.Held},
 		{"a gap", promptcache.Update{Position: position, Since: 9, Entries: entries}, promptcache.Missing},
 		{"another life of the store", promptcache.Update{Position: otherEpoch, Since: 10, Entries: entries}, promptcache.Missing},
 		{"older news", promptcache.Update{Position: position, Since: 10, Entries: entries, Age: 2 * time.Second}, promptcache.Missing},
-		{"the whole of another life", promptcache.Update{Position: otherEpoch, Whole: true, Entries: entries}, promptcache.Held},
+		{"the whole of another life", promptcache.Update{Position: otherEpoch, Full: true, Entries: entries}, promptcache.Held},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			index := promptcache.NewIndex()
 			index.Replace(start, store, &promptcache.Listing{Epoch: 7, Next: 10})
-			index.Take(start.Add(time.Second), []promptcache.Update{tt.update})
+			index.ApplyUpdates(start.Add(time.Second), []promptcache.Update{tt.update})
 			is.Equal(index.Holds(start.Add(time.Second), store, part, 100), tt.want)
 		})
 	}
--- a/internal/promptcache/index.go
+++ b/internal/promptcache/index.go
@@ -49,12 +49,12 @@
 	Held        []Change
 }
 
-// Belief says whether a store holds a part.
-type Belief uint8
+// Presence says whether a store holds a part.
+type Presence uint8
 
 const (
 	// Unknown means that too little was heard of the store.
-	Unknown Belief = iota
+	Unknown Presence = iota
 	// Missing means that the part would have to be read by an engine.
 	Missing
 	// Held means that the part can be fetched.
@@ -164,7 +164,7 @@
 }
 
 // Holds returns whether a store holds a part of a length in tokens.
-func (x *Index) Holds(now time.Time, store netip.AddrPort, part Part, tokens int) Belief {
+func (x *Index) Holds(now time.Time, store netip.AddrPort, part Part, tokens int) Presence {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	found := x.stores[store]
@@ -177,9 +177,9 @@
 	return Missing
 }
 
-// Reserve reports whether this router should have a missing part saved now, and
+// ReserveSave reports whether this router should have a missing part saved now, and
 // counts on it for a while if so.
-func (x *Index) Reserve(now time.Time, store netip.AddrPort, part Part) bool {
+func (x *Index) ReserveSave(now time.Time, store netip.AddrPort, part Part) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	found := x.stores[store]
--- a/internal/promptcache/index_test.go
+++ b/internal/promptcache/index_test.go
@@ -29,7 +29,7 @@
 		then   []promptcache.Changes
 		part   promptcache.Part
 		after  time.Duration
-		want   promptcache.Belief
+		want   promptcache.Presence
 	}{
 		{name: "listed", listed: []promptcache.Change{change(96)}, part: part, want: promptcache.Held},
 		{name: "whole blocks only", listed: []promptcache.Change{change(90)}, part: part, want: promptcache.Held},
@@ -99,11 +99,11 @@
 func TestAPartIsSavedOnce(t *testing.T) {
 	is := is.New(t)
 	index := promptcache.NewIndex()
-	is.True(!index.Reserve(start, store, part)) // nothing is known of the store
+	is.True(!index.ReserveSave(start, store, part)) // nothing is known of the store
 	index.Replace(start, store, &promptcache.Listing{Epoch: 7, Next: 10})
-	is.True(index.Reserve(start, store, part))
-	is.True(!index.Reserve(start.Add(time.Second), store, part))
-	is.True(index.Reserve(start.Add(2*time.Second), store, part))
+	is.True(index.ReserveSave(start, store, part))
+	is.True(!index.ReserveSave(start.Add(time.Second), store, part))
+	is.True(index.ReserveSave(start.Add(2*time.Second), store, part))
 }
 
 func TestStoresThatAreGoneAreForgotten(t *testing.T) {
--- a/internal/router/directory.go
+++ b/internal/router/directory.go
@@ -80,6 +80,6 @@
 
 // serveDirectory takes in a directory message of another router.
 func (r *Router) serveDirectory(_ context.Context, delivery directoryDelivery) (directoryReceipt, error) {
-	r.duty.DirectoryMessage(delivery.From, delivery.Message)
+	r.duty.HandleDirectoryMessage(delivery.From, delivery.Message)
 	return directoryReceipt{}, nil
 }
--- a/internal/router/machines.go
+++ b/internal/router/machines.go
@@ -37,7 +37,7 @@
 			applications[ident.Application(machine.Name)] = leaving
 		}
 	}
-	r.duty.Listed(engines)
+	r.duty.ApplyMachineList(engines)
 	r.apps.listed(applications)
 	r.addSeeds(ctx, seeds)
 }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -75,7 +75,7 @@
 	switch event.Kind {
 	case membership.ReportReceived:
 		if event.Report.Kind == membership.ReportDraining {
-			r.duty.LeavingSeen(ident.Engine(event.Report.Backend), event.Report.Incarnation)
+			r.duty.ObserveDraining(ident.Engine(event.Report.Backend), event.Report.Incarnation)
 			r.apps.leavingSeen(ident.Application(event.Report.Backend), event.Report.Incarnation)
 		}
 		return false
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -50,7 +50,7 @@
 			return p.placement(job, wanted, placed), nil
 		}
 		// A fleet file adopted while the job waited forbids the place.
-		p.duty.Ended(wanted.Key, placement.Result{})
+		p.duty.RecordEnd(wanted.Key, placement.Result{})
 	}
 }
 
@@ -140,10 +140,10 @@
 		Salt:                 namespace.Salt(),
 		ExpectedCachedTokens: chosen.CreditTokens,
 		Started: func(incarnation ident.Incarnation, usage protocol.Usage) {
-			p.duty.Started(key, incarnation, usage)
+			p.duty.RecordStart(key, incarnation, usage)
 		},
-		FirstToken: func() { p.duty.FirstToken(key) },
-		Release:    func(result dispatch.Result) { p.duty.Ended(key, resultOf(result)) },
+		FirstToken: func() { p.duty.RecordFirstToken(key) },
+		Release:    func(result dispatch.Result) { p.duty.RecordEnd(key, resultOf(result)) },
 	}
 }
 
--- a/internal/router/placer_test.go
+++ b/internal/router/placer_test.go
@@ -79,7 +79,7 @@
 	poller.Start(t.Context(), 1)
 	duty := placement.NewRunner(placement.RunnerConfig{
 		MaxOpen: 16, PollInterval: 250 * time.Millisecond, PollsPerTick: 8, PollTick: 50 * time.Millisecond,
-		OnChange: func(endpoint.Change) {}, OnSnapshotWanted: func(ident.Engine) {},
+		OnChange: func(endpoint.Change) {}, OnSnapshotDue: func(ident.Engine) {},
 	}, placement.New(placement.Config{
 		Scheduler: scheduler, Beliefs: believed, Queue: admission.NewQueue(admission.Config{}), Hop: hopFrom("z-1"),
 	}), poller)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -169,13 +169,13 @@
 	r.directoryMessages = newDirectorySender(r.peers, ident.Node(r.settings.Node), r.view)
 	r.poller = endpoint.NewPoller(r.engines, pollTimeout, pollRing)
 	r.duty = placement.NewRunner(placement.RunnerConfig{
-		MaxOpen:          r.settings.Limits.MaxOpenRequests,
-		PollInterval:     r.settings.Intervals.LoadPoll,
-		PollsPerTick:     pollsPerTick,
-		PollTick:         pollTick,
-		OnChange:         r.engineChanged,
-		OnSnapshotWanted: r.snapshotWanted,
-		OnMessage:        r.directoryMessages.push,
+		MaxOpen:       r.settings.Limits.MaxOpenRequests,
+		PollInterval:  r.settings.Intervals.LoadPoll,
+		PollsPerTick:  pollsPerTick,
+		PollTick:      pollTick,
+		OnChange:      r.engineChanged,
+		OnSnapshotDue: r.snapshotWanted,
+		OnMessage:     r.directoryMessages.push,
 	}, core, r.poller)
 	r.streams = newStreamReaders(r.engines, r.duty)
 	r.apps = newApplicationPlacer(r.syncer.Current, home)
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -57,7 +57,7 @@
 	for _, member := range r.view().Members {
 		report.Members = append(report.Members, statusMember(member))
 	}
-	if reading, err := r.duty.Read(ctx); err == nil {
+	if reading, err := r.duty.State(ctx); err == nil {
 		report.Engines = statusEngines(reading.Endpoints)
 		report.Queue = statusQueue(reading)
 		report.Decisions = status.Decisions(reading.Decisions)
@@ -79,7 +79,7 @@
 	return report
 }
 
-func statusQueue(reading placement.Reading) status.Queue {
+func statusQueue(reading placement.State) status.Queue {
 	queue := status.Queue{InFlight: reading.InFlight}
 	for _, priority := range slices.Sorted(maps.Keys(reading.Waiting)) {
 		waiting := reading.Waiting[priority]
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -90,7 +90,7 @@
 		if err != nil {
 			return
 		}
-		s.duty.CacheEvents(source.Engine, batch)
+		s.duty.ApplyCacheEvents(source.Engine, batch)
 	}
 }
 
@@ -101,7 +101,7 @@
 		defer cancel()
 		snapshot, err := s.observer.CacheSnapshot(bounded, source.Address)
 		if err == nil {
-			s.duty.CacheSnapshot(source.Engine, snapshot)
+			s.duty.ApplyCacheSnapshot(source.Engine, snapshot)
 		}
 	})
 }
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -72,9 +72,9 @@
 			}
 			for index := range snapshot.Endpoints {
 				endpoint := &snapshot.Endpoints[index]
-				store.Incarnation(endpoint.Engine, endpoint.Incarnation)
+				store.SetIncarnation(endpoint.Engine, endpoint.Incarnation)
 				if index%8 == 0 {
-					store.Answered(now, endpoint.Engine, endpoint.Incarnation, request.Chains["v"], 0)
+					store.RecordAnswer(now, endpoint.Engine, endpoint.Incarnation, request.Chains["v"], 0)
 				}
 			}
 			scheduler, err := routing.NewPredictive(routing.Config{})
--- a/internal/routing/burst_test.go
+++ b/internal/routing/burst_test.go
@@ -28,7 +28,7 @@
 	trackers := map[ident.Engine]*load.Tracker{}
 	for index := range snapshot.Endpoints {
 		engine := snapshot.Endpoints[index].Engine
-		store.Incarnation(engine, "i")
+		store.SetIncarnation(engine, "i")
 		trackers[engine] = load.NewTracker(100 * time.Microsecond)
 	}
 	shared := request.Chains["v"][:180]
@@ -46,7 +46,7 @@
 		worst = max(worst, chosen.TimeToFirstToken())
 		missing := float64(request.PromptTokens) - chosen.CreditTokens
 		trackers[engine].Dispatched(now, load.AttemptKey{Request: ident.Request(fmt.Sprint(number))}, missing)
-		store.Dispatched(now, engine, "i", request.Chains["v"])
+		store.RecordDispatch(now, engine, "i", request.Chains["v"])
 		now = now.Add(time.Millisecond)
 	}
 	return len(used), worst
--- a/proofs/cache_test.go
+++ b/proofs/cache_test.go
@@ -36,7 +36,7 @@
 // lateEvents tells every router of the blocks of a life that is over.
 func (w *cacheWorld) lateEvents(batch protocol.CacheEventBatch) {
 	for _, router := range w.routers {
-		router.core.CacheEvents(w.now, w.broken.name, batch)
+		router.core.ApplyCacheEvents(w.now, w.broken.name, batch)
 	}
 }
 
--- a/proofs/leaving_test.go
+++ b/proofs/leaving_test.go
@@ -69,7 +69,7 @@
 		for _, event := range node.TakeEvents() {
 			if event.Kind == membership.ReportReceived {
 				router := w.routers[index]
-				w.take(router, router.core.LeavingSeen(w.now, ident.Engine(event.Report.Backend), event.Report.Incarnation))
+				w.take(router, router.core.ObserveDraining(w.now, ident.Engine(event.Report.Backend), event.Report.Incarnation))
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 // list shows the machine list to the first routers, as one read of it does.
 func (w *leavingWorld) list(readers int, leaving bool) {
 	for _, router := range w.routers[:readers] {
-		w.take(router, router.core.Listed(w.now, map[ident.Engine]bool{w.leaving.name: leaving}))
+		w.take(router, router.core.ApplyMachineList(w.now, map[ident.Engine]bool{w.leaving.name: leaving}))
 	}
 }
 
--- a/proofs/simulatedtraffic_test.go
+++ b/proofs/simulatedtraffic_test.go
@@ -200,7 +200,7 @@
 			continue
 		}
 		if event.Kind == protocol.EventStart {
-			router.core.Started(s.now, reader.placed.Job.Key, event.Incarnation, *event.Usage)
+			router.core.RecordStart(s.now, reader.placed.Job.Key, event.Incarnation, *event.Usage)
 		}
 		if event.Kind == protocol.EventChunk && reader.first == 0 {
 			reader.first = s.now.Sub(reader.sentAt)
@@ -217,7 +217,7 @@
 func (s *simulation) finish(over *flight, result placement.Result) {
 	id := over.placed.Job.Request.ID
 	router := over.request.router
-	s.take(router, router.core.Ended(s.now, over.placed.Job.Key, result))
+	s.take(router, router.core.RecordEnd(s.now, over.placed.Job.Key, result))
 	answered := result.Refusal == "" && !result.Unreachable && !result.Broken
 	if answered || over.request.attempts == virtualAttempts {
 		delete(s.open, id)
--- a/proofs/simulation_test.go
+++ b/proofs/simulation_test.go
@@ -185,9 +185,9 @@
 			switch {
 			case router.deaf:
 			case engine.Alive():
-				s.take(router, router.core.Reported(s.now, engine.name, engine.LoadReport(s.now)))
+				s.take(router, router.core.ObserveReport(s.now, engine.name, engine.LoadReport(s.now)))
 			default:
-				s.take(router, router.core.ReportFailed(s.now, engine.name))
+				s.take(router, router.core.ObserveReportFailure(s.now, engine.name))
 			}
 		}
 	}
@@ -230,10 +230,10 @@
 	if r.eventless || r.gapped && r.batches%2 == 0 {
 		return
 	}
-	r.core.CacheEvents(s.now, engine.name, batch)
-	if r.core.SnapshotWanted(s.now, engine.name) && engine.Alive() {
+	r.core.ApplyCacheEvents(s.now, engine.name, batch)
+	if r.core.SnapshotDue(s.now, engine.name) && engine.Alive() {
 		snapshot := engine.Snapshot(s.now)
-		s.after(reportInterval, func() { r.core.CacheSnapshot(s.now, engine.name, snapshot) })
+		s.after(reportInterval, func() { r.core.ApplyCacheSnapshot(s.now, engine.name, snapshot) })
 	}
 }
 
--- a/standin/experiment/attempt.go
+++ b/standin/experiment/attempt.go
@@ -87,7 +87,7 @@
 }
 
 func (a *attempt) accepted(incarnation ident.Incarnation, usage protocol.Usage) {
-	a.router.core.Started(a.exchange.simulation.clock.now, a.key, incarnation, usage)
+	a.router.core.RecordStart(a.exchange.simulation.clock.now, a.key, incarnation, usage)
 }
 
 // chunk takes in generated text. Only the first one of a request is timed, so
@@ -101,7 +101,7 @@
 		return
 	}
 	a.firstAt = x.simulation.clock.now.Add(x.simulation.hop(a.router.zone, a.engine.zone))
-	a.answer(func() { a.router.core.FirstToken(x.simulation.clock.now, a.key) })
+	a.answer(func() { a.router.core.RecordFirstToken(x.simulation.clock.now, a.key) })
 	if x.firstToken == 0 {
 		x.firstToken = a.firstAt.Add(hopToClient).Sub(x.arrivedAt)
 	}
@@ -148,5 +148,5 @@
 	if !a.firstAt.IsZero() {
 		result.TimeToFirstToken = a.firstAt.Sub(a.sentAt)
 	}
-	a.router.apply(a.router.core.Ended(now, a.key, result))
+	a.router.apply(a.router.core.RecordEnd(now, a.key, result))
 }
--- a/standin/experiment/routers.go
+++ b/standin/experiment/routers.go
@@ -112,12 +112,12 @@
 	hop := r.simulation.hop(r.zone, engine.zone)
 	r.simulation.clock.after(hop, func() {
 		if !engine.model.Alive() {
-			r.later(hop, func(now time.Time) { r.apply(r.core.ReportFailed(now, engine.name)) })
+			r.later(hop, func(now time.Time) { r.apply(r.core.ObserveReportFailure(now, engine.name)) })
 			return
 		}
 		report := engine.model.LoadReport(r.simulation.clock.now)
 		engine.poke()
-		r.later(hop, func(now time.Time) { r.apply(r.core.Reported(now, engine.name, report)) })
+		r.later(hop, func(now time.Time) { r.apply(r.core.ObserveReport(now, engine.name, report)) })
 	})
 }
 
@@ -139,8 +139,8 @@
 			continue
 		}
 		router.later(s.hop(engine.zone, router.zone), func(now time.Time) {
-			router.core.CacheEvents(now, engine.name, batch)
-			if router.core.SnapshotWanted(now, engine.name) {
+			router.core.ApplyCacheEvents(now, engine.name, batch)
+			if router.core.SnapshotDue(now, engine.name) {
 				router.readSnapshot(engine)
 			}
 		})
@@ -155,7 +155,7 @@
 		}
 		snapshot := engine.model.Snapshot(now)
 		engine.poke()
-		r.later(hop, func(now time.Time) { r.core.CacheSnapshot(now, engine.name, snapshot) })
+		r.later(hop, func(now time.Time) { r.core.ApplyCacheSnapshot(now, engine.name, snapshot) })
 	})
 }
 
