--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -27,14 +27,14 @@
 			for b.Loop() {
 				index++
 				now = now.Add(88 * time.Millisecond)
-				job := jobOf(fmt.Sprint(index), time.Second)
+				job := newJob(fmt.Sprint(index), time.Second)
 				placed := core.Offer(now, job).Placed
 				if len(placed) != 1 {
 					b.Fatal("not placed")
 				}
-				life := placed[0].Candidate.Endpoint.Incarnation
-				core.RecordStart(now, job.Key, life, protocol.Usage{PromptTokens: 256})
-				core.RecordEnd(now, job.Key, Result{Incarnation: life, TimeToFirstToken: time.Second, Duration: time.Second})
+				incarnation := placed[0].Candidate.Endpoint.Incarnation
+				core.RecordStart(now, job.Key, incarnation, protocol.Usage{PromptTokens: 256})
+				core.RecordEnd(now, job.Key, Result{Incarnation: incarnation, TimeToFirstToken: time.Second, Duration: time.Second})
 			}
 		})
 	}
@@ -44,10 +44,10 @@
 	is := is.New(b)
 	scheduler, err := routing.NewPredictive(routing.Config{})
 	is.NoErr(err)
-	believed, err := beliefs.New(beliefs.Config{}, start)
+	store, err := beliefs.New(beliefs.Config{}, start)
 	is.NoErr(err)
 	core := New(Config{
-		Scheduler: scheduler, Beliefs: believed, Queue: admission.NewQueue(admission.Config{}),
+		Scheduler: scheduler, Beliefs: store, Queue: admission.NewQueue(admission.Config{}),
 		NewLimiter: func() admission.Limiter { return admission.NewGradientLimiter(admission.LimitBounds{}) },
 		Hop:        func(ident.Zone) time.Duration { return 0 },
 	})
@@ -58,7 +58,7 @@
 	}
 	core.Configure(start, targets)
 	for _, target := range targets {
-		core.ObserveReport(start, target.Engine, reportOf(ident.Incarnation(target.Engine)+"-life"))
+		core.ObserveReport(start, target.Engine, newReport(ident.Incarnation(target.Engine)+"-life"))
 	}
 	return core
 }
--- a/internal/placement/core.go
+++ b/internal/placement/core.go
@@ -81,8 +81,8 @@
 	Messages []directory.Envelope
 }
 
-// flight is one attempt on an engine.
-type flight struct {
+// attempt is one attempt on an engine.
+type attempt struct {
 	job         *Job
 	engine      ident.Engine
 	address     string
@@ -98,16 +98,16 @@
 	registry *endpoint.Registry
 	limiters map[ident.Engine]admission.Limiter
 	waiting  map[ident.Request]*Job
-	flights  map[endpoint.AttemptKey]*flight
+	inFlight map[endpoint.AttemptKey]*attempt
 	// parked holds jobs that wait for the directory, in order of time.
 	parked          []parkedJob
 	directoryTicked time.Time
 	// directory is Config.Directory while it is used, else nil.
 	directory *directory.Node
-	// passed tells by priority when a request last passed the reserve.
-	passed   map[int]time.Time
-	snapshot framework.Snapshot
-	effects  Effects
+	// reservePassed tells by priority when a request last passed the reserve.
+	reservePassed map[int]time.Time
+	snapshot      framework.Snapshot
+	effects       Effects
 	// Counters counts decisions; read it from the goroutine of the core.
 	Counters Counters
 }
@@ -130,12 +130,12 @@
 // New returns a core that knows no engine.
 func New(config Config) *Core {
 	return &Core{
-		config:   config,
-		registry: endpoint.NewRegistry(),
-		limiters: make(map[ident.Engine]admission.Limiter),
-		waiting:  make(map[ident.Request]*Job),
-		flights:  make(map[endpoint.AttemptKey]*flight),
-		passed:   make(map[int]time.Time),
+		config:        config,
+		registry:      endpoint.NewRegistry(),
+		limiters:      make(map[ident.Engine]admission.Limiter),
+		waiting:       make(map[ident.Request]*Job),
+		inFlight:      make(map[endpoint.AttemptKey]*attempt),
+		reservePassed: make(map[int]time.Time),
 	}
 }
 
@@ -146,7 +146,7 @@
 func (c *Core) Waiting() int { return len(c.waiting) }
 
 // InFlight returns the number of attempts that have a place.
-func (c *Core) InFlight() int { return len(c.flights) }
+func (c *Core) InFlight() int { return len(c.inFlight) }
 
 // Configure takes over the engines of a fleet file.
 func (c *Core) Configure(now time.Time, targets []endpoint.Target) Effects {
@@ -154,8 +154,8 @@
 	if len(targets) > c.config.SmallFleet {
 		c.directory = c.config.Directory
 	}
-	c.changed(c.registry.Configure(targets))
-	return c.pump(now)
+	c.applyChanges(c.registry.Configure(targets))
+	return c.dispatchWaiting(now)
 }
 
 // Offer takes in a job. It is placed, held or refused.
@@ -167,7 +167,7 @@
 	} else {
 		c.enqueue(now, job)
 	}
-	return c.pump(now)
+	return c.dispatchWaiting(now)
 }
 
 // enqueue hands a job to the queue, unless its caller has left meanwhile.
@@ -175,13 +175,13 @@
 	if c.waiting[job.Request.ID] != job {
 		return
 	}
-	c.refuse(c.config.Queue.Offer(now, admission.Item{
+	c.reject(c.config.Queue.Offer(now, admission.Item{
 		ID:       job.Request.ID,
 		Tenant:   job.Request.Tenant,
 		Priority: job.Request.Priority,
 		Weight:   job.Weight,
 		Cost:     float64(job.Request.PromptTokens),
-		Pool:     poolOf(&job.Request),
+		Pool:     poolKey(&job.Request),
 		MaxHold:  job.MaxHold,
 	}))
 }
@@ -195,7 +195,7 @@
 }
 
 // Tick gives up jobs whose hold is over and places what can be placed.
-func (c *Core) Tick(now time.Time) Effects { return c.pump(now) }
+func (c *Core) Tick(now time.Time) Effects { return c.dispatchWaiting(now) }
 
 // NextTick returns when Tick has something to do, if ever. The zero time means
 // at once: the last look through the queue was cut short to bound its cost.
@@ -212,31 +212,31 @@
 
 // ObserveReport takes in a load report.
 func (c *Core) ObserveReport(now time.Time, engine ident.Engine, report protocol.LoadReport) Effects {
-	c.changed(c.registry.ObserveReport(now, engine, report))
-	return c.pump(now)
+	c.applyChanges(c.registry.ObserveReport(now, engine, report))
+	return c.dispatchWaiting(now)
 }
 
 // ObserveReportFailure takes in that a load report could not be read.
 func (c *Core) ObserveReportFailure(now time.Time, engine ident.Engine) Effects {
-	c.changed(c.registry.ObserveReportFailure(engine))
-	return c.pump(now)
+	c.applyChanges(c.registry.ObserveReportFailure(engine))
+	return c.dispatchWaiting(now)
 }
 
 // ObserveDraining takes in a sign that an engine is leaving.
 func (c *Core) ObserveDraining(now time.Time, engine ident.Engine, incarnation ident.Incarnation) Effects {
-	c.changed(c.registry.ObserveDraining(now, engine, incarnation))
-	return c.pump(now)
+	c.applyChanges(c.registry.ObserveDraining(now, engine, incarnation))
+	return c.dispatchWaiting(now)
 }
 
 // ApplyMachineList takes in a machine list: for each engine, whether its machine leaves.
-func (c *Core) ApplyMachineList(now time.Time, leaving map[ident.Engine]bool) Effects {
-	c.changed(c.registry.ApplyMachineList(now, leaving))
-	return c.pump(now)
+func (c *Core) ApplyMachineList(now time.Time, draining map[ident.Engine]bool) Effects {
+	c.applyChanges(c.registry.ApplyMachineList(now, draining))
+	return c.dispatchWaiting(now)
 }
 
 // ApplyCacheEvents takes in a batch of cache events.
 func (c *Core) ApplyCacheEvents(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) {
-	c.heard(engine, batch.Incarnation)
+	c.observeEventIncarnation(engine, batch.Incarnation)
 	c.config.Beliefs.ApplyEvents(now, engine, batch)
 	if c.directory != nil {
 		c.effects.Messages = append(c.effects.Messages, c.directory.ApplyEvents(now, engine, batch)...)
@@ -245,16 +245,16 @@
 
 // ApplyCacheSnapshot takes in the whole state of an engine's cache.
 func (c *Core) ApplyCacheSnapshot(now time.Time, engine ident.Engine, snapshot protocol.CacheSnapshot) {
-	c.heard(engine, snapshot.Incarnation)
+	c.observeEventIncarnation(engine, snapshot.Incarnation)
 	c.config.Beliefs.ApplySnapshot(now, engine, snapshot)
 }
 
-// heard takes in the incarnation of cache events or of a snapshot. They come
+// observeEventIncarnation takes in the incarnation of cache events or of a snapshot. They come
 // late: they may tell the first life of an engine that has not reported yet,
 // but never that a dead engine lives or that a life has been replaced.
-func (c *Core) heard(engine ident.Engine, incarnation ident.Incarnation) {
+func (c *Core) observeEventIncarnation(engine ident.Engine, incarnation ident.Incarnation) {
 	if c.registry.Incarnation(engine) == "" {
-		c.changed(c.registry.ObserveIncarnation(engine, incarnation))
+		c.applyChanges(c.registry.ObserveIncarnation(engine, incarnation))
 	}
 }
 
@@ -263,10 +263,10 @@
 	return c.config.Beliefs.SnapshotDue(now, engine)
 }
 
-// changed acts on changes of the registry and reports them.
-func (c *Core) changed(changes []endpoint.Change) {
+// applyChanges acts on changes of the registry and reports them.
+func (c *Core) applyChanges(changes []endpoint.Change) {
 	for _, change := range changes {
-		c.tellDirectory(change)
+		c.notifyDirectory(change)
 		switch change.Kind {
 		case endpoint.ChangeIncarnation, endpoint.ChangeRevived:
 			c.config.Beliefs.SetIncarnation(change.Engine, change.Incarnation)
@@ -285,13 +285,13 @@
 	c.effects.Changes = append(c.effects.Changes, changes...)
 }
 
-// pump gives up and places waiting jobs, and hands out the effects.
-func (c *Core) pump(now time.Time) Effects {
+// dispatchWaiting gives up and places waiting jobs, and hands out the effects.
+func (c *Core) dispatchWaiting(now time.Time) Effects {
 	c.tickDirectory(now)
-	c.refuse(c.config.Queue.Expire(now))
+	c.reject(c.config.Queue.Expire(now))
 	if len(c.waiting) > 0 {
 		c.setLimits(now)
-		c.refuse(c.config.Queue.Pump(now, func(item *admission.Item) admission.Result {
+		c.reject(c.config.Queue.Pump(now, func(item *admission.Item) admission.Result {
 			return c.decide(now, c.waiting[item.ID])
 		}))
 	}
@@ -300,11 +300,11 @@
 	return effects
 }
 
-func (c *Core) refuse(refused []admission.Refused) {
-	for _, given := range refused {
-		job := c.waiting[given.Item.ID]
-		delete(c.waiting, given.Item.ID)
+func (c *Core) reject(rejected []admission.Refused) {
+	for _, rejection := range rejected {
+		job := c.waiting[rejection.Item.ID]
+		delete(c.waiting, rejection.Item.ID)
 		c.Counters.Refused++
-		c.effects.Refused = append(c.effects.Refused, Refused{Key: job.Key, Fault: given.Fault})
+		c.effects.Refused = append(c.effects.Refused, Refused{Key: job.Key, Fault: rejection.Fault})
 	}
 }
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -27,10 +27,10 @@
 	is := is.New(t)
 	scheduler, err := routing.NewPredictive(routing.Config{UrgentReserve: 0.5})
 	is.NoErr(err)
-	believed, err := beliefs.New(beliefs.Config{}, start)
+	store, err := beliefs.New(beliefs.Config{}, start)
 	is.NoErr(err)
 	core := New(Config{
-		Scheduler: scheduler, Beliefs: believed, Queue: admission.NewQueue(admission.Config{}),
+		Scheduler: scheduler, Beliefs: store, Queue: admission.NewQueue(admission.Config{}),
 		NewLimiter: func() admission.Limiter { return admission.NewFixedLimiter(limit) },
 		Hop:        func(ident.Zone) time.Duration { return 0 },
 	})
@@ -38,14 +38,14 @@
 	return core
 }
 
-func reportOf(incarnation ident.Incarnation) protocol.LoadReport {
+func newReport(incarnation ident.Incarnation) protocol.LoadReport {
 	return protocol.LoadReport{
 		Incarnation: incarnation, MaxRunning: 8, PrefillMicrosPerToken: 100,
 		Loaded: []protocol.LoadedModel{{Model: "m", Version: "v1"}},
 	}
 }
 
-func jobOf(id string, hold time.Duration) *Job {
+func newJob(id string, hold time.Duration) *Job {
 	chain := prefix.ChainOf(1, string(make([]byte, 64*16)), 16)
 	return &Job{
 		Key: AttemptKeyOf(ident.Request(id), 1), Weight: 1, MaxHold: hold,
@@ -57,51 +57,51 @@
 	}
 }
 
-func TestARouterThatKnowsNoEngineYetHoldsAndThenPlaces(t *testing.T) {
+func TestRequestWaitsForFirstLoadReport(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 8)
-	effects := core.Offer(start, jobOf("r1", time.Second))
+	effects := core.Offer(start, newJob("r1", time.Second))
 	is.Equal(len(effects.Refused)+len(effects.Placed), 0) // held: neither engine has been asked yet
 
-	effects = core.ObserveReport(start.Add(20*time.Millisecond), "a", reportOf("a1"))
+	effects = core.ObserveReport(start.Add(20*time.Millisecond), "a", newReport("a1"))
 	is.Equal(len(effects.Placed), 1)
 	is.Equal(effects.Placed[0].Candidate.Endpoint.Incarnation, ident.Incarnation("a1"))
 }
 
-// TestARequestBeforeTheFirstFileIsHeld: callers may be let in a moment before
+// TestRequestWaitsForFirstFleetFile: callers may be let in a moment before
 // the list of engines reaches the core.
-func TestARequestBeforeTheFirstFileIsHeld(t *testing.T) {
+func TestRequestWaitsForFirstFleetFile(t *testing.T) {
 	is := is.New(t)
 	core := New(newTestCore(t, 8).config)
-	effects := core.Offer(start, jobOf("r1", time.Second))
+	effects := core.Offer(start, newJob("r1", time.Second))
 	is.Equal(len(effects.Refused), 0)
 	core.Configure(start, []endpoint.Target{{Engine: "a", Address: "a:1", Zone: zone}})
-	is.Equal(len(core.ObserveReport(start, "a", reportOf("a1")).Placed), 1)
+	is.Equal(len(core.ObserveReport(start, "a", newReport("a1")).Placed), 1)
 }
 
-func TestARequestIsRefusedAtOnceWhenEveryEngineIsDead(t *testing.T) {
+func TestRequestIsRejectedWhenAllEnginesAreDead(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 8)
 	for range 3 {
 		core.ObserveReportFailure(start, "a")
 		core.ObserveReportFailure(start, "b")
 	}
-	effects := core.Offer(start, jobOf("r1", time.Second))
+	effects := core.Offer(start, newJob("r1", time.Second))
 	is.Equal(len(effects.Refused), 1)
 	is.Equal(effects.Refused[0].Fault.Kind, fault.NoPermittedEngine)
 	is.Equal(effects.Refused[0].Fault.Ran, fault.RanNo)
 	is.True(effects.Refused[0].Fault.RetryAfter > 0)
 }
 
-func TestAHeldRequestIsGivenUpWhenItsHoldEnds(t *testing.T) {
+func TestWaitingRequestIsRejectedAfterMaxHold(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 1)
-	core.ObserveReport(start, "a", reportOf("a1"))
-	core.ObserveReport(start, "b", reportOf("b1"))
-	core.Offer(start, jobOf("r1", time.Second))
-	core.Offer(start, jobOf("r2", time.Second))
+	core.ObserveReport(start, "a", newReport("a1"))
+	core.ObserveReport(start, "b", newReport("b1"))
+	core.Offer(start, newJob("r1", time.Second))
+	core.Offer(start, newJob("r2", time.Second))
 	is.Equal(core.InFlight(), 2)
-	core.Offer(start, jobOf("r3", time.Second))
+	core.Offer(start, newJob("r3", time.Second))
 	is.Equal(core.Waiting(), 1)
 	next, waits := core.NextTick()
 	is.True(waits)
@@ -111,7 +111,7 @@
 	is.Equal(effects.Refused[0].Fault.Kind, fault.DeadlineExceeded)
 }
 
-func TestTheEndOfAnAttemptMakesRoomAndTeaches(t *testing.T) {
+func TestAttemptEndFreesCapacityAndUpdatesRegistry(t *testing.T) {
 	cases := []struct {
 		name   string
 		result Result
@@ -126,8 +126,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			core := newTestCore(t, 1)
-			core.ObserveReport(start, "a", reportOf("a1"))
-			core.Offer(start, jobOf("r1", time.Second))
+			core.ObserveReport(start, "a", newReport("a1"))
+			core.Offer(start, newJob("r1", time.Second))
 			var got []endpoint.ChangeKind
 			for _, change := range core.RecordEnd(start, AttemptKeyOf("r1", 1), test.result).Changes {
 				got = append(got, change.Kind)
@@ -139,24 +139,24 @@
 	}
 }
 
-func TestABeliefIsDroppedWithTheLifeOfItsEngine(t *testing.T) {
+func TestNewIncarnationDropsBeliefs(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 8)
-	core.ObserveReport(start, "a", reportOf("a1"))
-	job := jobOf("r1", time.Second)
+	core.ObserveReport(start, "a", newReport("a1"))
+	job := newJob("r1", time.Second)
 	core.Offer(start, job)
 	core.RecordStart(start, job.Key, "a1", protocol.Usage{PromptTokens: 256, CachedTokens: 0})
 	chain := job.Request.Chains["v1"]
 	is.True(core.config.Beliefs.At(start).Credit("a", "a1", chain) > 10)
-	core.ObserveReport(start, "a", reportOf("a2"))
+	core.ObserveReport(start, "a", newReport("a2"))
 	is.Equal(core.config.Beliefs.At(start).Credit("a", "a1", chain), 0.0)
 	is.Equal(core.config.Beliefs.At(start).Credit("a", "a2", chain), 0.0)
 }
 
-// TestWhatIsHeardOfAnotherProcessDoesNotHideAnEngine: what is heard late, of an
+// TestLateObservationDoesNotHideCurrentIncarnation: what is heard late, of an
 // earlier life or from an earlier address, must not make the router take the
 // present life for a past one.
-func TestWhatIsHeardOfAnotherProcessDoesNotHideAnEngine(t *testing.T) {
+func TestLateObservationDoesNotHideCurrentIncarnation(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(core *Core)
@@ -164,18 +164,18 @@
 		reports int
 	}{
 		{"an attempt ends at the address that the file has replaced", func(core *Core) {
-			core.Offer(start, jobOf("r0", time.Second))
+			core.Offer(start, newJob("r0", time.Second))
 			core.Configure(start, []endpoint.Target{{Engine: "a", Address: "a:2", Zone: zone}})
-			core.ObserveReport(start, "a", reportOf("a2"))
+			core.ObserveReport(start, "a", newReport("a2"))
 			core.RecordEnd(start, AttemptKeyOf("r0", 1), Result{Incarnation: "a1", TimeToFirstToken: time.Millisecond})
 		}, 0},
 		{"a report of the life before comes late", func(core *Core) {
-			core.ObserveReport(start, "a", reportOf("a2"))
-			core.ObserveReport(start, "a", reportOf("a1"))
+			core.ObserveReport(start, "a", newReport("a2"))
+			core.ObserveReport(start, "a", newReport("a1"))
 		}, 0},
 		{"a report of the life before, never heard of, comes late", func(core *Core) {
-			core.ObserveReport(start, "a", reportOf("a2"))
-			core.ObserveReport(start, "a", reportOf("a1b"))
+			core.ObserveReport(start, "a", newReport("a2"))
+			core.ObserveReport(start, "a", newReport("a1b"))
 		}, 3},
 	}
 	for _, test := range cases {
@@ -183,12 +183,12 @@
 			is := is.New(t)
 			core := newTestCore(t, 8)
 			core.Configure(start, []endpoint.Target{{Engine: "a", Address: "a:1", Zone: zone}})
-			core.ObserveReport(start, "a", reportOf("a1"))
+			core.ObserveReport(start, "a", newReport("a1"))
 			test.do(core)
 			for range test.reports {
-				core.ObserveReport(start.Add(time.Second), "a", reportOf("a2"))
+				core.ObserveReport(start.Add(time.Second), "a", newReport("a2"))
 			}
-			effects := core.Offer(start.Add(time.Second), jobOf("r1", time.Second))
+			effects := core.Offer(start.Add(time.Second), newJob("r1", time.Second))
 			is.Equal(len(effects.Placed), 1)
 			is.Equal(effects.Placed[0].Candidate.Endpoint.Incarnation, ident.Incarnation("a2"))
 		})
@@ -197,14 +197,14 @@
 
 // Less urgent requests leave a reserve of every batch, which urgent ones use
 // while they wait; one of them a second may use it too, so none starves.
-func TestLessUrgentRequestsLeaveAReserve(t *testing.T) {
+func TestReserveForUrgentRequests(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 8)
-	core.ObserveReport(start, "a", reportOf("a1"))
-	core.ObserveReport(start, "b", reportOf("b1"))
+	core.ObserveReport(start, "a", newReport("a1"))
+	core.ObserveReport(start, "b", newReport("b1"))
 	later := start.Add(time.Millisecond)
 	offer := func(id string, priority int) int {
-		job := jobOf(id, time.Minute)
+		job := newJob(id, time.Minute)
 		job.Request.Priority = priority
 		return len(core.Offer(later, job).Placed)
 	}
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -36,7 +36,7 @@
 		return admission.Result{Action: admission.Dispatched}
 	case framework.Hold:
 		c.Counters.Held++
-		return admission.Result{Action: c.heldAction(job, decision.Reason)}
+		return admission.Result{Action: c.holdAction(job, decision.Reason)}
 	default:
 		if c.registry.AwaitingReports(job.Request.Zones) {
 			c.Counters.Held++
@@ -48,13 +48,13 @@
 	}
 }
 
-// reservePause is the time between two requests of one priority that this
+// reservePassInterval is the time between two requests of one priority that this
 // router lets use what is kept for more urgent ones. It is the bound on
 // starvation by the reserve: a class gets at least one place in it.
-const reservePause = time.Second
+const reservePassInterval = time.Second
 
 func (c *Core) mayPassReserve(now time.Time, job *Job) bool {
-	return job.Request.Priority > 0 && now.Sub(c.passed[job.Request.Priority]) >= reservePause
+	return job.Request.Priority > 0 && now.Sub(c.reservePassed[job.Request.Priority]) >= reservePassInterval
 }
 
 // passReserve decides again about a held job, without the reserve.
@@ -63,15 +63,15 @@
 	decision := c.config.Scheduler.Schedule(&job.Request, &c.snapshot)
 	job.Request.PassReserve = false
 	if decision.Action == framework.Dispatch {
-		c.passed[job.Request.Priority] = now
+		c.reservePassed[job.Request.Priority] = now
 	}
 	return decision
 }
 
-// heldAction says how much of the queue a held job speaks for. A job that has
+// holdAction says how much of the queue a held job speaks for. A job that has
 // excluded engines of its own, or that waits for the engines that hold its
 // prefix, does not speak for its pool.
-func (c *Core) heldAction(job *Job, reason string) admission.Action {
+func (c *Core) holdAction(job *Job, reason string) admission.Action {
 	if len(job.Request.Excluded) > 0 || reason == framework.ReasonHome {
 		return admission.ItemBlocked
 	}
@@ -83,7 +83,7 @@
 	copied := *chosen.Endpoint
 	chosen.Endpoint = &copied
 	delete(c.waiting, job.Request.ID)
-	c.flights[job.Key] = &flight{
+	c.inFlight[job.Key] = &attempt{
 		job: job, engine: copied.Engine, address: copied.Address, incarnation: copied.Incarnation,
 		version: chosen.Version, credit: chosen.CreditTokens,
 	}
@@ -103,7 +103,7 @@
 
 // RecordStart takes in that an engine accepted an attempt and counted its tokens.
 func (c *Core) RecordStart(now time.Time, key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
-	flight := c.flights[key]
+	flight := c.inFlight[key]
 	if flight == nil || flight.incarnation != incarnation {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // count compares what was believed cached with what the engine found.
-func (c *Core) count(flight *flight, usage protocol.Usage) {
+func (c *Core) count(flight *attempt, usage protocol.Usage) {
 	c.Counters.PromptTokens += uint64(usage.PromptTokens)
 	c.Counters.CachedTokens += uint64(usage.CachedTokens)
 	c.Counters.CreditedTokens += uint64(flight.credit)
@@ -138,7 +138,7 @@
 // RecordFirstToken takes in that an engine has prefilled an attempt's prompt: it
 // proves that all the engine had to prefill before is done as well.
 func (c *Core) RecordFirstToken(now time.Time, key endpoint.AttemptKey) {
-	if flight := c.flights[key]; flight != nil {
+	if flight := c.inFlight[key]; flight != nil {
 		c.registry.FirstToken(now, flight.engine, key)
 	}
 }
@@ -162,16 +162,16 @@
 // RecordEnd takes in the end of an attempt. The zero Result is a place that was
 // handed back unused.
 func (c *Core) RecordEnd(now time.Time, key endpoint.AttemptKey, result Result) Effects {
-	flight := c.flights[key]
+	flight := c.inFlight[key]
 	if flight == nil {
-		return c.pump(now)
+		return c.dispatchWaiting(now)
 	}
-	delete(c.flights, key)
+	delete(c.inFlight, key)
 	if !c.registry.HasAddress(flight.engine, flight.address) {
-		return c.pump(now)
+		return c.dispatchWaiting(now)
 	}
 	c.registry.Ended(now, flight.engine, key)
-	c.changed(c.registry.ObserveIncarnation(flight.engine, result.Incarnation))
+	c.applyChanges(c.registry.ObserveIncarnation(flight.engine, result.Incarnation))
 	if limiter := c.limiters[flight.engine]; limiter != nil {
 		limiter.Finished(now, sampleOf(result))
 	}
@@ -181,11 +181,11 @@
 	}
 	switch {
 	case result.Unreachable:
-		c.changed(c.registry.ObserveUnreachable(flight.engine))
+		c.applyChanges(c.registry.ObserveUnreachable(flight.engine))
 	case result.Refusal == protocol.RefusalLeaving:
-		c.changed(c.registry.ObserveDraining(now, flight.engine, result.Incarnation))
+		c.applyChanges(c.registry.ObserveDraining(now, flight.engine, result.Incarnation))
 	}
-	return c.pump(now)
+	return c.dispatchWaiting(now)
 }
 
 func (c *Core) limiter(engine ident.Engine) admission.Limiter {
@@ -205,9 +205,9 @@
 	}
 }
 
-// poolOf names the set of engines that may serve the request, and how much of
+// poolKey names the set of engines that may serve the request, and how much of
 // them it may fill: what is held for one class may go for another.
-func poolOf(request *framework.Request) admission.PoolKey {
+func poolKey(request *framework.Request) admission.PoolKey {
 	zones := make([]string, 0, len(request.Zones))
 	for zone := range request.Zones {
 		zones = append(zones, string(zone))
--- a/internal/placement/directory.go
+++ b/internal/placement/directory.go
@@ -11,13 +11,13 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// lookupPatience is how long a job waits for the directory's answer. A round
+// lookupTimeout is how long a job waits for the directory's answer. A round
 // trip within a zone takes a fraction of it; waiting longer would cost more
 // than the recomputation of a short prefix.
-const lookupPatience = 10 * time.Millisecond
+const lookupTimeout = 10 * time.Millisecond
 
-// directoryPeriod is the time between two ticks of the directory.
-const directoryPeriod = 500 * time.Millisecond
+// directoryTickInterval is the time between two ticks of the directory.
+const directoryTickInterval = 500 * time.Millisecond
 
 // parkedJob is a job that waits for the directory's answer.
 type parkedJob struct {
@@ -36,7 +36,7 @@
 	}
 	for _, holder := range result.Holders {
 		incarnation := c.registry.Incarnation(holder.Engine)
-		if incarnation != "" && directory.IncarnationDigest(incarnation) == holder.Incarnation {
+		if incarnation != "" && directory.IncarnationDigest(incarnation) == holder.IncarnationDigest {
 			c.config.Beliefs.RecordDirectoryAnswer(now, holder.Engine, incarnation, chain, holder.Blocks)
 		}
 	}
@@ -54,7 +54,7 @@
 // park makes a job wait for the directory's answer.
 func (c *Core) park(now time.Time, job *Job) {
 	root, _ := preferredChain(&job.Request).Root()
-	c.parked = append(c.parked, parkedJob{job: job, root: root, until: now.Add(lookupPatience)})
+	c.parked = append(c.parked, parkedJob{job: job, root: root, until: now.Add(lookupTimeout)})
 	c.Counters.Parked++
 }
 
@@ -87,7 +87,7 @@
 			return true
 		})
 	}
-	return c.pump(now)
+	return c.dispatchWaiting(now)
 }
 
 // SetView takes in which routers there are.
@@ -102,7 +102,7 @@
 	if c.directory == nil {
 		return
 	}
-	if now.Sub(c.directoryTicked) >= directoryPeriod {
+	if now.Sub(c.directoryTicked) >= directoryTickInterval {
 		c.directoryTicked = now
 		c.effects.Messages = append(c.effects.Messages, c.directory.Tick(now)...)
 	}
@@ -117,8 +117,8 @@
 	return c.parked[0].until, true
 }
 
-// tellDirectory passes on changes of engines.
-func (c *Core) tellDirectory(change endpoint.Change) {
+// notifyDirectory passes on changes of engines.
+func (c *Core) notifyDirectory(change endpoint.Change) {
 	if c.config.Directory == nil {
 		return
 	}
--- a/internal/placement/directory_test.go
+++ b/internal/placement/directory_test.go
@@ -20,8 +20,8 @@
 // network holds the cores of several routers and carries their directory
 // messages, losing those that lose says.
 type network struct {
-	cores map[ident.Node]*Core
-	lose  bool
+	cores   map[ident.Node]*Core
+	dropAll bool
 }
 
 func newNetwork(t *testing.T, nodes ...ident.Node) *network {
@@ -31,16 +31,16 @@
 	for _, node := range nodes {
 		view.Members = append(view.Members, membership.Member{Node: node, Zone: zone})
 	}
-	made := &network{cores: make(map[ident.Node]*Core)}
+	net := &network{cores: make(map[ident.Node]*Core)}
 	for _, node := range nodes {
 		scheduler, err := routing.NewPredictive(routing.Config{})
 		is.NoErr(err)
-		believed, err := beliefs.New(beliefs.Config{}, start)
+		store, err := beliefs.New(beliefs.Config{}, start)
 		is.NoErr(err)
-		prefixes, err := directory.New(directory.Config{}, believed)
+		prefixes, err := directory.New(directory.Config{}, store)
 		is.NoErr(err)
 		core := New(Config{
-			Scheduler: scheduler, Beliefs: believed, Directory: prefixes, Queue: admission.NewQueue(admission.Config{}),
+			Scheduler: scheduler, Beliefs: store, Directory: prefixes, Queue: admission.NewQueue(admission.Config{}),
 			Hop: func(ident.Zone) time.Duration { return 0 },
 		})
 		view.Self = node
@@ -52,18 +52,18 @@
 		}
 		core.Configure(start, targets)
 		for _, target := range targets {
-			core.ObserveReport(start, target.Engine, reportOf(ident.Incarnation(target.Engine)+"-life"))
+			core.ObserveReport(start, target.Engine, newReport(ident.Incarnation(target.Engine)+"-life"))
 		}
-		made.cores[node] = core
+		net.cores[node] = core
 	}
-	return made
+	return net
 }
 
 // settle delivers messages until none is left and returns every placement.
 func (n *network) settle(now time.Time, from ident.Node, effects Effects) []Placed {
 	placed := effects.Placed
 	for _, envelope := range effects.Messages {
-		if n.lose {
+		if n.dropAll {
 			continue
 		}
 		answer := n.cores[envelope.To].HandleDirectoryMessage(now, from, envelope.Message)
@@ -72,12 +72,12 @@
 	return placed
 }
 
-func TestARouterLearnsFromTheDirectoryWhatAnotherOneFilled(t *testing.T) {
+func TestDirectorySharesCachedPrefixes(t *testing.T) {
 	is := is.New(t)
 	net := newNetwork(t, "router-1", "router-2", "router-3")
 	now := start
 
-	first := net.settle(now, "router-1", net.cores["router-1"].Offer(now, jobOf("r1", time.Second)))
+	first := net.settle(now, "router-1", net.cores["router-1"].Offer(now, newJob("r1", time.Second)))
 	is.Equal(len(first), 1)
 	// The engine that got it is not the one that rendezvous would choose now.
 	filled := first[0].Candidate.Endpoint
@@ -86,7 +86,7 @@
 	net.settle(now, "router-1", net.cores["router-1"].Tick(now))
 
 	for _, node := range []ident.Node{"router-2", "router-3"} {
-		job := jobOf("again-"+string(node), time.Second)
+		job := newJob("again-"+string(node), time.Second)
 		placed := net.settle(now, node, net.cores[node].Offer(now, job))
 		is.Equal(len(placed), 1)
 		is.True(placed[0].Candidate.CreditTokens > 200) // known although this router never dispatched it
@@ -94,20 +94,20 @@
 	}
 }
 
-func TestAJobDoesNotWaitForADirectoryThatIsSilent(t *testing.T) {
+func TestLookupTimeoutReleasesParkedJob(t *testing.T) {
 	is := is.New(t)
 	net := newNetwork(t, "router-1", "router-2", "router-3")
-	net.lose = true
+	net.dropAll = true
 	parked := 0
 	for node, core := range net.cores {
-		effects := core.Offer(start, jobOf("r-"+string(node), time.Second))
+		effects := core.Offer(start, newJob("r-"+string(node), time.Second))
 		if len(effects.Placed) == 1 {
 			continue // this router owns the shard itself
 		}
 		parked++
 		next, waits := core.NextTick()
 		is.True(waits)
-		is.Equal(next, start.Add(lookupPatience))
+		is.Equal(next, start.Add(lookupTimeout))
 		is.Equal(len(core.Tick(next).Placed), 1)
 	}
 	is.Equal(parked, 2)
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -50,9 +50,9 @@
 	poller *endpoint.Poller
 	// targets is the newest fleet file's list until it is taken in. It must not
 	// be lost, however full the rings are.
-	targets  atomic.Pointer[[]endpoint.Target]
-	commands *ring.Ring[command]
-	news     *ring.Ring[command]
+	targets     atomic.Pointer[[]endpoint.Target]
+	commands    *ring.Ring[command]
+	replaceable *ring.Ring[command]
 	// replies is used by the goroutine of the duty only.
 	replies map[endpoint.AttemptKey]chan reply
 	done    chan struct{}
@@ -64,8 +64,8 @@
 	fault  *fault.Fault
 }
 
-// newsCapacity is the capacity of the ring of replaceable inputs.
-const newsCapacity = 4096
+// replaceableCapacity is the capacity of the ring of replaceable inputs.
+const replaceableCapacity = 4096
 
 // commandsPerJob is how many commands one open job may have waiting: offer,
 // withdraw, started and ended.
@@ -81,221 +81,221 @@
 // NewRunner returns a duty that runs core and reads load reports with poller.
 func NewRunner(config RunnerConfig, core *Core, poller *endpoint.Poller) *Runner {
 	return &Runner{
-		config:   config,
-		core:     core,
-		poller:   poller,
-		commands: ring.New[command]("placement-commands", commandsPerJob*config.MaxOpen+spareCommands, ring.RefuseNew),
-		news:     ring.New[command]("placement-news", newsCapacity, ring.DropOldest),
-		replies:  make(map[endpoint.AttemptKey]chan reply),
-		done:     make(chan struct{}),
+		config:      config,
+		core:        core,
+		poller:      poller,
+		commands:    ring.New[command]("placement-commands", commandsPerJob*config.MaxOpen+spareCommands, ring.RefuseNew),
+		replaceable: ring.New[command]("placement-news", replaceableCapacity, ring.DropOldest),
+		replies:     make(map[endpoint.AttemptKey]chan reply),
+		done:        make(chan struct{}),
 	}
 }
 
 // Rings returns the counters of the duty's rings.
-func (d *Runner) Rings() []func() ring.Counters {
-	return append(d.poller.Rings(), d.commands.Counters, d.news.Counters)
+func (r *Runner) Rings() []func() ring.Counters {
+	return append(r.poller.Rings(), r.commands.Counters, r.replaceable.Counters)
 }
 
 // Run runs the core until ctx ends.
-func (d *Runner) Run(ctx context.Context) {
-	defer close(d.done)
-	polls := time.NewTicker(d.config.PollTick)
+func (r *Runner) Run(ctx context.Context) {
+	defer close(r.done)
+	polls := time.NewTicker(r.config.PollTick)
 	defer polls.Stop()
-	wake := time.NewTimer(d.config.PollTick)
+	wake := time.NewTimer(r.config.PollTick)
 	defer wake.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.commands.Ready():
-		case <-d.news.Ready():
-		case <-d.poller.Results().Ready():
+		case <-r.commands.Ready():
+		case <-r.replaceable.Ready():
+		case <-r.poller.Results().Ready():
 		case <-polls.C:
-			d.poll(time.Now())
+			r.poll(time.Now())
 		case <-wake.C:
-			d.apply(d.core.Tick(time.Now()))
+			r.apply(r.core.Tick(time.Now()))
 		}
-		d.drain()
-		if next, waits := d.core.NextTick(); waits {
+		r.drain()
+		if next, waits := r.core.NextTick(); waits {
 			wake.Reset(max(minWait, time.Until(next)))
 		}
 	}
 }
 
 // drain runs every waiting input, those that must not be lost first.
-func (d *Runner) drain() {
-	if targets := d.targets.Swap(nil); targets != nil {
-		d.apply(d.core.Configure(time.Now(), *targets))
+func (r *Runner) drain() {
+	if targets := r.targets.Swap(nil); targets != nil {
+		r.apply(r.core.Configure(time.Now(), *targets))
 	}
-	for run, ok := d.commands.Pop(); ok; run, ok = d.commands.Pop() {
-		d.apply(run(time.Now()))
+	for run, ok := r.commands.Pop(); ok; run, ok = r.commands.Pop() {
+		r.apply(run(time.Now()))
 	}
-	for answer, ok := d.poller.Results().Pop(); ok; answer, ok = d.poller.Results().Pop() {
-		if !d.core.Registry().HasAddress(answer.Engine, answer.Address) {
+	for answer, ok := r.poller.Results().Pop(); ok; answer, ok = r.poller.Results().Pop() {
+		if !r.core.Registry().HasAddress(answer.Engine, answer.Address) {
 			continue
 		}
 		if answer.Err != nil {
-			d.apply(d.core.ObserveReportFailure(time.Now(), answer.Engine))
+			r.apply(r.core.ObserveReportFailure(time.Now(), answer.Engine))
 			continue
 		}
-		d.apply(d.core.ObserveReport(time.Now(), answer.Engine, answer.Report))
+		r.apply(r.core.ObserveReport(time.Now(), answer.Engine, answer.Report))
 	}
-	for run, ok := d.news.Pop(); ok; run, ok = d.news.Pop() {
-		d.apply(run(time.Now()))
+	for run, ok := r.replaceable.Pop(); ok; run, ok = r.replaceable.Pop() {
+		r.apply(run(time.Now()))
 	}
 }
 
-func (d *Runner) poll(now time.Time) {
-	d.poller.Enqueue(d.core.Registry().Due(now, d.config.PollInterval, d.config.PollsPerTick))
-	d.apply(d.core.Tick(now))
+func (r *Runner) poll(now time.Time) {
+	r.poller.Enqueue(r.core.Registry().Due(now, r.config.PollInterval, r.config.PollsPerTick))
+	r.apply(r.core.Tick(now))
 }
 
-func (d *Runner) apply(effects Effects) {
+func (r *Runner) apply(effects Effects) {
 	for _, placed := range effects.Placed {
-		d.reply(placed.Job.Key, reply{placed: placed})
+		r.reply(placed.Job.Key, reply{placed: placed})
 	}
 	for _, refused := range effects.Refused {
-		d.reply(refused.Key, reply{fault: refused.Fault})
+		r.reply(refused.Key, reply{fault: refused.Fault})
 	}
 	for _, change := range effects.Changes {
-		d.config.OnChange(change)
+		r.config.OnChange(change)
 	}
 	for _, message := range effects.Messages {
-		d.config.OnMessage(message)
+		r.config.OnMessage(message)
 	}
 }
 
-func (d *Runner) reply(key endpoint.AttemptKey, word reply) {
-	if waiting := d.replies[key]; waiting != nil {
-		delete(d.replies, key)
-		waiting <- word
+func (r *Runner) reply(key endpoint.AttemptKey, outcome reply) {
+	if waiting := r.replies[key]; waiting != nil {
+		delete(r.replies, key)
+		waiting <- outcome
 	}
 }
 
 // Place waits until the job has a place or is given up. When ctx ends first
 // the job is withdrawn, and a place that was given meanwhile is handed back.
-func (d *Runner) Place(ctx context.Context, job *Job) (Placed, error) {
+func (r *Runner) Place(ctx context.Context, job *Job) (Placed, error) {
 	waiting := make(chan reply, 1)
-	offered := d.commands.Push(func(now time.Time) Effects {
-		d.replies[job.Key] = waiting
-		return d.core.Offer(now, job)
+	accepted := r.commands.Push(func(now time.Time) Effects {
+		r.replies[job.Key] = waiting
+		return r.core.Offer(now, job)
 	})
-	if !offered {
+	if !accepted {
 		return Placed{}, fault.New(fault.Overloaded, "this router has too many open requests").
 			WithRetryAfter(overloadedRetryAfter)
 	}
 	select {
-	case word := <-waiting:
-		if word.fault != nil {
-			return Placed{}, word.fault
+	case outcome := <-waiting:
+		if outcome.fault != nil {
+			return Placed{}, outcome.fault
 		}
-		return word.placed, nil
+		return outcome.placed, nil
 	case <-ctx.Done():
-		d.withdraw(job)
+		r.withdraw(job)
 		return Placed{}, fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "the caller left while the request waited")
-	case <-d.done:
+	case <-r.done:
 		return Placed{}, fault.New(fault.Leaving, "this router has stopped")
 	}
 }
 
-func (d *Runner) withdraw(job *Job) {
-	d.commands.Push(func(now time.Time) Effects {
-		delete(d.replies, job.Key)
-		d.core.Withdraw(now, job.Request.ID)
-		return d.core.RecordEnd(now, job.Key, Result{})
+func (r *Runner) withdraw(job *Job) {
+	r.commands.Push(func(now time.Time) Effects {
+		delete(r.replies, job.Key)
+		r.core.Withdraw(now, job.Request.ID)
+		return r.core.RecordEnd(now, job.Key, Result{})
 	})
 }
 
 // RecordStart reports that an engine accepted an attempt.
-func (d *Runner) RecordStart(key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
-	d.news.Push(func(now time.Time) Effects {
-		d.core.RecordStart(now, key, incarnation, usage)
+func (r *Runner) RecordStart(key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
+	r.replaceable.Push(func(now time.Time) Effects {
+		r.core.RecordStart(now, key, incarnation, usage)
 		return Effects{}
 	})
 }
 
 // RecordFirstToken reports that an engine has prefilled an attempt's prompt.
-func (d *Runner) RecordFirstToken(key endpoint.AttemptKey) {
-	d.news.Push(func(now time.Time) Effects {
-		d.core.RecordFirstToken(now, key)
+func (r *Runner) RecordFirstToken(key endpoint.AttemptKey) {
+	r.replaceable.Push(func(now time.Time) Effects {
+		r.core.RecordFirstToken(now, key)
 		return Effects{}
 	})
 }
 
 // RecordEnd reports the end of an attempt; it is called exactly once for each place.
-func (d *Runner) RecordEnd(key endpoint.AttemptKey, result Result) {
-	d.commands.Push(func(now time.Time) Effects { return d.core.RecordEnd(now, key, result) })
+func (r *Runner) RecordEnd(key endpoint.AttemptKey, result Result) {
+	r.commands.Push(func(now time.Time) Effects { return r.core.RecordEnd(now, key, result) })
 }
 
 // Configure takes over the engines of a fleet file.
-func (d *Runner) Configure(targets []endpoint.Target) {
-	d.targets.Store(&targets)
+func (r *Runner) Configure(targets []endpoint.Target) {
+	r.targets.Store(&targets)
 	// A full ring refuses this, and then has enough in it to wake the duty.
-	d.commands.Push(func(time.Time) Effects { return Effects{} })
+	r.commands.Push(func(time.Time) Effects { return Effects{} })
 }
 
 // ObserveDraining reports a sign that an engine is leaving.
-func (d *Runner) ObserveDraining(engine ident.Engine, incarnation ident.Incarnation) {
-	d.commands.Push(func(now time.Time) Effects { return d.core.ObserveDraining(now, engine, incarnation) })
+func (r *Runner) ObserveDraining(engine ident.Engine, incarnation ident.Incarnation) {
+	r.commands.Push(func(now time.Time) Effects { return r.core.ObserveDraining(now, engine, incarnation) })
 }
 
 // HandleDirectoryMessage reports a message of another router's directory.
-func (d *Runner) HandleDirectoryMessage(from ident.Node, message directory.Message) {
-	d.news.Push(func(now time.Time) Effects { return d.core.HandleDirectoryMessage(now, from, message) })
+func (r *Runner) HandleDirectoryMessage(from ident.Node, message directory.Message) {
+	r.replaceable.Push(func(now time.Time) Effects { return r.core.HandleDirectoryMessage(now, from, message) })
 }
 
 // SetView reports which routers there are.
-func (d *Runner) SetView(view membership.View) {
-	d.commands.Push(func(time.Time) Effects {
-		d.core.SetView(view)
+func (r *Runner) SetView(view membership.View) {
+	r.commands.Push(func(time.Time) Effects {
+		r.core.SetView(view)
 		return Effects{}
 	})
 }
 
 // ApplyMachineList reports a machine list: for each engine, whether its machine leaves.
 // The map must not be changed afterwards.
-func (d *Runner) ApplyMachineList(leaving map[ident.Engine]bool) {
-	d.commands.Push(func(now time.Time) Effects { return d.core.ApplyMachineList(now, leaving) })
+func (r *Runner) ApplyMachineList(draining map[ident.Engine]bool) {
+	r.commands.Push(func(now time.Time) Effects { return r.core.ApplyMachineList(now, draining) })
 }
 
 // ApplyCacheEvents reports a batch of cache events.
-func (d *Runner) ApplyCacheEvents(engine ident.Engine, batch protocol.CacheEventBatch) {
-	d.news.Push(func(now time.Time) Effects {
-		d.core.ApplyCacheEvents(now, engine, batch)
-		if d.core.SnapshotDue(now, engine) {
-			d.config.OnSnapshotDue(engine)
+func (r *Runner) ApplyCacheEvents(engine ident.Engine, batch protocol.CacheEventBatch) {
+	r.replaceable.Push(func(now time.Time) Effects {
+		r.core.ApplyCacheEvents(now, engine, batch)
+		if r.core.SnapshotDue(now, engine) {
+			r.config.OnSnapshotDue(engine)
 		}
 		return Effects{}
 	})
 }
 
 // ApplyCacheSnapshot reports the whole state of an engine's cache.
-func (d *Runner) ApplyCacheSnapshot(engine ident.Engine, snapshot protocol.CacheSnapshot) {
-	d.news.Push(func(now time.Time) Effects {
-		d.core.ApplyCacheSnapshot(now, engine, snapshot)
+func (r *Runner) ApplyCacheSnapshot(engine ident.Engine, snapshot protocol.CacheSnapshot) {
+	r.replaceable.Push(func(now time.Time) Effects {
+		r.core.ApplyCacheSnapshot(now, engine, snapshot)
 		return Effects{}
 	})
 }
 
 // State returns the state of the core. It waits for the goroutine of the duty,
 // at most until ctx ends.
-func (d *Runner) State(ctx context.Context) (State, error) {
+func (r *Runner) State(ctx context.Context) (State, error) {
 	// The buffer lets the duty go on when the reader has left.
 	answer := make(chan State, 1)
-	asked := d.commands.Push(func(now time.Time) Effects {
-		answer <- d.core.State(now)
+	accepted := r.commands.Push(func(now time.Time) Effects {
+		answer <- r.core.State(now)
 		return Effects{}
 	})
-	if !asked {
+	if !accepted {
 		return State{}, fault.New(fault.Overloaded, "the placement duty has too many inputs waiting").
 			WithRetryAfter(overloadedRetryAfter)
 	}
 	select {
-	case reading := <-answer:
-		return reading, nil
+	case state := <-answer:
+		return state, nil
 	case <-ctx.Done():
 		return State{}, fault.Wrap(ctx.Err(), fault.Timeout, "the placement duty did not answer")
-	case <-d.done:
+	case <-r.done:
 		return State{}, fault.New(fault.Leaving, "this router has stopped")
 	}
 }
--- a/internal/placement/reading.go
+++ b/internal/placement/state.go
@@ -28,19 +28,19 @@
 
 // State returns the core's state.
 func (c *Core) State(now time.Time) State {
-	reading := State{
+	state := State{
 		Endpoints: slices.Clone(c.registry.Endpoints(now)),
 		Waiting:   make(map[int]int),
-		InFlight:  len(c.flights),
+		InFlight:  len(c.inFlight),
 		Decisions: c.Counters,
 		Queue:     c.config.Queue.Counters(),
 		Beliefs:   c.config.Beliefs.Counters(),
 	}
 	if c.directory != nil {
-		reading.Directory = c.directory.Counters()
+		state.Directory = c.directory.Counters()
 	}
 	for _, job := range c.waiting {
-		reading.Waiting[job.Request.Priority]++
+		state.Waiting[job.Request.Priority]++
 	}
-	return reading
+	return state
 }
--- a/internal/prefix/beliefs/credit.go
+++ b/internal/prefix/beliefs/credit.go
@@ -14,8 +14,8 @@
 const (
 	// sourceNone marks a block known only by an expectation.
 	sourceNone source = iota
-	// sourceTold is an answer of the directory.
-	sourceTold
+	// sourceDirectory is an answer of the directory.
+	sourceDirectory
 	// sourceAnswer is an engine's own answer to this router.
 	sourceAnswer
 	// sourceEvent is the engine's event stream.
@@ -25,16 +25,16 @@
 )
 
 const (
-	// toldProbability is the prior of what the directory told.
-	toldProbability = 0.95
+	// directoryProbability is the prior of what the directory told.
+	directoryProbability = 0.95
 	// expectedProbability is the prior of a block being filled by a dispatch.
 	expectedProbability = 0.98
 	// minRemovalShare is the share of an engine's blocks that a lost event is
 	// taken to have removed at least.
 	minRemovalShare = 0.001
-	// holeSteps is how many checkpoints beyond one that is not believed held
+	// gapSteps is how many checkpoints beyond one that is not believed held
 	// are looked at in a stream with gaps: the event that stored it may be lost.
-	holeSteps = 2
+	gapSteps = 2
 	// presenceFloor is the probability below which a block counts as absent.
 	presenceFloor = 0.05
 	// creditSamples bounds the checkpoints at which probabilities are read.
@@ -55,11 +55,11 @@
 // deepest one believed held, and a few above it give the probabilities, so a
 // call costs about ten look-ups however long the chain is.
 func (v *View) Credit(engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain) float64 {
-	known := v.store.current(engine, incarnation)
-	if known == nil || len(chain) == 0 {
+	state := v.store.current(engine, incarnation)
+	if state == nil || len(chain) == 0 {
 		return 0
 	}
-	deepest := v.deepest(known, chain)
+	deepest := v.deepest(state, chain)
 	if deepest < 0 {
 		return 0
 	}
@@ -74,7 +74,7 @@
 		if step > 1 {
 			next = prefix.CheckpointAt((deepest+1)*(step-1)/steps-1, len(chain)) + 1
 		}
-		atLeast = max(atLeast, v.probability(known, chain[position]))
+		atLeast = max(atLeast, v.probability(state, chain[position]))
 		expected += atLeast * float64(above-next)
 		above = next
 	}
@@ -82,14 +82,14 @@
 }
 
 // deepest returns the deepest checkpoint believed held, or -1.
-func (v *View) deepest(known *life, chain prefix.Chain) int {
+func (v *View) deepest(state *engineState, chain prefix.Chain) int {
 	low, high := 0, prefix.CheckpointCount(len(chain))
-	if low = v.present(known, chain, 0); low < 0 {
+	if low = v.present(state, chain, 0); low < 0 {
 		return -1
 	}
 	for high-low > 1 {
 		middle := (low + high) / 2
-		if found := v.present(known, chain, middle); found >= 0 {
+		if found := v.present(state, chain, middle); found >= 0 {
 			low = found
 		} else {
 			high = middle
@@ -100,25 +100,25 @@
 
 // present returns the first checkpoint from the given one on that is believed
 // held, or -1. Only a stream with gaps makes it look beyond that one.
-func (v *View) present(known *life, chain prefix.Chain, checkpoint int) int {
+func (v *View) present(state *engineState, chain prefix.Chain, checkpoint int) int {
 	last := checkpoint
-	if known.lost > 0 {
-		last = min(checkpoint+holeSteps, prefix.CheckpointCount(len(chain))-1)
+	if state.lostCount > 0 {
+		last = min(checkpoint+gapSteps, prefix.CheckpointCount(len(chain))-1)
 	}
 	for ; checkpoint <= last; checkpoint++ {
-		if v.probability(known, chain[prefix.CheckpointAt(checkpoint, len(chain))]) >= presenceFloor {
+		if v.probability(state, chain[prefix.CheckpointAt(checkpoint, len(chain))]) >= presenceFloor {
 			return checkpoint
 		}
 	}
 	return -1
 }
 
-func (v *View) probability(known *life, hash prefix.Hash) float64 {
-	block := v.store.blocks.find(known.key(hash))
+func (v *View) probability(state *engineState, hash prefix.Hash) float64 {
+	block := v.store.blocks.find(state.key(hash))
 	if block == nil {
 		return 0
 	}
-	probability := v.observed(known, block)
+	probability := v.observed(state, block)
 	if block.expected > 0 && block.expected.age(v.now) < v.store.config.ExpectationLifetime {
 		probability = max(probability, expectedProbability)
 	}
@@ -127,33 +127,33 @@
 
 // observed is the probability from observations alone. A block known by events
 // does not fade while its stream is heard: its eviction would be told.
-func (v *View) observed(known *life, block *slot) float64 {
-	prior, since := 1.0, block.seen
+func (v *View) observed(state *engineState, block *slot) float64 {
+	prior, since := 1.0, block.confirmed
 	switch block.source {
 	case sourceNone:
 		return 0
-	case sourceTold:
-		prior = toldProbability
+	case sourceDirectory:
+		prior = directoryProbability
 	case sourceAnswer:
 	case sourceEvent, sourceSnapshot:
-		if missed := known.lost - block.lost; missed > 0 {
-			prior = math.Exp(-float64(missed) * known.removalShare())
+		if missed := state.lostCount - block.lostCount; missed > 0 {
+			prior = math.Exp(-float64(missed) * state.removalShare())
 		}
-		since = max(since, known.heard)
+		since = max(since, state.lastEvent)
 	}
-	return prior * math.Exp(-float64(since.age(v.now))/float64(known.lifetime))
+	return prior * math.Exp(-float64(since.age(v.now))/float64(state.lifetime))
 }
 
 // removalShare is the share of the blocks held that one event removes.
-func (l *life) removalShare() float64 {
-	return max(minRemovalShare, l.removedPerEvent/float64(max(1, l.held)))
+func (e *engineState) removalShare() float64 {
+	return max(minRemovalShare, e.removedPerEvent/float64(max(1, e.heldBlocks)))
 }
 
 // Holds reports whether the incarnation holds the block according to its event
 // stream; known is false if the stream does not settle it.
 func (s *Store) Holds(engine ident.Engine, incarnation ident.Incarnation, hash prefix.Hash) (held, known bool) {
 	current := s.current(engine, incarnation)
-	if current == nil || !current.synced || current.snapshotWanted {
+	if current == nil || !current.synced || current.needsSnapshot {
 		return false, false
 	}
 	block := s.blocks.find(current.key(hash))
--- a/internal/prefix/beliefs/store.go
+++ b/internal/prefix/beliefs/store.go
@@ -58,8 +58,8 @@
 	Dropped uint64
 }
 
-// life is what is known of one engine and its present incarnation.
-type life struct {
+// engineState is what is known of one engine and its present incarnation.
+type engineState struct {
 	incarnation ident.Incarnation
 	// active is false from Forget until Incarnation is told again.
 	active bool
@@ -71,23 +71,23 @@
 	// synced is true once events or a snapshot gave the whole state.
 	synced   bool
 	sequence uint64
-	// lost counts the events that did not arrive.
-	lost uint16
-	// held is about how many blocks are held, and removedPerEvent the mean
+	// lostCount counts the events that did not arrive.
+	lostCount uint16
+	// heldBlocks is about how many blocks are held, and removedPerEvent the mean
 	// number of blocks that one event removes.
-	held            int
+	heldBlocks      int
 	removedPerEvent float64
-	// heard is when the event stream was last heard.
-	heard          stamp
-	snapshotWanted bool
-	nextSnapshot   stamp
+	// lastEvent is when the event stream was last heard.
+	lastEvent     stamp
+	needsSnapshot bool
+	nextSnapshot  stamp
 }
 
 // Store holds one router's beliefs.
 type Store struct {
 	config   Config
 	start    time.Time
-	lives    map[ident.Engine]*life
+	engines  map[ident.Engine]*engineState
 	blocks   *table
 	nextSeed uint64
 	counters Counters
@@ -99,7 +99,7 @@
 		return nil, fault.New(fault.InvalidSettings, "a setting of the cache beliefs is negative")
 	}
 	config = withDefaults(config)
-	return &Store{config: config, start: start, lives: make(map[ident.Engine]*life), blocks: newTable(config.MaxBlocks)}, nil
+	return &Store{config: config, start: start, engines: make(map[ident.Engine]*engineState), blocks: newTable(config.MaxBlocks)}, nil
 }
 
 func withDefaults(config Config) Config {
@@ -114,40 +114,40 @@
 // other one are dropped at once. Observations never do this by themselves: a
 // late answer of an earlier life must not bring its beliefs back.
 func (s *Store) SetIncarnation(engine ident.Engine, incarnation ident.Incarnation) {
-	known := s.lives[engine]
-	if known == nil {
-		known = &life{lifetime: s.config.DefaultLifetime}
-		s.lives[engine] = known
+	state := s.engines[engine]
+	if state == nil {
+		state = &engineState{lifetime: s.config.DefaultLifetime}
+		s.engines[engine] = state
 	}
-	if known.active && known.incarnation == incarnation {
+	if state.active && state.incarnation == incarnation {
 		return
 	}
-	known.incarnation, known.active = incarnation, incarnation != ""
-	s.drop(known)
-	known.synced, known.sequence, known.snapshotWanted = false, 0, false
-	known.removedPerEvent = 0
+	state.incarnation, state.active = incarnation, incarnation != ""
+	s.drop(state)
+	state.synced, state.sequence, state.needsSnapshot = false, 0, false
+	state.removedPerEvent = 0
 }
 
 // RecordDeath drops every belief about an engine that is believed dead.
 func (s *Store) RecordDeath(engine ident.Engine) {
-	if known := s.lives[engine]; known != nil {
-		known.active = false
-		s.drop(known)
+	if state := s.engines[engine]; state != nil {
+		state.active = false
+		s.drop(state)
 	}
 }
 
 // Remove forgets an engine that the fleet no longer has.
 func (s *Store) Remove(engine ident.Engine) {
 	s.RecordDeath(engine)
-	delete(s.lives, engine)
+	delete(s.engines, engine)
 }
 
 // RecordWeightsChange drops every belief about an engine whose loaded versions or
 // adapters changed; the incarnation stays.
 func (s *Store) RecordWeightsChange(engine ident.Engine) {
-	if known := s.lives[engine]; known != nil {
-		s.drop(known)
-		known.snapshotWanted = known.synced
+	if state := s.engines[engine]; state != nil {
+		s.drop(state)
+		state.needsSnapshot = state.synced
 	}
 }
 
@@ -161,33 +161,33 @@
 
 // Lifetime returns the block lifetime measured on an engine, or the default.
 func (s *Store) Lifetime(engine ident.Engine) time.Duration {
-	if known := s.lives[engine]; known != nil {
-		return known.lifetime
+	if state := s.engines[engine]; state != nil {
+		return state.lifetime
 	}
 	return s.config.DefaultLifetime
 }
 
 // drop makes every block of a life unreachable in constant time; the table
 // forgets them as the least recently written ones.
-func (s *Store) drop(known *life) {
+func (s *Store) drop(state *engineState) {
 	s.nextSeed++
-	known.seed = s.nextSeed * 0x9e3779b97f4a7c15
-	known.held = 0
+	state.seed = s.nextSeed * 0x9e3779b97f4a7c15
+	state.heldBlocks = 0
 	s.counters.Dropped++
 }
 
 // current returns the engine's life if the incarnation is its present one.
-func (s *Store) current(engine ident.Engine, incarnation ident.Incarnation) *life {
-	known := s.lives[engine]
-	if known == nil || !known.active || known.incarnation != incarnation {
+func (s *Store) current(engine ident.Engine, incarnation ident.Incarnation) *engineState {
+	state := s.engines[engine]
+	if state == nil || !state.active || state.incarnation != incarnation {
 		return nil
 	}
-	return known
+	return state
 }
 
 // key spreads a block's hash by the seed of the life that holds it.
-func (l *life) key(hash prefix.Hash) uint64 {
-	mixed := (uint64(hash) ^ l.seed) * 0xff51afd7ed558ccd
+func (e *engineState) key(hash prefix.Hash) uint64 {
+	mixed := (uint64(hash) ^ e.seed) * 0xff51afd7ed558ccd
 	return mixed ^ mixed>>32
 }
 
--- a/internal/prefix/beliefs/store_test.go
+++ b/internal/prefix/beliefs/store_test.go
@@ -42,7 +42,7 @@
 
 // Each case starts from a chain of 40 blocks known by an answer and says what
 // is left of the credit afterwards.
-func TestWhatDropsBeliefs(t *testing.T) {
+func TestEventsThatDropBeliefs(t *testing.T) {
 	chain := chainOf("t", 40)
 	cases := []struct {
 		name        string
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestGapLessensTrustAndAsksForSnapshots(t *testing.T) {
+func TestGapLowersCreditAndRequestsSnapshot(t *testing.T) {
 	is := is.New(t)
 	chain, other := chainOf("t", 64), chainOf("u", 64)
 	store := newStore(t, beliefs.Config{})
@@ -124,7 +124,7 @@
 }
 
 // The more blocks an engine's events remove, the less trust a gap leaves.
-func TestGapsWeighAsMuchAsTheirRemovals(t *testing.T) {
+func TestGapLowersCreditByRemovalRate(t *testing.T) {
 	is := is.New(t)
 	chain, brief := chainOf("t", 64), chainOf("brief", 32)
 	creditAfterGap := func(removing bool) float64 {
@@ -146,7 +146,7 @@
 
 // A lost event leaves a hole in what was told of a chain; the blocks behind it
 // prove the ones before them.
-func TestHoleLeftByALostEventHidesNothing(t *testing.T) {
+func TestLostStoreEventDoesNotHideLaterBlocks(t *testing.T) {
 	is := is.New(t)
 	chain := chainOf("t", 64)
 	for sequence, want := range map[uint64]float64{2: 16, 3: 64} {
@@ -156,13 +156,13 @@
 	}
 }
 
-func TestTenantSaltsNeverMeet(t *testing.T) {
+func TestTenantsShareNoCredit(t *testing.T) {
 	store := newStore(t, beliefs.Config{})
 	store.RecordAnswer(start, engine, first, chainOf("t", 40), 0)
 	is.New(t).Equal(store.At(start).Credit(engine, first, chainOf("u", 40)), 0.0)
 }
 
-func TestBeliefsFadeWithTheMeasuredLifetime(t *testing.T) {
+func TestCreditDecaysWithMeasuredLifetime(t *testing.T) {
 	is := is.New(t)
 	chain := chainOf("t", 40)
 	later := start.Add(20 * time.Second)
@@ -191,7 +191,7 @@
 
 // The credit of a chain whose first blocks are held never exceeds them and
 // falls short by less than the distance between checkpoints.
-func TestCreditIsCloseBelowTheTruth(t *testing.T) {
+func TestCreditIsAtMostTheSharedBlocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(1, 3000).Draw(t, "length")
 		shared := rapid.IntRange(0, length).Draw(t, "shared")
--- a/internal/prefix/beliefs/table.go
+++ b/internal/prefix/beliefs/table.go
@@ -7,14 +7,14 @@
 type slot struct {
 	key        uint64
 	prev, next int32
-	// seen is when the block was last known to be held.
-	seen stamp
+	// confirmed is when the block was last known to be held.
+	confirmed stamp
 	// expected is when a request that will fill the block was dispatched.
 	expected stamp
 	source   source
-	// lost is the life's count of lost events when the block was last known to
+	// lostCount is the life's count of lost events when the block was last known to
 	// be held.
-	lost uint16
+	lostCount uint16
 }
 
 // table maps keys to slots, forgets the least recently written ones beyond its
@@ -49,7 +49,7 @@
 		t.link(position)
 		return &t.slots[position], true
 	}
-	position := t.take()
+	position := t.allocate()
 	t.slots[position] = slot{key: key}
 	t.index[key] = position
 	t.link(position)
@@ -67,7 +67,7 @@
 	t.free = append(t.free, position)
 }
 
-func (t *table) take() int32 {
+func (t *table) allocate() int32 {
 	if length := len(t.free); length > 0 {
 		position := t.free[length-1]
 		t.free = t.free[:length-1]
--- a/internal/prefix/directory/hot_test.go
+++ b/internal/prefix/directory/fullroot_test.go
@@ -10,11 +10,11 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// TestAFullRootIsNotReportedFurther lets more engines hold a prefix than a shard
+// TestFullRootStopsReports lets more engines hold a prefix than a shard
 // remembers: once a router knows that the shard is full of engines that hold as
 // much, it reports no more of them, but still one that holds more, and one that
 // takes the place of an engine that died.
-func TestAFullRootIsNotReportedFurther(t *testing.T) {
+func TestFullRootStopsReports(t *testing.T) {
 	is := is.New(t)
 	const places = 16
 	chain := chainOf("open order book ", "a")[:128]
@@ -30,11 +30,11 @@
 		c.nodes[other].RecordAnswer(c.now, name(index), first, chain, 64)
 	}
 	is.Equal(reports(other), places-1)
-	c.blocks(another, first, chain)
+	c.lookUpBlocks(another, first, chain)
 	c.nodes[another].RecordAnswer(c.now, name(places-1), first, chain, 64) // the last free place
 	is.Equal(reports(another), 1)
 
-	c.blocks(other, first, chain)
+	c.lookUpBlocks(other, first, chain)
 	c.nodes[other].RecordAnswer(c.now, name(places), first, chain, 64)
 	is.Equal(reports(other), 0)
 	c.nodes[other].RecordAnswer(c.now, name(places), first, chain, 128) // it holds more
@@ -43,7 +43,7 @@
 	c.nodes[shard].SetIncarnation(name(3), "")
 	c.tick()
 	c.now = c.now.Add(2 * time.Second)
-	c.blocks(another, first, chain)
+	c.lookUpBlocks(another, first, chain)
 	c.nodes[another].RecordAnswer(c.now, name(places+1), first, chain, 64)
 	is.Equal(reports(another), 1)
 }
--- a/internal/prefix/directory/fuzz_test.go
+++ b/internal/prefix/directory/fuzz_test.go
@@ -9,10 +9,10 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// holdsNothing is a BlockHolder that knows no block.
-type holdsNothing struct{}
+// emptyHolder is a BlockHolder that knows no block.
+type emptyHolder struct{}
 
-func (holdsNothing) Holds(ident.Engine, ident.Incarnation, prefix.Hash) (held, known bool) {
+func (emptyHolder) Holds(ident.Engine, ident.Incarnation, prefix.Hash) (held, known bool) {
 	return false, false
 }
 
@@ -37,7 +37,7 @@
 		if err != nil {
 			return
 		}
-		node, err := New(Config{}, holdsNothing{})
+		node, err := New(Config{}, emptyHolder{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/prefix/directory/asker.go
+++ b/internal/prefix/directory/lookup.go
@@ -10,8 +10,8 @@
 // cachedAnswer is what this node was told about the chains of one root.
 type cachedAnswer struct {
 	answer Answer
-	// goodUntil is when the answer runs out; asked is when it was asked for last.
-	goodUntil, asked time.Time
+	// expires is when the answer runs out; asked is when it was asked for last.
+	expires, requested time.Time
 	// uses counts lookups since the answer; it tells the hot prefixes.
 	uses int
 }
@@ -19,8 +19,8 @@
 // ChainHolder says how much of one chain an engine holds.
 type ChainHolder struct {
 	Engine ident.Engine
-	// Incarnation is to be compared with the IncarnationDigest of the present incarnation.
-	Incarnation uint32
+	// IncarnationDigest is to be compared with the IncarnationDigest of the present incarnation.
+	IncarnationDigest uint32
 	// Blocks is the number of leading blocks held.
 	Blocks int
 }
@@ -62,7 +62,7 @@
 	case n.view.Self:
 		n.counters.LocalAnswers++
 		answer := n.answer(now, root)
-		return LookupResult{Holders: answer.heldBy(chain), Known: true}
+		return LookupResult{Holders: answer.chainHolders(chain), Known: true}
 	case "":
 		return LookupResult{Known: true}
 	}
@@ -72,21 +72,21 @@
 		n.cache.put(root, cached)
 	}
 	cached.uses++
-	result := LookupResult{Holders: cached.answer.heldBy(chain), Known: now.Before(cached.goodUntil)}
+	result := LookupResult{Holders: cached.answer.chainHolders(chain), Known: now.Before(cached.expires)}
 	if result.Known {
 		n.counters.CachedAnswers++
 		return result
 	}
-	if now.Sub(cached.asked) >= n.config.CacheLifetime { // else the reply is on its way
-		ask := n.ask(now, owner, root, cached)
-		result.Request = &ask
+	if now.Sub(cached.requested) >= n.config.CacheLifetime { // else the reply is on its way
+		request := n.request(now, owner, root, cached)
+		result.Request = &request
 	}
 	return result
 }
 
-func (n *Node) ask(now time.Time, owner ident.Node, root prefix.Hash, cached *cachedAnswer) Envelope {
+func (n *Node) request(now time.Time, owner ident.Node, root prefix.Hash, cached *cachedAnswer) Envelope {
 	n.counters.RemoteLookups++
-	cached.asked = now
+	cached.requested = now
 	return Envelope{To: owner, Message: Message{Lookup: &Lookup{Root: root, Tag: cached.answer.Tag}}}
 }
 
@@ -100,8 +100,8 @@
 	if answer.Tag != cached.answer.Tag {
 		cached.answer = *answer
 	}
-	goodFor := min(time.Duration(answer.TTLMillis)*time.Millisecond, maxStretch*n.config.CacheLifetime)
-	cached.goodUntil, cached.uses = now.Add(goodFor), 0
+	lifetime := min(time.Duration(answer.TTLMillis)*time.Millisecond, maxLifetimeFactor*n.config.CacheLifetime)
+	cached.expires, cached.uses = now.Add(lifetime), 0
 }
 
 func (a *Answer) valid() bool {
@@ -114,39 +114,39 @@
 		}
 	}
 	for _, path := range a.Paths {
-		if !wellFormed(path, markBytes) {
+		if !validHashes(path, shortHashBytes) {
 			return false
 		}
 	}
 	return true
 }
 
-// heldBy returns how much of a chain each holder of the answer has.
-func (a *Answer) heldBy(chain prefix.Chain) []ChainHolder {
+// chainHolders returns how much of a chain each holder of the answer has.
+func (a *Answer) chainHolders(chain prefix.Chain) []ChainHolder {
 	if len(a.Holders) == 0 {
 		return nil
 	}
-	marks := marksOf(chain)
-	held := make([]ChainHolder, 0, len(a.Holders))
+	hashes := shortHashesOf(chain)
+	holders := make([]ChainHolder, 0, len(a.Holders))
 	for _, holder := range a.Holders {
-		landmark := min(sharedLandmarks(a.Paths[holder.Path], marks), holder.Landmarks)
+		landmark := min(sharedLandmarks(a.Paths[holder.Path], hashes), holder.Landmarks)
 		if landmark <= 0 {
 			continue
 		}
-		held = deepest(held, ChainHolder{holder.Engine, holder.Incarnation, landmarkAt(landmark-1, len(chain)) + 1})
+		holders = addHolder(holders, ChainHolder{holder.Engine, holder.IncarnationDigest, landmarkAt(landmark-1, len(chain)) + 1})
 	}
-	return held
+	return holders
 }
 
 // deepest keeps one entry for each engine, the one with the most blocks.
-func deepest(list []ChainHolder, added ChainHolder) []ChainHolder {
-	for index := range list {
-		if list[index].Engine == added.Engine && list[index].Incarnation == added.Incarnation {
-			list[index].Blocks = max(list[index].Blocks, added.Blocks)
-			return list
+func addHolder(holders []ChainHolder, added ChainHolder) []ChainHolder {
+	for index := range holders {
+		if holders[index].Engine == added.Engine && holders[index].IncarnationDigest == added.IncarnationDigest {
+			holders[index].Blocks = max(holders[index].Blocks, added.Blocks)
+			return holders
 		}
 	}
-	return append(list, added)
+	return append(holders, added)
 }
 
 // RecordAnswer records an engine's own answer: the incarnation held the first held
@@ -178,17 +178,17 @@
 // engines hold than a root remembers, all to one shard.
 func (n *Node) shardKnows(now time.Time, root prefix.Hash, holding *Holding) bool {
 	cached, found := n.cache.get(root)
-	if !found || !now.Before(cached.goodUntil) {
+	if !found || !now.Before(cached.expires) {
 		return false
 	}
-	marks, life := holding.marks(), IncarnationDigest(holding.Incarnation)
+	hashes, digest := holding.shortHashes(), IncarnationDigest(holding.Incarnation)
 	holdAsMuch := 0
 	for _, holder := range cached.answer.Holders {
-		known := min(sharedLandmarks(cached.answer.Paths[holder.Path], marks), holder.Landmarks)
-		if known*markBytes != len(marks) {
+		known := min(sharedLandmarks(cached.answer.Paths[holder.Path], hashes), holder.Landmarks)
+		if known*shortHashBytes != len(hashes) {
 			continue
 		}
-		if holder.Engine == holding.Engine && holder.Incarnation == life {
+		if holder.Engine == holding.Engine && holder.IncarnationDigest == digest {
 			return true
 		}
 		holdAsMuch++
@@ -235,16 +235,16 @@
 	return envelopes
 }
 
-// renewHot asks again for the most used answers before they run out, so that
+// refreshHot asks again for the most used answers before they run out, so that
 // requests for a hot prefix never wait for a shard.
-func (n *Node) renewHot(now time.Time) []Envelope {
+func (n *Node) refreshHot(now time.Time) []Envelope {
 	var envelopes []Envelope
 	const hotUses = 2
 	n.cache.each(func(root prefix.Hash, cached *cachedAnswer) bool {
-		due := cached.goodUntil.Sub(now) <= n.config.CacheLifetime/2 && now.Sub(cached.asked) >= n.config.CacheLifetime/2
+		due := cached.expires.Sub(now) <= n.config.CacheLifetime/2 && now.Sub(cached.requested) >= n.config.CacheLifetime/2
 		owner := n.owner(root)
 		if cached.uses >= hotUses && due && owner != n.view.Self && owner != "" {
-			envelopes = append(envelopes, n.ask(now, owner, root, cached))
+			envelopes = append(envelopes, n.request(now, owner, root, cached))
 		}
 		return len(envelopes) < n.config.HotPrefixes
 	})
--- a/internal/prefix/directory/messages.go
+++ b/internal/prefix/directory/messages.go
@@ -46,8 +46,8 @@
 // Holder says how much of a path an engine holds.
 type Holder struct {
 	Engine ident.Engine `cbor:"1,keyasint"`
-	// Incarnation is the IncarnationDigest of the incarnation.
-	Incarnation uint32 `cbor:"2,keyasint"`
+	// IncarnationDigest is the IncarnationDigest of the incarnation.
+	IncarnationDigest uint32 `cbor:"2,keyasint"`
 	// Path is the index of the path in Answer.Paths.
 	Path int `cbor:"3,keyasint"`
 	// Landmarks is the number of landmarks of the path that are held.
@@ -120,8 +120,8 @@
 }
 
 const (
-	markBytes = 4
-	hashBytes = 8
+	shortHashBytes = 4
+	hashBytes      = 8
 	// maxLandmarks bounds the landmarks of a chain.
 	maxLandmarks = 16
 )
@@ -146,13 +146,13 @@
 // set of root blocks has its last block as the only one.
 func landmarkAt(landmark, blocks int) int { return min(landmarks[landmark], blocks-1) }
 
-func marksOf(chain prefix.Chain) []byte {
+func shortHashesOf(chain prefix.Chain) []byte {
 	count := landmarkCount(len(chain))
-	marks := make([]byte, 0, count*markBytes)
+	hashes := make([]byte, 0, count*shortHashBytes)
 	for landmark := range count {
-		marks = binary.BigEndian.AppendUint32(marks, uint32(chain[landmarkAt(landmark, len(chain))]))
+		hashes = binary.BigEndian.AppendUint32(hashes, uint32(chain[landmarkAt(landmark, len(chain))]))
 	}
-	return marks
+	return hashes
 }
 
 // holdingOf describes the first blocks blocks of a chain; ok is false if that
@@ -169,20 +169,20 @@
 	return holding, len(holding.Hashes) > 0
 }
 
-// marks returns the marks of the holding's hashes.
-func (h *Holding) marks() []byte {
-	marks := make([]byte, 0, len(h.Hashes)/hashBytes*markBytes)
+// shortHashes returns the marks of the holding's hashes.
+func (h *Holding) shortHashes() []byte {
+	hashes := make([]byte, 0, len(h.Hashes)/hashBytes*shortHashBytes)
 	for landmark := range len(h.Hashes) / hashBytes {
-		marks = binary.BigEndian.AppendUint32(marks, uint32(hashAt(h.Hashes, landmark)))
+		hashes = binary.BigEndian.AppendUint32(hashes, uint32(hashAt(h.Hashes, landmark)))
 	}
-	return marks
+	return hashes
 }
 
 // sharedLandmarks returns how many leading marks two paths share.
 func sharedLandmarks(first, second []byte) int {
 	shared := 0
-	for end := markBytes; end <= min(len(first), len(second)); end += markBytes {
-		if !bytes.Equal(first[end-markBytes:end], second[end-markBytes:end]) {
+	for end := shortHashBytes; end <= min(len(first), len(second)); end += shortHashBytes {
+		if !bytes.Equal(first[end-shortHashBytes:end], second[end-shortHashBytes:end]) {
 			break
 		}
 		shared++
@@ -194,7 +194,7 @@
 	return prefix.Hash(binary.BigEndian.Uint64(hashes[landmark*hashBytes:]))
 }
 
-// wellFormed reports whether a list of hashes or marks has a valid length.
-func wellFormed(list []byte, width int) bool {
+// validHashes reports whether a list of hashes or marks has a valid length.
+func validHashes(list []byte, width int) bool {
 	return len(list) > 0 && len(list)%width == 0 && len(list)/width <= maxLandmarks
 }
--- a/internal/prefix/directory/node.go
+++ b/internal/prefix/directory/node.go
@@ -53,8 +53,8 @@
 	maxHoldings = 16
 	// maxReportHoldings bounds the holdings of one message.
 	maxReportHoldings = 32
-	// maxStretch bounds the lifetime of an answer, in CacheLifetimes.
-	maxStretch = 30
+	// maxLifetimeFactor bounds the lifetime of an answer, in CacheLifetimes.
+	maxLifetimeFactor = 30
 	// lookupsPerLifetime is the number of lookups of one root in a
 	// CacheLifetime above which a shard stretches the lifetime of its answers.
 	lookupsPerLifetime = 4
@@ -83,17 +83,17 @@
 
 // Node is one router's part of the directory.
 type Node struct {
-	config   Config
-	view     membership.View
-	holder   BlockHolder
-	owners   map[prefix.Hash]ident.Node
-	lives    map[ident.Engine]ident.Incarnation
-	shard    *lru[prefix.Hash, *rootEntry]
-	cache    *lru[prefix.Hash, *cachedAnswer]
-	reported *lru[reportKey, time.Time]
-	watches  *lru[watchKey, watcher]
-	outbox   []pendingHolding
-	counters Counters
+	config       Config
+	view         membership.View
+	holder       BlockHolder
+	owners       map[prefix.Hash]ident.Node
+	incarnations map[ident.Engine]ident.Incarnation
+	shard        *lru[prefix.Hash, *rootEntry]
+	cache        *lru[prefix.Hash, *cachedAnswer]
+	reported     *lru[reportKey, time.Time]
+	watches      *lru[watchKey, watchTarget]
+	outbox       []pendingHolding
+	counters     Counters
 }
 
 // New returns a Node without members; holder answers for the engines whose
@@ -105,14 +105,14 @@
 	}
 	config = withDefaults(config)
 	return &Node{
-		config:   config,
-		holder:   holder,
-		owners:   make(map[prefix.Hash]ident.Node),
-		lives:    make(map[ident.Engine]ident.Incarnation),
-		shard:    newLRU[prefix.Hash, *rootEntry](config.MaxRoots),
-		cache:    newLRU[prefix.Hash, *cachedAnswer](config.MaxRoots),
-		reported: newLRU[reportKey, time.Time](config.MaxRoots),
-		watches:  newLRU[watchKey, watcher](config.MaxWatches),
+		config:       config,
+		holder:       holder,
+		owners:       make(map[prefix.Hash]ident.Node),
+		incarnations: make(map[ident.Engine]ident.Incarnation),
+		shard:        newLRU[prefix.Hash, *rootEntry](config.MaxRoots),
+		cache:        newLRU[prefix.Hash, *cachedAnswer](config.MaxRoots),
+		reported:     newLRU[reportKey, time.Time](config.MaxRoots),
+		watches:      newLRU[watchKey, watchTarget](config.MaxWatches),
 	}, nil
 }
 
@@ -152,11 +152,11 @@
 // SetIncarnation tells which incarnation of an engine is alive; the empty one
 // means that it is believed dead. Holdings of other lives are not told on.
 func (n *Node) SetIncarnation(engine ident.Engine, incarnation ident.Incarnation) {
-	n.lives[engine] = incarnation
+	n.incarnations[engine] = incarnation
 }
 
 // Remove forgets an engine that the fleet no longer has.
-func (n *Node) Remove(engine ident.Engine) { delete(n.lives, engine) }
+func (n *Node) Remove(engine ident.Engine) { delete(n.incarnations, engine) }
 
 // Handle takes one message of another node and returns those to send.
 func (n *Node) Handle(now time.Time, from ident.Node, message Message) []Envelope {
@@ -168,11 +168,11 @@
 	case message.Report != nil:
 		return n.handleReport(now, message.Report)
 	case message.Watch != nil:
-		if notice := n.handleWatch(from, message.Watch); notice != nil {
-			return []Envelope{{To: from, Message: Message{Notification: notice}}}
+		if notification := n.handleWatch(from, message.Watch); notification != nil {
+			return []Envelope{{To: from, Message: Message{Notification: notification}}}
 		}
 	case message.Notification != nil:
-		n.handleNotice(now, message.Notification)
+		n.handleNotification(now, message.Notification)
 	default:
 		n.counters.Malformed++
 	}
@@ -183,8 +183,8 @@
 // answers. Call it every half of a CacheLifetime.
 func (n *Node) Tick(now time.Time) []Envelope {
 	envelopes := n.flush(now)
-	envelopes = append(envelopes, n.renewHoldings(now)...)
-	return append(envelopes, n.renewHot(now)...)
+	envelopes = append(envelopes, n.recheckHoldings(now)...)
+	return append(envelopes, n.refreshHot(now)...)
 }
 
 // Counters returns the counters.
--- a/internal/prefix/directory/node_test.go
+++ b/internal/prefix/directory/node_test.go
@@ -21,35 +21,35 @@
 
 var start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
-// heldBlocks is what the engine's owner knows from its events.
-type heldBlocks struct {
+// engineBlocks is what the engine's owner knows from its events.
+type engineBlocks struct {
 	known bool
 	held  map[prefix.Hash]bool
 }
 
-func (h *heldBlocks) Holds(_ ident.Engine, _ ident.Incarnation, hash prefix.Hash) (held, known bool) {
+func (h *engineBlocks) Holds(_ ident.Engine, _ ident.Incarnation, hash prefix.Hash) (held, known bool) {
 	return h.held[hash], h.known
 }
 
 // cluster joins nodes by a network without loss that counts bytes.
 type cluster struct {
-	t     testing.TB
-	now   time.Time
-	view  membership.View
-	nodes map[ident.Node]*directory.Node
-	truth *heldBlocks
-	sent  map[ident.Node]int
-	got   map[ident.Node]int
-	count int
+	t           testing.TB
+	now         time.Time
+	view        membership.View
+	nodes       map[ident.Node]*directory.Node
+	blockHolder *engineBlocks
+	sent        map[ident.Node]int
+	received    map[ident.Node]int
+	count       int
 }
 
 func newCluster(t testing.TB, size int) *cluster {
-	c := &cluster{t: t, now: start, nodes: map[ident.Node]*directory.Node{}, truth: &heldBlocks{held: map[prefix.Hash]bool{}}}
-	c.sent, c.got = map[ident.Node]int{}, map[ident.Node]int{}
+	c := &cluster{t: t, now: start, nodes: map[ident.Node]*directory.Node{}, blockHolder: &engineBlocks{held: map[prefix.Hash]bool{}}}
+	c.sent, c.received = map[ident.Node]int{}, map[ident.Node]int{}
 	for index := range size {
 		name := ident.Node(fmt.Sprintf("node-%03d", index))
 		c.view.Members = append(c.view.Members, membership.Member{Node: name})
-		node, err := directory.New(directory.Config{}, c.truth)
+		node, err := directory.New(directory.Config{}, c.blockHolder)
 		is.New(t).NoErr(err)
 		c.nodes[name] = node
 	}
@@ -72,7 +72,7 @@
 		message, err := directory.Decode(encoded)
 		is.New(c.t).NoErr(err)
 		c.sent[from] += len(encoded)
-		c.got[envelope.To] += len(encoded)
+		c.received[envelope.To] += len(encoded)
 		c.count++
 		c.deliver(envelope.To, c.nodes[envelope.To].Handle(c.now, from, message))
 	}
@@ -84,9 +84,9 @@
 	}
 }
 
-// blocks asks at a node and returns what it believes the engine's present
+// lookUpBlocks asks at a node and returns what it believes the engine's present
 // life holds, once a reply had time to come.
-func (c *cluster) blocks(at ident.Node, incarnation ident.Incarnation, chain prefix.Chain) int {
+func (c *cluster) lookUpBlocks(at ident.Node, incarnation ident.Incarnation, chain prefix.Chain) int {
 	result := c.nodes[at].Lookup(c.now, chain)
 	if result.Request != nil {
 		c.deliver(at, []directory.Envelope{*result.Request})
@@ -94,7 +94,7 @@
 	}
 	is.New(c.t).True(result.Known)
 	for _, held := range result.Holders {
-		if held.Engine == engine && held.Incarnation == directory.IncarnationDigest(incarnation) {
+		if held.Engine == engine && held.IncarnationDigest == directory.IncarnationDigest(incarnation) {
 			return held.Blocks
 		}
 	}
@@ -114,7 +114,7 @@
 
 // Each case starts from a report, taken by another node, of a chain of 81
 // blocks whose first 50 are shared, and says what a third node then believes.
-func TestWhatNodesTellEachOther(t *testing.T) {
+func TestLookupAfterReport(t *testing.T) {
 	chain, sibling := chainOf("open order book ", "a")[:81], chainOf("open order book ", "b")
 	cases := []struct {
 		name    string
@@ -131,10 +131,10 @@
 		{"engine crashed", func(c *cluster, owner ident.Node) { c.nodes[owner].SetIncarnation(engine, second) }, chain, first, 0},
 		{"engine believed dead", func(c *cluster, owner ident.Node) { c.nodes[owner].SetIncarnation(engine, "") }, chain, first, 0},
 		{"block evicted", func(c *cluster, _ ident.Node) {
-			c.events(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheRemoved, Hashes: chain[15:16]})
+			c.applyEvents(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheRemoved, Hashes: chain[15:16]})
 		}, chain, first, 8},
 		{"cache cleared", func(c *cluster, _ ident.Node) {
-			c.events(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheCleared})
+			c.applyEvents(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheCleared})
 		}, chain, first, 0},
 		{"shard leaves", func(c *cluster, owner ident.Node) {
 			for index := range c.view.Members {
@@ -145,15 +145,15 @@
 			c.setView()
 			c.tick()
 		}, chain, first, 64},
-		{"not confirmed for a minute", func(c *cluster, _ ident.Node) { c.later(time.Minute) }, chain, first, 0},
+		{"not confirmed for a minute", func(c *cluster, _ ident.Node) { c.advance(time.Minute) }, chain, first, 0},
 		{"confirmed by the engine's owner", func(c *cluster, _ ident.Node) {
-			c.truth.known = true
-			c.later(5 * time.Minute)
+			c.blockHolder.known = true
+			c.advance(5 * time.Minute)
 		}, chain, first, 64},
 		{"denied by the engine's owner", func(c *cluster, _ ident.Node) {
-			c.truth.known = true
-			delete(c.truth.held, chain[31])
-			c.later(31 * time.Second)
+			c.blockHolder.known = true
+			delete(c.blockHolder.held, chain[31])
+			c.advance(31 * time.Second)
 		}, chain, first, 24},
 	}
 	is.New(t).True(sibling[0] == chain[0])
@@ -161,7 +161,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := newCluster(t, 9)
 			for _, hash := range chain {
-				c.truth.held[hash] = true
+				c.blockHolder.held[hash] = true
 			}
 			owner, other, another := c.owner(chain)
 			c.nodes[other].RecordAnswer(c.now, engine, first, chain, 0)
@@ -169,20 +169,20 @@
 			if test.happens != nil {
 				test.happens(c, owner)
 			}
-			is.New(t).Equal(c.blocks(another, test.life, test.asked), test.want)
+			is.New(t).Equal(c.lookUpBlocks(another, test.life, test.asked), test.want)
 		})
 	}
 }
 
-// events reads a batch at the engine's owner.
-func (c *cluster) events(events ...protocol.CacheEvent) {
+// applyEvents reads a batch at the engine's owner.
+func (c *cluster) applyEvents(events ...protocol.CacheEvent) {
 	owner := directory.EngineOwners(c.view, engine)[0].Node
 	batch := protocol.CacheEventBatch{Incarnation: first, Events: events}
 	c.deliver(owner, c.nodes[owner].ApplyEvents(c.now, engine, batch))
 }
 
-// later lets time pass with ticks, the chain being asked for now and then.
-func (c *cluster) later(duration time.Duration) {
+// advance lets time pass with ticks, the chain being asked for now and then.
+func (c *cluster) advance(duration time.Duration) {
 	chain := chainOf("open order book ", "a")[:81]
 	_, _, another := c.owner(chain)
 	for end := c.now.Add(duration); c.now.Before(end); c.now = c.now.Add(500 * time.Millisecond) {
@@ -195,7 +195,7 @@
 
 // Unique tails of requests to a busy engine do not push other engines out of a
 // shard, and what a shard knows is not reported to it again.
-func TestTailsDoNotCrowdOutAPrefix(t *testing.T) {
+func TestUniqueTailsDoNotEvictSharedPrefix(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 5)
 	prompt := chainOf("open order book ", "a")[:50]
@@ -207,7 +207,7 @@
 		for tail := range 20 {
 			chain = append(chain, prefix.Hash(request*1000+tail))
 		}
-		is.Equal(c.blocks(other, first, chain), 48)
+		is.Equal(c.lookUpBlocks(other, first, chain), 48)
 		c.nodes[other].RecordAnswer(c.now, "busy", first, chain, min(request, 1)*50)
 		c.tick()
 		c.now = c.now.Add(250 * time.Millisecond)
@@ -247,13 +247,13 @@
 	is.Equal(len(node.Lookup(start, chain).Holders), 0)
 	_, err := directory.Decode([]byte{0xff})
 	is.True(fault.Is(err, fault.BadRequest))
-	_, err = directory.New(directory.Config{MaxRoots: -1}, c.truth)
+	_, err = directory.New(directory.Config{MaxRoots: -1}, c.blockHolder)
 	is.True(fault.Is(err, fault.InvalidSettings))
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestEntriesAreBounded(t *testing.T) {
 	is := is.New(t)
-	node, err := directory.New(directory.Config{MaxRoots: 10, MaxWatches: 20}, &heldBlocks{})
+	node, err := directory.New(directory.Config{MaxRoots: 10, MaxWatches: 20}, &engineBlocks{})
 	is.NoErr(err)
 	view := membership.View{Self: "a", Members: []membership.Member{{Node: "a"}, {Node: "b"}}}
 	node.SetView(view)
@@ -282,12 +282,12 @@
 		c.tick()
 		b.ReportMetric(float64(c.sent[other])/8, "B/report")
 		b.ReportMetric(float64(c.sent[owner])/8, "B/watch")
-		c.sent, c.got, c.count = map[ident.Node]int{}, map[ident.Node]int{}, 0
-		c.blocks(other, first, chain)
+		c.sent, c.received, c.count = map[ident.Node]int{}, map[ident.Node]int{}, 0
+		c.lookUpBlocks(other, first, chain)
 		b.ReportMetric(float64(c.sent[other]), "B/lookup")
-		b.ReportMetric(float64(c.got[other]), "B/answer")
+		b.ReportMetric(float64(c.received[other]), "B/answer")
 		const seconds = 60
-		c.sent, c.got, c.count = map[ident.Node]int{}, map[ident.Node]int{}, 0
+		c.sent, c.received, c.count = map[ident.Node]int{}, map[ident.Node]int{}, 0
 		for step := range seconds * 10 {
 			for index, member := range c.view.Members {
 				if (index+step)%10 != 0 {
@@ -299,8 +299,8 @@
 			}
 			c.now = c.now.Add(100 * time.Millisecond)
 		}
-		b.ReportMetric(float64(c.sent[owner]+c.got[owner])/seconds, "shard-B/s")
-		b.ReportMetric(float64(c.sent[other]+c.got[other])/seconds, "asker-B/s")
+		b.ReportMetric(float64(c.sent[owner]+c.received[owner])/seconds, "shard-B/s")
+		b.ReportMetric(float64(c.sent[other]+c.received[other])/seconds, "asker-B/s")
 		b.ReportMetric(float64(c.count)/seconds, "msgs/s")
 	}
 }
@@ -312,7 +312,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		node, err := directory.New(directory.Config{}, &heldBlocks{})
+		node, err := directory.New(directory.Config{}, &engineBlocks{})
 		is.New(b).NoErr(err)
 		node.SetView(membership.View{Self: "a", Members: []membership.Member{{Node: "a"}}})
 		for root := range 4096 {
--- a/internal/prefix/directory/owner.go
+++ b/internal/prefix/directory/owner.go
@@ -16,8 +16,8 @@
 	hash        prefix.Hash
 }
 
-// watcher is who is to be told of a block's eviction, and under which root.
-type watcher struct {
+// watchTarget is who is to be told of a block's eviction, and under which root.
+type watchTarget struct {
 	shard ident.Node
 	root  prefix.Hash
 }
@@ -25,100 +25,100 @@
 // handleWatch registers a shard's interest and returns what the engine's
 // events say of the blocks, or nil if they do not settle it.
 func (n *Node) handleWatch(from ident.Node, watch *Watch) *Notification {
-	if !wellFormed(watch.Hashes, hashBytes) {
+	if !validHashes(watch.Hashes, hashBytes) {
 		n.counters.Malformed++
 		return nil
 	}
 	n.counters.Watches++
-	notice := Notification{Engine: watch.Engine, Incarnation: watch.Incarnation}
+	notification := Notification{Engine: watch.Engine, Incarnation: watch.Incarnation}
 	root := hashAt(watch.Hashes, 0)
-	settled := true
+	complete := true
 	for index := range len(watch.Hashes) / hashBytes {
 		hash := hashAt(watch.Hashes, index)
 		held, known := n.holder.Holds(watch.Engine, watch.Incarnation, hash)
-		settled = settled && known
+		complete = complete && known
 		if known && !held {
-			notice.lose(root, hash)
+			notification.addLost(root, hash)
 			continue
 		}
-		n.watches.put(watchKey{watch.Engine, watch.Incarnation, hash}, watcher{from, root})
+		n.watches.put(watchKey{watch.Engine, watch.Incarnation, hash}, watchTarget{from, root})
 	}
-	if !settled {
+	if !complete {
 		return nil
 	}
-	notice.Checked = binary.BigEndian.AppendUint64(nil, uint64(root))
-	return &notice
+	notification.Checked = binary.BigEndian.AppendUint64(nil, uint64(root))
+	return &notification
 }
 
-func (m *Notification) lose(root, hash prefix.Hash) {
-	m.Lost = binary.BigEndian.AppendUint64(m.Lost, uint64(root))
-	m.Lost = binary.BigEndian.AppendUint64(m.Lost, uint64(hash))
+func (n *Notification) addLost(root, hash prefix.Hash) {
+	n.Lost = binary.BigEndian.AppendUint64(n.Lost, uint64(root))
+	n.Lost = binary.BigEndian.AppendUint64(n.Lost, uint64(hash))
 }
 
-// notices gathers one Notice for each shard, in the order of their first need.
-type notices struct {
+// notifications gathers one Notice for each shard, in the order of their first need.
+type notifications struct {
 	batch     *protocol.CacheEventBatch
 	engine    ident.Engine
 	envelopes []Envelope
 }
 
-func (l *notices) to(shard ident.Node) *Notification {
-	for _, envelope := range l.envelopes {
+func (n *notifications) forShard(shard ident.Node) *Notification {
+	for _, envelope := range n.envelopes {
 		if envelope.To == shard {
 			return envelope.Message.Notification
 		}
 	}
-	notice := &Notification{Engine: l.engine, Incarnation: l.batch.Incarnation}
-	l.envelopes = append(l.envelopes, Envelope{To: shard, Message: Message{Notification: notice}})
-	return notice
+	notification := &Notification{Engine: n.engine, Incarnation: n.batch.Incarnation}
+	n.envelopes = append(n.envelopes, Envelope{To: shard, Message: Message{Notification: notification}})
+	return notification
 }
 
 // ApplyEvents reads a batch of the event stream of an engine that this router owns
 // and returns what the shards that watch its blocks have to know.
 func (n *Node) ApplyEvents(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) []Envelope {
-	list := &notices{batch: &batch, engine: engine}
+	list := &notifications{batch: &batch, engine: engine}
 	for _, event := range batch.Events {
 		switch event.Kind {
 		case protocol.CacheRemoved:
 			for _, hash := range event.Hashes {
-				n.evicted(list, watchKey{engine, batch.Incarnation, hash})
+				n.notifyEvicted(list, watchKey{engine, batch.Incarnation, hash})
 			}
 		case protocol.CacheCleared:
-			n.cleared(list)
+			n.notifyCleared(list)
 		}
 	}
-	return n.deliverOwn(now, list.envelopes)
+	return n.applyLocal(now, list.envelopes)
 }
 
-func (n *Node) evicted(list *notices, key watchKey) {
-	watching, found := n.watches.get(key)
+func (n *Node) notifyEvicted(list *notifications, key watchKey) {
+	target, found := n.watches.get(key)
 	if !found {
 		return
 	}
 	n.counters.Evictions++
-	list.to(watching.shard).lose(watching.root, key.hash)
+	list.forShard(target.shard).addLost(target.root, key.hash)
 	n.watches.delete(key)
 }
 
-func (n *Node) cleared(list *notices) {
-	n.watches.each(func(key watchKey, watching watcher) bool {
+func (n *Node) notifyCleared(list *notifications) {
+	n.watches.each(func(key watchKey, target watchTarget) bool {
 		if key.engine == list.engine && key.incarnation == list.batch.Incarnation {
-			list.to(watching.shard).Cleared = true
+			list.forShard(target.shard).Cleared = true
 			n.watches.delete(key)
 		}
 		return true
 	})
 }
 
-// deliverOwn takes notices to this node itself out of a list.
-func (n *Node) deliverOwn(now time.Time, envelopes []Envelope) []Envelope {
-	others := envelopes[:0]
+// applyLocal takes notices to this node itself out of a list.
+func (n *Node) applyLocal(now time.Time, envelopes []Envelope) []Envelope {
+	remote := envelopes[:0]
 	for _, envelope := range envelopes {
 		if envelope.To == n.view.Self {
-			n.handleNotice(now, envelope.Message.Notification)
+			n.handleNotification(now, envelope.Message.Notification)
 			continue
 		}
-		others = append(others, envelope)
+		remote = append(remote, envelope)
 	}
-	return others
+	return remote
 }
--- a/internal/prefix/directory/shard.go
+++ b/internal/prefix/directory/shard.go
@@ -14,10 +14,10 @@
 // rootEntry is what a shard knows of the chains that share one root.
 type rootEntry struct {
 	holdings []shardHolding
-	// stretch is the lifetime of answers in CacheLifetimes, at least 1.
-	stretch float64
-	// asked is when a lookup came last, from this node or another.
-	asked time.Time
+	// lifetimeFactor is the lifetime of answers in CacheLifetimes, at least 1.
+	lifetimeFactor float64
+	// lastLookup is when a lookup came last, from this node or another.
+	lastLookup time.Time
 	// lookups counts those of other nodes since windowStart.
 	lookups     int
 	windowStart time.Time
@@ -25,10 +25,10 @@
 
 type shardHolding struct {
 	Holding
-	// seen is when the holding was last reported or confirmed.
-	seen time.Time
-	// renewed is when the engine's owner was last asked to check it.
-	renewed time.Time
+	// confirmed is when the holding was last reported or confirmed.
+	confirmed time.Time
+	// requested is when the engine's owner was last asked to check it.
+	requested time.Time
 }
 
 func (n *Node) handleLookup(now time.Time, from ident.Node, lookup *Lookup) []Envelope {
@@ -37,8 +37,8 @@
 	}
 	answer := n.answer(now, lookup.Root)
 	if entry, found := n.shard.get(lookup.Root); found {
-		entry.adapt(now, n.config.CacheLifetime)
-		answer.TTLMillis = uint32(entry.stretch * float64(n.config.CacheLifetime/time.Millisecond))
+		entry.adaptLifetime(now, n.config.CacheLifetime)
+		answer.TTLMillis = uint32(entry.lifetimeFactor * float64(n.config.CacheLifetime/time.Millisecond))
 	}
 	if answer.Tag == lookup.Tag {
 		answer.Paths, answer.Holders = nil, nil
@@ -46,22 +46,22 @@
 	return []Envelope{{To: from, Message: Message{Answer: &answer}}}
 }
 
-// adapt stretches the lifetime of answers while more lookups come than a shard
+// adaptLifetime stretches the lifetime of answers while more lookups come than a shard
 // can bear, and shortens it again: the traffic of a root does not grow with
 // the number of routers that ask for it. Routers learn of such a root from
 // their own answers anyway.
-func (e *rootEntry) adapt(now time.Time, window time.Duration) {
+func (e *rootEntry) adaptLifetime(now time.Time, window time.Duration) {
 	const step = 1.5
-	e.stretch = max(e.stretch, 1)
+	e.lifetimeFactor = max(e.lifetimeFactor, 1)
 	if now.Sub(e.windowStart) >= window {
 		if e.lookups < lookupsPerLifetime/2 {
-			e.stretch = max(1, e.stretch/step)
+			e.lifetimeFactor = max(1, e.lifetimeFactor/step)
 		}
 		e.windowStart, e.lookups = now, 0
 	}
 	e.lookups++
 	if e.lookups > lookupsPerLifetime {
-		e.stretch, e.lookups = min(maxStretch, e.stretch*step), 0
+		e.lifetimeFactor, e.lookups = min(maxLifetimeFactor, e.lifetimeFactor*step), 0
 	}
 }
 
@@ -72,19 +72,19 @@
 	if !found {
 		return answer
 	}
-	entry.asked = now
+	entry.lastLookup = now
 	digest := xxhash.New()
 	for index := range entry.holdings {
 		held := &entry.holdings[index]
-		if now.Sub(held.seen) >= n.config.HoldingLifetime || !n.alive(held.Engine, held.Incarnation) {
+		if now.Sub(held.confirmed) >= n.config.HoldingLifetime || !n.maybeCurrent(held.Engine, held.Incarnation) {
 			continue
 		}
-		marks := held.marks()
+		hashes := held.shortHashes()
 		answer.Holders = append(answer.Holders, Holder{
-			Engine: held.Engine, Incarnation: IncarnationDigest(held.Incarnation), Path: answer.path(marks), Landmarks: len(marks) / markBytes,
+			Engine: held.Engine, IncarnationDigest: IncarnationDigest(held.Incarnation), Path: answer.path(hashes), Landmarks: len(hashes) / shortHashBytes,
 		})
 		_, _ = digest.WriteString(string(held.Engine) + "/" + string(held.Incarnation) + "/")
-		_, _ = digest.Write(marks)
+		_, _ = digest.Write(hashes)
 	}
 	if len(answer.Holders) > 0 {
 		answer.Tag = uint32(digest.Sum64()) | 1 // zero stands for no content
@@ -95,24 +95,24 @@
 // path returns the index of a path that begins with the marks, adding one or
 // extending a shorter one if needed: engines that hold more or less of the same
 // prefix share one path.
-func (a *Answer) path(marks []byte) int {
+func (a *Answer) path(hashes []byte) int {
 	for index, path := range a.Paths {
-		if bytes.HasPrefix(path, marks) {
+		if bytes.HasPrefix(path, hashes) {
 			return index
 		}
-		if bytes.HasPrefix(marks, path) {
-			a.Paths[index] = marks
+		if bytes.HasPrefix(hashes, path) {
+			a.Paths[index] = hashes
 			return index
 		}
 	}
-	a.Paths = append(a.Paths, marks)
+	a.Paths = append(a.Paths, hashes)
 	return len(a.Paths) - 1
 }
 
-// alive is true unless another incarnation of the engine is known to be.
-func (n *Node) alive(engine ident.Engine, incarnation ident.Incarnation) bool {
-	present, known := n.lives[engine]
-	return !known || present == incarnation
+// maybeCurrent is true unless another incarnation of the engine is known to be.
+func (n *Node) maybeCurrent(engine ident.Engine, incarnation ident.Incarnation) bool {
+	current, known := n.incarnations[engine]
+	return !known || current == incarnation
 }
 
 func (n *Node) handleReport(now time.Time, report *Report) []Envelope {
@@ -122,7 +122,7 @@
 	}
 	var envelopes []Envelope
 	for _, holding := range report.Holdings {
-		if !wellFormed(holding.Hashes, hashBytes) {
+		if !validHashes(holding.Hashes, hashBytes) {
 			n.counters.Malformed++
 			continue
 		}
@@ -143,7 +143,7 @@
 		entry = &rootEntry{}
 		n.shard.put(root, entry)
 	}
-	entry.add(shardHolding{Holding: holding, seen: now, renewed: now})
+	entry.add(shardHolding{Holding: holding, confirmed: now, requested: now})
 	return n.watch(now, holding)
 }
 
@@ -154,8 +154,8 @@
 	case "":
 		return nil
 	case n.view.Self:
-		if notice := n.handleWatch(owner, watch); notice != nil {
-			n.handleNotice(now, notice)
+		if notification := n.handleWatch(owner, watch); notification != nil {
+			n.handleNotification(now, notification)
 		}
 		return nil
 	default:
@@ -171,13 +171,13 @@
 		held := &e.holdings[index]
 		if held.Engine == added.Engine && (held.Incarnation != added.Incarnation || related(held.Hashes, added.Hashes)) {
 			if held.Incarnation == added.Incarnation && len(held.Hashes) > len(added.Hashes) {
-				held.seen = added.seen
+				held.confirmed = added.confirmed
 				return
 			}
 			e.holdings[index] = added
 			return
 		}
-		if held.seen.Before(e.holdings[oldest].seen) {
+		if held.confirmed.Before(e.holdings[oldest].confirmed) {
 			oldest = index
 		}
 	}
@@ -193,53 +193,53 @@
 	return bytes.HasPrefix(first, second) || bytes.HasPrefix(second, first)
 }
 
-// handleNotice takes what the owner of an engine's events knows: blocks that
+// handleNotification takes what the owner of an engine's events knows: blocks that
 // are not held cut holdings short, checked ones confirm them.
-func (n *Node) handleNotice(now time.Time, notice *Notification) {
+func (n *Node) handleNotification(now time.Time, notification *Notification) {
 	const pair = 2 * hashBytes
-	if len(notice.Lost)%pair != 0 || len(notice.Checked)%hashBytes != 0 {
+	if len(notification.Lost)%pair != 0 || len(notification.Checked)%hashBytes != 0 {
 		n.counters.Malformed++
 		return
 	}
-	if notice.Cleared {
-		n.dropAll(notice)
+	if notification.Cleared {
+		n.dropIncarnation(notification)
 		return
 	}
-	for start := 0; start < len(notice.Lost); start += pair {
-		root, gone := hashAt(notice.Lost[start:], 0), hashAt(notice.Lost[start:], 1)
-		n.eachHolding(root, notice, func(held *shardHolding) { held.cut(gone) })
+	for start := 0; start < len(notification.Lost); start += pair {
+		root, lost := hashAt(notification.Lost[start:], 0), hashAt(notification.Lost[start:], 1)
+		n.eachHolding(root, notification, func(held *shardHolding) { held.truncate(lost) })
 	}
-	for index := range len(notice.Checked) / hashBytes {
-		n.eachHolding(hashAt(notice.Checked, index), notice, func(held *shardHolding) { held.seen = now })
+	for index := range len(notification.Checked) / hashBytes {
+		n.eachHolding(hashAt(notification.Checked, index), notification, func(held *shardHolding) { held.confirmed = now })
 	}
 }
 
 // eachHolding visits the holdings of one root on the notice's engine life and
 // drops those left empty.
-func (n *Node) eachHolding(root prefix.Hash, notice *Notification, visit func(*shardHolding)) {
+func (n *Node) eachHolding(root prefix.Hash, notification *Notification, visit func(*shardHolding)) {
 	entry, found := n.shard.get(root)
 	if !found {
 		return
 	}
 	for index := range entry.holdings {
-		if held := &entry.holdings[index]; held.Engine == notice.Engine && held.Incarnation == notice.Incarnation {
+		if held := &entry.holdings[index]; held.Engine == notification.Engine && held.Incarnation == notification.Incarnation {
 			visit(held)
 		}
 	}
 	n.prune(root, entry, func(*shardHolding) bool { return false })
 }
 
-func (n *Node) dropAll(notice *Notification) {
+func (n *Node) dropIncarnation(notification *Notification) {
 	n.shard.each(func(root prefix.Hash, entry *rootEntry) bool {
 		n.prune(root, entry, func(held *shardHolding) bool {
-			return held.Engine == notice.Engine && held.Incarnation == notice.Incarnation
+			return held.Engine == notification.Engine && held.Incarnation == notification.Incarnation
 		})
 		return true
 	})
 }
 
-// cut shortens a holding to the landmarks before the one gone.
-func (h *shardHolding) cut(gone prefix.Hash) {
+// truncate shortens a holding to the landmarks before the one gone.
+func (h *shardHolding) truncate(gone prefix.Hash) {
 	for landmark := range len(h.Hashes) / hashBytes {
 		if hashAt(h.Hashes, landmark) == gone {
 			h.Hashes = slices.Clone(h.Hashes[:landmark*hashBytes])
@@ -250,30 +250,30 @@
 
 // prune drops the empty and the unwanted holdings of a root, and a root
 // without any.
-func (n *Node) prune(root prefix.Hash, entry *rootEntry, unwanted func(*shardHolding) bool) {
+func (n *Node) prune(root prefix.Hash, entry *rootEntry, drop func(*shardHolding) bool) {
 	entry.holdings = slices.DeleteFunc(entry.holdings, func(held shardHolding) bool {
-		return len(held.Hashes) == 0 || unwanted(&held)
+		return len(held.Hashes) == 0 || drop(&held)
 	})
 	if len(entry.holdings) == 0 {
 		n.shard.delete(root)
 	}
 }
 
-// renewHoldings drops holdings that are too old and asks the engines' owners
+// recheckHoldings drops holdings that are too old and asks the engines' owners
 // to check those that soon will be. Only roots still asked for are renewed.
-func (n *Node) renewHoldings(now time.Time) []Envelope {
+func (n *Node) recheckHoldings(now time.Time) []Envelope {
 	var envelopes []Envelope
 	half := n.config.HoldingLifetime / 2
 	n.shard.each(func(root prefix.Hash, entry *rootEntry) bool {
 		n.prune(root, entry, func(held *shardHolding) bool {
-			return now.Sub(held.seen) >= n.config.HoldingLifetime || !n.alive(held.Engine, held.Incarnation)
+			return now.Sub(held.confirmed) >= n.config.HoldingLifetime || !n.maybeCurrent(held.Engine, held.Incarnation)
 		})
-		if now.Sub(entry.asked) >= n.config.HoldingLifetime {
+		if now.Sub(entry.lastLookup) >= n.config.HoldingLifetime {
 			return true
 		}
 		for index := 0; index < len(entry.holdings); index++ {
-			if held := &entry.holdings[index]; now.Sub(held.seen) >= half && now.Sub(held.renewed) >= half/2 {
-				held.renewed = now
+			if held := &entry.holdings[index]; now.Sub(held.confirmed) >= half && now.Sub(held.requested) >= half/2 {
+				held.requested = now
 				envelopes = append(envelopes, n.watch(now, held.Holding)...)
 			}
 		}
--- a/internal/promptcache/copy.go
+++ b/internal/promptcache/copy.go
@@ -37,10 +37,10 @@
 }
 
 const (
-	// maxBatches and maxLogged bound the changes that are kept for other routers, as
+	// maxBatches and maxBatchEntries bound the changes that are kept for other routers, as
 	// answers of a store and as entries. Who lacks older ones is told everything.
-	maxBatches = 32
-	maxLogged  = 4096
+	maxBatches      = 32
+	maxBatchEntries = 4096
 )
 
 // batch holds the changes of one answer of a store.
@@ -55,8 +55,8 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	positions := make([]Position, 0, len(x.stores))
-	for store, found := range x.stores {
-		positions = append(positions, Position{Store: store, Epoch: found.epoch, Next: found.next})
+	for store, state := range x.stores {
+		positions = append(positions, Position{Store: store, Epoch: state.epoch, Next: state.next})
 	}
 	return positions
 }
@@ -66,18 +66,18 @@
 func (x *Index) Updates(now time.Time, held []Position) []Update {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	copies := make(map[netip.AddrPort]Position, len(held))
+	positions := make(map[netip.AddrPort]Position, len(held))
 	for _, position := range held {
-		copies[position.Store] = position
+		positions[position.Store] = position
 	}
 	var updates []Update
-	for store, found := range x.stores {
-		age := now.Sub(found.heardAt)
+	for store, state := range x.stores {
+		age := now.Sub(state.asOf)
 		if age > staleAfter {
 			continue
 		}
-		update := found.since(copies[store])
-		update.Position = Position{Store: store, Epoch: found.epoch, Next: found.next}
+		update := state.since(positions[store])
+		update.Position = Position{Store: store, Epoch: state.epoch, Next: state.next}
 		update.Age = age
 		updates = append(updates, update)
 	}
@@ -90,58 +90,58 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, update := range updates {
-		x.take(at.Add(-update.Age), &update)
+		x.applyUpdate(at.Add(-update.Age), &update)
 	}
 }
 
-func (x *Index) take(heardAt time.Time, update *Update) {
+func (x *Index) applyUpdate(asOf time.Time, update *Update) {
 	position := &update.Position
-	found := x.stores[position.Store]
+	state := x.stores[position.Store]
 	switch {
-	case found != nil && !heardAt.After(found.heardAt):
+	case state != nil && !asOf.After(state.asOf):
 		return
 	case update.Full:
-		found = newContents(position.Epoch, position.Next, found)
-		x.stores[position.Store] = found
-	case found == nil || found.epoch != position.Epoch || found.next != update.Since:
+		state = newStoreState(position.Epoch, position.Next, state)
+		x.stores[position.Store] = state
+	case state == nil || state.epoch != position.Epoch || state.next != update.Since:
 		return
 	default:
-		found.log(update.Entries)
-		found.next = position.Next
+		state.addBatch(update.Entries)
+		state.next = position.Next
 	}
-	found.heardAt = heardAt
-	found.take(update.Entries)
-	found.settle(heardAt)
+	state.asOf = asOf
+	state.apply(update.Entries)
+	state.expireSaves(asOf)
 }
 
 // since returns the changes since another router's copy, or everything.
-func (c *contents) since(held Position) Update {
-	if held.Epoch == c.epoch && held.Next == c.next {
-		return Update{Since: c.next}
+func (s *storeState) since(held Position) Update {
+	if held.Epoch == s.epoch && held.Next == s.next {
+		return Update{Since: s.next}
 	}
-	for index, kept := range c.batches {
-		if held.Epoch != c.epoch || kept.since != held.Next {
+	for index, kept := range s.batches {
+		if held.Epoch != s.epoch || kept.since != held.Next {
 			continue
 		}
 		update := Update{Since: held.Next}
-		for _, later := range c.batches[index:] {
+		for _, later := range s.batches[index:] {
 			update.Entries = append(update.Entries, later.entries...)
 		}
 		return update
 	}
-	update := Update{Full: true, Entries: make([]Entry, 0, len(c.held))}
-	for key, tokens := range c.held {
+	update := Update{Full: true, Entries: make([]Entry, 0, len(s.heldTokens))}
+	for key, tokens := range s.heldTokens {
 		update.Entries = append(update.Entries, Entry{Key: key, Tokens: tokens})
 	}
 	return update
 }
 
-// log keeps changes from the present position on for other routers.
-func (c *contents) log(entries []Entry) {
-	c.batches = append(c.batches, batch{since: c.next, entries: entries})
-	c.logged += len(entries)
-	for len(c.batches) > maxBatches || c.logged > maxLogged {
-		c.logged -= len(c.batches[0].entries)
-		c.batches = c.batches[1:]
+// addBatch keeps changes from the present position on for other routers.
+func (s *storeState) addBatch(entries []Entry) {
+	s.batches = append(s.batches, batch{since: s.next, entries: entries})
+	s.batchEntries += len(entries)
+	for len(s.batches) > maxBatches || s.batchEntries > maxBatchEntries {
+		s.batchEntries -= len(s.batches[0].entries)
+		s.batches = s.batches[1:]
 	}
 }
--- a/internal/promptcache/copy_test.go
+++ b/internal/promptcache/copy_test.go
@@ -13,7 +13,7 @@
 
 // Copies that were brought up to date, at whatever times, believe what the reader of
 // the store believes.
-func TestCopiesAgreeWithTheReader(t *testing.T) {
+func TestCopyMatchesReader(t *testing.T) {
 	tests := []struct {
 		name string
 		// every is how many answers of the store pass between two updates.
@@ -51,7 +51,7 @@
 	return promptcache.Part{Salt: "v1", ID: fmt.Sprint(random.IntN(50))}
 }
 
-func TestUpdatesThatDoNotFitChangeNothing(t *testing.T) {
+func TestStaleOrGappedUpdatesAreIgnored(t *testing.T) {
 	entries := []promptcache.Entry{{Key: part.Key(), Tokens: 100}}
 	position := promptcache.Position{Store: store, Epoch: 7, Next: 11}
 	otherEpoch := position
@@ -79,7 +79,7 @@
 }
 
 // A store of which the teller has not heard for long is not told.
-func TestOldNewsAreNotTold(t *testing.T) {
+func TestUpdatesLeaveOutStaleStores(t *testing.T) {
 	is := is.New(t)
 	index := promptcache.NewIndex()
 	index.Replace(start, store, &promptcache.Listing{Epoch: 7, Next: 10})
--- a/internal/promptcache/index.go
+++ b/internal/promptcache/index.go
@@ -64,12 +64,12 @@
 const (
 	// staleAfter is how long a store's word is taken for its present state.
 	staleAfter = 3 * time.Second
-	// savedWithin is how long after it was asked for a save is expected to show
+	// saveTimeout is how long after it was asked for a save is expected to show
 	// in the store.
-	savedWithin = 1500 * time.Millisecond
-	// heldPart is the least part of a cache, in tenths, that is worth a fetch:
+	saveTimeout = 1500 * time.Millisecond
+	// minHeldTenths is the least part of a cache, in tenths, that is worth a fetch:
 	// stores keep whole blocks only.
-	heldPart = 9
+	minHeldTenths = 9
 	// maxParts bounds the parts remembered of one store.
 	maxParts = 1 << 16
 )
@@ -77,35 +77,35 @@
 // Index holds the beliefs about all stores. It is safe for concurrent use.
 type Index struct {
 	mu     sync.Mutex
-	stores map[netip.AddrPort]*contents
+	stores map[netip.AddrPort]*storeState
 }
 
-// contents is what is believed of one store.
-type contents struct {
+// storeState is what is believed of one store.
+type storeState struct {
 	epoch, next uint64
-	heardAt     time.Time
-	// held are the tokens kept of each part, by the part's key.
-	held map[uint64]int
-	// saving holds when the save of a part was asked for by this router.
-	saving map[uint64]time.Time
+	asOf        time.Time
+	// heldTokens are the tokens kept of each part, by the part's key.
+	heldTokens map[uint64]int
+	// saves holds when the save of a part was asked for by this router.
+	saves map[uint64]time.Time
 	// batches are the newest changes, for other routers; logged counts their entries.
-	batches []batch
-	logged  int
+	batches      []batch
+	batchEntries int
 }
 
-// newContents returns contents that are empty but for the saves that a former copy of
+// newStoreState returns contents that are empty but for the saves that a former copy of
 // the store waits for.
-func newContents(epoch, next uint64, former *contents) *contents {
-	fresh := &contents{epoch: epoch, next: next, held: make(map[uint64]int), saving: make(map[uint64]time.Time)}
-	if former != nil {
-		fresh.saving = former.saving
+func newStoreState(epoch, next uint64, previous *storeState) *storeState {
+	state := &storeState{epoch: epoch, next: next, heldTokens: make(map[uint64]int), saves: make(map[uint64]time.Time)}
+	if previous != nil {
+		state.saves = previous.saves
 	}
-	return fresh
+	return state
 }
 
 // NewIndex returns an index that knows no store.
 func NewIndex() *Index {
-	return &Index{stores: make(map[netip.AddrPort]*contents)}
+	return &Index{stores: make(map[netip.AddrPort]*storeState)}
 }
 
 // Position returns where to ask a store's changes from; false means that its
@@ -113,21 +113,21 @@
 func (x *Index) Position(store netip.AddrPort) (since uint64, known bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := x.stores[store]
-	if found == nil {
+	state := x.stores[store]
+	if state == nil {
 		return 0, false
 	}
-	return found.next, true
+	return state.next, true
 }
 
 // Replace takes in the listing of a store that was asked for at a time.
 func (x *Index) Replace(askedAt time.Time, store netip.AddrPort, listing *Listing) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := newContents(listing.Epoch, listing.Next, nil)
-	found.heardAt = askedAt
-	found.take(entries(listing.Held))
-	x.stores[store] = found
+	state := newStoreState(listing.Epoch, listing.Next, nil)
+	state.asOf = askedAt
+	state.apply(entriesOf(listing.Held))
+	x.stores[store] = state
 }
 
 // Apply takes in the changes of a store that were asked for at a time. After a
@@ -135,29 +135,29 @@
 func (x *Index) Apply(askedAt time.Time, store netip.AddrPort, changes *Changes) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := x.stores[store]
-	if found == nil {
+	state := x.stores[store]
+	if state == nil {
 		return
 	}
-	if changes.Lost || changes.Epoch != found.epoch {
+	if changes.Lost || changes.Epoch != state.epoch {
 		delete(x.stores, store)
 		return
 	}
-	changed := entries(changes.Changes)
-	found.log(changed)
-	found.next, found.heardAt = changes.Next, askedAt
-	found.take(changed)
-	found.settle(askedAt)
+	changed := entriesOf(changes.Changes)
+	state.addBatch(changed)
+	state.next, state.asOf = changes.Next, askedAt
+	state.apply(changed)
+	state.expireSaves(askedAt)
 }
 
 // Retain forgets all stores but those given.
 func (x *Index) Retain(stores []netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	kept := make(map[netip.AddrPort]*contents, len(stores))
+	kept := make(map[netip.AddrPort]*storeState, len(stores))
 	for _, store := range stores {
-		if found := x.stores[store]; found != nil {
-			kept[store] = found
+		if state := x.stores[store]; state != nil {
+			kept[store] = state
 		}
 	}
 	x.stores = kept
@@ -167,11 +167,11 @@
 func (x *Index) Holds(now time.Time, store netip.AddrPort, part Part, tokens int) Presence {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := x.stores[store]
+	state := x.stores[store]
 	switch {
-	case found == nil || now.Sub(found.heardAt) > staleAfter:
+	case state == nil || now.Sub(state.asOf) > staleAfter:
 		return Unknown
-	case found.held[part.Key()]*10 >= tokens*heldPart && tokens > 0:
+	case state.heldTokens[part.Key()]*10 >= tokens*minHeldTenths && tokens > 0:
 		return Held
 	}
 	return Missing
@@ -182,45 +182,45 @@
 func (x *Index) ReserveSave(now time.Time, store netip.AddrPort, part Part) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := x.stores[store]
-	if found == nil {
+	state := x.stores[store]
+	if state == nil {
 		return false
 	}
 	key := part.Key()
-	if askedAt, asked := found.saving[key]; asked && now.Sub(askedAt) < savedWithin {
+	if askedAt, asked := state.saves[key]; asked && now.Sub(askedAt) < saveTimeout {
 		return false
 	}
-	found.saving[key] = now
+	state.saves[key] = now
 	return true
 }
 
-// entries names the parts of changes by their keys.
-func entries(changes []Change) []Entry {
-	named := make([]Entry, 0, len(changes))
+// entriesOf names the parts of changes by their keys.
+func entriesOf(changes []Change) []Entry {
+	entries := make([]Entry, 0, len(changes))
 	for _, change := range changes {
-		named = append(named, Entry{Key: change.Part.Key(), Tokens: change.Tokens})
+		entries = append(entries, Entry{Key: change.Part.Key(), Tokens: change.Tokens})
 	}
-	return named
+	return entries
 }
 
-// take takes in changes; parts beyond the bound are taken for missing.
-func (c *contents) take(changes []Entry) {
+// apply takes in changes; parts beyond the bound are taken for missing.
+func (s *storeState) apply(changes []Entry) {
 	for _, change := range changes {
 		if change.Tokens <= 0 {
-			delete(c.held, change.Key)
+			delete(s.heldTokens, change.Key)
 			continue
 		}
-		if _, known := c.held[change.Key]; known || len(c.held) < maxParts {
-			c.held[change.Key] = change.Tokens
+		if _, known := s.heldTokens[change.Key]; known || len(s.heldTokens) < maxParts {
+			s.heldTokens[change.Key] = change.Tokens
 		}
 	}
 }
 
-// settle forgets the saves that must have shown by now.
-func (c *contents) settle(now time.Time) {
-	for key, askedAt := range c.saving {
-		if now.Sub(askedAt) >= savedWithin {
-			delete(c.saving, key)
+// expireSaves forgets the saves that must have shown by now.
+func (s *storeState) expireSaves(now time.Time) {
+	for key, askedAt := range s.saves {
+		if now.Sub(askedAt) >= saveTimeout {
+			delete(s.saves, key)
 		}
 	}
 }
--- a/internal/promptcache/index_test.go
+++ b/internal/promptcache/index_test.go
@@ -22,7 +22,7 @@
 	return promptcache.Change{Part: part, Tokens: tokens}
 }
 
-func TestWhatAStoreHolds(t *testing.T) {
+func TestHolds(t *testing.T) {
 	tests := []struct {
 		name   string
 		listed []promptcache.Change
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestThePositionFollowsTheChanges(t *testing.T) {
+func TestPositionAfterChanges(t *testing.T) {
 	is := is.New(t)
 	index := promptcache.NewIndex()
 	_, known := index.Position(store)
@@ -96,7 +96,7 @@
 }
 
 // One save of a part is asked for at a time, and again if it does not show.
-func TestAPartIsSavedOnce(t *testing.T) {
+func TestReserveSaveOncePerTimeout(t *testing.T) {
 	is := is.New(t)
 	index := promptcache.NewIndex()
 	is.True(!index.ReserveSave(start, store, part)) // nothing is known of the store
@@ -106,7 +106,7 @@
 	is.True(index.ReserveSave(start.Add(2*time.Second), store, part))
 }
 
-func TestStoresThatAreGoneAreForgotten(t *testing.T) {
+func TestRetainRemovesOtherStores(t *testing.T) {
 	is := is.New(t)
 	index := promptcache.NewIndex()
 	for _, listed := range []netip.AddrPort{store, other} {
