--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -15,9 +15,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing"
 )
 
-// BenchmarkRequest takes one request through the core: offered, placed,
-// started and ended. Every engine serves its model, which is the most work;
-// requests come as often as at one router of the size designed for.
+// BenchmarkRequest offers, places, starts and ends one request. Every engine
+// serves the model, which is the most work for the scheduler.
 func BenchmarkRequest(b *testing.B) {
 	for _, engines := range []int{12, 100, 860} {
 		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
@@ -58,7 +57,7 @@
 	}
 	core.Configure(start, targets)
 	for _, target := range targets {
-		core.ObserveReport(start, target.Engine, newReport(ident.Incarnation(target.Engine)+"-life"))
+		core.ObserveReport(start, target.Engine, newReport(ident.Incarnation(target.Engine)+"-1"))
 	}
 	return core
 }
--- a/internal/placement/core.go
+++ b/internal/placement/core.go
@@ -1,11 +1,11 @@
 // Package placement decides where and when each model request of one router
-// runs. It joins the pure parts: the admission queue, the endpoint registry,
-// the beliefs about caches, the scheduler and the concurrency limits.
+// runs. It combines the admission queue, the endpoint registry, the beliefs
+// about caches, the scheduler and the concurrency limits.
 //
 // Core is a state machine without I/O. Its inputs are requests, ends of
 // attempts, load reports, cache events and a time; its outputs are Effects.
-// Runner is the shell that runs a Core in one goroutine. The virtual-time
-// experiment drives the same Core.
+// Runner runs a Core in one goroutine. The virtual-time experiment drives the
+// same Core.
 package placement
 
 import (
@@ -21,9 +21,9 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// Config sets the fixed parts of a core.
+// Config sets the components of a core.
 type Config struct {
-	// Scheduler decides about each request.
+	// Scheduler chooses an engine for each request.
 	Scheduler framework.Scheduler
 	// Beliefs holds the beliefs about caches.
 	Beliefs *beliefs.Store
@@ -41,32 +41,32 @@
 	Hop func(zone ident.Zone) time.Duration
 }
 
-// Job is one attempt that wants a place.
+// Job is one attempt to be placed on an engine.
 type Job struct {
-	// Key names the request and the attempt.
+	// Key identifies the request and the attempt.
 	Key endpoint.AttemptKey
-	// Request is what the scheduler needs to know.
+	// Request is the scheduler's input.
 	Request framework.Request
-	// Weight is the tenant's share.
+	// Weight is the tenant's fair share.
 	Weight float64
 	// MaxHold is the longest the job may wait.
 	MaxHold time.Duration
-	// offered is when the core took the job in.
+	// offered is when the core received the job.
 	offered time.Time
 }
 
-// Placed is a job that was given a place.
+// Placed is a job with its engine.
 type Placed struct {
 	Job *Job
-	// Candidate is the chosen engine with what was predicted; its Endpoint is a copy.
+	// Candidate is the chosen engine with its predictions; its Endpoint is a copy.
 	Candidate framework.Candidate
-	// MoveFrom names an engine to export the prefix from first, or is empty.
+	// MoveFrom is an engine to export the prefix from first, or empty.
 	MoveFrom ident.Engine
-	// MoveFromIncarnation is the life of MoveFrom that is believed to hold it.
+	// MoveFromIncarnation is the incarnation of MoveFrom believed to hold it.
 	MoveFromIncarnation ident.Incarnation
 }
 
-// Refused is a job that was given up, not run.
+// Refused is a job that was rejected and did not run.
 type Refused struct {
 	Key   endpoint.AttemptKey
 	Fault *fault.Fault
@@ -92,63 +92,62 @@
 	credit float64
 }
 
-// Core is the state machine. It is used by one goroutine.
+// Core is the state machine. Only one goroutine may use it.
 type Core struct {
 	config   Config
 	registry *endpoint.Registry
 	limiters map[ident.Engine]admission.Limiter
 	waiting  map[ident.Request]*Job
 	inFlight map[endpoint.AttemptKey]*attempt
-	// parked holds jobs that wait for the directory, in order of time.
+	// parked holds the jobs that wait for the directory, oldest first.
 	parked          []parkedJob
 	directoryTicked time.Time
 	// directory is Config.Directory while it is used, else nil.
 	directory *directory.Node
-	// reservePassed tells by priority when a request last passed the reserve.
-	reservePassed map[int]time.Time
-	snapshot      framework.Snapshot
-	effects       Effects
-	// Counters counts decisions; read it from the goroutine of the core.
+	// lastBypass is when a request last bypassed the reserve, by priority.
+	lastBypass map[int]time.Time
+	snapshot   framework.Snapshot
+	effects    Effects
+	// Counters may be read by the goroutine of the core only.
 	Counters Counters
 }
 
-// Counters counts what the core decided and how beliefs turned out.
+// Counters counts the core's decisions and compares beliefs with results.
 type Counters struct {
 	// Placed, Refused and Held count decisions.
 	Placed, Refused, Held uint64
 	// Parked counts jobs that waited for the directory.
 	Parked uint64
-	// PromptTokens, CreditedTokens and CachedTokens add up what answered
-	// attempts asked for, were believed to find cached, and found.
+	// PromptTokens, CreditedTokens and CachedTokens are the prompt tokens of
+	// answered attempts: all, those believed cached, and those found cached.
 	PromptTokens, CreditedTokens, CachedTokens uint64
-	// BeliefHigh counts answers that found fewer cached tokens than believed,
-	// by more than one block; BeliefLow those that found more; BeliefRight the
-	// others.
+	// BeliefHigh counts answers with fewer cached tokens than believed, by
+	// more than one block; BeliefLow those with more; BeliefRight the others.
 	BeliefHigh, BeliefLow, BeliefRight uint64
 }
 
-// New returns a core that knows no engine.
+// New returns a core without engines.
 func New(config Config) *Core {
 	return &Core{
-		config:        config,
-		registry:      endpoint.NewRegistry(),
-		limiters:      make(map[ident.Engine]admission.Limiter),
-		waiting:       make(map[ident.Request]*Job),
-		inFlight:      make(map[endpoint.AttemptKey]*attempt),
-		reservePassed: make(map[int]time.Time),
+		config:     config,
+		registry:   endpoint.NewRegistry(),
+		limiters:   make(map[ident.Engine]admission.Limiter),
+		waiting:    make(map[ident.Request]*Job),
+		inFlight:   make(map[endpoint.AttemptKey]*attempt),
+		lastBypass: make(map[int]time.Time),
 	}
 }
 
-// Registry returns the endpoint registry, for reading and for its schedule.
+// Registry returns the endpoint registry, for reading and for its polling schedule.
 func (c *Core) Registry() *endpoint.Registry { return c.registry }
 
-// Waiting returns the number of jobs that wait for a place.
+// Waiting returns the number of jobs not placed yet.
 func (c *Core) Waiting() int { return len(c.waiting) }
 
-// InFlight returns the number of attempts that have a place.
+// InFlight returns the number of attempts placed on an engine.
 func (c *Core) InFlight() int { return len(c.inFlight) }
 
-// Configure takes over the engines of a fleet file.
+// Configure applies the engines of a fleet file.
 func (c *Core) Configure(now time.Time, targets []endpoint.Target) Effects {
 	c.directory = nil
 	if len(targets) > c.config.SmallFleet {
@@ -158,7 +157,7 @@
 	return c.dispatchWaiting(now)
 }
 
-// Offer takes in a job. It is placed, held or refused.
+// Offer receives a job, which is placed, held or refused.
 func (c *Core) Offer(now time.Time, job *Job) Effects {
 	job.offered = now
 	c.waiting[job.Request.ID] = job
@@ -170,7 +169,7 @@
 	return c.dispatchWaiting(now)
 }
 
-// enqueue hands a job to the queue, unless its caller has left meanwhile.
+// enqueue offers a job to the queue, unless it was withdrawn.
 func (c *Core) enqueue(now time.Time, job *Job) {
 	if c.waiting[job.Request.ID] != job {
 		return
@@ -186,7 +185,7 @@
 	}))
 }
 
-// Withdraw takes in that the caller of a waiting job is gone.
+// Withdraw removes a waiting job whose caller is gone.
 func (c *Core) Withdraw(now time.Time, id ident.Request) {
 	if c.waiting[id] != nil {
 		c.config.Queue.Remove(now, id)
@@ -194,11 +193,11 @@
 	}
 }
 
-// Tick gives up jobs whose hold is over and places what can be placed.
+// Tick refuses jobs that waited for their MaxHold and places those that can be.
 func (c *Core) Tick(now time.Time) Effects { return c.dispatchWaiting(now) }
 
-// NextTick returns when Tick has something to do, if ever. The zero time means
-// at once: the last look through the queue was cut short to bound its cost.
+// NextTick returns when Tick is due, if ever. The zero time means at once: the
+// last pass over the queue was cut short to bound its cost.
 func (c *Core) NextTick() (time.Time, bool) {
 	if c.config.Queue.Unfinished() {
 		return time.Time{}, true
@@ -210,31 +209,31 @@
 	return expiry, waits
 }
 
-// ObserveReport takes in a load report.
+// ObserveReport applies a load report.
 func (c *Core) ObserveReport(now time.Time, engine ident.Engine, report protocol.LoadReport) Effects {
 	c.applyChanges(c.registry.ObserveReport(now, engine, report))
 	return c.dispatchWaiting(now)
 }
 
-// ObserveReportFailure takes in that a load report could not be read.
+// ObserveReportFailure records that a load report could not be read.
 func (c *Core) ObserveReportFailure(now time.Time, engine ident.Engine) Effects {
 	c.applyChanges(c.registry.ObserveReportFailure(engine))
 	return c.dispatchWaiting(now)
 }
 
-// ObserveDraining takes in a sign that an engine is leaving.
+// ObserveDraining records that an incarnation is draining.
 func (c *Core) ObserveDraining(now time.Time, engine ident.Engine, incarnation ident.Incarnation) Effects {
 	c.applyChanges(c.registry.ObserveDraining(now, engine, incarnation))
 	return c.dispatchWaiting(now)
 }
 
-// ApplyMachineList takes in a machine list: for each engine, whether its machine leaves.
+// ApplyMachineList applies a machine list: for each engine, whether its machine is draining.
 func (c *Core) ApplyMachineList(now time.Time, draining map[ident.Engine]bool) Effects {
 	c.applyChanges(c.registry.ApplyMachineList(now, draining))
 	return c.dispatchWaiting(now)
 }
 
-// ApplyCacheEvents takes in a batch of cache events.
+// ApplyCacheEvents applies a batch of cache events.
 func (c *Core) ApplyCacheEvents(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) {
 	c.observeEventIncarnation(engine, batch.Incarnation)
 	c.config.Beliefs.ApplyEvents(now, engine, batch)
@@ -243,27 +242,27 @@
 	}
 }
 
-// ApplyCacheSnapshot takes in the whole state of an engine's cache.
+// ApplyCacheSnapshot applies the whole state of an engine's cache.
 func (c *Core) ApplyCacheSnapshot(now time.Time, engine ident.Engine, snapshot protocol.CacheSnapshot) {
 	c.observeEventIncarnation(engine, snapshot.Incarnation)
 	c.config.Beliefs.ApplySnapshot(now, engine, snapshot)
 }
 
-// observeEventIncarnation takes in the incarnation of cache events or of a snapshot. They come
-// late: they may tell the first life of an engine that has not reported yet,
-// but never that a dead engine lives or that a life has been replaced.
+// observeEventIncarnation records the incarnation of cache events or of a
+// snapshot if none is known. These arrive late, so they must neither revive a
+// dead engine nor replace an incarnation.
 func (c *Core) observeEventIncarnation(engine ident.Engine, incarnation ident.Incarnation) {
 	if c.registry.Incarnation(engine) == "" {
 		c.applyChanges(c.registry.ObserveIncarnation(engine, incarnation))
 	}
 }
 
-// SnapshotDue reports whether a snapshot of the engine is to be read now.
+// SnapshotDue reports, at most once in an interval, whether to read a snapshot now.
 func (c *Core) SnapshotDue(now time.Time, engine ident.Engine) bool {
 	return c.config.Beliefs.SnapshotDue(now, engine)
 }
 
-// applyChanges acts on changes of the registry and reports them.
+// applyChanges applies changes of the registry and adds them to the effects.
 func (c *Core) applyChanges(changes []endpoint.Change) {
 	for _, change := range changes {
 		c.notifyDirectory(change)
@@ -279,13 +278,13 @@
 		case endpoint.ChangeLoaded:
 			c.config.Beliefs.RecordWeightsChange(change.Engine)
 		case endpoint.ChangeDraining:
-			// A leaving engine keeps its cache and gets no new work.
+			// A draining engine keeps its cache and gets no new work.
 		}
 	}
 	c.effects.Changes = append(c.effects.Changes, changes...)
 }
 
-// dispatchWaiting gives up and places waiting jobs, and hands out the effects.
+// dispatchWaiting refuses and places waiting jobs and returns the effects so far.
 func (c *Core) dispatchWaiting(now time.Time) Effects {
 	c.tickDirectory(now)
 	c.reject(c.config.Queue.Expire(now))
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -61,15 +61,14 @@
 	is := is.New(t)
 	core := newTestCore(t, 8)
 	effects := core.Offer(start, newJob("r1", time.Second))
-	is.Equal(len(effects.Refused)+len(effects.Placed), 0) // held: neither engine has been asked yet
+	is.Equal(len(effects.Refused)+len(effects.Placed), 0) // held: neither engine has reported yet
 
 	effects = core.ObserveReport(start.Add(20*time.Millisecond), "a", newReport("a1"))
 	is.Equal(len(effects.Placed), 1)
 	is.Equal(effects.Placed[0].Candidate.Endpoint.Incarnation, ident.Incarnation("a1"))
 }
 
-// TestRequestWaitsForFirstFleetFile: callers may be let in a moment before
-// the list of engines reaches the core.
+// Requests may arrive before the first fleet file; they must not be refused.
 func TestRequestWaitsForFirstFleetFile(t *testing.T) {
 	is := is.New(t)
 	core := New(newTestCore(t, 8).config)
@@ -119,8 +118,8 @@
 	}{
 		{"answered", Result{Incarnation: "a1", TimeToFirstToken: time.Millisecond}, nil},
 		{"unreachable", Result{Unreachable: true}, []endpoint.ChangeKind{endpoint.ChangeDead}},
-		{"leaving", Result{Incarnation: "a1", Refusal: protocol.RefusalLeaving}, []endpoint.ChangeKind{endpoint.ChangeDraining}},
-		{"new life", Result{Incarnation: "a2", Refusal: protocol.RefusalMismatch}, []endpoint.ChangeKind{endpoint.ChangeIncarnation}},
+		{"draining", Result{Incarnation: "a1", Refusal: protocol.RefusalLeaving}, []endpoint.ChangeKind{endpoint.ChangeDraining}},
+		{"new incarnation", Result{Incarnation: "a2", Refusal: protocol.RefusalMismatch}, []endpoint.ChangeKind{endpoint.ChangeIncarnation}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -134,7 +133,7 @@
 			}
 			is.Equal(got, test.want)
 			is.Equal(core.InFlight(), 0)
-			is.Equal(len(core.RecordEnd(start, AttemptKeyOf("r1", 1), test.result).Changes), 0) // repeats do nothing
+			is.Equal(len(core.RecordEnd(start, AttemptKeyOf("r1", 1), test.result).Changes), 0) // a second end has no effect
 		})
 	}
 }
@@ -153,27 +152,26 @@
 	is.Equal(core.config.Beliefs.At(start).Credit("a", "a2", chain), 0.0)
 }
 
-// TestLateObservationDoesNotHideCurrentIncarnation: what is heard late, of an
-// earlier life or from an earlier address, must not make the router take the
-// present life for a past one.
+// A late observation of an earlier incarnation or address must not make the
+// router treat the current incarnation as a past one.
 func TestLateObservationDoesNotHideCurrentIncarnation(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(core *Core)
-		// reports is how many more reports are needed until all is right.
+		// reports is the number of further reports until the current incarnation is used.
 		reports int
 	}{
-		{"an attempt ends at the address that the file has replaced", func(core *Core) {
+		{"attempt ends at a replaced address", func(core *Core) {
 			core.Offer(start, newJob("r0", time.Second))
 			core.Configure(start, []endpoint.Target{{Engine: "a", Address: "a:2", Zone: zone}})
 			core.ObserveReport(start, "a", newReport("a2"))
 			core.RecordEnd(start, AttemptKeyOf("r0", 1), Result{Incarnation: "a1", TimeToFirstToken: time.Millisecond})
 		}, 0},
-		{"a report of the life before comes late", func(core *Core) {
+		{"late report of the previous incarnation", func(core *Core) {
 			core.ObserveReport(start, "a", newReport("a2"))
 			core.ObserveReport(start, "a", newReport("a1"))
 		}, 0},
-		{"a report of the life before, never heard of, comes late", func(core *Core) {
+		{"late report of an unknown previous incarnation", func(core *Core) {
 			core.ObserveReport(start, "a", newReport("a2"))
 			core.ObserveReport(start, "a", newReport("a1b"))
 		}, 3},
@@ -195,8 +193,8 @@
 	}
 }
 
-// Less urgent requests leave a reserve of every batch, which urgent ones use
-// while they wait; one of them a second may use it too, so none starves.
+// Less urgent requests leave a reserve of every batch to urgent ones. One of
+// them per second may use it, so that they don't starve.
 func TestReserveForUrgentRequests(t *testing.T) {
 	is := is.New(t)
 	core := newTestCore(t, 8)
@@ -212,9 +210,9 @@
 	for index := range 12 {
 		placed += offer(fmt.Sprint("summary-", index), 2)
 	}
-	is.Equal(placed, 4+4+1) // half of both batches, and one that passed the reserve
+	is.Equal(placed, 4+4+1) // half of both batches, and one that bypassed the reserve
 	is.Equal(core.Waiting(), 3)
-	for index := range 40 { // also when a summary's turn has come, which it cannot take
+	for index := range 40 { // also while a summary is first in the queue but may not use the reserve
 		id := fmt.Sprint("order-", index)
 		is.Equal(offer(id, 0), 1)
 		core.RecordEnd(later, AttemptKeyOf(ident.Request(id), 1), Result{})
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -14,11 +14,11 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// noEngineRetryAfter is told to callers when no permitted engine is alive: an
-// engine that crashed is back, or replaced in the fleet file, within seconds.
+// noEngineRetryAfter is the Retry-After time when no permitted engine is alive:
+// a crashed engine restarts, or is replaced in the fleet file, within seconds.
 const noEngineRetryAfter = 2 * time.Second
 
-// decide asks the scheduler about one waiting job.
+// decide asks the scheduler for a decision on one waiting job.
 func (c *Core) decide(now time.Time, job *Job) admission.Result {
 	c.snapshot.Now = now
 	c.snapshot.Endpoints = c.registry.Endpoints(now)
@@ -27,8 +27,8 @@
 	c.snapshot.Hop = c.config.Hop
 	job.Request.Waited = now.Sub(job.offered)
 	decision := c.config.Scheduler.Schedule(&job.Request, &c.snapshot)
-	if decision.Action == framework.Hold && c.mayPassReserve(now, job) {
-		decision = c.passReserve(now, job)
+	if decision.Action == framework.Hold && c.mayBypassReserve(now, job) {
+		decision = c.bypassReserve(now, job)
 	}
 	switch decision.Action {
 	case framework.Dispatch:
@@ -43,34 +43,33 @@
 			return admission.Result{Action: admission.ItemBlocked}
 		}
 		return admission.Result{Action: admission.Rejected, Fault: fault.New(fault.NoPermittedEngine,
-			"no engine is left for service %q (filter %s)", job.Request.Service, decision.Reason).
+			"no engine can serve service %q (filter %s)", job.Request.Service, decision.Reason).
 			WithRetryAfter(noEngineRetryAfter)}
 	}
 }
 
-// reservePassInterval is the time between two requests of one priority that this
-// router lets use what is kept for more urgent ones. It is the bound on
-// starvation by the reserve: a class gets at least one place in it.
-const reservePassInterval = time.Second
+// reserveBypassInterval is the time between two requests of one priority that may
+// use the reserve of more urgent ones. It bounds starvation by the reserve.
+const reserveBypassInterval = time.Second
 
-func (c *Core) mayPassReserve(now time.Time, job *Job) bool {
-	return job.Request.Priority > 0 && now.Sub(c.reservePassed[job.Request.Priority]) >= reservePassInterval
+func (c *Core) mayBypassReserve(now time.Time, job *Job) bool {
+	return job.Request.Priority > 0 && now.Sub(c.lastBypass[job.Request.Priority]) >= reserveBypassInterval
 }
 
-// passReserve decides again about a held job, without the reserve.
-func (c *Core) passReserve(now time.Time, job *Job) framework.Decision {
+// bypassReserve repeats the decision on a held job without the reserve.
+func (c *Core) bypassReserve(now time.Time, job *Job) framework.Decision {
 	job.Request.PassReserve = true
 	decision := c.config.Scheduler.Schedule(&job.Request, &c.snapshot)
 	job.Request.PassReserve = false
 	if decision.Action == framework.Dispatch {
-		c.reservePassed[job.Request.Priority] = now
+		c.lastBypass[job.Request.Priority] = now
 	}
 	return decision
 }
 
-// holdAction says how much of the queue a held job speaks for. A job that has
-// excluded engines of its own, or that waits for the engines that hold its
-// prefix, does not speak for its pool.
+// holdAction returns whether a held job blocks its whole pool. A job that
+// excludes engines, or waits for the engines that hold its prefix, blocks only
+// itself.
 func (c *Core) holdAction(job *Job, reason string) admission.Action {
 	if len(job.Request.Excluded) > 0 || reason == framework.ReasonHome {
 		return admission.ItemBlocked
@@ -101,7 +100,7 @@
 	})
 }
 
-// RecordStart takes in that an engine accepted an attempt and counted its tokens.
+// RecordStart records that an engine accepted an attempt and counted its tokens.
 func (c *Core) RecordStart(now time.Time, key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
 	flight := c.inFlight[key]
 	if flight == nil || flight.incarnation != incarnation {
@@ -119,7 +118,7 @@
 	c.count(flight, usage)
 }
 
-// count compares what was believed cached with what the engine found.
+// count compares the tokens believed cached with those that the engine found.
 func (c *Core) count(flight *attempt, usage protocol.Usage) {
 	c.Counters.PromptTokens += uint64(usage.PromptTokens)
 	c.Counters.CachedTokens += uint64(usage.CachedTokens)
@@ -135,32 +134,32 @@
 	}
 }
 
-// RecordFirstToken takes in that an engine has prefilled an attempt's prompt: it
-// proves that all the engine had to prefill before is done as well.
+// RecordFirstToken records that an engine has prefilled an attempt's prompt, and
+// so everything queued before it.
 func (c *Core) RecordFirstToken(now time.Time, key endpoint.AttemptKey) {
 	if flight := c.inFlight[key]; flight != nil {
 		c.registry.FirstToken(now, flight.engine, key)
 	}
 }
 
-// Result is how an attempt ended, as the registry and the limits see it.
+// Result is the outcome of an attempt for the registry and the limiters.
 type Result struct {
-	// Incarnation is the one that answered or refused; empty if none did.
+	// Incarnation is the one that answered or refused, or empty.
 	Incarnation ident.Incarnation
 	// Refusal is set if the engine refused before execution.
 	Refusal protocol.RefusalKind
-	// Unreachable is true if no byte of the attempt left.
+	// Unreachable is true if no byte of the attempt was sent.
 	Unreachable bool
-	// Broken is true if the attempt broke after it left.
+	// Broken is true if the attempt failed after it was sent.
 	Broken bool
-	// TimeToFirstToken is zero if no token came.
+	// TimeToFirstToken is zero if no token arrived.
 	TimeToFirstToken time.Duration
-	// Duration is the time the attempt held the engine.
+	// Duration is the time that the attempt occupied the engine.
 	Duration time.Duration
 }
 
-// RecordEnd takes in the end of an attempt. The zero Result is a place that was
-// handed back unused.
+// RecordEnd records the end of an attempt. The zero Result means that the
+// placement was not used.
 func (c *Core) RecordEnd(now time.Time, key endpoint.AttemptKey, result Result) Effects {
 	flight := c.inFlight[key]
 	if flight == nil {
@@ -198,15 +197,15 @@
 	return c.limiters[engine]
 }
 
-// setLimits hands the current limits to the registry.
+// setLimits copies the current limits to the registry.
 func (c *Core) setLimits(now time.Time) {
 	for engine, limiter := range c.limiters {
 		c.registry.SetLimit(engine, limiter.Limit(now))
 	}
 }
 
-// poolKey names the set of engines that may serve the request, and how much of
-// them it may fill: what is held for one class may go for another.
+// poolKey identifies the engines that may serve the request. It includes the
+// priority: a job held by the reserve must not block more urgent ones.
 func poolKey(request *framework.Request) admission.PoolKey {
 	zones := make([]string, 0, len(request.Zones))
 	for zone := range request.Zones {
@@ -222,12 +221,12 @@
 		"/" + strconv.Itoa(request.Priority))
 }
 
-// AttemptKeyOf builds the key of an attempt.
+// AttemptKeyOf returns the key of an attempt.
 func AttemptKeyOf(request ident.Request, attempt ident.Attempt) endpoint.AttemptKey {
 	return endpoint.AttemptKey{Request: request, Attempt: attempt}
 }
 
-// sampleOf says what the end of an attempt tells about the engine's load.
+// sampleOf returns the limiter's sample of an attempt's result.
 func sampleOf(result Result) admission.Sample {
 	sample := admission.Sample{TimeToFirstToken: result.TimeToFirstToken, ServiceTime: result.Duration}
 	switch {
--- a/internal/placement/directory.go
+++ b/internal/placement/directory.go
@@ -11,12 +11,10 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// lookupTimeout is how long a job waits for the directory's answer. A round
-// trip within a zone takes a fraction of it; waiting longer would cost more
-// than the recomputation of a short prefix.
+// lookupTimeout is how long a job waits for the directory's answer: longer than
+// a round trip within a zone, shorter than recomputing a short prefix.
 const lookupTimeout = 10 * time.Millisecond
 
-// directoryTickInterval is the time between two ticks of the directory.
 const directoryTickInterval = 500 * time.Millisecond
 
 // parkedJob is a job that waits for the directory's answer.
@@ -26,8 +24,8 @@
 	until time.Time
 }
 
-// lookUp asks the directory who holds the job's prefix. It reports whether the
-// job has to wait for the answer.
+// lookUp asks the directory which engines hold the job's prefix and reports
+// whether the job has to wait for the answer.
 func (c *Core) lookUp(now time.Time, job *Job) (wait bool) {
 	chain := preferredChain(&job.Request)
 	result := c.directory.Lookup(now, chain)
@@ -43,7 +41,7 @@
 	return !result.Known
 }
 
-// preferredChain returns the chain under the version that is preferred.
+// preferredChain returns the chain under the preferred version, or nil.
 func preferredChain(request *framework.Request) prefix.Chain {
 	if len(request.Versions) == 0 {
 		return nil
@@ -51,14 +49,14 @@
 	return request.Chains[request.Versions[0]]
 }
 
-// park makes a job wait for the directory's answer.
+// park makes a job wait for the directory's answer, at most lookupTimeout.
 func (c *Core) park(now time.Time, job *Job) {
 	root, _ := preferredChain(&job.Request).Root()
 	c.parked = append(c.parked, parkedJob{job: job, root: root, until: now.Add(lookupTimeout)})
 	c.Counters.Parked++
 }
 
-// unpark offers the parked jobs that are ready to the queue.
+// unpark enqueues the parked jobs that are ready.
 func (c *Core) unpark(now time.Time, ready func(parkedJob) bool) {
 	waiting := c.parked
 	c.parked = c.parked[:0:0]
@@ -71,7 +69,7 @@
 	}
 }
 
-// HandleDirectoryMessage takes in a message of another router's directory.
+// HandleDirectoryMessage applies a message of another router's directory.
 func (c *Core) HandleDirectoryMessage(now time.Time, from ident.Node, message directory.Message) Effects {
 	if c.directory == nil {
 		return Effects{}
@@ -90,14 +88,14 @@
 	return c.dispatchWaiting(now)
 }
 
-// SetView takes in which routers there are.
+// SetView sets the membership view of the directory.
 func (c *Core) SetView(view membership.View) {
 	if c.config.Directory != nil {
 		c.config.Directory.SetView(view)
 	}
 }
 
-// tickDirectory sends what the directory has to say and ends waits for it.
+// tickDirectory sends the directory's due messages and ends expired waits.
 func (c *Core) tickDirectory(now time.Time) {
 	if c.directory == nil {
 		return
@@ -109,7 +107,7 @@
 	c.unpark(now, func(parked parkedJob) bool { return !now.Before(parked.until) })
 }
 
-// nextUnpark returns when the first wait for the directory ends.
+// nextUnpark returns when the first parked job's wait ends, if any.
 func (c *Core) nextUnpark() (time.Time, bool) {
 	if len(c.parked) == 0 {
 		return time.Time{}, false
@@ -117,7 +115,7 @@
 	return c.parked[0].until, true
 }
 
-// notifyDirectory passes on changes of engines.
+// notifyDirectory reports a change of an engine to the directory.
 func (c *Core) notifyDirectory(change endpoint.Change) {
 	if c.config.Directory == nil {
 		return
@@ -130,6 +128,6 @@
 	case endpoint.ChangeRemoved:
 		c.config.Directory.Remove(change.Engine)
 	case endpoint.ChangeDraining, endpoint.ChangeLoaded:
-		// Neither moves a block: versions are part of the block hashes.
+		// Neither invalidates blocks: versions are part of the block hashes.
 	}
 }
--- a/internal/placement/directory_test.go
+++ b/internal/placement/directory_test.go
@@ -17,8 +17,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing"
 )
 
-// network holds the cores of several routers and carries their directory
-// messages, losing those that lose says.
+// network delivers directory messages between the cores of several routers, or
+// drops all of them.
 type network struct {
 	cores   map[ident.Node]*Core
 	dropAll bool
@@ -52,22 +52,22 @@
 		}
 		core.Configure(start, targets)
 		for _, target := range targets {
-			core.ObserveReport(start, target.Engine, newReport(ident.Incarnation(target.Engine)+"-life"))
+			core.ObserveReport(start, target.Engine, newReport(ident.Incarnation(target.Engine)+"-1"))
 		}
 		net.cores[node] = core
 	}
 	return net
 }
 
-// settle delivers messages until none is left and returns every placement.
+// settle delivers messages until none is left and returns all placements.
 func (n *network) settle(now time.Time, from ident.Node, effects Effects) []Placed {
 	placed := effects.Placed
 	for _, envelope := range effects.Messages {
 		if n.dropAll {
 			continue
 		}
-		answer := n.cores[envelope.To].HandleDirectoryMessage(now, from, envelope.Message)
-		placed = append(placed, n.settle(now, envelope.To, answer)...)
+		replies := n.cores[envelope.To].HandleDirectoryMessage(now, from, envelope.Message)
+		placed = append(placed, n.settle(now, envelope.To, replies)...)
 	}
 	return placed
 }
@@ -79,7 +79,7 @@
 
 	first := net.settle(now, "router-1", net.cores["router-1"].Offer(now, newJob("r1", time.Second)))
 	is.Equal(len(first), 1)
-	// The engine that got it is not the one that rendezvous would choose now.
+	// Rendezvous would choose another engine now.
 	filled := first[0].Candidate.Endpoint
 	net.cores["router-1"].RecordStart(now, AttemptKeyOf("r1", 1), filled.Incarnation, protocol.Usage{PromptTokens: 256})
 	now = now.Add(time.Second)
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -14,71 +14,70 @@
 	"github.com/fieldpond/fieldpond/internal/ring"
 )
 
-// RunnerConfig sets the shell of a core.
+// RunnerConfig sets a Runner.
 type RunnerConfig struct {
 	// MaxOpen bounds the jobs that wait or run at one time.
 	MaxOpen int
 	// PollInterval is the time between two load reports of an engine in use.
 	PollInterval time.Duration
-	// PollsPerTick bounds the load reports asked for in one PollTick.
+	// PollsPerTick bounds the load reports requested in one PollTick.
 	PollsPerTick int
-	// PollTick is the time between two looks at which reports are due.
+	// PollTick is the time between two checks for due reports.
 	PollTick time.Duration
-	// OnChange is called, in the goroutine of the duty, for every change of an
+	// OnChange is called, in the runner's goroutine, for every change of an
 	// engine's state. It must not block.
 	OnChange func(endpoint.Change)
-	// OnSnapshotDue is called, in the goroutine of the duty, when a cache
-	// snapshot of an engine is to be read. It must not block.
+	// OnSnapshotDue is called, in the runner's goroutine, when a cache snapshot
+	// of an engine must be read. It must not block.
 	OnSnapshotDue func(ident.Engine)
-	// OnMessage is called, in the goroutine of the duty, for every message to
+	// OnMessage is called, in the runner's goroutine, for every message to
 	// another router's directory. It must not block.
 	OnMessage func(directory.Envelope)
 }
 
-// overloadedRetryAfter is told to callers when the duty's ring is full.
+// overloadedRetryAfter is the Retry-After time when the command ring is full.
 const overloadedRetryAfter = time.Second
 
-// command is one input of the core, to be run in the goroutine of the duty.
+// command is one input of the core; it runs in the runner's goroutine.
 type command func(now time.Time) Effects
 
 // Runner runs a Core in one goroutine. Inputs that must not be lost (jobs, ends
-// of attempts, changes of the fleet file) and inputs that a later one replaces
-// (cache events) come through separate bounded rings.
+// of attempts) and inputs that later ones replace (cache events) have separate
+// bounded rings.
 type Runner struct {
 	config RunnerConfig
 	core   *Core
 	poller *endpoint.Poller
-	// targets is the newest fleet file's list until it is taken in. It must not
-	// be lost, however full the rings are.
+	// targets is the newest fleet file's list until it is applied. It is not in
+	// a ring, because it must not be lost when the rings are full.
 	targets     atomic.Pointer[[]endpoint.Target]
 	commands    *ring.Ring[command]
 	replaceable *ring.Ring[command]
-	// replies is used by the goroutine of the duty only.
+	// replies is used by the runner's goroutine only.
 	replies map[endpoint.AttemptKey]chan reply
 	done    chan struct{}
 }
 
-// reply is the final word on one job.
+// reply is the outcome of one job.
 type reply struct {
 	placed Placed
 	fault  *fault.Fault
 }
 
-// replaceableCapacity is the capacity of the ring of replaceable inputs.
 const replaceableCapacity = 4096
 
 // commandsPerJob is how many commands one open job may have waiting: offer,
-// withdraw, started and ended.
+// withdraw, start and end.
 const commandsPerJob = 4
 
-// minWait is the shortest wait between two looks. Above zero it keeps timers
-// from having run out before anybody waits for them; see fleet.Syncer.
+// minWait is the shortest wait between two ticks. Above zero it keeps timers
+// from expiring before anything waits for them; see fleet.Syncer.
 const minWait = time.Millisecond
 
 // spareCommands leaves room for inputs that belong to no job.
 const spareCommands = 1024
 
-// NewRunner returns a duty that runs core and reads load reports with poller.
+// NewRunner returns a Runner of core that reads load reports with poller.
 func NewRunner(config RunnerConfig, core *Core, poller *endpoint.Poller) *Runner {
 	return &Runner{
 		config:      config,
@@ -91,7 +90,7 @@
 	}
 }
 
-// Rings returns the counters of the duty's rings.
+// Rings returns the counters of the runner's rings.
 func (r *Runner) Rings() []func() ring.Counters {
 	return append(r.poller.Rings(), r.commands.Counters, r.replaceable.Counters)
 }
@@ -122,7 +121,7 @@
 	}
 }
 
-// drain runs every waiting input, those that must not be lost first.
+// drain applies every waiting input, those that must not be lost first.
 func (r *Runner) drain() {
 	if targets := r.targets.Swap(nil); targets != nil {
 		r.apply(r.core.Configure(time.Now(), *targets))
@@ -130,15 +129,15 @@
 	for run, ok := r.commands.Pop(); ok; run, ok = r.commands.Pop() {
 		r.apply(run(time.Now()))
 	}
-	for answer, ok := r.poller.Results().Pop(); ok; answer, ok = r.poller.Results().Pop() {
-		if !r.core.Registry().HasAddress(answer.Engine, answer.Address) {
+	for result, ok := r.poller.Results().Pop(); ok; result, ok = r.poller.Results().Pop() {
+		if !r.core.Registry().HasAddress(result.Engine, result.Address) {
 			continue
 		}
-		if answer.Err != nil {
-			r.apply(r.core.ObserveReportFailure(time.Now(), answer.Engine))
+		if result.Err != nil {
+			r.apply(r.core.ObserveReportFailure(time.Now(), result.Engine))
 			continue
 		}
-		r.apply(r.core.ObserveReport(time.Now(), answer.Engine, answer.Report))
+		r.apply(r.core.ObserveReport(time.Now(), result.Engine, result.Report))
 	}
 	for run, ok := r.replaceable.Pop(); ok; run, ok = r.replaceable.Pop() {
 		r.apply(run(time.Now()))
@@ -172,8 +171,8 @@
 	}
 }
 
-// Place waits until the job has a place or is given up. When ctx ends first
-// the job is withdrawn, and a place that was given meanwhile is handed back.
+// Place waits until the job is placed or refused. When ctx ends first the job
+// is withdrawn, and a placement made until then is released.
 func (r *Runner) Place(ctx context.Context, job *Job) (Placed, error) {
 	waiting := make(chan reply, 1)
 	accepted := r.commands.Push(func(now time.Time) Effects {
@@ -192,7 +191,7 @@
 		return outcome.placed, nil
 	case <-ctx.Done():
 		r.withdraw(job)
-		return Placed{}, fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "the caller left while the request waited")
+		return Placed{}, fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "the request was canceled or timed out while it waited for an engine")
 	case <-r.done:
 		return Placed{}, fault.New(fault.Leaving, "this router has stopped")
 	}
@@ -206,7 +205,7 @@
 	})
 }
 
-// RecordStart reports that an engine accepted an attempt.
+// RecordStart records that an engine accepted an attempt.
 func (r *Runner) RecordStart(key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
 	r.replaceable.Push(func(now time.Time) Effects {
 		r.core.RecordStart(now, key, incarnation, usage)
@@ -214,7 +213,7 @@
 	})
 }
 
-// RecordFirstToken reports that an engine has prefilled an attempt's prompt.
+// RecordFirstToken records that an engine has prefilled an attempt's prompt.
 func (r *Runner) RecordFirstToken(key endpoint.AttemptKey) {
 	r.replaceable.Push(func(now time.Time) Effects {
 		r.core.RecordFirstToken(now, key)
@@ -222,29 +221,29 @@
 	})
 }
 
-// RecordEnd reports the end of an attempt; it is called exactly once for each place.
+// RecordEnd records the end of an attempt. Call it exactly once for each placement.
 func (r *Runner) RecordEnd(key endpoint.AttemptKey, result Result) {
 	r.commands.Push(func(now time.Time) Effects { return r.core.RecordEnd(now, key, result) })
 }
 
-// Configure takes over the engines of a fleet file.
+// Configure applies the engines of a fleet file.
 func (r *Runner) Configure(targets []endpoint.Target) {
 	r.targets.Store(&targets)
-	// A full ring refuses this, and then has enough in it to wake the duty.
+	// Wakes the runner. A full ring refuses this, but wakes it anyway.
 	r.commands.Push(func(time.Time) Effects { return Effects{} })
 }
 
-// ObserveDraining reports a sign that an engine is leaving.
+// ObserveDraining records that an incarnation is draining.
 func (r *Runner) ObserveDraining(engine ident.Engine, incarnation ident.Incarnation) {
 	r.commands.Push(func(now time.Time) Effects { return r.core.ObserveDraining(now, engine, incarnation) })
 }
 
-// HandleDirectoryMessage reports a message of another router's directory.
+// HandleDirectoryMessage applies a message of another router's directory.
 func (r *Runner) HandleDirectoryMessage(from ident.Node, message directory.Message) {
 	r.replaceable.Push(func(now time.Time) Effects { return r.core.HandleDirectoryMessage(now, from, message) })
 }
 
-// SetView reports which routers there are.
+// SetView sets the membership view of the directory.
 func (r *Runner) SetView(view membership.View) {
 	r.commands.Push(func(time.Time) Effects {
 		r.core.SetView(view)
@@ -252,13 +251,13 @@
 	})
 }
 
-// ApplyMachineList reports a machine list: for each engine, whether its machine leaves.
-// The map must not be changed afterwards.
+// ApplyMachineList applies a machine list: for each engine, whether its machine
+// is draining. The map must not be changed afterwards.
 func (r *Runner) ApplyMachineList(draining map[ident.Engine]bool) {
 	r.commands.Push(func(now time.Time) Effects { return r.core.ApplyMachineList(now, draining) })
 }
 
-// ApplyCacheEvents reports a batch of cache events.
+// ApplyCacheEvents applies a batch of cache events.
 func (r *Runner) ApplyCacheEvents(engine ident.Engine, batch protocol.CacheEventBatch) {
 	r.replaceable.Push(func(now time.Time) Effects {
 		r.core.ApplyCacheEvents(now, engine, batch)
@@ -269,7 +268,7 @@
 	})
 }
 
-// ApplyCacheSnapshot reports the whole state of an engine's cache.
+// ApplyCacheSnapshot applies the whole state of an engine's cache.
 func (r *Runner) ApplyCacheSnapshot(engine ident.Engine, snapshot protocol.CacheSnapshot) {
 	r.replaceable.Push(func(now time.Time) Effects {
 		r.core.ApplyCacheSnapshot(now, engine, snapshot)
@@ -277,24 +276,24 @@
 	})
 }
 
-// State returns the state of the core. It waits for the goroutine of the duty,
-// at most until ctx ends.
+// State returns the state of the core. It waits for the runner's goroutine, at
+// most until ctx ends.
 func (r *Runner) State(ctx context.Context) (State, error) {
-	// The buffer lets the duty go on when the reader has left.
-	answer := make(chan State, 1)
+	// The buffer keeps the runner from blocking when ctx has ended.
+	result := make(chan State, 1)
 	accepted := r.commands.Push(func(now time.Time) Effects {
-		answer <- r.core.State(now)
+		result <- r.core.State(now)
 		return Effects{}
 	})
 	if !accepted {
-		return State{}, fault.New(fault.Overloaded, "the placement duty has too many inputs waiting").
+		return State{}, fault.New(fault.Overloaded, "the placement runner has too many inputs waiting").
 			WithRetryAfter(overloadedRetryAfter)
 	}
 	select {
-	case state := <-answer:
+	case state := <-result:
 		return state, nil
 	case <-ctx.Done():
-		return State{}, fault.Wrap(ctx.Err(), fault.Timeout, "the placement duty did not answer")
+		return State{}, fault.Wrap(ctx.Err(), fault.Timeout, "the placement runner did not answer")
 	case <-r.done:
 		return State{}, fault.New(fault.Leaving, "this router has stopped")
 	}
--- a/internal/placement/runner_test.go
+++ b/internal/placement/runner_test.go
@@ -17,18 +17,18 @@
 	"github.com/fieldpond/fieldpond/internal/prefix/directory"
 )
 
-// loadReader is an endpoint.LoadReader whose engines report when they are told to.
+// loadReader is an endpoint.LoadReader whose engines report while available is set.
 type loadReader struct{ available atomic.Bool }
 
 func (l *loadReader) Load(_ context.Context, _ string) (protocol.LoadReport, error) {
 	if !l.available.Load() {
 		return protocol.LoadReport{}, errors.New("no answer")
 	}
-	return newReport("life"), nil
+	return newReport("i1"), nil
 }
 
-// startRunner runs a duty over two engines until the test ends. Inside a
-// synctest bubble a goroutine that does not end fails the test.
+// startRunner starts a Runner with two engines; it stops when the test ends. In
+// a synctest bubble a goroutine that does not end fails the test.
 func startRunner(t *testing.T, reader *loadReader, maxOpen int) *Runner {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -60,7 +60,7 @@
 
 		_, err = runner.Place(t.Context(), newJob("r3", time.Second))
 		is.True(fault.Is(err, fault.DeadlineExceeded)) // both full until the hold ended
-		runner.RecordEnd(first.Job.Key, Result{Incarnation: "life", TimeToFirstToken: time.Millisecond})
+		runner.RecordEnd(first.Job.Key, Result{Incarnation: "i1", TimeToFirstToken: time.Millisecond})
 		third, err := runner.Place(t.Context(), newJob("r4", time.Second))
 		is.NoErr(err)
 		is.Equal(third.Candidate.Endpoint.Engine, first.Candidate.Endpoint.Engine)
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -10,23 +10,23 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// State is the state of a core at one moment, for operators.
+// State is a snapshot of a core's state for metrics and status.
 type State struct {
 	// Endpoints are copies of the engines in the order of the registry.
 	Endpoints []framework.Endpoint
-	// Waiting counts the jobs without a place by priority; InFlight those on
-	// an engine.
+	// Waiting counts the jobs not placed yet by priority; InFlight those on an
+	// engine.
 	Waiting  map[int]int
 	InFlight int
-	// Decisions, Queue and Beliefs are the counters of the parts.
+	// Decisions, Queue and Beliefs are the counters of the components.
 	Decisions Counters
 	Queue     admission.Counters
 	Beliefs   beliefs.Counters
-	// Directory is zero while the fleet is small enough to do without.
+	// Directory is zero while the directory is not used.
 	Directory directory.Counters
 }
 
-// State returns the core's state.
+// State returns a snapshot of the core's state.
 func (c *Core) State(now time.Time) State {
 	state := State{
 		Endpoints: slices.Clone(c.registry.Endpoints(now)),
--- a/internal/prefix/beliefs/credit.go
+++ b/internal/prefix/beliefs/credit.go
@@ -8,11 +8,11 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// source says how a block came to be believed; it sets the probability.
+// source is the origin of a belief in a block; it sets the prior probability.
 type source uint8
 
 const (
-	// sourceNone marks a block known only by an expectation.
+	// sourceNone marks a block known only from a dispatch.
 	sourceNone source = iota
 	// sourceDirectory is an answer of the directory.
 	sourceDirectory
@@ -20,24 +20,24 @@
 	sourceAnswer
 	// sourceEvent is the engine's event stream.
 	sourceEvent
-	// sourceSnapshot is a snapshot: held, but since when is not known.
+	// sourceSnapshot is a snapshot; the time of the block's last use is unknown.
 	sourceSnapshot
 )
 
 const (
-	// directoryProbability is the prior of what the directory told.
+	// directoryProbability is the prior of a block known from the directory.
 	directoryProbability = 0.95
-	// expectedProbability is the prior of a block being filled by a dispatch.
+	// expectedProbability is the prior of a block that a dispatched request fills.
 	expectedProbability = 0.98
-	// minRemovalShare is the share of an engine's blocks that a lost event is
-	// taken to have removed at least.
+	// minRemovalShare is the least share of an engine's blocks that a lost event
+	// is assumed to have removed.
 	minRemovalShare = 0.001
-	// gapSteps is how many checkpoints beyond one that is not believed held
-	// are looked at in a stream with gaps: the event that stored it may be lost.
+	// gapSteps is how many checkpoints beyond an absent one are checked after a
+	// gap in the stream: the event that stored it may be lost.
 	gapSteps = 2
 	// presenceFloor is the probability below which a block counts as absent.
 	presenceFloor = 0.05
-	// creditSamples bounds the checkpoints at which probabilities are read.
+	// creditSamples bounds the checkpoints sampled for a credit.
 	creditSamples = 4
 )
 
@@ -50,10 +50,9 @@
 // At returns the beliefs as of now.
 func (s *Store) At(now time.Time) *View { return &View{store: s, now: s.stamp(now)} }
 
-// Credit returns the number of leading blocks of chain that the incarnation is
-// expected to hold. It looks at checkpoints only: a binary search finds the
-// deepest one believed held, and a few above it give the probabilities, so a
-// call costs about ten look-ups however long the chain is.
+// Credit returns the expected number of leading blocks of chain that the
+// incarnation holds. It reads checkpoints only: a binary search finds the deepest
+// one believed held, and a few above it give the probabilities.
 func (v *View) Credit(engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain) float64 {
 	state := v.store.current(engine, incarnation)
 	if state == nil || len(chain) == 0 {
@@ -63,8 +62,8 @@
 	if deepest < 0 {
 		return 0
 	}
-	// What holds a block holds all before it: of a chain, engines evict the
-	// last blocks first. So the probability does not rise with the depth.
+	// Engines evict the last blocks of a chain first, so the probability does
+	// not rise with the depth.
 	expected, atLeast := 0.0, 0.0
 	steps := min(creditSamples, deepest+1)
 	above := prefix.CheckpointAt(deepest, len(chain)) + 1
@@ -99,7 +98,7 @@
 }
 
 // present returns the first checkpoint from the given one on that is believed
-// held, or -1. Only a stream with gaps makes it look beyond that one.
+// held, or -1. It checks later ones only if the stream had gaps.
 func (v *View) present(state *engineState, chain prefix.Chain, checkpoint int) int {
 	last := checkpoint
 	if state.lostCount > 0 {
@@ -125,8 +124,8 @@
 	return probability
 }
 
-// observed is the probability from observations alone. A block known by events
-// does not fade while its stream is heard: its eviction would be told.
+// observed is the probability from observations alone. A block known from
+// events does not decay while the stream is received: an eviction is an event.
 func (v *View) observed(state *engineState, block *slot) float64 {
 	prior, since := 1.0, block.confirmed
 	switch block.source {
@@ -144,13 +143,13 @@
 	return prior * math.Exp(-float64(since.age(v.now))/float64(state.lifetime))
 }
 
-// removalShare is the share of the blocks held that one event removes.
+// removalShare is the mean share of the held blocks that one event removes.
 func (e *engineState) removalShare() float64 {
 	return max(minRemovalShare, e.removedPerEvent/float64(max(1, e.heldBlocks)))
 }
 
 // Holds reports whether the incarnation holds the block according to its event
-// stream; known is false if the stream does not settle it.
+// stream; known is false if the stream is incomplete or not read.
 func (s *Store) Holds(engine ident.Engine, incarnation ident.Incarnation, hash prefix.Hash) (held, known bool) {
 	current := s.current(engine, incarnation)
 	if current == nil || !current.synced || current.needsSnapshot {
--- a/internal/prefix/beliefs/observations.go
+++ b/internal/prefix/beliefs/observations.go
@@ -19,11 +19,11 @@
 	maxLost = 1 << 12
 )
 
-// RecordDispatch tells that a request with this chain was just sent to an engine,
-// which will soon hold all of it. Requests decided next then follow it in
-// place of each starting a recomputation elsewhere.
+// RecordDispatch records that a request with this chain was sent to an engine,
+// which will soon hold all of it. The next requests with the prefix then follow
+// it and don't each start a recomputation elsewhere.
 func (s *Store) RecordDispatch(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain) {
-	state := s.currentOrStale(engine, incarnation)
+	state := s.observedState(engine, incarnation)
 	if state == nil {
 		return
 	}
@@ -33,8 +33,7 @@
 	}
 }
 
-// RecordRefusal tells that the engine refused a request of which Dispatched was told:
-// it will not hold the chain because of it.
+// RecordRefusal cancels a RecordDispatch after the engine refused the request.
 func (s *Store) RecordRefusal(engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain) {
 	state := s.current(engine, incarnation)
 	if state == nil {
@@ -48,10 +47,10 @@
 	}
 }
 
-// RecordAnswer tells an engine's own count: it held the first held blocks of the
-// chain when it took the request, and has computed the rest.
+// RecordAnswer records an engine's own count: it held the first held blocks of
+// the chain when it accepted the request, and has computed the rest.
 func (s *Store) RecordAnswer(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, held int) {
-	state := s.currentOrStale(engine, incarnation)
+	state := s.observedState(engine, incarnation)
 	if state == nil {
 		return
 	}
@@ -76,25 +75,24 @@
 	state.measureAtLeast(survived)
 }
 
-// measureAtMost learns from a block that was believed held and was not: it did
-// not live as long as it had been out of sight.
+// measureAtMost lowers the lifetime for a block that was evicted by that age.
 func (e *engineState) measureAtMost(age time.Duration) {
 	if age < e.lifetime {
 		e.measure(age)
 	}
 }
 
-// measureAtLeast learns from a block that was still held after that time.
+// measureAtLeast raises the lifetime for a block still held at that age.
 func (e *engineState) measureAtLeast(age time.Duration) {
 	if age > e.lifetime {
 		e.measure(age)
 	}
 }
 
-// RecordDirectoryAnswer records an answer of the directory: the incarnation holds the first
-// blocks blocks of the chain. Better knowledge is left as it is.
+// RecordDirectoryAnswer records an answer of the directory: the incarnation
+// holds the first blocks blocks of the chain. Better sources are not overwritten.
 func (s *Store) RecordDirectoryAnswer(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, blocks int) {
-	state := s.currentOrStale(engine, incarnation)
+	state := s.observedState(engine, incarnation)
 	if state == nil {
 		return
 	}
@@ -110,10 +108,10 @@
 }
 
 // ApplyEvents applies a batch of an engine's event stream. A gap in the sequence
-// lessens the trust in what events gave so far, by the blocks that the lost
-// events may have removed, and asks for a snapshot.
+// lowers the probability of all blocks known from earlier events, since the lost
+// ones may have removed them, and requests a snapshot.
 func (s *Store) ApplyEvents(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) {
-	state := s.currentOrStale(engine, batch.Incarnation)
+	state := s.observedState(engine, batch.Incarnation)
 	if state == nil {
 		return
 	}
@@ -132,11 +130,11 @@
 	}
 }
 
-// addLost counts events that did not arrive. One gap counts for at most maxLost,
-// which leaves no trust and keeps the counter from going all the way round.
+// addLost counts lost events. One gap counts for at most maxLost, so that the
+// counter does not wrap around to an old value.
 func (e *engineState) addLost(events uint64) { e.lostCount += uint16(min(events, maxLost)) }
 
-// recordRemoval takes in how many blocks one event removed.
+// recordRemoval records how many blocks one event removed.
 func (e *engineState) recordRemoval(blocks int) {
 	e.heldBlocks = max(0, e.heldBlocks-blocks)
 	e.removedPerEvent += removalGain * (float64(blocks) - e.removedPerEvent)
@@ -165,10 +163,10 @@
 	}
 }
 
-// ApplySnapshot replaces what is believed of an engine by its whole state. One that
-// is older than the events already applied is ignored and asked for again.
+// ApplySnapshot replaces the beliefs about an engine by a snapshot. One that is
+// older than the events already applied is ignored and requested again.
 func (s *Store) ApplySnapshot(now time.Time, engine ident.Engine, snapshot protocol.CacheSnapshot) {
-	state := s.currentOrStale(engine, snapshot.Incarnation)
+	state := s.observedState(engine, snapshot.Incarnation)
 	if state == nil {
 		return
 	}
@@ -185,8 +183,8 @@
 	}
 }
 
-// SnapshotDue reports whether the caller should fetch a snapshot of the
-// engine now; it says so at most once in a SnapshotInterval.
+// SnapshotDue reports whether the caller should fetch a snapshot of the engine
+// now; it returns true at most once in a SnapshotInterval.
 func (s *Store) SnapshotDue(now time.Time, engine ident.Engine) bool {
 	state := s.engines[engine]
 	if state == nil || !state.active || !state.needsSnapshot || s.stamp(now) < state.nextSnapshot {
@@ -196,8 +194,8 @@
 	return true
 }
 
-// currentOrStale is current, counting observations of another life.
-func (s *Store) currentOrStale(engine ident.Engine, incarnation ident.Incarnation) *engineState {
+// observedState is current, but counts observations of other incarnations.
+func (s *Store) observedState(engine ident.Engine, incarnation ident.Incarnation) *engineState {
 	state := s.current(engine, incarnation)
 	if state == nil {
 		s.counters.Stale++
@@ -205,8 +203,8 @@
 	return state
 }
 
-// confirm records that a block is held now. An engine's events stay the source
-// of a block that they gave: they will also tell its eviction.
+// confirmHeld records that a block is held now. A block known from events keeps
+// that source until a gap, because they also report its eviction.
 func (s *Store) confirmHeld(now time.Time, state *engineState, block *slot, from source) {
 	if block.source < from || block.lostCount != state.lostCount {
 		block.source = from
--- a/internal/prefix/beliefs/store.go
+++ b/internal/prefix/beliefs/store.go
@@ -1,13 +1,12 @@
-// Package beliefs holds what one router believes of the blocks that each
-// engine incarnation has cached. It is a state machine without I/O; the time
-// is passed in.
+// Package beliefs estimates which blocks each engine incarnation has cached, for
+// one router. It is a state machine without I/O; the time is passed in.
 //
 // Sources, best first: the cached-token counts in engines' answers, cache
-// events and snapshots of engines whose streams this router reads, what the
-// directory told, and own dispatches. Beliefs fade with the block lifetime
+// events and snapshots of engines whose streams this router reads, answers of
+// the directory, and own dispatches. Beliefs decay with the block lifetime
 // measured on each engine. A new incarnation, changed weights or a dead engine
-// drop them at once. A belief that is wrong costs time and never correctness:
-// the engine itself looks up what it holds under the tenant's salt.
+// drop them at once. A wrong belief costs time and never correctness: the engine
+// itself looks up its blocks under the tenant's salt.
 //
 // A Store is written by one goroutine at a time; Credit and Holds only read.
 package beliefs
@@ -24,15 +23,15 @@
 // Config sets a Store. A zero field takes its default.
 type Config struct {
 	// MaxBlocks is the number of blocks remembered over all engines; the least
-	// recently confirmed go first. Default: 262144.
+	// recently confirmed are evicted first. Default: 262144.
 	MaxBlocks int
 	// DefaultLifetime is the block lifetime assumed of an engine until it has
 	// been measured. Default: 30s.
 	DefaultLifetime time.Duration
-	// ExpectationLifetime is how long a dispatch that was never answered
-	// counts as a promise of cached blocks. Default: 10s.
+	// ExpectationLifetime is how long the blocks of an unanswered dispatch are
+	// expected to become cached. Default: 10s.
 	ExpectationLifetime time.Duration
-	// SnapshotInterval is the least time between two snapshots of one engine.
+	// SnapshotInterval is the minimum time between two snapshots of one engine.
 	// Default: 5s.
 	SnapshotInterval time.Duration
 }
@@ -44,7 +43,7 @@
 	defaultSnapshotInterval    = 5 * time.Second
 )
 
-// Counters counts what a Store was told. All only grow, except Blocks.
+// Counters counts a Store's observations. All only grow, except Blocks.
 type Counters struct {
 	// Blocks is the number of blocks remembered now.
 	Blocks int
@@ -54,30 +53,30 @@
 	Stale uint64
 	// Gaps counts gaps in event sequences.
 	Gaps uint64
-	// Dropped counts lives whose beliefs were dropped as a whole.
+	// Dropped counts the times that all beliefs about an engine were dropped.
 	Dropped uint64
 }
 
-// engineState is what is known of one engine and its present incarnation.
+// engineState is the state of one engine and its current incarnation.
 type engineState struct {
 	incarnation ident.Incarnation
-	// active is false from Forget until Incarnation is told again.
+	// active is false from RecordDeath until the next SetIncarnation.
 	active bool
-	// seed keeps the blocks of different lives apart in the table.
+	// seed separates the blocks of different incarnations in the table.
 	seed uint64
 	// lifetime is the measured time from a block's last use to its eviction.
 	// It outlives incarnations: it follows from the engine's cache size.
 	lifetime time.Duration
-	// synced is true once events or a snapshot gave the whole state.
+	// synced is true once events or a snapshot were applied.
 	synced   bool
 	sequence uint64
 	// lostCount counts the events that did not arrive.
 	lostCount uint16
-	// heldBlocks is about how many blocks are held, and removedPerEvent the mean
+	// heldBlocks is an estimate of the blocks held, and removedPerEvent the mean
 	// number of blocks that one event removes.
 	heldBlocks      int
 	removedPerEvent float64
-	// lastEvent is when the event stream was last heard.
+	// lastEvent is when events or a snapshot last arrived.
 	lastEvent     stamp
 	needsSnapshot bool
 	nextSnapshot  stamp
@@ -110,9 +109,9 @@
 	return config
 }
 
-// SetIncarnation tells which incarnation of an engine is alive. Beliefs about any
-// other one are dropped at once. Observations never do this by themselves: a
-// late answer of an earlier life must not bring its beliefs back.
+// SetIncarnation sets the current incarnation of an engine, empty for none, and
+// drops beliefs about any other. Observations never change it: a late answer of
+// an earlier incarnation must not restore its beliefs.
 func (s *Store) SetIncarnation(engine ident.Engine, incarnation ident.Incarnation) {
 	state := s.engines[engine]
 	if state == nil {
@@ -128,7 +127,7 @@
 	state.removedPerEvent = 0
 }
 
-// RecordDeath drops every belief about an engine that is believed dead.
+// RecordDeath drops all beliefs about an engine until SetIncarnation.
 func (s *Store) RecordDeath(engine ident.Engine) {
 	if state := s.engines[engine]; state != nil {
 		state.active = false
@@ -142,7 +141,7 @@
 	delete(s.engines, engine)
 }
 
-// RecordWeightsChange drops every belief about an engine whose loaded versions or
+// RecordWeightsChange drops all beliefs about an engine whose loaded versions or
 // adapters changed; the incarnation stays.
 func (s *Store) RecordWeightsChange(engine ident.Engine) {
 	if state := s.engines[engine]; state != nil {
@@ -167,8 +166,8 @@
 	return s.config.DefaultLifetime
 }
 
-// drop makes every block of a life unreachable in constant time; the table
-// forgets them as the least recently written ones.
+// drop makes all blocks of an incarnation unreachable in constant time; the
+// table evicts them as the least recently written ones.
 func (s *Store) drop(state *engineState) {
 	s.nextSeed++
 	state.seed = s.nextSeed * 0x9e3779b97f4a7c15
@@ -176,7 +175,7 @@
 	s.counters.Dropped++
 }
 
-// current returns the engine's life if the incarnation is its present one.
+// current returns the engine's state if the incarnation is its current one, else nil.
 func (s *Store) current(engine ident.Engine, incarnation ident.Incarnation) *engineState {
 	state := s.engines[engine]
 	if state == nil || !state.active || state.incarnation != incarnation {
@@ -185,7 +184,7 @@
 	return state
 }
 
-// key spreads a block's hash by the seed of the life that holds it.
+// key returns the table key of a block under the incarnation's seed.
 func (e *engineState) key(hash prefix.Hash) uint64 {
 	mixed := (uint64(hash) ^ e.seed) * 0xff51afd7ed558ccd
 	return mixed ^ mixed>>32
--- a/internal/prefix/beliefs/store_test.go
+++ b/internal/prefix/beliefs/store_test.go
@@ -40,8 +40,8 @@
 	return protocol.CacheEventBatch{Incarnation: first, Events: events}
 }
 
-// Each case starts from a chain of 40 blocks known by an answer and says what
-// is left of the credit afterwards.
+// Each case starts from a chain of 40 blocks known from an answer and checks the
+// credit after an event.
 func TestEventsThatDropBeliefs(t *testing.T) {
 	chain := chainOf("t", 40)
 	cases := []struct {
@@ -54,11 +54,11 @@
 		{"same incarnation again", func(s *beliefs.Store) { s.SetIncarnation(engine, first) }, first, 40},
 		{"asked about another incarnation", func(*beliefs.Store) {}, second, 0},
 		{"crash: new incarnation", func(s *beliefs.Store) { s.SetIncarnation(engine, second) }, second, 0},
-		{"crash: late answer of the old life", func(s *beliefs.Store) {
+		{"crash: late answer of the old incarnation", func(s *beliefs.Store) {
 			s.SetIncarnation(engine, second)
 			s.RecordAnswer(start, engine, first, chain, 40)
 		}, second, 0},
-		{"back to the old name of a life", func(s *beliefs.Store) {
+		{"back to an earlier incarnation", func(s *beliefs.Store) {
 			s.SetIncarnation(engine, second)
 			s.SetIncarnation(engine, first)
 		}, first, 0},
@@ -104,7 +104,7 @@
 	view := store.At(start)
 	credit := view.Credit(engine, first, chain)
 	is.True(credit > 60 && credit < 64)               // one event removes few of the blocks
-	is.Equal(view.Credit(engine, first, other), 64.0) // told after the gap
+	is.Equal(view.Credit(engine, first, other), 64.0) // stored after the gap
 	_, known = store.Holds(engine, first, chain[63])
 	is.True(!known)
 	is.True(store.SnapshotDue(start, engine))
@@ -118,12 +118,12 @@
 	is.Equal(view.Credit(engine, first, chain), 32.0)
 	is.Equal(view.Credit(engine, first, other), 0.0)
 	is.Equal(store.Counters().Gaps, uint64(1))
-	store.ApplyEvents(start, engine, batch(stored(100_009, other))) // the stream was away for long
+	store.ApplyEvents(start, engine, batch(stored(100_009, other))) // many events were lost
 	is.True(store.At(start).Credit(engine, first, chain) < 1)
 	is.Equal(store.At(start).Credit(engine, first, other), 64.0)
 }
 
-// The more blocks an engine's events remove, the less trust a gap leaves.
+// A gap must lower the credit more if the engine's events remove more blocks.
 func TestGapLowersCreditByRemovalRate(t *testing.T) {
 	is := is.New(t)
 	chain, brief := chainOf("t", 64), chainOf("brief", 32)
@@ -144,8 +144,7 @@
 	is.True(creditAfterGap(true) > 10)
 }
 
-// A lost event leaves a hole in what was told of a chain; the blocks behind it
-// prove the ones before them.
+// Later blocks of a chain prove the earlier ones whose event was lost.
 func TestLostStoreEventDoesNotHideLaterBlocks(t *testing.T) {
 	is := is.New(t)
 	chain := chainOf("t", 64)
@@ -183,29 +182,29 @@
 	is.True(store.Lifetime(engine) < 4*time.Second)
 	is.Equal(store.At(later).Credit(engine, first, chain), 0.0)
 
-	// An engine that still holds what was long out of sight has a longer one.
+	// A block still held after a long time raises the measured lifetime.
 	measured := store.Lifetime(engine)
 	store.RecordAnswer(start.Add(time.Minute), engine, first, chain, 40)
 	is.True(store.Lifetime(engine) > measured)
 }
 
-// The credit of a chain whose first blocks are held never exceeds them and
-// falls short by less than the distance between checkpoints.
+// The credit must not exceed the blocks held, nor fall short of them by as much
+// as the distance between checkpoints.
 func TestCreditIsAtMostTheSharedBlocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(1, 3000).Draw(t, "length")
 		shared := rapid.IntRange(0, length).Draw(t, "shared")
-		held, asked := make(prefix.Chain, length), make(prefix.Chain, length)
+		held, requested := make(prefix.Chain, length), make(prefix.Chain, length)
 		for index := range length {
 			held[index] = prefix.Hash(index + 1)
-			asked[index] = held[index]
+			requested[index] = held[index]
 			if index >= shared {
-				asked[index] = prefix.Hash(index + 1_000_000)
+				requested[index] = prefix.Hash(index + 1_000_000)
 			}
 		}
 		store := newStore(&testing.T{}, beliefs.Config{})
 		store.RecordAnswer(start, engine, first, held, 0)
-		credit := int(store.At(start).Credit(engine, first, asked))
+		credit := int(store.At(start).Credit(engine, first, requested))
 		slack := 8
 		if shared > 256 {
 			slack = 64
@@ -245,8 +244,8 @@
 	}
 }
 
-// BenchmarkMemory fills a store with a node's share of the fleet's blocks, the
-// standby's included, and reports the heap that one block takes.
+// BenchmarkMemory fills a store with a node's share of the fleet's blocks,
+// standby included, and reports the heap per block.
 func BenchmarkMemory(b *testing.B) {
 	const blocks = 251_000
 	for b.Loop() {
--- a/internal/prefix/beliefs/table.go
+++ b/internal/prefix/beliefs/table.go
@@ -3,7 +3,7 @@
 // none is the end of a list of slots.
 const none = int32(-1)
 
-// slot is what is believed of one block of one engine life.
+// slot is the belief in one block of one engine incarnation.
 type slot struct {
 	key        uint64
 	prev, next int32
@@ -12,13 +12,11 @@
 	// expected is when a request that will fill the block was dispatched.
 	expected stamp
 	source   source
-	// lostCount is the life's count of lost events when the block was last known to
-	// be held.
+	// lostCount is the engine's count of lost events at that time.
 	lostCount uint16
 }
 
-// table maps keys to slots, forgets the least recently written ones beyond its
-// capacity, and never holds more.
+// table maps keys to slots and evicts the least recently written one when full.
 type table struct {
 	capacity       int
 	index          map[uint64]int32
@@ -32,7 +30,7 @@
 	return &table{capacity: capacity, index: make(map[uint64]int32), newest: none, oldest: none}
 }
 
-// find returns the slot of a key, or nil. It is valid until the next write.
+// find returns the slot of a key, or nil. The slot is valid until the next write.
 func (t *table) find(key uint64) *slot {
 	position, found := t.index[key]
 	if !found {
@@ -41,8 +39,8 @@
 	return &t.slots[position]
 }
 
-// write returns the slot of a key, made if needed, as the newest one; existed
-// is false for one just made.
+// write returns the slot of a key, creating it if needed, and makes it the
+// newest; existed is false for a new one.
 func (t *table) write(key uint64) (written *slot, existed bool) {
 	if position, found := t.index[key]; found {
 		t.unlink(position)
@@ -56,7 +54,6 @@
 	return &t.slots[position], false
 }
 
-// remove forgets a key.
 func (t *table) remove(key uint64) {
 	position, found := t.index[key]
 	if !found {
--- a/internal/prefix/chain.go
+++ b/internal/prefix/chain.go
@@ -1,6 +1,6 @@
-// Package prefix holds what a router knows and believes about cached prompt
-// prefixes: the chained block hashes of a prompt, beliefs about the blocks
-// each engine incarnation holds, and the sharded directory over all engines.
+// Package prefix computes the chained block hashes of prompts. Its subpackages
+// hold beliefs about the blocks that each engine incarnation has cached and the
+// sharded directory over all engines.
 package prefix
 
 import (
@@ -21,8 +21,8 @@
 // Hash identifies a block together with every block before it (a chain hash).
 type Hash uint64
 
-// Salt separates cache namespaces: entries under one salt can never be looked
-// up under another. It is derived from tenant, model, version and adapter.
+// Salt separates cache namespaces: entries under one salt are never found under
+// another. It is derived from tenant, model, version and adapter.
 type Salt uint64
 
 // Namespace is everything that must match for a cached block to be reusable.
--- a/internal/prefix/checkpoints.go
+++ b/internal/prefix/checkpoints.go
@@ -1,14 +1,14 @@
 package prefix
 
-// RootBlock is the index of the block whose hash names the leading blocks of a
-// chain; a shorter chain is named by its last block.
+// RootBlock is the index of the block whose hash identifies the leading blocks
+// of a chain; a shorter chain is identified by its last block.
 const RootBlock = 3
 
 // MaxCheckpoints is the largest number of checkpoints of one chain.
 const MaxCheckpoints = 64
 
-// The ladder of checkpoints: the root block, every fineStride-th block up to
-// fineEnd, every coarseStride-th up to coarseEnd, and two far ones.
+// Checkpoints are the root block, every fineStride-th block up to fineEnd, every
+// coarseStride-th up to coarseEnd, and two beyond.
 const (
 	fineStride   = 8
 	fineEnd      = 256
@@ -29,8 +29,8 @@
 	return append(steps, 2*coarseEnd-1, 4*coarseEnd-1)
 }
 
-// Root returns the hash that names the leading blocks of a chain; ok is false
-// for a chain without a whole block.
+// Root returns the hash that identifies the leading blocks of a chain; ok is
+// false for a chain without a whole block.
 func (c Chain) Root() (root Hash, ok bool) {
 	if len(c) == 0 {
 		return 0, false
@@ -39,7 +39,7 @@
 }
 
 // CheckpointCount returns the number of checkpoints of a chain of the given
-// length in blocks: the steps of a ladder common to all chains, and the last
+// length in blocks: fixed positions, the same for all chains, and the last
 // block. Two chains that share a prefix share the checkpoints inside it.
 func CheckpointCount(length int) int {
 	count := 0
--- a/internal/prefix/directory/fullroot_test.go
+++ b/internal/prefix/directory/fullroot_test.go
@@ -10,13 +10,11 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// TestFullRootStopsReports lets more engines hold a prefix than a shard
-// remembers: once a router knows that the shard is full of engines that hold as
-// much, it reports no more of them, but still one that holds more, and one that
-// takes the place of an engine that died.
+// A router must not report engines that a full shard has no room for, but still
+// one that holds more blocks, and one that replaces a dead engine.
 func TestFullRootStopsReports(t *testing.T) {
 	is := is.New(t)
-	const places = 16
+	const places = 16 // of one root in a shard
 	chain := chainOf("open order book ", "a")[:128]
 	c := newCluster(t, 6)
 	shard, other, another := c.owner(chain)
--- a/internal/prefix/directory/fuzz_test.go
+++ b/internal/prefix/directory/fuzz_test.go
@@ -9,15 +9,15 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// emptyHolder is a BlockHolder that knows no block.
+// emptyHolder is a BlockHolder without blocks.
 type emptyHolder struct{}
 
 func (emptyHolder) Holds(ident.Engine, ident.Incarnation, prefix.Hash) (held, known bool) {
 	return false, false
 }
 
-// Whatever bytes another router sends, decoding them gives a message or a
-// fault, and a node that takes the message in goes on.
+// No bytes from another router may panic the decoder or a node that handles the
+// decoded message.
 func FuzzDecode(f *testing.F) {
 	for _, message := range []Message{
 		{Lookup: &Lookup{Root: 7}},
--- a/internal/prefix/directory/lookup.go
+++ b/internal/prefix/directory/lookup.go
@@ -7,50 +7,50 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// cachedAnswer is what this node was told about the chains of one root.
+// cachedAnswer is the last answer of a shard about the chains of one root.
 type cachedAnswer struct {
 	answer Answer
-	// expires is when the answer runs out; asked is when it was asked for last.
+	// expires is when the answer expires; requested is when it was last requested.
 	expires, requested time.Time
-	// uses counts lookups since the answer; it tells the hot prefixes.
+	// uses counts lookups since the answer, to find the hot prefixes.
 	uses int
 }
 
-// ChainHolder says how much of one chain an engine holds.
+// ChainHolder is an engine that holds a part of one chain.
 type ChainHolder struct {
 	Engine ident.Engine
-	// IncarnationDigest is to be compared with the IncarnationDigest of the present incarnation.
+	// IncarnationDigest is the digest of the incarnation that holds the blocks.
 	IncarnationDigest uint32
 	// Blocks is the number of leading blocks held.
 	Blocks int
 }
 
-// reportKey names a report for the sake of not repeating it.
+// reportKey identifies a report, to suppress duplicates.
 type reportKey struct {
 	engine      ident.Engine
 	incarnation ident.Incarnation
 	deepest     prefix.Hash
 }
 
-// pendingHolding is a holding that waits for the next Tick.
+// pendingHolding is a holding to be reported at the next Tick.
 type pendingHolding struct {
 	root    prefix.Hash
 	holding Holding
 }
 
-// LookupResult is what Node.Lookup found.
+// LookupResult is the result of Node.Lookup.
 type LookupResult struct {
 	// Holders lists engines that hold a part of the chain, each once.
 	Holders []ChainHolder
-	// Known is false if the shard has not been heard in time; the reply to
-	// Ask, if any, makes it known.
+	// Known is false if there is no fresh answer of the shard; the answer to
+	// Request, if any, provides it.
 	Known bool
-	// Request is a message to send, if not nil.
+	// Request is a message to send, or nil.
 	Request *Envelope
 }
 
-// Lookup returns which engines hold the leading blocks of a chain. An answer
-// that has run out is given once more while a new one is asked for.
+// Lookup returns which engines hold the leading blocks of a chain. An expired
+// answer is still used while a new one is requested.
 func (n *Node) Lookup(now time.Time, chain prefix.Chain) LookupResult {
 	root, ok := chain.Root()
 	if !ok {
@@ -77,7 +77,7 @@
 		n.counters.CachedAnswers++
 		return result
 	}
-	if now.Sub(cached.requested) >= n.config.CacheLifetime { // else the reply is on its way
+	if now.Sub(cached.requested) >= n.config.CacheLifetime { // else an answer is pending
 		request := n.request(now, owner, root, cached)
 		result.Request = &request
 	}
@@ -90,7 +90,7 @@
 	return Envelope{To: owner, Message: Message{Lookup: &Lookup{Root: root, Tag: cached.answer.Tag}}}
 }
 
-// handleAnswer keeps an answer to a root that was asked for.
+// handleAnswer caches an answer about a root that was looked up.
 func (n *Node) handleAnswer(now time.Time, answer *Answer) {
 	cached, found := n.cache.get(answer.Root)
 	if !found || !answer.valid() {
@@ -121,7 +121,7 @@
 	return true
 }
 
-// chainHolders returns how much of a chain each holder of the answer has.
+// chainHolders returns how much of a chain each holder of the answer holds.
 func (a *Answer) chainHolders(chain prefix.Chain) []ChainHolder {
 	if len(a.Holders) == 0 {
 		return nil
@@ -138,7 +138,7 @@
 	return holders
 }
 
-// deepest keeps one entry for each engine, the one with the most blocks.
+// addHolder adds an entry, or raises Blocks of the same incarnation's entry.
 func addHolder(holders []ChainHolder, added ChainHolder) []ChainHolder {
 	for index := range holders {
 		if holders[index].Engine == added.Engine && holders[index].IncarnationDigest == added.IncarnationDigest {
@@ -149,11 +149,10 @@
 	return append(holders, added)
 }
 
-// RecordAnswer records an engine's own answer: the incarnation held the first held
-// blocks of the chain when it took the request and has computed the rest. The
-// next Tick reports to the chain's shard the part that was held, since two
-// requests shared it, or for a new prefix the whole chain. What the shard is
-// known to know already is not reported.
+// RecordAnswer records an engine's own answer: the incarnation held the first
+// held blocks of the chain when it accepted the request and has computed the
+// rest. The next Tick reports the part that was held, which two requests share,
+// or for a new prefix the whole chain, unless the shard has it already.
 func (n *Node) RecordAnswer(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, held int) {
 	root, rooted := chain.Root()
 	holding, shared := holdingOf(engine, incarnation, chain, held)
@@ -172,10 +171,9 @@
 	}
 }
 
-// shardKnows reports whether the shard's last answer has the holding, or has no
-// room for it among as many engines that hold as much of the chain. Without the
-// second, every router goes on reporting each engine of a prefix that more
-// engines hold than a root remembers, all to one shard.
+// shardKnows reports whether the shard's last answer has the holding, or is full
+// of engines that hold as much of the chain. Without the second condition, all
+// routers keep reporting engines of a hot prefix that the shard has no room for.
 func (n *Node) shardKnows(now time.Time, root prefix.Hash, holding *Holding) bool {
 	cached, found := n.cache.get(root)
 	if !found || !now.Before(cached.expires) {
@@ -205,7 +203,7 @@
 	return true
 }
 
-// flush groups the waiting holdings by shard, in the order they came.
+// flush groups the pending holdings by shard, in order of arrival.
 func (n *Node) flush(now time.Time) []Envelope {
 	var envelopes []Envelope
 	open := make(map[ident.Node]int)
@@ -235,8 +233,8 @@
 	return envelopes
 }
 
-// refreshHot asks again for the most used answers before they run out, so that
-// requests for a hot prefix never wait for a shard.
+// refreshHot requests the most used answers before they expire, so that requests
+// for a hot prefix never wait for a shard.
 func (n *Node) refreshHot(now time.Time) []Envelope {
 	var envelopes []Envelope
 	const hotUses = 2
--- a/internal/prefix/directory/lru.go
+++ b/internal/prefix/directory/lru.go
@@ -2,8 +2,8 @@
 
 import "container/list"
 
-// lru maps keys to values and forgets the least recently put or used key
-// beyond its capacity.
+// lru maps keys to values and evicts the least recently used key beyond its
+// capacity.
 type lru[K comparable, V any] struct {
 	capacity int
 	items    map[K]*list.Element
--- a/internal/prefix/directory/messages.go
+++ b/internal/prefix/directory/messages.go
@@ -24,37 +24,37 @@
 // Lookup asks a root's shard which engines hold chains of that root.
 type Lookup struct {
 	Root prefix.Hash `cbor:"1,keyasint"`
-	// Tag is that of the answer the asker has; zero for none.
+	// Tag is that of the sender's cached answer, or zero.
 	Tag uint32 `cbor:"2,keyasint,omitempty"`
 }
 
-// Answer is the reply to a Lookup. It holds for every chain of the root, so
-// that one answer serves all requests that share a prefix.
+// Answer is the reply to a Lookup. It covers every chain of the root, so that
+// one answer serves all requests that share a prefix.
 type Answer struct {
 	Root prefix.Hash `cbor:"1,keyasint"`
-	// Tag names the content. An answer with the Tag of the Lookup has no
-	// content: what the asker has still stands.
+	// Tag identifies the content. An answer with the Tag of the Lookup has no
+	// content: the cached answer is still valid.
 	Tag uint32 `cbor:"2,keyasint"`
-	// TTLMillis is how long the asker may use the answer.
+	// TTLMillis is how long the receiver may use the answer.
 	TTLMillis uint32 `cbor:"3,keyasint"`
 	// Paths lists the chains held, each as the low 4 bytes of its landmarks'
-	// hashes, big-endian. Within one root that tells chains apart.
+	// hashes, big-endian. Within one root these distinguish chains.
 	Paths   [][]byte `cbor:"4,keyasint,omitempty"`
 	Holders []Holder `cbor:"5,keyasint,omitempty"`
 }
 
-// Holder says how much of a path an engine holds.
+// Holder is an engine that holds a part of a path.
 type Holder struct {
 	Engine ident.Engine `cbor:"1,keyasint"`
-	// IncarnationDigest is the IncarnationDigest of the incarnation.
+	// IncarnationDigest is the digest of the incarnation that holds it.
 	IncarnationDigest uint32 `cbor:"2,keyasint"`
-	// Path is the index of the path in Answer.Paths.
+	// Path is an index of Answer.Paths.
 	Path int `cbor:"3,keyasint"`
 	// Landmarks is the number of landmarks of the path that are held.
 	Landmarks int `cbor:"4,keyasint"`
 }
 
-// Report tells a shard what engines hold.
+// Report sends holdings to a shard.
 type Report struct {
 	Holdings []Holding `cbor:"1,keyasint"`
 }
@@ -68,23 +68,23 @@
 }
 
 // Watch asks the owner of an engine's event stream to check blocks of one
-// chain, the root first, and to tell when one of them is evicted.
+// chain, the root first, and to notify the sender when one is evicted.
 type Watch struct {
 	Engine      ident.Engine      `cbor:"1,keyasint"`
 	Incarnation ident.Incarnation `cbor:"2,keyasint"`
 	Hashes      []byte            `cbor:"3,keyasint"`
 }
 
-// Notification is what the owner of an engine's event stream tells a shard.
+// Notification reports evicted and checked blocks to a shard.
 type Notification struct {
 	Engine      ident.Engine      `cbor:"1,keyasint"`
 	Incarnation ident.Incarnation `cbor:"2,keyasint"`
 	// Lost lists blocks that are not held: pairs of root and hash, 8 bytes each.
 	Lost []byte `cbor:"3,keyasint,omitempty"`
-	// Checked lists roots whose watched blocks were checked just now: those
-	// not among Lost are held.
+	// Checked lists roots whose watched blocks were just checked: those not
+	// among Lost are held.
 	Checked []byte `cbor:"4,keyasint,omitempty"`
-	// Cleared says that the incarnation holds nothing any more.
+	// Cleared means that the incarnation no longer holds any block.
 	Cleared bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -112,9 +112,8 @@
 	return message, nil
 }
 
-// IncarnationDigest shortens an incarnation for answers. Two lives of one engine
-// share a digest once in four billion; then a belief is wrong, which the
-// engine's own check of the incarnation makes harmless.
+// IncarnationDigest shortens an incarnation for answers. A collision makes a
+// belief wrong; the engine's own check of the incarnation makes that harmless.
 func IncarnationDigest(incarnation ident.Incarnation) uint32 {
 	return uint32(xxhash.Sum64String(string(incarnation)))
 }
@@ -126,8 +125,8 @@
 	maxLandmarks = 16
 )
 
-// landmarks are the block indices of a chain that the directory knows. They
-// are checkpoints of package prefix, thinned out so that a lookup stays small.
+// landmarks are the block indices of a chain that the directory stores: some of
+// the checkpoints of package prefix, few enough to keep messages small.
 var landmarks = [...]int{3, 7, 15, 23, 31, 47, 63, 95, 127, 191, 255, 383, 511, 1023, 2047, 4095}
 
 // landmarkCount returns how many landmarks a chain of this many blocks has.
@@ -142,8 +141,8 @@
 	return count
 }
 
-// landmarkAt returns the block index of a landmark; a chain without a whole
-// set of root blocks has its last block as the only one.
+// landmarkAt returns the block index of a landmark; a chain shorter than the
+// first landmark has its last block as the only one.
 func landmarkAt(landmark, blocks int) int { return min(landmarks[landmark], blocks-1) }
 
 func shortHashesOf(chain prefix.Chain) []byte {
@@ -155,8 +154,8 @@
 	return hashes
 }
 
-// holdingOf describes the first blocks blocks of a chain; ok is false if that
-// is less than the root.
+// holdingOf returns the holding of the first blocks blocks of a chain; ok is
+// false if that is less than the root.
 func holdingOf(engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, blocks int) (holding Holding, ok bool) {
 	holding = Holding{Engine: engine, Incarnation: incarnation}
 	for landmark := range landmarkCount(len(chain)) {
@@ -169,7 +168,7 @@
 	return holding, len(holding.Hashes) > 0
 }
 
-// shortHashes returns the marks of the holding's hashes.
+// shortHashes returns the low 4 bytes of each of the holding's hashes.
 func (h *Holding) shortHashes() []byte {
 	hashes := make([]byte, 0, len(h.Hashes)/hashBytes*shortHashBytes)
 	for landmark := range len(h.Hashes) / hashBytes {
@@ -178,7 +177,7 @@
 	return hashes
 }
 
-// sharedLandmarks returns how many leading marks two paths share.
+// sharedLandmarks returns how many leading short hashes two paths share.
 func sharedLandmarks(first, second []byte) int {
 	shared := 0
 	for end := shortHashBytes; end <= min(len(first), len(second)); end += shortHashBytes {
@@ -194,7 +193,7 @@
 	return prefix.Hash(binary.BigEndian.Uint64(hashes[landmark*hashBytes:]))
 }
 
-// validHashes reports whether a list of hashes or marks has a valid length.
+// validHashes reports whether a list of hashes of width bytes has a valid length.
 func validHashes(list []byte, width int) bool {
 	return len(list) > 0 && len(list)%width == 0 && len(list)/width <= maxLandmarks
 }
--- a/internal/prefix/directory/node.go
+++ b/internal/prefix/directory/node.go
@@ -1,15 +1,15 @@
-// Package directory spreads knowledge of cached prefixes over the routers, so
+// Package directory shards the index of cached prefixes over the routers, so
 // that the memory and the messages of one router do not grow with the fleet.
 //
 // Each prefix root has a shard: the router that owns the root by rendezvous
-// hashing. Routers report to it what engines' answers taught them, ask it
-// which engines hold a chain, and keep the reply for about a second. The shard
-// registers its interest in the blocks with the router that owns the engine's
-// event stream, which tells it of evictions. Only what is asked for travels.
+// hashing. Routers report to it what engines' answers show, ask it which engines
+// hold a chain, and cache the answer for about a second. The shard registers a
+// watch on the blocks with the router that owns the engine's event stream, which
+// notifies it of evictions.
 //
-// Node is a state machine without I/O: messages and the time go in, envelopes
-// come out. It is used by one goroutine at a time. Losing a shard, a message
-// or the whole directory costs recomputation and never correctness.
+// Node is a state machine without I/O: its inputs are messages and the time, its
+// outputs envelopes. One goroutine at a time may use it. Losing a shard, a
+// message or the whole directory costs recomputation and never correctness.
 package directory
 
 import (
@@ -25,18 +25,18 @@
 
 // Config sets a Node. A zero field takes its default.
 type Config struct {
-	// CacheLifetime is how long an answer of a shard is used; the shard of a
-	// root that many ask for stretches it. Default: 1s.
+	// CacheLifetime is how long an answer of a shard is used; the shard extends
+	// it for a root with many lookups. Default: 1s.
 	CacheLifetime time.Duration
-	// HoldingLifetime is how long a shard believes a report that neither a
-	// router repeats nor the engine's owner confirms. Default: 60s.
+	// HoldingLifetime is how long a shard keeps a report that neither a router
+	// repeats nor the engine's owner confirms. Default: 60s.
 	HoldingLifetime time.Duration
-	// ReportInterval is the least time between two equal reports. Default: 10s.
+	// ReportInterval is the minimum time between two equal reports. Default: 10s.
 	ReportInterval time.Duration
-	// HotPrefixes is the number of most used answers that are asked for again
-	// before they run out. Default: 16.
+	// HotPrefixes is the number of most used answers that are refreshed before
+	// they expire. Default: 16.
 	HotPrefixes int
-	// MaxRoots bounds the roots of a shard, and the answers kept. Default: 4096.
+	// MaxRoots bounds the roots of a shard and the cached answers. Default: 4096.
 	MaxRoots int
 	// MaxWatches bounds the blocks watched for other routers. Default: 65536.
 	MaxWatches int
@@ -56,21 +56,21 @@
 	// maxLifetimeFactor bounds the lifetime of an answer, in CacheLifetimes.
 	maxLifetimeFactor = 30
 	// lookupsPerLifetime is the number of lookups of one root in a
-	// CacheLifetime above which a shard stretches the lifetime of its answers.
+	// CacheLifetime above which a shard extends the lifetime of its answers.
 	lookupsPerLifetime = 4
 	// maxOutbox bounds the holdings waiting to be reported.
 	maxOutbox = 1024
 )
 
-// Counters counts what a Node did. All only grow, except the last three.
+// Counters counts a Node's activity. All only grow, except the last three.
 type Counters struct {
 	Lookups, LocalAnswers, CachedAnswers, RemoteLookups uint64
 	Reports, Watches, Evictions                         uint64
-	// Malformed counts messages ignored because of their form, Misdirected
-	// those for a shard that this node does not own, Overflow what was
-	// forgotten for lack of room.
+	// Malformed counts invalid messages and holdings, Misdirected those for a
+	// shard that this node does not own, Overflow entries dropped for lack of
+	// room.
 	Malformed, Misdirected, Overflow uint64
-	// Roots, CachedRoots and WatchedBlocks are held now.
+	// Roots, CachedRoots and WatchedBlocks are the current numbers.
 	Roots, CachedRoots, WatchedBlocks int
 }
 
@@ -96,8 +96,8 @@
 	counters     Counters
 }
 
-// New returns a Node without members; holder answers for the engines whose
-// events this router reads.
+// New returns a Node without members; holder reports the blocks of the engines
+// whose events this router reads.
 func New(config Config, holder BlockHolder) (*Node, error) {
 	if config.CacheLifetime < 0 || config.HoldingLifetime < 0 || config.ReportInterval < 0 ||
 		config.HotPrefixes < 0 || config.MaxRoots < 0 || config.MaxWatches < 0 {
@@ -127,14 +127,14 @@
 }
 
 // EngineOwners returns the routers that read an engine's event stream: the
-// owner, which answers for it, and a standby.
+// owner, which handles watches on it, and a standby.
 func EngineOwners(view membership.View, engine ident.Engine) []membership.Member {
 	const ownerAndStandby = 2
 	return view.Owners("engine/"+string(engine), ownerAndStandby)
 }
 
-// SetView adopts a membership view. Roots that moved to another owner are
-// handed over by the next Ticks; a leaving router owns none.
+// SetView applies a membership view. The next Tick reports the roots that moved
+// to their new owners; a router that shuts down owns none.
 func (n *Node) SetView(view membership.View) {
 	n.view = view
 	clear(n.owners)
@@ -149,8 +149,8 @@
 	})
 }
 
-// SetIncarnation tells which incarnation of an engine is alive; the empty one
-// means that it is believed dead. Holdings of other lives are not told on.
+// SetIncarnation sets the current incarnation of an engine, empty if it is dead.
+// Holdings of other incarnations are left out of answers.
 func (n *Node) SetIncarnation(engine ident.Engine, incarnation ident.Incarnation) {
 	n.incarnations[engine] = incarnation
 }
@@ -158,7 +158,7 @@
 // Remove forgets an engine that the fleet no longer has.
 func (n *Node) Remove(engine ident.Engine) { delete(n.incarnations, engine) }
 
-// Handle takes one message of another node and returns those to send.
+// Handle applies one message of another node and returns the messages to send.
 func (n *Node) Handle(now time.Time, from ident.Node, message Message) []Envelope {
 	switch {
 	case message.Lookup != nil:
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// Tick sends the reports that wait, drops what is old and renews the hottest
+// Tick sends the pending reports, drops expired holdings and refreshes the hot
 // answers. Call it every half of a CacheLifetime.
 func (n *Node) Tick(now time.Time) []Envelope {
 	envelopes := n.flush(now)
@@ -195,9 +195,8 @@
 	return counters
 }
 
-// owner returns the router that holds a root's shard, remembering it for the
-// present view: ranking all members for each request would cost more than the
-// rest of the lookup.
+// owner returns the router that holds a root's shard, or none. It caches the
+// result until the next view, because ranking all members is expensive.
 func (n *Node) owner(root prefix.Hash) ident.Node {
 	if owner, found := n.owners[root]; found {
 		return owner
--- a/internal/prefix/directory/node_test.go
+++ b/internal/prefix/directory/node_test.go
@@ -21,7 +21,7 @@
 
 var start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
-// engineBlocks is what the engine's owner knows from its events.
+// engineBlocks holds the blocks that the engine's owner knows from events.
 type engineBlocks struct {
 	known bool
 	held  map[prefix.Hash]bool
@@ -31,7 +31,7 @@
 	return h.held[hash], h.known
 }
 
-// cluster joins nodes by a network without loss that counts bytes.
+// cluster connects nodes by a lossless network that counts bytes.
 type cluster struct {
 	t           testing.TB
 	now         time.Time
@@ -64,7 +64,7 @@
 	}
 }
 
-// deliver carries envelopes, and what they cause, as the network would.
+// deliver encodes and delivers envelopes and all messages that they cause.
 func (c *cluster) deliver(from ident.Node, envelopes []directory.Envelope) {
 	for _, envelope := range envelopes {
 		encoded, err := directory.Encode(envelope.Message)
@@ -84,8 +84,8 @@
 	}
 }
 
-// lookUpBlocks asks at a node and returns what it believes the engine's present
-// life holds, once a reply had time to come.
+// lookUpBlocks looks a chain up at a node and returns the number of blocks that
+// the incarnation holds, after the answer has arrived.
 func (c *cluster) lookUpBlocks(at ident.Node, incarnation ident.Incarnation, chain prefix.Chain) int {
 	result := c.nodes[at].Lookup(c.now, chain)
 	if result.Request != nil {
@@ -112,22 +112,22 @@
 	return prefix.ChainOf(7, strings.Repeat(shared, 800)+strings.Repeat(tail, 500), prefix.DefaultBlockTokens)
 }
 
-// Each case starts from a report, taken by another node, of a chain of 81
-// blocks whose first 50 are shared, and says what a third node then believes.
+// Each case starts from a report by one node of a chain of 81 blocks whose first
+// 50 are shared, and checks what a third node finds.
 func TestLookupAfterReport(t *testing.T) {
 	chain, sibling := chainOf("open order book ", "a")[:81], chainOf("open order book ", "b")
 	cases := []struct {
-		name    string
-		happens func(c *cluster, owner ident.Node)
-		asked   prefix.Chain
-		life    ident.Incarnation
-		want    int
+		name        string
+		happens     func(c *cluster, owner ident.Node)
+		chain       prefix.Chain
+		incarnation ident.Incarnation
+		want        int
 	}{
 		{"same chain", nil, chain, first, 64},
 		{"shares a prefix", nil, append(chain[:50:50], 1, 2, 3), first, 48},
 		{"diverges after 20 blocks", nil, append(chain[:20:20], make(prefix.Chain, 61)...), first, 16},
 		{"another prompt", nil, chainOf("tariff", ""), first, 0},
-		{"another life is asked for", nil, chain, second, 0},
+		{"another incarnation", nil, chain, second, 0},
 		{"engine crashed", func(c *cluster, owner ident.Node) { c.nodes[owner].SetIncarnation(engine, second) }, chain, first, 0},
 		{"engine believed dead", func(c *cluster, owner ident.Node) { c.nodes[owner].SetIncarnation(engine, "") }, chain, first, 0},
 		{"block evicted", func(c *cluster, _ ident.Node) {
@@ -136,7 +136,7 @@
 		{"cache cleared", func(c *cluster, _ ident.Node) {
 			c.applyEvents(protocol.CacheEvent{Sequence: 1, Kind: protocol.CacheCleared})
 		}, chain, first, 0},
-		{"shard leaves", func(c *cluster, owner ident.Node) {
+		{"shard shuts down", func(c *cluster, owner ident.Node) {
 			for index := range c.view.Members {
 				if c.view.Members[index].Node == owner {
 					c.view.Members[index].State = membership.Leaving
@@ -169,19 +169,19 @@
 			if test.happens != nil {
 				test.happens(c, owner)
 			}
-			is.New(t).Equal(c.lookUpBlocks(another, test.life, test.asked), test.want)
+			is.New(t).Equal(c.lookUpBlocks(another, test.incarnation, test.chain), test.want)
 		})
 	}
 }
 
-// applyEvents reads a batch at the engine's owner.
+// applyEvents applies a batch of events at the engine's owner.
 func (c *cluster) applyEvents(events ...protocol.CacheEvent) {
 	owner := directory.EngineOwners(c.view, engine)[0].Node
 	batch := protocol.CacheEventBatch{Incarnation: first, Events: events}
 	c.deliver(owner, c.nodes[owner].ApplyEvents(c.now, engine, batch))
 }
 
-// advance lets time pass with ticks, the chain being asked for now and then.
+// advance lets time pass with ticks and regular lookups of the chain.
 func (c *cluster) advance(duration time.Duration) {
 	chain := chainOf("open order book ", "a")[:81]
 	_, _, another := c.owner(chain)
@@ -193,8 +193,8 @@
 	}
 }
 
-// Unique tails of requests to a busy engine do not push other engines out of a
-// shard, and what a shard knows is not reported to it again.
+// Unique tails of requests to a busy engine must not evict other engines from a
+// shard, and holdings that a shard knows must not be reported to it again.
 func TestUniqueTailsDoNotEvictSharedPrefix(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 5)
@@ -217,7 +217,7 @@
 	c.now = c.now.Add(time.Minute)
 	c.tick()
 	for _, node := range c.nodes {
-		is.Equal(node.Counters().Roots, 0) // what nobody confirms is forgotten
+		is.Equal(node.Counters().Roots, 0) // unconfirmed holdings expire
 	}
 }
 
@@ -233,7 +233,7 @@
 	messages := []directory.Message{
 		{},
 		{Answer: &directory.Answer{Root: root, Tag: 1, Holders: []directory.Holder{{Path: 3, Landmarks: 1}}}},
-		{Answer: &directory.Answer{Root: root + 1, Tag: 1}}, // not asked for
+		{Answer: &directory.Answer{Root: root + 1, Tag: 1}}, // not requested
 		{Report: &directory.Report{Holdings: []directory.Holding{{Engine: engine, Hashes: []byte{1, 2}}}}},
 		{Report: &directory.Report{Holdings: []directory.Holding{{Engine: engine, Hashes: long}}}},
 		{Report: &directory.Report{Holdings: make([]directory.Holding, 99)}},
@@ -268,9 +268,9 @@
 	is.True(counters.Overflow > 0)
 }
 
-// BenchmarkMessages reports the size of the messages for a prefix of 512
-// blocks with eight holders, and the traffic of the full-size fleet's routers
-// when each asks for the same prefix once a second (figures in virtual time).
+// BenchmarkMessages reports the size of the messages for a prefix of 512 blocks
+// with eight holders, and the traffic of the full-size fleet's routers when each
+// looks up the same prefix once a second of virtual time.
 func BenchmarkMessages(b *testing.B) {
 	for b.Loop() {
 		c := newCluster(b, 390)
@@ -305,8 +305,8 @@
 	}
 }
 
-// BenchmarkMemory fills a shard, the answers kept and the watches of one node
-// to their bounds and reports the heap that they take.
+// BenchmarkMemory fills the shard, the cached answers and the watches of one node
+// to their bounds and reports the heap that they use.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
--- a/internal/prefix/directory/owner.go
+++ b/internal/prefix/directory/owner.go
@@ -9,21 +9,21 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// watchKey names one block of one engine life.
+// watchKey identifies one block of one engine incarnation.
 type watchKey struct {
 	engine      ident.Engine
 	incarnation ident.Incarnation
 	hash        prefix.Hash
 }
 
-// watchTarget is who is to be told of a block's eviction, and under which root.
+// watchTarget is the shard to notify of a block's eviction, and the block's root.
 type watchTarget struct {
 	shard ident.Node
 	root  prefix.Hash
 }
 
-// handleWatch registers a shard's interest and returns what the engine's
-// events say of the blocks, or nil if they do not settle it.
+// handleWatch registers a shard's watch and returns which blocks are held
+// according to the engine's events, or nil if these are incomplete.
 func (n *Node) handleWatch(from ident.Node, watch *Watch) *Notification {
 	if !validHashes(watch.Hashes, hashBytes) {
 		n.counters.Malformed++
@@ -55,7 +55,7 @@
 	n.Lost = binary.BigEndian.AppendUint64(n.Lost, uint64(hash))
 }
 
-// notifications gathers one Notice for each shard, in the order of their first need.
+// notifications collects one Notification for each shard, in order of first use.
 type notifications struct {
 	batch     *protocol.CacheEventBatch
 	engine    ident.Engine
@@ -73,8 +73,8 @@
 	return notification
 }
 
-// ApplyEvents reads a batch of the event stream of an engine that this router owns
-// and returns what the shards that watch its blocks have to know.
+// ApplyEvents applies a batch of the event stream of an engine that this router
+// owns and returns the notifications to the shards that watch its blocks.
 func (n *Node) ApplyEvents(now time.Time, engine ident.Engine, batch protocol.CacheEventBatch) []Envelope {
 	list := &notifications{batch: &batch, engine: engine}
 	for _, event := range batch.Events {
@@ -110,7 +110,7 @@
 	})
 }
 
-// applyLocal takes notices to this node itself out of a list.
+// applyLocal applies the notifications to this node itself and returns the others.
 func (n *Node) applyLocal(now time.Time, envelopes []Envelope) []Envelope {
 	remote := envelopes[:0]
 	for _, envelope := range envelopes {
--- a/internal/prefix/directory/shard.go
+++ b/internal/prefix/directory/shard.go
@@ -11,12 +11,12 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// rootEntry is what a shard knows of the chains that share one root.
+// rootEntry is a shard's state of the chains that share one root.
 type rootEntry struct {
 	holdings []shardHolding
 	// lifetimeFactor is the lifetime of answers in CacheLifetimes, at least 1.
 	lifetimeFactor float64
-	// lastLookup is when a lookup came last, from this node or another.
+	// lastLookup is the time of the last lookup, by this node or another.
 	lastLookup time.Time
 	// lookups counts those of other nodes since windowStart.
 	lookups     int
@@ -33,7 +33,7 @@
 
 func (n *Node) handleLookup(now time.Time, from ident.Node, lookup *Lookup) []Envelope {
 	if n.owner(lookup.Root) != n.view.Self {
-		n.counters.Misdirected++ // views differ for a moment; an empty answer is safe
+		n.counters.Misdirected++ // views may differ briefly; an empty answer is safe
 	}
 	answer := n.answer(now, lookup.Root)
 	if entry, found := n.shard.get(lookup.Root); found {
@@ -46,10 +46,10 @@
 	return []Envelope{{To: from, Message: Message{Answer: &answer}}}
 }
 
-// adaptLifetime stretches the lifetime of answers while more lookups come than a shard
-// can bear, and shortens it again: the traffic of a root does not grow with
-// the number of routers that ask for it. Routers learn of such a root from
-// their own answers anyway.
+// adaptLifetime extends the lifetime of answers while lookups exceed
+// lookupsPerLifetime, and shortens it again, so that the traffic of a root does
+// not grow with the number of routers. Routers that use such a root observe its
+// holders in their own answers anyway.
 func (e *rootEntry) adaptLifetime(now time.Time, window time.Duration) {
 	const step = 1.5
 	e.lifetimeFactor = max(e.lifetimeFactor, 1)
@@ -87,12 +87,12 @@
 		_, _ = digest.Write(hashes)
 	}
 	if len(answer.Holders) > 0 {
-		answer.Tag = uint32(digest.Sum64()) | 1 // zero stands for no content
+		answer.Tag = uint32(digest.Sum64()) | 1 // zero means no content
 	}
 	return answer
 }
 
-// path returns the index of a path that begins with the marks, adding one or
+// path returns the index of a path that begins with the hashes, adding one or
 // extending a shorter one if needed: engines that hold more or less of the same
 // prefix share one path.
 func (a *Answer) path(hashes []byte) int {
@@ -109,7 +109,7 @@
 	return len(a.Paths) - 1
 }
 
-// maybeCurrent is true unless another incarnation of the engine is known to be.
+// maybeCurrent is false if the engine is dead or another incarnation is current.
 func (n *Node) maybeCurrent(engine ident.Engine, incarnation ident.Incarnation) bool {
 	current, known := n.incarnations[engine]
 	return !known || current == incarnation
@@ -134,8 +134,8 @@
 	return envelopes
 }
 
-// store adds a holding to its root and returns the registration of interest in
-// its blocks with the engine's owner.
+// store adds a holding to its root and returns the watch on its blocks for the
+// engine's owner.
 func (n *Node) store(now time.Time, holding Holding) []Envelope {
 	root := hashAt(holding.Hashes, 0)
 	entry, found := n.shard.get(root)
@@ -147,7 +147,7 @@
 	return n.watch(now, holding)
 }
 
-// watch registers interest in a holding's blocks with the engine's owner.
+// watch registers a watch on a holding's blocks with the engine's owner.
 func (n *Node) watch(now time.Time, holding Holding) []Envelope {
 	watch := &Watch{Engine: holding.Engine, Incarnation: holding.Incarnation, Hashes: holding.Hashes}
 	switch owner := n.engineOwner(holding.Engine); owner {
@@ -163,8 +163,8 @@
 	}
 }
 
-// add puts a holding in the place of one that it extends or repeats, else in a
-// free place, else in that of the one not seen for longest.
+// add replaces a holding that the new one extends or repeats, else uses a free
+// place, else replaces the least recently confirmed one.
 func (e *rootEntry) add(added shardHolding) {
 	oldest := 0
 	for index := range e.holdings {
@@ -188,13 +188,13 @@
 	e.holdings[oldest] = added
 }
 
-// related reports whether one list of hashes is the beginning of the other.
+// related reports whether one list of hashes is a prefix of the other.
 func related(first, second []byte) bool {
 	return bytes.HasPrefix(first, second) || bytes.HasPrefix(second, first)
 }
 
-// handleNotification takes what the owner of an engine's events knows: blocks that
-// are not held cut holdings short, checked ones confirm them.
+// handleNotification applies a notification of an engine's owner: blocks that are
+// not held truncate holdings, checked ones confirm them.
 func (n *Node) handleNotification(now time.Time, notification *Notification) {
 	const pair = 2 * hashBytes
 	if len(notification.Lost)%pair != 0 || len(notification.Checked)%hashBytes != 0 {
@@ -214,8 +214,8 @@
 	}
 }
 
-// eachHolding visits the holdings of one root on the notice's engine life and
-// drops those left empty.
+// eachHolding visits the holdings of one root by the notification's incarnation
+// and drops those left empty.
 func (n *Node) eachHolding(root prefix.Hash, notification *Notification, visit func(*shardHolding)) {
 	entry, found := n.shard.get(root)
 	if !found {
@@ -238,18 +238,18 @@
 	})
 }
 
-// truncate shortens a holding to the landmarks before the one gone.
-func (h *shardHolding) truncate(gone prefix.Hash) {
+// truncate shortens a holding to the landmarks before the lost one.
+func (h *shardHolding) truncate(lost prefix.Hash) {
 	for landmark := range len(h.Hashes) / hashBytes {
-		if hashAt(h.Hashes, landmark) == gone {
+		if hashAt(h.Hashes, landmark) == lost {
 			h.Hashes = slices.Clone(h.Hashes[:landmark*hashBytes])
 			return
 		}
 	}
 }
 
-// prune drops the empty and the unwanted holdings of a root, and a root
-// without any.
+// prune drops holdings that are empty or that drop selects, and a root without
+// any.
 func (n *Node) prune(root prefix.Hash, entry *rootEntry, drop func(*shardHolding) bool) {
 	entry.holdings = slices.DeleteFunc(entry.holdings, func(held shardHolding) bool {
 		return len(held.Hashes) == 0 || drop(&held)
@@ -259,8 +259,8 @@
 	}
 }
 
-// recheckHoldings drops holdings that are too old and asks the engines' owners
-// to check those that soon will be. Only roots still asked for are renewed.
+// recheckHoldings drops expired holdings and asks the engines' owners to check
+// those that soon will expire, for roots that are still looked up.
 func (n *Node) recheckHoldings(now time.Time) []Envelope {
 	var envelopes []Envelope
 	half := n.config.HoldingLifetime / 2
--- a/internal/promptcache/copy.go
+++ b/internal/promptcache/copy.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// Entry is how much of the cache of a part a store holds, under a short name of the
-// part. It is an array of two on the wire.
+// Entry is the number of tokens of a part that a store holds. On the wire it is an
+// array of two.
 type Entry struct {
 	_ struct{} `cbor:",toarray"`
-	// Key is that of Part.Key.
+	// Key is Part.Key.
 	Key uint64
 	// Tokens is 0 if nothing is left.
 	Tokens int
 }
 
-// Position names a copy of what a store held.
+// Position identifies a version of a store's content.
 type Position struct {
 	Store netip.AddrPort `cbor:"1,keyasint"`
-	// Epoch and Next are those of the newest changes that the copy has.
+	// Epoch and Next are those of the newest changes included.
 	Epoch uint64 `cbor:"2,keyasint"`
 	Next  uint64 `cbor:"3,keyasint"`
 }
 
-// Update brings a copy of another router up to date.
+// Update brings another router's copy of a store's content up to date.
 type Update struct {
-	// Position names the copy that comes out.
+	// Position is that of the updated copy.
 	Position Position `cbor:"1,keyasint"`
-	// Full says that Entries are all that the store holds; else they change the
-	// copy of the same epoch that ends at Since.
+	// Full means that Entries are all that the store holds; else they apply to
+	// the copy of the same epoch at position Since.
 	Full    bool    `cbor:"2,keyasint,omitempty"`
 	Since   uint64  `cbor:"3,keyasint,omitempty"`
 	Entries []Entry `cbor:"4,keyasint,omitempty"`
-	// Age is the time since the store was asked.
+	// Age is the time since the store was read.
 	Age time.Duration `cbor:"5,keyasint"`
 }
 
 const (
-	// maxBatches and maxBatchEntries bound the changes that are kept for other routers, as
-	// answers of a store and as entries. Who lacks older ones is told everything.
+	// maxBatches and maxBatchEntries bound the changes kept for other routers. A
+	// router that lacks older ones gets a full update.
 	maxBatches      = 32
 	maxBatchEntries = 4096
 )
 
-// batch holds the changes of one answer of a store.
+// batch holds the changes of one response of a store.
 type batch struct {
-	// since is the position that the answer begins at.
+	// since is the position before the changes.
 	since   uint64
 	entries []Entry
 }
 
-// Positions names the copies held here.
+// Positions returns the positions of all copies.
 func (x *Index) Positions() []Position {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -61,8 +61,8 @@
 	return positions
 }
 
-// Updates returns what brings the copies of another router up to date. Stores that
-// were not heard of lately are left out.
+// Updates returns the updates for another router whose copies have the positions
+// held. Stores not read within staleAfter are left out.
 func (x *Index) Updates(now time.Time, held []Position) []Update {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -84,8 +84,8 @@
 	return updates
 }
 
-// ApplyUpdates takes in updates of another router, whose ages count up to a time. Those that
-// are not newer than the copies held here, or do not fit them, change nothing.
+// ApplyUpdates applies updates of another router whose ages are relative to at. It
+// ignores those that are not newer than this router's copies or have a gap to them.
 func (x *Index) ApplyUpdates(at time.Time, updates []Update) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -114,7 +114,7 @@
 	state.expireSaves(asOf)
 }
 
-// since returns the changes since another router's copy, or everything.
+// since returns the changes since another router's copy, or a full update.
 func (s *storeState) since(held Position) Update {
 	if held.Epoch == s.epoch && held.Next == s.next {
 		return Update{Since: s.next}
@@ -136,7 +136,7 @@
 	return update
 }
 
-// addBatch keeps changes from the present position on for other routers.
+// addBatch keeps changes after the current position for other routers.
 func (s *storeState) addBatch(entries []Entry) {
 	s.batches = append(s.batches, batch{since: s.next, entries: entries})
 	s.batchEntries += len(entries)
--- a/internal/promptcache/copy_test.go
+++ b/internal/promptcache/copy_test.go
@@ -11,14 +11,14 @@
 	"github.com/fieldpond/fieldpond/internal/promptcache"
 )
 
-// Copies that were brought up to date, at whatever times, believe what the reader of
-// the store believes.
+// A copy must match the reader's content after each update, however many changes
+// lie between two updates.
 func TestCopyMatchesReader(t *testing.T) {
 	tests := []struct {
 		name string
-		// every is how many answers of the store pass between two updates.
+		// every is the number of changes of the store between two updates.
 		every int
-	}{{"at once", 1}, {"some later", 7}, {"beyond what is kept", 100}}
+	}{{"each change", 1}, {"several changes", 7}, {"more than kept", 100}}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -63,9 +63,9 @@
 	}{
 		{"next changes", promptcache.Update{Position: position, Since: 10, Entries: entries}, promptcache.Held},
 		{"a gap", promptcache.Update{Position: position, Since: 9, Entries: entries}, promptcache.Missing},
-		{"another life of the store", promptcache.Update{Position: otherEpoch, Since: 10, Entries: entries}, promptcache.Missing},
-		{"older news", promptcache.Update{Position: position, Since: 10, Entries: entries, Age: 2 * time.Second}, promptcache.Missing},
-		{"the whole of another life", promptcache.Update{Position: otherEpoch, Full: true, Entries: entries}, promptcache.Held},
+		{"another epoch", promptcache.Update{Position: otherEpoch, Since: 10, Entries: entries}, promptcache.Missing},
+		{"older update", promptcache.Update{Position: position, Since: 10, Entries: entries, Age: 2 * time.Second}, promptcache.Missing},
+		{"full update of another epoch", promptcache.Update{Position: otherEpoch, Full: true, Entries: entries}, promptcache.Held},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// A store of which the teller has not heard for long is not told.
+// A store not read for too long must be left out of updates.
 func TestUpdatesLeaveOutStaleStores(t *testing.T) {
 	is := is.New(t)
 	index := promptcache.NewIndex()
--- a/internal/promptcache/index.go
+++ b/internal/promptcache/index.go
@@ -1,8 +1,8 @@
-// Package promptcache believes what the stores of kept prompt caches hold, from
-// the changes that they tell.
+// Package promptcache tracks the content of the prompt cache stores from the
+// changes that they report.
 //
-// Index is a state machine without I/O or clock. It is guarded by a mutex, because
-// requests ask it in any goroutine.
+// Index is a state machine without I/O or clock. A mutex guards it, because
+// requests use it from any goroutine.
 package promptcache
 
 import (
@@ -13,32 +13,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part names the cache of one part of a prompt.
+// Part identifies the cache of one part of a prompt.
 type Part struct {
 	// Salt separates caches of different weights and of isolated tenants.
 	Salt string
 	ID   string
 }
 
-// Key is a short name of the part: 64 bits, so that beliefs about thousands of parts
-// take little memory and few bytes between routers. Two parts of the same name would
-// be taken for one, at the price of one save too few.
+// Key returns a 64-bit hash of the part, which takes little memory and few bytes
+// between routers. A collision costs one missing save.
 func (p Part) Key() uint64 { return xxhash.Sum64String(p.Salt + "\x00" + p.ID) }
 
-// Change says how much of a part's cache a store holds from now on.
+// Change is the new size of a part's cache in a store.
 type Change struct {
 	Part
 	// Tokens is 0 once nothing is left.
 	Tokens int
 }
 
-// Changes are what changed in a store since a position in its history.
+// Changes are a store's changes since a position in its history.
 type Changes struct {
 	// Epoch changes when the store restarts, which empties it.
 	Epoch uint64
-	// Next is the position to ask from the next time.
+	// Next is the position of the next request.
 	Next uint64
-	// Lost says that older changes are missing.
+	// Lost means that older changes are missing.
 	Lost    bool
 	Changes []Change
 }
@@ -49,52 +48,52 @@
 	Held        []Change
 }
 
-// Presence says whether a store holds a part.
+// Presence is whether a store holds a part.
 type Presence uint8
 
 const (
-	// Unknown means that too little was heard of the store.
+	// Unknown means that the store was not read lately.
 	Unknown Presence = iota
-	// Missing means that the part would have to be read by an engine.
+	// Missing means that an engine would have to prefill the part.
 	Missing
 	// Held means that the part can be fetched.
 	Held
 )
 
 const (
-	// staleAfter is how long a store's word is taken for its present state.
+	// staleAfter is how long a store's response counts as its current state.
 	staleAfter = 3 * time.Second
-	// saveTimeout is how long after it was asked for a save is expected to show
-	// in the store.
+	// saveTimeout is the time from a save's request until the store should report
+	// the part.
 	saveTimeout = 1500 * time.Millisecond
-	// minHeldTenths is the least part of a cache, in tenths, that is worth a fetch:
+	// minHeldTenths is the least share of a part, in tenths, that counts as held:
 	// stores keep whole blocks only.
 	minHeldTenths = 9
 	// maxParts bounds the parts remembered of one store.
 	maxParts = 1 << 16
 )
 
-// Index holds the beliefs about all stores. It is safe for concurrent use.
+// Index holds the known content of all stores. It is safe for concurrent use.
 type Index struct {
 	mu     sync.Mutex
 	stores map[netip.AddrPort]*storeState
 }
 
-// storeState is what is believed of one store.
+// storeState is the known content of one store.
 type storeState struct {
 	epoch, next uint64
 	asOf        time.Time
-	// heldTokens are the tokens kept of each part, by the part's key.
+	// heldTokens is the number of tokens held of each part, by Part.Key.
 	heldTokens map[uint64]int
-	// saves holds when the save of a part was asked for by this router.
+	// saves is when this router requested the save of a part, by Part.Key.
 	saves map[uint64]time.Time
-	// batches are the newest changes, for other routers; logged counts their entries.
+	// batches are the newest changes, for other routers; batchEntries counts their entries.
 	batches      []batch
 	batchEntries int
 }
 
-// newStoreState returns contents that are empty but for the saves that a former copy of
-// the store waits for.
+// newStoreState returns a state without parts that keeps the pending saves of the
+// previous state, which may be nil.
 func newStoreState(epoch, next uint64, previous *storeState) *storeState {
 	state := &storeState{epoch: epoch, next: next, heldTokens: make(map[uint64]int), saves: make(map[uint64]time.Time)}
 	if previous != nil {
@@ -103,13 +102,13 @@
 	return state
 }
 
-// NewIndex returns an index that knows no store.
+// NewIndex returns an index without stores.
 func NewIndex() *Index {
 	return &Index{stores: make(map[netip.AddrPort]*storeState)}
 }
 
-// Position returns where to ask a store's changes from; false means that its
-// whole listing is wanted.
+// Position returns the position to request a store's changes from; known is false
+// if its listing is needed.
 func (x *Index) Position(store netip.AddrPort) (since uint64, known bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -120,19 +119,19 @@
 	return state.next, true
 }
 
-// Replace takes in the listing of a store that was asked for at a time.
-func (x *Index) Replace(askedAt time.Time, store netip.AddrPort, listing *Listing) {
+// Replace sets a store's content to a listing requested at requestedAt.
+func (x *Index) Replace(requestedAt time.Time, store netip.AddrPort, listing *Listing) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	state := newStoreState(listing.Epoch, listing.Next, nil)
-	state.asOf = askedAt
+	state.asOf = requestedAt
 	state.apply(entriesOf(listing.Held))
 	x.stores[store] = state
 }
 
-// Apply takes in the changes of a store that were asked for at a time. After a
-// gap or a restart it forgets the store, whose listing is wanted then.
-func (x *Index) Apply(askedAt time.Time, store netip.AddrPort, changes *Changes) {
+// Apply applies changes of a store requested at requestedAt. After a gap or a restart
+// it removes the store, so that its listing is requested.
+func (x *Index) Apply(requestedAt time.Time, store netip.AddrPort, changes *Changes) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	state := x.stores[store]
@@ -145,12 +144,12 @@
 	}
 	changed := entriesOf(changes.Changes)
 	state.addBatch(changed)
-	state.next, state.asOf = changes.Next, askedAt
+	state.next, state.asOf = changes.Next, requestedAt
 	state.apply(changed)
-	state.expireSaves(askedAt)
+	state.expireSaves(requestedAt)
 }
 
-// Retain forgets all stores but those given.
+// Retain removes all stores but those given.
 func (x *Index) Retain(stores []netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -163,7 +162,7 @@
 	x.stores = kept
 }
 
-// Holds returns whether a store holds a part of a length in tokens.
+// Holds returns whether a store holds a part with a length in tokens.
 func (x *Index) Holds(now time.Time, store netip.AddrPort, part Part, tokens int) Presence {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -177,8 +176,8 @@
 	return Missing
 }
 
-// ReserveSave reports whether this router should have a missing part saved now, and
-// counts on it for a while if so.
+// ReserveSave reports whether this router should have a missing part saved now; if
+// so, it returns false for that part until saveTimeout has passed.
 func (x *Index) ReserveSave(now time.Time, store netip.AddrPort, part Part) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -187,14 +186,14 @@
 		return false
 	}
 	key := part.Key()
-	if askedAt, asked := state.saves[key]; asked && now.Sub(askedAt) < saveTimeout {
+	if requestedAt, pending := state.saves[key]; pending && now.Sub(requestedAt) < saveTimeout {
 		return false
 	}
 	state.saves[key] = now
 	return true
 }
 
-// entriesOf names the parts of changes by their keys.
+// entriesOf returns changes as entries with the parts' keys.
 func entriesOf(changes []Change) []Entry {
 	entries := make([]Entry, 0, len(changes))
 	for _, change := range changes {
@@ -203,7 +202,7 @@
 	return entries
 }
 
-// apply takes in changes; parts beyond the bound are taken for missing.
+// apply applies changes; new parts beyond maxParts are ignored.
 func (s *storeState) apply(changes []Entry) {
 	for _, change := range changes {
 		if change.Tokens <= 0 {
@@ -216,10 +215,10 @@
 	}
 }
 
-// expireSaves forgets the saves that must have shown by now.
+// expireSaves removes the saves older than saveTimeout.
 func (s *storeState) expireSaves(now time.Time) {
-	for key, askedAt := range s.saves {
-		if now.Sub(askedAt) >= saveTimeout {
+	for key, requestedAt := range s.saves {
+		if now.Sub(requestedAt) >= saveTimeout {
 			delete(s.saves, key)
 		}
 	}
--- a/internal/promptcache/index_test.go
+++ b/internal/promptcache/index_test.go
@@ -17,7 +17,7 @@
 	start = time.Unix(1000, 0)
 )
 
-// change is a change of the part of the tests.
+// change returns a change of the tests' part.
 func change(tokens int) promptcache.Change {
 	return promptcache.Change{Part: part, Tokens: tokens}
 }
@@ -34,7 +34,7 @@
 		{name: "listed", listed: []promptcache.Change{change(96)}, part: part, want: promptcache.Held},
 		{name: "whole blocks only", listed: []promptcache.Change{change(90)}, part: part, want: promptcache.Held},
 		{name: "partly dropped", listed: []promptcache.Change{change(89)}, part: part, want: promptcache.Missing},
-		{name: "never seen", part: part, want: promptcache.Missing},
+		{name: "not listed", part: part, want: promptcache.Missing},
 		{
 			name: "other weights", listed: []promptcache.Change{change(100)},
 			part: promptcache.Part{Salt: "v2", ID: "p"}, want: promptcache.Missing,
@@ -56,7 +56,7 @@
 			then: []promptcache.Changes{{Epoch: 7, Next: 90, Lost: true}},
 		},
 		{
-			name: "silent for too long", listed: []promptcache.Change{change(100)}, part: part,
+			name: "not read for too long", listed: []promptcache.Change{change(100)}, part: part,
 			after: 4 * time.Second, want: promptcache.Unknown,
 		},
 	}
@@ -79,10 +79,10 @@
 	is := is.New(t)
 	index := promptcache.NewIndex()
 	_, known := index.Position(store)
-	is.True(!known) // the listing is wanted
+	is.True(!known) // the listing is needed
 	index.Apply(start, store, &promptcache.Changes{Epoch: 7, Next: 5})
 	_, known = index.Position(store)
-	is.True(!known) // changes of an unknown store tell nothing
+	is.True(!known) // changes of an unknown store are ignored
 	index.Replace(start, store, &promptcache.Listing{Epoch: 7, Next: 10})
 	since, known := index.Position(store)
 	is.True(known)
@@ -92,14 +92,14 @@
 	is.Equal(since, uint64(15))
 	index.Apply(start, store, &promptcache.Changes{Epoch: 8, Next: 1})
 	_, known = index.Position(store)
-	is.True(!known) // a restarted store is listed anew
+	is.True(!known) // a restarted store is listed again
 }
 
-// One save of a part is asked for at a time, and again if it does not show.
+// A part's save must be reserved once at a time, and again after the timeout.
 func TestReserveSaveOncePerTimeout(t *testing.T) {
 	is := is.New(t)
 	index := promptcache.NewIndex()
-	is.True(!index.ReserveSave(start, store, part)) // nothing is known of the store
+	is.True(!index.ReserveSave(start, store, part)) // the store is unknown
 	index.Replace(start, store, &promptcache.Listing{Epoch: 7, Next: 10})
 	is.True(index.ReserveSave(start, store, part))
 	is.True(!index.ReserveSave(start.Add(time.Second), store, part))
