--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -15,9 +15,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing"
 )
 
-// BenchmarkRequest takes one request through the core: offered, placed,
-// started and ended. Every engine serves its model, which is the most work;
-// requests come as often as at one router of the size designed for.
+// BenchmarkRequest offers, places, starts and ends one request. Every engine
+// serves the model, which is the most work for the scheduler.
 func BenchmarkRequest(b *testing.B) {
 	for _, engines := range []int{12, 100, 860} {
 		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
@@ -27,14 +26,14 @@
 			for b.Loop() {
 				index++
 				now = now.Add(88 * time.Millisecond)
-				job := jobOf(fmt.Sprint(index), time.Second)
+				job := newJob(fmt.Sprint(index), time.Second)
 				placed := core.Offer(now, job).Placed
 				if len(placed) != 1 {
 					b.Fatal("not placed")
 				}
-				life := placed[0].Candidate.Endpoint.Incarnation
-				core.Started(now, job.Key, life, protocol.Usage{PromptTokens: 256})
-				core.Ended(now, job.Key, Result{Incarnation: life, TimeToFirstToken: time.Second, Duration: time.Second})
+				incarnation := placed[0].Candidate.Endpoint.Incarnation
+				core.RecordStart(now, job.Key, incarnation, protocol.Usage{PromptTokens: 256})
+				core.RecordEnd(now, job.Key, Result{Incarnation: incarnation, TimeToFirstToken: time.Second, Duration: time.Second})
 			}
 		})
 	}
@@ -44,10 +43,10 @@
 	is := is.New(b)
 	scheduler, err := routing.NewPredictive(routing.Config{})
 	is.NoErr(err)
-	believed, err := beliefs.New(beliefs.Config{}, start)
+	store, err := beliefs.New(beliefs.Config{}, start)
 	is.NoErr(err)
 	core := New(Config{
-		Scheduler: scheduler, Beliefs: believed, Queue: admission.NewQueue(admission.Config{}),
+		Scheduler: scheduler, Beliefs: store, Queue: admission.NewQueue(admission.Config{}),
 		NewLimiter: func() admission.Limiter { return admission.NewGradientLimiter(admission.LimitBounds{}) },
 		Hop:        func(ident.Zone) time.Duration { return 0 },
 	})
@@ -58,7 +57,7 @@
 	}
 	core.Configure(start, targets)
 	for _, target := range targets {
-		core.Reported(start, target.Engine, reportOf(ident.Incarnation(target.Engine)+"-life"))
+		core.ObserveReport(start, target.Engine, newReport(ident.Incarnation(target.Engine)+"-1"))
 	}
 	return core
 }
--- a/internal/placement/reading.go
+++ b/internal/placement/state.go
@@ -10,37 +10,37 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// Reading is the state of a core at one moment, for operators.
-type Reading struct {
+// State is a snapshot of a core's state for metrics and status.
+type State struct {
 	// Endpoints are copies of the engines in the order of the registry.
 	Endpoints []framework.Endpoint
-	// Waiting counts the jobs without a place by priority; InFlight those on
-	// an engine.
+	// Waiting counts the jobs not placed yet by priority; InFlight those on an
+	// engine.
 	Waiting  map[int]int
 	InFlight int
-	// Decisions, Queue and Beliefs are the counters of the parts.
+	// Decisions, Queue and Beliefs are the counters of the components.
 	Decisions Counters
 	Queue     admission.Counters
 	Beliefs   beliefs.Counters
-	// Directory is zero while the fleet is small enough to do without.
+	// Directory is zero while the directory is not used.
 	Directory directory.Counters
 }
 
-// Read returns the core's state.
-func (c *Core) Read(now time.Time) Reading {
-	reading := Reading{
+// State returns a snapshot of the core's state.
+func (c *Core) State(now time.Time) State {
+	state := State{
 		Endpoints: slices.Clone(c.registry.Endpoints(now)),
 		Waiting:   make(map[int]int),
-		InFlight:  len(c.flights),
+		InFlight:  len(c.inFlight),
 		Decisions: c.Counters,
 		Queue:     c.config.Queue.Counters(),
 		Beliefs:   c.config.Beliefs.Counters(),
 	}
 	if c.directory != nil {
-		reading.Directory = c.directory.Counters()
+		state.Directory = c.directory.Counters()
 	}
 	for _, job := range c.waiting {
-		reading.Waiting[job.Request.Priority]++
+		state.Waiting[job.Request.Priority]++
 	}
-	return reading
+	return state
 }
--- a/internal/prefix/beliefs/store.go
+++ b/internal/prefix/beliefs/store.go
@@ -1,13 +1,12 @@
-// Package beliefs holds what one router believes of the blocks that each
-// engine incarnation has cached. It is a state machine without I/O; the time
-// is passed in.
+// Package beliefs estimates which blocks each engine incarnation has cached, for
+// one router. It is a state machine without I/O; the time is passed in.
 //
 // Sources, best first: the cached-token counts in engines' answers, cache
-// events and snapshots of engines whose streams this router reads, what the
-// directory told, and own dispatches. Beliefs fade with the block lifetime
+// events and snapshots of engines whose streams this router reads, answers of
+// the directory, and own dispatches. Beliefs decay with the block lifetime
 // measured on each engine. A new incarnation, changed weights or a dead engine
-// drop them at once. A belief that is wrong costs time and never correctness:
-// the engine itself looks up what it holds under the tenant's salt.
+// drop them at once. A wrong belief costs time and never correctness: the engine
+// itself looks up its blocks under the tenant's salt.
 //
 // A Store is written by one goroutine at a time; Credit and Holds only read.
 package beliefs
@@ -24,15 +23,15 @@
 // Config sets a Store. A zero field takes its default.
 type Config struct {
 	// MaxBlocks is the number of blocks remembered over all engines; the least
-	// recently confirmed go first. Default: 262144.
+	// recently confirmed are evicted first. Default: 262144.
 	MaxBlocks int
 	// DefaultLifetime is the block lifetime assumed of an engine until it has
 	// been measured. Default: 30s.
 	DefaultLifetime time.Duration
-	// ExpectationLifetime is how long a dispatch that was never answered
-	// counts as a promise of cached blocks. Default: 10s.
+	// ExpectationLifetime is how long the blocks of an unanswered dispatch are
+	// expected to become cached. Default: 10s.
 	ExpectationLifetime time.Duration
-	// SnapshotInterval is the least time between two snapshots of one engine.
+	// SnapshotInterval is the minimum time between two snapshots of one engine.
 	// Default: 5s.
 	SnapshotInterval time.Duration
 }
@@ -44,7 +43,7 @@
 	defaultSnapshotInterval    = 5 * time.Second
 )
 
-// Counters counts what a Store was told. All only grow, except Blocks.
+// Counters counts a Store's observations. All only grow, except Blocks.
 type Counters struct {
 	// Blocks is the number of blocks remembered now.
 	Blocks int
@@ -54,40 +53,40 @@
 	Stale uint64
 	// Gaps counts gaps in event sequences.
 	Gaps uint64
-	// Dropped counts lives whose beliefs were dropped as a whole.
+	// Dropped counts the times that all beliefs about an engine were dropped.
 	Dropped uint64
 }
 
-// life is what is known of one engine and its present incarnation.
-type life struct {
+// engineState is the state of one engine and its current incarnation.
+type engineState struct {
 	incarnation ident.Incarnation
-	// active is false from Forget until Incarnation is told again.
+	// active is false from RecordDeath until the next SetIncarnation.
 	active bool
-	// seed keeps the blocks of different lives apart in the table.
+	// seed separates the blocks of different incarnations in the table.
 	seed uint64
 	// lifetime is the measured time from a block's last use to its eviction.
 	// It outlives incarnations: it follows from the engine's cache size.
 	lifetime time.Duration
-	// synced is true once events or a snapshot gave the whole state.
+	// synced is true once events or a snapshot were applied.
 	synced   bool
 	sequence uint64
-	// lost counts the events that did not arrive.
-	lost uint16
-	// held is about how many blocks are held, and removedPerEvent the mean
+	// lostCount counts the events that did not arrive.
+	lostCount uint16
+	// heldBlocks is an estimate of the blocks held, and removedPerEvent the mean
 	// number of blocks that one event removes.
-	held            int
+	heldBlocks      int
 	removedPerEvent float64
-	// heard is when the event stream was last heard.
-	heard          stamp
-	snapshotWanted bool
-	nextSnapshot   stamp
+	// lastEvent is when events or a snapshot last arrived.
+	lastEvent     stamp
+	needsSnapshot bool
+	nextSnapshot  stamp
 }
 
 // Store holds one router's beliefs.
 type Store struct {
 	config   Config
 	start    time.Time
-	lives    map[ident.Engine]*life
+	engines  map[ident.Engine]*engineState
 	blocks   *table
 	nextSeed uint64
 	counters Counters
@@ -99,7 +98,7 @@
 		return nil, fault.New(fault.InvalidSettings, "a setting of the cache beliefs is negative")
 	}
 	config = withDefaults(config)
-	return &Store{config: config, start: start, lives: make(map[ident.Engine]*life), blocks: newTable(config.MaxBlocks)}, nil
+	return &Store{config: config, start: start, engines: make(map[ident.Engine]*engineState), blocks: newTable(config.MaxBlocks)}, nil
 }
 
 func withDefaults(config Config) Config {
@@ -110,44 +109,44 @@
 	return config
 }
 
-// Incarnation tells which incarnation of an engine is alive. Beliefs about any
-// other one are dropped at once. Observations never do this by themselves: a
-// late answer of an earlier life must not bring its beliefs back.
-func (s *Store) Incarnation(engine ident.Engine, incarnation ident.Incarnation) {
-	known := s.lives[engine]
-	if known == nil {
-		known = &life{lifetime: s.config.DefaultLifetime}
-		s.lives[engine] = known
+// SetIncarnation sets the current incarnation of an engine, empty for none, and
+// drops beliefs about any other. Observations never change it: a late answer of
+// an earlier incarnation must not restore its beliefs.
+func (s *Store) SetIncarnation(engine ident.Engine, incarnation ident.Incarnation) {
+	state := s.engines[engine]
+	if state == nil {
+		state = &engineState{lifetime: s.config.DefaultLifetime}
+		s.engines[engine] = state
 	}
-	if known.active && known.incarnation == incarnation {
+	if state.active && state.incarnation == incarnation {
 		return
 	}
-	known.incarnation, known.active = incarnation, incarnation != ""
-	s.drop(known)
-	known.synced, known.sequence, known.snapshotWanted = false, 0, false
-	known.removedPerEvent = 0
+	state.incarnation, state.active = incarnation, incarnation != ""
+	s.drop(state)
+	state.synced, state.sequence, state.needsSnapshot = false, 0, false
+	state.removedPerEvent = 0
 }
 
-// Forget drops every belief about an engine that is believed dead.
-func (s *Store) Forget(engine ident.Engine) {
-	if known := s.lives[engine]; known != nil {
-		known.active = false
-		s.drop(known)
+// RecordDeath drops all beliefs about an engine until SetIncarnation.
+func (s *Store) RecordDeath(engine ident.Engine) {
+	if state := s.engines[engine]; state != nil {
+		state.active = false
+		s.drop(state)
 	}
 }
 
 // Remove forgets an engine that the fleet no longer has.
 func (s *Store) Remove(engine ident.Engine) {
-	s.Forget(engine)
-	delete(s.lives, engine)
+	s.RecordDeath(engine)
+	delete(s.engines, engine)
 }
 
-// WeightsChanged drops every belief about an engine whose loaded versions or
+// RecordWeightsChange drops all beliefs about an engine whose loaded versions or
 // adapters changed; the incarnation stays.
-func (s *Store) WeightsChanged(engine ident.Engine) {
-	if known := s.lives[engine]; known != nil {
-		s.drop(known)
-		known.snapshotWanted = known.synced
+func (s *Store) RecordWeightsChange(engine ident.Engine) {
+	if state := s.engines[engine]; state != nil {
+		s.drop(state)
+		state.needsSnapshot = state.synced
 	}
 }
 
@@ -161,33 +160,33 @@
 
 // Lifetime returns the block lifetime measured on an engine, or the default.
 func (s *Store) Lifetime(engine ident.Engine) time.Duration {
-	if known := s.lives[engine]; known != nil {
-		return known.lifetime
+	if state := s.engines[engine]; state != nil {
+		return state.lifetime
 	}
 	return s.config.DefaultLifetime
 }
 
-// drop makes every block of a life unreachable in constant time; the table
-// forgets them as the least recently written ones.
-func (s *Store) drop(known *life) {
+// drop makes all blocks of an incarnation unreachable in constant time; the
+// table evicts them as the least recently written ones.
+func (s *Store) drop(state *engineState) {
 	s.nextSeed++
-	known.seed = s.nextSeed * 0x9e3779b97f4a7c15
-	known.held = 0
+	state.seed = s.nextSeed * 0x9e3779b97f4a7c15
+	state.heldBlocks = 0
 	s.counters.Dropped++
 }
 
-// current returns the engine's life if the incarnation is its present one.
-func (s *Store) current(engine ident.Engine, incarnation ident.Incarnation) *life {
-	known := s.lives[engine]
-	if known == nil || !known.active || known.incarnation != incarnation {
+// current returns the engine's state if the incarnation is its current one, else nil.
+func (s *Store) current(engine ident.Engine, incarnation ident.Incarnation) *engineState {
+	state := s.engines[engine]
+	if state == nil || !state.active || state.incarnation != incarnation {
 		return nil
 	}
-	return known
+	return state
 }
 
-// key spreads a block's hash by the seed of the life that holds it.
-func (l *life) key(hash prefix.Hash) uint64 {
-	mixed := (uint64(hash) ^ l.seed) * 0xff51afd7ed558ccd
+// key returns the table key of a block under the incarnation's seed.
+func (e *engineState) key(hash prefix.Hash) uint64 {
+	mixed := (uint64(hash) ^ e.seed) * 0xff51afd7ed558ccd
 	return mixed ^ mixed>>32
 }
 
--- a/internal/prefix/beliefs/table.go
+++ b/internal/prefix/beliefs/table.go
@@ -3,22 +3,20 @@
 // none is the end of a list of slots.
 const none = int32(-1)
 
-// slot is what is believed of one block of one engine life.
+// slot is the belief in one block of one engine incarnation.
 type slot struct {
 	key        uint64
 	prev, next int32
-	// seen is when the block was last known to be held.
-	seen stamp
+	// confirmed is when the block was last known to be held.
+	confirmed stamp
 	// expected is when a request that will fill the block was dispatched.
 	expected stamp
 	source   source
-	// lost is the life's count of lost events when the block was last known to
-	// be held.
-	lost uint16
+	// lostCount is the engine's count of lost events at that time.
+	lostCount uint16
 }
 
-// table maps keys to slots, forgets the least recently written ones beyond its
-// capacity, and never holds more.
+// table maps keys to slots and evicts the least recently written one when full.
 type table struct {
 	capacity       int
 	index          map[uint64]int32
@@ -32,7 +30,7 @@
 	return &table{capacity: capacity, index: make(map[uint64]int32), newest: none, oldest: none}
 }
 
-// find returns the slot of a key, or nil. It is valid until the next write.
+// find returns the slot of a key, or nil. The slot is valid until the next write.
 func (t *table) find(key uint64) *slot {
 	position, found := t.index[key]
 	if !found {
@@ -41,22 +39,21 @@
 	return &t.slots[position]
 }
 
-// write returns the slot of a key, made if needed, as the newest one; existed
-// is false for one just made.
+// write returns the slot of a key, creating it if needed, and makes it the
+// newest; existed is false for a new one.
 func (t *table) write(key uint64) (written *slot, existed bool) {
 	if position, found := t.index[key]; found {
 		t.unlink(position)
 		t.link(position)
 		return &t.slots[position], true
 	}
-	position := t.take()
+	position := t.allocate()
 	t.slots[position] = slot{key: key}
 	t.index[key] = position
 	t.link(position)
 	return &t.slots[position], false
 }
 
-// remove forgets a key.
 func (t *table) remove(key uint64) {
 	position, found := t.index[key]
 	if !found {
@@ -67,7 +64,7 @@
 	t.free = append(t.free, position)
 }
 
-func (t *table) take() int32 {
+func (t *table) allocate() int32 {
 	if length := len(t.free); length > 0 {
 		position := t.free[length-1]
 		t.free = t.free[:length-1]
--- a/internal/prefix/directory/fuzz_test.go
+++ b/internal/prefix/directory/fuzz_test.go
@@ -9,22 +9,22 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// holdsNothing is a BlockHolder that knows no block.
-type holdsNothing struct{}
+// emptyHolder is a BlockHolder without blocks.
+type emptyHolder struct{}
 
-func (holdsNothing) Holds(ident.Engine, ident.Incarnation, prefix.Hash) (held, known bool) {
+func (emptyHolder) Holds(ident.Engine, ident.Incarnation, prefix.Hash) (held, known bool) {
 	return false, false
 }
 
-// Whatever bytes another router sends, decoding them gives a message or a
-// fault, and a node that takes the message in goes on.
+// No bytes from another router may panic the decoder or a node that handles the
+// decoded message.
 func FuzzDecode(f *testing.F) {
 	for _, message := range []Message{
 		{Lookup: &Lookup{Root: 7}},
-		{Answer: &Answer{Root: 7, GoodForMillis: 1000, Paths: [][]byte{{1, 2, 3, 4}}, Holders: []Holder{{Engine: "e", Path: 0, Landmarks: 1}}}},
+		{Answer: &Answer{Root: 7, TTLMillis: 1000, Paths: [][]byte{{1, 2, 3, 4}}, Holders: []Holder{{Engine: "e", Path: 0, Landmarks: 1}}}},
 		{Report: &Report{Holdings: []Holding{{Engine: "e", Incarnation: "i", Hashes: make([]byte, 16)}}}},
 		{Watch: &Watch{Engine: "e", Incarnation: "i", Hashes: make([]byte, 8)}},
-		{Notice: &Notice{Engine: "e", Incarnation: "i", Lost: make([]byte, 8)}},
+		{Notification: &Notification{Engine: "e", Incarnation: "i", Lost: make([]byte, 8)}},
 	} {
 		encoded, err := Encode(message)
 		if err != nil {
@@ -37,7 +37,7 @@
 		if err != nil {
 			return
 		}
-		node, err := New(Config{}, holdsNothing{})
+		node, err := New(Config{}, emptyHolder{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/prefix/directory/asker.go
+++ b/internal/prefix/directory/lookup.go
@@ -7,50 +7,50 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// cachedAnswer is what this node was told about the chains of one root.
+// cachedAnswer is the last answer of a shard about the chains of one root.
 type cachedAnswer struct {
 	answer Answer
-	// goodUntil is when the answer runs out; asked is when it was asked for last.
-	goodUntil, asked time.Time
-	// uses counts lookups since the answer; it tells the hot prefixes.
+	// expires is when the answer expires; requested is when it was last requested.
+	expires, requested time.Time
+	// uses counts lookups since the answer, to find the hot prefixes.
 	uses int
 }
 
-// HeldBy says how much of one chain an engine holds.
-type HeldBy struct {
+// ChainHolder is an engine that holds a part of one chain.
+type ChainHolder struct {
 	Engine ident.Engine
-	// Life is to be compared with the LifeDigest of the present incarnation.
-	Life uint32
+	// IncarnationDigest is the digest of the incarnation that holds the blocks.
+	IncarnationDigest uint32
 	// Blocks is the number of leading blocks held.
 	Blocks int
 }
 
-// reportKey names a report for the sake of not repeating it.
+// reportKey identifies a report, to suppress duplicates.
 type reportKey struct {
 	engine      ident.Engine
 	incarnation ident.Incarnation
 	deepest     prefix.Hash
 }
 
-// pendingHolding is a holding that waits for the next Tick.
+// pendingHolding is a holding to be reported at the next Tick.
 type pendingHolding struct {
 	root    prefix.Hash
 	holding Holding
 }
 
-// LookupResult is what Node.Lookup found.
+// LookupResult is the result of Node.Lookup.
 type LookupResult struct {
 	// Holders lists engines that hold a part of the chain, each once.
-	Holders []HeldBy
-	// Known is false if the shard has not been heard in time; the reply to
-	// Ask, if any, makes it known.
+	Holders []ChainHolder
+	// Known is false if there is no fresh answer of the shard; the answer to
+	// Request, if any, provides it.
 	Known bool
-	// Ask is a message to send, if not nil.
-	Ask *Envelope
+	// Request is a message to send, or nil.
+	Request *Envelope
 }
 
-// Lookup returns which engines hold the leading blocks of a chain. An answer
-// that has run out is given once more while a new one is asked for.
+// Lookup returns which engines hold the leading blocks of a chain. An expired
+// answer is still used while a new one is requested.
 func (n *Node) Lookup(now time.Time, chain prefix.Chain) LookupResult {
 	root, ok := chain.Root()
 	if !ok {
@@ -62,7 +62,7 @@
 	case n.view.Self:
 		n.counters.LocalAnswers++
 		answer := n.answer(now, root)
-		return LookupResult{Holders: answer.heldBy(chain), Known: true}
+		return LookupResult{Holders: answer.chainHolders(chain), Known: true}
 	case "":
 		return LookupResult{Known: true}
 	}
@@ -72,25 +72,25 @@
 		n.cache.put(root, cached)
 	}
 	cached.uses++
-	result := LookupResult{Holders: cached.answer.heldBy(chain), Known: now.Before(cached.goodUntil)}
+	result := LookupResult{Holders: cached.answer.chainHolders(chain), Known: now.Before(cached.expires)}
 	if result.Known {
 		n.counters.CachedAnswers++
 		return result
 	}
-	if now.Sub(cached.asked) >= n.config.CacheLifetime { // else the reply is on its way
-		ask := n.ask(now, owner, root, cached)
-		result.Ask = &ask
+	if now.Sub(cached.requested) >= n.config.CacheLifetime { // else an answer is pending
+		request := n.request(now, owner, root, cached)
+		result.Request = &request
 	}
 	return result
 }
 
-func (n *Node) ask(now time.Time, owner ident.Node, root prefix.Hash, cached *cachedAnswer) Envelope {
+func (n *Node) request(now time.Time, owner ident.Node, root prefix.Hash, cached *cachedAnswer) Envelope {
 	n.counters.RemoteLookups++
-	cached.asked = now
+	cached.requested = now
 	return Envelope{To: owner, Message: Message{Lookup: &Lookup{Root: root, Tag: cached.answer.Tag}}}
 }
 
-// handleAnswer keeps an answer to a root that was asked for.
+// handleAnswer caches an answer about a root that was looked up.
 func (n *Node) handleAnswer(now time.Time, answer *Answer) {
 	cached, found := n.cache.get(answer.Root)
 	if !found || !answer.valid() {
@@ -100,8 +100,8 @@
 	if answer.Tag != cached.answer.Tag {
 		cached.answer = *answer
 	}
-	goodFor := min(time.Duration(answer.GoodForMillis)*time.Millisecond, maxStretch*n.config.CacheLifetime)
-	cached.goodUntil, cached.uses = now.Add(goodFor), 0
+	lifetime := min(time.Duration(answer.TTLMillis)*time.Millisecond, maxLifetimeFactor*n.config.CacheLifetime)
+	cached.expires, cached.uses = now.Add(lifetime), 0
 }
 
 func (a *Answer) valid() bool {
@@ -114,47 +114,46 @@
 		}
 	}
 	for _, path := range a.Paths {
-		if !wellFormed(path, markBytes) {
+		if !validHashes(path, shortHashBytes) {
 			return false
 		}
 	}
 	return true
 }
 
-// heldBy returns how much of a chain each holder of the answer has.
-func (a *Answer) heldBy(chain prefix.Chain) []HeldBy {
+// chainHolders returns how much of a chain each holder of the answer holds.
+func (a *Answer) chainHolders(chain prefix.Chain) []ChainHolder {
 	if len(a.Holders) == 0 {
 		return nil
 	}
-	marks := marksOf(chain)
-	held := make([]HeldBy, 0, len(a.Holders))
+	hashes := shortHashesOf(chain)
+	holders := make([]ChainHolder, 0, len(a.Holders))
 	for _, holder := range a.Holders {
-		landmark := min(sharedLandmarks(a.Paths[holder.Path], marks), holder.Landmarks)
+		landmark := min(sharedLandmarks(a.Paths[holder.Path], hashes), holder.Landmarks)
 		if landmark <= 0 {
 			continue
 		}
-		held = deepest(held, HeldBy{holder.Engine, holder.Life, landmarkAt(landmark-1, len(chain)) + 1})
+		holders = addHolder(holders, ChainHolder{holder.Engine, holder.IncarnationDigest, landmarkAt(landmark-1, len(chain)) + 1})
 	}
-	return held
+	return holders
 }
 
-// deepest keeps one entry for each engine, the one with the most blocks.
-func deepest(list []HeldBy, added HeldBy) []HeldBy {
-	for index := range list {
-		if list[index].Engine == added.Engine && list[index].Life == added.Life {
-			list[index].Blocks = max(list[index].Blocks, added.Blocks)
-			return list
+// addHolder adds an entry, or raises Blocks of the same incarnation's entry.
+func addHolder(holders []ChainHolder, added ChainHolder) []ChainHolder {
+	for index := range holders {
+		if holders[index].Engine == added.Engine && holders[index].IncarnationDigest == added.IncarnationDigest {
+			holders[index].Blocks = max(holders[index].Blocks, added.Blocks)
+			return holders
 		}
 	}
-	return append(list, added)
+	return append(holders, added)
 }
 
-// Observed records an engine's own answer: the incarnation held the first held
-// blocks of the chain when it took the request and has computed the rest. The
-// next Tick reports to the chain's shard the part that was held, since two
-// requests shared it, or for a new prefix the whole chain. What the shard is
-// known to know already is not reported.
-func (n *Node) Observed(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, held int) {
+// RecordAnswer records an engine's own answer: the incarnation held the first
+// held blocks of the chain when it accepted the request and has computed the
+// rest. The next Tick reports the part that was held, which two requests share,
+// or for a new prefix the whole chain, unless the shard has it already.
+func (n *Node) RecordAnswer(now time.Time, engine ident.Engine, incarnation ident.Incarnation, chain prefix.Chain, held int) {
 	root, rooted := chain.Root()
 	holding, shared := holdingOf(engine, incarnation, chain, held)
 	if !shared {
@@ -172,23 +171,22 @@
 	}
 }
 
-// shardKnows reports whether the shard's last answer has the holding, or has no
-// room for it among as many engines that hold as much of the chain. Without the
-// second, every router goes on reporting each engine of a prefix that more
-// engines hold than a root remembers, all to one shard.
+// shardKnows reports whether the shard's last answer has the holding, or is full
+// of engines that hold as much of the chain. Without the second condition, all
+// routers keep reporting engines of a hot prefix that the shard has no room for.
 func (n *Node) shardKnows(now time.Time, root prefix.Hash, holding *Holding) bool {
 	cached, found := n.cache.get(root)
-	if !found || !now.Before(cached.goodUntil) {
+	if !found || !now.Before(cached.expires) {
 		return false
 	}
-	marks, life := holding.marks(), LifeDigest(holding.Incarnation)
+	hashes, digest := holding.shortHashes(), IncarnationDigest(holding.Incarnation)
 	holdAsMuch := 0
 	for _, holder := range cached.answer.Holders {
-		known := min(sharedLandmarks(cached.answer.Paths[holder.Path], marks), holder.Landmarks)
-		if known*markBytes != len(marks) {
+		known := min(sharedLandmarks(cached.answer.Paths[holder.Path], hashes), holder.Landmarks)
+		if known*shortHashBytes != len(hashes) {
 			continue
 		}
-		if holder.Engine == holding.Engine && holder.Life == life {
+		if holder.Engine == holding.Engine && holder.IncarnationDigest == digest {
 			return true
 		}
 		holdAsMuch++
@@ -205,7 +203,7 @@
 	return true
 }
 
-// flush groups the waiting holdings by shard, in the order they came.
+// flush groups the pending holdings by shard, in order of arrival.
 func (n *Node) flush(now time.Time) []Envelope {
 	var envelopes []Envelope
 	open := make(map[ident.Node]int)
@@ -235,16 +233,16 @@
 	return envelopes
 }
 
-// renewHot asks again for the most used answers before they run out, so that
-// requests for a hot prefix never wait for a shard.
-func (n *Node) renewHot(now time.Time) []Envelope {
+// refreshHot requests the most used answers before they expire, so that requests
+// for a hot prefix never wait for a shard.
+func (n *Node) refreshHot(now time.Time) []Envelope {
 	var envelopes []Envelope
 	const hotUses = 2
 	n.cache.each(func(root prefix.Hash, cached *cachedAnswer) bool {
-		due := cached.goodUntil.Sub(now) <= n.config.CacheLifetime/2 && now.Sub(cached.asked) >= n.config.CacheLifetime/2
+		due := cached.expires.Sub(now) <= n.config.CacheLifetime/2 && now.Sub(cached.requested) >= n.config.CacheLifetime/2
 		owner := n.owner(root)
 		if cached.uses >= hotUses && due && owner != n.view.Self && owner != "" {
-			envelopes = append(envelopes, n.ask(now, owner, root, cached))
+			envelopes = append(envelopes, n.request(now, owner, root, cached))
 		}
 		return len(envelopes) < n.config.HotPrefixes
 	})
--- a/internal/prefix/directory/shard.go
+++ b/internal/prefix/directory/shard.go
@@ -11,13 +11,13 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// rootEntry is what a shard knows of the chains that share one root.
+// rootEntry is a shard's state of the chains that share one root.
 type rootEntry struct {
 	holdings []shardHolding
-	// stretch is the lifetime of answers in CacheLifetimes, at least 1.
-	stretch float64
-	// asked is when a lookup came last, from this node or another.
-	asked time.Time
+	// lifetimeFactor is the lifetime of answers in CacheLifetimes, at least 1.
+	lifetimeFactor float64
+	// lastLookup is the time of the last lookup, by this node or another.
+	lastLookup time.Time
 	// lookups counts those of other nodes since windowStart.
 	lookups     int
 	windowStart time.Time
@@ -25,20 +25,20 @@
 
 type shardHolding struct {
 	Holding
-	// seen is when the holding was last reported or confirmed.
-	seen time.Time
-	// renewed is when the engine's owner was last asked to check it.
-	renewed time.Time
+	// confirmed is when the holding was last reported or confirmed.
+	confirmed time.Time
+	// requested is when the engine's owner was last asked to check it.
+	requested time.Time
 }
 
 func (n *Node) handleLookup(now time.Time, from ident.Node, lookup *Lookup) []Envelope {
 	if n.owner(lookup.Root) != n.view.Self {
-		n.counters.Misdirected++ // views differ for a moment; an empty answer is safe
+		n.counters.Misdirected++ // views may differ briefly; an empty answer is safe
 	}
 	answer := n.answer(now, lookup.Root)
 	if entry, found := n.shard.get(lookup.Root); found {
-		entry.adapt(now, n.config.CacheLifetime)
-		answer.GoodForMillis = uint32(entry.stretch * float64(n.config.CacheLifetime/time.Millisecond))
+		entry.adaptLifetime(now, n.config.CacheLifetime)
+		answer.TTLMillis = uint32(entry.lifetimeFactor * float64(n.config.CacheLifetime/time.Millisecond))
 	}
 	if answer.Tag == lookup.Tag {
 		answer.Paths, answer.Holders = nil, nil
@@ -46,73 +46,73 @@
 	return []Envelope{{To: from, Message: Message{Answer: &answer}}}
 }
 
-// adapt stretches the lifetime of answers while more lookups come than a shard
-// can bear, and shortens it again: the traffic of a root does not grow with
-// the number of routers that ask for it. Routers learn of such a root from
-// their own answers anyway.
-func (e *rootEntry) adapt(now time.Time, window time.Duration) {
+// adaptLifetime extends the lifetime of answers while lookups exceed
+// lookupsPerLifetime, and shortens it again, so that the traffic of a root does
+// not grow with the number of routers. Routers that use such a root observe its
+// holders in their own answers anyway.
+func (e *rootEntry) adaptLifetime(now time.Time, window time.Duration) {
 	const step = 1.5
-	e.stretch = max(e.stretch, 1)
+	e.lifetimeFactor = max(e.lifetimeFactor, 1)
 	if now.Sub(e.windowStart) >= window {
 		if e.lookups < lookupsPerLifetime/2 {
-			e.stretch = max(1, e.stretch/step)
+			e.lifetimeFactor = max(1, e.lifetimeFactor/step)
 		}
 		e.windowStart, e.lookups = now, 0
 	}
 	e.lookups++
 	if e.lookups > lookupsPerLifetime {
-		e.stretch, e.lookups = min(maxStretch, e.stretch*step), 0
+		e.lifetimeFactor, e.lookups = min(maxLifetimeFactor, e.lifetimeFactor*step), 0
 	}
 }
 
 // answer describes all holdings of a root. Its tag depends on the content only.
 func (n *Node) answer(now time.Time, root prefix.Hash) Answer {
-	answer := Answer{Root: root, GoodForMillis: uint32(n.config.CacheLifetime / time.Millisecond)}
+	answer := Answer{Root: root, TTLMillis: uint32(n.config.CacheLifetime / time.Millisecond)}
 	entry, found := n.shard.get(root)
 	if !found {
 		return answer
 	}
-	entry.asked = now
+	entry.lastLookup = now
 	digest := xxhash.New()
 	for index := range entry.holdings {
 		held := &entry.holdings[index]
-		if now.Sub(held.seen) >= n.config.HoldingLifetime || !n.alive(held.Engine, held.Incarnation) {
+		if now.Sub(held.confirmed) >= n.config.HoldingLifetime || !n.maybeCurrent(held.Engine, held.Incarnation) {
 			continue
 		}
-		marks := held.marks()
+		hashes := held.shortHashes()
 		answer.Holders = append(answer.Holders, Holder{
-			Engine: held.Engine, Life: LifeDigest(held.Incarnation), Path: answer.path(marks), Landmarks: len(marks) / markBytes,
+			Engine: held.Engine, IncarnationDigest: IncarnationDigest(held.Incarnation), Path: answer.path(hashes), Landmarks: len(hashes) / shortHashBytes,
 		})
 		_, _ = digest.WriteString(string(held.Engine) + "/" + string(held.Incarnation) + "/")
-		_, _ = digest.Write(marks)
+		_, _ = digest.Write(hashes)
 	}
 	if len(answer.Holders) > 0 {
-		answer.Tag = uint32(digest.Sum64()) | 1 // zero stands for no content
+		answer.Tag = uint32(digest.Sum64()) | 1 // zero means no content
 	}
 	return answer
 }
 
-// path returns the index of a path that begins with the marks, adding one or
+// path returns the index of a path that begins with the hashes, adding one or
 // extending a shorter one if needed: engines that hold more or less of the same
 // prefix share one path.
-func (a *Answer) path(marks []byte) int {
+func (a *Answer) path(hashes []byte) int {
 	for index, path := range a.Paths {
-		if bytes.HasPrefix(path, marks) {
+		if bytes.HasPrefix(path, hashes) {
 			return index
 		}
-		if bytes.HasPrefix(marks, path) {
-			a.Paths[index] = marks
+		if bytes.HasPrefix(hashes, path) {
+			a.Paths[index] = hashes
 			return index
 		}
 	}
-	a.Paths = append(a.Paths, marks)
+	a.Paths = append(a.Paths, hashes)
 	return len(a.Paths) - 1
 }
 
-// alive is true unless another incarnation of the engine is known to be.
-func (n *Node) alive(engine ident.Engine, incarnation ident.Incarnation) bool {
-	present, known := n.lives[engine]
-	return !known || present == incarnation
+// maybeCurrent is false if the engine is dead or another incarnation is current.
+func (n *Node) maybeCurrent(engine ident.Engine, incarnation ident.Incarnation) bool {
+	current, known := n.incarnations[engine]
+	return !known || current == incarnation
 }
 
 func (n *Node) handleReport(now time.Time, report *Report) []Envelope {
@@ -122,7 +122,7 @@
 	}
 	var envelopes []Envelope
 	for _, holding := range report.Holdings {
-		if !wellFormed(holding.Hashes, hashBytes) {
+		if !validHashes(holding.Hashes, hashBytes) {
 			n.counters.Malformed++
 			continue
 		}
@@ -134,8 +134,8 @@
 	return envelopes
 }
 
-// store adds a holding to its root and returns the registration of interest in
-// its blocks with the engine's owner.
+// store adds a holding to its root and returns the watch on its blocks for the
+// engine's owner.
 func (n *Node) store(now time.Time, holding Holding) []Envelope {
 	root := hashAt(holding.Hashes, 0)
 	entry, found := n.shard.get(root)
@@ -143,19 +143,19 @@
 		entry = &rootEntry{}
 		n.shard.put(root, entry)
 	}
-	entry.add(shardHolding{Holding: holding, seen: now, renewed: now})
+	entry.add(shardHolding{Holding: holding, confirmed: now, requested: now})
 	return n.watch(now, holding)
 }
 
-// watch registers interest in a holding's blocks with the engine's owner.
+// watch registers a watch on a holding's blocks with the engine's owner.
 func (n *Node) watch(now time.Time, holding Holding) []Envelope {
 	watch := &Watch{Engine: holding.Engine, Incarnation: holding.Incarnation, Hashes: holding.Hashes}
 	switch owner := n.engineOwner(holding.Engine); owner {
 	case "":
 		return nil
 	case n.view.Self:
-		if notice := n.handleWatch(owner, watch); notice != nil {
-			n.handleNotice(now, notice)
+		if notification := n.handleWatch(owner, watch); notification != nil {
+			n.handleNotification(now, notification)
 		}
 		return nil
 	default:
@@ -163,21 +163,21 @@
 	}
 }
 
-// add puts a holding in the place of one that it extends or repeats, else in a
-// free place, else in that of the one not seen for longest.
+// add replaces a holding that the new one extends or repeats, else uses a free
+// place, else replaces the least recently confirmed one.
 func (e *rootEntry) add(added shardHolding) {
 	oldest := 0
 	for index := range e.holdings {
 		held := &e.holdings[index]
 		if held.Engine == added.Engine && (held.Incarnation != added.Incarnation || related(held.Hashes, added.Hashes)) {
 			if held.Incarnation == added.Incarnation && len(held.Hashes) > len(added.Hashes) {
-				held.seen = added.seen
+				held.confirmed = added.confirmed
 				return
 			}
 			e.holdings[index] = added
 			return
 		}
-		if held.seen.Before(e.holdings[oldest].seen) {
+		if held.confirmed.Before(e.holdings[oldest].confirmed) {
 			oldest = index
 		}
 	}
@@ -188,92 +188,92 @@
 	e.holdings[oldest] = added
 }
 
-// related reports whether one list of hashes is the beginning of the other.
+// related reports whether one list of hashes is a prefix of the other.
 func related(first, second []byte) bool {
 	return bytes.HasPrefix(first, second) || bytes.HasPrefix(second, first)
 }
 
-// handleNotice takes what the owner of an engine's events knows: blocks that
-// are not held cut holdings short, checked ones confirm them.
-func (n *Node) handleNotice(now time.Time, notice *Notice) {
+// handleNotification applies a notification of an engine's owner: blocks that are
+// not held truncate holdings, checked ones confirm them.
+func (n *Node) handleNotification(now time.Time, notification *Notification) {
 	const pair = 2 * hashBytes
-	if len(notice.Lost)%pair != 0 || len(notice.Checked)%hashBytes != 0 {
+	if len(notification.Lost)%pair != 0 || len(notification.Checked)%hashBytes != 0 {
 		n.counters.Malformed++
 		return
 	}
-	if notice.Cleared {
-		n.dropAll(notice)
+	if notification.Cleared {
+		n.dropIncarnation(notification)
 		return
 	}
-	for start := 0; start < len(notice.Lost); start += pair {
-		root, gone := hashAt(notice.Lost[start:], 0), hashAt(notice.Lost[start:], 1)
-		n.eachHolding(root, notice, func(held *shardHolding) { held.cut(gone) })
+	for start := 0; start < len(notification.Lost); start += pair {
+		root, lost := hashAt(notification.Lost[start:], 0), hashAt(notification.Lost[start:], 1)
+		n.eachHolding(root, notification, func(held *shardHolding) { held.truncate(lost) })
 	}
-	for index := range len(notice.Checked) / hashBytes {
-		n.eachHolding(hashAt(notice.Checked, index), notice, func(held *shardHolding) { held.seen = now })
+	for index := range len(notification.Checked) / hashBytes {
+		n.eachHolding(hashAt(notification.Checked, index), notification, func(held *shardHolding) { held.confirmed = now })
 	}
 }
 
-// eachHolding visits the holdings of one root on the notice's engine life and
-// drops those left empty.
-func (n *Node) eachHolding(root prefix.Hash, notice *Notice, visit func(*shardHolding)) {
+// eachHolding visits the holdings of one root by the notification's incarnation
+// and drops those left empty.
+func (n *Node) eachHolding(root prefix.Hash, notification *Notification, visit func(*shardHolding)) {
 	entry, found := n.shard.get(root)
 	if !found {
 		return
 	}
 	for index := range entry.holdings {
-		if held := &entry.holdings[index]; held.Engine == notice.Engine && held.Incarnation == notice.Incarnation {
+		if held := &entry.holdings[index]; held.Engine == notification.Engine && held.Incarnation == notification.Incarnation {
 			visit(held)
 		}
 	}
 	n.prune(root, entry, func(*shardHolding) bool { return false })
 }
 
-func (n *Node) dropAll(notice *Notice) {
+func (n *Node) dropIncarnation(notification *Notification) {
 	n.shard.each(func(root prefix.Hash, entry *rootEntry) bool {
 		n.prune(root, entry, func(held *shardHolding) bool {
-			return held.Engine == notice.Engine && held.Incarnation == notice.Incarnation
+			return held.Engine == notification.Engine && held.Incarnation == notification.Incarnation
 		})
 		return true
 	})
 }
 
-// cut shortens a holding to the landmarks before the one gone.
-func (h *shardHolding) cut(gone prefix.Hash) {
+// truncate shortens a holding to the landmarks before the lost one.
+func (h *shardHolding) truncate(lost prefix.Hash) {
 	for landmark := range len(h.Hashes) / hashBytes {
-		if hashAt(h.Hashes, landmark) == gone {
+		if hashAt(h.Hashes, landmark) == lost {
 			h.Hashes = slices.Clone(h.Hashes[:landmark*hashBytes])
 			return
 		}
 	}
 }
 
-// prune drops the empty and the unwanted holdings of a root, and a root
-// without any.
-func (n *Node) prune(root prefix.Hash, entry *rootEntry, unwanted func(*shardHolding) bool) {
+// prune drops holdings that are empty or that drop selects, and a root without
+// any.
+func (n *Node) prune(root prefix.Hash, entry *rootEntry, drop func(*shardHolding) bool) {
 	entry.holdings = slices.DeleteFunc(entry.holdings, func(held shardHolding) bool {
-		return len(held.Hashes) == 0 || unwanted(&held)
+		return len(held.Hashes) == 0 || drop(&held)
 	})
 	if len(entry.holdings) == 0 {
 		n.shard.delete(root)
 	}
 }
 
-// renewHoldings drops holdings that are too old and asks the engines' owners
-// to check those that soon will be. Only roots still asked for are renewed.
-func (n *Node) renewHoldings(now time.Time) []Envelope {
+// recheckHoldings drops expired holdings and asks the engines' owners to check
+// those that soon will expire, for roots that are still looked up.
+func (n *Node) recheckHoldings(now time.Time) []Envelope {
 	var envelopes []Envelope
 	half := n.config.HoldingLifetime / 2
 	n.shard.each(func(root prefix.Hash, entry *rootEntry) bool {
 		n.prune(root, entry, func(held *shardHolding) bool {
-			return now.Sub(held.seen) >= n.config.HoldingLifetime || !n.alive(held.Engine, held.Incarnation)
+			return now.Sub(held.confirmed) >= n.config.HoldingLifetime || !n.maybeCurrent(held.Engine, held.Incarnation)
 		})
-		if now.Sub(entry.asked) >= n.config.HoldingLifetime {
+		if now.Sub(entry.lastLookup) >= n.config.HoldingLifetime {
 			return true
 		}
 		for index := 0; index < len(entry.holdings); index++ {
-			if held := &entry.holdings[index]; now.Sub(held.seen) >= half && now.Sub(held.renewed) >= half/2 {
-				held.renewed = now
+			if held := &entry.holdings[index]; now.Sub(held.confirmed) >= half && now.Sub(held.requested) >= half/2 {
+				held.requested = now
 				envelopes = append(envelopes, n.watch(now, held.Holding)...)
 			}
 		}
--- a/internal/promptcache/copy_test.go
+++ b/internal/promptcache/copy_test.go
@@ -11,14 +11,14 @@
 	"github.com/fieldpond/fieldpond/internal/promptcache"
 )
 
-// Copies that were brought up to date, at whatever times, believe what the reader of
-// the store believes.
-func TestCopiesAgreeWithTheReader(t *testing.T) {
+// A copy must match the reader's content after each update, however many changes
+// lie between two updates.
+func TestCopyMatchesReader(t *testing.T) {
 	tests := []struct {
 		name string
-		// every is how many answers of the store pass between two updates.
+		// every is the number of changes of the store between two updates.
 		every int
-	}{{"at once", 1}, {"some later", 7}, {"beyond what is kept", 100}}
+	}{{"each change", 1}, {"several changes", 7}, {"more than kept", 100}}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -35,7 +35,7 @@
 				}
 				reader.Apply(now, store, changes)
 				if step%tt.every == 0 {
-					follower.Take(now, reader.Updates(now, follower.Positions()))
+					follower.ApplyUpdates(now, reader.Updates(now, follower.Positions()))
 					is.Equal(follower.Positions(), reader.Positions())
 					for range 10 {
 						part := randomPart(random)
@@ -51,7 +51,7 @@
 	return promptcache.Part{Salt: "v1", ID: fmt.Sprint(random.IntN(50))}
 }
 
-func TestUpdatesThatDoNotFitChangeNothing(t *testing.T) {
+func TestStaleOrGappedUpdatesAreIgnored(t *testing.T) {
 	entries := []promptcache.Entry{{Key: part.Key(), Tokens: 100}}
 	position := promptcache.Position{Store: store, Epoch: 7, Next: 11}
 	otherEpoch := position
@@ -59,27 +59,27 @@
 	tests := []struct {
 		name   string
 		update promptcache.Update
-		want   promptcache.Belief
+		want   promptcache.Presence
 	}{
 		{"next changes", promptcache.Update{Position: position, Since: 10, Entries: entries}, promptcache.Held},
 		{"a gap", promptcache.Update{Position: position, Since: 9, Entries: entries}, promptcache.Missing},
-		{"another life of the store", promptcache.Update{Position: otherEpoch, Since: 10, Entries: entries}, promptcache.Missing},
-		{"older news", promptcache.Update{Position: position, Since: 10, Entries: entries, Age: 2 * time.Second}, promptcache.Missing},
-		{"the whole of another life", promptcache.Update{Position: otherEpoch, Whole: true, Entries: entries}, promptcache.Held},
+		{"another epoch", promptcache.Update{Position: otherEpoch, Since: 10, Entries: entries}, promptcache.Missing},
+		{"older update", promptcache.Update{Position: position, Since: 10, Entries: entries, Age: 2 * time.Second}, promptcache.Missing},
+		{"full update of another epoch", promptcache.Update{Position: otherEpoch, Full: true, Entries: entries}, promptcache.Held},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			index := promptcache.NewIndex()
 			index.Replace(start, store, &promptcache.Listing{Epoch: 7, Next: 10})
-			index.Take(start.Add(time.Second), []promptcache.Update{tt.update})
+			index.ApplyUpdates(start.Add(time.Second), []promptcache.Update{tt.update})
 			is.Equal(index.Holds(start.Add(time.Second), store, part, 100), tt.want)
 		})
 	}
 }
 
-// A store of which the teller has not heard for long is not told.
-func TestOldNewsAreNotTold(t *testing.T) {
+// A store not read for too long must be left out of updates.
+func TestUpdatesLeaveOutStaleStores(t *testing.T) {
 	is := is.New(t)
 	index := promptcache.NewIndex()
 	index.Replace(start, store, &promptcache.Listing{Epoch: 7, Next: 10})
--- a/internal/promptcache/index.go
+++ b/internal/promptcache/index.go
@@ -1,8 +1,8 @@
-// Package promptcache believes what the stores of kept prompt caches hold, from
-// the changes that they tell.
+// Package promptcache tracks the content of the prompt cache stores from the
+// changes that they report.
 //
-// Index is a state machine without I/O or clock. It is guarded by a mutex, because
-// requests ask it in any goroutine.
+// Index is a state machine without I/O or clock. A mutex guards it, because
+// requests use it from any goroutine.
 package promptcache
 
 import (
@@ -13,32 +13,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part names the cache of one part of a prompt.
+// Part identifies the cache of one part of a prompt.
 type Part struct {
 	// Salt separates caches of different weights and of isolated tenants.
 	Salt string
 	ID   string
 }
 
-// Key is a short name of the part: 64 bits, so that beliefs about thousands of parts
-// take little memory and few bytes between routers. Two parts of the same name would
-// be taken for one, at the price of one save too few.
+// Key returns a 64-bit hash of the part, which takes little memory and few bytes
+// between routers. A collision costs one missing save.
 func (p Part) Key() uint64 { return xxhash.Sum64String(p.Salt + "\x00" + p.ID) }
 
-// Change says how much of a part's cache a store holds from now on.
+// Change is the new size of a part's cache in a store.
 type Change struct {
 	Part
 	// Tokens is 0 once nothing is left.
 	Tokens int
 }
 
-// Changes are what changed in a store since a position in its history.
+// Changes are a store's changes since a position in its history.
 type Changes struct {
 	// Epoch changes when the store restarts, which empties it.
 	Epoch uint64
-	// Next is the position to ask from the next time.
+	// Next is the position of the next request.
 	Next uint64
-	// Lost says that older changes are missing.
+	// Lost means that older changes are missing.
 	Lost    bool
 	Changes []Change
 }
@@ -49,178 +48,178 @@
 	Held        []Change
 }
 
-// Belief says whether a store holds a part.
-type Belief uint8
+// Presence is whether a store holds a part.
+type Presence uint8
 
 const (
-	// Unknown means that too little was heard of the store.
-	Unknown Belief = iota
-	// Missing means that the part would have to be read by an engine.
+	// Unknown means that the store was not read lately.
+	Unknown Presence = iota
+	// Missing means that an engine would have to prefill the part.
 	Missing
 	// Held means that the part can be fetched.
 	Held
 )
 
 const (
-	// staleAfter is how long a store's word is taken for its present state.
+	// staleAfter is how long a store's response counts as its current state.
 	staleAfter = 3 * time.Second
-	// savedWithin is how long after it was asked for a save is expected to show
-	// in the store.
-	savedWithin = 1500 * time.Millisecond
-	// heldPart is the least part of a cache, in tenths, that is worth a fetch:
+	// saveTimeout is the time from a save's request until the store should report
+	// the part.
+	saveTimeout = 1500 * time.Millisecond
+	// minHeldTenths is the least share of a part, in tenths, that counts as held:
 	// stores keep whole blocks only.
-	heldPart = 9
+	minHeldTenths = 9
 	// maxParts bounds the parts remembered of one store.
 	maxParts = 1 << 16
 )
 
-// Index holds the beliefs about all stores. It is safe for concurrent use.
+// Index holds the known content of all stores. It is safe for concurrent use.
 type Index struct {
 	mu     sync.Mutex
-	stores map[netip.AddrPort]*contents
+	stores map[netip.AddrPort]*storeState
 }
 
-// contents is what is believed of one store.
-type contents struct {
+// storeState is the known content of one store.
+type storeState struct {
 	epoch, next uint64
-	heardAt     time.Time
-	// held are the tokens kept of each part, by the part's key.
-	held map[uint64]int
-	// saving holds when the save of a part was asked for by this router.
-	saving map[uint64]time.Time
-	// batches are the newest changes, for other routers; logged counts their entries.
-	batches []batch
-	logged  int
-}
-
-// newContents returns contents that are empty but for the saves that a former copy of
-// the store waits for.
-func newContents(epoch, next uint64, former *contents) *contents {
-	fresh := &contents{epoch: epoch, next: next, held: make(map[uint64]int), saving: make(map[uint64]time.Time)}
-	if former != nil {
-		fresh.saving = former.saving
+	asOf        time.Time
+	// heldTokens is the number of tokens held of each part, by Part.Key.
+	heldTokens map[uint64]int
+	// saves is when this router requested the save of a part, by Part.Key.
+	saves map[uint64]time.Time
+	// batches are the newest changes, for other routers; batchEntries counts their entries.
+	batches      []batch
+	batchEntries int
+}
+
+// newStoreState returns a state without parts that keeps the pending saves of the
+// previous state, which may be nil.
+func newStoreState(epoch, next uint64, previous *storeState) *storeState {
+	state := &storeState{epoch: epoch, next: next, heldTokens: make(map[uint64]int), saves: make(map[uint64]time.Time)}
+	if previous != nil {
+		state.saves = previous.saves
 	}
-	return fresh
+	return state
 }
 
-// NewIndex returns an index that knows no store.
+// NewIndex returns an index without stores.
 func NewIndex() *Index {
-	return &Index{stores: make(map[netip.AddrPort]*contents)}
+	return &Index{stores: make(map[netip.AddrPort]*storeState)}
 }
 
-// Position returns where to ask a store's changes from; false means that its
-// whole listing is wanted.
+// Position returns the position to request a store's changes from; known is false
+// if its listing is needed.
 func (x *Index) Position(store netip.AddrPort) (since uint64, known bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := x.stores[store]
-	if found == nil {
+	state := x.stores[store]
+	if state == nil {
 		return 0, false
 	}
-	return found.next, true
+	return state.next, true
 }
 
-// Replace takes in the listing of a store that was asked for at a time.
-func (x *Index) Replace(askedAt time.Time, store netip.AddrPort, listing *Listing) {
+// Replace sets a store's content to a listing requested at requestedAt.
+func (x *Index) Replace(requestedAt time.Time, store netip.AddrPort, listing *Listing) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := newContents(listing.Epoch, listing.Next, nil)
-	found.heardAt = askedAt
-	found.take(entries(listing.Held))
-	x.stores[store] = found
+	state := newStoreState(listing.Epoch, listing.Next, nil)
+	state.asOf = requestedAt
+	state.apply(entriesOf(listing.Held))
+	x.stores[store] = state
 }
 
-// Apply takes in the changes of a store that were asked for at a time. After a
-// gap or a restart it forgets the store, whose listing is wanted then.
-func (x *Index) Apply(askedAt time.Time, store netip.AddrPort, changes *Changes) {
+// Apply applies changes of a store requested at requestedAt. After a gap or a restart
+// it removes the store, so that its listing is requested.
+func (x *Index) Apply(requestedAt time.Time, store netip.AddrPort, changes *Changes) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := x.stores[store]
-	if found == nil {
+	state := x.stores[store]
+	if state == nil {
 		return
 	}
-	if changes.Lost || changes.Epoch != found.epoch {
+	if changes.Lost || changes.Epoch != state.epoch {
 		delete(x.stores, store)
 		return
 	}
-	changed := entries(changes.Changes)
-	found.log(changed)
-	found.next, found.heardAt = changes.Next, askedAt
-	found.take(changed)
-	found.settle(askedAt)
+	changed := entriesOf(changes.Changes)
+	state.addBatch(changed)
+	state.next, state.asOf = changes.Next, requestedAt
+	state.apply(changed)
+	state.expireSaves(requestedAt)
 }
 
-// Retain forgets all stores but those given.
+// Retain removes all stores but those given.
 func (x *Index) Retain(stores []netip.AddrPort) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	kept := make(map[netip.AddrPort]*contents, len(stores))
+	kept := make(map[netip.AddrPort]*storeState, len(stores))
 	for _, store := range stores {
-		if found := x.stores[store]; found != nil {
-			kept[store] = found
+		if state := x.stores[store]; state != nil {
+			kept[store] = state
 		}
 	}
 	x.stores = kept
 }
 
-// Holds returns whether a store holds a part of a length in tokens.
-func (x *Index) Holds(now time.Time, store netip.AddrPort, part Part, tokens int) Belief {
+// Holds returns whether a store holds a part with a length in tokens.
+func (x *Index) Holds(now time.Time, store netip.AddrPort, part Part, tokens int) Presence {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := x.stores[store]
+	state := x.stores[store]
 	switch {
-	case found == nil || now.Sub(found.heardAt) > staleAfter:
+	case state == nil || now.Sub(state.asOf) > staleAfter:
 		return Unknown
-	case found.held[part.Key()]*10 >= tokens*heldPart && tokens > 0:
+	case state.heldTokens[part.Key()]*10 >= tokens*minHeldTenths && tokens > 0:
 		return Held
 	}
 	return Missing
 }
 
-// Reserve reports whether this router should have a missing part saved now, and
-// counts on it for a while if so.
-func (x *Index) Reserve(now time.Time, store netip.AddrPort, part Part) bool {
+// ReserveSave reports whether this router should have a missing part saved now; if
+// so, it returns false for that part until saveTimeout has passed.
+func (x *Index) ReserveSave(now time.Time, store netip.AddrPort, part Part) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	found := x.stores[store]
-	if found == nil {
+	state := x.stores[store]
+	if state == nil {
 		return false
 	}
 	key := part.Key()
-	if askedAt, asked := found.saving[key]; asked && now.Sub(askedAt) < savedWithin {
+	if requestedAt, pending := state.saves[key]; pending && now.Sub(requestedAt) < saveTimeout {
 		return false
 	}
-	found.saving[key] = now
+	state.saves[key] = now
 	return true
 }
 
-// entries names the parts of changes by their keys.
-func entries(changes []Change) []Entry {
-	named := make([]Entry, 0, len(changes))
+// entriesOf returns changes as entries with the parts' keys.
+func entriesOf(changes []Change) []Entry {
+	entries := make([]Entry, 0, len(changes))
 	for _, change := range changes {
-		named = append(named, Entry{Key: change.Part.Key(), Tokens: change.Tokens})
+		entries = append(entries, Entry{Key: change.Part.Key(), Tokens: change.Tokens})
 	}
-	return named
+	return entries
 }
 
-// take takes in changes; parts beyond the bound are taken for missing.
-func (c *contents) take(changes []Entry) {
+// apply applies changes; new parts beyond maxParts are ignored.
+func (s *storeState) apply(changes []Entry) {
 	for _, change := range changes {
 		if change.Tokens <= 0 {
-			delete(c.held, change.Key)
+			delete(s.heldTokens, change.Key)
 			continue
 		}
-		if _, known := c.held[change.Key]; known || len(c.held) < maxParts {
-			c.held[change.Key] = change.Tokens
+		if _, known := s.heldTokens[change.Key]; known || len(s.heldTokens) < maxParts {
+			s.heldTokens[change.Key] = change.Tokens
 		}
 	}
 }
 
-// settle forgets the saves that must have shown by now.
-func (c *contents) settle(now time.Time) {
-	for key, askedAt := range c.saving {
-		if now.Sub(askedAt) >= savedWithin {
-			delete(c.saving, key)
+// expireSaves removes the saves older than saveTimeout.
+func (s *storeState) expireSaves(now time.Time) {
+	for key, requestedAt := range s.saves {
+		if now.Sub(requestedAt) >= saveTimeout {
+			delete(s.saves, key)
 		}
 	}
 }
