--- a/cmd/fieldpond/apply.go
+++ b/cmd/fieldpond/apply.go
@@ -15,8 +15,8 @@
 // defaultApplyTimeout bounds an apply together with its wait.
 const defaultApplyTimeout = 18 * time.Second
 
-// applyChoices holds the flags of apply.
-type applyChoices struct {
+// applyFlags holds the flags of apply.
+type applyFlags struct {
 	path    string
 	url     string
 	base    uint64
@@ -35,7 +35,7 @@
 }
 
 func newApplyCommand() *cobra.Command {
-	choices := &applyChoices{}
+	flags := &applyFlags{}
 	command := &cobra.Command{
 		Use:   "apply -f FILE --platform URL",
 		Short: "Put a fleet file in force",
@@ -61,58 +61,58 @@
 
   # Drain an engine: set 'state: leaving' in its entry and apply the file.`,
 		Args: cobra.NoArgs,
-		RunE: func(command *cobra.Command, _ []string) error { return runApply(command, choices) },
+		RunE: func(command *cobra.Command, _ []string) error { return runApply(command, flags) },
 	}
-	addFileFlag(command, &choices.path)
-	addPlatformFlag(command, &choices.url)
-	commandline.AddOutputFlag(command, &choices.output)
-	command.Flags().Uint64Var(&choices.base, "base", 0, "apply only if this version is in force; 0 means no file yet")
-	command.Flags().BoolVar(&choices.wait, "wait", false, "wait until every live router has the version in force")
-	command.Flags().StringSliceVar(&choices.routers, "routers", nil, "host:port of routers to ask with --wait; one is enough, more outlast the loss of one")
-	command.Flags().DurationVar(&choices.timeout, "timeout", defaultApplyTimeout, "longest time for the apply and its wait together")
+	addFileFlag(command, &flags.path)
+	addPlatformFlag(command, &flags.url)
+	commandline.AddOutputFlag(command, &flags.output)
+	command.Flags().Uint64Var(&flags.base, "base", 0, "apply only if this version is in force; 0 means no file yet")
+	command.Flags().BoolVar(&flags.wait, "wait", false, "wait until every live router has the version in force")
+	command.Flags().StringSliceVar(&flags.routers, "routers", nil, "host:port of routers to ask with --wait; one is enough, more outlast the loss of one")
+	command.Flags().DurationVar(&flags.timeout, "timeout", defaultApplyTimeout, "longest time for the apply and its wait together")
 	command.MarkFlagsRequiredTogether("wait", "routers")
 	return command
 }
 
-func runApply(command *cobra.Command, choices *applyChoices) error {
-	if choices.timeout <= 0 {
-		return fault.New(fault.InvalidSettings, "--timeout is %s", choices.timeout).WithRemedy("give a positive duration such as 18s")
+func runApply(command *cobra.Command, flags *applyFlags) error {
+	if flags.timeout <= 0 {
+		return fault.New(fault.InvalidSettings, "--timeout is %s", flags.timeout).WithRemedy("give a positive duration such as 18s")
 	}
-	body, err := readFleetFile(command, choices.path)
+	body, err := readFleetFile(command, flags.path)
 	if err != nil {
 		return err
 	}
-	if _, err := parseFleetFile(command, body, choices.path); err != nil {
+	if _, err := parseFleetFile(command, body, flags.path); err != nil {
 		return err
 	}
-	table, err := openTable(choices.url)
+	table, err := openTable(flags.url)
 	if err != nil {
 		return err
 	}
 	options := fleet.ApplyOptions{}
 	if command.Flags().Changed("base") {
-		base := fleet.Version(choices.base)
+		base := fleet.Version(flags.base)
 		options.Base = &base
 	}
-	ctx, cancel := context.WithTimeout(command.Context(), choices.timeout)
+	ctx, cancel := context.WithTimeout(command.Context(), flags.timeout)
 	defer cancel()
 	applied, err := fleet.Apply(ctx, table, body, options)
 	if err != nil {
 		return err
 	}
-	return reportApply(ctx, command, choices, applied)
+	return reportApply(ctx, command, flags, applied)
 }
 
 // reportApply prints the outcome after waiting, if asked to. The outcome of the
 // apply is printed also when the wait fails.
-func reportApply(ctx context.Context, command *cobra.Command, choices *applyChoices, applied fleet.Applied) error {
+func reportApply(ctx context.Context, command *cobra.Command, flags *applyFlags, applied fleet.Applied) error {
 	report := applyReport{Applied: applied}
 	var waitErr error
-	if choices.wait {
-		waiter := &statusWaiter{newRoutersClient(choices.routers), func(line string) { command.PrintErrln(line) }}
+	if flags.wait {
+		waiter := &statusWaiter{newRoutersClient(flags.routers), func(line string) { command.PrintErrln(line) }}
 		report.InForceOn, waitErr = waiter.wait(ctx, max(applied.Version, applied.SupersededBy))
 	}
-	if choices.output == commandline.FormatJSON {
+	if flags.output == commandline.FormatJSON {
 		if err := commandline.WriteJSON(command.OutOrStdout(), report); err != nil {
 			return err
 		}
--- a/cmd/fieldpond/check.go
+++ b/cmd/fieldpond/check.go
@@ -54,7 +54,7 @@
 		if err := commandline.WriteJSON(command.OutOrStdout(), report); err != nil {
 			return err
 		}
-		return summarise(problems)
+		return problemsError(problems)
 	}
 	document, err := parseFleetFile(command, body, path)
 	if err != nil {
--- a/cmd/fieldpond/edge.go
+++ b/cmd/fieldpond/edge.go
@@ -39,7 +39,7 @@
 			}
 			ctx, stop := commandline.UntilStopped(command)
 			defer stop()
-			watchReload()
+			checkSettingsOnHangup()
 			return platform.Run(ctx, settings, options, command.OutOrStdout())
 		},
 	}
@@ -49,9 +49,9 @@
 	return command
 }
 
-// watchReload checks the settings file anew on SIGHUP. What is in it is fixed
+// checkSettingsOnHangup checks the settings file anew on SIGHUP. What is in it is fixed
 // for the life of a process, so a sound file changes nothing.
-func watchReload() {
+func checkSettingsOnHangup() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	go func() {
--- a/cmd/fieldpond/exitcode_test.go
+++ b/cmd/fieldpond/exitcode_test.go
@@ -14,10 +14,10 @@
 	useMemoryTable(t)
 	invalid := editedExample(t, "kind: model", "kind: modell")
 	edited := editedExample(t, "share: 6", "share: 7")
-	nobody := freeAddress(t)
+	unusedAddress := freeAddress(t)
 	cases := []struct {
-		name, arguments, said string
-		code                  int
+		name, arguments, wantOutput string
+		code                        int
 	}{
 		{"sound file", "check -f " + exampleFile, "is sound", 0},
 		{"diff to nothing", "diff -f " + exampleFile + " --platform x", "against version 0", 0},
@@ -34,7 +34,7 @@
 		{"no time", "apply -f " + exampleFile + " --platform x --timeout 0s", "--timeout", 3},
 		{"no settings", "router", "remedy", 3},
 		{"lost race", "apply -f " + edited + " --platform x --base 9", "version 1", 4},
-		{"nobody answers", "status --routers " + nobody, "no router answered", 6},
+		{"nobody answers", "status --routers " + unusedAddress, "no router answered", 6},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			root.SetOut(&output)
 			root.SetErr(&output)
 			is.Equal(commandline.Run(root), test.code)
-			is.True(strings.Contains(output.String(), test.said))
+			is.True(strings.Contains(output.String(), test.wantOutput))
 		})
 	}
 }
--- a/cmd/fieldpond/fleetcommand.go
+++ b/cmd/fieldpond/fleetcommand.go
@@ -51,13 +51,13 @@
 	for _, problem := range problems {
 		command.PrintErrln(problem)
 	}
-	return document, summarise(problems)
+	return document, problemsError(problems)
 }
 
-// summarise returns the fault of a list whose lines have been printed already.
-func summarise(problems fleet.Problems) error {
-	if found := len(problems.Errors()); found > 0 {
-		return fault.New(fault.InvalidFleet, "%d errors in %s", found, problems[0].File)
+// problemsError returns the fault of a list whose lines have been printed already.
+func problemsError(problems fleet.Problems) error {
+	if count := len(problems.Errors()); count > 0 {
+		return fault.New(fault.InvalidFleet, "%d errors in %s", count, problems[0].File)
 	}
 	return nil
 }
--- a/cmd/fieldpond/fleetcommand_test.go
+++ b/cmd/fieldpond/fleetcommand_test.go
@@ -46,9 +46,9 @@
 }
 
 func useMemoryTable(t *testing.T) {
-	before, table := openTable, memoryTable{}
+	original, table := openTable, memoryTable{}
 	openTable = func(string) (store.Table, error) { return table, nil }
-	t.Cleanup(func() { openTable = before })
+	t.Cleanup(func() { openTable = original })
 }
 
 // run executes a command line and returns its standard and error output.
@@ -82,7 +82,7 @@
 	return path
 }
 
-func TestCheckNamesEveryLine(t *testing.T) {
+func TestCheckReportsLineNumbers(t *testing.T) {
 	check := is.New(t)
 	path := editedExample(t, "zone: wien-halle", "zone: wien")
 	_, errorOutput, err := run("check", "-f", path)
@@ -126,18 +126,18 @@
 		{"second is dead", "0", "dead", false},
 	}
 	// The first round comes too early. The last one ends the command's time.
-	const followsAt, endsAt = 2, 4
+	const inForceAt, cancelAt = 2, 4
 	for _, test := range cases {
 		check := is.NewRelaxed(t)
 		useMemoryTable(t)
 		ctx, cancel := context.WithCancel(context.Background())
-		var asked atomic.Int64
+		var requests atomic.Int64
 		router := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-			version, round := "0", asked.Add(1)
-			if round >= followsAt {
+			version, round := "0", requests.Add(1)
+			if round >= inForceAt {
 				version = "1"
 			}
-			if round == endsAt {
+			if round == cancelAt {
 				cancel()
 			}
 			_, _ = writer.Write([]byte(`{"node":"n1","fleet_version":` + version + `,"members":[{"node":"n2","fleet_version":` + test.second + `,"state":"` + test.state + `"}]}`))
@@ -150,6 +150,6 @@
 		check.True(strings.HasPrefix(progress, "waiting for version 1 on "))
 		check.Equal(fault.Is(err, fault.Timeout), test.lags)
 		check.True(!test.lags || strings.Contains(err.Error(), "n2 (version 0)"))
-		check.Equal(asked.Load(), map[bool]int64{false: followsAt, true: endsAt}[test.lags])
+		check.Equal(requests.Load(), map[bool]int64{false: inForceAt, true: cancelAt}[test.lags])
 	}
 }
--- a/cmd/fieldpond/help_test.go
+++ b/cmd/fieldpond/help_test.go
@@ -12,7 +12,7 @@
 	"github.com/fieldpond/fieldpond/platform"
 )
 
-func TestAnUnknownMechanismEndsTheCommand(t *testing.T) {
+func TestEdgeRejectsUnknownMechanism(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "local.toml")
 	settings := strings.Join([]string{
@@ -30,13 +30,13 @@
 	is.True(strings.Contains(err.Error(), "early-refusal")) // the remedy
 }
 
-func TestHelpTeachesWithSoundExamples(t *testing.T) {
+func TestHelpExamplesAreValid(t *testing.T) {
 	is := is.New(t)
 	is.Equal(commandline.CheckHelp(newRootCommand()), nil)
 }
 
 // Every command line on a page is one that this program understands.
-func TestPagesShowSoundCommands(t *testing.T) {
+func TestPagesShowValidCommands(t *testing.T) {
 	is := is.New(t)
 	shown, problems := commandline.CheckPages(newRootCommand(), os.DirFS("../.."), "README.md", "docs")
 	is.Equal(problems, nil)
--- a/cmd/fieldpond/routers.go
+++ b/cmd/fieldpond/routers.go
@@ -32,29 +32,29 @@
 	return &routersClient{addresses: addresses, client: &http.Client{Timeout: statusTimeout}}
 }
 
-// routerAnswer is what one router answered.
-type routerAnswer struct {
+// routerResult is what one router answered.
+type routerResult struct {
 	address string
 	status  status.Router
 	err     error
 }
 
-// ask asks all routers at once and returns their answers in the order of the
+// fetchAll asks all routers at once and returns their answers in the order of the
 // addresses.
-func (c *routersClient) ask(ctx context.Context) []routerAnswer {
-	answers := make([]routerAnswer, len(c.addresses))
+func (c *routersClient) fetchAll(ctx context.Context) []routerResult {
+	results := make([]routerResult, len(c.addresses))
 	finished := make(chan struct{}, len(c.addresses))
 	for index, address := range c.addresses {
 		go func() {
 			reported, err := c.fetch(ctx, address)
-			answers[index] = routerAnswer{address, reported, err}
+			results[index] = routerResult{address, reported, err}
 			finished <- struct{}{}
 		}()
 	}
 	for range c.addresses {
 		<-finished
 	}
-	return answers
+	return results
 }
 
 func (c *routersClient) fetch(ctx context.Context, address string) (status.Router, error) {
@@ -80,58 +80,58 @@
 	return reported, nil
 }
 
-// failuresOf describes the routers that did not answer.
-func failuresOf(answers []routerAnswer) []string {
+// describeFailures describes the routers that did not answer.
+func describeFailures(results []routerResult) []string {
 	var failures []string
-	for _, answer := range answers {
-		if answer.err != nil {
-			failures = append(failures, answer.address+": "+answer.err.Error())
+	for _, result := range results {
+		if result.err != nil {
+			failures = append(failures, result.address+": "+result.err.Error())
 		}
 	}
 	return failures
 }
 
-// versionsSeen is the highest fleet version heard of each live router.
+// observedVersions is the highest fleet version heard of each live router.
 // Versions only rise, so the highest of several accounts is the newest.
-type versionsSeen map[ident.Node]uint64
+type observedVersions map[ident.Node]uint64
 
 // isLive reports whether a member may be serving: a suspected one may be alive.
 func isLive(member status.Member) bool {
 	return member.State == status.MemberAlive || member.State == status.MemberSuspect
 }
 
-// versionsOf joins the accounts of all routers that answered.
-func versionsOf(answers []routerAnswer) versionsSeen {
-	seen := versionsSeen{}
-	for _, answer := range answers {
-		if answer.err != nil {
+// collectVersions joins the accounts of all routers that answered.
+func collectVersions(results []routerResult) observedVersions {
+	versions := observedVersions{}
+	for _, result := range results {
+		if result.err != nil {
 			continue
 		}
-		seen[answer.status.Node] = max(seen[answer.status.Node], answer.status.FleetVersion)
-		for _, member := range answer.status.Members {
+		versions[result.status.Node] = max(versions[result.status.Node], result.status.FleetVersion)
+		for _, member := range result.status.Members {
 			if isLive(member) {
-				seen[member.Node] = max(seen[member.Node], member.FleetVersion)
+				versions[member.Node] = max(versions[member.Node], member.FleetVersion)
 			}
 		}
 	}
-	return seen
+	return versions
 }
 
-// newest returns the highest version seen.
-func (v versionsSeen) newest() uint64 {
-	var newest uint64
+// highest returns the highest version seen.
+func (v observedVersions) highest() uint64 {
+	var highest uint64
 	for _, version := range v {
-		newest = max(newest, version)
+		highest = max(highest, version)
 	}
-	return newest
+	return highest
 }
 
 // lagging names the routers whose version is below the given one.
-func (v versionsSeen) lagging(version uint64) []string {
+func (v observedVersions) lagging(version uint64) []string {
 	var lagging []string
-	for node, has := range v {
-		if has < version {
-			lagging = append(lagging, fmt.Sprintf("%s (version %d)", node, has))
+	for node, observed := range v {
+		if observed < version {
+			lagging = append(lagging, fmt.Sprintf("%s (version %d)", node, observed))
 		}
 	}
 	slices.Sort(lagging)
--- a/cmd/fieldpond/secrets_test.go
+++ b/cmd/fieldpond/secrets_test.go
@@ -33,11 +33,11 @@
 
 // What must not show. Every one is sent to the router or given to it.
 const (
-	secretCluster = "cluster-key-4f1c9a-4f1c9a-4f1c9a-4f1c9a"
-	secretKey     = "tenant-key-83b2d7"
-	secretWrong   = "mistyped-key-5e60c1"
-	secretPrompt  = "prompt-text-19d4ae"
-	secretBooking = "booking-text-77c03f"
+	secretCluster     = "cluster-key-4f1c9a-4f1c9a-4f1c9a-4f1c9a"
+	secretKey         = "tenant-key-83b2d7"
+	secretMistypedKey = "mistyped-key-5e60c1"
+	secretPrompt      = "prompt-text-19d4ae"
+	secretBooking     = "booking-text-77c03f"
 )
 
 const secretsFleet = `schema: fieldpond/v1
@@ -80,11 +80,11 @@
 // startBackEnds starts the stand-ins and returns the fleet file that names them.
 func startBackEnds(t *testing.T) string {
 	t.Helper()
-	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
+	silent := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	config := model.DefaultConfig()
 	config.Name, config.Zone, config.DecodePerToken = "e1", "z1", time.Millisecond
 	config.Models = []protocol.LoadedModel{{Model: "m1", Version: "v1"}}
-	server, err := engine.New(engine.Options{Model: config, Logger: quiet})
+	server, err := engine.New(engine.Options{Model: config, Logger: silent})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	background(t, func(ctx context.Context) error { return server.Run(ctx, listener) })
+	runInBackground(t, func(ctx context.Context) error { return server.Run(ctx, listener) })
 	bookings := httptest.NewServer(application.NewServer(application.Options{}))
 	t.Cleanup(bookings.Close)
 	text := fmt.Sprintf(secretsFleet, listener.Addr(), bookings.Listener.Addr(), sha256.Sum256([]byte(secretKey)))
@@ -103,8 +103,8 @@
 	return path
 }
 
-// background runs a function until the test ends, and then waits for its end.
-func background(t *testing.T, run func(context.Context) error) {
+// runInBackground runs a function until the test ends, and then waits for its end.
+func runInBackground(t *testing.T, run func(context.Context) error) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -131,7 +131,7 @@
 		"router", "--node", "n1", "--zone", "z1", "--listen", started.router, "--gossip-listen", started.router,
 		"--platform", store.URL, "--cluster-key-environment", "FIELDPOND_SECRETS_TEST", "--log-level", "debug",
 	})
-	background(t, root.ExecuteContext)
+	runInBackground(t, root.ExecuteContext)
 	return started
 }
 
@@ -140,8 +140,8 @@
 	return addrtest.Free(t).String()
 }
 
-// ask sends a request and returns status and body.
-func (d *deployment) ask(t *testing.T, method, path, key, body string) (int, string) {
+// send sends a request and returns status and body.
+func (d *deployment) send(t *testing.T, method, path, key, body string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+d.router+path, strings.NewReader(body))
 	if err != nil {
@@ -165,7 +165,7 @@
 func (d *deployment) waitFor(t *testing.T, path string) {
 	t.Helper()
 	for range 1000 {
-		if code, _ := d.ask(t, http.MethodGet, path, "", ""); code == http.StatusOK {
+		if code, _ := d.send(t, http.MethodGet, path, "", ""); code == http.StatusOK {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -173,9 +173,9 @@
 	t.Fatal(path, "did not answer: ", d.log.String())
 }
 
-// shown returns everything that the deployment shows to operators, and the
+// outputs returns everything that the deployment shows to operators, and the
 // rows it has written into the table.
-func (d *deployment) shown(t *testing.T) map[string]string {
+func (d *deployment) outputs(t *testing.T) map[string]string {
 	t.Helper()
 	table, _, err := run("status", "--routers", d.router)
 	if err != nil {
@@ -193,12 +193,12 @@
 	for _, row := range rows.Rows {
 		claims += " " + row.Key + " " + string(row.Value)
 	}
-	_, metrics := d.ask(t, http.MethodGet, "/metrics", "", "")
-	_, statusJSON := d.ask(t, http.MethodGet, "/status.json", "", "")
+	_, metrics := d.send(t, http.MethodGet, "/metrics", "", "")
+	_, statusJSON := d.send(t, http.MethodGet, "/status.json", "", "")
 	return map[string]string{"log": d.log.String(), "metrics": metrics, "status.json": statusJSON, "status": table, "claims": claims}
 }
 
-func TestSecretsNeverShow(t *testing.T) {
+func TestSecretsNeverAppearInOutput(t *testing.T) {
 	is := is.New(t)
 	file := startBackEnds(t)
 	deployed := startRouter(t)
@@ -208,30 +208,30 @@
 	deployed.waitFor(t, "/readyz")
 
 	chat := `{"model":"chat","max_tokens":12,"messages":[{"role":"user","content":"` + secretPrompt + `"}]}`
-	code, whole := deployed.ask(t, http.MethodPost, "/v1/chat/completions", secretKey, chat)
+	code, body := deployed.send(t, http.MethodPost, "/v1/chat/completions", secretKey, chat)
 	is.Equal(code, http.StatusOK)
 	var answered struct {
 		Choices []struct{ Message struct{ Content string } }
 	}
-	is.NoErr(json.Unmarshal([]byte(whole), &answered))
+	is.NoErr(json.Unmarshal([]byte(body), &answered))
 	secretAnswer := answered.Choices[0].Message.Content
 	is.True(len(secretAnswer) > 0)
-	code, _ = deployed.ask(t, http.MethodPost, "/v1/services/bookings/bookings", secretKey, secretBooking)
+	code, _ = deployed.send(t, http.MethodPost, "/v1/services/bookings/bookings", secretKey, secretBooking)
 	is.Equal(code, http.StatusOK)
 
 	// What is refused must not show either, not even in the refusal.
-	_, wrongKey := deployed.ask(t, http.MethodPost, "/v1/chat/completions", secretWrong, chat)
-	_, wrongForm := deployed.ask(t, http.MethodPost, "/v1/chat/completions", secretKey, `{"model":"`+secretPrompt)
-
-	shown := deployed.shown(t)
-	shown["refusals"], shown["progress"] = wrongKey+wrongForm, progress
-	is.True(strings.Contains(shown["log"], "router started"))
-	is.True(strings.Contains(shown["metrics"], `fieldpond_refusals_total{kind="unauthorized",ran="no"} 1`) && strings.Contains(shown["metrics"], "fieldpond_placement_placed_total 1"))
-	is.True(strings.Contains(shown["status"], "n1") && strings.Contains(shown["claims"], "1 rows"))
-	for _, secret := range []string{secretCluster, secretKey, secretWrong, secretPrompt, secretBooking, secretAnswer} {
-		for place, text := range shown {
+	_, unauthorized := deployed.send(t, http.MethodPost, "/v1/chat/completions", secretMistypedKey, chat)
+	_, malformed := deployed.send(t, http.MethodPost, "/v1/chat/completions", secretKey, `{"model":"`+secretPrompt)
+
+	outputs := deployed.outputs(t)
+	outputs["refusals"], outputs["progress"] = unauthorized+malformed, progress
+	is.True(strings.Contains(outputs["log"], "router started"))
+	is.True(strings.Contains(outputs["metrics"], `fieldpond_refusals_total{kind="unauthorized",ran="no"} 1`) && strings.Contains(outputs["metrics"], "fieldpond_placement_placed_total 1"))
+	is.True(strings.Contains(outputs["status"], "n1") && strings.Contains(outputs["claims"], "1 rows"))
+	for _, secret := range []string{secretCluster, secretKey, secretMistypedKey, secretPrompt, secretBooking, secretAnswer} {
+		for source, text := range outputs {
 			if strings.Contains(text, secret) || strings.Contains(text, hex.EncodeToString([]byte(secret))) {
-				t.Errorf("%q shows in %s", secret, place)
+				t.Errorf("%q shows in %s", secret, source)
 			}
 		}
 	}
--- a/cmd/fieldpond/status.go
+++ b/cmd/fieldpond/status.go
@@ -23,7 +23,7 @@
 	// Routers holds the answers as /status.json gives them.
 	Routers []status.Router `json:"routers"`
 
-	seen versionsSeen
+	versions observedVersions
 }
 
 func newStatusCommand() *cobra.Command {
@@ -62,19 +62,19 @@
 }
 
 func runStatus(ctx context.Context, writer io.Writer, routers *routersClient, output commandline.Format) error {
-	answers := routers.ask(ctx)
-	seen := versionsOf(answers)
+	results := routers.fetchAll(ctx)
+	versions := collectVersions(results)
 	report := statusReport{
-		FleetVersion: seen.newest(),
-		Live:         len(seen),
-		Lagging:      append([]string{}, seen.lagging(seen.newest())...),
-		Unanswered:   append([]string{}, failuresOf(answers)...),
+		FleetVersion: versions.highest(),
+		Live:         len(versions),
+		Lagging:      append([]string{}, versions.lagging(versions.highest())...),
+		Unanswered:   append([]string{}, describeFailures(results)...),
 		Routers:      []status.Router{},
-		seen:         seen,
+		versions:     versions,
 	}
-	for _, answer := range answers {
-		if answer.err == nil {
-			report.Routers = append(report.Routers, answer.status)
+	for _, result := range results {
+		if result.err == nil {
+			report.Routers = append(report.Routers, result.status)
 		}
 	}
 	write := report.writeTable
@@ -84,8 +84,8 @@
 	if err := write(writer); err != nil {
 		return err
 	}
-	if missing := len(report.Unanswered); missing > 0 {
-		return fault.New(fault.Timeout, "%d of %d routers gave no status", missing, len(answers)).
+	if unanswered := len(report.Unanswered); unanswered > 0 {
+		return fault.New(fault.Timeout, "%d of %d routers gave no status", unanswered, len(results)).
 			WithRemedy("check the addresses with --routers, and whether those routers run")
 	}
 	return nil
--- a/cmd/fieldpond/status_test.go
+++ b/cmd/fieldpond/status_test.go
@@ -47,8 +47,8 @@
 const secondStatus = `{"node":"n2","zone":"z2","state":"starting","fleet_version":2,"engines":[{"engine":"e1","zone":"z1"}],"applications":[{"application":"a1","own_in_flight":2}],
  "control":[{"lease":"control/a","holder":"n1"},{"lease":"control/b","contenders":["n3","n4"]},{"lease":"control/c","holder":"n3"}]}`
 
-// squeezed returns the lines of a table with runs of blanks made one.
-func squeezed(text string) string {
+// squeezeBlanks returns the lines of a table with runs of blanks made one.
+func squeezeBlanks(text string) string {
 	var lines []string
 	for line := range strings.Lines(text) {
 		lines = append(lines, strings.Join(strings.Fields(line), " "))
@@ -56,7 +56,7 @@
 	return strings.Join(lines, "\n")
 }
 
-const wantedTable = `fleet version 3 in force on 1 of 2 live routers; lagging: n2 (version 2)
+const wantTable = `fleet version 3 in force on 1 of 2 live routers; lagging: n2 (version 2)
 
 MEMBER ZONE STATE VERSION ADDRESS
 n1 z1 alive 3 10.0.0.1:1
@@ -89,15 +89,15 @@
 	routers := serveStatus(t, 200, firstStatus) + "," + serveStatus(t, 200, secondStatus)
 	output, _, err := run("status", "--routers", routers)
 	is.NoErr(err)
-	is.Equal(squeezed(output), wantedTable)
+	is.Equal(squeezeBlanks(output), wantTable)
 }
 
-func TestStatusOfRoutersThatDoNotAnswer(t *testing.T) {
+func TestStatusReportsUnansweredRouters(t *testing.T) {
 	good := serveStatus(t, 200, firstStatus)
 	cases := []struct {
-		name, routers, said string
-		kind                fault.Kind
-		answered            int
+		name, routers, wantOutput string
+		kind                      fault.Kind
+		answered                  int
 	}{
 		{"one fails", good + "," + serveStatus(t, 500, ""), "HTTP status 500", fault.Timeout, 1},
 		{"no status", serveStatus(t, 200, "<html>"), "the answer is no status", fault.Timeout, 0},
@@ -114,9 +114,9 @@
 			is.NoErr(json.Unmarshal([]byte(output), &report))
 			is.Equal(len(report.Routers), test.answered)
 			is.Equal(len(report.Unanswered), 1)
-			is.True(strings.Contains(report.Unanswered[0], test.said))
+			is.True(strings.Contains(report.Unanswered[0], test.wantOutput))
 			output, _, _ = run("status", "--routers", test.routers)
-			is.True(strings.Contains(output, test.said))
+			is.True(strings.Contains(output, test.wantOutput))
 		})
 	}
 }
--- a/cmd/fieldpond/statustable.go
+++ b/cmd/fieldpond/statustable.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// shownIncarnation is how many characters of an incarnation the table shows:
+	// incarnationSuffixLength is how many characters of an incarnation the table shows:
 	// the last ones, since it begins with the time of the start.
-	shownIncarnation = 8
-	// nothing stands for an empty cell.
-	nothing = "-"
+	incarnationSuffixLength = 8
+	// emptyCell stands for an empty cell.
+	emptyCell = "-"
 	// percent turns a share into percent.
 	percent = 100
 )
@@ -31,7 +31,7 @@
 		table.applications(r.Routers)
 		table.routers(r.Routers)
 		table.control(r.Routers)
-		table.exchanges(r.Routers)
+		table.claimsAndGossip(r.Routers)
 	}
 	return table.Flush()
 }
@@ -55,7 +55,7 @@
 	if report.Live == 0 {
 		text = "no router answered"
 	}
-	_, _ = fmt.Fprintln(t, text+whoLacks(report.Lagging, report.Unanswered))
+	_, _ = fmt.Fprintln(t, text+missingText(report.Lagging, report.Unanswered))
 }
 
 // members prints the members as the first router sees them, each with the
@@ -63,12 +63,12 @@
 func (t *statusTable) members(report *statusReport) {
 	t.row("\nMEMBER", "ZONE", "STATE", "VERSION", "ADDRESS")
 	for _, member := range report.Routers[0].Members {
-		newest := max(member.FleetVersion, report.seen[member.Node])
-		version := fmt.Sprint(newest)
-		if isLive(member) && newest < report.FleetVersion {
-			version += " (lags)"
+		version := max(member.FleetVersion, report.versions[member.Node])
+		versionText := fmt.Sprint(version)
+		if isLive(member) && version < report.FleetVersion {
+			versionText += " (lags)"
 		}
-		t.row(member.Node, member.Zone, member.State, version, member.Address)
+		t.row(member.Node, member.Zone, member.State, versionText, member.Address)
 	}
 }
 
@@ -86,7 +86,7 @@
 	t.row("\nENGINE", "ZONE", "STATE", "ALIVE TO", "INCARNATION", "RUNNING", "WAITING", "PREFILL QUEUE", "LIMIT", "LOADED")
 	for _, engine := range routers[0].Engines {
 		t.row(engine.Engine, engine.Zone, backendState(engine.Alive, engine.Leaving), fmt.Sprintf("%d of %d", alive[engine.Engine], len(routers)),
-			shorten(string(engine.Incarnation)), engine.Running, engine.Waiting, engine.QueuedPrefillTokens,
+			shortIncarnation(string(engine.Incarnation)), engine.Running, engine.Waiting, engine.QueuedPrefillTokens,
 			fmt.Sprintf("%d of %s", engine.OwnInFlight, limitText(engine.ConcurrencyLimit)), loadedText(engine.Loaded))
 	}
 }
@@ -94,10 +94,10 @@
 // applications prints the applications as the first router sees them, and how
 // many requests all routers asked have on each.
 func (t *statusTable) applications(routers []status.Router) {
-	alive, calls := map[ident.Application]int{}, map[ident.Application]int{}
+	alive, inFlight := map[ident.Application]int{}, map[ident.Application]int{}
 	for _, router := range routers {
 		for _, application := range router.Applications {
-			calls[application.Application] += application.OwnInFlight
+			inFlight[application.Application] += application.OwnInFlight
 			if application.Alive {
 				alive[application.Application]++
 			}
@@ -106,27 +106,27 @@
 	t.row("\nAPPLICATION", "ZONE", "STATE", "ALIVE TO", "INCARNATION", "RUNNING", "IN FLIGHT")
 	for _, application := range routers[0].Applications {
 		t.row(application.Application, application.Zone, backendState(application.Alive, application.Leaving),
-			fmt.Sprintf("%d of %d", alive[application.Application], len(routers)), shorten(string(application.Incarnation)),
-			application.Running, calls[application.Application])
+			fmt.Sprintf("%d of %d", alive[application.Application], len(routers)), shortIncarnation(string(application.Incarnation)),
+			application.Running, inFlight[application.Application])
 	}
 }
 
-func backendState(alive, leaving bool) string {
+func backendState(alive, draining bool) string {
 	switch {
 	case !alive:
 		return "dead"
-	case leaving:
+	case draining:
 		return "leaving"
 	default:
 		return "alive"
 	}
 }
 
-func shorten(incarnation string) string {
+func shortIncarnation(incarnation string) string {
 	if incarnation == "" {
-		return nothing
+		return emptyCell
 	}
-	return incarnation[max(0, len(incarnation)-shownIncarnation):]
+	return incarnation[max(0, len(incarnation)-incarnationSuffixLength):]
 }
 
 func limitText(limit int) string {
@@ -138,7 +138,7 @@
 
 func loadedText(loaded []status.Loaded) string {
 	if len(loaded) == 0 {
-		return nothing
+		return emptyCell
 	}
 	var names []string
 	for _, version := range loaded {
@@ -153,10 +153,10 @@
 func (t *statusTable) routers(routers []status.Router) {
 	t.row("\nROUTER", "STATE", "WAITING", "IN FLIGHT", "PLACED", "HELD", "REFUSED", "BELIEVED", "FOUND", "TOO HIGH", "RIGHT", "TOO LOW")
 	for _, router := range routers {
-		decided := router.Decisions
-		t.row(router.Node, router.State, queueText(router.Queue), router.Queue.InFlight, decided.Placed, decided.Held, decided.Refused,
-			share(decided.CreditedTokens, decided.PromptTokens), share(decided.CachedTokens, decided.PromptTokens),
-			decided.BeliefHigh, decided.BeliefRight, decided.BeliefLow)
+		decisions := router.Decisions
+		t.row(router.Node, router.State, queueText(router.Queue), router.Queue.InFlight, decisions.Placed, decisions.Held, decisions.Refused,
+			percentText(decisions.CreditedTokens, decisions.PromptTokens), percentText(decisions.CachedTokens, decisions.PromptTokens),
+			decisions.BeliefHigh, decisions.BeliefRight, decisions.BeliefLow)
 	}
 }
 
@@ -173,9 +173,9 @@
 	return text
 }
 
-func share(part, whole uint64) string {
+func percentText(part, whole uint64) string {
 	if whole == 0 {
-		return nothing
+		return emptyCell
 	}
 	return fmt.Sprintf("%.1f %%", percent*float64(part)/float64(whole))
 }
@@ -198,7 +198,7 @@
 		for _, group := range router.Control {
 			if !shown[group.Lease] {
 				shown[group.Lease] = true
-				t.row(group.Lease, holderText(group, routers), nothing, nothing, nothing, nothing, nothing, nothing, nothing, nothing)
+				t.row(group.Lease, holderText(group, routers), emptyCell, emptyCell, emptyCell, emptyCell, emptyCell, emptyCell, emptyCell, emptyCell)
 			}
 		}
 	}
@@ -208,9 +208,9 @@
 // of the routers asked says that it is.
 func holderText(group status.ControlGroup, routers []status.Router) string {
 	for _, router := range routers {
-		for _, seen := range router.Control {
-			if seen.Lease == group.Lease && seen.Holder != "" {
-				return fmt.Sprintf("%s (ask it)", seen.Holder)
+		for _, other := range router.Control {
+			if other.Lease == group.Lease && other.Holder != "" {
+				return fmt.Sprintf("%s (ask it)", other.Holder)
 			}
 		}
 	}
@@ -221,9 +221,9 @@
 	return fmt.Sprintf("not seen (contenders: %s)", strings.Join(names, ", "))
 }
 
-// exchanges prints what each router asked exchanged with the table and with
+// claimsAndGossip prints what each router asked exchanged with the table and with
 // other routers, and what its rings lost.
-func (t *statusTable) exchanges(routers []status.Router) {
+func (t *statusTable) claimsAndGossip(routers []status.Router) {
 	t.row("\nROUTER", "CLAIMS GRANTED", "SHOWN", "REFUSED", "WAITING", "GOSSIP OUT", "GOSSIP IN", "GOSSIP REFUSED", "RING ITEMS DROPPED")
 	for _, router := range routers {
 		claims, gossip := router.Claims, router.Gossip
--- a/cmd/fieldpond/statuswait.go
+++ b/cmd/fieldpond/statuswait.go
@@ -24,29 +24,29 @@
 // in force, or a Timeout fault that names those that lagged in the last round
 // that was answered; the end of ctx may cut the very last one short.
 func (w *statusWaiter) wait(ctx context.Context, version fleet.Version) (int, error) {
-	var lacking string
+	var missing string
 	for {
-		answers := w.routers.ask(ctx)
-		seen := versionsOf(answers)
-		lagging := seen.lagging(uint64(version))
-		if len(seen) > 0 && len(lagging) == 0 {
-			return len(seen), nil
+		results := w.routers.fetchAll(ctx)
+		versions := collectVersions(results)
+		lagging := versions.lagging(uint64(version))
+		if len(versions) > 0 && len(lagging) == 0 {
+			return len(versions), nil
 		}
-		if now := whoLacks(lagging, failuresOf(answers)); ctx.Err() == nil && now != lacking {
-			lacking = now
-			w.progress(fmt.Sprintf("waiting for version %d on %d live routers%s", version, len(seen), lacking))
+		if current := missingText(lagging, describeFailures(results)); ctx.Err() == nil && current != missing {
+			missing = current
+			w.progress(fmt.Sprintf("waiting for version %d on %d live routers%s", version, len(versions), missing))
 		}
 		select {
 		case <-time.After(waitInterval):
 		case <-ctx.Done():
-			return 0, fault.New(fault.Timeout, "version %d is accepted, but not yet known to be in force everywhere%s", version, lacking).
+			return 0, fault.New(fault.Timeout, "version %d is accepted, but not yet known to be in force everywhere%s", version, missing).
 				WithRan(fault.RanYes)
 		}
 	}
 }
 
-// whoLacks names the routers that lag and those that did not answer.
-func whoLacks(lagging, failures []string) string {
+// missingText names the routers that lag and those that did not answer.
+func missingText(lagging, failures []string) string {
 	var text string
 	if len(lagging) > 0 {
 		text += "; lagging: " + strings.Join(lagging, ", ")
--- a/cmd/rehearse/exitcode_test.go
+++ b/cmd/rehearse/exitcode_test.go
@@ -13,8 +13,8 @@
 func TestExitCodes(t *testing.T) {
 	directory := t.TempDir()
 	cases := []struct {
-		name, arguments, said string
-		code                  int
+		name, arguments, wantOutput string
+		code                        int
 	}{
 		{"plan", "plan --fleet ../../examples/parking/fleet.yaml --directory " + directory, "\trouter --settings " + directory, 0},
 		{"load without a target", "load", "--target", 2},
@@ -36,7 +36,7 @@
 			root.SetOut(&output)
 			root.SetErr(&output)
 			is.Equal(commandline.Run(root), test.code)
-			is.True(strings.Contains(output.String(), test.said))
+			is.True(strings.Contains(output.String(), test.wantOutput))
 		})
 	}
 }
--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	plan.Progress = progressLines(command)
+	plan.Progress = progressPrinter(command)
 	runs, err := experiment.Execute(plan)
 	if err != nil {
 		return err
@@ -76,14 +76,14 @@
 // progressInterval is the least time between two lines of progress.
 const progressInterval = 2 * time.Second
 
-// progressLines tells on the error output, now and then, how far a long
+// progressPrinter tells on the error output, now and then, how far a long
 // comparison has come.
-func progressLines(command *cobra.Command) func(begun, all int) {
-	told := time.Now()
-	return func(begun, all int) {
-		if time.Since(told) >= progressInterval {
-			told = time.Now()
-			command.PrintErrf("%d of %d simulations begun\n", begun, all)
+func progressPrinter(command *cobra.Command) func(started, total int) {
+	lastPrinted := time.Now()
+	return func(started, total int) {
+		if time.Since(lastPrinted) >= progressInterval {
+			lastPrinted = time.Now()
+			command.PrintErrf("%d of %d simulations begun\n", started, total)
 		}
 	}
 }
--- a/cmd/rehearse/help_test.go
+++ b/cmd/rehearse/help_test.go
@@ -9,13 +9,13 @@
 	"github.com/fieldpond/fieldpond/internal/commandline"
 )
 
-func TestHelpTeachesWithSoundExamples(t *testing.T) {
+func TestHelpExamplesAreValid(t *testing.T) {
 	is := is.New(t)
 	is.Equal(commandline.CheckHelp(newRootCommand()), nil)
 }
 
 // Every command line on a page is one that this program understands.
-func TestPagesShowSoundCommands(t *testing.T) {
+func TestPagesShowValidCommands(t *testing.T) {
 	is := is.New(t)
 	shown, problems := commandline.CheckPages(newRootCommand(), os.DirFS("../.."), "README.md", "docs")
 	is.Equal(problems, nil)
--- a/cmd/rehearse/plan.go
+++ b/cmd/rehearse/plan.go
@@ -30,7 +30,7 @@
   rehearse plan --fleet examples/muldenring/fleet.yaml --directory out/demo --routers 3`,
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			plan, err := planFor(fleetFile, options)
+			plan, err := planFromFile(fleetFile, options)
 			if err != nil {
 				return err
 			}
@@ -58,7 +58,7 @@
 	return command
 }
 
-func planFor(fleetFile string, options deployment.Options) (*deployment.Plan, error) {
+func planFromFile(fleetFile string, options deployment.Options) (*deployment.Plan, error) {
 	data, err := os.ReadFile(fleetFile)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.InvalidFleet, "reading the fleet file").WithRemedy("name a readable file with --fleet")
