--- a/cmd/fieldpond/apply.go
+++ b/cmd/fieldpond/apply.go
@@ -29,8 +29,8 @@
 // applyReport is the JSON output of apply.
 type applyReport struct {
 	fleet.Applied
-	// InForceOn counts the live members seen with the version in force, when
-	// the command waited.
+	// InForceOn counts the live routers with the version in force; set only
+	// with --wait.
 	InForceOn int `json:"in_force_on,omitempty"`
 }
 
@@ -42,16 +42,15 @@
 		Long: `Apply checks a fleet file and puts it in force as a whole, under the next
 version number. Either the whole file is accepted or nothing changes. Applying
 the file in force again changes nothing and reports its version, so an apply
-whose answer was lost can simply be repeated.
+whose answer was lost can be retried.
 
 If another operator applied a file in between, the apply fails with a conflict
-(exit code 4) that names the winning version. With --base, the conflict is
-raised for any change since the version you looked at; without it, only for one
-during the apply itself.
+(exit code 4) that names the version in force. With --base, any change since that
+version is a conflict; without it, only one during the apply itself.
 
 With --wait, the command returns once every live router has the version in
-force. Meanwhile it says on the error output who lags, and when the time is over
-it ends with exit code 6. The file is accepted in either case.`,
+force. Until then it prints the lagging routers on the error output. When
+--timeout expires it ends with exit code 6. The file is accepted in either case.`,
 		Example: `  # Put a file in force.
   fieldpond apply -f fleet.yaml --platform http://127.0.0.1:7000
 
@@ -68,15 +67,15 @@
 	commandline.AddOutputFlag(command, &flags.output)
 	command.Flags().Uint64Var(&flags.base, "base", 0, "apply only if this version is in force; 0 means no file yet")
 	command.Flags().BoolVar(&flags.wait, "wait", false, "wait until every live router has the version in force")
-	command.Flags().StringSliceVar(&flags.routers, "routers", nil, "host:port of routers to ask with --wait; one is enough, more outlast the loss of one")
-	command.Flags().DurationVar(&flags.timeout, "timeout", defaultApplyTimeout, "longest time for the apply and its wait together")
+	command.Flags().StringSliceVar(&flags.routers, "routers", nil, "host:port of routers to query with --wait; one is enough, several tolerate the loss of one")
+	command.Flags().DurationVar(&flags.timeout, "timeout", defaultApplyTimeout, "time limit of the apply and its wait together")
 	command.MarkFlagsRequiredTogether("wait", "routers")
 	return command
 }
 
 func runApply(command *cobra.Command, flags *applyFlags) error {
 	if flags.timeout <= 0 {
-		return fault.New(fault.InvalidSettings, "--timeout is %s", flags.timeout).WithRemedy("give a positive duration such as 18s")
+		return fault.New(fault.InvalidSettings, "--timeout must be positive, not %s", flags.timeout).WithRemedy("give a positive duration such as 18s")
 	}
 	body, err := readFleetFile(command, flags.path)
 	if err != nil {
@@ -103,8 +102,8 @@
 	return reportApply(ctx, command, flags, applied)
 }
 
-// reportApply prints the outcome after waiting, if asked to. The outcome of the
-// apply is printed also when the wait fails.
+// reportApply waits, with --wait, and prints the outcome of the apply, also when
+// the wait fails.
 func reportApply(ctx context.Context, command *cobra.Command, flags *applyFlags, applied fleet.Applied) error {
 	report := applyReport{Applied: applied}
 	var waitErr error
@@ -127,10 +126,10 @@
 func describeApplied(report applyReport) string {
 	text := fmt.Sprintf("version %d accepted (digest %s, apply %s)", report.Version, report.Digest, report.ApplyID)
 	if report.Unchanged {
-		text = fmt.Sprintf("version %d already is this file; nothing changed", report.Version)
+		text = fmt.Sprintf("version %d already has this content; nothing changed", report.Version)
 	}
 	if report.SupersededBy > 0 {
-		text += fmt.Sprintf("; version %d has replaced it since", report.SupersededBy)
+		text += fmt.Sprintf("; superseded by version %d", report.SupersededBy)
 	}
 	if report.InForceOn > 0 {
 		text += fmt.Sprintf("; in force on %d routers", report.InForceOn)
--- a/cmd/fieldpond/check.go
+++ b/cmd/fieldpond/check.go
@@ -24,10 +24,10 @@
 		Use:   "check -f FILE",
 		Short: "Check a fleet file without applying it",
 		Long: `Check reads a fleet file and lists everything that is wrong with it, each with
-its line, its field and the remedy. It talks to nothing and changes nothing.
+its line, its field and the remedy. It contacts no service and changes nothing.
 
-Errors forbid applying the file and make the exit code 3. Warnings, such as a
-tenant whose places have no engine for one of its services, do not.`,
+A file with errors cannot be applied, and the exit code is 3. Warnings, such as a
+tenant whose places have no engine for one of its services, are only printed.`,
 		Example: `  # Check a file before applying it.
   fieldpond check -f examples/muldenring/fleet.yaml
 
--- a/cmd/fieldpond/diff.go
+++ b/cmd/fieldpond/diff.go
@@ -29,8 +29,8 @@
 		Short: "Show what applying a fleet file would change",
 		Long: `Diff compares a fleet file with the version in force and shows what an apply
 would add, remove or change, entry by entry and field by field. It changes
-nothing. It prints the version in force: give it to 'apply --base', and the
-apply is refused if another operator was faster.`,
+nothing. It prints the version in force: pass it to 'apply --base', and the
+apply fails if another operator applied a file in between.`,
 		Example: `  # What would change?
   fieldpond diff -f fleet.yaml --platform http://127.0.0.1:7000
 
--- a/cmd/fieldpond/edge.go
+++ b/cmd/fieldpond/edge.go
@@ -19,14 +19,14 @@
 	command := &cobra.Command{
 		Use:   "edge",
 		Short: "Run one router on the users' platform",
-		Long: `Run one router on the users' platform until it is told to stop.
+		Long: `Run one router on the users' platform until it is stopped.
 
 It reads the settings file that the variable ` + platform.SettingsVariable + ` names, and everything
-else from the platform's store. It keeps nothing: any number of routers may be
-started, stopped and replaced at any time.
+else from the platform's store. It keeps no local state: any number of routers may
+be started, stopped and replaced at any time.
 
-SIGTERM stops it as planned: it turns unready, finishes every open request and
-then ends. SIGHUP checks the settings file and cuts nothing.`,
+SIGTERM shuts it down gracefully: it reports itself unready, finishes every open
+request and exits. SIGHUP only checks the settings file.`,
 		Example: `  ` + platform.SettingsVariable + `=/etc/fieldpond/local.toml fieldpond edge`,
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -45,12 +45,12 @@
 	}
 	command.Flags().IntVar(&options.MetricsPort, "metrics-port", 0, "port to serve metrics on; 0 means none")
 	command.Flags().StringVar(&options.MetricsPath, "metrics-path", "/metrics", "path to serve metrics under")
-	command.Flags().StringSliceVar(&without, "without", nil, "mechanisms to switch off, to measure what they are worth")
+	command.Flags().StringSliceVar(&without, "without", nil, "mechanisms to disable, to measure their effect")
 	return command
 }
 
-// checkSettingsOnHangup checks the settings file anew on SIGHUP. What is in it is fixed
-// for the life of a process, so a sound file changes nothing.
+// checkSettingsOnHangup checks the settings file on SIGHUP. Settings are fixed
+// while the process runs, so a valid file changes nothing.
 func checkSettingsOnHangup() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/cmd/fieldpond/exitcode_test.go
+++ b/cmd/fieldpond/exitcode_test.go
@@ -20,7 +20,7 @@
 		code                        int
 	}{
 		{"sound file", "check -f " + exampleFile, "is sound", 0},
-		{"diff to nothing", "diff -f " + exampleFile + " --platform x", "against version 0", 0},
+		{"diff without a version in force", "diff -f " + exampleFile + " --platform x", "against version 0", 0},
 		{"first apply", "apply -f " + exampleFile + " --platform x --base 0", "version 1 accepted", 0},
 		{"same apply", "apply -f " + exampleFile + " --platform x -o json", `"unchanged": true`, 0},
 		{"no command", "chek", "unknown command", 2},
@@ -34,7 +34,7 @@
 		{"no time", "apply -f " + exampleFile + " --platform x --timeout 0s", "--timeout", 3},
 		{"no settings", "router", "remedy", 3},
 		{"lost race", "apply -f " + edited + " --platform x --base 9", "version 1", 4},
-		{"nobody answers", "status --routers " + unusedAddress, "no router answered", 6},
+		{"no router answers", "status --routers " + unusedAddress, "no router answered", 6},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/cmd/fieldpond/explain.go
+++ b/cmd/fieldpond/explain.go
@@ -16,10 +16,10 @@
 	var configuration bool
 	command := &cobra.Command{
 		Use:   "explain [REQUEST-ID] [LOG-FILE...]",
-		Short: "Print what the routers' logs say of one request",
-		Long: `Print, in order of time, every line that the logs of any number of routers hold
-of one request, of one back end (--instance), of moving a service to another
-release (--rollout) or of the configuration (--configuration). Without a file, the
+		Short: "Print the routers' log lines about one request",
+		Long: `Print, in order of time, every line in the logs of any number of routers about
+one request, one back end (--instance), the rollout of a service to another
+release (--rollout) or the configuration (--configuration). Without a file, the
 logs are read from standard input. Text before the JSON object of a line is skipped.`,
 		Example: `  fieldpond explain 9c41d07be2a35f68 router-1.log router-2.log
   fieldpond explain --instance i-7f3a91c2 router-1.log
@@ -29,7 +29,7 @@
 			filter := eventlog.Filter{Instance: instance, Rollout: rollout, Configuration: configuration}
 			if instance == "" && rollout == "" && !configuration {
 				if len(arguments) == 0 {
-					return fault.New(fault.BadRequest, "no request is named").
+					return fault.New(fault.BadRequest, "the request id is missing").
 						WithRemedy("give a request's id, --instance, --rollout or --configuration")
 				}
 				filter.Request, arguments = arguments[0], arguments[1:]
@@ -38,7 +38,7 @@
 		},
 	}
 	command.Flags().StringVar(&instance, "instance", "", "print the history of this back end")
-	command.Flags().StringVar(&rollout, "rollout", "", "print the history of moving this service to another release")
+	command.Flags().StringVar(&rollout, "rollout", "", "print the history of rollouts of this service to another release")
 	command.Flags().BoolVar(&configuration, "configuration", false, "print the history of the configuration")
 	return command
 }
@@ -57,7 +57,7 @@
 	}
 	lines := trail.Lines()
 	if len(lines) == 0 {
-		return fault.New(fault.BadRequest, "no line of the logs is about it").
+		return fault.New(fault.BadRequest, "no log line matches").
 			WithRemedy("check the id, and give the logs of every router of the zone")
 	}
 	for _, line := range lines {
--- a/cmd/fieldpond/fleetcommand.go
+++ b/cmd/fieldpond/fleetcommand.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/store"
 )
 
-// openTable returns the client of the platform's table service at a URL. Tests
+// openTable returns a client of the platform's table service at a URL. Tests
 // replace it by a table in memory.
 var openTable = func(url string) (store.Table, error) {
 	return store.NewHTTPClient(url, store.Options{})
@@ -27,7 +27,7 @@
 	_ = command.MarkFlagRequired("platform")
 }
 
-// readFleetFile reads at most one byte more than a fleet file may have.
+// readFleetFile reads at most one byte above the limit; fleet.Parse reports the excess.
 func readFleetFile(command *cobra.Command, path string) ([]byte, error) {
 	var source = command.InOrStdin()
 	if path != "-" {
@@ -54,7 +54,7 @@
 	return document, problemsError(problems)
 }
 
-// problemsError returns the fault of a list whose lines have been printed already.
+// problemsError returns a fault with the number of errors, which are printed already.
 func problemsError(problems fleet.Problems) error {
 	if count := len(problems.Errors()); count > 0 {
 		return fault.New(fault.InvalidFleet, "%d errors in %s", count, problems[0].File)
--- a/cmd/fieldpond/fleetcommand_test.go
+++ b/cmd/fieldpond/fleetcommand_test.go
@@ -120,12 +120,12 @@
 		name, second, state string
 		lags                bool
 	}{
-		{"second follows", "1", "alive", false},
+		{"second has the version", "1", "alive", false},
 		{"second lags", "0", "alive", true},
 		{"second is suspected", "0", "suspect", true},
 		{"second is dead", "0", "dead", false},
 	}
-	// The first round comes too early. The last one ends the command's time.
+	// The first poll precedes the adoption; the last one cancels the command.
 	const inForceAt, cancelAt = 2, 4
 	for _, test := range cases {
 		check := is.NewRelaxed(t)
--- a/cmd/fieldpond/help_test.go
+++ b/cmd/fieldpond/help_test.go
@@ -24,9 +24,9 @@
 	}, "\n")
 	is.NoErr(os.WriteFile(path, []byte(settings), 0o600))
 	t.Setenv(platform.SettingsVariable, path)
-	_, _, err := run("edge", "--without", "telepathy")
+	_, _, err := run("edge", "--without", "no-such-mechanism")
 	is.True(err != nil)
-	is.True(strings.Contains(err.Error(), "telepathy"))
+	is.True(strings.Contains(err.Error(), "no-such-mechanism"))
 	is.True(strings.Contains(err.Error(), "early-refusal")) // the remedy
 }
 
@@ -35,7 +35,7 @@
 	is.Equal(commandline.CheckHelp(newRootCommand()), nil)
 }
 
-// Every command line on a page is one that this program understands.
+// Guards against pages that show unknown commands, flags or arguments.
 func TestPagesShowValidCommands(t *testing.T) {
 	is := is.New(t)
 	shown, problems := commandline.CheckPages(newRootCommand(), os.DirFS("../.."), "README.md", "docs")
--- a/cmd/fieldpond/main.go
+++ b/cmd/fieldpond/main.go
@@ -15,11 +15,11 @@
 that a fleet file lists, and runs non-repeatable requests at most once.
 
 Operators change a deployment in one way: they edit the fleet file, check it,
-look at the difference and apply it. There is no command to a single machine.
+review the difference and apply it. No command acts on a single machine.
 
 Exit codes: 0 done; 1 a fault of fieldpond itself; 2 the command line or a
-request is wrong; 3 a file is invalid; 4 another operator was faster; 5 a
-service did not answer or refused; 6 a wait ran out; 7 access denied.
+request is wrong; 3 a file is invalid; 4 another operator applied first; 5 a
+service did not answer or refused; 6 a wait timed out; 7 access denied.
 docs/reference/errors.md lists them by error kind.`
 
 const rootExample = `  # From an edited file to a file in force everywhere.
--- a/cmd/fieldpond/router.go
+++ b/cmd/fieldpond/router.go
@@ -15,14 +15,14 @@
 	command := &cobra.Command{
 		Use:   "router",
 		Short: "Run one router",
-		Long: `Run one router until it is told to stop.
+		Long: `Run one router until it is stopped.
 
-A router learns its name, zone and addresses from a settings file or flags,
-and everything else from the fleet file that operators apply. It keeps nothing:
+A router reads its name, zone and addresses from a settings file or flags, and
+everything else from the fleet file that operators apply. It keeps no local state:
 any number of routers may be started, stopped and replaced at any time.
 
-SIGTERM and SIGINT stop it as planned: it takes no new work, finishes every
-open request and stream, and then ends.`,
+SIGTERM and SIGINT shut it down gracefully: it accepts no new requests, finishes
+every open request and stream, and exits.`,
 		Example: `  fieldpond router --settings router.yaml
   FIELDPOND_KEY=... fieldpond router --node router-1 --zone wien-halle \
     --listen 127.0.0.1:7001 --gossip-listen 127.0.0.1:7002 \
--- a/cmd/fieldpond/routers.go
+++ b/cmd/fieldpond/routers.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// statusTimeout bounds one question to a router.
+	// statusTimeout bounds one status request.
 	statusTimeout = 2 * time.Second
-	// maxStatusBytes bounds one answer.
+	// maxStatusBytes bounds one response body.
 	maxStatusBytes = 8 << 20
 )
 
-// routersClient asks routers for their state.
+// routersClient queries routers for their status.
 type routersClient struct {
 	addresses []string
 	client    *http.Client
@@ -32,15 +32,15 @@
 	return &routersClient{addresses: addresses, client: &http.Client{Timeout: statusTimeout}}
 }
 
-// routerResult is what one router answered.
+// routerResult is the status of one router, or why there is none.
 type routerResult struct {
 	address string
 	status  status.Router
 	err     error
 }
 
-// fetchAll asks all routers at once and returns their answers in the order of the
-// addresses.
+// fetchAll queries all routers at once and returns the results in the order of
+// the addresses.
 func (c *routersClient) fetchAll(ctx context.Context) []routerResult {
 	results := make([]routerResult, len(c.addresses))
 	finished := make(chan struct{}, len(c.addresses))
@@ -72,10 +72,10 @@
 	}
 	var reported status.Router
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&reported); err != nil {
-		return status.Router{}, errors.Wrap(err, "the answer is no status")
+		return status.Router{}, errors.Wrap(err, "the response is not a router status")
 	}
 	if reported.Node == "" {
-		return status.Router{}, errors.New("the answer names no node")
+		return status.Router{}, errors.New("the response has no node name")
 	}
 	return reported, nil
 }
@@ -91,8 +91,8 @@
 	return failures
 }
 
-// observedVersions is the highest fleet version heard of each live router.
-// Versions only rise, so the highest of several accounts is the newest.
+// observedVersions is the highest fleet version reported for each live router.
+// Versions only rise, so the highest of several reports is the newest.
 type observedVersions map[ident.Node]uint64
 
 // isLive reports whether a member may be serving: a suspected one may be alive.
@@ -100,7 +100,7 @@
 	return member.State == status.MemberAlive || member.State == status.MemberSuspect
 }
 
-// collectVersions joins the accounts of all routers that answered.
+// collectVersions merges the reports of all routers that answered.
 func collectVersions(results []routerResult) observedVersions {
 	versions := observedVersions{}
 	for _, result := range results {
@@ -117,7 +117,6 @@
 	return versions
 }
 
-// highest returns the highest version seen.
 func (v observedVersions) highest() uint64 {
 	var highest uint64
 	for _, version := range v {
--- a/cmd/fieldpond/secrets_test.go
+++ b/cmd/fieldpond/secrets_test.go
@@ -31,7 +31,7 @@
 	standinplatform "github.com/fieldpond/fieldpond/standin/platform"
 )
 
-// What must not show. Every one is sent to the router or given to it.
+// Values that must not appear in any output; each is sent to or configured on the router.
 const (
 	secretCluster     = "cluster-key-4f1c9a-4f1c9a-4f1c9a-4f1c9a"
 	secretKey         = "tenant-key-83b2d7"
@@ -71,13 +71,13 @@
 	return b.text.String()
 }
 
-// deployment is a whole deployment in this process.
+// deployment is a router with its platform, in this process.
 type deployment struct {
 	platform, router string
 	log              *lockedBuffer
 }
 
-// startBackEnds starts the stand-ins and returns the fleet file that names them.
+// startBackEnds starts the stand-ins and returns the path of their fleet file.
 func startBackEnds(t *testing.T) string {
 	t.Helper()
 	silent := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
@@ -117,8 +117,7 @@
 	})
 }
 
-// startRouter runs the router command, with every log line, on ports that the
-// system chose a moment before.
+// startRouter runs the router command with debug logging on a free port.
 func startRouter(t *testing.T) *deployment {
 	t.Helper()
 	t.Setenv("FIELDPOND_SECRETS_TEST", secretCluster)
@@ -140,7 +139,7 @@
 	return addrtest.Free(t).String()
 }
 
-// send sends a request and returns status and body.
+// send sends a request and returns status and body; status 0 means no answer.
 func (d *deployment) send(t *testing.T, method, path, key, body string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+d.router+path, strings.NewReader(body))
@@ -161,7 +160,7 @@
 	return response.StatusCode, string(answer)
 }
 
-// waitFor asks until the path answers 200.
+// waitFor polls the path until it answers 200.
 func (d *deployment) waitFor(t *testing.T, path string) {
 	t.Helper()
 	for range 1000 {
@@ -173,8 +172,8 @@
 	t.Fatal(path, "did not answer: ", d.log.String())
 }
 
-// outputs returns everything that the deployment shows to operators, and the
-// rows it has written into the table.
+// outputs returns everything that the deployment shows to operators, and its claim
+// rows in the table.
 func (d *deployment) outputs(t *testing.T) map[string]string {
 	t.Helper()
 	table, _, err := run("status", "--routers", d.router)
@@ -198,6 +197,7 @@
 	return map[string]string{"log": d.log.String(), "metrics": metrics, "status.json": statusJSON, "status": table, "claims": claims}
 }
 
+// Guards against keys, prompts, bodies or answers in output or stored claims.
 func TestSecretsNeverAppearInOutput(t *testing.T) {
 	is := is.New(t)
 	file := startBackEnds(t)
@@ -219,7 +219,7 @@
 	code, _ = deployed.send(t, http.MethodPost, "/v1/services/bookings/bookings", secretKey, secretBooking)
 	is.Equal(code, http.StatusOK)
 
-	// What is refused must not show either, not even in the refusal.
+	// Refused requests must not appear either, not even in the refusal.
 	_, unauthorized := deployed.send(t, http.MethodPost, "/v1/chat/completions", secretMistypedKey, chat)
 	_, malformed := deployed.send(t, http.MethodPost, "/v1/chat/completions", secretKey, `{"model":"`+secretPrompt)
 
@@ -231,7 +231,7 @@
 	for _, secret := range []string{secretCluster, secretKey, secretMistypedKey, secretPrompt, secretBooking, secretAnswer} {
 		for source, text := range outputs {
 			if strings.Contains(text, secret) || strings.Contains(text, hex.EncodeToString([]byte(secret))) {
-				t.Errorf("%q shows in %s", secret, source)
+				t.Errorf("%q appears in %s", secret, source)
 			}
 		}
 	}
--- a/cmd/fieldpond/status.go
+++ b/cmd/fieldpond/status.go
@@ -13,14 +13,14 @@
 
 // statusReport is the JSON output of status.
 type statusReport struct {
-	// FleetVersion is the highest version heard of; Lagging names the live
+	// FleetVersion is the highest version reported; Lagging names the live
 	// routers below it.
 	FleetVersion uint64   `json:"fleet_version"`
 	Live         int      `json:"live_routers"`
 	Lagging      []string `json:"lagging"`
-	// Unanswered says which of the routers asked did not answer, and why.
+	// Unanswered names the queried routers that did not answer, and why.
 	Unanswered []string `json:"unanswered"`
-	// Routers holds the answers as /status.json gives them.
+	// Routers holds the answers of /status.json unchanged.
 	Routers []status.Router `json:"routers"`
 
 	versions observedVersions
@@ -31,31 +31,31 @@
 	var output commandline.Format
 	command := &cobra.Command{
 		Use:   "status --routers HOST:PORT[,HOST:PORT...]",
-		Short: "Show members, engines, queues and decisions as routers see them",
-		Long: `Status asks routers for their state and shows it: which routers are alive and
-which fleet version each has in force, the engines with their load and what they
-have loaded, the applications, and for each router asked its queue, its
-decisions, how much of the prompts was believed and found cached, its claims and
-its gossip. For each group of engines it shows the router that orders them, how
-many engines are as the file says, and the loads under way.
+		Short: "Show members, engines, queues and decisions as routers report them",
+		Long: `Status queries routers for their state and shows it: which routers are alive and
+which fleet version each has in force, the engines with their load and loaded
+model versions, the applications, and for each queried router its queue, its
+decisions, the shares of prompt tokens predicted (BELIEVED) and found in caches,
+its claims and its gossip. For each group of engines it shows the router that
+controls them, how many engines match the fleet file, and the loads in progress.
 
-It reads only. Each router tells of all members, so one address is enough for
-members and engines; queues and decisions are shown of the routers asked. A
-router that does not answer is named, and the exit code is 6.`,
-		Example: `  # Everything one router knows.
+It is read-only. Each router reports all members, so one address is enough for
+members and engines; queues and decisions are those of the queried routers. A
+router that does not answer is listed, and the exit code is 6.`,
+		Example: `  # Everything that one router reports.
   fieldpond status --routers 127.0.0.1:7001
 
   # Queues and decisions of three routers.
   fieldpond status --routers 127.0.0.1:7001,127.0.0.1:7003,127.0.0.1:7005
 
-  # In a script: engines that the first router believes dead.
+  # In a script: engines that the first router considers dead.
   fieldpond status --routers 127.0.0.1:7001 -o json | jq -r '.routers[0].engines[] | select(.alive | not) | .engine'`,
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runStatus(command.Context(), command.OutOrStdout(), newRoutersClient(addresses), output)
 		},
 	}
-	command.Flags().StringSliceVar(&addresses, "routers", nil, "host:port of the routers to ask")
+	command.Flags().StringSliceVar(&addresses, "routers", nil, "host:port of the routers to query")
 	_ = command.MarkFlagRequired("routers")
 	commandline.AddOutputFlag(command, &output)
 	return command
@@ -85,8 +85,8 @@
 		return err
 	}
 	if unanswered := len(report.Unanswered); unanswered > 0 {
-		return fault.New(fault.Timeout, "%d of %d routers gave no status", unanswered, len(results)).
-			WithRemedy("check the addresses with --routers, and whether those routers run")
+		return fault.New(fault.Timeout, "%d of %d routers did not report their status", unanswered, len(results)).
+			WithRemedy("check the addresses in --routers, and whether those routers run")
 	}
 	return nil
 }
--- a/cmd/fieldpond/status_test.go
+++ b/cmd/fieldpond/status_test.go
@@ -47,7 +47,7 @@
 const secondStatus = `{"node":"n2","zone":"z2","state":"starting","fleet_version":2,"engines":[{"engine":"e1","zone":"z1"}],"applications":[{"application":"a1","own_in_flight":2}],
  "control":[{"lease":"control/a","holder":"n1"},{"lease":"control/b","contenders":["n3","n4"]},{"lease":"control/c","holder":"n3"}]}`
 
-// squeezeBlanks returns the lines of a table with runs of blanks made one.
+// squeezeBlanks replaces every run of blanks in a table by one.
 func squeezeBlanks(text string) string {
 	var lines []string
 	for line := range strings.Lines(text) {
@@ -100,8 +100,8 @@
 		answered                  int
 	}{
 		{"one fails", good + "," + serveStatus(t, 500, ""), "HTTP status 500", fault.Timeout, 1},
-		{"no status", serveStatus(t, 200, "<html>"), "the answer is no status", fault.Timeout, 0},
-		{"no node", serveStatus(t, 200, "{}"), "names no node", fault.Timeout, 0},
+		{"no status", serveStatus(t, 200, "<html>"), "the response is not a router status", fault.Timeout, 0},
+		{"no node", serveStatus(t, 200, "{}"), "the response has no node name", fault.Timeout, 0},
 		{"nobody listens", freeAddress(t), "no answer", fault.Timeout, 0},
 		{"malformed", "a b", "the address is malformed", fault.Timeout, 0},
 	}
--- a/cmd/fieldpond/statustable.go
+++ b/cmd/fieldpond/statustable.go
@@ -12,16 +12,14 @@
 )
 
 const (
-	// incarnationSuffixLength is how many characters of an incarnation the table shows:
-	// the last ones, since it begins with the time of the start.
+	// incarnationSuffixLength is how many last characters of an incarnation the
+	// table shows; the first ones are the time of the start.
 	incarnationSuffixLength = 8
-	// emptyCell stands for an empty cell.
-	emptyCell = "-"
-	// percent turns a share into percent.
-	percent = 100
+	emptyCell               = "-"
+	percent                 = 100
 )
 
-// writeTable prints the report for people.
+// writeTable prints the report as text tables.
 func (r *statusReport) writeTable(writer io.Writer) error {
 	table := &statusTable{tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)}
 	table.summary(r)
@@ -36,10 +34,9 @@
 	return table.Flush()
 }
 
-// statusTable prints the sections of a report. Write errors show at Flush.
+// statusTable prints the sections of a report. Flush returns write errors.
 type statusTable struct{ *tabwriter.Writer }
 
-// row prints one line of cells.
 func (t *statusTable) row(cells ...any) {
 	for index, cell := range cells {
 		if index > 0 {
@@ -58,8 +55,8 @@
 	_, _ = fmt.Fprintln(t, text+missingText(report.Lagging, report.Unanswered))
 }
 
-// members prints the members as the first router sees them, each with the
-// newest version that any router told of it.
+// members prints the members as the first router reports them, each with the
+// highest version that any router reported for it.
 func (t *statusTable) members(report *statusReport) {
 	t.row("\nMEMBER", "ZONE", "STATE", "VERSION", "ADDRESS")
 	for _, member := range report.Routers[0].Members {
@@ -72,8 +69,8 @@
 	}
 }
 
-// engines prints the engines as the first router sees them, and how many of
-// the routers asked believe each alive.
+// engines prints the engines as the first router reports them, and how many of
+// the queried routers consider each alive.
 func (t *statusTable) engines(routers []status.Router) {
 	alive := map[ident.Engine]int{}
 	for _, router := range routers {
@@ -91,8 +88,8 @@
 	}
 }
 
-// applications prints the applications as the first router sees them, and how
-// many requests all routers asked have on each.
+// applications prints the applications as the first router reports them, and
+// how many requests all queried routers have in flight on each.
 func (t *statusTable) applications(routers []status.Router) {
 	alive, inFlight := map[ident.Application]int{}, map[ident.Application]int{}
 	for _, router := range routers {
@@ -148,8 +145,8 @@
 	return strings.Join(names, " ")
 }
 
-// routers prints the queue and the decisions of each router asked. Believed
-// and found are shares of the prompt tokens of answered attempts.
+// routers prints the queue and the decisions of each queried router. BELIEVED
+// and FOUND are shares of the prompt tokens of answered attempts.
 func (t *statusTable) routers(routers []status.Router) {
 	t.row("\nROUTER", "STATE", "WAITING", "IN FLIGHT", "PLACED", "HELD", "REFUSED", "BELIEVED", "FOUND", "TOO HIGH", "RIGHT", "TOO LOW")
 	for _, router := range routers {
@@ -160,7 +157,7 @@
 	}
 }
 
-// queueText shows the depth, and its parts by priority, such as "5 (p0:2 p3:3)".
+// queueText returns the depth and its parts by priority, such as "5 (p0:2 p3:3)".
 func queueText(queue status.Queue) string {
 	text := fmt.Sprint(queue.Waiting)
 	var parts []string
@@ -180,8 +177,8 @@
 	return fmt.Sprintf("%.1f %%", percent*float64(part)/float64(whole))
 }
 
-// control prints each lease over a group of engines once: with what its holder
-// tells if that router was asked, else with who is to be asked.
+// control prints each lease over a group of engines once: as its holder reports
+// it if that router was queried, else only with the holder.
 func (t *statusTable) control(routers []status.Router) {
 	t.row("\nCONTROL LEASE", "HOLDER", "FENCE", "SETTLED", "LOADING", "ORDERS", "REPEATED", "REFUSED", "UNLOADS PUT OFF", "STALE FENCES")
 	shown := map[string]bool{}
@@ -204,8 +201,8 @@
 	}
 }
 
-// holderText says who is in charge of a group, or who contends for it, if none
-// of the routers asked says that it is.
+// holderText names the lease holder that another router reports, or else the
+// contenders.
 func holderText(group status.ControlGroup, routers []status.Router) string {
 	for _, router := range routers {
 		for _, other := range router.Control {
@@ -221,8 +218,8 @@
 	return fmt.Sprintf("not seen (contenders: %s)", strings.Join(names, ", "))
 }
 
-// claimsAndGossip prints what each router asked exchanged with the table and with
-// other routers, and what its rings lost.
+// claimsAndGossip prints each queried router's claims, gossip traffic and dropped
+// ring items.
 func (t *statusTable) claimsAndGossip(routers []status.Router) {
 	t.row("\nROUTER", "CLAIMS GRANTED", "SHOWN", "REFUSED", "WAITING", "GOSSIP OUT", "GOSSIP IN", "GOSSIP REFUSED", "RING ITEMS DROPPED")
 	for _, router := range routers {
@@ -240,7 +237,7 @@
 	return fmt.Sprintf("%d KiB", bytes/kibibyte)
 }
 
-// droppedText names the rings that lost items, or is "none".
+// droppedText names the rings that dropped items, or is "none".
 func droppedText(rings []status.Ring) string {
 	var parts []string
 	for _, ring := range rings {
--- a/cmd/fieldpond/statuswait.go
+++ b/cmd/fieldpond/statuswait.go
@@ -10,19 +10,19 @@
 	"github.com/fieldpond/fieldpond/internal/fleet"
 )
 
-// waitInterval is the time between two rounds of questions.
+// waitInterval is the time between two polls of the routers.
 const waitInterval = 250 * time.Millisecond
 
-// statusWaiter asks routers until all live ones have a version in force.
+// statusWaiter polls routers until all live ones have a version in force.
 type statusWaiter struct {
 	routers *routersClient
-	// progress is told in one line whenever the state of the wait changes.
+	// progress receives one line whenever the state of the wait changes.
 	progress func(line string)
 }
 
 // wait returns the number of live routers once each has version or a later one
-// in force, or a Timeout fault that names those that lagged in the last round
-// that was answered; the end of ctx may cut the very last one short.
+// in force, or a Timeout fault that names those that lagged in the last
+// complete poll; the end of ctx may interrupt one.
 func (w *statusWaiter) wait(ctx context.Context, version fleet.Version) (int, error) {
 	var missing string
 	for {
@@ -39,7 +39,7 @@
 		select {
 		case <-time.After(waitInterval):
 		case <-ctx.Done():
-			return 0, fault.New(fault.Timeout, "version %d is accepted, but not yet known to be in force everywhere%s", version, missing).
+			return 0, fault.New(fault.Timeout, "version %d is accepted, but not confirmed in force on every router%s", version, missing).
 				WithRan(fault.RanYes)
 		}
 	}
--- a/cmd/rehearse/application.go
+++ b/cmd/rehearse/application.go
@@ -22,11 +22,11 @@
 		Use:   "application",
 		Short: "Run the stand-in for an application back end",
 		Long: `Run a process that behaves like an application back end: it executes every
-request it accepts, takes its time for it, and keeps a truth log of what it
-executed, from which a test can tell whether anything ran twice.
+request it accepts, with a simulated duration, and keeps a truth log of all
+executions, from which a test can tell whether a request ran twice.
 
-SIGTERM stops it as planned: it refuses new work as leaving, for the time of
---notice, and finishes what runs.`,
+SIGTERM shuts it down gracefully: for the time of --notice it refuses new requests
+as leaving, and it finishes the running ones.`,
 		Example: `  rehearse application --listen 127.0.0.1:7201 --execute-millis 50`,
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -57,12 +57,12 @@
 	}
 	flags := command.Flags()
 	flags.StringVar(&listen, "listen", "127.0.0.1:7200", "address to listen on")
-	flags.StringVar(&incarnation, "incarnation", "", "name of this life; empty takes a fresh one")
-	flags.IntVar(&executeMillis, "execute-millis", 20, "how long one execution takes")
+	flags.StringVar(&incarnation, "incarnation", "", "incarnation of this process; empty generates one")
+	flags.IntVar(&executeMillis, "execute-millis", 20, "duration of one execution, in milliseconds")
 	flags.IntVar(&options.MaxRunning, "max-running", 0, "refuse requests above this number; 0 is no limit")
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the fault draws")
 	flags.StringVar(&truth, "truth", "", "file to append the truth log to; empty keeps it in memory only")
-	flags.DurationVar(&notice, "notice", time.Second, "how long to go on refusing as leaving before the listener closes")
-	flags.DurationVar(&grace, "grace", 30*time.Second, "longest wait for running executions after that")
+	flags.DurationVar(&notice, "notice", time.Second, "how long to refuse new requests as leaving before the listener closes")
+	flags.DurationVar(&grace, "grace", 30*time.Second, "longest wait for running executions after --notice")
 	return command
 }
--- a/cmd/rehearse/engine.go
+++ b/cmd/rehearse/engine.go
@@ -41,11 +41,11 @@
 		Use:   "engine",
 		Short: "Run a model engine stand-in",
 		Long: `Run a process that behaves like a model engine with continuous batching and a
-prefix cache: it serves the engine protocol, takes its time for prefill and
-decoding, and can act out faults, at set times or when told to. It computes no
-model: its answers follow from the prompt, so that a caller can check them.
+prefix cache: it serves the engine protocol, simulates the time of prefill and
+decoding, and can inject faults, at set times or on request. It runs no model:
+its answers are derived from the prompt, so that a caller can check them.
 
-SIGTERM stops it as planned: it announces that it leaves and ends its streams.`,
+SIGTERM shuts it down gracefully: it reports that it is leaving and ends its streams.`,
 		Example: `  # An engine that serves one model version from the start.
   rehearse engine --name wien-1 --zone wien-halle --listen 127.0.0.1:7101 \
       --model dispatch-llm:2026-11
@@ -59,20 +59,20 @@
 	set := command.Flags()
 	set.StringVar(&flags.listen, "listen", "127.0.0.1:7100", "host:port to listen on")
 	set.StringVar(&flags.name, "name", "engine-1", "engine name, as in the fleet file")
-	set.StringVar(&flags.zone, "zone", "", "zone the engine stands in")
+	set.StringVar(&flags.zone, "zone", "", "zone of the engine")
 	set.StringArrayVar(&flags.models, "model", nil, "model loaded at start, as name:version[:adapter,adapter]; repeatable")
 	set.IntVar(&flags.config.CacheBlocks, "cache-blocks", flags.config.CacheBlocks, "capacity of the block cache, in blocks")
 	set.IntVar(&flags.config.BlockTokens, "block-tokens", flags.config.BlockTokens, "tokens in one cache block")
 	set.Float64Var(&flags.prefillMicros, "prefill-micros", 100, "prefill time of one token, in microseconds")
 	set.Float64Var(&flags.tokenMillis, "token-millis", 10, "time of a decode step of one request, in milliseconds")
-	set.IntVar(&flags.config.MaxRunning, "max-running", flags.config.MaxRunning, "most requests in the batch")
-	set.IntVar(&flags.config.MaxWaiting, "max-waiting", flags.config.MaxWaiting, "most requests in the waiting queue")
-	set.DurationVar(&flags.config.LoadDuration, "load-duration", flags.config.LoadDuration, "time to load a version once its weights are there")
-	set.DurationVar(&flags.config.EventDelay, "event-delay", flags.config.EventDelay, "how late cache events are published")
+	set.IntVar(&flags.config.MaxRunning, "max-running", flags.config.MaxRunning, "maximum number of requests in the batch")
+	set.IntVar(&flags.config.MaxWaiting, "max-waiting", flags.config.MaxWaiting, "maximum number of requests in the waiting queue")
+	set.DurationVar(&flags.config.LoadDuration, "load-duration", flags.config.LoadDuration, "time to load a version once its weights are fetched")
+	set.DurationVar(&flags.config.EventDelay, "event-delay", flags.config.EventDelay, "delay of cache events")
 	set.Float64Var(&flags.config.EventLoss, "event-loss", flags.config.EventLoss, "probability that a cache event is lost")
-	set.DurationVar(&flags.config.LoadLag, "load-lag", flags.config.LoadLag, "how old load reports are")
+	set.DurationVar(&flags.config.LoadLag, "load-lag", flags.config.LoadLag, "age of load reports")
 	set.BoolVar(&flags.config.TruthBlocks, "truth-blocks", false, "write block hashes into the truth log")
-	set.Int64Var(&flags.seed, "seed", 1, "seed of all random choices; a seed in the fault plan goes first")
+	set.Int64Var(&flags.seed, "seed", 1, "seed of all random choices; a seed in the fault plan takes precedence")
 	set.StringVar(&flags.faults, "faults", "", "fault plan file (YAML); empty means no faults")
 	set.StringVar(&flags.truth, "truth", "", "file to append the truth log to; empty keeps it in memory only")
 	set.StringVar(&flags.weights, "weights", "", "base URL of the weight store; empty loads without fetching")
@@ -105,7 +105,7 @@
 	return server.Run(ctx, listener)
 }
 
-// options turns the flags into the options of the stand-in.
+// options returns the options of the stand-in that the flags set.
 func (f *engineFlags) options() (engine.Options, error) {
 	config := f.config
 	config.Name = ident.Engine(f.name)
@@ -128,17 +128,17 @@
 	return options, err
 }
 
-// Parts of a --model value.
+// Numbers of colon-separated parts of a --model value.
 const (
 	minModelParts = 2
 	maxModelParts = 3
 )
 
-// parseLoadedModel reads name:version[:adapter,adapter].
+// parseLoadedModel parses name:version[:adapter,adapter].
 func parseLoadedModel(text string) (protocol.LoadedModel, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) < minModelParts || len(parts) > maxModelParts || parts[0] == "" || parts[1] == "" {
-		return protocol.LoadedModel{}, fault.New(fault.InvalidSettings, "model %q is not understood", text).
+		return protocol.LoadedModel{}, fault.New(fault.InvalidSettings, "model %q is malformed", text).
 			WithRemedy("write --model name:version or --model name:version:adapter,adapter")
 	}
 	loaded := protocol.LoadedModel{Model: ident.Model(parts[0]), Version: ident.ModelVersion(parts[1])}
--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/standin/experiment"
 )
 
-// defaultParallel is the number of simulations run at one time.
+// defaultParallel is the number of concurrent simulations.
 const defaultParallel = 6
 
 // experimentOptions are the flags of "rehearse experiment".
@@ -30,9 +30,9 @@
 		Short: "Compare placement policies over simulated deployments in virtual time",
 		Long: `Compare placement policies over simulated deployments in virtual time.
 
-Every policy meets the same arrivals and the same faults for each seed. The
-measures are judged on what the simulated engines truly held and did. A whole
-comparison takes seconds to minutes and gives the same figures on every run.`,
+For each seed, every policy gets the same arrivals and the same faults. Results
+are measured on the actual state of the simulated engines. A whole comparison
+takes seconds to minutes and is deterministic.`,
 		Example: `  rehearse experiment --scenario muldenring-steady,parking-steady --seeds 5
   rehearse experiment --scenario all --policy all --output json`,
 		Args: cobra.NoArgs,
@@ -40,10 +40,10 @@
 	}
 	flags := command.Flags()
 	flags.StringSliceVar(&options.scenarios, "scenario", []string{"muldenring-steady", "parking-steady"}, "scenarios to run, or all")
-	flags.StringArrayVar(&options.files, "scenario-file", nil, "scenario file (YAML) to run besides; repeat for several")
+	flags.StringArrayVar(&options.files, "scenario-file", nil, "additional scenario file (YAML) to run; repeat for several")
 	flags.StringSliceVar(&options.policies, "policy", experiment.DefaultPolicies(), "policies to compare, or all")
-	flags.IntVar(&options.seeds, "seeds", 5, "number of seeds, from 1 on")
-	flags.IntVar(&options.parallel, "parallel", defaultParallel, "most simulations at one time")
+	flags.IntVar(&options.seeds, "seeds", 5, "number of seeds, starting at 1")
+	flags.IntVar(&options.parallel, "parallel", defaultParallel, "maximum number of concurrent simulations")
 	flags.StringVar(&options.plots, "plots", "", "directory to write plots (PNG) to")
 	commandline.AddOutputFlag(command, &options.output)
 	return command
@@ -73,17 +73,17 @@
 	return experiment.WritePlots(options.plots, rows)
 }
 
-// progressInterval is the least time between two lines of progress.
+// progressInterval is the minimum time between two progress lines.
 const progressInterval = 2 * time.Second
 
-// progressPrinter tells on the error output, now and then, how far a long
-// comparison has come.
+// progressPrinter returns a callback that prints progress on the error output at
+// most once per progressInterval.
 func progressPrinter(command *cobra.Command) func(started, total int) {
 	lastPrinted := time.Now()
 	return func(started, total int) {
 		if time.Since(lastPrinted) >= progressInterval {
 			lastPrinted = time.Now()
-			command.PrintErrf("%d of %d simulations begun\n", started, total)
+			command.PrintErrf("%d of %d simulations started\n", started, total)
 		}
 	}
 }
--- a/cmd/rehearse/help_test.go
+++ b/cmd/rehearse/help_test.go
@@ -14,7 +14,7 @@
 	is.Equal(commandline.CheckHelp(newRootCommand()), nil)
 }
 
-// Every command line on a page is one that this program understands.
+// Guards against pages that show unknown commands, flags or arguments.
 func TestPagesShowValidCommands(t *testing.T) {
 	is := is.New(t)
 	shown, problems := commandline.CheckPages(newRootCommand(), os.DirFS("../.."), "README.md", "docs")
--- a/cmd/rehearse/load.go
+++ b/cmd/rehearse/load.go
@@ -31,15 +31,15 @@
 	options := &loadOptions{}
 	command := &cobra.Command{
 		Use:   "load --target URL --schedule FILE",
-		Short: "Send a workload to routers as their callers would, and judge every answer",
-		Long: `Send a workload to routers, open loop, as its callers would, and judge every
-answer: whole and correct, refused and not run, or lost. The text of an answer
+		Short: "Send a workload to routers as their callers would, and check every answer",
+		Long: `Send a workload to routers, open loop, as its callers would, and classify every
+answer: complete and correct, refused and not run, or lost. The text of an answer
 is compared with what the stand-in engines must produce. With --truth, the truth
-logs of the engines tell how many tokens were recomputed although a permitted
-engine held them.
+logs of the engines show how many tokens were recomputed although a permitted
+engine had them cached.
 
 The exit code is not 0 if more than --allow-lost requests were lost.`,
-		Example: `  # The load of an example for 10 seconds, with the engines' truth.
+		Example: `  # The load of an example for 10 seconds, with the engines' truth logs.
   rehearse load --schedule examples/muldenring/load.yaml --duration 10s \
       --target http://127.0.0.1:7001 --target http://127.0.0.1:7003 \
       --truth http://127.0.0.1:7101
@@ -57,12 +57,12 @@
 	flags.StringArrayVar(&options.truth, "truth", nil, "base URL of a stand-in engine whose truth log is read at the end; repeat for several")
 	flags.StringVar(&options.schedule, "schedule", "", "load schedule (YAML)")
 	flags.Uint64Var(&options.seed, "seed", 1, "seed of the load")
-	flags.DurationVar(&options.duration, "duration", 0, "how long arrivals go on (default: as the schedule says)")
-	flags.Float64Var(&options.rate, "rate", 0, "mean arrivals a second (default: as the schedule says)")
+	flags.DurationVar(&options.duration, "duration", 0, "duration of the arrivals (default: from the schedule)")
+	flags.Float64Var(&options.rate, "rate", 0, "mean arrivals a second (default: from the schedule)")
 	commandline.AddOutputFlag(command, &options.output)
-	flags.IntVar(&options.allowLost, "allow-lost", 0, "lost requests that still count as success")
-	flags.IntVar(&options.maxInFlight, "max-in-flight", 0, "most requests open at one time (default 2048)")
-	flags.DurationVar(&options.patience, "patience", 0, "the longest a caller waits for one request (default 2m)")
+	flags.IntVar(&options.allowLost, "allow-lost", 0, "maximum number of lost requests that still counts as success")
+	flags.IntVar(&options.maxInFlight, "max-in-flight", 0, "maximum number of open requests (default 2048)")
+	flags.DurationVar(&options.patience, "patience", 0, "time limit of one request (default 2m)")
 	return command
 }
 
@@ -101,7 +101,7 @@
 	spec, err := workload.Load(o.schedule)
 	if err != nil {
 		return load.Config{}, fault.Wrap(err, fault.BadRequest, "the load schedule cannot be used").
-			WithRemedy("correct the schedule; examples/muldenring/load.yaml is one that works")
+			WithRemedy("correct the schedule; examples/muldenring/load.yaml is a valid one")
 	}
 	if o.rate > 0 {
 		spec.Rate = o.rate
@@ -116,7 +116,7 @@
 	if len(o.truth) > 0 {
 		config.ReadWaste = func(ctx context.Context) (load.Waste, error) {
 			waste, err := load.ReadWaste(ctx, o.truth)
-			return waste, errors.Wrap(err, "wasted recomputation")
+			return waste, errors.Wrap(err, "measuring wasted recomputation")
 		}
 	}
 	return config, nil
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -12,8 +12,8 @@
 func main() { os.Exit(commandline.Run(newRootCommand())) }
 
 const rootLong = `rehearse runs a fieldpond deployment on one machine: stand-ins for the engines,
-the applications and the platform, a load of callers that judge every answer,
-and experiments. It listens on loopback addresses and is not for production.
+the applications and the platform, a load generator that checks every answer, and
+experiments. It listens on loopback addresses and is not for production.
 
 Exit codes are those of fieldpond: 'fieldpond --help' lists them.`
 
--- a/cmd/rehearse/overhead.go
+++ b/cmd/rehearse/overhead.go
@@ -14,10 +14,10 @@
 	var output commandline.Format
 	command := &cobra.Command{
 		Use:   "overhead --router URL --engine URL",
-		Short: "Compare the time to the first text through a router and straight from an engine",
-		Long: `Send the same kind of request to a router and straight to an engine in turn,
+		Short: "Compare the time to the first text through a router and directly from an engine",
+		Long: `Send the same kind of request to a router and directly to an engine in turn,
 one at a time, and compare the times to the first text. For a fair comparison
-the fleet file should name that engine only.`,
+the fleet file should list that engine only.`,
 		Example: `  rehearse overhead --router http://127.0.0.1:7001 --engine http://127.0.0.1:7101 \
     --key key-haulier-1 --service dispatch-assistant --tenant haulier-1 \
     --model dispatch-llm --model-version 2026-11`,
--- a/cmd/rehearse/plan.go
+++ b/cmd/rehearse/plan.go
@@ -12,7 +12,7 @@
 	"github.com/fieldpond/fieldpond/standin/deployment"
 )
 
-// planFileMode is the mode of the files written; one of them is a key.
+// planFileMode is private to the owner, since one of the files is a key.
 const planFileMode = 0o600
 
 func newPlanCommand() *cobra.Command {
@@ -23,7 +23,7 @@
 		Short: "Write the files of a rehearsal and print its processes",
 		Long: `Write the settings files, the cluster key and the machine list of a rehearsal
 of a fleet file into a directory, and print one line for each process in the
-order of starting: its name, its HTTP address, its program and its arguments,
+start order: its name, its HTTP address, its program and its arguments,
 separated by tabs. The command starts nothing.`,
 		Example: `  # 'scripts/up' does this and starts the processes.
   mkdir -p out/demo
@@ -61,7 +61,7 @@
 func planFromFile(fleetFile string, options deployment.Options) (*deployment.Plan, error) {
 	data, err := os.ReadFile(fleetFile)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.InvalidFleet, "reading the fleet file").WithRemedy("name a readable file with --fleet")
+		return nil, fault.Wrap(err, fault.InvalidFleet, "reading the fleet file").WithRemedy("give the path of a readable file with --fleet")
 	}
 	document, problems := fleet.Parse(data, fleetFile)
 	if err := problems.Err(); err != nil {
