--- a/cmd/fieldpond/help_test.go
+++ b/cmd/fieldpond/help_test.go
@@ -12,7 +12,7 @@
 	"github.com/fieldpond/fieldpond/platform"
 )
 
-func TestAnUnknownMechanismEndsTheCommand(t *testing.T) {
+func TestEdgeRejectsUnknownMechanism(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "local.toml")
 	settings := strings.Join([]string{
@@ -24,19 +24,19 @@
 	}, "\n")
 	is.NoErr(os.WriteFile(path, []byte(settings), 0o600))
 	t.Setenv(platform.SettingsVariable, path)
-	_, _, err := run("edge", "--without", "telepathy")
+	_, _, err := run("edge", "--without", "no-such-mechanism")
 	is.True(err != nil)
-	is.True(strings.Contains(err.Error(), "telepathy"))
+	is.True(strings.Contains(err.Error(), "no-such-mechanism"))
 	is.True(strings.Contains(err.Error(), "early-refusal")) // the remedy
 }
 
-func TestHelpTeachesWithSoundExamples(t *testing.T) {
+func TestHelpExamplesAreValid(t *testing.T) {
 	is := is.New(t)
 	is.Equal(commandline.CheckHelp(newRootCommand()), nil)
 }
 
-// Every command line on a page is one that this program understands.
-func TestPagesShowSoundCommands(t *testing.T) {
+// Guards against pages that show unknown commands, flags or arguments.
+func TestPagesShowValidCommands(t *testing.T) {
 	is := is.New(t)
 	shown, problems := commandline.CheckPages(newRootCommand(), os.DirFS("../.."), "README.md", "docs")
 	is.Equal(problems, nil)
--- a/cmd/fieldpond/statustable.go
+++ b/cmd/fieldpond/statustable.go
@@ -12,16 +12,14 @@
 )
 
 const (
-	// shownIncarnation is how many characters of an incarnation the table shows:
-	// the last ones, since it begins with the time of the start.
-	shownIncarnation = 8
-	// nothing stands for an empty cell.
-	nothing = "-"
-	// percent turns a share into percent.
-	percent = 100
+	// incarnationSuffixLength is how many last characters of an incarnation the
+	// table shows; the first ones are the time of the start.
+	incarnationSuffixLength = 8
+	emptyCell               = "-"
+	percent                 = 100
 )
 
-// writeTable prints the report for people.
+// writeTable prints the report as text tables.
 func (r *statusReport) writeTable(writer io.Writer) error {
 	table := &statusTable{tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)}
 	table.summary(r)
@@ -31,15 +29,14 @@
 		table.applications(r.Routers)
 		table.routers(r.Routers)
 		table.control(r.Routers)
-		table.exchanges(r.Routers)
+		table.claimsAndGossip(r.Routers)
 	}
 	return table.Flush()
 }
 
-// statusTable prints the sections of a report. Write errors show at Flush.
+// statusTable prints the sections of a report. Flush returns write errors.
 type statusTable struct{ *tabwriter.Writer }
 
-// row prints one line of cells.
 func (t *statusTable) row(cells ...any) {
 	for index, cell := range cells {
 		if index > 0 {
@@ -55,25 +52,25 @@
 	if report.Live == 0 {
 		text = "no router answered"
 	}
-	_, _ = fmt.Fprintln(t, text+whoLacks(report.Lagging, report.Unanswered))
+	_, _ = fmt.Fprintln(t, text+missingText(report.Lagging, report.Unanswered))
 }
 
-// members prints the members as the first router sees them, each with the
-// newest version that any router told of it.
+// members prints the members as the first router reports them, each with the
+// highest version that any router reported for it.
 func (t *statusTable) members(report *statusReport) {
 	t.row("\nMEMBER", "ZONE", "STATE", "VERSION", "ADDRESS")
 	for _, member := range report.Routers[0].Members {
-		newest := max(member.FleetVersion, report.seen[member.Node])
-		version := fmt.Sprint(newest)
-		if isLive(member) && newest < report.FleetVersion {
-			version += " (lags)"
+		version := max(member.FleetVersion, report.versions[member.Node])
+		versionText := fmt.Sprint(version)
+		if isLive(member) && version < report.FleetVersion {
+			versionText += " (lags)"
 		}
-		t.row(member.Node, member.Zone, member.State, version, member.Address)
+		t.row(member.Node, member.Zone, member.State, versionText, member.Address)
 	}
 }
 
-// engines prints the engines as the first router sees them, and how many of
-// the routers asked believe each alive.
+// engines prints the engines as the first router reports them, and how many of
+// the queried routers consider each alive.
 func (t *statusTable) engines(routers []status.Router) {
 	alive := map[ident.Engine]int{}
 	for _, router := range routers {
@@ -86,18 +83,18 @@
 	t.row("\nENGINE", "ZONE", "STATE", "ALIVE TO", "INCARNATION", "RUNNING", "WAITING", "PREFILL QUEUE", "LIMIT", "LOADED")
 	for _, engine := range routers[0].Engines {
 		t.row(engine.Engine, engine.Zone, backendState(engine.Alive, engine.Leaving), fmt.Sprintf("%d of %d", alive[engine.Engine], len(routers)),
-			shorten(string(engine.Incarnation)), engine.Running, engine.Waiting, engine.QueuedPrefillTokens,
+			shortIncarnation(string(engine.Incarnation)), engine.Running, engine.Waiting, engine.QueuedPrefillTokens,
 			fmt.Sprintf("%d of %s", engine.OwnInFlight, limitText(engine.ConcurrencyLimit)), loadedText(engine.Loaded))
 	}
 }
 
-// applications prints the applications as the first router sees them, and how
-// many requests all routers asked have on each.
+// applications prints the applications as the first router reports them, and
+// how many requests all queried routers have in flight on each.
 func (t *statusTable) applications(routers []status.Router) {
-	alive, calls := map[ident.Application]int{}, map[ident.Application]int{}
+	alive, inFlight := map[ident.Application]int{}, map[ident.Application]int{}
 	for _, router := range routers {
 		for _, application := range router.Applications {
-			calls[application.Application] += application.OwnInFlight
+			inFlight[application.Application] += application.OwnInFlight
 			if application.Alive {
 				alive[application.Application]++
 			}
@@ -106,27 +103,27 @@
 	t.row("\nAPPLICATION", "ZONE", "STATE", "ALIVE TO", "INCARNATION", "RUNNING", "IN FLIGHT")
 	for _, application := range routers[0].Applications {
 		t.row(application.Application, application.Zone, backendState(application.Alive, application.Leaving),
-			fmt.Sprintf("%d of %d", alive[application.Application], len(routers)), shorten(string(application.Incarnation)),
-			application.Running, calls[application.Application])
+			fmt.Sprintf("%d of %d", alive[application.Application], len(routers)), shortIncarnation(string(application.Incarnation)),
+			application.Running, inFlight[application.Application])
 	}
 }
 
-func backendState(alive, leaving bool) string {
+func backendState(alive, draining bool) string {
 	switch {
 	case !alive:
 		return "dead"
-	case leaving:
+	case draining:
 		return "leaving"
 	default:
 		return "alive"
 	}
 }
 
-func shorten(incarnation string) string {
+func shortIncarnation(incarnation string) string {
 	if incarnation == "" {
-		return nothing
+		return emptyCell
 	}
-	return incarnation[max(0, len(incarnation)-shownIncarnation):]
+	return incarnation[max(0, len(incarnation)-incarnationSuffixLength):]
 }
 
 func limitText(limit int) string {
@@ -138,7 +135,7 @@
 
 func loadedText(loaded []status.Loaded) string {
 	if len(loaded) == 0 {
-		return nothing
+		return emptyCell
 	}
 	var names []string
 	for _, version := range loaded {
@@ -148,19 +145,19 @@
 	return strings.Join(names, " ")
 }
 
-// routers prints the queue and the decisions of each router asked. Believed
-// and found are shares of the prompt tokens of answered attempts.
+// routers prints the queue and the decisions of each queried router. BELIEVED
+// and FOUND are shares of the prompt tokens of answered attempts.
 func (t *statusTable) routers(routers []status.Router) {
 	t.row("\nROUTER", "STATE", "WAITING", "IN FLIGHT", "PLACED", "HELD", "REFUSED", "BELIEVED", "FOUND", "TOO HIGH", "RIGHT", "TOO LOW")
 	for _, router := range routers {
-		decided := router.Decisions
-		t.row(router.Node, router.State, queueText(router.Queue), router.Queue.InFlight, decided.Placed, decided.Held, decided.Refused,
-			share(decided.CreditedTokens, decided.PromptTokens), share(decided.CachedTokens, decided.PromptTokens),
-			decided.BeliefHigh, decided.BeliefRight, decided.BeliefLow)
+		decisions := router.Decisions
+		t.row(router.Node, router.State, queueText(router.Queue), router.Queue.InFlight, decisions.Placed, decisions.Held, decisions.Refused,
+			percentText(decisions.CreditedTokens, decisions.PromptTokens), percentText(decisions.CachedTokens, decisions.PromptTokens),
+			decisions.BeliefHigh, decisions.BeliefRight, decisions.BeliefLow)
 	}
 }
 
-// queueText shows the depth, and its parts by priority, such as "5 (p0:2 p3:3)".
+// queueText returns the depth and its parts by priority, such as "5 (p0:2 p3:3)".
 func queueText(queue status.Queue) string {
 	text := fmt.Sprint(queue.Waiting)
 	var parts []string
@@ -173,15 +170,15 @@
 	return text
 }
 
-func share(part, whole uint64) string {
+func percentText(part, whole uint64) string {
 	if whole == 0 {
-		return nothing
+		return emptyCell
 	}
 	return fmt.Sprintf("%.1f %%", percent*float64(part)/float64(whole))
 }
 
-// control prints each lease over a group of engines once: with what its holder
-// tells if that router was asked, else with who is to be asked.
+// control prints each lease over a group of engines once: as its holder reports
+// it if that router was queried, else only with the holder.
 func (t *statusTable) control(routers []status.Router) {
 	t.row("\nCONTROL LEASE", "HOLDER", "FENCE", "SETTLED", "LOADING", "ORDERS", "REPEATED", "REFUSED", "UNLOADS PUT OFF", "STALE FENCES")
 	shown := map[string]bool{}
@@ -198,19 +195,19 @@
 		for _, group := range router.Control {
 			if !shown[group.Lease] {
 				shown[group.Lease] = true
-				t.row(group.Lease, holderText(group, routers), nothing, nothing, nothing, nothing, nothing, nothing, nothing, nothing)
+				t.row(group.Lease, holderText(group, routers), emptyCell, emptyCell, emptyCell, emptyCell, emptyCell, emptyCell, emptyCell, emptyCell)
 			}
 		}
 	}
 }
 
-// holderText says who is in charge of a group, or who contends for it, if none
-// of the routers asked says that it is.
+// holderText names the lease holder that another router reports, or else the
+// contenders.
 func holderText(group status.ControlGroup, routers []status.Router) string {
 	for _, router := range routers {
-		for _, seen := range router.Control {
-			if seen.Lease == group.Lease && seen.Holder != "" {
-				return fmt.Sprintf("%s (ask it)", seen.Holder)
+		for _, other := range router.Control {
+			if other.Lease == group.Lease && other.Holder != "" {
+				return fmt.Sprintf("%s (ask it)", other.Holder)
 			}
 		}
 	}
@@ -221,9 +218,9 @@
 	return fmt.Sprintf("not seen (contenders: %s)", strings.Join(names, ", "))
 }
 
-// exchanges prints what each router asked exchanged with the table and with
-// other routers, and what its rings lost.
-func (t *statusTable) exchanges(routers []status.Router) {
+// claimsAndGossip prints each queried router's claims, gossip traffic and dropped
+// ring items.
+func (t *statusTable) claimsAndGossip(routers []status.Router) {
 	t.row("\nROUTER", "CLAIMS GRANTED", "SHOWN", "REFUSED", "WAITING", "GOSSIP OUT", "GOSSIP IN", "GOSSIP REFUSED", "RING ITEMS DROPPED")
 	for _, router := range routers {
 		claims, gossip := router.Claims, router.Gossip
@@ -240,7 +237,7 @@
 	return fmt.Sprintf("%d KiB", bytes/kibibyte)
 }
 
-// droppedText names the rings that lost items, or is "none".
+// droppedText names the rings that dropped items, or is "none".
 func droppedText(rings []status.Ring) string {
 	var parts []string
 	for _, ring := range rings {
