--- a/cmd/fieldpond/diff.go
+++ b/cmd/fieldpond/diff.go
@@ -68,7 +68,7 @@
 	}
 	report := diffReport{}
 	if found {
-		report.InForce = stored.Head.Pair().Version
+		report.InForce = stored.Head.CurrentRef().Version
 	}
 	difference := fleet.Compare(stored.Document, document)
 	report.Changes = difference.Changes
--- a/cmd/fieldpond/edge.go
+++ b/cmd/fieldpond/edge.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			if options.Without, err = mechanism.Without(without); err != nil {
+			if options.Without, err = mechanism.ParseDisabled(without); err != nil {
 				return err
 			}
 			ctx, stop := commandline.UntilStopped(command)
--- a/internal/api/application.go
+++ b/internal/api/application.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	key, err := idempotencyKey(e.request.Header, route.Repeatable)
+	key, err := idempotencyKey(e.request.Header, route.Retryable)
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 		Class:             class.Name,
 		Priority:          class.Priority,
 		Zones:             e.catalog.Zones(e.tenant),
-		Retryable:         route.Repeatable,
+		Retryable:         route.Retryable,
 		IdempotencyKey:    key,
 		Method:            e.request.Method,
 		Path:              route.Path,
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -204,7 +204,7 @@
 			writer.Header().Set("Connection", "close")
 		}
 		if s.closing.Load() {
-			s.writeFault(writer, request, fault.New(fault.Leaving, "this router is stopping").WithRetryAfter(closingRetryAfter))
+			s.writeFault(writer, request, fault.New(fault.ShuttingDown, "this router is stopping").WithRetryAfter(closingRetryAfter))
 			return
 		}
 		opened, err := s.authenticate(writer, request)
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -48,7 +48,7 @@
 		"chat":   {Name: "chat", Kind: fleet.ServiceModel, Model: "m", Classes: []ident.Class{"gate", "rulings"}},
 		"secret": {Name: "secret", Kind: fleet.ServiceModel, Model: "m", Classes: []ident.Class{"gate"}},
 		"bay": {Name: "bay", Kind: fleet.ServiceApplication, Classes: []ident.Class{"gate"}, Routes: []fleet.Route{
-			{Method: "POST", Path: "/book"}, {Method: "GET", Path: "/slots", Repeatable: true},
+			{Method: "POST", Path: "/book"}, {Method: "GET", Path: "/slots", Retryable: true},
 		}},
 	}
 	service, found := services[name]
@@ -419,7 +419,7 @@
 	told := decode[ErrorBody](t, answer.Body.String())
 	is.Equal(answer.Code, http.StatusServiceUnavailable)
 	is.Equal(answer.Header().Get("Retry-After"), "1")
-	is.Equal(told.Error.Kind, fault.Leaving)
+	is.Equal(told.Error.Kind, fault.ShuttingDown)
 	is.Equal(told.Error.Ran, fault.RanNo)
 	is.True(runner.job == nil) // nothing ran
 	is.Equal(exchangeWith(server, http.MethodGet, "/healthz", "").Code, http.StatusOK)
--- a/internal/backend/advertised.go
+++ b/internal/backend/advertised.go
@@ -94,10 +94,10 @@
 		return change
 	}
 	change.Limit, change.LimitChanged = known.limit.observe(now, sentAt, advertised.Limit)
-	if advertised.Draining && r.config.Disabled.On(mechanism.BackendWords) {
+	if advertised.Draining && r.config.Disabled.Enabled(mechanism.BackendAdvertised) {
 		change.DrainBegan = known.drain.begin(now, by)
 	}
-	if advertised.Backoff > 0 && r.config.Disabled.On(mechanism.BackendWords) {
+	if advertised.Backoff > 0 && r.config.Disabled.Enabled(mechanism.BackendAdvertised) {
 		change.Backoff = advertised.Backoff
 		known.backoff.extend(now, advertised.Backoff)
 	}
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -60,7 +60,7 @@
 	}
 	service := a.target.record.Service
 	a.registry.lateness(service).observe(now, now.Sub(a.expectedAt))
-	if !a.sentAt.IsZero() && a.registry.config.Disabled.On(mechanism.ReadingRate) {
+	if !a.sentAt.IsZero() && a.registry.config.Disabled.Enabled(mechanism.PrefillRate) {
 		a.registry.prefillRate(service).observe(a.tokens, now.Sub(a.sentAt))
 	}
 }
--- a/internal/backend/backoff_test.go
+++ b/internal/backend/backoff_test.go
@@ -170,7 +170,7 @@
 func TestAdvertisedStateIsIgnoredWhenDisabled(t *testing.T) {
 	is := is.New(t)
 	at := time.Unix(1000, 0)
-	disabled, err := mechanism.Without([]string{string(mechanism.BackendWords)})
+	disabled, err := mechanism.ParseDisabled([]string{string(mechanism.BackendAdvertised)})
 	is.NoErr(err)
 	r := NewRegistry(Config{Disabled: disabled})
 	r.ApplyList(at, listOf(1, "e@1"))
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -197,7 +197,7 @@
 
 // recentLateness returns how much later than predicted recent answers of a back end came.
 func (r *Registry) recentLateness(now time.Time, known *state) time.Duration {
-	if !r.config.Disabled.On(mechanism.LatePatience) {
+	if !r.config.Disabled.Enabled(mechanism.LatenessAllowance) {
 		return 0
 	}
 	return known.latenessAt(now)
--- a/internal/backend/home.go
+++ b/internal/backend/home.go
@@ -14,7 +14,7 @@
 // allowed in its region, whether it is usable now or not. One that was reported silent or gone
 // is skipped: all routers receive these reports, and so agree on the next one.
 func (r *Registry) home(now time.Time, query *Query, allowed []*state) *state {
-	if query.HomeKey == 0 || !r.config.Disabled.On(mechanism.HomeEngines) {
+	if query.HomeKey == 0 || !r.config.Disabled.Enabled(mechanism.HomeEngines) {
 		return nil
 	}
 	notDraining := func(known *state) bool { return !known.drain.active() }
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -115,7 +115,7 @@
 	for instance, known := range r.byID {
 		switch {
 		case listed[instance] != nil:
-		case r.listOutage.mayReturn(listedAt) && r.config.Disabled.On(mechanism.LapseGrace):
+		case r.listOutage.mayReturn(listedAt) && r.config.Disabled.Enabled(mechanism.ExpiryGrace):
 			known.missing = true
 			listed[instance] = known
 			services[known.record.Service] = append(services[known.record.Service], known)
--- a/internal/backend/stale.go
+++ b/internal/backend/stale.go
@@ -28,7 +28,7 @@
 // share of engines that have the newest, so that the first of them are not flooded.
 func (r *Registry) staleCost(now time.Time, query *Query) time.Duration {
 	newest := query.newest()
-	if newest == 0 || !r.config.Disabled.On(mechanism.NewerWeights) {
+	if newest == 0 || !r.config.Disabled.Enabled(mechanism.NewerWeights) {
 		return 0
 	}
 	current, all := 0, 0
--- a/internal/backend/stale_test.go
+++ b/internal/backend/stale_test.go
@@ -38,7 +38,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			disabled, fault := mechanism.Without(tt.without)
+			disabled, fault := mechanism.ParseDisabled(tt.without)
 			is.True(fault == nil)
 			var records []backend.Record
 			for index := range engines {
--- a/internal/backend/stateupdate.go
+++ b/internal/backend/stateupdate.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		known := r.advertisedStateOf(update.Instance)
-		draining := update.Draining && r.config.Disabled.On(mechanism.BackendWords)
+		draining := update.Draining && r.config.Disabled.Enabled(mechanism.BackendAdvertised)
 		if known == nil && draining {
 			known = r.removed.addUnlisted(now, update.Instance)
 		}
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -80,7 +80,7 @@
 
 // Claim implements Claimer.
 func (k *Manager) Claim(ctx context.Context, key Key, digest Digest) (Grant, error) {
-	claimID := ident.NewUnique()
+	claimID := ident.NewUniqueID()
 	now := time.Now()
 	deadline := now.Add(k.config.Timeout)
 	if limit, limited := ctx.Deadline(); limited && limit.Before(deadline) {
@@ -90,7 +90,7 @@
 	k.mutex.Lock()
 	if k.stopping {
 		k.mutex.Unlock()
-		return Grant{}, fault.New(fault.Leaving, "this router is stopping")
+		return Grant{}, fault.New(fault.ShuttingDown, "this router is stopping")
 	}
 	k.claimWaiters[claimID] = answered
 	k.core.Submit(now, claimID, key, digest, deadline)
--- a/internal/claim/manager_test.go
+++ b/internal/claim/manager_test.go
@@ -214,7 +214,7 @@
 		cancel()
 		synctest.Wait()
 		_, err = manager.Claim(context.Background(), booking, "digest")
-		is.True(fault.Is(err, fault.Leaving))
+		is.True(fault.Is(err, fault.ShuttingDown))
 		time.Sleep(time.Minute)
 		is.Equal(table.heal(booking), StateRan) // recorded after shutdown, in spite of the outage
 	})
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -39,16 +39,16 @@
 	last    time.Time
 )
 
-// WatchInterval is the longest time between two calls of Sync under Watch. frozenFrom is how
+// SyncInterval is the longest time between two calls of Sync under Watch. frozenFrom is how
 // much longer tells that the process stood still, rather than waited for its processor.
 const (
-	WatchInterval = 200 * time.Millisecond
-	frozenFrom    = 1200 * time.Millisecond
+	SyncInterval = 200 * time.Millisecond
+	frozenFrom   = 1200 * time.Millisecond
 )
 
-// Watch says that Sync is called every WatchInterval from now on, so that a longer span without
+// DetectFreezes says that Sync is called every SyncInterval from now on, so that a longer span without
 // a call means that the process was frozen. It returns what ends that.
-func Watch() (end func()) {
+func DetectFreezes() (end func()) {
 	mu.Lock()
 	defer mu.Unlock()
 	watched, last = true, time.Now()
@@ -68,9 +68,9 @@
 	return time.Duration(boot.Nano() - steady.Nano())
 }
 
-// Replace has another source tell suspensions, and returns what restores the one before. It is
+// ReplaceSource has another source tell suspensions, and returns what restores the one before. It is
 // for tests.
-func Replace(other Source) (restore func()) {
+func ReplaceSource(other Source) (restore func()) {
 	mu.Lock()
 	defer mu.Unlock()
 	formerSource, formerBase, formerSuspended, formerWoke := source, base, suspended.Load(), woke.Load()
@@ -112,9 +112,9 @@
 // Until returns the time until a moment that this package told.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// WokeAt returns when this process was last found to have stood still, as its machine was
+// ResumedAt returns when this process was last found to have stood still, as its machine was
 // suspended or it was frozen; found is false if it never was.
-func WokeAt() (at time.Time, found bool) {
+func ResumedAt() (at time.Time, found bool) {
 	last := woke.Load()
 	if last == nil {
 		return time.Time{}, false
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -13,13 +13,13 @@
 func TestSuspensionsCount(t *testing.T) {
 	is := is.New(t)
 	asleep := time.Duration(0)
-	defer clock.Replace(func() time.Duration { return asleep })()
+	defer clock.ReplaceSource(func() time.Duration { return asleep })()
 	before := clock.Sync()
 	asleep = 5 * time.Second
 	is.True(clock.Since(before) < 4*time.Second) // nobody has looked yet
 	is.True(clock.Sync().Sub(before) >= 5*time.Second)
 	is.True(clock.Since(before) >= 5*time.Second)
-	woke, found := clock.WokeAt()
+	woke, found := clock.ResumedAt()
 	is.True(found)
 	is.True(clock.Since(woke) < time.Second)
 	// What lies between two looks at the clocks is no suspension.
@@ -39,20 +39,20 @@
 func TestAFrozenProcessWakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		defer clock.Replace(func() time.Duration { return 0 })()
+		defer clock.ReplaceSource(func() time.Duration { return 0 })()
 		clock.Sync()
 		time.Sleep(time.Minute)
 		clock.Sync()
-		_, found := clock.WokeAt()
+		_, found := clock.ResumedAt()
 		is.True(!found) // nobody looks all the time
-		defer clock.Watch()()
-		time.Sleep(clock.WatchInterval)
+		defer clock.DetectFreezes()()
+		time.Sleep(clock.SyncInterval)
 		clock.Sync()
-		_, found = clock.WokeAt()
+		_, found = clock.ResumedAt()
 		is.True(!found)
 		time.Sleep(3 * time.Second)
 		now := clock.Sync()
-		woke, found := clock.WokeAt()
+		woke, found := clock.ResumedAt()
 		is.True(found)
 		is.Equal(woke, now)
 	})
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -199,7 +199,7 @@
 
 // usable reports whether an engine's last report may be acted on.
 func (p *Planner) usable(now time.Time, state *engineState) bool {
-	leaving := state.report.Leaving || state.target.State == fleet.BackendLeaving
+	leaving := state.report.Leaving || state.target.State == fleet.BackendDraining
 	return state.reachable && !leaving && now.Sub(state.trueAt) <= p.maxAge
 }
 
--- a/internal/dispatch/application_test.go
+++ b/internal/dispatch/application_test.go
@@ -42,7 +42,7 @@
 	if found && record.State != claim.StateNotRun {
 		return claim.Grant{Record: record}, nil
 	}
-	record = claim.Record{ClaimID: ident.NewUnique(), State: claim.StateClaimed, Digest: digest}
+	record = claim.Record{ClaimID: ident.NewUniqueID(), State: claim.StateClaimed, Digest: digest}
 	f.records[key] = record
 	return claim.Grant{Acquired: true, Record: record}, nil
 }
--- a/internal/fault/kinds.go
+++ b/internal/fault/kinds.go
@@ -50,8 +50,8 @@
 	InvalidToken Kind = "invalid_resume_token"
 	// NotReady is a router that has no fleet file yet.
 	NotReady Kind = "not_ready"
-	// Leaving is a router or back end that is stopping.
-	Leaving Kind = "leaving"
+	// ShuttingDown is a router or back end that is stopping.
+	ShuttingDown Kind = "leaving"
 	// Conflict is an apply that lost against another operator's.
 	Conflict Kind = "conflict"
 	// InvalidFleet is a fleet file that fails its checks.
@@ -106,7 +106,7 @@
 	StreamBroken:          {http.StatusBadGateway, exitUnavailable, "send the request again; the text received so far is correct but incomplete"},
 	InvalidToken:          {http.StatusBadRequest, exitUsage, "resume with the last event id exactly as received, with the same tenant key"},
 	NotReady:              {http.StatusServiceUnavailable, exitUnavailable, "retry after the stated time; the operator should apply a fleet file"},
-	Leaving:               {http.StatusServiceUnavailable, exitUnavailable, "send the request to another router"},
+	ShuttingDown:          {http.StatusServiceUnavailable, exitUnavailable, "send the request to another router"},
 	Conflict:              {http.StatusConflict, exitConflict, "run 'fieldpond diff' against the winning version, then apply again"},
 	InvalidFleet:          {http.StatusUnprocessableEntity, exitInvalid, "correct the lines named and run 'fieldpond check'"},
 	InvalidSettings:       {http.StatusUnprocessableEntity, exitInvalid, "correct the settings named; docs/reference/settings.md lists them"},
--- a/internal/fleet/adopter.go
+++ b/internal/fleet/adopter.go
@@ -68,7 +68,7 @@
 type AdoptAction struct {
 	Kind     AdoptActionKind
 	Address  string
-	Pair     Pair
+	Pair     FileRef
 	Document *Document
 	Body     []byte
 }
@@ -83,7 +83,7 @@
 
 // candidate is the file that is to be adopted next.
 type candidate struct {
-	pair Pair
+	pair FileRef
 	// fromTable says that the table has named the pair.
 	fromTable bool
 	// disputed says that two digests were heard for the version; only the table
@@ -102,7 +102,7 @@
 type Adopter struct {
 	around   Surroundings
 	jitter   func() float64
-	current  Pair
+	current  FileRef
 	target   candidate
 	counters AdopterCounters
 
@@ -119,12 +119,12 @@
 	nextAsk        time.Time
 	fetching       bool
 	fetchSource    string
-	fetchPair      Pair
+	fetchPair      FileRef
 	fetchRounds    int
 	nextFetch      time.Time
 	// dropped is a pair that only peers named and nobody could show. It is not
 	// taken up again before droppedUntil.
-	dropped      Pair
+	dropped      FileRef
 	droppedUntil time.Time
 }
 
@@ -138,7 +138,7 @@
 }
 
 // Current returns the file in force; its version is zero when there is none.
-func (a *Adopter) Current() Pair { return a.current }
+func (a *Adopter) Current() FileRef { return a.current }
 
 // Counters returns the counters.
 func (a *Adopter) Counters() AdopterCounters { return a.counters }
@@ -153,7 +153,7 @@
 }
 
 // Heard takes in a pair that a peer says it has in force.
-func (a *Adopter) Heard(now time.Time, pair Pair, address string) {
+func (a *Adopter) Heard(now time.Time, pair FileRef, address string) {
 	if pair.Version == 0 || (pair == a.dropped && now.Before(a.droppedUntil)) {
 		return
 	}
@@ -161,7 +161,7 @@
 }
 
 // PeerAnswered takes in a peer's answer to ActionAskPeer.
-func (a *Adopter) PeerAnswered(now time.Time, address string, pair Pair) {
+func (a *Adopter) PeerAnswered(now time.Time, address string, pair FileRef) {
 	delete(a.asked, address)
 	a.Heard(now, pair, address)
 }
@@ -170,7 +170,7 @@
 func (a *Adopter) PeerFailed(address string) { delete(a.asked, address) }
 
 // HeadPolled takes in a read of the head row.
-func (a *Adopter) HeadPolled(now time.Time, pair Pair, found bool) {
+func (a *Adopter) HeadPolled(now time.Time, pair FileRef, found bool) {
 	a.pollEnded(now)
 	if found {
 		a.offer(pair, "", true)
@@ -216,7 +216,7 @@
 }
 
 // offer weighs a pair against the version in force and the current candidate.
-func (a *Adopter) offer(pair Pair, address string, fromTable bool) {
+func (a *Adopter) offer(pair FileRef, address string, fromTable bool) {
 	switch {
 	case pair.Version < a.current.Version:
 		if fromTable {
@@ -234,7 +234,7 @@
 }
 
 // offerSameVersion weighs a pair against a candidate of the same version.
-func (a *Adopter) offerSameVersion(pair Pair, address string, fromTable bool) {
+func (a *Adopter) offerSameVersion(pair FileRef, address string, fromTable bool) {
 	switch {
 	case fromTable && pair.Digest != a.target.pair.Digest:
 		a.counters.Disputed++
@@ -253,7 +253,7 @@
 	}
 }
 
-func (a *Adopter) setTarget(pair Pair, address string, fromTable bool) {
+func (a *Adopter) setTarget(pair FileRef, address string, fromTable bool) {
 	a.target = candidate{pair: pair, fromTable: fromTable, tried: map[string]bool{}}
 	if address != "" {
 		a.target.claimed = []string{address}
--- a/internal/fleet/adopter_test.go
+++ b/internal/fleet/adopter_test.go
@@ -26,8 +26,8 @@
 	return world
 }
 
-func (w *adopterWorld) pair(version Version) Pair {
-	return Pair{Version: version, Digest: DigestOf(w.accepted[version-1])}
+func (w *adopterWorld) pair(version Version) FileRef {
+	return FileRef{Version: version, Digest: DigestOf(w.accepted[version-1])}
 }
 
 // adopterRun is one Adopter among answers that may be true, stale, false or
@@ -39,9 +39,9 @@
 	now     time.Time
 	// tableVersion is the version in force; tabled are the pairs the table named.
 	tableVersion Version
-	tabled       map[Pair]bool
+	tabled       map[FileRef]bool
 	open         []AdoptAction
-	last         Pair
+	last         FileRef
 }
 
 func (r *adopterRun) observe(actions []AdoptAction) {
@@ -109,9 +109,9 @@
 	case 1:
 		r.adopter.Heard(r.now, r.world.pair(version), "p1")
 	case 2:
-		r.adopter.Heard(r.now, Pair{Version: version, Digest: DigestOf(r.world.never[version-1])}, "p2")
+		r.adopter.Heard(r.now, FileRef{Version: version, Digest: DigestOf(r.world.never[version-1])}, "p2")
 	case 3:
-		r.adopter.Heard(r.now, Pair{Version: r.tableVersion + 5, Digest: "nobody has this"}, "p2")
+		r.adopter.Heard(r.now, FileRef{Version: r.tableVersion + 5, Digest: "nobody has this"}, "p2")
 	default:
 		if len(r.open) > 0 {
 			index := rapid.IntRange(0, len(r.open)-1).Draw(r.t, "open")
@@ -144,7 +144,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		run := &adopterRun{
-			t: t, world: world, now: now, tableVersion: 1, tabled: map[Pair]bool{},
+			t: t, world: world, now: now, tableVersion: 1, tabled: map[FileRef]bool{},
 			adopter: NewAdopter(now, func() float64 { return 0.5 }),
 		}
 		run.adopter.SetSurroundings(now, Surroundings{
@@ -202,15 +202,15 @@
 // already, the table's replaces it.
 func TestTheTableSettlesDisputes(t *testing.T) {
 	world := newAdopterWorld(2)
-	truth, other := world.pair(2), Pair{Version: 2, Digest: DigestOf(world.never[1])}
+	truth, other := world.pair(2), FileRef{Version: 2, Digest: DigestOf(world.never[1])}
 	cases := []struct {
 		name  string
-		heard []Pair
-		want  Pair
+		heard []FileRef
+		want  FileRef
 	}{
-		{"heard together", []Pair{other, truth}, Pair{}},
-		{"wrong one alone", []Pair{other}, other},
-		{"right one alone", []Pair{truth}, truth},
+		{"heard together", []FileRef{other, truth}, FileRef{}},
+		{"wrong one alone", []FileRef{other}, other},
+		{"right one alone", []FileRef{truth}, truth},
 	}
 	for _, test := range cases {
 		now := time.Unix(1000, 0)
--- a/internal/fleet/applier.go
+++ b/internal/fleet/applier.go
@@ -132,8 +132,8 @@
 func (a *Applier) begin(row protocol.Row, found bool, head Head) {
 	a.head, a.headFound, a.rowVersion, a.intended = head, found, row.Version, 1
 	if found {
-		a.intended = head.Pair().Version + 1
-		if head.Pair().Digest == a.digest {
+		a.intended = head.CurrentRef().Version + 1
+		if head.CurrentRef().Digest == a.digest {
 			a.finishUnchanged(head)
 			return
 		}
@@ -153,7 +153,7 @@
 // deletes the body that the history forgets, in the same transaction: another
 // apply that counts on that body read an older head and so loses.
 func (a *Applier) prepareCommit() error {
-	entry := HistoryEntry{Pair: Pair{Version: a.intended, Digest: a.digest}, ApplyID: a.options.ApplyID, Size: len(a.body)}
+	entry := HistoryEntry{Pair: FileRef{Version: a.intended, Digest: a.digest}, ApplyID: a.options.ApplyID, Size: len(a.body)}
 	next, forgotten := a.head.successor(entry, a.options.AppliedAt)
 	value, err := encodeHead(next)
 	if err != nil {
@@ -195,12 +195,12 @@
 // lost ends an apply whose row version is gone. Ours can be among the applies
 // that the history has forgotten only if that many versions came since.
 func (a *Applier) lost(head Head, found bool) {
-	if a.inDoubt && found && head.Pair().Version >= a.intended+historyLength {
-		a.finish(Applied{}, fault.New(fault.StoreUnavailable, "the answer to this apply was lost and %d versions came since; version %d may have been this file", head.Pair().Version-a.intended, a.intended).
-			WithRan(fault.RanUnknown).WithRemedy("run 'fieldpond diff' against version %d, then apply again if it differs", head.Pair().Version))
+	if a.inDoubt && found && head.CurrentRef().Version >= a.intended+historyLength {
+		a.finish(Applied{}, fault.New(fault.StoreUnavailable, "the answer to this apply was lost and %d versions came since; version %d may have been this file", head.CurrentRef().Version-a.intended, a.intended).
+			WithRan(fault.RanUnknown).WithRemedy("run 'fieldpond diff' against version %d, then apply again if it differs", head.CurrentRef().Version))
 		return
 	}
-	if found && head.Pair().Digest == a.digest {
+	if found && head.CurrentRef().Digest == a.digest {
 		a.finishUnchanged(head)
 		return
 	}
@@ -290,7 +290,7 @@
 		return fault.New(fault.Conflict, "no fleet file is in force, so there is no version to build on").
 			WithRemedy("apply without --base")
 	}
-	winner := head.Pair().Version
+	winner := head.CurrentRef().Version
 	return fault.New(fault.Conflict, "version %d, from another apply, is in force; this file was not applied", winner).
 		WithRemedy("run 'fieldpond diff' against version %d, take over its changes, then 'fieldpond apply --base %d'", winner, winner)
 }
@@ -305,13 +305,13 @@
 }
 
 func (a *Applier) finishUnchanged(head Head) {
-	a.finish(Applied{Version: head.Pair().Version, Digest: a.digest, ApplyID: head.History[0].ApplyID, Unchanged: true}, nil)
+	a.finish(Applied{Version: head.CurrentRef().Version, Digest: a.digest, ApplyID: head.History[0].ApplyID, Unchanged: true}, nil)
 }
 
 func (a *Applier) finishApplied(entry HistoryEntry, head Head) {
 	applied := Applied{Version: entry.Pair.Version, Digest: entry.Pair.Digest, ApplyID: entry.ApplyID}
-	if head.Pair().Version > entry.Pair.Version {
-		applied.SupersededBy = head.Pair().Version
+	if head.CurrentRef().Version > entry.Pair.Version {
+		applied.SupersededBy = head.CurrentRef().Version
 	}
 	a.finish(applied, nil)
 }
--- a/internal/fleet/apply.go
+++ b/internal/fleet/apply.go
@@ -22,7 +22,7 @@
 		return Applied{}, problems.Err()
 	}
 	if options.ApplyID == "" {
-		options.ApplyID = ident.NewUnique()
+		options.ApplyID = ident.NewUniqueID()
 	}
 	if options.AppliedAt.IsZero() {
 		options.AppliedAt = time.Now().UTC()
--- a/internal/fleet/apply_test.go
+++ b/internal/fleet/apply_test.go
@@ -138,7 +138,7 @@
 				t.Fatalf("apply %s was told unchanged at %v", outcome.applyID, named)
 			}
 		case failure == nil:
-			if len(entries) != 1 || entries[0].Pair != (Pair{outcome.applied.Version, outcome.applied.Digest}) {
+			if len(entries) != 1 || entries[0].Pair != (FileRef{outcome.applied.Version, outcome.applied.Digest}) {
 				t.Fatalf("apply %s was told %v but the log has %v", outcome.applyID, outcome.applied, entries)
 			}
 		case failure.Ran == fault.RanNo && len(entries) != 0:
--- a/internal/fleet/checktenants.go
+++ b/internal/fleet/checktenants.go
@@ -85,14 +85,14 @@
 	}
 	for _, service := range document.Services {
 		for _, engine := range document.Engines {
-			if service.Kind == ServiceModel && engine.State != BackendLeaving && slices.Contains(engine.Models, service.Model) {
+			if service.Kind == ServiceModel && engine.State != BackendDraining && slices.Contains(engine.Models, service.Model) {
 				add(service.Name, engine.Zone)
 			}
 		}
 	}
 	for _, application := range document.Applications {
 		for _, service := range application.Services {
-			if application.State != BackendLeaving {
+			if application.State != BackendDraining {
 				add(service, application.Zone)
 			}
 		}
--- a/internal/fleet/compare.go
+++ b/internal/fleet/compare.go
@@ -154,7 +154,7 @@
 }
 
 func describeRoute(route Route) string {
-	if route.Repeatable {
+	if route.Retryable {
 		return route.Method + " " + route.Path + " (repeatable)"
 	}
 	return route.Method + " " + route.Path
--- a/internal/fleet/parse_test.go
+++ b/internal/fleet/parse_test.go
@@ -161,7 +161,7 @@
 	check.True(!known)
 	bookings, _ := compiled.Service("bookings")
 	route, known := bookings.Route("GET", "/orders")
-	check.True(known && route.Repeatable)
+	check.True(known && route.Retryable)
 	_, known = bookings.Route("PUT", "/orders")
 	check.True(!known)
 	check.Equal(len(bookings.Applications), 3)
--- a/internal/fleet/rolling_test.go
+++ b/internal/fleet/rolling_test.go
@@ -148,7 +148,7 @@
 	check := is.New(r.t)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	accepted := map[Pair]bool{}
+	accepted := map[FileRef]bool{}
 	for index, entry := range r.table.model.heads {
 		accepted[entry.Pair] = true
 		check.Equal(entry.Pair.Version, Version(index+1)) // each version is one file
@@ -156,15 +156,15 @@
 	last := r.table.model.heads[len(r.table.model.heads)-1].Pair
 	check.True(len(r.table.model.heads) > 1)
 	for address, syncer := range r.keepers {
-		if syncer.Pair() != last {
-			r.t.Errorf("%s has %v in force, accepted last was %v", address, syncer.Pair(), last)
+		if syncer.CurrentRef() != last {
+			r.t.Errorf("%s has %v in force, accepted last was %v", address, syncer.CurrentRef(), last)
 		}
 	}
 	for address, lives := range r.adopted {
-		last := Pair{}
+		last := FileRef{}
 		for _, pairs := range lives {
 			if !acrossLives {
-				last = Pair{}
+				last = FileRef{}
 			}
 			for _, pair := range pairs {
 				check.True(accepted[pair])
--- a/internal/fleet/schema.go
+++ b/internal/fleet/schema.go
@@ -122,9 +122,9 @@
 	Method string `yaml:"method" validate:"required,oneof=GET POST PUT PATCH DELETE"`
 	// Path is matched exactly, below /v1/services/{service}; it starts with "/".
 	Path string `yaml:"path" validate:"required,startswith=/"`
-	// Repeatable says that running a request twice does no harm. A route that
+	// Retryable says that running a request twice does no harm. A route that
 	// is not repeatable needs an Idempotency-Key. Default: false.
-	Repeatable bool `yaml:"repeatable"`
+	Retryable bool `yaml:"repeatable"`
 }
 
 // BackendState says whether a back end may get new work.
@@ -133,8 +133,8 @@
 const (
 	// BackendActive takes work. It is the default.
 	BackendActive BackendState = "active"
-	// BackendLeaving finishes its work and gets no more.
-	BackendLeaving BackendState = "leaving"
+	// BackendDraining finishes its work and gets no more.
+	BackendDraining BackendState = "leaving"
 )
 
 // Engine is one model engine.
--- a/internal/fleet/storage.go
+++ b/internal/fleet/storage.go
@@ -27,16 +27,16 @@
 	headSchema = 1
 )
 
-// Pair names one accepted fleet file.
-type Pair struct {
+// FileRef names one accepted fleet file.
+type FileRef struct {
 	Version Version `cbor:"1,keyasint"`
 	Digest  Digest  `cbor:"2,keyasint"`
 }
 
 // HistoryEntry is one accepted apply.
 type HistoryEntry struct {
-	Pair    Pair   `cbor:"1,keyasint"`
-	ApplyID string `cbor:"2,keyasint"`
+	Pair    FileRef `cbor:"1,keyasint"`
+	ApplyID string  `cbor:"2,keyasint"`
 	// Size of the body in bytes.
 	Size int `cbor:"3,keyasint"`
 }
@@ -50,8 +50,8 @@
 	AppliedAt time.Time `cbor:"3,keyasint"`
 }
 
-// Pair returns the file in force.
-func (h Head) Pair() Pair { return h.History[0].Pair }
+// CurrentRef returns the file in force.
+func (h Head) CurrentRef() FileRef { return h.History[0].Pair }
 
 // find returns the accepted apply with the given identifier.
 func (h Head) find(applyID string) (HistoryEntry, bool) {
@@ -99,7 +99,7 @@
 		return Head{}, fault.Wrap(err, fault.Internal, "the table row %s is not a fleet head", HeadKey).
 			WithRemedy("restore the row from the platform's backup")
 	}
-	if head.Schema != headSchema || len(head.History) == 0 || head.Pair().Version == 0 {
+	if head.Schema != headSchema || len(head.History) == 0 || head.CurrentRef().Version == 0 {
 		return Head{}, fault.New(fault.Internal, "the table row %s has schema %d, this program reads %d", HeadKey, head.Schema, headSchema).
 			WithRemedy("use the fieldpond release that wrote the row, or a newer one")
 	}
@@ -174,11 +174,11 @@
 	if err != nil || !found {
 		return Stored{}, false, err
 	}
-	body, err := ReadBody(ctx, table, head.Pair().Digest)
+	body, err := ReadBody(ctx, table, head.CurrentRef().Digest)
 	if err != nil {
 		return Stored{}, false, err
 	}
-	document, problems := Parse(body, fmt.Sprintf("version %d", head.Pair().Version))
+	document, problems := Parse(body, fmt.Sprintf("version %d", head.CurrentRef().Version))
 	return Stored{Head: head, Body: body, Document: document}, document != nil, problems.Err()
 }
 
--- a/internal/fleet/syncer.go
+++ b/internal/fleet/syncer.go
@@ -40,7 +40,7 @@
 type PeerFetcher interface {
 	// FetchHead returns the pair that the router at address has in force; a
 	// zero version when it has none.
-	FetchHead(ctx context.Context, address string) (Pair, error)
+	FetchHead(ctx context.Context, address string) (FileRef, error)
 	// FetchBody returns the body with the given digest. It need not verify it.
 	FetchBody(ctx context.Context, address string, digest Digest) ([]byte, error)
 }
@@ -80,14 +80,14 @@
 }
 
 type heardPair struct {
-	pair    Pair
+	pair    FileRef
 	address string
 }
 
 // keeperResult is the outcome of one request.
 type keeperResult struct {
 	action AdoptAction
-	pair   Pair
+	pair   FileRef
 	found  bool
 	body   []byte
 	err    error
@@ -120,12 +120,12 @@
 	return nil, fault.New(fault.NotReady, "this router has no fleet file yet").WithRetryAfter(time.Second)
 }
 
-// Pair returns the pair in force, for gossip and for peers that ask.
-func (k *Syncer) Pair() Pair {
+// CurrentRef returns the pair in force, for gossip and for peers that ask.
+func (k *Syncer) CurrentRef() FileRef {
 	if compiled := k.Current(); compiled != nil {
-		return Pair{Version: compiled.Version, Digest: compiled.Digest}
+		return FileRef{Version: compiled.Version, Digest: compiled.Digest}
 	}
-	return Pair{}
+	return FileRef{}
 }
 
 // Body returns the bytes of the file in force if it has this digest, for peers
@@ -163,11 +163,11 @@
 	k.listeners = append(k.listeners, listener)
 }
 
-// HeadHeard takes in a pair that the router at address has in force. It never
+// ObserveHead takes in a pair that the router at address has in force. It never
 // blocks and may be called by any goroutine, for every gossip message.
-func (k *Syncer) HeadHeard(version Version, digest Digest, address string) {
-	pair := Pair{Version: version, Digest: digest}
-	current := k.Pair()
+func (k *Syncer) ObserveHead(version Version, digest Digest, address string) {
+	pair := FileRef{Version: version, Digest: digest}
+	current := k.CurrentRef()
 	if version >= current.Version && pair != current {
 		k.heard.Push(heardPair{pair: pair, address: address})
 	}
@@ -275,7 +275,7 @@
 		var head Head
 		head, result.found, result.err = ReadHead(bounded, k.options.Table)
 		if result.found {
-			result.pair = head.Pair()
+			result.pair = head.CurrentRef()
 		}
 	case action.Kind == ActionAskPeer:
 		result.pair, result.err = k.options.Peers.FetchHead(bounded, action.Address)
--- a/internal/fleet/syncer_test.go
+++ b/internal/fleet/syncer_test.go
@@ -29,11 +29,11 @@
 	cutOff string
 	// adopted holds what each router put in force, by life and in order; the
 	// digest is that of the body.
-	adopted map[string][][]Pair
+	adopted map[string][][]FileRef
 }
 
 func newCluster(nodes int) *cluster {
-	c := &cluster{table: newFakeTable(), keepers: map[string]*Syncer{}, adopted: map[string][][]Pair{}}
+	c := &cluster{table: newFakeTable(), keepers: map[string]*Syncer{}, adopted: map[string][][]FileRef{}}
 	for index := range nodes {
 		name := fmt.Sprint("node-", index)
 		c.members = append(c.members, membership.Member{Node: ident.Node(name), Zone: ident.Zone(fmt.Sprint("zone-", index%3)), HTTPAddress: name})
@@ -54,7 +54,7 @@
 	c.mutex.Unlock()
 	prepared := Version(0)
 	syncer.OnPrepare(func(compiled *Compiled) {
-		if syncer.Pair().Version < compiled.Version {
+		if syncer.CurrentRef().Version < compiled.Version {
 			prepared = compiled.Version
 		}
 	})
@@ -65,10 +65,10 @@
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		body, _ := syncer.Body(compiled.Digest)
-		c.adopted[address][life] = append(c.adopted[address][life], Pair{compiled.Version, DigestOf(body)})
+		c.adopted[address][life] = append(c.adopted[address][life], FileRef{compiled.Version, DigestOf(body)})
 		for heard, other := range c.keepers {
 			if c.cutOff == "" || (heard != c.cutOff && address != c.cutOff) {
-				other.HeadHeard(compiled.Version, compiled.Digest, member.HTTPAddress)
+				other.ObserveHead(compiled.Version, compiled.Digest, member.HTTPAddress)
 			}
 		}
 	})
@@ -91,15 +91,15 @@
 	return address == c.stale
 }
 
-func (c *cluster) FetchHead(_ context.Context, address string) (Pair, error) {
+func (c *cluster) FetchHead(_ context.Context, address string) (FileRef, error) {
 	syncer, err := c.at(address)
 	if err != nil {
-		return Pair{}, err
+		return FileRef{}, err
 	}
 	if c.isStale(address) {
-		return Pair{Version: 1, Digest: DigestOf(c.staleBody)}, nil
+		return FileRef{Version: 1, Digest: DigestOf(c.staleBody)}, nil
 	}
-	return syncer.Pair(), nil
+	return syncer.CurrentRef(), nil
 }
 
 func (c *cluster) FetchBody(_ context.Context, address string, digest Digest) ([]byte, error) {
@@ -119,7 +119,7 @@
 func (c *cluster) countInForce(version Version) int {
 	count := 0
 	for _, syncer := range c.keepers {
-		if syncer.Pair().Version == version {
+		if syncer.CurrentRef().Version == version {
 			count++
 		}
 	}
@@ -169,7 +169,7 @@
 			c.table.setMode(mode)
 			restarted := c.start(t.Context(), c.members[5])
 			time.Sleep(3 * time.Second)
-			check.Equal(restarted.Pair().Version, Version(1)) // peers have it
+			check.Equal(restarted.CurrentRef().Version, Version(1)) // peers have it
 		})
 	}
 }
@@ -212,6 +212,6 @@
 		}
 		syncer := c.start(t.Context(), c.members[0])
 		time.Sleep(8 * time.Second)
-		check.Equal(syncer.Pair().Version, Version(1))
+		check.Equal(syncer.CurrentRef().Version, Version(1))
 	})
 }
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -254,7 +254,7 @@
 // shouldShed reports whether the request is refused because even the best back end
 // is overloaded.
 func (r *run) shouldShed(choice *backend.Choice, now time.Time) bool {
-	return r.attempts == 0 && r.request.Prompt != nil && r.forwarder.config.Disabled.On(mechanism.EarlyRefusal) &&
+	return r.attempts == 0 && r.request.Prompt != nil && r.forwarder.config.Disabled.Enabled(mechanism.EarlyRefusal) &&
 		choice.Overloaded(r.deadline.Sub(now))
 }
 
@@ -348,14 +348,14 @@
 func (r *run) setCacheStores(attempt *Attempt, homeZone ident.Zone) {
 	key, shared := r.homeKey()
 	store := r.view.Snapshot.CacheStore(r.forwarder.config.Regions, homeZone, key)
-	if store == nil || !r.forwarder.config.Disabled.On(mechanism.CacheStore) {
+	if store == nil || !r.forwarder.config.Disabled.Enabled(mechanism.CacheStore) {
 		return
 	}
 	attempt.FetchFrom = store.CacheStore
 	if !shared {
 		return
 	}
-	if !r.request.Prompt.mostlyShared() && r.forwarder.config.Disabled.On(mechanism.SharedSaves) {
+	if !r.request.Prompt.mostlyShared() && r.forwarder.config.Disabled.Enabled(mechanism.SharedSaves) {
 		return
 	}
 	parts := r.request.Prompt.Parts
--- a/internal/forward/start.go
+++ b/internal/forward/start.go
@@ -24,7 +24,7 @@
 
 // awaitConfiguration waits a bounded time for the first configuration after the router's start.
 func (f *Forwarder) awaitConfiguration(ctx context.Context, request *Request) {
-	if f.Holder.View().Snapshot != nil || !f.config.Disabled.On(mechanism.StartHold) {
+	if f.Holder.View().Snapshot != nil || !f.config.Disabled.Enabled(mechanism.StartHold) {
 		return
 	}
 	now := clock.Now()
@@ -48,7 +48,7 @@
 // configuration is confirmed again: keys, versions, engines and quarantines may have changed
 // during the suspension, even where no bound on their age is exceeded.
 func (f *Forwarder) awaitConfirmation(ctx context.Context, request *Request) {
-	wokeAt, found := clock.WokeAt()
+	wokeAt, found := clock.ResumedAt()
 	if !found || f.Holder.View().Snapshot == nil {
 		return
 	}
--- a/internal/forward/start_test.go
+++ b/internal/forward/start_test.go
@@ -84,7 +84,7 @@
 func TestWithoutStartHoldRequestsAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		off, err := mechanism.Without([]string{string(mechanism.StartHold)})
+		off, err := mechanism.ParseDisabled([]string{string(mechanism.StartHold)})
 		is.NoErr(err)
 		b := newStartingFixture(off)
 		begun := time.Now()
--- a/internal/forward/suspended_test.go
+++ b/internal/forward/suspended_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		asleep := time.Duration(0)
-		defer clock.Replace(func() time.Duration { return asleep })()
+		defer clock.ReplaceSource(func() time.Duration { return asleep })()
 		b := newFixture(genuine(200, "x"))
 		is.True(b.forward(t, request("safe")).refusal == nil)
 		asleep = 5 * time.Second // longer than Freshness.Keyed
@@ -47,7 +47,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				asleep := time.Duration(0)
-				defer clock.Replace(func() time.Duration { return asleep })()
+				defer clock.ReplaceSource(func() time.Duration { return asleep })()
 				b := newFixture(genuine(200, "x"))
 				asleep = 2 * time.Second
 				begun := time.Now()
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -67,7 +67,7 @@
 // NewRequest returns a fresh, time-ordered, unguessable request identifier.
 func NewRequest() Request { return Request(newULID()) }
 
-// NewUnique returns a fresh identifier for claims, applies, orders and lives.
-func NewUnique() string { return newULID() }
+// NewUniqueID returns a fresh identifier for claims, applies, orders and lives.
+func NewUniqueID() string { return newULID() }
 
 func newULID() string { return ulid.MustNew(ulid.Now(), rand.Reader).String() }
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -36,7 +36,7 @@
 		timeout: config.ExchangeTimeout,
 		release: config.Duration / renewals,
 		changed: make(chan struct{}, 1),
-		machine: NewMachine(config, name, node, ident.NewUnique()),
+		machine: NewMachine(config, name, node, ident.NewUniqueID()),
 	}
 }
 
--- a/internal/lease/suspended_test.go
+++ b/internal/lease/suspended_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		asleep := time.Duration(0)
-		defer clock.Replace(func() time.Duration { return asleep })()
+		defer clock.ReplaceSource(func() time.Duration { return asleep })()
 		elector := NewElector(&link{fakeTable: &fakeTable{model: newTableModel()}}, Config{Duration: duration}, "x", "n")
 		elector.Contend(true)
 		go elector.Run(t.Context())
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -26,21 +26,21 @@
 	LongIdle Name = "long-idle"
 	// EarlyOrders orders new weights as soon as their version is seen.
 	EarlyOrders Name = "early-orders"
-	// Notices tells routers ahead of the list which engines change.
-	Notices Name = "notices"
-	// EmptyFirst has an engine emptied before it is ordered to take new weights.
-	EmptyFirst Name = "empty-first"
+	// Notifications tells routers ahead of the list which engines change.
+	Notifications Name = "notices"
+	// QuiesceFirst has an engine emptied before it is ordered to take new weights.
+	QuiesceFirst Name = "empty-first"
 	// NewerWeights prefers engines that have the newest weights.
 	NewerWeights Name = "newer-weights"
-	// ReadingRate learns how fast engines read prompts.
-	ReadingRate Name = "reading-rate"
+	// PrefillRate learns how fast engines read prompts.
+	PrefillRate Name = "reading-rate"
 	// EarlyRefusal refuses prompts under overload that would wait for too long.
 	EarlyRefusal Name = "early-refusal"
-	// LatePatience allows for the usual lateness of a back end before an attempt
+	// LatenessAllowance allows for the usual lateness of a back end before an attempt
 	// is given up as silent.
-	LatePatience Name = "late-patience"
-	// LapseGrace keeps entries for a while that lapsed in an outage of the list.
-	LapseGrace Name = "lapse-grace"
+	LatenessAllowance Name = "late-patience"
+	// ExpiryGrace keeps entries for a while that lapsed in an outage of the list.
+	ExpiryGrace Name = "lapse-grace"
 	// SharedHealth lets one router of each zone check its engines for all others.
 	SharedHealth Name = "shared-health"
 	// SharedQuotas pools the limits of tenants over routers; without it each router
@@ -49,9 +49,9 @@
 	// BackendLimits keeps back ends within the limits that they name; without it routers
 	// choose as if there were none.
 	BackendLimits Name = "backend-limits"
-	// BackendWords keeps requests from back ends that say in their answers that they leave, or
+	// BackendAdvertised keeps requests from back ends that say in their answers that they leave, or
 	// want rest; without it routers choose as if they had not.
-	BackendWords Name = "backend-words"
+	BackendAdvertised Name = "backend-words"
 	// StartHold lets requests wait a short while for the first configuration of a router
 	// that has just started; without it they are refused at once.
 	StartHold Name = "start-hold"
@@ -60,18 +60,18 @@
 // All returns every mechanism.
 func All() []Name {
 	return []Name{
-		HomeEngines, CacheStore, CacheIndex, SharedSaves, LongIdle, EarlyOrders, Notices, EmptyFirst,
-		NewerWeights, ReadingRate,
-		EarlyRefusal, LatePatience, LapseGrace, SharedHealth, SharedQuotas,
-		StartHold, BackendLimits, BackendWords,
+		HomeEngines, CacheStore, CacheIndex, SharedSaves, LongIdle, EarlyOrders, Notifications, QuiesceFirst,
+		NewerWeights, PrefillRate,
+		EarlyRefusal, LatenessAllowance, ExpiryGrace, SharedHealth, SharedQuotas,
+		StartHold, BackendLimits, BackendAdvertised,
 	}
 }
 
 // Disabled is a set of mechanisms that are switched off; the zero value leaves all on.
 type Disabled struct{ names []Name }
 
-// Without reads a set from names of mechanisms. Its error names those there are.
-func Without(names []string) (Disabled, error) {
+// ParseDisabled reads a set from names of mechanisms. Its error names those there are.
+func ParseDisabled(names []string) (Disabled, error) {
 	var off Disabled
 	for _, name := range names {
 		if !slices.Contains(All(), Name(name)) {
@@ -82,8 +82,8 @@
 	return off, nil
 }
 
-// On reports whether a mechanism is on.
-func (o Disabled) On(name Name) bool { return !slices.Contains(o.names, name) }
+// Enabled reports whether a mechanism is on.
+func (o Disabled) Enabled(name Name) bool { return !slices.Contains(o.names, name) }
 
 // list returns the names of all mechanisms for a message.
 func list() string {
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -13,11 +13,11 @@
 	is := is.New(t)
 	var none mechanism.Disabled
 	for _, name := range mechanism.All() {
-		is.True(none.On(name))
-		off, err := mechanism.Without([]string{string(name)})
+		is.True(none.Enabled(name))
+		off, err := mechanism.ParseDisabled([]string{string(name)})
 		is.NoErr(err)
 		for _, other := range mechanism.All() {
-			is.Equal(off.On(other), other != name)
+			is.Equal(off.Enabled(other), other != name)
 		}
 	}
 }
@@ -29,15 +29,15 @@
 	}{
 		{"unknown", []string{"telepathy"}},
 		{"empty", []string{""}},
-		{"one of two", []string{string(mechanism.Notices), "Notices"}},
+		{"one of two", []string{string(mechanism.Notifications), "Notices"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			off, err := mechanism.Without(tt.names)
+			off, err := mechanism.ParseDisabled(tt.names)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), string(mechanism.EarlyRefusal))) // the remedy
-			is.True(off.On(mechanism.Notices))
+			is.True(off.Enabled(mechanism.Notifications))
 		})
 	}
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -215,7 +215,7 @@
 	case <-input.done:
 		return nil
 	case <-n.stopping:
-		return fault.New(fault.Leaving, "the membership node has stopped")
+		return fault.New(fault.ShuttingDown, "the membership node has stopped")
 	case <-ctx.Done():
 		return fault.Wrap(ctx.Err(), fault.Timeout, "waiting for the membership node")
 	}
--- a/internal/membership/node_test.go
+++ b/internal/membership/node_test.go
@@ -50,7 +50,7 @@
 	second.Stop()
 	await(ctx, t, first, func(event Event) bool { return event.Member.Node == "second" && event.Member.State == Dead })
 	is.Equal(first.Counters().Refused, uint64(1))
-	is.True(fault.Is(second.Leave(ctx), fault.Leaving))
+	is.True(fault.Is(second.Leave(ctx), fault.ShuttingDown))
 	cancel() // the context stops a node as well
 	first.Stop()
 	_, err = Start(context.Background(), Config{Self: Member{Node: "x"}, Listen: "nowhere", ClusterKey: testKey})
--- a/internal/node/crashing_test.go
+++ b/internal/node/crashing_test.go
@@ -277,7 +277,7 @@
 		ctx = bounded
 	}
 	forwarder.Forward(ctx, &forward.Request{
-		ID: ident.Request(ident.NewUnique()), Method: http.MethodPost, Target: "/x", Path: "/x", Host: "h", Header: http.Header{},
+		ID: ident.Request(ident.NewUniqueID()), Method: http.MethodPost, Target: "/x", Path: "/x", Host: "h", Header: http.Header{},
 		Body: []byte(body), ClientTimeout: 4 * time.Second, ReceivedAt: time.Now(),
 		Prompt: &forward.Prompt{Model: model, Parts: []forward.Part{{ID: body, Tokens: 10}}},
 	}, sink)
--- a/internal/node/limitfleet_test.go
+++ b/internal/node/limitfleet_test.go
@@ -255,7 +255,7 @@
 // send sends one request with a unique prompt to a router.
 func (l *limitLoad) send(ctx context.Context, router int, forwarder *forward.Forwarder) {
 	sink, begun := &testSink{}, time.Now()
-	id := ident.NewUnique()
+	id := ident.NewUniqueID()
 	forwarder.Forward(ctx, &forward.Request{
 		ID: ident.Request(id), Method: http.MethodPost, Target: "/x", Path: "/x", Host: "h", Header: http.Header{}, Body: []byte(id),
 		ClientTimeout: 4 * time.Second, ReceivedAt: begun,
--- a/internal/node/monitors.go
+++ b/internal/node/monitors.go
@@ -31,8 +31,8 @@
 // decisions, and logs suspensions of the machine, until ctx ends.
 func logSuspensions(ctx context.Context) {
 	before := clock.Suspended()
-	defer clock.Watch()()
-	wait.Every(ctx, clock.WatchInterval, func() {
+	defer clock.DetectFreezes()()
+	wait.Every(ctx, clock.SyncInterval, func() {
 		clock.Sync()
 		if total := clock.Suspended(); total > before {
 			log.WithFields(log.Fields{"suspended_ms": (total - before).Milliseconds()}).Warn("machine_was_suspended")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -192,7 +192,7 @@
 		publications: &publicationStore{table: n.ports.Table, timeout: follow.ReadTimeout},
 		routerList: &routerList{
 			table: n.ports.Table, timeout: follow.ReadTimeout / 2,
-			node: n.config.Node, zone: n.config.Zone, addr: n.config.PeerAddr, incarnation: ident.NewUnique(), epochs: epochs,
+			node: n.config.Node, zone: n.config.Zone, addr: n.config.PeerAddr, incarnation: ident.NewUniqueID(), epochs: epochs,
 		},
 		recipients: &recipients{node: n.config.Node, zone: n.config.Zone, regions: n.config.Regions},
 		client:     n.peers,
@@ -219,7 +219,7 @@
 
 func (n *Node) newQuotas() *quotas {
 	cfg := quota.Config{Self: n.config.PeerAddr, Bounds: n.config.Quota}
-	cfg.Standalone = !n.config.PeerAddr.IsValid() || !n.config.Disabled.On(mechanism.SharedQuotas)
+	cfg.Standalone = !n.config.PeerAddr.IsValid() || !n.config.Disabled.Enabled(mechanism.SharedQuotas)
 	return newQuotas(cfg, &quotas{
 		name: "tenants", send: func(quota.Envelope) {}, routers: n.follower.replica.Routers,
 		limited: func() bool {
@@ -232,7 +232,7 @@
 
 // backendLimits returns the limits of back ends, nil if they are disabled.
 func (n *Node) backendLimits() forward.BackendLimits {
-	if !n.config.Disabled.On(mechanism.BackendLimits) {
+	if !n.config.Disabled.Enabled(mechanism.BackendLimits) {
 		return nil
 	}
 	return n.limits
@@ -316,7 +316,7 @@
 		n.metrics.suspectVersions.WithLabelValues(string(doubt.Model)).Inc()
 		log.WithFields(log.Fields{"model": doubt.Model, "version": doubt.Version, "ended": doubt.Ended}).Warn("version_doubted")
 	}
-	if socket != nil && n.config.Disabled.On(mechanism.Notices) {
+	if socket != nil && n.config.Disabled.Enabled(mechanism.Notifications) {
 		config.Announcer = socket
 	}
 	controller := rollout.NewController(config, n.lease, n.engines, n.holder, n.backends)
@@ -329,7 +329,7 @@
 	if socket != nil {
 		loops = append(loops, socket.listen)
 	}
-	if socket != nil && n.config.Disabled.On(mechanism.SharedHealth) {
+	if socket != nil && n.config.Disabled.Enabled(mechanism.SharedHealth) {
 		watcher := &healthWatcher{
 			zone: n.config.Zone, leads: follower.chain.leads, engines: n.engines,
 			backends: n.backends, holder: n.holder, notify: socket.notifyHealth,
@@ -339,7 +339,7 @@
 	if n.canaries != nil {
 		loops = append(loops, n.canaries.run)
 	}
-	if n.ports.Caches != nil && n.config.Disabled.On(mechanism.CacheIndex) {
+	if n.ports.Caches != nil && n.config.Disabled.Enabled(mechanism.CacheIndex) {
 		caches := &cacheFollower{reads: follower.chain.leadsRegion, reader: n.ports.Caches, index: follower.replica.caches, holder: n.holder}
 		loops = append(loops, caches.run)
 	}
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -194,7 +194,7 @@
 		d.withdraw(job)
 		return Placed{}, fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "the caller left while the request waited")
 	case <-d.done:
-		return Placed{}, fault.New(fault.Leaving, "this router has stopped")
+		return Placed{}, fault.New(fault.ShuttingDown, "this router has stopped")
 	}
 }
 
@@ -296,6 +296,6 @@
 	case <-ctx.Done():
 		return Reading{}, fault.Wrap(ctx.Err(), fault.Timeout, "the placement duty did not answer")
 	case <-d.done:
-		return Reading{}, fault.New(fault.Leaving, "this router has stopped")
+		return Reading{}, fault.New(fault.ShuttingDown, "this router has stopped")
 	}
 }
--- a/internal/router/applications.go
+++ b/internal/router/applications.go
@@ -134,7 +134,7 @@
 	for _, application := range compiled.Document.Applications {
 		targets = append(targets, endpoint.Target{
 			Engine: backendName(application.Name), Address: application.Address, Zone: application.Zone,
-			Draining: application.State == fleet.BackendLeaving,
+			Draining: application.State == fleet.BackendDraining,
 		})
 	}
 	p.mutex.Lock()
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -36,7 +36,7 @@
 			Engine:          configured.Name,
 			Address:         configured.Address,
 			Zone:            configured.Zone,
-			Draining:        configured.State == fleet.BackendLeaving,
+			Draining:        configured.State == fleet.BackendDraining,
 			PrefillPerToken: assumedPrefill(compiled, configured),
 		})
 	}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -114,7 +114,7 @@
 func (r *Router) headHeard(head membership.FleetHead) {
 	for _, member := range r.view().Members {
 		if member.Node == head.Holder {
-			r.syncer.HeadHeard(fleet.Version(head.Version), fleet.Digest(head.Digest), member.HTTPAddress)
+			r.syncer.ObserveHead(fleet.Version(head.Version), fleet.Digest(head.Digest), member.HTTPAddress)
 			return
 		}
 	}
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -120,9 +120,9 @@
 
 func (r *Router) registerFleet() {
 	group := telemetry.NewGroup(r.telemetry, func() (fleet.AdopterCounters, bool) { return r.syncer.Counters(), true })
-	group.Gauge("fleet_version", "Fleet version in force here; 0 is none yet.", func(fleet.AdopterCounters) int { return int(r.syncer.Pair().Version) })
+	group.Gauge("fleet_version", "Fleet version in force here; 0 is none yet.", func(fleet.AdopterCounters) int { return int(r.syncer.CurrentRef().Version) })
 	group.Gauge("fleet_versions_behind", "Fleet versions between the one in force here and the newest heard of.", func(fleet.AdopterCounters) int {
-		return max(0, int(r.members.Head().Version)-int(r.syncer.Pair().Version))
+		return max(0, int(r.members.Head().Version)-int(r.syncer.CurrentRef().Version))
 	})
 	group.Counter("fleet_adopted_total", "Fleet files put in force.", func(c fleet.AdopterCounters) uint64 { return c.Adopted })
 	group.Counter("fleet_disputed_total", "Fleet files heard of that contradict another of the same version.", func(c fleet.AdopterCounters) uint64 { return c.Disputed })
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -90,7 +90,7 @@
 }
 
 func (r *Router) serveHead(context.Context, headRequest) (headResponse, error) {
-	pair := r.syncer.Pair()
+	pair := r.syncer.CurrentRef()
 	return headResponse{uint64(pair.Version), string(pair.Digest)}, nil
 }
 
@@ -113,10 +113,10 @@
 }
 
 // FetchHead implements fleet.PeerFetcher.
-func (f peerFetcher) FetchHead(ctx context.Context, address string) (fleet.Pair, error) {
+func (f peerFetcher) FetchHead(ctx context.Context, address string) (fleet.FileRef, error) {
 	var response headResponse
 	err := f.client.Call(ctx, address, methodFleetHead, headRequest{}, &response)
-	return fleet.Pair{Version: fleet.Version(response.Version), Digest: fleet.Digest(response.Digest)}, err
+	return fleet.FileRef{Version: fleet.Version(response.Version), Digest: fleet.Digest(response.Digest)}, err
 }
 
 // FetchBody implements fleet.PeerFetcher.
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -63,7 +63,7 @@
 	}
 	chosen := placed.Candidate
 	engine, known := compiled.Engine(chosen.Endpoint.Engine)
-	return known && engine.Address == chosen.Endpoint.Address && engine.State != fleet.BackendLeaving &&
+	return known && engine.Address == chosen.Endpoint.Address && engine.State != fleet.BackendDraining &&
 		compiled.PermittedZones(job.Tenant).Has(engine.Zone) &&
 		slices.Contains(versionsFor(job, compiled), chosen.Version)
 }
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -46,7 +46,7 @@
 // status collects what every part tells of itself. A placement duty that does
 // not answer in time leaves its parts of the report empty.
 func (r *Router) status(ctx context.Context) status.Router {
-	pair := r.syncer.Pair()
+	pair := r.syncer.CurrentRef()
 	report := status.Router{
 		Node:         ident.Node(r.settings.Node),
 		Zone:         ident.Zone(r.settings.Zone),
--- a/proofs/harness/fleetfile.go
+++ b/proofs/harness/fleetfile.go
@@ -66,7 +66,7 @@
 		Services: []fleet.Service{
 			{Name: Assistant, Kind: fleet.ServiceModel, Model: Model, Classes: []ident.Class{className}},
 			{Name: Bookings, Kind: fleet.ServiceApplication, Classes: []ident.Class{className}, Routes: []fleet.Route{
-				{Method: "POST", Path: Book}, {Method: "GET", Path: Slots, Repeatable: true},
+				{Method: "POST", Path: Book}, {Method: "GET", Path: Slots, Retryable: true},
 			}},
 		},
 		Tenants: []fleet.Tenant{NewTenant(TenantA), NewTenant(TenantB)},
--- a/proofs/leavingprocess_test.go
+++ b/proofs/leavingprocess_test.go
@@ -74,13 +74,13 @@
 	document.Engines = slices.Clone(document.Engines)
 	for index := range document.Engines {
 		if string(document.Engines[index].Name) == engine {
-			document.Engines[index].State = fleet.BackendLeaving
+			document.Engines[index].State = fleet.BackendDraining
 		}
 	}
 	document.Applications = slices.Clone(document.Applications)
 	for index := range document.Applications {
 		if string(document.Applications[index].Name) == application {
-			document.Applications[index].State = fleet.BackendLeaving
+			document.Applications[index].State = fleet.BackendDraining
 		}
 	}
 	return &document
--- a/standin/application/server.go
+++ b/standin/application/server.go
@@ -81,7 +81,7 @@
 // NewServer returns a stand-in that has executed nothing.
 func NewServer(options Options) *Server {
 	if options.Incarnation == "" {
-		options.Incarnation = ident.Incarnation(ident.NewUnique())
+		options.Incarnation = ident.Incarnation(ident.NewUniqueID())
 	}
 	server := &Server{
 		options: options,
--- a/standin/engine/duty.go
+++ b/standin/engine/duty.go
@@ -42,7 +42,7 @@
 	case <-sent.done:
 		return nil
 	case <-s.stopped:
-		return fault.New(fault.Leaving, "the engine has stopped").WithRan(fault.RanUnknown)
+		return fault.New(fault.ShuttingDown, "the engine has stopped").WithRan(fault.RanUnknown)
 	case <-ctx.Done():
 		return fault.Wrap(ctx.Err(), fault.Timeout, "the caller went away").WithRan(fault.RanUnknown)
 	}
@@ -182,7 +182,7 @@
 }
 
 func (s *Server) restart(now time.Time) {
-	incarnation := ident.Incarnation(ident.NewUnique())
+	incarnation := ident.Incarnation(ident.NewUniqueID())
 	s.model.Restart(now, incarnation)
 	s.life.Store(newLife(incarnation))
 	s.network.Push(networkUp)
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -131,7 +131,7 @@
 		return nil, fault.New(fault.InvalidSettings, "the engine has no name").WithRemedy("give --name")
 	}
 	now := time.Now()
-	incarnation := ident.Incarnation(ident.NewUnique())
+	incarnation := ident.Incarnation(ident.NewUniqueID())
 	random := rand.New(rand.NewPCG(uint64(options.Seed), seedOf(string(options.Model.Name))))
 	server := &Server{
 		options:  options,
--- a/standin/load/protocol.go
+++ b/standin/load/protocol.go
@@ -104,7 +104,7 @@
 // wait returns how long to wait before the next attempt. A router that is
 // leaving is passed by at once.
 func (r refusal) wait(longest time.Duration) time.Duration {
-	if r.Kind == fault.Leaving {
+	if r.Kind == fault.ShuttingDown {
 		return 0
 	}
 	return min(time.Duration(r.RetryAfterMillis)*time.Millisecond, longest)
