--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,9 +18,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// noise is the least difference that counts as a suspension. The two clocks are read one after
+// minSuspension is the least difference that counts as a suspension. The two clocks are read one after
 // the other, and a process may have to wait between.
-const noise = 50 * time.Millisecond
+const minSuspension = 50 * time.Millisecond
 
 // Source returns for how long the machine has been suspended since some moment.
 type Source func() time.Duration
@@ -28,22 +28,22 @@
 var (
 	// suspended is the time suspended since the process started, as Sync saw it last.
 	suspended atomic.Int64
-	// woke is when Sync saw last that this process had stood still, nil for never.
-	woke atomic.Pointer[time.Time]
+	// resumed is when Sync saw last that this process had stood still, nil for never.
+	resumed atomic.Pointer[time.Time]
 
 	mu     sync.Mutex
 	source Source = fromSystem
 	base          = fromSystem()
-	// watched is true while Sync is called all the time, last when it was called last.
-	watched bool
-	last    time.Time
+	// detectingFreezes is true while Sync is called all the time, last when it was called last.
+	detectingFreezes bool
+	lastSync         time.Time
 )
 
-// SyncInterval is the longest time between two calls of Sync under Watch. frozenFrom is how
+// SyncInterval is the longest time between two calls of Sync under Watch. freezeThreshold is how
 // much longer tells that the process stood still, rather than waited for its processor.
 const (
-	SyncInterval = 200 * time.Millisecond
-	frozenFrom   = 1200 * time.Millisecond
+	SyncInterval    = 200 * time.Millisecond
+	freezeThreshold = 1200 * time.Millisecond
 )
 
 // DetectFreezes says that Sync is called every SyncInterval from now on, so that a longer span without
@@ -51,11 +51,11 @@
 func DetectFreezes() (end func()) {
 	mu.Lock()
 	defer mu.Unlock()
-	watched, last = true, time.Now()
+	detectingFreezes, lastSync = true, time.Now()
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
-		watched = false
+		detectingFreezes = false
 	}
 }
 
@@ -73,14 +73,14 @@
 func ReplaceSource(other Source) (restore func()) {
 	mu.Lock()
 	defer mu.Unlock()
-	formerSource, formerBase, formerSuspended, formerWoke := source, base, suspended.Load(), woke.Load()
+	formerSource, formerBase, formerSuspended, formerResumed := source, base, suspended.Load(), resumed.Load()
 	source, base = other, other()-time.Duration(formerSuspended)
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
 		source, base = formerSource, formerBase
 		suspended.Store(formerSuspended)
-		woke.Store(formerWoke)
+		resumed.Store(formerResumed)
 	}
 }
 
@@ -89,16 +89,16 @@
 	mu.Lock()
 	defer mu.Unlock()
 	steady := time.Now()
-	frozen := watched && steady.Sub(last) >= frozenFrom
-	last = steady
+	frozen := detectingFreezes && steady.Sub(lastSync) >= freezeThreshold
+	lastSync = steady
 	total := source() - base
-	slept := total-time.Duration(suspended.Load()) >= noise
-	if slept {
+	newlySuspended := total-time.Duration(suspended.Load()) >= minSuspension
+	if newlySuspended {
 		suspended.Store(int64(total))
 	}
 	now := Now()
-	if slept || frozen {
-		woke.Store(&now)
+	if newlySuspended || frozen {
+		resumed.Store(&now)
 	}
 	return now
 }
@@ -115,11 +115,11 @@
 // ResumedAt returns when this process was last found to have stood still, as its machine was
 // suspended or it was frozen; found is false if it never was.
 func ResumedAt() (at time.Time, found bool) {
-	last := woke.Load()
-	if last == nil {
+	recorded := resumed.Load()
+	if recorded == nil {
 		return time.Time{}, false
 	}
-	return *last, true
+	return *recorded, true
 }
 
 // Suspended returns for how long the machine has been suspended since the process started.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,25 +10,25 @@
 	"github.com/fieldpond/fieldpond/internal/clock"
 )
 
-func TestSuspensionsCount(t *testing.T) {
+func TestSuspensionIsCounted(t *testing.T) {
 	is := is.New(t)
-	asleep := time.Duration(0)
-	defer clock.ReplaceSource(func() time.Duration { return asleep })()
+	suspended := time.Duration(0)
+	defer clock.ReplaceSource(func() time.Duration { return suspended })()
 	before := clock.Sync()
-	asleep = 5 * time.Second
+	suspended = 5 * time.Second
 	is.True(clock.Since(before) < 4*time.Second) // nobody has looked yet
 	is.True(clock.Sync().Sub(before) >= 5*time.Second)
 	is.True(clock.Since(before) >= 5*time.Second)
-	woke, found := clock.ResumedAt()
+	resumedAt, found := clock.ResumedAt()
 	is.True(found)
-	is.True(clock.Since(woke) < time.Second)
+	is.True(clock.Since(resumedAt) < time.Second)
 	// What lies between two looks at the clocks is no suspension.
-	asleep += 10 * time.Millisecond
+	suspended += 10 * time.Millisecond
 	clock.Sync()
 	is.Equal(clock.Suspended(), 5*time.Second)
 }
 
-func TestTheSystemTellsSuspensions(t *testing.T) {
+func TestSyncReadsSystemClock(t *testing.T) {
 	is := is.New(t)
 	before := clock.Sync()
 	time.Sleep(time.Millisecond)
@@ -36,7 +36,7 @@
 }
 
 // A process that is frozen, while the clocks of its machine go on, has stood still too.
-func TestAFrozenProcessWakes(t *testing.T) {
+func TestFreezeIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		defer clock.ReplaceSource(func() time.Duration { return 0 })()
@@ -52,8 +52,8 @@
 		is.True(!found)
 		time.Sleep(3 * time.Second)
 		now := clock.Sync()
-		woke, found := clock.ResumedAt()
+		resumedAt, found := clock.ResumedAt()
 		is.True(found)
-		is.Equal(woke, now)
+		is.Equal(resumedAt, now)
 	})
 }
--- a/internal/fleet/adopter.go
+++ b/internal/fleet/adopter.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// oftenInterval is how often the few pollers of each zone read the head.
-	oftenInterval = 1500 * time.Millisecond
-	// rareInterval is the least time between two reads by any other node.
-	rareInterval = 30 * time.Second
-	// rareIntervalPerMember stretches rareInterval in large fleets, so that all
+	// pollerInterval is how often the few pollers of each zone read the head.
+	pollerInterval = 1500 * time.Millisecond
+	// nonPollerInterval is the least time between two reads by any other node.
+	nonPollerInterval = 30 * time.Second
+	// nonPollerIntervalPerMember stretches nonPollerInterval in large fleets, so that all
 	// nodes together read the head four times a second at most.
-	rareIntervalPerMember = 250 * time.Millisecond
-	// startAnswerLimit is how long a starting node waits for the table before
+	nonPollerIntervalPerMember = 250 * time.Millisecond
+	// startTableTimeout is how long a starting node waits for the table before
 	// it takes the word of its peers.
-	startAnswerLimit = time.Second
+	startTableTimeout = time.Second
 	// maxStartPeers is how many peers a starting node asks.
 	maxStartPeers = 5
 	// maxPeerSources is how many peers are asked for a body before the table is.
@@ -25,8 +25,8 @@
 	// maxFetchRetryDelay.
 	fetchRetryDelay    = 250 * time.Millisecond
 	maxFetchRetryDelay = 10 * time.Second
-	// askAgainInterval is how often a node without a file asks its peers again.
-	askAgainInterval = time.Second
+	// askInterval is how often a node without a file asks its peers again.
+	askInterval = time.Second
 )
 
 // Peer is another router that can be asked for a file.
@@ -39,8 +39,8 @@
 	Poller bool
 }
 
-// Surroundings is what the Adopter knows of the other routers.
-type Surroundings struct {
+// Topology is what the Adopter knows of the other routers.
+type Topology struct {
 	// Poller says that this node is one of the few that read the table often.
 	Poller bool
 	// Members counts the routers, this one included.
@@ -68,7 +68,7 @@
 type AdoptAction struct {
 	Kind     AdoptActionKind
 	Address  string
-	Pair     FileRef
+	Ref      FileRef
 	Document *Document
 	Body     []byte
 }
@@ -83,14 +83,14 @@
 
 // candidate is the file that is to be adopted next.
 type candidate struct {
-	pair FileRef
+	ref FileRef
 	// fromTable says that the table has named the pair.
 	fromTable bool
 	// disputed says that two digests were heard for the version; only the table
 	// can settle which is the file.
 	disputed bool
-	// claimed lists the peers that said they have it, tried those that failed.
-	claimed []string
+	// holders lists the peers that said they have it, tried those that failed.
+	holders []string
 	tried   map[string]bool
 }
 
@@ -100,7 +100,7 @@
 // version the table's word alone replaces the digest. It is used by one
 // goroutine.
 type Adopter struct {
-	around   Surroundings
+	topology Topology
 	jitter   func() float64
 	current  FileRef
 	target   candidate
@@ -110,16 +110,16 @@
 	startUntil time.Time
 	polling    bool
 	nextPoll   time.Time
-	// pollWanted asks for a read before nextPoll, but never before pollNotBefore,
+	// pollRequested asks for a read before nextPoll, but never before pollNotBefore,
 	// which paces this node, nor before retryNotBefore, which the table set.
-	pollWanted     bool
+	pollRequested  bool
 	pollNotBefore  time.Time
 	retryNotBefore time.Time
 	asked          map[string]bool
 	nextAsk        time.Time
 	fetching       bool
 	fetchSource    string
-	fetchPair      FileRef
+	fetchRef       FileRef
 	fetchRounds    int
 	nextFetch      time.Time
 	// dropped is a pair that only peers named and nobody could show. It is not
@@ -132,7 +132,7 @@
 // numbers from [0,1) and spreads the reads of many nodes.
 func NewAdopter(now time.Time, jitter func() float64) *Adopter {
 	return &Adopter{
-		jitter: jitter, starting: true, startUntil: now.Add(startAnswerLimit),
+		jitter: jitter, starting: true, startUntil: now.Add(startTableTimeout),
 		nextPoll: now, nextAsk: now, nextFetch: now, asked: map[string]bool{},
 	}
 }
@@ -143,122 +143,122 @@
 // Counters returns the counters.
 func (a *Adopter) Counters() AdopterCounters { return a.counters }
 
-// SetSurroundings replaces what is known of the other routers.
-func (a *Adopter) SetSurroundings(now time.Time, around Surroundings) {
-	if around.Poller && !a.around.Poller {
-		soon := now.Add(a.scaled(oftenInterval))
-		a.nextPoll, a.pollNotBefore = earlier(a.nextPoll, soon), earlier(a.pollNotBefore, soon)
+// SetTopology replaces what is known of the other routers.
+func (a *Adopter) SetTopology(now time.Time, next Topology) {
+	if next.Poller && !a.topology.Poller {
+		pollerDue := now.Add(a.jittered(pollerInterval))
+		a.nextPoll, a.pollNotBefore = earlier(a.nextPoll, pollerDue), earlier(a.pollNotBefore, pollerDue)
 	}
-	a.around = around
+	a.topology = next
 }
 
-// Heard takes in a pair that a peer says it has in force.
-func (a *Adopter) Heard(now time.Time, pair FileRef, address string) {
-	if pair.Version == 0 || (pair == a.dropped && now.Before(a.droppedUntil)) {
+// ObserveHead takes in a pair that a peer says it has in force.
+func (a *Adopter) ObserveHead(now time.Time, ref FileRef, address string) {
+	if ref.Version == 0 || (ref == a.dropped && now.Before(a.droppedUntil)) {
 		return
 	}
-	a.offer(pair, address, false)
+	a.evaluate(ref, address, false)
 }
 
 // PeerAnswered takes in a peer's answer to ActionAskPeer.
-func (a *Adopter) PeerAnswered(now time.Time, address string, pair FileRef) {
+func (a *Adopter) PeerAnswered(now time.Time, address string, ref FileRef) {
 	delete(a.asked, address)
-	a.Heard(now, pair, address)
+	a.ObserveHead(now, ref, address)
 }
 
 // PeerFailed says that a peer did not answer ActionAskPeer.
 func (a *Adopter) PeerFailed(address string) { delete(a.asked, address) }
 
 // HeadPolled takes in a read of the head row.
-func (a *Adopter) HeadPolled(now time.Time, pair FileRef, found bool) {
-	a.pollEnded(now)
+func (a *Adopter) HeadPolled(now time.Time, ref FileRef, found bool) {
+	a.schedulePoll(now)
 	if found {
-		a.offer(pair, "", true)
+		a.evaluate(ref, "", true)
 	}
 }
 
 // PollFailed says that the table did not answer.
 func (a *Adopter) PollFailed(now time.Time, retryAfter time.Duration) {
-	a.pollEnded(now)
+	a.schedulePoll(now)
 	a.retryNotBefore = now.Add(retryAfter)
 }
 
-// pollEnded plans the next read. Pollers read often. All others together read
+// schedulePoll plans the next read. Pollers read often. All others together read
 // at a rate that does not grow with their number, even while they have no file
 // or a dispute to settle: then they hear of the table through the pollers.
-func (a *Adopter) pollEnded(now time.Time) {
+func (a *Adopter) schedulePoll(now time.Time) {
 	a.polling, a.starting = false, false
-	soonest, usual := oftenInterval, oftenInterval
-	if !a.around.Poller {
-		soonest = max(oftenInterval, time.Duration(a.around.Members)*rareIntervalPerMember)
-		usual = max(rareInterval, soonest)
+	minInterval, interval := pollerInterval, pollerInterval
+	if !a.topology.Poller {
+		minInterval = max(pollerInterval, time.Duration(a.topology.Members)*nonPollerIntervalPerMember)
+		interval = max(nonPollerInterval, minInterval)
 	}
 	if a.current.Version == 0 {
-		usual = soonest
+		interval = minInterval
 	}
-	a.pollNotBefore = now.Add(a.scaled(soonest))
-	a.nextPoll = later(a.pollNotBefore, now.Add(a.scaled(usual)))
+	a.pollNotBefore = now.Add(a.jittered(minInterval))
+	a.nextPoll = later(a.pollNotBefore, now.Add(a.jittered(interval)))
 }
 
 // pollDue returns when the head is to be read next.
 func (a *Adopter) pollDue() time.Time {
 	due := later(a.pollNotBefore, a.retryNotBefore)
-	if a.pollWanted {
+	if a.pollRequested {
 		return due
 	}
 	return later(a.nextPoll, due)
 }
 
-// scaled returns the interval with up to a fifth more or less.
-func (a *Adopter) scaled(interval time.Duration) time.Duration {
+// jittered returns the interval with up to a fifth more or less.
+func (a *Adopter) jittered(interval time.Duration) time.Duration {
 	const spread = 0.4
 	return time.Duration(float64(interval) * (1 + spread*(a.jitter()-0.5)))
 }
 
 // offer weighs a pair against the version in force and the current candidate.
-func (a *Adopter) offer(pair FileRef, address string, fromTable bool) {
+func (a *Adopter) evaluate(ref FileRef, address string, fromTable bool) {
 	switch {
-	case pair.Version < a.current.Version:
+	case ref.Version < a.current.Version:
 		if fromTable {
 			a.counters.TableBehind++
 		}
-	case pair == a.current:
-	case pair.Version == a.current.Version && !fromTable:
+	case ref == a.current:
+	case ref.Version == a.current.Version && !fromTable:
 		a.counters.Disputed++
-		a.pollWanted = true
-	case pair.Version == a.target.pair.Version:
-		a.offerSameVersion(pair, address, fromTable)
-	case pair.Version > a.target.pair.Version, fromTable && a.target.disputed:
-		a.setTarget(pair, address, fromTable)
+		a.pollRequested = true
+	case ref.Version == a.target.ref.Version:
+		a.evaluateSameVersion(ref, address, fromTable)
+	case ref.Version > a.target.ref.Version, fromTable && a.target.disputed:
+		a.setTarget(ref, address, fromTable)
 	}
 }
 
-// offerSameVersion weighs a pair against a candidate of the same version.
-func (a *Adopter) offerSameVersion(pair FileRef, address string, fromTable bool) {
+// evaluateSameVersion weighs a pair against a candidate of the same version.
+func (a *Adopter) evaluateSameVersion(ref FileRef, address string, fromTable bool) {
 	switch {
-	case fromTable && pair.Digest != a.target.pair.Digest:
+	case fromTable && ref.Digest != a.target.ref.Digest:
 		a.counters.Disputed++
-		a.setTarget(pair, "", true)
+		a.setTarget(ref, "", true)
 	case fromTable:
 		a.target.fromTable, a.target.disputed = true, false
-	case pair.Digest == a.target.pair.Digest:
-		if !slices.Contains(a.target.claimed, address) && len(a.target.claimed) < maxStartPeers {
-			a.target.claimed = append(a.target.claimed, address)
+	case ref.Digest == a.target.ref.Digest:
+		if !slices.Contains(a.target.holders, address) && len(a.target.holders) < maxStartPeers {
+			a.target.holders = append(a.target.holders, address)
 		}
 	case !a.target.fromTable:
 		a.counters.Disputed++
-		a.target.disputed, a.pollWanted = true, true
+		a.target.disputed, a.pollRequested = true, true
 	default:
 		a.counters.Disputed++
 	}
 }
 
-func (a *Adopter) setTarget(pair FileRef, address string, fromTable bool) {
-	a.target = candidate{pair: pair, fromTable: fromTable, tried: map[string]bool{}}
+func (a *Adopter) setTarget(ref FileRef, address string, fromTable bool) {
+	a.target = candidate{ref: ref, fromTable: fromTable, tried: map[string]bool{}}
 	if address != "" {
-		a.target.claimed = []string{address}
+		a.target.holders = []string{address}
 	}
-	if pair != a.dropped {
+	if ref != a.dropped {
 		a.fetchRounds, a.nextFetch = 0, time.Time{}
 	}
 }
@@ -268,7 +268,7 @@
 func (a *Adopter) Tick(now time.Time) []AdoptAction {
 	var actions []AdoptAction
 	if !a.polling && !now.Before(a.pollDue()) {
-		a.polling, a.pollWanted = true, false
+		a.polling, a.pollRequested = true, false
 		actions = append(actions, AdoptAction{Kind: ActionPollTable})
 	}
 	if a.current.Version == 0 && !now.Before(a.nextAsk) {
@@ -283,7 +283,7 @@
 // askPeers asks some peers for their heads, because this node has no file.
 func (a *Adopter) askPeers(now time.Time) []AdoptAction {
 	var actions []AdoptAction
-	for _, peer := range a.peersBestFirst() {
+	for _, peer := range a.rankedPeers() {
 		if len(actions) == maxStartPeers {
 			break
 		}
@@ -293,14 +293,14 @@
 		}
 	}
 	if len(actions) > 0 {
-		a.nextAsk = now.Add(a.scaled(askAgainInterval))
+		a.nextAsk = now.Add(a.jittered(askInterval))
 	}
 	return actions
 }
 
-// peersBestFirst returns the peers of this zone, pollers first, then the rest.
-func (a *Adopter) peersBestFirst() []Peer {
-	peers := slices.Clone(a.around.Peers)
+// rankedPeers returns the peers of this zone, pollers first, then the rest.
+func (a *Adopter) rankedPeers() []Peer {
+	peers := slices.Clone(a.topology.Peers)
 	rank := func(peer Peer) int {
 		switch {
 		case peer.SameZone && peer.Poller:
@@ -318,19 +318,19 @@
 
 // NextTick returns when Tick must be called at the latest.
 func (a *Adopter) NextTick(now time.Time) time.Time {
-	next := now.Add(rareInterval)
+	next := now.Add(nonPollerInterval)
 	if !a.polling {
 		next = earlier(next, a.pollDue())
 	}
 	if a.current.Version == 0 {
 		next = earlier(next, later(a.nextAsk, now.Add(fetchRetryDelay)))
 	}
-	if !a.fetching && a.target.pair.Version > 0 && !a.target.disputed {
-		wait := a.nextFetch
+	if !a.fetching && a.target.ref.Version > 0 && !a.target.disputed {
+		fetchDue := a.nextFetch
 		if a.starting && !a.target.fromTable {
-			wait = later(wait, a.startUntil)
+			fetchDue = later(fetchDue, a.startUntil)
 		}
-		next = earlier(next, wait)
+		next = earlier(next, fetchDue)
 	}
 	return next
 }
--- a/internal/fleet/adopter_test.go
+++ b/internal/fleet/adopter_test.go
@@ -8,25 +8,25 @@
 	"pgregory.net/rapid"
 )
 
-// adopterWorld is the truth around one Adopter: accepted files, and a second
+// adopterFiles is the truth around one Adopter: accepted files, and a second
 // sound file for each version that was never accepted.
-type adopterWorld struct {
-	accepted [][]byte
-	never    [][]byte
-	byDigest map[Digest][]byte
+type adopterFiles struct {
+	accepted   [][]byte
+	unaccepted [][]byte
+	byDigest   map[Digest][]byte
 }
 
-func newAdopterWorld(versions int) *adopterWorld {
-	world := &adopterWorld{byDigest: map[Digest][]byte{}}
+func newAdopterFiles(versions int) *adopterFiles {
+	files := &adopterFiles{byDigest: map[Digest][]byte{}}
 	for version := range versions {
-		accepted, never := smallFile(fmt.Sprint("a", version)), smallFile(fmt.Sprint("n", version))
-		world.accepted, world.never = append(world.accepted, accepted), append(world.never, never)
-		world.byDigest[DigestOf(accepted)], world.byDigest[DigestOf(never)] = accepted, never
+		accepted, unaccepted := smallFile(fmt.Sprint("a", version)), smallFile(fmt.Sprint("n", version))
+		files.accepted, files.unaccepted = append(files.accepted, accepted), append(files.unaccepted, unaccepted)
+		files.byDigest[DigestOf(accepted)], files.byDigest[DigestOf(unaccepted)] = accepted, unaccepted
 	}
-	return world
+	return files
 }
 
-func (w *adopterWorld) pair(version Version) FileRef {
+func (w *adopterFiles) ref(version Version) FileRef {
 	return FileRef{Version: version, Digest: DigestOf(w.accepted[version-1])}
 }
 
@@ -34,12 +34,12 @@
 // broken. It checks every adoption.
 type adopterRun struct {
 	t       *rapid.T
-	world   *adopterWorld
+	files   *adopterFiles
 	adopter *Adopter
 	now     time.Time
 	// tableVersion is the version in force; tabled are the pairs the table named.
 	tableVersion Version
-	tabled       map[FileRef]bool
+	tableRefs    map[FileRef]bool
 	open         []AdoptAction
 	last         FileRef
 }
@@ -50,14 +50,14 @@
 		case action.Kind != ActionAdopt:
 			r.open = append(r.open, action)
 			continue
-		case action.Pair.Version < r.last.Version:
-			r.t.Fatalf("reverted from %v to %v", r.last, action.Pair)
-		case action.Pair.Version == r.last.Version && !r.tabled[action.Pair]:
-			r.t.Fatalf("replaced %v by %v without the table's word", r.last, action.Pair)
-		case DigestOf(action.Body) != action.Pair.Digest:
-			r.t.Fatalf("adopted a body that is not %v", action.Pair)
+		case action.Ref.Version < r.last.Version:
+			r.t.Fatalf("reverted from %v to %v", r.last, action.Ref)
+		case action.Ref.Version == r.last.Version && !r.tableRefs[action.Ref]:
+			r.t.Fatalf("replaced %v by %v without the table's word", r.last, action.Ref)
+		case DigestOf(action.Body) != action.Ref.Digest:
+			r.t.Fatalf("adopted a body that is not %v", action.Ref)
 		}
-		r.last = action.Pair
+		r.last = action.Ref
 	}
 }
 
@@ -74,23 +74,23 @@
 			r.adopter.PollFailed(r.now, 0)
 			return
 		}
-		r.tabled[r.world.pair(version)] = true // a late answer may be an old one
-		r.adopter.HeadPolled(r.now, r.world.pair(version), true)
+		r.tableRefs[r.files.ref(version)] = true // a late answer may be an old one
+		r.adopter.HeadPolled(r.now, r.files.ref(version), true)
 	case ActionAskPeer:
 		if fails {
 			r.adopter.PeerFailed(action.Address)
 			return
 		}
-		r.adopter.PeerAnswered(r.now, action.Address, r.world.pair(version))
+		r.adopter.PeerAnswered(r.now, action.Address, r.files.ref(version))
 	case ActionFetchBody:
 		r.answerBody(action, honest, fails)
 	}
 }
 
 func (r *adopterRun) answerBody(action AdoptAction, honest, fails bool) {
-	body := r.world.byDigest[action.Pair.Digest]
+	body := r.files.byDigest[action.Ref.Digest]
 	if !honest && rapid.IntRange(0, 3).Draw(r.t, "wrong") == 0 {
-		body = rapid.SampledFrom([][]byte{{}, []byte("x"), r.world.never[0]}).Draw(r.t, "body")
+		body = rapid.SampledFrom([][]byte{{}, []byte("x"), r.files.unaccepted[0]}).Draw(r.t, "body")
 	}
 	if fails || body == nil {
 		r.adopter.FetchFailed(r.now)
@@ -105,13 +105,13 @@
 	version := Version(rapid.IntRange(1, int(r.tableVersion)).Draw(r.t, "version"))
 	switch rapid.IntRange(0, 6).Draw(r.t, "event") {
 	case 0:
-		r.tableVersion = min(r.tableVersion+1, Version(len(r.world.accepted)))
+		r.tableVersion = min(r.tableVersion+1, Version(len(r.files.accepted)))
 	case 1:
-		r.adopter.Heard(r.now, r.world.pair(version), "p1")
+		r.adopter.ObserveHead(r.now, r.files.ref(version), "p1")
 	case 2:
-		r.adopter.Heard(r.now, FileRef{Version: version, Digest: DigestOf(r.world.never[version-1])}, "p2")
+		r.adopter.ObserveHead(r.now, FileRef{Version: version, Digest: DigestOf(r.files.unaccepted[version-1])}, "p2")
 	case 3:
-		r.adopter.Heard(r.now, FileRef{Version: r.tableVersion + 5, Digest: "nobody has this"}, "p2")
+		r.adopter.ObserveHead(r.now, FileRef{Version: r.tableVersion + 5, Digest: "nobody has this"}, "p2")
 	default:
 		if len(r.open) > 0 {
 			index := rapid.IntRange(0, len(r.open)-1).Draw(r.t, "open")
@@ -140,14 +140,14 @@
 // TestAdopterNeverReverts feeds the machine true, stale, false and broken
 // answers in any order, then lets the table and peers answer truly.
 func TestAdopterNeverReverts(t *testing.T) {
-	world := newAdopterWorld(6)
+	files := newAdopterFiles(6)
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		run := &adopterRun{
-			t: t, world: world, now: now, tableVersion: 1, tabled: map[FileRef]bool{},
+			t: t, files: files, now: now, tableVersion: 1, tableRefs: map[FileRef]bool{},
 			adopter: NewAdopter(now, func() float64 { return 0.5 }),
 		}
-		run.adopter.SetSurroundings(now, Surroundings{
+		run.adopter.SetTopology(now, Topology{
 			Poller: rapid.Bool().Draw(t, "poller"), Members: rapid.SampledFrom([]int{3, 100}).Draw(t, "members"),
 			Peers: []Peer{{Address: "p1", SameZone: true, Poller: true}, {Address: "p2"}},
 		})
@@ -155,8 +155,8 @@
 			run.step()
 		}
 		run.settle()
-		if run.adopter.Current() != world.pair(run.tableVersion) {
-			t.Fatalf("in force %v, accepted %v", run.adopter.Current(), world.pair(run.tableVersion))
+		if run.adopter.Current() != files.ref(run.tableVersion) {
+			t.Fatalf("in force %v, accepted %v", run.adopter.Current(), files.ref(run.tableVersion))
 		}
 	})
 }
@@ -164,7 +164,7 @@
 // TestStartTakesTheTablesWordFirst: a peer that lags must not bring back an
 // older version on a node that restarts while the table answers.
 func TestStartTakesTheTablesWordFirst(t *testing.T) {
-	world := newAdopterWorld(3)
+	files := newAdopterFiles(3)
 	cases := []struct {
 		name  string
 		table bool
@@ -173,36 +173,36 @@
 	for _, test := range cases {
 		now := time.Unix(1000, 0)
 		adopter := NewAdopter(now, func() float64 { return 0.5 })
-		adopter.SetSurroundings(now, Surroundings{Members: 3, Peers: []Peer{{Address: "p1"}, {Address: "p2"}}})
-		adopter.PeerAnswered(now, "p1", world.pair(1))
+		adopter.SetTopology(now, Topology{Members: 3, Peers: []Peer{{Address: "p1"}, {Address: "p2"}}})
+		adopter.PeerAnswered(now, "p1", files.ref(1))
 		for _, action := range adopter.Tick(now) {
 			if action.Kind == ActionFetchBody {
-				t.Errorf("%s: fetched %v before the table was heard", test.name, action.Pair)
+				t.Errorf("%s: fetched %v before the table was heard", test.name, action.Ref)
 			}
 		}
-		adopter.PeerAnswered(now, "p2", world.pair(2))
+		adopter.PeerAnswered(now, "p2", files.ref(2))
 		if test.table {
-			adopter.HeadPolled(now, world.pair(3), true)
+			adopter.HeadPolled(now, files.ref(3), true)
 		} else {
 			adopter.PollFailed(now, 0)
 		}
 		for _, action := range adopter.Tick(now) {
 			if action.Kind == ActionFetchBody {
-				adopter.BodyReceived(now, world.byDigest[action.Pair.Digest])
+				adopter.BodyReceived(now, files.byDigest[action.Ref.Digest])
 			}
 		}
-		if adopter.Current() != world.pair(test.want) {
+		if adopter.Current() != files.ref(test.want) {
 			t.Errorf("%s: in force %v, want version %d", test.name, adopter.Current(), test.want)
 		}
 	}
 }
 
-// TestTheTableSettlesDisputes: of two digests heard for one version, neither is
+// TestTableResolvesConflictingDigests: of two digests heard for one version, neither is
 // taken before the table has named one; and if the wrong one is in force
 // already, the table's replaces it.
-func TestTheTableSettlesDisputes(t *testing.T) {
-	world := newAdopterWorld(2)
-	truth, other := world.pair(2), FileRef{Version: 2, Digest: DigestOf(world.never[1])}
+func TestTableResolvesConflictingDigests(t *testing.T) {
+	files := newAdopterFiles(2)
+	truth, other := files.ref(2), FileRef{Version: 2, Digest: DigestOf(files.unaccepted[1])}
 	cases := []struct {
 		name  string
 		heard []FileRef
@@ -215,17 +215,17 @@
 	for _, test := range cases {
 		now := time.Unix(1000, 0)
 		adopter := NewAdopter(now, func() float64 { return 0.5 })
-		adopter.SetSurroundings(now, Surroundings{Members: 3, Peers: []Peer{{Address: "p1"}, {Address: "p2"}}})
+		adopter.SetTopology(now, Topology{Members: 3, Peers: []Peer{{Address: "p1"}, {Address: "p2"}}})
 		run := func() {
 			for _, action := range adopter.Tick(now) {
 				if action.Kind == ActionFetchBody {
-					adopter.BodyReceived(now, world.byDigest[action.Pair.Digest])
+					adopter.BodyReceived(now, files.byDigest[action.Ref.Digest])
 				}
 			}
 		}
 		adopter.PollFailed(now, 0)
-		for index, pair := range test.heard {
-			adopter.Heard(now, pair, fmt.Sprint("p", index+1))
+		for index, ref := range test.heard {
+			adopter.ObserveHead(now, ref, fmt.Sprint("p", index+1))
 		}
 		run()
 		if adopter.Current() != test.want {
@@ -244,10 +244,10 @@
 // body.
 func TestStartIsNotHeldUpByOneFailedFetch(t *testing.T) {
 	const failures, limit = 3, 5 * time.Second
-	world := newAdopterWorld(1)
+	files := newAdopterFiles(1)
 	now := time.Unix(1000, 0)
 	adopter := NewAdopter(now, func() float64 { return 0.5 })
-	adopter.SetSurroundings(now, Surroundings{Poller: true, Members: 2, Peers: []Peer{{Address: "p1", SameZone: true}}})
+	adopter.SetTopology(now, Topology{Poller: true, Members: 2, Peers: []Peer{{Address: "p1", SameZone: true}}})
 	fetches := 0
 	for end := now.Add(limit); now.Before(end) && adopter.Current().Version == 0; now = later(now.Add(time.Millisecond), adopter.NextTick(now)) {
 		for _, action := range adopter.Tick(now) {
@@ -255,18 +255,18 @@
 			case ActionPollTable:
 				adopter.PollFailed(now, 0)
 			case ActionAskPeer:
-				adopter.PeerAnswered(now, action.Address, world.pair(1))
+				adopter.PeerAnswered(now, action.Address, files.ref(1))
 			case ActionFetchBody:
 				fetches++
 				if action.Address == "" || fetches <= failures {
 					adopter.FetchFailed(now)
 					continue
 				}
-				adopter.BodyReceived(now, world.byDigest[action.Pair.Digest])
+				adopter.BodyReceived(now, files.byDigest[action.Ref.Digest])
 			}
 		}
 	}
-	if adopter.Current() != world.pair(1) {
+	if adopter.Current() != files.ref(1) {
 		t.Errorf("no file after %v and %d fetches", limit, fetches)
 	}
 }
--- a/internal/fleet/adopterfetch.go
+++ b/internal/fleet/adopterfetch.go
@@ -9,9 +9,9 @@
 	// smallFleet is the number of routers up to which each may read a body from
 	// the table as soon as its peers do not have it.
 	smallFleet = 16
-	// patientRounds is how many rounds of peers a node of a larger fleet tries
+	// peerOnlyRounds is how many rounds of peers a node of a larger fleet tries
 	// before it reads the body from the table.
-	patientRounds = 3
+	peerOnlyRounds = 3
 )
 
 // BodyReceived takes in a fetched body. The machine trusts neither its source
@@ -22,23 +22,23 @@
 		return nil
 	}
 	a.fetching = false
-	if a.fetchPair != a.target.pair || a.target.disputed {
+	if a.fetchRef != a.target.ref || a.target.disputed {
 		return nil
 	}
-	if DigestOf(body) != a.target.pair.Digest {
+	if DigestOf(body) != a.target.ref.Digest {
 		a.counters.BadBodies++
 		a.fetchFailed(now, a.fetchSource)
 		return nil
 	}
-	document, _ := Parse(body, "the body of "+string(a.target.pair.Digest))
+	document, _ := Parse(body, "the body of "+string(a.target.ref.Digest))
 	if document == nil {
 		a.counters.BadBodies++
 		a.fetchFailed(now, a.fetchSource)
 		return nil
 	}
-	a.current, a.target = a.target.pair, candidate{}
+	a.current, a.target = a.target.ref, candidate{}
 	a.counters.Adopted++
-	return []AdoptAction{{Kind: ActionAdopt, Pair: a.current, Document: document, Body: body}}
+	return []AdoptAction{{Kind: ActionAdopt, Ref: a.current, Document: document, Body: body}}
 }
 
 // FetchFailed says that the body asked for could not be had.
@@ -47,7 +47,7 @@
 		return
 	}
 	a.fetching = false
-	if a.fetchPair == a.target.pair {
+	if a.fetchRef == a.target.ref {
 		a.fetchFailed(now, a.fetchSource)
 	}
 }
@@ -68,19 +68,19 @@
 func (a *Adopter) endRound(now time.Time, triedTable bool) {
 	delay := min(maxFetchRetryDelay, fetchRetryDelay<<min(a.fetchRounds, maxDelayShift))
 	a.fetchRounds++
-	a.nextFetch = now.Add(a.scaled(delay))
+	a.nextFetch = now.Add(a.jittered(delay))
 	a.target.tried = map[string]bool{}
 	if triedTable && !a.target.fromTable {
-		a.dropped, a.droppedUntil = a.target.pair, now.Add(a.scaled(delay))
+		a.dropped, a.droppedUntil = a.target.ref, now.Add(a.jittered(delay))
 		a.target = candidate{}
-		a.pollWanted = true
+		a.pollRequested = true
 	}
 }
 
 // planFetch returns the fetch that brings the candidate closer, if any.
 func (a *Adopter) planFetch(now time.Time) (AdoptAction, bool) {
 	waiting := a.starting && !a.target.fromTable && now.Before(a.startUntil)
-	if a.fetching || waiting || a.target.pair.Version == 0 || a.target.disputed || now.Before(a.nextFetch) {
+	if a.fetching || waiting || a.target.ref.Version == 0 || a.target.disputed || now.Before(a.nextFetch) {
 		return AdoptAction{}, false
 	}
 	source, found := a.nextSource()
@@ -88,8 +88,8 @@
 		a.endRound(now, false)
 		return AdoptAction{}, false
 	}
-	a.fetching, a.fetchPair, a.fetchSource = true, a.target.pair, source
-	return AdoptAction{Kind: ActionFetchBody, Address: source, Pair: a.fetchPair}, true
+	a.fetching, a.fetchRef, a.fetchSource = true, a.target.ref, source
+	return AdoptAction{Kind: ActionFetchBody, Address: source, Ref: a.fetchRef}, true
 }
 
 // nextSource returns the best untried peer or, after a few of them, "" for the
@@ -98,11 +98,11 @@
 // In a large fleet a node that is no poller leaves the table alone for the first
 // rounds (found is false), so that not every node reads the body there.
 func (a *Adopter) nextSource() (source string, found bool) {
-	if peer, left := a.nextPeerSource(); left {
+	if peer, untried := a.nextPeerSource(); untried {
 		return peer, true
 	}
-	patient := !a.around.Poller && a.around.Members > smallFleet && a.fetchRounds < patientRounds
-	return "", !patient
+	peersOnly := !a.topology.Poller && a.topology.Members > smallFleet && a.fetchRounds < peerOnlyRounds
+	return "", !peersOnly
 }
 
 // nextPeerSource returns the best untried peer, if one is left to try.
@@ -110,19 +110,19 @@
 	if len(a.target.tried) >= maxPeerSources {
 		return "", false
 	}
-	peers := a.peersBestFirst()
+	peers := a.rankedPeers()
 	for _, peer := range peers {
-		if slices.Contains(a.target.claimed, peer.Address) && !a.target.tried[peer.Address] {
+		if slices.Contains(a.target.holders, peer.Address) && !a.target.tried[peer.Address] {
 			return peer.Address, true
 		}
 	}
-	for _, address := range a.target.claimed {
+	for _, address := range a.target.holders {
 		if !a.target.tried[address] {
 			return address, true
 		}
 	}
 	for _, peer := range peers {
-		if !a.around.Poller && peer.Poller && peer.SameZone && !a.target.tried[peer.Address] {
+		if !a.topology.Poller && peer.Poller && peer.SameZone && !a.target.tried[peer.Address] {
 			return peer.Address, true
 		}
 	}
--- a/internal/fleet/applier.go
+++ b/internal/fleet/applier.go
@@ -34,8 +34,8 @@
 	// firstRetryDelay doubles with each failure in a row up to maxRetryDelay.
 	firstRetryDelay = 100 * time.Millisecond
 	maxRetryDelay   = 2 * time.Second
-	// maxFailuresInRow is how many failures in a row an apply outlasts.
-	maxFailuresInRow = 10
+	// maxConsecutiveFailures is how many failures in a row an apply outlasts.
+	maxConsecutiveFailures = 10
 	// maxDelayShift keeps the doubling from overflowing.
 	maxDelayShift = 6
 )
@@ -118,18 +118,18 @@
 	a.succeeded()
 	head, err := readHeadRow(row, found)
 	if err != nil {
-		a.finish(Applied{}, a.qualify(fault.From(err)))
+		a.finish(Applied{}, a.withOutcome(fault.From(err)))
 		return
 	}
 	if a.inDoubt {
-		a.settle(row, found, head)
+		a.resolve(row, found, head)
 		return
 	}
-	a.begin(row, found, head)
+	a.start(row, found, head)
 }
 
-// begin decides on the first sight of the head.
-func (a *Applier) begin(row protocol.Row, found bool, head Head) {
+// start decides on the first sight of the head.
+func (a *Applier) start(row protocol.Row, found bool, head Head) {
 	a.head, a.headFound, a.rowVersion, a.intended = head, found, row.Version, 1
 	if found {
 		a.intended = head.CurrentRef().Version + 1
@@ -153,8 +153,8 @@
 // deletes the body that the history forgets, in the same transaction: another
 // apply that counts on that body read an older head and so loses.
 func (a *Applier) prepareCommit() error {
-	entry := HistoryEntry{Pair: FileRef{Version: a.intended, Digest: a.digest}, ApplyID: a.options.ApplyID, Size: len(a.body)}
-	next, forgotten := a.head.successor(entry, a.options.AppliedAt)
+	entry := HistoryEntry{Ref: FileRef{Version: a.intended, Digest: a.digest}, ApplyID: a.options.ApplyID, Size: len(a.body)}
+	next, evicted := a.head.successor(entry, a.options.AppliedAt)
 	value, err := encodeHead(next)
 	if err != nil {
 		return err
@@ -164,19 +164,19 @@
 		Writes:     []protocol.Write{{Key: HeadKey, Value: value}},
 	}
 	kept := map[Digest]bool{}
-	for _, remembered := range next.History {
-		kept[remembered.Pair.Digest] = true
+	for _, retained := range next.History {
+		kept[retained.Ref.Digest] = true
 	}
-	for _, old := range forgotten {
-		for index := 0; index < chunkCount(old.Size) && !kept[old.Pair.Digest]; index++ {
-			a.transaction.Writes = append(a.transaction.Writes, protocol.Write{Key: chunkKey(old.Pair.Digest, index), Delete: true})
+	for _, old := range evicted {
+		for index := 0; index < chunkCount(old.Size) && !kept[old.Ref.Digest]; index++ {
+			a.transaction.Writes = append(a.transaction.Writes, protocol.Write{Key: chunkKey(old.Ref.Digest, index), Delete: true})
 		}
 	}
 	return nil
 }
 
-// settle decides on a sight of the head after a commit whose answer was lost.
-func (a *Applier) settle(row protocol.Row, found bool, head Head) {
+// resolve decides on a sight of the head after a commit whose answer was lost.
+func (a *Applier) resolve(row protocol.Row, found bool, head Head) {
 	if found {
 		if entry, ours := head.find(a.options.ApplyID); ours {
 			a.finishApplied(entry, head)
@@ -189,12 +189,12 @@
 		a.kind = StepCommitHead
 		return
 	}
-	a.lost(head, found)
+	a.finishSuperseded(head, found)
 }
 
-// lost ends an apply whose row version is gone. Ours can be among the applies
+// finishSuperseded ends an apply whose row version is gone. Ours can be among the applies
 // that the history has forgotten only if that many versions came since.
-func (a *Applier) lost(head Head, found bool) {
+func (a *Applier) finishSuperseded(head Head, found bool) {
 	if a.inDoubt && found && head.CurrentRef().Version >= a.intended+historyLength {
 		a.finish(Applied{}, fault.New(fault.StoreUnavailable, "the answer to this apply was lost and %d versions came since; version %d may have been this file", head.CurrentRef().Version-a.intended, a.intended).
 			WithRan(fault.RanUnknown).WithRemedy("run 'fieldpond diff' against version %d, then apply again if it differs", head.CurrentRef().Version))
@@ -231,10 +231,10 @@
 	row := result.Rows[0]
 	head, err := readHeadRow(row, row.Version != 0)
 	if err != nil {
-		a.finish(Applied{}, a.qualify(fault.From(err)))
+		a.finish(Applied{}, a.withOutcome(fault.From(err)))
 		return
 	}
-	a.settle(row, row.Version != 0, head)
+	a.resolve(row, row.Version != 0, head)
 }
 
 // readHeadRow returns the head in a row, empty when the row does not exist.
@@ -252,8 +252,8 @@
 		a.inDoubt = true
 	}
 	a.failures++
-	if a.failures >= maxFailuresInRow || !retryable(failure) {
-		a.finish(Applied{}, a.qualify(failure))
+	if a.failures >= maxConsecutiveFailures || !retryable(failure) {
+		a.finish(Applied{}, a.withOutcome(failure))
 		return
 	}
 	a.delay = max(failure.RetryAfter, min(maxRetryDelay, firstRetryDelay<<min(a.failures-1, maxDelayShift)))
@@ -264,15 +264,15 @@
 
 // Abandon ends the apply because its time is up.
 func (a *Applier) Abandon(cause error) {
-	a.finish(Applied{}, a.qualify(fault.Wrap(cause, fault.Timeout, "the apply did not end in time")))
+	a.finish(Applied{}, a.withOutcome(fault.Wrap(cause, fault.Timeout, "the apply did not end in time")))
 }
 
 func retryable(failure *fault.Fault) bool {
 	return failure.Kind == fault.StoreUnavailable || failure.Kind == fault.RateLimited
 }
 
-// qualify states what an apply that gives up knows of its own effect.
-func (a *Applier) qualify(failure *fault.Fault) *fault.Fault {
+// withOutcome states what an apply that gives up knows of its own effect.
+func (a *Applier) withOutcome(failure *fault.Fault) *fault.Fault {
 	qualified := *failure
 	if a.inDoubt {
 		return qualified.WithRan(fault.RanUnknown).
@@ -309,8 +309,8 @@
 }
 
 func (a *Applier) finishApplied(entry HistoryEntry, head Head) {
-	applied := Applied{Version: entry.Pair.Version, Digest: entry.Pair.Digest, ApplyID: entry.ApplyID}
-	if head.CurrentRef().Version > entry.Pair.Version {
+	applied := Applied{Version: entry.Ref.Version, Digest: entry.Ref.Digest, ApplyID: entry.ApplyID}
+	if head.CurrentRef().Version > entry.Ref.Version {
 		applied.SupersededBy = head.CurrentRef().Version
 	}
 	a.finish(applied, nil)
--- a/internal/fleet/apply_test.go
+++ b/internal/fleet/apply_test.go
@@ -27,7 +27,7 @@
 type operator struct {
 	name     string
 	applies  int
-	machine  *Applier
+	applier  *Applier
 	applyID  string
 	outcomes []outcome
 }
@@ -49,80 +49,80 @@
 		deliver := func() {
 			table.commit(late[0])
 			late = late[1:]
-			judgeBodies(t, table)
+			checkHeadsAndBodies(t, table)
 		}
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
 			if len(late) > 0 && rapid.IntRange(0, 3).Draw(t, "late") == 0 {
 				deliver()
 			}
 			operator := rapid.SampledFrom(operators).Draw(t, "operator")
-			if operator.machine == nil {
+			if operator.applier == nil {
 				operator.applies++
 				operator.applyID = fmt.Sprintf("%s-%d", operator.name, operator.applies)
 				body := []byte(rapid.SampledFrom([]string{"A", "B", "C"}).Draw(t, "body"))
-				operator.machine = NewApplier(body, ApplyOptions{ApplyID: operator.applyID})
+				operator.applier = NewApplier(body, ApplyOptions{ApplyID: operator.applyID})
 			}
-			step := operator.machine.Step()
+			step := operator.applier.Step()
 			if step.Kind == StepDone {
-				applied, err := operator.machine.Result()
+				applied, err := operator.applier.Result()
 				operator.outcomes = append(operator.outcomes, outcome{operator.applyID, applied, err})
-				operator.machine = nil
+				operator.applier = nil
 				continue
 			}
 			mode := rapid.SampledFrom([]faultMode{works, works, works, lostAfter, lostBefore, down, limited, hangs}).Draw(t, "mode")
 			if mode == hangs && step.Kind != StepReadHead {
 				late = append(late, step.Transaction)
 			}
-			runModelStep(table, operator.machine, step, mode)
-			judgeBodies(t, table)
+			runModelStep(table, operator.applier, step, mode)
+			checkHeadsAndBodies(t, table)
 		}
 		for len(late) > 0 {
 			deliver()
 		}
 		for _, operator := range operators {
-			judgeOutcomes(t, table, operator.outcomes)
+			checkOutcomes(t, table, operator.outcomes)
 		}
 	})
 }
 
-func runModelStep(table *tableModel, machine *Applier, step ApplyStep, mode faultMode) {
+func runModelStep(table *tableModel, applier *Applier, step ApplyStep, mode faultMode) {
 	var result protocol.TransactionResult
 	if step.Kind != StepReadHead && (mode == works || mode == lostAfter) {
 		result = table.commit(step.Transaction)
 	}
 	if err := faultOf(mode); err != nil {
-		machine.Failed(fault.From(err))
+		applier.Failed(fault.From(err))
 		return
 	}
 	switch step.Kind {
 	case StepReadHead:
 		row, found := table.Current[HeadKey]
-		machine.HeadRead(row, found)
+		applier.HeadRead(row, found)
 	case StepCommitChunk:
-		machine.ChunkCommitted()
+		applier.ChunkCommitted()
 	case StepCommitHead:
-		machine.HeadCommitted(result)
+		applier.HeadCommitted(result)
 	}
 }
 
-// judgeBodies checks that versions count up by one, each with one file, and
+// checkHeadsAndBodies checks that versions count up by one, each with one file, and
 // that the file in force always has its body.
-func judgeBodies(t *rapid.T, table *tableModel) {
+func checkHeadsAndBodies(t *rapid.T, table *tableModel) {
 	for index, entry := range table.heads {
-		if entry.Pair.Version != Version(index+1) {
-			t.Fatalf("accepted head %d has version %d", index+1, entry.Pair.Version)
+		if entry.Ref.Version != Version(index+1) {
+			t.Fatalf("accepted head %d has version %d", index+1, entry.Ref.Version)
 		}
 	}
 	if len(table.heads) > 0 {
 		last := table.heads[len(table.heads)-1]
-		if _, found := table.Current[chunkKey(last.Pair.Digest, 0)]; !found {
-			t.Fatalf("version %d has no body", last.Pair.Version)
+		if _, found := table.Current[chunkKey(last.Ref.Digest, 0)]; !found {
+			t.Fatalf("version %d has no body", last.Ref.Version)
 		}
 	}
 }
 
-// judgeOutcomes compares what operators were told with what was accepted.
-func judgeOutcomes(t *rapid.T, table *tableModel, outcomes []outcome) {
+// checkOutcomes compares what operators were told with what was accepted.
+func checkOutcomes(t *rapid.T, table *tableModel, outcomes []outcome) {
 	accepted := map[string][]HistoryEntry{}
 	for _, entry := range table.heads {
 		accepted[entry.ApplyID] = append(accepted[entry.ApplyID], entry)
@@ -134,11 +134,11 @@
 		case len(entries) > 1:
 			t.Fatalf("apply %s was accepted %d times", outcome.applyID, len(entries))
 		case failure == nil && outcome.applied.Unchanged:
-			if named := table.heads[outcome.applied.Version-1]; len(entries) != 0 || named.Pair.Digest != outcome.applied.Digest {
+			if named := table.heads[outcome.applied.Version-1]; len(entries) != 0 || named.Ref.Digest != outcome.applied.Digest {
 				t.Fatalf("apply %s was told unchanged at %v", outcome.applyID, named)
 			}
 		case failure == nil:
-			if len(entries) != 1 || entries[0].Pair != (FileRef{outcome.applied.Version, outcome.applied.Digest}) {
+			if len(entries) != 1 || entries[0].Ref != (FileRef{outcome.applied.Version, outcome.applied.Digest}) {
 				t.Fatalf("apply %s was told %v but the log has %v", outcome.applyID, outcome.applied, entries)
 			}
 		case failure.Ran == fault.RanNo && len(entries) != 0:
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestApplyConflictsAndRepeats(t *testing.T) {
+func TestApplyConflictsAndReapply(t *testing.T) {
 	check := is.New(t)
 	ctx, table := context.Background(), newFakeTable()
 	apply := func(name string, base *Version) (Applied, error) {
@@ -243,7 +243,7 @@
 	check.Equal(stored.Document.Name, fmt.Sprint("n", applies-1))
 }
 
-func TestCompareNamesWhatChanges(t *testing.T) {
+func TestCompareReportsChanges(t *testing.T) {
 	check := is.New(t)
 	before := string(exampleFile(t, "muldenring"))
 	after := strings.NewReplacer(
--- a/internal/fleet/check.go
+++ b/internal/fleet/check.go
@@ -115,8 +115,8 @@
 	return false
 }
 
-// checkRepeats records a problem for each repeated entry of a short list.
-func checkRepeats[N ~string](at *locator, list []N, path string) {
+// checkDuplicates records a problem for each repeated entry of a short list.
+func checkDuplicates[N ~string](at *locator, list []N, path string) {
 	seen := make(map[N]struct{}, len(list))
 	for index, entry := range list {
 		if _, repeated := seen[entry]; repeated {
--- a/internal/fleet/checkreferences.go
+++ b/internal/fleet/checkreferences.go
@@ -71,7 +71,7 @@
 		for position, class := range service.Classes {
 			names.classes.require(at, class, "class", pathf("%s.classes[%d]", path, position))
 		}
-		checkRepeats(at, service.Classes, path+".classes")
+		checkDuplicates(at, service.Classes, path+".classes")
 		switch service.Kind {
 		case ServiceModel:
 			checkModelService(document, service, path, names, at)
@@ -129,7 +129,7 @@
 		for position, model := range engine.Models {
 			names.models.require(at, model, "model", pathf("%s.models[%d]", path, position))
 		}
-		checkRepeats(at, engine.Models, path+".models")
+		checkDuplicates(at, engine.Models, path+".models")
 	}
 	applications := nameIndex[ident.Application]{}
 	for index, application := range document.Applications {
@@ -146,7 +146,7 @@
 				at.fail(place, fmt.Sprintf("names %q, which is no application service", service), "list application services only; model services are served by engines")
 			}
 		}
-		checkRepeats(at, application.Services, path+".services")
+		checkDuplicates(at, application.Services, path+".services")
 	}
 }
 
--- a/internal/fleet/checktenants.go
+++ b/internal/fleet/checktenants.go
@@ -12,7 +12,7 @@
 func checkTenants(document *Document, names *documentNames, at *locator) {
 	tenants := make(nameIndex[ident.Tenant], len(document.Tenants))
 	owners := make(map[string]int, len(document.Tenants))
-	reach := reachOf(document)
+	served := servicePlacesOf(document)
 	for index := range document.Tenants {
 		tenant := &document.Tenants[index]
 		tenants.add(at, tenant.Name, index, func() string { return fmt.Sprintf("tenants[%d].name", index) })
@@ -20,12 +20,12 @@
 		checkPlaces(tenant, index, names, at)
 		for position, service := range tenant.Services {
 			path := func() string { return fmt.Sprintf("tenants[%d].services[%d]", index, position) }
-			if names.services.require(at, service, "service", path) && !reach.serves(service, tenant.Places) {
+			if names.services.require(at, service, "service", path) && !served.serves(service, tenant.Places) {
 				at.warn(path(), fmt.Sprintf("%q has no active back end in any place of tenant %q; its requests will be refused", service, shorten(string(tenant.Name))), "add a back end there, widen the places, or remove the service")
 			}
 		}
 		if len(tenant.Services) > 1 {
-			checkRepeats(at, tenant.Services, fmt.Sprintf("tenants[%d].services", index))
+			checkDuplicates(at, tenant.Services, fmt.Sprintf("tenants[%d].services", index))
 		}
 	}
 }
@@ -59,29 +59,29 @@
 	}
 }
 
-// serviceReach knows the places in which each service has an active back end.
-type serviceReach map[ident.Service]map[string]bool
+// servicePlaces knows the places in which each service has an active back end.
+type servicePlaces map[ident.Service]map[string]bool
 
-func (r serviceReach) serves(service ident.Service, places []string) bool {
+func (r servicePlaces) serves(service ident.Service, places []string) bool {
 	return slices.ContainsFunc(places, func(place string) bool { return r[service][place] })
 }
 
-// reachOf returns, for each service, the zones and regions that have an active
+// servicePlacesOf returns, for each service, the zones and regions that have an active
 // back end for it.
-func reachOf(document *Document) serviceReach {
+func servicePlacesOf(document *Document) servicePlaces {
 	regionOf := map[ident.Zone]ident.Region{}
 	for _, region := range document.Regions {
 		for _, zone := range region.Zones {
 			regionOf[zone] = region.Name
 		}
 	}
-	reach := serviceReach{}
+	places := servicePlaces{}
 	add := func(service ident.Service, zone ident.Zone) {
-		if reach[service] == nil {
-			reach[service] = map[string]bool{}
+		if places[service] == nil {
+			places[service] = map[string]bool{}
 		}
-		reach[service][string(zone)] = true
-		reach[service][string(regionOf[zone])] = true
+		places[service][string(zone)] = true
+		places[service][string(regionOf[zone])] = true
 	}
 	for _, service := range document.Services {
 		for _, engine := range document.Engines {
@@ -97,5 +97,5 @@
 			}
 		}
 	}
-	return reach
+	return places
 }
--- a/internal/fleet/compare.go
+++ b/internal/fleet/compare.go
@@ -57,17 +57,17 @@
 	}
 	difference := Difference{Changes: []Change{}}
 	oldValue, newValue := reflect.ValueOf(current).Elem(), reflect.ValueOf(next).Elem()
-	var own []FieldChange
+	var documentFields []FieldChange
 	for index := range newValue.NumField() {
 		field := newValue.Type().Field(index)
 		if field.Type.Kind() == reflect.Slice {
 			difference.compareSection(yamlName(field), oldValue.Field(index), newValue.Field(index))
 			continue
 		}
-		own = appendFieldChange(own, yamlName(field), oldValue.Field(index), newValue.Field(index))
+		documentFields = appendFieldChange(documentFields, yamlName(field), oldValue.Field(index), newValue.Field(index))
 	}
-	if len(own) > 0 {
-		difference.Changes = append([]Change{{Section: "document", Action: ActionChange, Fields: own}}, difference.Changes...)
+	if len(documentFields) > 0 {
+		difference.Changes = append([]Change{{Section: "document", Action: ActionChange, Fields: documentFields}}, difference.Changes...)
 	}
 	return difference
 }
--- a/internal/fleet/decode.go
+++ b/internal/fleet/decode.go
@@ -44,7 +44,7 @@
 	}
 	d.budget--
 	if d.budget < 0 {
-		d.exhaust(node)
+		d.exceedBudget(node)
 		return
 	}
 	switch {
@@ -61,8 +61,8 @@
 	}
 }
 
-// exhaust ends decoding: the file unfolds into more nodes than maxNodes.
-func (d *decoder) exhaust(node *yaml.Node) {
+// exceedBudget ends decoding: the file unfolds into more nodes than maxNodes.
+func (d *decoder) exceedBudget(node *yaml.Node) {
 	d.budget = -1
 	d.problems.add(SeverityError, node.Line, "(file)", "unfolds into too many nodes", "use fewer aliases, or split the deployment")
 }
@@ -101,7 +101,7 @@
 		return
 	}
 	if len(node.Content) > d.budget {
-		d.exhaust(node)
+		d.exceedBudget(node)
 		return
 	}
 	target.Set(reflect.MakeSlice(target.Type(), len(node.Content), len(node.Content)))
@@ -122,7 +122,7 @@
 		return
 	}
 	target.SetInt(int64(duration))
-	d.refuseZero(node, duration == 0)
+	d.rejectZero(node, duration == 0)
 }
 
 func (d *decoder) decodeScalar(node *yaml.Node, target reflect.Value) {
@@ -147,7 +147,7 @@
 			return
 		}
 		target.SetInt(number)
-		d.refuseZero(node, number == 0)
+		d.rejectZero(node, number == 0)
 	case reflect.Float64:
 		number, err := strconv.ParseFloat(node.Value, 64)
 		if (tag != "!!int" && tag != "!!float") || err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
@@ -155,7 +155,7 @@
 			return
 		}
 		target.SetFloat(number)
-		d.refuseZero(node, number == 0)
+		d.rejectZero(node, number == 0)
 	}
 }
 
@@ -175,7 +175,7 @@
 	target.SetString(value)
 }
 
-func (d *decoder) refuseZero(node *yaml.Node, zero bool) {
+func (d *decoder) rejectZero(node *yaml.Node, zero bool) {
 	if !zero {
 		return
 	}
--- a/internal/fleet/parse_test.go
+++ b/internal/fleet/parse_test.go
@@ -30,7 +30,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func TestExamplesAreSound(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	sizes := map[string][3]int{"muldenring": {12, 3, 8}, "parking": {18, 4, 8}}
 	for name, size := range sizes {
 		check := is.NewRelaxed(t)
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestFaultsAreFound edits the Muldenring example and looks for the problem, its
+// TestParseReportsProblem edits the Muldenring example and looks for the problem, its
 // path, a word of its message and the line that holds the edit.
-func TestFaultsAreFound(t *testing.T) {
+func TestParseReportsProblem(t *testing.T) {
 	cases := []struct {
 		name, old, new string
 		path, message  string
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestEveryFaultIsFoundInOneGo(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	check := is.New(t)
 	text := "schema: fieldpond/v1\nname: n\nregions: [{name: r, zones: [z]}]\nclasses: [{name: c, colour: red}]\n" +
 		"services:\n  - {name: s, kind: application, classes: [d]}\ntenants:\n  - {name: t, keyHashes: [secret-key], places: [z], services: [s], share: -1}\n"
@@ -127,7 +127,7 @@
 	check.True(strings.Contains(problems.Err().Error(), "line 4"))
 }
 
-func TestHostileFilesAreRefused(t *testing.T) {
+func TestParseRejectsHostileFiles(t *testing.T) {
 	bomb := "schema: fieldpond/v1\nname: &n [" + strings.Repeat("a,", 3000) + "]\ntenants:\n  - &t {places: *n}\n" + strings.Repeat("  - *t\n", 3000)
 	cases := map[string]string{
 		"empty": "", "comment": "# nothing", "not YAML": "a: [", "scalar": "7", "two documents": "a: 1\n---\nb: 2\n",
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestCompiledAnswersRouters(t *testing.T) {
+func TestCompiledLookups(t *testing.T) {
 	check := is.New(t)
 	body := exampleFile(t, "muldenring")
 	document, _ := Parse(body, "f")
--- a/internal/fleet/storage.go
+++ b/internal/fleet/storage.go
@@ -35,7 +35,7 @@
 
 // HistoryEntry is one accepted apply.
 type HistoryEntry struct {
-	Pair    FileRef `cbor:"1,keyasint"`
+	Ref     FileRef `cbor:"1,keyasint"`
 	ApplyID string  `cbor:"2,keyasint"`
 	// Size of the body in bytes.
 	Size int `cbor:"3,keyasint"`
@@ -51,7 +51,7 @@
 }
 
 // CurrentRef returns the file in force.
-func (h Head) CurrentRef() FileRef { return h.History[0].Pair }
+func (h Head) CurrentRef() FileRef { return h.History[0].Ref }
 
 // find returns the accepted apply with the given identifier.
 func (h Head) find(applyID string) (HistoryEntry, bool) {
@@ -64,12 +64,12 @@
 }
 
 // successor returns the head after one more apply, and the entry it forgets.
-func (h Head) successor(entry HistoryEntry, appliedAt time.Time) (next Head, forgotten []HistoryEntry) {
+func (h Head) successor(entry HistoryEntry, appliedAt time.Time) (next Head, evicted []HistoryEntry) {
 	history := append([]HistoryEntry{entry}, h.History...)
 	if len(history) > historyLength {
-		history, forgotten = history[:historyLength], history[historyLength:]
+		history, evicted = history[:historyLength], history[historyLength:]
 	}
-	return Head{Schema: headSchema, History: history, AppliedAt: appliedAt}, forgotten
+	return Head{Schema: headSchema, History: history, AppliedAt: appliedAt}, evicted
 }
 
 // maxHeadEntries bounds the history that a head row is read with.
--- a/internal/fleet/syncer.go
+++ b/internal/fleet/syncer.go
@@ -21,11 +21,11 @@
 	// pollersPerZone is how many routers of a zone read the table often: one,
 	// and one more for the time in which the first one's death is not known.
 	pollersPerZone = 2
-	// heardCapacity and resultCapacity bound the Syncer's rings. Heard pairs
+	// observedCapacity and resultCapacity bound the Syncer's rings. Heard pairs
 	// are replaced by later ones. Results are bounded by the requests that are
 	// open at once: one poll, one fetch and a few questions to peers.
-	heardCapacity  = 256
-	resultCapacity = 256
+	observedCapacity = 256
+	resultCapacity   = 256
 	// headTimeout and bodyTimeout bound one exchange with a peer or the table.
 	headTimeout = 2 * time.Second
 	bodyTimeout = 15 * time.Second
@@ -64,8 +64,8 @@
 	options  SyncerOptions
 	inForce  atomic.Pointer[inForce]
 	counters atomic.Pointer[AdopterCounters]
-	heard    *ring.Ring[heardPair]
-	results  *ring.Ring[keeperResult]
+	observed *ring.Ring[observedHead]
+	results  *ring.Ring[requestResult]
 	requests sync.WaitGroup
 
 	mutex     sync.Mutex
@@ -79,15 +79,15 @@
 	body     []byte
 }
 
-type heardPair struct {
-	pair    FileRef
+type observedHead struct {
+	ref     FileRef
 	address string
 }
 
-// keeperResult is the outcome of one request.
-type keeperResult struct {
+// requestResult is the outcome of one request.
+type requestResult struct {
 	action AdoptAction
-	pair   FileRef
+	ref    FileRef
 	found  bool
 	body   []byte
 	err    error
@@ -96,33 +96,33 @@
 // NewSyncer returns a Syncer that has no file yet. Run starts it.
 func NewSyncer(options SyncerOptions) *Syncer {
 	syncer := &Syncer{
-		options: options,
-		heard:   ring.New[heardPair]("fleet-heard", heardCapacity, ring.DropOldest),
-		results: ring.New[keeperResult]("fleet-results", resultCapacity, ring.RefuseNew),
+		options:  options,
+		observed: ring.New[observedHead]("fleet-heard", observedCapacity, ring.DropOldest),
+		results:  ring.New[requestResult]("fleet-results", resultCapacity, ring.RefuseNew),
 	}
 	syncer.counters.Store(&AdopterCounters{})
 	return syncer
 }
 
 // Current returns the file in force, or nil when there is none yet.
-func (k *Syncer) Current() *Compiled {
-	if file := k.inForce.Load(); file != nil {
+func (s *Syncer) Current() *Compiled {
+	if file := s.inForce.Load(); file != nil {
 		return file.compiled
 	}
 	return nil
 }
 
 // Ready returns the file in force, or a NotReady fault.
-func (k *Syncer) Ready() (*Compiled, error) {
-	if compiled := k.Current(); compiled != nil {
+func (s *Syncer) Ready() (*Compiled, error) {
+	if compiled := s.Current(); compiled != nil {
 		return compiled, nil
 	}
 	return nil, fault.New(fault.NotReady, "this router has no fleet file yet").WithRetryAfter(time.Second)
 }
 
 // CurrentRef returns the pair in force, for gossip and for peers that ask.
-func (k *Syncer) CurrentRef() FileRef {
-	if compiled := k.Current(); compiled != nil {
+func (s *Syncer) CurrentRef() FileRef {
+	if compiled := s.Current(); compiled != nil {
 		return FileRef{Version: compiled.Version, Digest: compiled.Digest}
 	}
 	return FileRef{}
@@ -130,8 +130,8 @@
 
 // Body returns the bytes of the file in force if it has this digest, for peers
 // that ask. They must not be changed.
-func (k *Syncer) Body(digest Digest) ([]byte, bool) {
-	file := k.inForce.Load()
+func (s *Syncer) Body(digest Digest) ([]byte, bool) {
+	file := s.inForce.Load()
 	if file == nil || file.compiled.Digest != digest {
 		return nil, false
 	}
@@ -139,45 +139,45 @@
 }
 
 // Counters returns what the Syncer has met so far.
-func (k *Syncer) Counters() AdopterCounters { return *k.counters.Load() }
+func (s *Syncer) Counters() AdopterCounters { return *s.counters.Load() }
 
 // Rings returns the counters of the Syncer's rings.
-func (k *Syncer) Rings() []ring.Counters {
-	return []ring.Counters{k.heard.Counters(), k.results.Counters()}
+func (s *Syncer) Rings() []ring.Counters {
+	return []ring.Counters{s.observed.Counters(), s.results.Counters()}
 }
 
 // OnPrepare adds a function that is called, on the Syncer's goroutine, with each
 // file just before Current changes to it: whoever reads Current then finds the
 // file's back ends known. It must not block.
-func (k *Syncer) OnPrepare(preparer func(*Compiled)) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.preparers = append(k.preparers, preparer)
+func (s *Syncer) OnPrepare(preparer func(*Compiled)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.preparers = append(s.preparers, preparer)
 }
 
 // OnAdopt adds a function that is called, on the Syncer's goroutine and after
 // Current has changed, with each file put in force. It must not block.
-func (k *Syncer) OnAdopt(listener func(*Compiled)) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.listeners = append(k.listeners, listener)
+func (s *Syncer) OnAdopt(listener func(*Compiled)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.listeners = append(s.listeners, listener)
 }
 
 // ObserveHead takes in a pair that the router at address has in force. It never
 // blocks and may be called by any goroutine, for every gossip message.
-func (k *Syncer) ObserveHead(version Version, digest Digest, address string) {
-	pair := FileRef{Version: version, Digest: digest}
-	current := k.CurrentRef()
-	if version >= current.Version && pair != current {
-		k.heard.Push(heardPair{pair: pair, address: address})
+func (s *Syncer) ObserveHead(version Version, digest Digest, address string) {
+	ref := FileRef{Version: version, Digest: digest}
+	current := s.CurrentRef()
+	if version >= current.Version && ref != current {
+		s.observed.Push(observedHead{ref: ref, address: address})
 	}
 }
 
 // Run keeps the file until ctx ends, and returns after every request it made
 // has ended.
-func (k *Syncer) Run(ctx context.Context) {
-	defer k.requests.Wait()
-	random := rand.New(rand.NewPCG(xxhash.Sum64String(string(k.options.Self)), 0))
+func (s *Syncer) Run(ctx context.Context) {
+	defer s.requests.Wait()
+	random := rand.New(rand.NewPCG(xxhash.Sum64String(string(s.options.Self)), 0))
 	adopter := NewAdopter(time.Now(), random.Float64)
 	timer := time.NewTimer(minWait)
 	defer timer.Stop()
@@ -186,66 +186,66 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-k.heard.Ready():
-		case <-k.results.Ready():
+		case <-s.observed.Ready():
+		case <-s.results.Ready():
 		}
 		now := time.Now()
-		adopter.SetSurroundings(now, k.surroundings())
-		k.takeIn(adopter, now)
+		adopter.SetTopology(now, s.topology())
+		s.applyEvents(adopter, now)
 		for _, action := range adopter.Tick(now) {
-			k.start(ctx, action)
+			s.start(ctx, action)
 		}
 		counters := adopter.Counters()
-		k.counters.Store(&counters)
+		s.counters.Store(&counters)
 		timer.Reset(max(minWait, min(time.Until(adopter.NextTick(now)), time.Second)))
 	}
 }
 
-// takeIn gives every waiting event to the machine.
-func (k *Syncer) takeIn(adopter *Adopter, now time.Time) {
-	for heard, ok := k.heard.Pop(); ok; heard, ok = k.heard.Pop() {
-		adopter.Heard(now, heard.pair, heard.address)
+// applyEvents gives every waiting event to the machine.
+func (s *Syncer) applyEvents(adopter *Adopter, now time.Time) {
+	for head, ok := s.observed.Pop(); ok; head, ok = s.observed.Pop() {
+		adopter.ObserveHead(now, head.ref, head.address)
 	}
-	for result, ok := k.results.Pop(); ok; result, ok = k.results.Pop() {
-		k.takeInResult(adopter, now, result)
+	for result, ok := s.results.Pop(); ok; result, ok = s.results.Pop() {
+		s.applyResult(adopter, now, result)
 	}
 }
 
-func (k *Syncer) takeInResult(adopter *Adopter, now time.Time, result keeperResult) {
+func (s *Syncer) applyResult(adopter *Adopter, now time.Time, result requestResult) {
 	switch result.action.Kind {
 	case ActionPollTable:
 		if result.err != nil {
 			adopter.PollFailed(now, fault.From(result.err).RetryAfter)
 			return
 		}
-		adopter.HeadPolled(now, result.pair, result.found)
+		adopter.HeadPolled(now, result.ref, result.found)
 	case ActionAskPeer:
 		if result.err != nil {
 			adopter.PeerFailed(result.action.Address)
 			return
 		}
-		adopter.PeerAnswered(now, result.action.Address, result.pair)
+		adopter.PeerAnswered(now, result.action.Address, result.ref)
 	case ActionFetchBody:
 		if result.err != nil {
 			adopter.FetchFailed(now)
 			return
 		}
 		for _, action := range adopter.BodyReceived(now, result.body) {
-			k.adopt(action)
+			s.adopt(action)
 		}
 	}
 }
 
 // adopt puts a file in force and tells the listeners.
-func (k *Syncer) adopt(action AdoptAction) {
-	compiled := Compile(action.Document, action.Pair.Version, action.Pair.Digest)
-	k.mutex.Lock()
-	preparers, listeners := k.preparers, k.listeners
-	k.mutex.Unlock()
+func (s *Syncer) adopt(action AdoptAction) {
+	compiled := Compile(action.Document, action.Ref.Version, action.Ref.Digest)
+	s.mutex.Lock()
+	preparers, listeners := s.preparers, s.listeners
+	s.mutex.Unlock()
 	for _, preparer := range preparers {
 		preparer(compiled)
 	}
-	k.inForce.Store(&inForce{compiled: compiled, body: action.Body})
+	s.inForce.Store(&inForce{compiled: compiled, body: action.Body})
 	log.WithFields(log.Fields{"version": compiled.Version, "digest": compiled.Digest}).Info("fleet file in force")
 	for _, listener := range listeners {
 		listener(compiled)
@@ -254,53 +254,53 @@
 
 // start makes one request in a goroutine of its own; its outcome comes back
 // through the ring.
-func (k *Syncer) start(ctx context.Context, action AdoptAction) {
-	k.requests.Add(1)
+func (s *Syncer) start(ctx context.Context, action AdoptAction) {
+	s.requests.Add(1)
 	go func() {
-		defer k.requests.Done()
-		k.results.Push(k.request(ctx, action))
+		defer s.requests.Done()
+		s.results.Push(s.request(ctx, action))
 	}()
 }
 
-func (k *Syncer) request(ctx context.Context, action AdoptAction) keeperResult {
+func (s *Syncer) request(ctx context.Context, action AdoptAction) requestResult {
 	timeout := headTimeout
 	if action.Kind == ActionFetchBody {
 		timeout = bodyTimeout
 	}
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	result := keeperResult{action: action}
+	result := requestResult{action: action}
 	switch {
 	case action.Kind == ActionPollTable:
 		var head Head
-		head, result.found, result.err = ReadHead(bounded, k.options.Table)
+		head, result.found, result.err = ReadHead(bounded, s.options.Table)
 		if result.found {
-			result.pair = head.CurrentRef()
+			result.ref = head.CurrentRef()
 		}
 	case action.Kind == ActionAskPeer:
-		result.pair, result.err = k.options.Peers.FetchHead(bounded, action.Address)
+		result.ref, result.err = s.options.Peers.FetchHead(bounded, action.Address)
 	case action.Address == "":
-		result.body, result.err = ReadBody(bounded, k.options.Table, action.Pair.Digest)
+		result.body, result.err = ReadBody(bounded, s.options.Table, action.Ref.Digest)
 	default:
-		result.body, result.err = k.options.Peers.FetchBody(bounded, action.Address, action.Pair.Digest)
+		result.body, result.err = s.options.Peers.FetchBody(bounded, action.Address, action.Ref.Digest)
 	}
 	return result
 }
 
-// surroundings derives from the membership who polls and who can be asked.
-func (k *Syncer) surroundings() Surroundings {
-	return SurroundingsOf(k.options.View(), k.options.Self, k.options.Zone)
+// topology derives from the membership who polls and who can be asked.
+func (s *Syncer) topology() Topology {
+	return TopologyOf(s.options.View(), s.options.Self, s.options.Zone)
 }
 
-// SurroundingsOf derives from a view of the membership who polls and whom the
+// TopologyOf derives from a view of the membership who polls and whom the
 // router self in the given zone can ask.
-func SurroundingsOf(view membership.View, self ident.Node, zone ident.Zone) Surroundings {
+func TopologyOf(view membership.View, self ident.Node, zone ident.Zone) Topology {
 	zones := map[ident.Zone][]membership.Member{}
-	around := Surroundings{}
+	topology := Topology{}
 	for _, member := range view.Members {
 		if member.State == membership.Alive || member.State == membership.Suspect {
 			zones[member.Zone] = append(zones[member.Zone], member)
-			around.Members++
+			topology.Members++
 		}
 	}
 	pollers := map[ident.Node]bool{}
@@ -314,10 +314,10 @@
 		if member.State > membership.Leaving || member.Node == self || member.HTTPAddress == "" {
 			continue
 		}
-		around.Peers = append(around.Peers, Peer{
+		topology.Peers = append(topology.Peers, Peer{
 			Address: member.HTTPAddress, SameZone: member.Zone == zone, Poller: pollers[member.Node],
 		})
 	}
-	around.Poller = pollers[self] || len(zones) == 0
-	return around
+	topology.Poller = pollers[self] || len(zones) == 0
+	return topology
 }
--- a/internal/fleet/syncer_test.go
+++ b/internal/fleet/syncer_test.go
@@ -21,19 +21,19 @@
 	table   *fakeTable
 	members []membership.Member
 	mutex   sync.Mutex
-	keepers map[string]*Syncer
+	syncers map[string]*Syncer
 	// stale is a router that offers an old file as the newest; empty for none.
 	stale     string
 	staleBody []byte
-	// cutOff is a router that neither hears nor is heard; empty for none.
-	cutOff string
+	// partitioned is a router that neither hears nor is heard; empty for none.
+	partitioned string
 	// adopted holds what each router put in force, by life and in order; the
 	// digest is that of the body.
 	adopted map[string][][]FileRef
 }
 
 func newCluster(nodes int) *cluster {
-	c := &cluster{table: newFakeTable(), keepers: map[string]*Syncer{}, adopted: map[string][][]FileRef{}}
+	c := &cluster{table: newFakeTable(), syncers: map[string]*Syncer{}, adopted: map[string][][]FileRef{}}
 	for index := range nodes {
 		name := fmt.Sprint("node-", index)
 		c.members = append(c.members, membership.Member{Node: ident.Node(name), Zone: ident.Zone(fmt.Sprint("zone-", index%3)), HTTPAddress: name})
@@ -48,8 +48,8 @@
 		View: func() membership.View { return membership.View{Self: member.Node, Members: c.members} },
 	})
 	c.mutex.Lock()
-	address, life := member.HTTPAddress, len(c.adopted[member.HTTPAddress])
-	c.keepers[address] = syncer
+	address, incarnation := member.HTTPAddress, len(c.adopted[member.HTTPAddress])
+	c.syncers[address] = syncer
 	c.adopted[address] = append(c.adopted[address], nil)
 	c.mutex.Unlock()
 	prepared := Version(0)
@@ -65,9 +65,9 @@
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		body, _ := syncer.Body(compiled.Digest)
-		c.adopted[address][life] = append(c.adopted[address][life], FileRef{compiled.Version, DigestOf(body)})
-		for heard, other := range c.keepers {
-			if c.cutOff == "" || (heard != c.cutOff && address != c.cutOff) {
+		c.adopted[address][incarnation] = append(c.adopted[address][incarnation], FileRef{compiled.Version, DigestOf(body)})
+		for receiver, other := range c.syncers {
+			if c.partitioned == "" || (receiver != c.partitioned && address != c.partitioned) {
 				other.ObserveHead(compiled.Version, compiled.Digest, member.HTTPAddress)
 			}
 		}
@@ -79,7 +79,7 @@
 func (c *cluster) at(address string) (*Syncer, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if syncer := c.keepers[address]; syncer != nil && address != c.cutOff {
+	if syncer := c.syncers[address]; syncer != nil && address != c.partitioned {
 		return syncer, nil
 	}
 	return nil, fault.New(fault.BackendLost, "%s does not run", address)
@@ -118,7 +118,7 @@
 
 func (c *cluster) countInForce(version Version) int {
 	count := 0
-	for _, syncer := range c.keepers {
+	for _, syncer := range c.syncers {
 		if syncer.CurrentRef().Version == version {
 			count++
 		}
@@ -185,7 +185,7 @@
 		}
 		time.Sleep(time.Minute)
 		check.Equal(c.countInForce(0), 6)
-		_, err := c.keepers["node-0"].Ready()
+		_, err := c.syncers["node-0"].Ready()
 		check.True(fault.Is(err, fault.NotReady)) // refuses rather than guesses
 		c.table.setMode(works)
 		time.Sleep(5 * time.Second)
@@ -193,9 +193,9 @@
 	})
 }
 
-// TestBodyOutlastsRateLimits: a body of several rows, of which every second
+// TestBodyReadRetriesRateLimits: a body of several rows, of which every second
 // read is refused, can only be had by going on where the limit struck.
-func TestBodyOutlastsRateLimits(t *testing.T) {
+func TestBodyReadRetriesRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		c := newCluster(1)
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -72,21 +72,21 @@
 
 // ParseDisabled reads a set from names of mechanisms. Its error names those there are.
 func ParseDisabled(names []string) (Disabled, error) {
-	var off Disabled
+	var disabled Disabled
 	for _, name := range names {
 		if !slices.Contains(All(), Name(name)) {
-			return Disabled{}, fault.New(fault.InvalidSettings, "there is no mechanism %q; there are %s", name, list())
+			return Disabled{}, fault.New(fault.InvalidSettings, "there is no mechanism %q; there are %s", name, joinedNames())
 		}
-		off.names = append(off.names, Name(name))
+		disabled.names = append(disabled.names, Name(name))
 	}
-	return off, nil
+	return disabled, nil
 }
 
 // Enabled reports whether a mechanism is on.
-func (o Disabled) Enabled(name Name) bool { return !slices.Contains(o.names, name) }
+func (d Disabled) Enabled(name Name) bool { return !slices.Contains(d.names, name) }
 
-// list returns the names of all mechanisms for a message.
-func list() string {
+// joinedNames returns the names of all mechanisms for a message.
+func joinedNames() string {
 	var names []string
 	for _, name := range All() {
 		names = append(names, string(name))
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -9,20 +9,20 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-func TestMechanismsAreSwitchedOffByName(t *testing.T) {
+func TestDisableByName(t *testing.T) {
 	is := is.New(t)
 	var none mechanism.Disabled
 	for _, name := range mechanism.All() {
 		is.True(none.Enabled(name))
-		off, err := mechanism.ParseDisabled([]string{string(name)})
+		disabled, err := mechanism.ParseDisabled([]string{string(name)})
 		is.NoErr(err)
 		for _, other := range mechanism.All() {
-			is.Equal(off.Enabled(other), other != name)
+			is.Equal(disabled.Enabled(other), other != name)
 		}
 	}
 }
 
-func TestAnUnknownMechanismIsRefused(t *testing.T) {
+func TestUnknownMechanismIsRejected(t *testing.T) {
 	tests := []struct {
 		name  string
 		names []string
@@ -34,10 +34,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			off, err := mechanism.ParseDisabled(tt.names)
+			disabled, err := mechanism.ParseDisabled(tt.names)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), string(mechanism.EarlyRefusal))) // the remedy
-			is.True(off.Enabled(mechanism.Notifications))
+			is.True(disabled.Enabled(mechanism.Notifications))
 		})
 	}
 }
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -11,20 +11,20 @@
 	"github.com/fieldpond/fieldpond/internal/wait"
 )
 
-func TestAPauseEndsWithItsContext(t *testing.T) {
+func TestForEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		begun := time.Now()
+		start := time.Now()
 		is.True(wait.For(ctx, time.Second))
-		is.Equal(time.Since(begun), time.Second)
+		is.Equal(time.Since(start), time.Second)
 		time.AfterFunc(time.Second, cancel)
 		is.True(!wait.For(ctx, time.Hour))
-		is.Equal(time.Since(begun), 2*time.Second)
+		is.Equal(time.Since(start), 2*time.Second)
 	})
 }
 
-func TestWorkIsDoneOnceInEachInterval(t *testing.T) {
+func TestEveryCallsOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 5500*time.Millisecond)
