--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,13 +1,12 @@
-// Package clock tells the time that has really passed.
+// Package clock returns times that include suspensions of the machine.
 //
-// A machine may be suspended, and the steady clock of the system, which package time goes by,
-// does not count that: after five seconds of it a lease that has run out looks held, and a key
-// that was taken away looks confirmed. Now counts such spans from the first Sync that sees
-// them. Sync is called where a decision is made on the age of what is known; Now costs no
-// system call.
+// The system's monotonic clock, which package time uses, does not advance while the machine is
+// suspended: an expired lease would still seem held, and a revoked key still confirmed. Now
+// includes a suspension from the first Sync that detects it. Call Sync before decisions on the
+// age of data; Now makes no system call for suspensions.
 //
-// Times of this package are compared with each other only. Deadlines of contexts, timers and
-// connections go by the steady clock: they take durations, such as Until returns.
+// Compare times of this package with each other only. Deadlines of contexts, timers and
+// connections use the monotonic clock: set them from durations, such as Until returns.
 package clock
 
 import (
@@ -18,36 +17,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// minSuspension is the least difference that counts as a suspension. The two clocks are read one after
-// the other, and a process may have to wait between.
+// minSuspension is the least difference that counts as a suspension: the process may be
+// preempted between its reads of the two clocks.
 const minSuspension = 50 * time.Millisecond
 
-// Source returns for how long the machine has been suspended since some moment.
+// Source returns the total time of suspensions since some fixed moment.
 type Source func() time.Duration
 
 var (
-	// suspended is the time suspended since the process started, as Sync saw it last.
+	// suspended is the time suspended since the process started, as of the last Sync.
 	suspended atomic.Int64
-	// resumed is when Sync saw last that this process had stood still, nil for never.
+	// resumed is when Sync last detected a suspension or a freeze, nil for never.
 	resumed atomic.Pointer[time.Time]
 
 	mu     sync.Mutex
 	source Source = fromSystem
 	base          = fromSystem()
-	// detectingFreezes is true while Sync is called all the time, last when it was called last.
+	// detectingFreezes is true while Sync is called periodically, lastSync its last call.
 	detectingFreezes bool
 	lastSync         time.Time
 )
 
-// SyncInterval is the longest time between two calls of Sync under Watch. freezeThreshold is how
-// much longer tells that the process stood still, rather than waited for its processor.
+// SyncInterval is the longest time between two calls of Sync under DetectFreezes.
+// freezeThreshold is the time without a call that means a freeze, not just a busy processor.
 const (
 	SyncInterval    = 200 * time.Millisecond
 	freezeThreshold = 1200 * time.Millisecond
 )
 
-// DetectFreezes says that Sync is called every SyncInterval from now on, so that a longer span without
-// a call means that the process was frozen. It returns what ends that.
+// DetectFreezes has Sync treat a long time without a call as a freeze of the process. The caller
+// must call Sync every SyncInterval until it calls end.
 func DetectFreezes() (end func()) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -59,7 +58,7 @@
 	}
 }
 
-// fromSystem compares the clock that counts suspensions with the one that does not.
+// fromSystem compares the clock that includes suspensions with the one that does not.
 func fromSystem() time.Duration {
 	var boot, steady unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
@@ -68,8 +67,7 @@
 	return time.Duration(boot.Nano() - steady.Nano())
 }
 
-// ReplaceSource has another source tell suspensions, and returns what restores the one before. It is
-// for tests.
+// ReplaceSource replaces the source of suspensions until restore is called. It is for tests.
 func ReplaceSource(other Source) (restore func()) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -84,7 +82,7 @@
 	}
 }
 
-// Sync looks whether the machine was suspended, or the process frozen, and returns the time.
+// Sync detects suspensions of the machine and freezes of the process, and returns the time.
 func Sync() time.Time {
 	mu.Lock()
 	defer mu.Unlock()
@@ -103,17 +101,17 @@
 	return now
 }
 
-// Now returns the time, with the suspensions that Sync has seen.
+// Now returns the time, including the suspensions that Sync has detected.
 func Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
 
-// Since returns the time since a moment that this package told.
+// Since returns the time since a moment returned by this package.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// Until returns the time until a moment that this package told.
+// Until returns the time until a moment returned by this package.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// ResumedAt returns when this process was last found to have stood still, as its machine was
-// suspended or it was frozen; found is false if it never was.
+// ResumedAt returns when Sync last detected a suspension of the machine or a freeze of this
+// process; found is false if it never did.
 func ResumedAt() (at time.Time, found bool) {
 	recorded := resumed.Load()
 	if recorded == nil {
@@ -122,5 +120,5 @@
 	return *recorded, true
 }
 
-// Suspended returns for how long the machine has been suspended since the process started.
+// Suspended returns the time suspended since the process started, as of the last Sync.
 func Suspended() time.Duration { return time.Duration(suspended.Load()) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -16,13 +16,13 @@
 	defer clock.ReplaceSource(func() time.Duration { return suspended })()
 	before := clock.Sync()
 	suspended = 5 * time.Second
-	is.True(clock.Since(before) < 4*time.Second) // nobody has looked yet
+	is.True(clock.Since(before) < 4*time.Second) // before Sync
 	is.True(clock.Sync().Sub(before) >= 5*time.Second)
 	is.True(clock.Since(before) >= 5*time.Second)
 	resumedAt, found := clock.ResumedAt()
 	is.True(found)
 	is.True(clock.Since(resumedAt) < time.Second)
-	// What lies between two looks at the clocks is no suspension.
+	// A small difference between the two clocks is not a suspension.
 	suspended += 10 * time.Millisecond
 	clock.Sync()
 	is.Equal(clock.Suspended(), 5*time.Second)
@@ -35,7 +35,7 @@
 	is.True(clock.Sync().After(before))
 }
 
-// A process that is frozen, while the clocks of its machine go on, has stood still too.
+// A freeze of the process counts, though the machine's clocks advance.
 func TestFreezeIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -44,7 +44,7 @@
 		time.Sleep(time.Minute)
 		clock.Sync()
 		_, found := clock.ResumedAt()
-		is.True(!found) // nobody looks all the time
+		is.True(!found) // detection is off
 		defer clock.DetectFreezes()()
 		time.Sleep(clock.SyncInterval)
 		clock.Sync()
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,8 +1,7 @@
 // Package fault declares the typed errors of fieldpond.
 //
-// Every Fault has a Kind, says whether the request it answers ran, and names
-// the remedy in its message. The kinds, their HTTP status and their exit code
-// stand in kinds.go; nothing else in the program maps errors to either.
+// Every Fault has a Kind, states whether the request it answers ran, and names the
+// remedy in its message. Only kinds.go maps kinds to an HTTP status and exit code.
 package fault
 
 import (
@@ -12,30 +11,29 @@
 	"github.com/pkg/errors"
 )
 
-// Ran says whether the work a caller asked for was executed by a back end.
+// Ran is whether a back end executed the request.
 type Ran string
 
 const (
-	// RanNo promises that no back end executed any part of the request.
+	// RanNo guarantees that no back end executed any part of the request.
 	RanNo Ran = "no"
-	// RanYes says that a back end executed the request, wholly or in part.
+	// RanYes means that a back end executed the request, wholly or in part.
 	RanYes Ran = "yes"
-	// RanUnknown says that the request may or may not have been executed.
+	// RanUnknown means that the request may or may not have been executed.
 	RanUnknown Ran = "unknown"
 )
 
-// Fault is an error with a kind, a remedy and a statement of what ran.
+// Fault is an error with a kind, a remedy and whether the request ran.
 type Fault struct {
 	// Kind selects the remedy, HTTP status and exit code.
 	Kind Kind
-	// Detail says what went wrong this time, in one clause.
+	// Detail describes the error, in one clause.
 	Detail string
-	// Remedy overrides the kind's usual remedy when not empty.
+	// Remedy overrides the kind's remedy when not empty.
 	Remedy string
-	// Ran is what is known about execution; New and Wrap set RanNo, since most
-	// kinds are raised before any attempt.
+	// Ran is RanNo after New and Wrap, since most faults precede any attempt.
 	Ran Ran
-	// RetryAfter tells the caller when to come back; zero means not stated.
+	// RetryAfter is the time after which the caller may retry; zero means not stated.
 	RetryAfter time.Duration
 	cause      error
 }
@@ -45,26 +43,26 @@
 	return &Fault{Kind: kind, Detail: fmt.Sprintf(format, arguments...), Ran: RanNo}
 }
 
-// Wrap returns a Fault of the given kind that keeps cause for errors.Is/As.
+// Wrap returns a Fault of the given kind that wraps cause, for errors.Is/As.
 func Wrap(cause error, kind Kind, format string, arguments ...any) *Fault {
 	wrapped := New(kind, format, arguments...)
 	wrapped.cause = cause
 	return wrapped
 }
 
-// WithRan returns the fault after recording what is known about execution.
+// WithRan sets Ran and returns the fault.
 func (f *Fault) WithRan(ran Ran) *Fault {
 	f.Ran = ran
 	return f
 }
 
-// WithRetryAfter returns the fault after recording when to come back.
+// WithRetryAfter sets RetryAfter and returns the fault.
 func (f *Fault) WithRetryAfter(after time.Duration) *Fault {
 	f.RetryAfter = after
 	return f
 }
 
-// WithRemedy returns the fault after replacing the kind's usual remedy.
+// WithRemedy replaces the kind's remedy and returns the fault.
 func (f *Fault) WithRemedy(format string, arguments ...any) *Fault {
 	f.Remedy = fmt.Sprintf(format, arguments...)
 	return f
@@ -90,8 +88,8 @@
 // Unwrap returns the cause, if any.
 func (f *Fault) Unwrap() error { return f.cause }
 
-// From returns the Fault inside err, or an Internal fault that wraps it. It
-// returns nil for a nil error. What ran is unknown for an unexpected error.
+// From returns the Fault inside err, or an Internal fault with RanUnknown that wraps
+// it. It returns nil for a nil error.
 func From(err error) *Fault {
 	if err == nil {
 		return nil
--- a/internal/fault/kinds.go
+++ b/internal/fault/kinds.go
@@ -2,20 +2,20 @@
 
 import "net/http"
 
-// Kind names one class of fault. Callers and scripts may rely on the names.
+// Kind names one class of fault. Callers and scripts may rely on the values.
 type Kind string
 
 // The kinds. Each has a row in kindTable.
 const (
-	// BadRequest is a caller request that cannot be understood.
+	// BadRequest is a malformed request.
 	BadRequest Kind = "bad_request"
 	// TooLarge is a body, header or prompt above its limit.
 	TooLarge Kind = "too_large"
 	// Unauthorized is a missing or unknown tenant key.
 	Unauthorized Kind = "unauthorized"
-	// Forbidden is a known tenant asking for what its fleet entry does not allow.
+	// Forbidden is a request that the tenant's fleet entry does not allow.
 	Forbidden Kind = "forbidden"
-	// UnknownService is a service or model that the fleet file does not name.
+	// UnknownService is a service or model that is not in the fleet file.
 	UnknownService Kind = "unknown_service"
 	// UnknownRoute is a path that the service or the API does not have.
 	UnknownRoute Kind = "unknown_route"
@@ -23,26 +23,25 @@
 	MissingIdempotencyKey Kind = "missing_idempotency_key"
 	// KeyReused is an idempotency key sent again with another request body.
 	KeyReused Kind = "idempotency_key_reused"
-	// AlreadyClaimed is a repeat of a non-repeatable request whose first run
-	// is still going on or whose answer is no longer retained.
+	// AlreadyClaimed is a retry of a non-repeatable request whose first run has
+	// not ended or whose answer is no longer retained.
 	AlreadyClaimed Kind = "already_claimed"
-	// NoPermittedEngine is a service that no live back end in the tenant's places
-	// serves.
+	// NoPermittedEngine is a service without a live back end in the tenant's places.
 	NoPermittedEngine Kind = "no_permitted_engine"
-	// Overloaded is a refusal by admission: queue full or share used up.
+	// Overloaded is a refusal by admission: queue full or share exhausted.
 	Overloaded Kind = "overloaded"
 	// DeadlineExceeded is a request that waited as long as its class allows.
 	DeadlineExceeded Kind = "deadline_exceeded"
 	// StoreUnavailable is a table or object store of the platform that did not
 	// answer in time.
 	StoreUnavailable Kind = "store_unavailable"
-	// BackendLost is a back end that broke off after the attempt left.
+	// BackendLost is a back end whose connection failed after the attempt was sent.
 	BackendLost Kind = "backend_lost"
-	// Quarantined is a request under which back ends crashed, so that it is not sent on.
+	// Quarantined is a request that is not forwarded, since back ends crashed under it.
 	Quarantined Kind = "quarantined"
 	// BackendRefused is an explicit refusal by a back end before execution.
 	BackendRefused Kind = "backend_refused"
-	// OutcomeUnknown is a non-repeatable request whose fate is not known.
+	// OutcomeUnknown is a non-repeatable request whose outcome is not known.
 	OutcomeUnknown Kind = "outcome_unknown"
 	// StreamBroken is a stream that cannot be continued.
 	StreamBroken Kind = "stream_broken"
@@ -50,9 +49,9 @@
 	InvalidToken Kind = "invalid_resume_token"
 	// NotReady is a router that has no fleet file yet.
 	NotReady Kind = "not_ready"
-	// ShuttingDown is a router or back end that is stopping.
+	// ShuttingDown is a router or back end that is shutting down.
 	ShuttingDown Kind = "leaving"
-	// Conflict is an apply that lost against another operator's.
+	// Conflict is an apply that another operator's apply preceded.
 	Conflict Kind = "conflict"
 	// InvalidFleet is a fleet file that fails its checks.
 	InvalidFleet Kind = "invalid_fleet"
@@ -62,7 +61,7 @@
 	StaleFence Kind = "stale_fence"
 	// RateLimited is a refusal by a rate limit of the platform or of a tenant.
 	RateLimited Kind = "rate_limited"
-	// Timeout is a wait, such as apply --wait, that ran out.
+	// Timeout is a wait, such as apply --wait, that timed out.
 	Timeout Kind = "timeout"
 	// Internal is a fault of fieldpond itself.
 	Internal Kind = "internal"
@@ -86,23 +85,23 @@
 )
 
 var kindTable = map[Kind]kindRow{
-	BadRequest:            {http.StatusBadRequest, exitUsage, "correct the request as the message says and send it again"},
-	TooLarge:              {http.StatusRequestEntityTooLarge, exitUsage, "send a smaller body or header; the limits stand in the router's settings"},
-	Unauthorized:          {http.StatusUnauthorized, exitDenied, "send 'Authorization: Bearer KEY' with a key whose hash stands in the fleet file"},
+	BadRequest:            {http.StatusBadRequest, exitUsage, "correct the request as the message describes and send it again"},
+	TooLarge:              {http.StatusRequestEntityTooLarge, exitUsage, "send a smaller body or header; the router's settings define the limits"},
+	Unauthorized:          {http.StatusUnauthorized, exitDenied, "send 'Authorization: Bearer KEY' with a key whose hash is in the fleet file"},
 	Forbidden:             {http.StatusForbidden, exitDenied, "ask the operator to list the service, class or place under your tenant in the fleet file"},
 	UnknownService:        {http.StatusNotFound, exitUsage, "name a service of the fleet file; 'GET /v1/models' lists those you may use"},
 	UnknownRoute:          {http.StatusNotFound, exitUsage, "check path and method against the API reference"},
-	MissingIdempotencyKey: {http.StatusBadRequest, exitUsage, "send an Idempotency-Key header, the same one on every repeat of this request"},
+	MissingIdempotencyKey: {http.StatusBadRequest, exitUsage, "send an Idempotency-Key header, the same one on every retry of this request"},
 	KeyReused:             {http.StatusUnprocessableEntity, exitUsage, "use a new Idempotency-Key for a new request"},
-	AlreadyClaimed:        {http.StatusConflict, exitConflict, "do not send the work under another key; repeat with the same key later to learn the outcome"},
-	NoPermittedEngine:     {http.StatusServiceUnavailable, exitUnavailable, "retry after the stated time; if it lasts, the operator should check 'fieldpond status' for engines in the tenant's places"},
+	AlreadyClaimed:        {http.StatusConflict, exitConflict, "do not send the request with another key; retry with the same key later to get the outcome"},
+	NoPermittedEngine:     {http.StatusServiceUnavailable, exitUnavailable, "retry after the stated time; if the error persists, the operator should check 'fieldpond status' for engines in the tenant's places"},
 	Overloaded:            {http.StatusTooManyRequests, exitUnavailable, "retry after the stated time"},
 	DeadlineExceeded:      {http.StatusServiceUnavailable, exitTimeout, "retry after the stated time, or ask the operator for a longer maxHold in the class"},
 	StoreUnavailable:      {http.StatusServiceUnavailable, exitUnavailable, "retry after the stated time with the same Idempotency-Key; the operator should check the platform's table service"},
 	BackendLost:           {http.StatusBadGateway, exitUnavailable, "retry a repeatable request after the stated time"},
-	Quarantined:           {http.StatusServiceUnavailable, exitUnavailable, "change the request, or ask the operator to look at the back ends named and to lift the quarantine"},
+	Quarantined:           {http.StatusServiceUnavailable, exitUnavailable, "change the request, or ask the operator to check the back ends named and to release the request"},
 	BackendRefused:        {http.StatusServiceUnavailable, exitUnavailable, "retry after the stated time"},
-	OutcomeUnknown:        {http.StatusBadGateway, exitUnavailable, "do not send the work under another key; repeat with the same Idempotency-Key to learn the outcome"},
+	OutcomeUnknown:        {http.StatusBadGateway, exitUnavailable, "do not send the request with another key; retry with the same Idempotency-Key to get the outcome"},
 	StreamBroken:          {http.StatusBadGateway, exitUnavailable, "send the request again; the text received so far is correct but incomplete"},
 	InvalidToken:          {http.StatusBadRequest, exitUsage, "resume with the last event id exactly as received, with the same tenant key"},
 	NotReady:              {http.StatusServiceUnavailable, exitUnavailable, "retry after the stated time; the operator should apply a fleet file"},
@@ -110,9 +109,9 @@
 	Conflict:              {http.StatusConflict, exitConflict, "run 'fieldpond diff' against the winning version, then apply again"},
 	InvalidFleet:          {http.StatusUnprocessableEntity, exitInvalid, "correct the lines named and run 'fieldpond check'"},
 	InvalidSettings:       {http.StatusUnprocessableEntity, exitInvalid, "correct the settings named; docs/reference/settings.md lists them"},
-	StaleFence:            {http.StatusConflict, exitConflict, "stop acting: a newer lease holder is in charge"},
+	StaleFence:            {http.StatusConflict, exitConflict, "stop: a newer holder has the lease"},
 	RateLimited:           {http.StatusTooManyRequests, exitUnavailable, "retry after the stated time"},
-	Timeout:               {http.StatusGatewayTimeout, exitTimeout, "look at 'fieldpond status' for who lags, then wait again"},
+	Timeout:               {http.StatusGatewayTimeout, exitTimeout, "check 'fieldpond status' for routers that lag, then wait again"},
 	Internal:              {http.StatusInternalServerError, exitInternal, "report this message to the maintainers"},
 }
 
--- a/internal/fleet/adopter.go
+++ b/internal/fleet/adopter.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// pollerInterval is how often the few pollers of each zone read the head.
+	// pollerInterval is the time between two reads of the head by a zone's pollers.
 	pollerInterval = 1500 * time.Millisecond
-	// nonPollerInterval is the least time between two reads by any other node.
+	// nonPollerInterval is the shortest time between two reads by any other node.
 	nonPollerInterval = 30 * time.Second
-	// nonPollerIntervalPerMember stretches nonPollerInterval in large fleets, so that all
-	// nodes together read the head four times a second at most.
+	// nonPollerIntervalPerMember extends nonPollerInterval in large fleets, so that
+	// the nodes together read the head four times a second at most.
 	nonPollerIntervalPerMember = 250 * time.Millisecond
-	// startTableTimeout is how long a starting node waits for the table before
-	// it takes the word of its peers.
+	// startTableTimeout is how long a starting node waits for the table before it
+	// adopts a file that only peers reported.
 	startTableTimeout = time.Second
-	// maxStartPeers is how many peers a starting node asks.
+	// maxStartPeers bounds the peers that a starting node asks, and the holders of a
+	// candidate.
 	maxStartPeers = 5
-	// maxPeerSources is how many peers are asked for a body before the table is.
+	// maxPeerSources is how many peers are asked for a body before the table.
 	maxPeerSources = 3
-	// fetchRetryDelay doubles with each round of failed fetches up to
-	// maxFetchRetryDelay.
+	// fetchRetryDelay doubles with each failed round up to maxFetchRetryDelay.
 	fetchRetryDelay    = 250 * time.Millisecond
 	maxFetchRetryDelay = 10 * time.Second
-	// askInterval is how often a node without a file asks its peers again.
+	// askInterval is the time between two requests to peers by a node without a file.
 	askInterval = time.Second
 )
 
-// Peer is another router that can be asked for a file.
+// Peer is another router that may serve the file.
 type Peer struct {
-	// Address is host:port of its HTTP listener.
+	// Address is the host:port of its HTTP listener.
 	Address string
-	// SameZone says that it is in this node's zone.
+	// SameZone is whether it is in this node's zone.
 	SameZone bool
-	// Poller says that it reads the table often.
+	// Poller is whether it reads the table often.
 	Poller bool
 }
 
-// Topology is what the Adopter knows of the other routers.
+// Topology describes the other routers to the Adopter.
 type Topology struct {
-	// Poller says that this node is one of the few that read the table often.
+	// Poller is whether this node is one of the few that read the table often.
 	Poller bool
 	// Members counts the routers, this one included.
 	Members int
@@ -49,22 +49,22 @@
 	Peers []Peer
 }
 
-// AdoptActionKind names what the Adopter wants done.
+// AdoptActionKind is what the caller of the Adopter is to do.
 type AdoptActionKind uint8
 
 const (
-	// ActionPollTable asks for HeadPolled or PollFailed.
+	// ActionPollTable reads the head row: HeadPolled or PollFailed.
 	ActionPollTable AdoptActionKind = iota
 	// ActionAskPeer asks Address for its head: PeerAnswered or PeerFailed.
 	ActionAskPeer
-	// ActionFetchBody asks Address, or the table when it is empty, for the body
-	// of Pair: BodyReceived or FetchFailed.
+	// ActionFetchBody fetches the body of Ref from Address, or from the table when
+	// that is empty: BodyReceived or FetchFailed.
 	ActionFetchBody
-	// ActionAdopt says that Document is now the file in force here.
+	// ActionAdopt puts Document in force.
 	ActionAdopt
 )
 
-// AdoptAction is one output of the Adopter.
+// AdoptAction is one request of the Adopter to its caller.
 type AdoptAction struct {
 	Kind     AdoptActionKind
 	Address  string
@@ -73,32 +73,31 @@
 	Body     []byte
 }
 
-// AdopterCounters count what the Adopter met.
+// AdopterCounters count the Adopter's events.
 type AdopterCounters struct {
-	// Adopted counts files put in force, Disputed pairs that contradicted
-	// another digest of the same version, TableBehind table reads below the
-	// version in force, BadBodies bodies that failed verification.
+	// Adopted counts files put in force, Disputed reports of another digest for
+	// the same version, TableBehind table reads below the version in force,
+	// BadBodies bodies that failed verification.
 	Adopted, Disputed, TableBehind, BadBodies uint64
 }
 
-// candidate is the file that is to be adopted next.
+// candidate is the file to adopt next.
 type candidate struct {
 	ref FileRef
-	// fromTable says that the table has named the pair.
+	// fromTable is whether the table reported it.
 	fromTable bool
-	// disputed says that two digests were heard for the version; only the table
-	// can settle which is the file.
+	// disputed is whether peers reported two digests for the version; only the
+	// table can resolve that.
 	disputed bool
-	// holders lists the peers that said they have it, tried those that failed.
+	// holders lists the peers that reported it, tried the sources that failed.
 	holders []string
 	tried   map[string]bool
 }
 
 // Adopter decides which fleet file is in force on one node, without I/O.
-// Invariants: the version in force never falls; a file is put in force only
+// Invariants: the version in force never decreases; a file is put in force only
 // after its body has matched its digest and passed its checks; at an equal
-// version the table's word alone replaces the digest. It is used by one
-// goroutine.
+// version only the table replaces the digest. Only one goroutine may use it.
 type Adopter struct {
 	topology Topology
 	jitter   func() float64
@@ -110,8 +109,8 @@
 	startUntil time.Time
 	polling    bool
 	nextPoll   time.Time
-	// pollRequested asks for a read before nextPoll, but never before pollNotBefore,
-	// which paces this node, nor before retryNotBefore, which the table set.
+	// pollRequested advances the next read to pollNotBefore, which limits this
+	// node's rate, or to retryNotBefore, set by the table, if that is later.
 	pollRequested  bool
 	pollNotBefore  time.Time
 	retryNotBefore time.Time
@@ -122,14 +121,14 @@
 	fetchRef       FileRef
 	fetchRounds    int
 	nextFetch      time.Time
-	// dropped is a pair that only peers named and nobody could show. It is not
-	// taken up again before droppedUntil.
+	// dropped is a file that only peers reported and that no source could deliver.
+	// It is ignored until droppedUntil.
 	dropped      FileRef
 	droppedUntil time.Time
 }
 
-// NewAdopter returns the machine of a node that has no file yet. jitter returns
-// numbers from [0,1) and spreads the reads of many nodes.
+// NewAdopter returns the Adopter of a node without a file. jitter returns numbers
+// in [0,1), to spread the reads of many nodes.
 func NewAdopter(now time.Time, jitter func() float64) *Adopter {
 	return &Adopter{
 		jitter: jitter, starting: true, startUntil: now.Add(startTableTimeout),
@@ -137,13 +136,13 @@
 	}
 }
 
-// Current returns the file in force; its version is zero when there is none.
+// Current returns the file in force, with version zero when there is none.
 func (a *Adopter) Current() FileRef { return a.current }
 
-// Counters returns the counters.
+// Counters returns the counts since the start.
 func (a *Adopter) Counters() AdopterCounters { return a.counters }
 
-// SetTopology replaces what is known of the other routers.
+// SetTopology replaces the topology; a node that becomes a poller polls soon.
 func (a *Adopter) SetTopology(now time.Time, next Topology) {
 	if next.Poller && !a.topology.Poller {
 		pollerDue := now.Add(a.jittered(pollerInterval))
@@ -152,7 +151,7 @@
 	a.topology = next
 }
 
-// ObserveHead takes in a pair that a peer says it has in force.
+// ObserveHead records the file that a peer reports in force.
 func (a *Adopter) ObserveHead(now time.Time, ref FileRef, address string) {
 	if ref.Version == 0 || (ref == a.dropped && now.Before(a.droppedUntil)) {
 		return
@@ -160,16 +159,16 @@
 	a.evaluate(ref, address, false)
 }
 
-// PeerAnswered takes in a peer's answer to ActionAskPeer.
+// PeerAnswered applies a peer's answer to ActionAskPeer.
 func (a *Adopter) PeerAnswered(now time.Time, address string, ref FileRef) {
 	delete(a.asked, address)
 	a.ObserveHead(now, ref, address)
 }
 
-// PeerFailed says that a peer did not answer ActionAskPeer.
+// PeerFailed records that a peer did not answer ActionAskPeer.
 func (a *Adopter) PeerFailed(address string) { delete(a.asked, address) }
 
-// HeadPolled takes in a read of the head row.
+// HeadPolled applies a read of the head row.
 func (a *Adopter) HeadPolled(now time.Time, ref FileRef, found bool) {
 	a.schedulePoll(now)
 	if found {
@@ -177,15 +176,15 @@
 	}
 }
 
-// PollFailed says that the table did not answer.
+// PollFailed records that the table did not answer; it is not read for retryAfter.
 func (a *Adopter) PollFailed(now time.Time, retryAfter time.Duration) {
 	a.schedulePoll(now)
 	a.retryNotBefore = now.Add(retryAfter)
 }
 
-// schedulePoll plans the next read. Pollers read often. All others together read
-// at a rate that does not grow with their number, even while they have no file
-// or a dispute to settle: then they hear of the table through the pollers.
+// schedulePoll plans the next read. Pollers read often. The others together read at
+// a rate that does not grow with their number, even without a file or with a
+// disputed one: they receive the table's head through the pollers.
 func (a *Adopter) schedulePoll(now time.Time) {
 	a.polling, a.starting = false, false
 	minInterval, interval := pollerInterval, pollerInterval
@@ -200,7 +199,7 @@
 	a.nextPoll = later(a.pollNotBefore, now.Add(a.jittered(interval)))
 }
 
-// pollDue returns when the head is to be read next.
+// pollDue returns when to read the head next.
 func (a *Adopter) pollDue() time.Time {
 	due := later(a.pollNotBefore, a.retryNotBefore)
 	if a.pollRequested {
@@ -209,13 +208,13 @@
 	return later(a.nextPoll, due)
 }
 
-// jittered returns the interval with up to a fifth more or less.
+// jittered returns the interval, changed by up to a fifth.
 func (a *Adopter) jittered(interval time.Duration) time.Duration {
 	const spread = 0.4
 	return time.Duration(float64(interval) * (1 + spread*(a.jitter()-0.5)))
 }
 
-// offer weighs a pair against the version in force and the current candidate.
+// evaluate compares a file with the one in force and the candidate.
 func (a *Adopter) evaluate(ref FileRef, address string, fromTable bool) {
 	switch {
 	case ref.Version < a.current.Version:
@@ -233,7 +232,7 @@
 	}
 }
 
-// evaluateSameVersion weighs a pair against a candidate of the same version.
+// evaluateSameVersion compares a file with a candidate of the same version.
 func (a *Adopter) evaluateSameVersion(ref FileRef, address string, fromTable bool) {
 	switch {
 	case fromTable && ref.Digest != a.target.ref.Digest:
@@ -263,8 +262,7 @@
 	}
 }
 
-// Tick returns what is to be done now. Call it after every event and when
-// NextTick has come.
+// Tick returns what to do now. Call it after every event and at NextTick.
 func (a *Adopter) Tick(now time.Time) []AdoptAction {
 	var actions []AdoptAction
 	if !a.polling && !now.Before(a.pollDue()) {
@@ -280,7 +278,7 @@
 	return actions
 }
 
-// askPeers asks some peers for their heads, because this node has no file.
+// askPeers asks some peers for their heads while this node has no file.
 func (a *Adopter) askPeers(now time.Time) []AdoptAction {
 	var actions []AdoptAction
 	for _, peer := range a.rankedPeers() {
@@ -298,7 +296,7 @@
 	return actions
 }
 
-// rankedPeers returns the peers of this zone, pollers first, then the rest.
+// rankedPeers returns this zone's peers, pollers first, then the others likewise.
 func (a *Adopter) rankedPeers() []Peer {
 	peers := slices.Clone(a.topology.Peers)
 	rank := func(peer Peer) int {
@@ -316,7 +314,7 @@
 	return peers
 }
 
-// NextTick returns when Tick must be called at the latest.
+// NextTick returns the latest time at which to call Tick.
 func (a *Adopter) NextTick(now time.Time) time.Time {
 	next := now.Add(nonPollerInterval)
 	if !a.polling {
--- a/internal/fleet/adopter_test.go
+++ b/internal/fleet/adopter_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// adopterFiles is the truth around one Adopter: accepted files, and a second
-// sound file for each version that was never accepted.
+// adopterFiles holds the accepted files, and for each version a valid file that was
+// not accepted.
 type adopterFiles struct {
 	accepted   [][]byte
 	unaccepted [][]byte
@@ -30,14 +30,14 @@
 	return FileRef{Version: version, Digest: DigestOf(w.accepted[version-1])}
 }
 
-// adopterRun is one Adopter among answers that may be true, stale, false or
-// broken. It checks every adoption.
+// adopterRun drives one Adopter with answers that may be correct, stale, wrong or
+// broken, and checks every adoption.
 type adopterRun struct {
 	t       *rapid.T
 	files   *adopterFiles
 	adopter *Adopter
 	now     time.Time
-	// tableVersion is the version in force; tabled are the pairs the table named.
+	// tableVersion is the version in force; tableRefs are the files the table reported.
 	tableVersion Version
 	tableRefs    map[FileRef]bool
 	open         []AdoptAction
@@ -53,7 +53,7 @@
 		case action.Ref.Version < r.last.Version:
 			r.t.Fatalf("reverted from %v to %v", r.last, action.Ref)
 		case action.Ref.Version == r.last.Version && !r.tableRefs[action.Ref]:
-			r.t.Fatalf("replaced %v by %v without the table's word", r.last, action.Ref)
+			r.t.Fatalf("replaced %v by %v, which the table did not report", r.last, action.Ref)
 		case DigestOf(action.Body) != action.Ref.Digest:
 			r.t.Fatalf("adopted a body that is not %v", action.Ref)
 		}
@@ -61,7 +61,7 @@
 	}
 }
 
-// answer answers a request; one that is not honest may fail, lag or lie.
+// answer answers a request; unless honest, the answer may fail, be stale or wrong.
 func (r *adopterRun) answer(action AdoptAction, honest bool) {
 	version, fails := r.tableVersion, false
 	if !honest {
@@ -74,7 +74,7 @@
 			r.adopter.PollFailed(r.now, 0)
 			return
 		}
-		r.tableRefs[r.files.ref(version)] = true // a late answer may be an old one
+		r.tableRefs[r.files.ref(version)] = true // a late answer may be stale
 		r.adopter.HeadPolled(r.now, r.files.ref(version), true)
 	case ActionAskPeer:
 		if fails {
@@ -99,7 +99,7 @@
 	r.observe(r.adopter.BodyReceived(r.now, body))
 }
 
-// step lets time pass and one thing happen.
+// step advances the time and triggers one event.
 func (r *adopterRun) step() {
 	r.now = r.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(r.t, "milliseconds")) * time.Millisecond)
 	version := Version(rapid.IntRange(1, int(r.tableVersion)).Draw(r.t, "version"))
@@ -123,7 +123,7 @@
 	r.observe(r.adopter.Tick(r.now))
 }
 
-// settle lets everything be answered truly.
+// settle answers all requests correctly.
 func (r *adopterRun) settle() {
 	const rounds = 400
 	for range rounds {
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestAdopterNeverReverts feeds the machine true, stale, false and broken
-// answers in any order, then lets the table and peers answer truly.
+// TestAdopterNeverReverts checks the Adopter's invariants under correct, stale, wrong
+// and broken answers in any order, and that it converges on correct ones.
 func TestAdopterNeverReverts(t *testing.T) {
 	files := newAdopterFiles(6)
 	rapid.Check(t, func(t *rapid.T) {
@@ -161,8 +161,8 @@
 	})
 }
 
-// TestStartTakesTheTablesWordFirst: a peer that lags must not bring back an
-// older version on a node that restarts while the table answers.
+// TestStartTakesTheTablesWordFirst guards against a stale peer that reverts a node
+// which restarts while the table answers.
 func TestStartTakesTheTablesWordFirst(t *testing.T) {
 	files := newAdopterFiles(3)
 	cases := []struct {
@@ -177,7 +177,7 @@
 		adopter.PeerAnswered(now, "p1", files.ref(1))
 		for _, action := range adopter.Tick(now) {
 			if action.Kind == ActionFetchBody {
-				t.Errorf("%s: fetched %v before the table was heard", test.name, action.Ref)
+				t.Errorf("%s: fetched %v before the table answered", test.name, action.Ref)
 			}
 		}
 		adopter.PeerAnswered(now, "p2", files.ref(2))
@@ -197,20 +197,20 @@
 	}
 }
 
-// TestTableResolvesConflictingDigests: of two digests heard for one version, neither is
-// taken before the table has named one; and if the wrong one is in force
-// already, the table's replaces it.
+// TestTableResolvesConflictingDigests checks that of two digests reported for one
+// version neither is adopted before the table reports one, and that the table's
+// replaces a wrong one in force.
 func TestTableResolvesConflictingDigests(t *testing.T) {
 	files := newAdopterFiles(2)
 	truth, other := files.ref(2), FileRef{Version: 2, Digest: DigestOf(files.unaccepted[1])}
 	cases := []struct {
-		name  string
-		heard []FileRef
-		want  FileRef
+		name     string
+		reported []FileRef
+		want     FileRef
 	}{
-		{"heard together", []FileRef{other, truth}, FileRef{}},
-		{"wrong one alone", []FileRef{other}, other},
-		{"right one alone", []FileRef{truth}, truth},
+		{"reported together", []FileRef{other, truth}, FileRef{}},
+		{"wrong one only", []FileRef{other}, other},
+		{"correct one only", []FileRef{truth}, truth},
 	}
 	for _, test := range cases {
 		now := time.Unix(1000, 0)
@@ -224,7 +224,7 @@
 			}
 		}
 		adopter.PollFailed(now, 0)
-		for index, ref := range test.heard {
+		for index, ref := range test.reported {
 			adopter.ObserveHead(now, ref, fmt.Sprint("p", index+1))
 		}
 		run()
@@ -239,9 +239,8 @@
 	}
 }
 
-// TestStartIsNotHeldUpByOneFailedFetch: with the table down, a node that has no
-// file yet tries the word of its peers again soon after nobody could show the
-// body.
+// TestStartIsNotHeldUpByOneFailedFetch checks that a node without a file, with the
+// table down, soon retries a body that no source delivered.
 func TestStartIsNotHeldUpByOneFailedFetch(t *testing.T) {
 	const failures, limit = 3, 5 * time.Second
 	files := newAdopterFiles(1)
--- a/internal/fleet/adopterfetch.go
+++ b/internal/fleet/adopterfetch.go
@@ -6,17 +6,16 @@
 )
 
 const (
-	// smallFleet is the number of routers up to which each may read a body from
-	// the table as soon as its peers do not have it.
+	// smallFleet is the number of routers up to which each may read a body from the
+	// table as soon as its peers have failed.
 	smallFleet = 16
-	// peerOnlyRounds is how many rounds of peers a node of a larger fleet tries
-	// before it reads the body from the table.
+	// peerOnlyRounds is how many rounds a node of a larger fleet tries only peers.
 	peerOnlyRounds = 3
 )
 
-// BodyReceived takes in a fetched body. The machine trusts neither its source
-// nor the order of arrivals: the body must match the digest of the candidate
-// as it is now, and pass the checks of a fleet file.
+// BodyReceived applies a fetched body. Neither its source nor the order of answers
+// is trusted: it must match the digest of the current candidate and pass the checks
+// of a fleet file.
 func (a *Adopter) BodyReceived(now time.Time, body []byte) []AdoptAction {
 	if !a.fetching {
 		return nil
@@ -41,7 +40,7 @@
 	return []AdoptAction{{Kind: ActionAdopt, Ref: a.current, Document: document, Body: body}}
 }
 
-// FetchFailed says that the body asked for could not be had.
+// FetchFailed records that the body could not be fetched.
 func (a *Adopter) FetchFailed(now time.Time) {
 	if !a.fetching {
 		return
@@ -52,8 +51,8 @@
 	}
 }
 
-// fetchFailed notes that a source does not have the candidate's body. After
-// the table, the last source, the round is over.
+// fetchFailed records that a source did not deliver the candidate's body. The
+// table is the last source of a round.
 func (a *Adopter) fetchFailed(now time.Time, source string) {
 	a.target.tried[source] = true
 	if source == "" {
@@ -61,10 +60,9 @@
 	}
 }
 
-// endRound waits before the sources are tried again. A pair that only peers
-// have named, and not even the table could show, is dropped for as long: a lower
-// pair, of which the table knows, must not starve behind it. The wait grows with
-// each round, because the table may just be down.
+// endRound delays the next round, by more each time, since the table may be down.
+// A file that only peers reported and the table did not deliver is dropped for the
+// same time, so that it does not block a lower version that the table has.
 func (a *Adopter) endRound(now time.Time, triedTable bool) {
 	delay := min(maxFetchRetryDelay, fetchRetryDelay<<min(a.fetchRounds, maxDelayShift))
 	a.fetchRounds++
@@ -77,7 +75,7 @@
 	}
 }
 
-// planFetch returns the fetch that brings the candidate closer, if any.
+// planFetch returns the next fetch for the candidate, if one is due.
 func (a *Adopter) planFetch(now time.Time) (AdoptAction, bool) {
 	waiting := a.starting && !a.target.fromTable && now.Before(a.startUntil)
 	if a.fetching || waiting || a.target.ref.Version == 0 || a.target.disputed || now.Before(a.nextFetch) {
@@ -93,10 +91,10 @@
 }
 
 // nextSource returns the best untried peer or, after a few of them, "" for the
-// table. Peers that said they have the file come first, those in this zone
-// before others; then, unless this node is a poller itself, the zone's pollers.
-// In a large fleet a node that is no poller leaves the table alone for the first
-// rounds (found is false), so that not every node reads the body there.
+// table. Peers that reported the file come first, those in this zone before others;
+// then, unless this node is a poller itself, the zone's pollers. In a large fleet
+// other nodes don't use the table in the first rounds (found is false), so that not
+// every node reads the body there.
 func (a *Adopter) nextSource() (source string, found bool) {
 	if peer, untried := a.nextPeerSource(); untried {
 		return peer, true
@@ -105,7 +103,7 @@
 	return "", !peersOnly
 }
 
-// nextPeerSource returns the best untried peer, if one is left to try.
+// nextPeerSource returns the best untried peer, if any.
 func (a *Adopter) nextPeerSource() (address string, found bool) {
 	if len(a.target.tried) >= maxPeerSources {
 		return "", false
--- a/internal/fleet/applier.go
+++ b/internal/fleet/applier.go
@@ -7,34 +7,34 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// ApplyStepKind names what the Applier wants done next.
+// ApplyStepKind is what the caller of the Applier is to do next.
 type ApplyStepKind uint8
 
 const (
-	// StepReadHead asks for HeadRead or Failed.
+	// StepReadHead reads the head row: HeadRead or Failed.
 	StepReadHead ApplyStepKind = iota
-	// StepCommitChunk asks for Transaction, then ChunkCommitted or Failed.
+	// StepCommitChunk commits Transaction: ChunkCommitted or Failed.
 	StepCommitChunk
-	// StepCommitHead asks for Transaction, then HeadCommitted or Failed.
+	// StepCommitHead commits Transaction: HeadCommitted or Failed.
 	StepCommitHead
-	// StepDone means that Result holds the outcome.
+	// StepDone means that Result has the outcome.
 	StepDone
 )
 
-// ApplyStep is one request of the Applier.
+// ApplyStep is one request of the Applier to its caller.
 type ApplyStep struct {
 	Kind ApplyStepKind
-	// Delay is how long to wait before the request.
+	// Delay is the time to wait before the request.
 	Delay time.Duration
-	// Transaction is what to commit.
+	// Transaction is set for a commit.
 	Transaction protocol.Transaction
 }
 
 const (
-	// firstRetryDelay doubles with each failure in a row up to maxRetryDelay.
+	// firstRetryDelay doubles with each consecutive failure up to maxRetryDelay.
 	firstRetryDelay = 100 * time.Millisecond
 	maxRetryDelay   = 2 * time.Second
-	// maxConsecutiveFailures is how many failures in a row an apply outlasts.
+	// maxConsecutiveFailures is the number of failures at which an apply gives up.
 	maxConsecutiveFailures = 10
 	// maxDelayShift keeps the doubling from overflowing.
 	maxDelayShift = 6
@@ -42,13 +42,13 @@
 
 // ApplyOptions are the operator's choices.
 type ApplyOptions struct {
-	// Base, when not nil, is the version the file was edited from; an apply on
-	// any other version is a conflict. Zero means "no file yet". Without it the
-	// base is the version in force when the apply starts.
+	// Base, when not nil, is the version the file was edited from, zero for "no
+	// file yet"; an apply on any other version is a conflict. When nil, it is the
+	// version in force when the apply starts.
 	Base *Version
-	// ApplyID is unique to one apply. It settles lost answers.
+	// ApplyID is unique to one apply; it resolves lost answers.
 	ApplyID string
-	// AppliedAt is recorded for people.
+	// AppliedAt is recorded for display.
 	AppliedAt time.Time
 }
 
@@ -56,22 +56,22 @@
 type Applied struct {
 	Version Version `json:"version"`
 	Digest  Digest  `json:"digest"`
-	// ApplyID is the apply that brought the version about; another operator's
-	// when Unchanged.
+	// ApplyID is the apply that created the version; another operator's when
+	// Unchanged.
 	ApplyID string `json:"apply_id"`
-	// Unchanged says that the file was in force already and nothing was done.
+	// Unchanged is whether the file was in force already, so nothing was done.
 	Unchanged bool `json:"unchanged"`
-	// SupersededBy is the version that has replaced this one since, or 0.
+	// SupersededBy is the version that has replaced this one, or 0.
 	SupersededBy Version `json:"superseded_by,omitempty"`
 }
 
-// Applier is the state machine of one apply, without I/O. The caller does what
-// Step says, reports the outcome by one of the event methods, and repeats until
-// StepDone. Invariants: the body's rows are written after the head was read and
-// before the head is, and the head is written only on the very row version that
-// was read, so that every version has exactly one file and versions increase.
-// Once a commit of the head may have been sent, only a later read or commit
-// answer settles the outcome; giving up before that says so (Ran "unknown").
+// Applier is the state machine of one apply, without I/O. The caller performs Step,
+// reports the outcome by one of the event methods, and repeats until StepDone.
+// Invariants: the body's rows are written after the head was read and before it is
+// written, and the head only on the row version that was read, so that every
+// version has exactly one file and versions increase. Once a commit of the head may
+// have been sent, only a later read or commit answer resolves the outcome; until
+// then a failure has Ran "unknown".
 type Applier struct {
 	body    []byte
 	digest  Digest
@@ -83,9 +83,9 @@
 	chunk     int
 	head      Head
 	headFound bool
-	// rowVersion of the head row that the commit is conditional on.
+	// rowVersion is the version of the head row that the commit requires.
 	rowVersion uint64
-	// intended is the version that a commit would create.
+	// intended is the file version that a commit would create.
 	intended    Version
 	transaction protocol.Transaction
 	inDoubt     bool
@@ -93,12 +93,12 @@
 	err         error
 }
 
-// NewApplier returns the machine that applies body, which Parse has accepted.
+// NewApplier returns the Applier of a body that Parse has accepted.
 func NewApplier(body []byte, options ApplyOptions) *Applier {
 	return &Applier{body: body, digest: DigestOf(body), options: options, kind: StepReadHead}
 }
 
-// Step returns what to do now.
+// Step returns the next request.
 func (a *Applier) Step() ApplyStep {
 	step := ApplyStep{Kind: a.kind, Delay: a.delay}
 	switch a.kind {
@@ -128,7 +128,7 @@
 	a.start(row, found, head)
 }
 
-// start decides on the first sight of the head.
+// start decides on the first read of the head.
 func (a *Applier) start(row protocol.Row, found bool, head Head) {
 	a.head, a.headFound, a.rowVersion, a.intended = head, found, row.Version, 1
 	if found {
@@ -150,8 +150,8 @@
 }
 
 // prepareCommit builds the transaction that makes this file the head. It also
-// deletes the body that the history forgets, in the same transaction: another
-// apply that counts on that body read an older head and so loses.
+// deletes the bodies that the history evicts: another apply that relies on such a
+// body has read an older head, so its commit fails.
 func (a *Applier) prepareCommit() error {
 	entry := HistoryEntry{Ref: FileRef{Version: a.intended, Digest: a.digest}, ApplyID: a.options.ApplyID, Size: len(a.body)}
 	next, evicted := a.head.successor(entry, a.options.AppliedAt)
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// resolve decides on a sight of the head after a commit whose answer was lost.
+// resolve decides on a read of the head after a commit whose answer was lost.
 func (a *Applier) resolve(row protocol.Row, found bool, head Head) {
 	if found {
 		if entry, ours := head.find(a.options.ApplyID); ours {
@@ -184,19 +184,19 @@
 		}
 	}
 	if found == a.headFound && row.Version == a.rowVersion {
-		// Not committed so far, but it may still be on its way. The same
-		// transaction again can commit at most once: both need this row version.
+		// Not committed yet, but still possible. A retry of the same transaction
+		// commits at most once in all: both require this row version.
 		a.kind = StepCommitHead
 		return
 	}
 	a.finishSuperseded(head, found)
 }
 
-// finishSuperseded ends an apply whose row version is gone. Ours can be among the applies
-// that the history has forgotten only if that many versions came since.
+// finishSuperseded ends an apply whose row version is gone. The history can have
+// evicted this apply only if that many versions followed.
 func (a *Applier) finishSuperseded(head Head, found bool) {
 	if a.inDoubt && found && head.CurrentRef().Version >= a.intended+historyLength {
-		a.finish(Applied{}, fault.New(fault.StoreUnavailable, "the answer to this apply was lost and %d versions came since; version %d may have been this file", head.CurrentRef().Version-a.intended, a.intended).
+		a.finish(Applied{}, fault.New(fault.StoreUnavailable, "the answer to this apply was lost and %d versions followed; version %d may have been this file", head.CurrentRef().Version-a.intended, a.intended).
 			WithRan(fault.RanUnknown).WithRemedy("run 'fieldpond diff' against version %d, then apply again if it differs", head.CurrentRef().Version))
 		return
 	}
@@ -223,9 +223,9 @@
 		a.finish(Applied{Version: a.intended, Digest: a.digest, ApplyID: a.options.ApplyID}, nil)
 		return
 	}
-	// Refused: somebody else won, or an earlier try of ours did.
+	// Refused: another apply won, or an earlier attempt of this one.
 	if len(result.Rows) == 0 || result.Rows[0].Version == a.rowVersion {
-		a.Failed(fault.New(fault.StoreUnavailable, "the table refused the commit without naming the row that forbids it"))
+		a.Failed(fault.New(fault.StoreUnavailable, "the table refused the commit without naming the conflicting row"))
 		return
 	}
 	row := result.Rows[0]
@@ -262,7 +262,7 @@
 	}
 }
 
-// Abandon ends the apply because its time is up.
+// Abandon ends the apply because its context has ended.
 func (a *Applier) Abandon(cause error) {
 	a.finish(Applied{}, a.withOutcome(fault.Wrap(cause, fault.Timeout, "the apply did not end in time")))
 }
@@ -271,7 +271,7 @@
 	return failure.Kind == fault.StoreUnavailable || failure.Kind == fault.RateLimited
 }
 
-// withOutcome states what an apply that gives up knows of its own effect.
+// withOutcome adds to a failure whether the apply may have taken effect.
 func (a *Applier) withOutcome(failure *fault.Fault) *fault.Fault {
 	qualified := *failure
 	if a.inDoubt {
@@ -287,16 +287,16 @@
 
 func (a *Applier) conflict(head Head, found bool) *fault.Fault {
 	if !found {
-		return fault.New(fault.Conflict, "no fleet file is in force, so there is no version to build on").
+		return fault.New(fault.Conflict, "no fleet file is in force, so there is no base version").
 			WithRemedy("apply without --base")
 	}
 	winner := head.CurrentRef().Version
 	return fault.New(fault.Conflict, "version %d, from another apply, is in force; this file was not applied", winner).
-		WithRemedy("run 'fieldpond diff' against version %d, take over its changes, then 'fieldpond apply --base %d'", winner, winner)
+		WithRemedy("run 'fieldpond diff' against version %d, merge its changes, then 'fieldpond apply --base %d'", winner, winner)
 }
 
-// succeeded ends a row of failures. While a commit is in doubt the row goes on,
-// so that commits whose answers are always lost come to an end.
+// succeeded resets the failure count, except while a commit is in doubt, so that an
+// apply whose answers are always lost ends.
 func (a *Applier) succeeded() {
 	a.delay = 0
 	if !a.inDoubt {
--- a/internal/fleet/apply.go
+++ b/internal/fleet/apply.go
@@ -13,10 +13,10 @@
 const attemptTimeout = 5 * time.Second
 
 // Apply makes body the fleet file in force, by compare-and-swap in the table.
-// It refuses a body that Parse finds errors in. options.ApplyID and AppliedAt
-// are filled in when empty. Errors are *fault.Fault: InvalidFleet, Conflict
-// (naming the winning version), StoreUnavailable or Timeout, whose Ran says
-// whether the file may nevertheless be in force.
+// options.ApplyID and AppliedAt are filled in when empty. Errors are *fault.Fault:
+// InvalidFleet, when Parse finds errors, Conflict (naming the winning version),
+// StoreUnavailable or Timeout, whose Ran is whether the file may be in force all
+// the same.
 func Apply(ctx context.Context, table store.Table, body []byte, options ApplyOptions) (Applied, error) {
 	if _, problems := Parse(body, "the file"); problems.Err() != nil {
 		return Applied{}, problems.Err()
@@ -41,7 +41,7 @@
 	}
 }
 
-// runApplyStep does one step and reports its outcome to the machine.
+// runApplyStep performs one step and reports its outcome to the applier.
 func runApplyStep(ctx context.Context, table store.Table, applier *Applier, step ApplyStep) {
 	attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -65,7 +65,7 @@
 	}
 }
 
-// pause waits, or returns the context's error when its time is up.
+// pause waits for delay, or returns the context's error once that has ended.
 func pause(ctx context.Context, delay time.Duration) error {
 	if err := ctx.Err(); err != nil || delay <= 0 {
 		return err
--- a/internal/fleet/apply_test.go
+++ b/internal/fleet/apply_test.go
@@ -15,7 +15,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// smallFile returns a sound fleet file that differs by name.
+// smallFile returns a valid fleet file with the given name.
 func smallFile(name string) []byte {
 	return []byte("schema: fieldpond/v1\nname: " + name + "\nregions: [{name: r, zones: [z]}]\nclasses: [{name: c}]\n" +
 		"models: [{name: m, version: v1}]\nservices: [{name: s, kind: model, model: m, classes: [c]}]\n" +
@@ -23,7 +23,7 @@
 		"tenants: [{name: t, keyHashes: [" + keyHash("t") + "], places: [r], services: [s]}]\n")
 }
 
-// operator runs applies one after the other against the model.
+// operator runs applies one after the other.
 type operator struct {
 	name     string
 	applies  int
@@ -38,9 +38,8 @@
 	err     error
 }
 
-// TestTwoOperatorsInterleave lets two operators race over a table that loses
-// requests and answers and commits some writes only later, and judges the
-// table's own log.
+// TestTwoOperatorsInterleave checks concurrent applies on a table that loses requests
+// and answers and delays commits, by the table's own log.
 func TestTwoOperatorsInterleave(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTableModel()
@@ -105,8 +104,8 @@
 	}
 }
 
-// checkHeadsAndBodies checks that versions count up by one, each with one file, and
-// that the file in force always has its body.
+// checkHeadsAndBodies checks that versions increase by one and that the file in force
+// has its body.
 func checkHeadsAndBodies(t *rapid.T, table *tableModel) {
 	for index, entry := range table.heads {
 		if entry.Ref.Version != Version(index+1) {
@@ -121,7 +120,7 @@
 	}
 }
 
-// checkOutcomes compares what operators were told with what was accepted.
+// checkOutcomes compares the reported outcomes with the accepted applies.
 func checkOutcomes(t *rapid.T, table *tableModel, outcomes []outcome) {
 	accepted := map[string][]HistoryEntry{}
 	for _, entry := range table.heads {
@@ -135,14 +134,14 @@
 			t.Fatalf("apply %s was accepted %d times", outcome.applyID, len(entries))
 		case failure == nil && outcome.applied.Unchanged:
 			if named := table.heads[outcome.applied.Version-1]; len(entries) != 0 || named.Ref.Digest != outcome.applied.Digest {
-				t.Fatalf("apply %s was told unchanged at %v", outcome.applyID, named)
+				t.Fatalf("apply %s was reported as unchanged at %v", outcome.applyID, named)
 			}
 		case failure == nil:
 			if len(entries) != 1 || entries[0].Ref != (FileRef{outcome.applied.Version, outcome.applied.Digest}) {
-				t.Fatalf("apply %s was told %v but the log has %v", outcome.applyID, outcome.applied, entries)
+				t.Fatalf("apply %s was reported as %v but the log has %v", outcome.applyID, outcome.applied, entries)
 			}
 		case failure.Ran == fault.RanNo && len(entries) != 0:
-			t.Fatalf("apply %s was told that it did not run (%v) but it was accepted", outcome.applyID, failure)
+			t.Fatalf("apply %s was reported as not run (%v) but was accepted", outcome.applyID, failure)
 		}
 	}
 }
@@ -150,17 +149,17 @@
 func TestApplyFaults(t *testing.T) {
 	cases := []struct {
 		name string
-		// commits gives the fault of each commit of the head, the last for all
-		// later ones; reads likewise for reads of the head.
+		// commits are the faults of the head's commits, the last for all later
+		// ones; reads those of its reads.
 		commits, reads []faultMode
 		kind           fault.Kind
 		ran            fault.Ran
 	}{
-		{name: "all well"},
+		{name: "no fault"},
 		{name: "lost answer", commits: []faultMode{lostAfter, works}},
 		{name: "lost request", commits: []faultMode{lostBefore, works}},
 		{name: "rate limit", commits: []faultMode{limited, limited, works}, reads: []faultMode{limited, works}},
-		{name: "hanging commit", commits: []faultMode{hangs, works}},
+		{name: "commit hangs", commits: []faultMode{hangs, works}},
 		{name: "table down", reads: []faultMode{down}, kind: fault.StoreUnavailable, ran: fault.RanNo},
 		{name: "down after a lost answer", commits: []faultMode{lostAfter}, reads: []faultMode{works, down}, kind: fault.StoreUnavailable, ran: fault.RanUnknown},
 		{name: "commits always lost", commits: []faultMode{lostBefore}, kind: fault.StoreUnavailable, ran: fault.RanUnknown},
@@ -217,8 +216,8 @@
 	check.Equal(second.Version, Version(2))
 	_, err = apply("three", &first.Version)
 	check.True(fault.Is(err, fault.Conflict))
-	check.True(strings.Contains(err.Error(), "version 2"))        // the winner is named
-	check.True(strings.Contains(err.Error(), "fieldpond diff"))   // and the remedy
+	check.True(strings.Contains(err.Error(), "version 2"))        // the winner
+	check.True(strings.Contains(err.Error(), "fieldpond diff"))   // the remedy
 	_, err = Apply(ctx, table, []byte("name: x"), ApplyOptions{}) // never reaches the table
 	check.True(fault.Is(err, fault.InvalidFleet))
 	stored, found, err := ReadStored(ctx, table)
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// BenchmarkAdoptPeak23000Tenants tells how much the heap has to grow while a
-// file is read and compiled beside the one in force. Only a run of its own,
-// with -benchtime 1x, starts from a small heap.
+// BenchmarkAdoptPeak23000Tenants measures the peak heap while a file is parsed and
+// compiled beside the one in force. Run it alone with -benchtime 1x, so that it
+// starts from a small heap.
 func BenchmarkAdoptPeak23000Tenants(b *testing.B) {
 	body := manyTenants(b, 23000)
 	document, _ := Parse(body, "f")
--- a/internal/fleet/check.go
+++ b/internal/fleet/check.go
@@ -11,14 +11,14 @@
 // maxNameBytes is the longest name in a fleet file.
 const maxNameBytes = 128
 
-// What is said of a key hash that is none. The hash itself is never repeated.
+// Message and remedy for an invalid key hash. The value itself is never quoted.
 const (
 	notAHash   = "is not a SHA-256 hash in hex"
 	hashRemedy = "write the 64 hex digits that 'printf %s KEY | sha256sum' prints"
 )
 
-// tagChecker applies the validate tags of schema.go. It names fields as the
-// file does.
+// tagChecker applies the validate tags of schema.go. It reports fields by their YAML
+// names.
 var tagChecker = newTagChecker()
 
 func newTagChecker() *validator.Validate {
@@ -52,7 +52,7 @@
 	}
 }
 
-// describeViolation says in words what a validate tag found.
+// describeViolation returns message and remedy for a violated validate tag.
 func describeViolation(violation validator.FieldError) (message, remedy string) {
 	param := violation.Param()
 	switch violation.Tag() {
@@ -90,13 +90,13 @@
 	return true
 }
 
-// nameIndex is the set of names of one section, with the place of each.
+// nameIndex maps the names of one section to their indexes.
 type nameIndex[N ~string] map[N]int
 
-// add records a definition; a bad or repeated name is a problem.
+// add records a definition; an invalid or repeated name is a problem.
 func (n nameIndex[N]) add(at *locator, name N, index int, path func() string) {
 	if !validName(string(name)) {
-		at.fail(path(), fmt.Sprintf("is %q, which is no name", shorten(string(name))), fmt.Sprintf("use 1 to %d letters, digits, '.', '-' and '_', starting with a letter, digit or '_'", maxNameBytes))
+		at.fail(path(), fmt.Sprintf("is %q, which is not a valid name", shorten(string(name))), fmt.Sprintf("use 1 to %d letters, digits, '.', '-' and '_', starting with a letter, digit or '_'", maxNameBytes))
 		return
 	}
 	if _, taken := n[name]; taken {
@@ -106,7 +106,7 @@
 	n[name] = index
 }
 
-// require records a problem unless the name is defined.
+// require records a problem unless the name is defined, and returns whether it is.
 func (n nameIndex[N]) require(at *locator, name N, what string, path func() string) bool {
 	if _, known := n[name]; known {
 		return true
@@ -115,7 +115,7 @@
 	return false
 }
 
-// checkDuplicates records a problem for each repeated entry of a short list.
+// checkDuplicates records a problem for each repeated entry of a list.
 func checkDuplicates[N ~string](at *locator, list []N, path string) {
 	seen := make(map[N]struct{}, len(list))
 	for index, entry := range list {
--- a/internal/fleet/checkreferences.go
+++ b/internal/fleet/checkreferences.go
@@ -8,7 +8,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// documentNames indexes every definition of a document.
+// documentNames indexes the definitions of a document.
 type documentNames struct {
 	regions  nameIndex[ident.Region]
 	zones    nameIndex[ident.Zone]
@@ -17,7 +17,7 @@
 	services nameIndex[ident.Service]
 }
 
-// collectNames checks every definition's name and returns the index.
+// collectNames checks the names of all definitions and returns their index.
 func collectNames(document *Document, at *locator) *documentNames {
 	names := &documentNames{
 		regions: nameIndex[ident.Region]{}, zones: nameIndex[ident.Zone]{}, models: nameIndex[ident.Model]{},
@@ -31,7 +31,7 @@
 	}
 	for index, region := range document.Regions {
 		if _, taken := names.zones[ident.Zone(region.Name)]; taken {
-			at.fail(fmt.Sprintf("regions[%d].name", index), fmt.Sprintf("%q is also a zone", region.Name), "give regions and zones different names, so that a tenant's places are clear")
+			at.fail(fmt.Sprintf("regions[%d].name", index), fmt.Sprintf("%q is also a zone", region.Name), "give regions and zones different names, so that a tenant's places are unambiguous")
 		}
 	}
 	for index, model := range document.Models {
@@ -83,7 +83,7 @@
 
 func checkModelService(document *Document, service *Service, path string, names *documentNames, at *locator) {
 	if len(service.Routes) > 0 {
-		at.fail(path+".routes", "stands in a model service", "remove it, or make the kind application")
+		at.fail(path+".routes", "is given in a model service", "remove it, or change the kind to application")
 	}
 	if service.Model == "" {
 		at.fail(path+".model", "is missing in a model service", "name one of the file's models")
@@ -103,10 +103,10 @@
 		at.fail(path+".routes", "is missing in an application service", "list the method and path of each route")
 	}
 	if service.Model != "" {
-		at.fail(path+".model", "stands in an application service", "remove it, or make the kind model")
+		at.fail(path+".model", "is given in an application service", "remove it, or change the kind to model")
 	}
 	if service.Adapter != "" {
-		at.fail(path+".adapter", "stands in an application service", "remove it, or make the kind model")
+		at.fail(path+".adapter", "is given in an application service", "remove it, or change the kind to model")
 	}
 	seen := map[RouteKey]bool{}
 	for position, route := range service.Routes {
@@ -143,19 +143,19 @@
 		for position, service := range application.Services {
 			place := fmt.Sprintf("%s.services[%d]", path, position)
 			if names.services.require(at, service, "service", pathf("%s", place)) && document.Services[names.services[service]].Kind != ServiceApplication {
-				at.fail(place, fmt.Sprintf("names %q, which is no application service", service), "list application services only; model services are served by engines")
+				at.fail(place, fmt.Sprintf("names %q, which is not an application service", service), "list application services only; model services are served by engines")
 			}
 		}
 		checkDuplicates(at, application.Services, path+".services")
 	}
 }
 
-// checkAddress records a problem unless address is an IP number with a port
-// that no other back end has.
+// checkAddress records a problem unless address is an IP address with a port, and
+// no other back end has it.
 func checkAddress(address, path string, taken map[netip.AddrPort]string, at *locator) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() || parsed.Addr().IsMulticast() {
-		at.fail(path+".address", fmt.Sprintf("%q is not an IP number with a port", shorten(address)), "write for example 10.0.3.17:7101 or [fd00::17]:7101")
+		at.fail(path+".address", fmt.Sprintf("%q is not an IP address with a port", shorten(address)), "write for example 10.0.3.17:7101 or [fd00::17]:7101")
 		return
 	}
 	parsed = netip.AddrPortFrom(parsed.Addr().Unmap(), parsed.Port())
--- a/internal/fleet/checktenants.go
+++ b/internal/fleet/checktenants.go
@@ -40,7 +40,7 @@
 		if owner, taken := owners[hash]; taken {
 			at.fail(fmt.Sprintf("tenants[%d].keyHashes[%d]", index, position),
 				fmt.Sprintf("is also a key of tenant %q", shorten(string(document.Tenants[owner].Name))),
-				"give each tenant its own key, or its requests could not be told apart")
+				"give each tenant its own key, so that its requests can be attributed")
 			continue
 		}
 		owners[hash] = index
@@ -59,15 +59,13 @@
 	}
 }
 
-// servicePlaces knows the places in which each service has an active back end.
+// servicePlaces holds the places in which each service has an active back end.
 type servicePlaces map[ident.Service]map[string]bool
 
 func (r servicePlaces) serves(service ident.Service, places []string) bool {
 	return slices.ContainsFunc(places, func(place string) bool { return r[service][place] })
 }
 
-// servicePlacesOf returns, for each service, the zones and regions that have an active
-// back end for it.
 func servicePlacesOf(document *Document) servicePlaces {
 	regionOf := map[ident.Zone]ident.Region{}
 	for _, region := range document.Regions {
--- a/internal/fleet/compare.go
+++ b/internal/fleet/compare.go
@@ -8,13 +8,13 @@
 	"text/tabwriter"
 )
 
-// Action says what an apply would do to one entry of a file.
+// Action is what an apply would do to one entry of a file.
 type Action string
 
 const (
-	// ActionAdd is an entry only the new file has.
+	// ActionAdd is an entry that only the new file has.
 	ActionAdd Action = "add"
-	// ActionRemove is an entry only the old file has.
+	// ActionRemove is an entry that only the old file has.
 	ActionRemove Action = "remove"
 	// ActionChange is an entry whose fields differ.
 	ActionChange Action = "change"
@@ -24,7 +24,7 @@
 type FieldChange struct {
 	// Field is the field's name in the file.
 	Field string `json:"field"`
-	// Old and New are the values as people read them. Key hashes are shortened.
+	// Old and New are the values for display. Key hashes are shortened.
 	Old string `json:"old"`
 	New string `json:"new"`
 }
@@ -33,24 +33,24 @@
 type Change struct {
 	// Section is the file's section, for example "tenants".
 	Section string `json:"section"`
-	// Name of the entry; empty for the document itself.
+	// Name is the entry's name, empty for the document itself.
 	Name   string `json:"name,omitempty"`
 	Action Action `json:"action"`
 	// Fields lists the differing fields of an ActionChange.
 	Fields []FieldChange `json:"fields,omitempty"`
 }
 
-// Difference is what applying a new file would change, in the new file's
-// order, removals last in each section.
+// Difference is what applying a new file would change, in its order, with removals
+// last in each section.
 type Difference struct {
 	Changes []Change `json:"changes"`
 }
 
-// Empty reports whether the two files mean the same.
+// Empty reports whether the two files are equivalent.
 func (d Difference) Empty() bool { return len(d.Changes) == 0 }
 
-// Compare returns what an apply of next would change where current is in
-// force. A nil current is an empty fleet. Both documents must be normalised.
+// Compare returns what applying next would change while current is in force; a nil
+// current is an empty fleet. Both documents must be normalised.
 func Compare(current, next *Document) Difference {
 	if current == nil {
 		current = &Document{}
@@ -124,7 +124,7 @@
 	return append(fields, FieldChange{Field: name, Old: describeValue(name, before), New: describeValue(name, after)})
 }
 
-// shownHashDigits is how much of a key hash people see, enough to tell keys apart.
+// shownHashDigits is how many digits of a key hash are shown, to distinguish keys.
 const shownHashDigits = 8
 
 func describeValue(field string, value reflect.Value) string {
@@ -160,7 +160,7 @@
 	return route.Method + " " + route.Path
 }
 
-// WriteTable writes the difference for people.
+// WriteTable writes the difference as a table.
 func (d Difference) WriteTable(writer io.Writer) error {
 	if d.Empty() {
 		_, err := fmt.Fprintln(writer, "no difference")
--- a/internal/fleet/compile.go
+++ b/internal/fleet/compile.go
@@ -9,11 +9,11 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Compiled is one fleet file in force, with the indexes that routers ask on
-// every request. It is immutable and safe for any number of readers; nothing
-// reached through it may be changed.
+// Compiled is one fleet file with the indexes that routers use on every request. It
+// is immutable and safe for concurrent use; nothing reached through it may be
+// changed.
 type Compiled struct {
-	// Version and Digest name the file.
+	// Version and Digest identify the file.
 	Version Version
 	Digest  Digest
 	// Document is the normalised file.
@@ -32,11 +32,11 @@
 // TenantEntry is one tenant with its places expanded to zones.
 type TenantEntry struct {
 	*Tenant
-	// Zones are the zones the tenant's data may be in.
+	// Zones are the zones where the tenant's data may reside.
 	Zones *ZoneSet
 }
 
-// MayUse reports whether the tenant may ask for a service.
+// MayUse reports whether the tenant may use a service.
 func (t *TenantEntry) MayUse(service ident.Service) bool {
 	return slices.Contains(t.Services, service)
 }
@@ -63,22 +63,22 @@
 	return slices.Clone(z.zones)
 }
 
-// RouteKey names a route of an application service.
+// RouteKey identifies a route of an application service.
 type RouteKey struct {
 	Method string
 	Path   string
 }
 
-// ServiceEntry is one service with what serves it.
+// ServiceEntry is one service with its back ends.
 type ServiceEntry struct {
 	*Service
 	// Model is the model of a model service, else nil.
 	Model *Model
-	// Engines serve a model service, leaving ones included.
+	// Engines serve a model service, draining ones included.
 	Engines []*Engine
-	// Applications serve an application service, leaving ones included.
+	// Applications serve an application service, draining ones included.
 	Applications []*Application
-	// Classes are the classes callers may ask for; the first is the default.
+	// Classes are the classes callers may request; the first is the default.
 	Classes []*Class
 
 	routes map[RouteKey]*Route
@@ -93,8 +93,8 @@
 	return *route, true
 }
 
-// Class returns the class of a request: the default for an empty name, and
-// false for one that the service does not offer.
+// Class returns the class with the given name, the default for an empty one, and
+// false if the service does not offer it.
 func (s *ServiceEntry) Class(name ident.Class) (*Class, bool) {
 	for _, class := range s.Classes {
 		if name == "" || class.Name == name {
@@ -188,7 +188,7 @@
 	}
 }
 
-// zoneSetOf returns the shared set of the zones of places.
+// zoneSetOf returns the zones of places, as one set for all equal lists.
 func zoneSetOf(places []string, zonesOf map[string][]ident.Zone, sets map[string]*ZoneSet) *ZoneSet {
 	name := strings.Join(places, "\x00")
 	if known, found := sets[name]; found {
@@ -216,7 +216,7 @@
 	return entry, found
 }
 
-// PermittedZones returns the zones a tenant's data may be in, and the empty
+// PermittedZones returns the zones where a tenant's data may reside, the empty
 // set for an unknown tenant.
 func (c *Compiled) PermittedZones(name ident.Tenant) *ZoneSet {
 	if entry, found := c.tenants[name]; found {
--- a/internal/fleet/decode.go
+++ b/internal/fleet/decode.go
@@ -12,14 +12,13 @@
 	"gopkg.in/yaml.v3"
 )
 
-// maxInterned is the longest string, in bytes, that is stored once however
-// often the file repeats it.
+// maxInterned is the length in bytes up to which equal strings share memory.
 const maxInterned = 40
 
 var durationType = reflect.TypeOf(time.Duration(0))
 
-// zeroMeansDefault names the fields whose zero stands for "not given". A file
-// that says 0 there would not get what it says, so it is refused.
+// zeroMeansDefault maps the fields whose zero means "not given" to a small positive
+// value. An explicit 0 is refused, since it would be read as the default.
 var zeroMeansDefault = map[string]string{
 	"maxHold":               "1ms",
 	"deadline":              "1ms",
@@ -28,8 +27,8 @@
 	"share":                 "0.001",
 }
 
-// decoder turns YAML nodes into the schema's structs. It goes on after a fault,
-// and descends only as deep as the schema does, so cyclic aliases end.
+// decoder turns YAML nodes into the schema's structs. It continues after a problem,
+// and descends only as deep as the schema, so that cyclic aliases end.
 type decoder struct {
 	problems *collector
 	budget   int
@@ -37,7 +36,7 @@
 	interned map[string]string
 }
 
-// decode fills target, a field or element of the document, from node.
+// decode sets target, a field or element of the document, from node.
 func (d *decoder) decode(node *yaml.Node, target reflect.Value) {
 	for node.Kind == yaml.AliasNode {
 		node = node.Alias
@@ -49,7 +48,7 @@
 	}
 	switch {
 	case node.Kind == yaml.ScalarNode && node.ShortTag() == "!!null":
-		d.fail(node, "has no value", "give a value or leave the key out")
+		d.fail(node, "has no value", "give a value or omit the key")
 	case target.Type() == durationType:
 		d.decodeDuration(node, target)
 	case target.Kind() == reflect.Struct:
@@ -61,10 +60,10 @@
 	}
 }
 
-// exceedBudget ends decoding: the file unfolds into more nodes than maxNodes.
+// exceedBudget ends decoding of a file that expands into more than maxNodes nodes.
 func (d *decoder) exceedBudget(node *yaml.Node) {
 	d.budget = -1
-	d.problems.add(SeverityError, node.Line, "(file)", "unfolds into too many nodes", "use fewer aliases, or split the deployment")
+	d.problems.add(SeverityError, node.Line, "(file)", "expands into too many nodes", "use fewer aliases, or split the deployment")
 }
 
 func (d *decoder) fail(node *yaml.Node, message, remedy string) {
@@ -86,7 +85,7 @@
 		case key.Kind != yaml.ScalarNode || !known:
 			d.fail(key, "is not a known key", "use one of: "+fields.names)
 		case seen[field]:
-			d.fail(key, "stands twice", "keep one of the two")
+			d.fail(key, "is given twice", "keep one of the two")
 		default:
 			seen[field] = true
 			d.decode(node.Content[index+1], target.Field(field))
@@ -180,7 +179,7 @@
 		return
 	}
 	if smallest, listed := zeroMeansDefault[d.path.lastKey()]; listed {
-		d.fail(node, "is 0, which would be read as the default", "leave the key out for the default, or write a positive value such as "+smallest)
+		d.fail(node, "is 0, which would be read as the default", "omit the key for the default, or write a positive value such as "+smallest)
 	}
 }
 
@@ -213,10 +212,10 @@
 	return name
 }
 
-// fieldPath is the way from the document to a field.
+// fieldPath is the path from the document to a field.
 type fieldPath struct{ segments []pathSegment }
 
-// pathSegment is a key of a mapping, or with an empty key a place in a list.
+// pathSegment is a key of a mapping or, with an empty key, an index of a list.
 type pathSegment struct {
 	key   string
 	index int
@@ -252,7 +251,7 @@
 	return text.String()
 }
 
-// maxQuoted is the longest piece of the file that a message repeats, in bytes.
+// maxQuoted is the longest part of the file that a message quotes, in bytes.
 const maxQuoted = 60
 
 func shorten(text string) string {
--- a/internal/fleet/locate.go
+++ b/internal/fleet/locate.go
@@ -7,7 +7,7 @@
 	"gopkg.in/yaml.v3"
 )
 
-// locator finds the line of a field by its path, only when a problem asks.
+// locator finds the line of a field by its path, when a problem is recorded.
 type locator struct {
 	root     *yaml.Node
 	problems *collector
@@ -21,8 +21,8 @@
 	l.problems.add(SeverityWarning, l.line(path), path, message, remedy)
 }
 
-// line returns the line of the field at path or, if the file does not have it,
-// that of the nearest field around it.
+// line returns the line of the field at path or, if the file does not have it, that
+// of the nearest enclosing field.
 func (l *locator) line(path string) int {
 	node, line := l.root, l.root.Line
 	for _, step := range strings.FieldsFunc(path, func(r rune) bool { return r == '.' || r == '[' || r == ']' }) {
@@ -35,7 +35,7 @@
 	return line
 }
 
-// child returns the value under a key or index, and the line to show for it.
+// child returns the value under a key or index, and the line to report for it.
 func child(node *yaml.Node, step string) (*yaml.Node, int) {
 	for node.Kind == yaml.AliasNode {
 		node = node.Alias
--- a/internal/fleet/normalise.go
+++ b/internal/fleet/normalise.go
@@ -10,20 +10,20 @@
 
 // The defaults of the schema.
 const (
-	// DefaultMaxHold is Class.MaxHold when the file does not give it.
+	// DefaultMaxHold is the default of Class.MaxHold.
 	DefaultMaxHold = 2 * time.Second
-	// DefaultDeadline is Class.Deadline when the file does not give it.
+	// DefaultDeadline is the default of Class.Deadline.
 	DefaultDeadline = 30 * time.Second
-	// DefaultPrefillMicrosPerToken is Model.PrefillMicrosPerToken likewise.
+	// DefaultPrefillMicrosPerToken is the default of Model.PrefillMicrosPerToken.
 	DefaultPrefillMicrosPerToken = 100
-	// DefaultShare is Tenant.Share likewise.
+	// DefaultShare is the default of Tenant.Share.
 	DefaultShare = 1
-	// DefaultRole is Engine.Role likewise.
+	// DefaultRole is the default of Engine.Role.
 	DefaultRole = "mixed"
 )
 
-// Normalise fills in the defaults of a document in place, and lower-cases its
-// key hashes. It changes nothing the second time.
+// Normalise fills in the defaults of a document in place and lower-cases its key
+// hashes. It is idempotent.
 func Normalise(document *Document) {
 	for index := range document.Models {
 		model := &document.Models[index]
--- a/internal/fleet/parse.go
+++ b/internal/fleet/parse.go
@@ -15,18 +15,17 @@
 )
 
 const (
-	// MaxFileBytes is the largest fleet file that is read, in bytes. A file of
-	// 23,000 tenants takes about an eighth of it.
+	// MaxFileBytes is the largest fleet file that is read.
 	MaxFileBytes = 32 << 20
-	// maxStructure bounds the characters of a file that can open a YAML node,
-	// and so the memory that parsing takes.
+	// maxStructure bounds the characters that can open a YAML node, and so the
+	// memory that parsing needs.
 	maxStructure = 2 << 20
-	// maxNodes bounds the nodes read after aliases are followed, so that a
-	// short file cannot unfold into a huge one.
+	// maxNodes bounds the nodes after aliases are expanded, so that a short file
+	// cannot expand into a huge one.
 	maxNodes = 2 << 20
 )
 
-// Digest is the SHA-256 of a fleet file's bytes, in hex. It names the file.
+// Digest is the SHA-256 of a fleet file's bytes, in hex.
 type Digest string
 
 // DigestOf returns the digest of a fleet file's bytes.
@@ -35,10 +34,9 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// Parse reads and checks a whole fleet file and fills in its defaults. The
-// document is nil if any problem is an error; warnings come with a document.
-// Every fault that can be found in one go is listed. name stands for the file
-// in messages.
+// Parse reads and checks a whole fleet file and fills in its defaults. It lists all
+// problems that it can find at once; the document is nil if any of them is an error.
+// name is the file's name in messages.
 func Parse(data []byte, name string) (*Document, Problems) {
 	problems := newCollector(name)
 	root := parseTree(data, problems)
@@ -59,8 +57,8 @@
 	return document, problems.problems()
 }
 
-// parseTree returns the root node of the file's only YAML document, or nil
-// after recording why there is none.
+// parseTree returns the root node of the file's only YAML document, or nil after
+// recording the problem.
 func parseTree(data []byte, problems *collector) *yaml.Node {
 	if len(data) > MaxFileBytes {
 		problems.add(SeverityError, 0, "(file)", fmt.Sprintf("is %d bytes long, above the limit of %d", len(data), MaxFileBytes), "split the deployment")
@@ -88,12 +86,12 @@
 	return tree.Content[0]
 }
 
-// decodeNode reads one YAML document. A panic inside the YAML library, which
-// a hostile file might find, becomes an error.
+// decodeNode reads one YAML document. It turns a panic of the YAML library, as a
+// hostile file may cause, into an error.
 func decodeNode(decoder *yaml.Decoder, into *yaml.Node) (err error) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
-			err = errors.Errorf("the YAML reader gave up: %v", recovered)
+			err = errors.Errorf("the YAML decoder panicked: %v", recovered)
 		}
 	}()
 	return decoder.Decode(into)
@@ -110,7 +108,7 @@
 	if match := syntaxLine.FindStringSubmatch(err.Error()); match != nil {
 		line, _ = strconv.Atoi(match[1])
 	}
-	problems.add(SeverityError, line, "(file)", "is not YAML: "+err.Error(), "correct the syntax; look at indentation, colons and quotes near this line")
+	problems.add(SeverityError, line, "(file)", "is not YAML: "+err.Error(), "correct the syntax; check indentation, colons and quotes near this line")
 }
 
 // countStructure counts the characters that can open a YAML node.
--- a/internal/fleet/parse_test.go
+++ b/internal/fleet/parse_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestParseReportsProblem edits the Muldenring example and looks for the problem, its
-// path, a word of its message and the line that holds the edit.
+// TestParseReportsProblem edits the Muldenring example and checks that the problem is
+// reported with its path, message, line and remedy.
 func TestParseReportsProblem(t *testing.T) {
 	cases := []struct {
 		name, old, new string
@@ -49,11 +49,11 @@
 		severity       Severity
 	}{
 		{"unknown key", "    priority: 3", "    prio: 3", "classes[3].prio", "not a known key", SeverityError},
-		{"key twice", "name: muldenring", "name: a\nname: muldenring", "name", "stands twice", SeverityError},
+		{"repeated key", "name: muldenring", "name: a\nname: muldenring", "name", "is given twice", SeverityError},
 		{"wrong type", "    priority: 3", "    priority: high", "classes[3].priority", "not a whole number", SeverityError},
-		{"text wanted", "version: \"2026-11\"", "version: 11", "models[0].version", "not text", SeverityError},
-		{"list wanted", "zones: [wien-halle, linz-halle, graz-halle]", "zones: 3", "regions[0].zones", "not a list", SeverityError},
-		{"mapping wanted", "  - name: ost-at\n    zones: [wien-halle, linz-halle, graz-halle]", "  - ost-at", "regions[0]", "not a mapping", SeverityError},
+		{"text required", "version: \"2026-11\"", "version: 11", "models[0].version", "not text", SeverityError},
+		{"list required", "zones: [wien-halle, linz-halle, graz-halle]", "zones: 3", "regions[0].zones", "not a list", SeverityError},
+		{"mapping required", "  - name: ost-at\n    zones: [wien-halle, linz-halle, graz-halle]", "  - ost-at", "regions[0]", "not a mapping", SeverityError},
 		{"null", "models: [dispatch-llm]", "models:", "engines[0].models", "no value", SeverityError},
 		{"missing name", "  - name: wien-1\n    address", "  - address", "engines[0].name", "missing", SeverityError},
 		{"schema", "schema: fieldpond/v1", "schema: fieldpond/v9", "schema", "does not read", SeverityError},
@@ -62,7 +62,7 @@
 		{"negative duration", "maxHold: 10s", "maxHold: -1s", "classes[3].maxHold", "too small", SeverityError},
 		{"no unit", "maxHold: 10s", "maxHold: 10", "classes[3].maxHold", "not a duration", SeverityError},
 		{"zero is the default", "maxHold: 10s", "maxHold: 0s", "classes[3].maxHold", "read as the default", SeverityError},
-		{"bad name", "- name: wien-1\n", "- name: wien/1\n", "engines[0].name", "no name", SeverityError},
+		{"bad name", "- name: wien-1\n", "- name: wien/1\n", "engines[0].name", "not a valid name", SeverityError},
 		{"repeated engine", "- name: wien-2\n", "- name: wien-1\n", "engines[1].name", "repeats the name", SeverityError},
 		{"engine named as application", "- name: dispatch-wien\n", "- name: wien-1\n", "applications[0].name", "also an engine", SeverityError},
 		{"repeated tenant", "name: haulier-2\n", "name: haulier-1\n", "tenants[1].name", "repeats the name", SeverityError},
@@ -78,17 +78,17 @@
 		{"routes of a model", "    model: dispatch-llm\n", "    model: dispatch-llm\n    routes: [{method: GET, path: /x}]\n", "services[0].routes", "model service", SeverityError},
 		{"repeated route", "path: /cancellations", "path: /bookings", "services[1].routes[1]", "repeats POST", SeverityError},
 		{"path without slash", "path: /orders", "path: orders", "services[1].routes[2].path", "does not start with /", SeverityError},
-		{"application of a model service", "services: [bookings]", "services: [dispatch-assistant]", "applications[0].services[0]", "no application service", SeverityError},
-		{"host name", "127.0.0.1:7101", "localhost:7101", "engines[0].address", "not an IP number", SeverityError},
-		{"no port", "127.0.0.1:7101", "127.0.0.1", "engines[0].address", "not an IP number", SeverityError},
-		{"address twice", "127.0.0.1:7201", "127.0.0.1:7101", "applications[0].address", "also the address of engines[0]", SeverityError},
+		{"application of a model service", "services: [bookings]", "services: [dispatch-assistant]", "applications[0].services[0]", "not an application service", SeverityError},
+		{"host name", "127.0.0.1:7101", "localhost:7101", "engines[0].address", "not an IP address", SeverityError},
+		{"no port", "127.0.0.1:7101", "127.0.0.1", "engines[0].address", "not an IP address", SeverityError},
+		{"repeated address", "127.0.0.1:7201", "127.0.0.1:7101", "applications[0].address", "also the address of engines[0]", SeverityError},
 		{"version accepted twice", "version: \"2026-11\"", "version: \"2026-11\"\n    acceptVersions: [\"2026-11\"]", "models[0].acceptVersions[0]", "own version", SeverityError},
 		{"unknown place", "places: [graz-halle]", "places: [graz]", "tenants[5].places[0]", "neither a zone nor a region", SeverityError},
 		{"unknown service", "services: [dispatch-assistant, bookings]", "services: [x]", "tenants[0].services[0]", "does not define", SeverityError},
 		{"short key hash", keyHash("key-haulier-1"), "abc", "tenants[0].keyHashes[0]", "not a SHA-256", SeverityError},
 		{"0x key hash", keyHash("key-haulier-1"), "0x" + keyHash("key-haulier-1")[2:], "tenants[0].keyHashes[0]", "not a", SeverityError},
 		{"key of two tenants", keyHash("key-haulier-2"), strings.ToUpper(keyHash("key-haulier-1")), "tenants[1].keyHashes[0]", "also a key of tenant \"haulier-1\"", SeverityError},
-		{"nothing serves the tenant", "    zone: graz-halle\n    services: [bookings]", "    zone: graz-halle\n    state: leaving\n    services: [bookings]", "tenants[5].services[1]", "no active back end", SeverityWarning},
+		{"no back end for the tenant", "    zone: graz-halle\n    services: [bookings]", "    zone: graz-halle\n    state: leaving\n    services: [bookings]", "tenants[5].services[1]", "no active back end", SeverityWarning},
 	}
 	original := string(exampleFile(t, "muldenring"))
 	for _, test := range cases {
@@ -123,7 +123,7 @@
 	check.Equal(lines["services[0].routes"], 6)
 	check.Equal(lines["tenants[0].keyHashes[0]"], 8)
 	check.Equal(lines["tenants[0].share"], 8)
-	check.True(!strings.Contains(problems.Err().Error(), "secret-key")) // whatever stood for a hash is never repeated
+	check.True(!strings.Contains(problems.Err().Error(), "secret-key")) // the value given as a hash is never quoted
 	check.True(strings.Contains(problems.Err().Error(), "line 4"))
 }
 
@@ -133,14 +133,14 @@
 		"empty": "", "comment": "# nothing", "not YAML": "a: [", "scalar": "7", "two documents": "a: 1\n---\nb: 2\n",
 		"cycle": "tenants: &a\n  - *a\n", "nodes": "a: [" + strings.Repeat("b,", maxStructure) + "]", "depth": strings.Repeat("- ", 1<<20), "aliases": bomb, "large": strings.Repeat(" ", MaxFileBytes+1),
 	}
-	messages := map[string]string{"aliases": "unfolds into too many nodes", "nodes": "too many YAML nodes", "large": "above the limit"}
+	messages := map[string]string{"aliases": "expands into too many nodes", "nodes": "too many YAML nodes", "large": "above the limit"}
 	for name, text := range cases {
 		document, problems := Parse([]byte(text), name)
 		if document != nil || len(problems.Errors()) == 0 {
 			t.Errorf("%s: accepted", name)
 		}
 		if want := messages[name]; !strings.Contains(problems.Err().Error(), want) {
-			t.Errorf("%s: %v does not say %q", name, problems.Err(), want)
+			t.Errorf("%s: %v does not contain %q", name, problems.Err(), want)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 	check.Equal(tenant.MayUse("bays"), false)
 }
 
-// manyTenants returns a fleet file of the given number of tenants.
+// manyTenants returns a fleet file with the given number of tenants.
 func manyTenants(t testing.TB, count int) []byte {
 	text, _, _ := bytes.Cut(exampleFile(t, "parking"), []byte("\ntenants:"))
 	var file bytes.Buffer
@@ -187,7 +187,7 @@
 	return file.Bytes()
 }
 
-// BenchmarkParse23000Tenants tells the time to read the largest file foreseen.
+// BenchmarkParse23000Tenants measures the time to parse the largest expected file.
 func BenchmarkParse23000Tenants(b *testing.B) {
 	body := manyTenants(b, 23000)
 	b.SetBytes(int64(len(body)))
@@ -199,7 +199,7 @@
 	}
 }
 
-// BenchmarkCompiledMemory23000Tenants tells the live heap of a file in force.
+// BenchmarkCompiledMemory23000Tenants measures the live heap of a file in force.
 func BenchmarkCompiledMemory23000Tenants(b *testing.B) {
 	body := manyTenants(b, 23000)
 	for b.Loop() {
@@ -215,7 +215,7 @@
 	}
 }
 
-// BenchmarkTenantByKey tells the time of the look-up made on every request.
+// BenchmarkTenantByKey measures the look-up made for every request.
 func BenchmarkTenantByKey(b *testing.B) {
 	document, _ := Parse(manyTenants(b, 23000), "f")
 	compiled := Compile(document, 1, "")
@@ -227,7 +227,7 @@
 	}
 }
 
-// FuzzParse looks for a panic, and for a document that its own checks refuse.
+// FuzzParse looks for panics, and for documents returned together with errors.
 func FuzzParse(f *testing.F) {
 	f.Add(exampleFile(f, "muldenring"))
 	f.Add([]byte("tenants: &a\n  - *a\n"))
--- a/internal/fleet/problems.go
+++ b/internal/fleet/problems.go
@@ -8,24 +8,23 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Severity tells problems that forbid applying a file from those that do not.
+// Severity is whether a problem forbids applying a file.
 type Severity string
 
 const (
 	// SeverityError forbids applying the file.
 	SeverityError Severity = "error"
-	// SeverityWarning marks something that is allowed but probably not meant.
+	// SeverityWarning marks something allowed but probably not intended.
 	SeverityWarning Severity = "warning"
 )
 
-// maxProblems bounds the list of one file, so that a file that is wrong on
-// every line does not flood its reader.
+// maxProblems bounds the problems listed for a file, which may have one on each line.
 const maxProblems = 500
 
-// maxProblemsInFault bounds how many problems the message of a fault repeats.
+// maxProblemsInFault bounds the problems listed in the message of a fault.
 const maxProblemsInFault = 10
 
-// Problem is one fault of a fleet file.
+// Problem is one error or warning about a fleet file.
 type Problem struct {
 	// File is the name given to Parse.
 	File string `json:"file"`
@@ -35,18 +34,18 @@
 	Path string `json:"path"`
 	// Severity is "error" or "warning".
 	Severity Severity `json:"severity"`
-	// Message says what is wrong, without ever repeating a key hash.
+	// Message is what is wrong; it never contains a key hash.
 	Message string `json:"message"`
-	// Remedy says how to put it right.
+	// Remedy is how to correct it.
 	Remedy string `json:"remedy"`
 }
 
-// String returns the problem in one line, in the form compilers use.
+// String returns the problem in one line, in the format of compilers.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s: %s; remedy: %s", p.File, p.Line, p.Severity, p.Path, p.Message, p.Remedy)
 }
 
-// Problems lists what is wrong with one file, in the order of its lines.
+// Problems lists the problems of one file, ordered by line.
 type Problems []Problem
 
 // Errors returns the problems that forbid applying the file.
@@ -65,8 +64,8 @@
 	return found
 }
 
-// Err returns nil when no problem is an error, else an InvalidFleet fault
-// whose message names the first lines at fault.
+// Err returns nil when no problem is an error, else an InvalidFleet fault that lists
+// the first errors.
 func (p Problems) Err() error {
 	found := p.Errors()
 	if len(found) == 0 {
@@ -82,7 +81,7 @@
 	return fault.New(fault.InvalidFleet, "%s has %d errors: %s", found[0].File, len(found), strings.Join(shown, "; "))
 }
 
-// collector gathers the problems of one file, one for each path.
+// collector collects the problems of one file, at most one error for each path.
 type collector struct {
 	file    string
 	list    Problems
--- a/internal/fleet/rolling_test.go
+++ b/internal/fleet/rolling_test.go
@@ -11,7 +11,6 @@
 	"github.com/matryer/is"
 )
 
-// rollingNodes is the number of routers in the cases below.
 const rollingNodes = 6
 
 // rollingCluster is a cluster whose routers can be replaced one by one.
@@ -19,7 +18,7 @@
 	*cluster
 	t    *testing.T
 	stop []context.CancelFunc
-	// operators counts applies under way.
+	// operators waits for running applies.
 	operators sync.WaitGroup
 }
 
@@ -34,7 +33,7 @@
 	return r
 }
 
-// replace ends a router and starts another in its place, with nothing kept.
+// replace stops a router and starts another in its place, without its state.
 func (r *rollingCluster) replace(index int) {
 	if r.stop[index] != nil {
 		r.stop[index]()
@@ -44,8 +43,7 @@
 	r.start(ctx, r.members[index])
 }
 
-// race lets two operators apply different files at the same time, and tries
-// until each was accepted once.
+// race lets two operators apply different files at the same time, with retries.
 func (r *rollingCluster) race(round int) {
 	for _, operator := range []string{"a", "b"} {
 		r.operators.Go(func() {
@@ -59,50 +57,50 @@
 	}
 }
 
-// TestAnAcceptedFileIsInForceAndNeverReverts judges what every life of every
-// router put in force by the table's own list of accepted files.
+// TestAnAcceptedFileIsInForceAndNeverReverts guards against routers that miss an
+// accepted file, or adopt one that was not accepted or is older.
 func TestAnAcceptedFileIsInForceAndNeverReverts(t *testing.T) {
 	cases := []struct {
 		name string
-		// acrossLives says that the table answers all the time, so that even a
-		// restart must not bring back an older version.
-		acrossLives bool
-		run         func(r *rollingCluster)
+		// acrossRestarts is set if the table always answers, so that even a restart
+		// must not revert a version.
+		acrossRestarts bool
+		run            func(r *rollingCluster)
 	}{
-		{"two operators race, the store slow", false, func(r *rollingCluster) {
+		{"concurrent applies, store slow", false, func(r *rollingCluster) {
 			r.table.setDelay(900 * time.Millisecond)
 			for round := range 3 {
 				r.race(round)
 				time.Sleep(2 * time.Second)
 			}
 		}},
-		{"two operators race, the store slow, then down", false, func(r *rollingCluster) {
+		{"concurrent applies, store slow, then down", false, func(r *rollingCluster) {
 			r.table.setDelay(1500 * time.Millisecond)
 			r.race(0)
 			r.operators.Wait()
-			time.Sleep(4 * time.Second) // one router has read it
+			time.Sleep(4 * time.Second) // until one router has read it
 			r.table.setMode(down)
 			r.race(1)
 		}},
-		{"the store down right after an apply", false, func(r *rollingCluster) {
+		{"store down soon after an apply", false, func(r *rollingCluster) {
 			r.apply(r.t, "two")
-			time.Sleep(2 * time.Second) // one poller has read it
+			time.Sleep(2 * time.Second) // until one poller has read it
 			r.table.setMode(down)
 		}},
-		{"the store down at once after an apply, and back", false, func(r *rollingCluster) {
+		{"store down at once after an apply, then restored", false, func(r *rollingCluster) {
 			r.apply(r.t, "two")
 			r.table.setMode(down)
 			time.Sleep(time.Minute)
 			r.table.setMode(works)
 		}},
-		{"every router replaced during the applies", true, func(r *rollingCluster) {
+		{"all routers replaced during applies", true, func(r *rollingCluster) {
 			for index := range r.members {
 				r.apply(r.t, fmt.Sprint("file-", index))
 				r.replace(index)
 				time.Sleep(300 * time.Millisecond)
 			}
 		}},
-		{"every router replaced while the store is slow", false, func(r *rollingCluster) {
+		{"all routers replaced while the store is slow", false, func(r *rollingCluster) {
 			r.table.setDelay(1500 * time.Millisecond)
 			for index := range r.members {
 				r.race(index)
@@ -110,7 +108,7 @@
 				time.Sleep(time.Second)
 			}
 		}},
-		{"a router cut off across three versions", false, func(r *rollingCluster) {
+		{"router partitioned during three versions", false, func(r *rollingCluster) {
 			r.setPartitioned("node-3")
 			for version := range 3 {
 				r.apply(r.t, fmt.Sprint("file-", version))
@@ -118,7 +116,7 @@
 			}
 			r.setPartitioned("")
 		}},
-		{"a peer that offers an old file as the newest", true, func(r *rollingCluster) {
+		{"peer serves an old file as its newest", true, func(r *rollingCluster) {
 			r.setStale("node-0")
 			r.table.setDelay(300 * time.Millisecond) // the peer answers first
 			for index := range r.members {
@@ -135,15 +133,15 @@
 				test.run(r)
 				r.operators.Wait()
 				time.Sleep(8 * time.Second)
-				r.checkAdoptions(test.acrossLives)
+				r.checkAdoptions(test.acrossRestarts)
 			})
 		})
 	}
 }
 
-// checkAdoptions requires that all routers have the file accepted last, and that no life
-// of any put a file in force that was not accepted or not newer than the last;
-// or, acrossLives, that no router did, restarts included.
+// checkAdoptions requires that all routers have the last accepted file and adopted
+// only accepted ones, each newer than the last of the incarnation or, acrossRestarts,
+// none older than the router's last.
 func (r *rollingCluster) checkAdoptions(acrossRestarts bool) {
 	check := is.New(r.t)
 	r.mutex.Lock()
@@ -157,7 +155,7 @@
 	check.True(len(r.table.model.heads) > 1)
 	for address, syncer := range r.syncers {
 		if syncer.CurrentRef() != last {
-			r.t.Errorf("%s has %v in force, accepted last was %v", address, syncer.CurrentRef(), last)
+			r.t.Errorf("%s has %v in force, last accepted %v", address, syncer.CurrentRef(), last)
 		}
 	}
 	for address, incarnations := range r.adopted {
--- a/internal/fleet/storage.go
+++ b/internal/fleet/storage.go
@@ -13,21 +13,20 @@
 )
 
 const (
-	// HeadKey is the table row that names the file in force.
+	// HeadKey is the key of the row that names the file in force.
 	HeadKey = "fleet/head"
-	// bodyPrefix starts the keys of the rows that hold bodies.
+	// bodyPrefix is the key prefix of the rows that hold bodies.
 	bodyPrefix = "fleet/body/"
-	// chunkBytes is the most of a body that one row holds, in bytes.
+	// chunkBytes is the size of a body's part in one row.
 	chunkBytes = 512 << 10
-	// historyLength is how many applies the head row remembers, the one in
-	// force included. An operator whose answer was lost finds the apply among
-	// them.
+	// historyLength is how many applies the head row keeps, the one in force
+	// included, so that an operator whose answer was lost finds the apply.
 	historyLength = 32
 	// headSchema is the value of Head.Schema that this program reads.
 	headSchema = 1
 )
 
-// FileRef names one accepted fleet file.
+// FileRef identifies one accepted fleet file.
 type FileRef struct {
 	Version Version `cbor:"1,keyasint"`
 	Digest  Digest  `cbor:"2,keyasint"`
@@ -37,20 +36,20 @@
 type HistoryEntry struct {
 	Ref     FileRef `cbor:"1,keyasint"`
 	ApplyID string  `cbor:"2,keyasint"`
-	// Size of the body in bytes.
+	// Size is the size of the body in bytes.
 	Size int `cbor:"3,keyasint"`
 }
 
-// Head is the value of the head row. History holds the last applies, the one
-// in force first, and is never empty.
+// Head is the value of the head row. History holds the last applies, the one in
+// force first; it is never empty.
 type Head struct {
 	Schema  int            `cbor:"1,keyasint"`
 	History []HistoryEntry `cbor:"2,keyasint"`
-	// AppliedAt is the operator's clock, for people only.
+	// AppliedAt is the time by the operator's clock, for display only.
 	AppliedAt time.Time `cbor:"3,keyasint"`
 }
 
-// CurrentRef returns the file in force.
+// CurrentRef identifies the file in force.
 func (h Head) CurrentRef() FileRef { return h.History[0].Ref }
 
 // find returns the accepted apply with the given identifier.
@@ -63,7 +62,7 @@
 	return HistoryEntry{}, false
 }
 
-// successor returns the head after one more apply, and the entry it forgets.
+// successor returns the head after one more apply, and the entries it evicts.
 func (h Head) successor(entry HistoryEntry, appliedAt time.Time) (next Head, evicted []HistoryEntry) {
 	history := append([]HistoryEntry{entry}, h.History...)
 	if len(history) > historyLength {
@@ -72,7 +71,7 @@
 	return Head{Schema: headSchema, History: history, AppliedAt: appliedAt}, evicted
 }
 
-// maxHeadEntries bounds the history that a head row is read with.
+// maxHeadEntries bounds the arrays in a head row that is read.
 const maxHeadEntries = 1024
 
 var headDecoding = mustDecMode()
@@ -88,7 +87,7 @@
 func encodeHead(head Head) ([]byte, error) {
 	value, err := cbor.Marshal(head)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Internal, "writing the fleet's head row")
+		return nil, fault.Wrap(err, fault.Internal, "encoding the fleet's head row")
 	}
 	return value, nil
 }
@@ -106,15 +105,15 @@
 	return head, nil
 }
 
-// chunkKey returns the key of the row that holds chunk index of a body. The
-// index has a fixed width, so that keys sort in the order of the body.
+// chunkKey returns the key of the row that holds chunk index of a body. Its fixed
+// width keeps the keys in the order of the body.
 func chunkKey(digest Digest, index int) string {
 	return fmt.Sprintf("%s%s/%04d", bodyPrefix, digest, index)
 }
 
 func chunkCount(size int) int { return (size + chunkBytes - 1) / chunkBytes }
 
-// ReadHead reads the head row; found is false when no file was ever accepted.
+// ReadHead reads the head row; found is false when no file was accepted yet.
 func ReadHead(ctx context.Context, table store.Table) (head Head, found bool, err error) {
 	row, found, err := table.Read(ctx, HeadKey)
 	if err != nil || !found {
@@ -124,8 +123,8 @@
 	return head, err == nil, err
 }
 
-// readChunk reads one row of a body. It waits out rate limits until ctx ends,
-// because starting the whole body again would ask for more, not less.
+// readChunk reads one row of a body. It retries after rate limits until ctx ends,
+// since a new read of the whole body would add load.
 func readChunk(ctx context.Context, table store.Table, key string) (protocol.Row, bool, error) {
 	for {
 		row, found, err := table.Read(ctx, key)
@@ -155,8 +154,8 @@
 		}
 	}
 	if DigestOf(body) != digest {
-		return nil, fault.New(fault.Internal, "the table holds no whole body for fleet digest %s", digest).
-			WithRemedy("it may have been superseded: read the head again; if it lasts, apply the file again")
+		return nil, fault.New(fault.Internal, "the table has no complete body for fleet digest %s", digest).
+			WithRemedy("it may have been superseded: read the head again; if the error persists, apply the file again")
 	}
 	return body, nil
 }
--- a/internal/fleet/syncer.go
+++ b/internal/fleet/syncer.go
@@ -18,48 +18,48 @@
 )
 
 const (
-	// pollersPerZone is how many routers of a zone read the table often: one,
-	// and one more for the time in which the first one's death is not known.
+	// pollersPerZone is how many routers of a zone read the table often; the second
+	// covers the time until a crash of the first is detected.
 	pollersPerZone = 2
-	// observedCapacity and resultCapacity bound the Syncer's rings. Heard pairs
-	// are replaced by later ones. Results are bounded by the requests that are
-	// open at once: one poll, one fetch and a few questions to peers.
+	// observedCapacity and resultCapacity bound the Syncer's rings. Observed heads
+	// may be dropped, since later ones supersede them; results may not, and are
+	// bounded by the open requests: one poll, one fetch and a few to peers.
 	observedCapacity = 256
 	resultCapacity   = 256
 	// headTimeout and bodyTimeout bound one exchange with a peer or the table.
 	headTimeout = 2 * time.Second
 	bodyTimeout = 15 * time.Second
-	// minWait is the shortest wait between two looks of the Syncer. Above zero it
-	// keeps a machine that is due from spinning, and timers from having run out
-	// before anybody waits for them: under the race detector, Go 1.26 crashes when
-	// several goroutines of one synctest bubble meet such timers at one time.
+	// minWait is the shortest time between two iterations of Run. It prevents a busy
+	// loop, and timers that have expired before anybody waits for them: with the
+	// race detector, Go 1.26 crashes when several goroutines of one synctest bubble
+	// wait for such timers at the same time.
 	minWait = time.Millisecond
 )
 
-// PeerFetcher asks other routers for what they have in force.
+// PeerFetcher fetches the files in force on other routers.
 type PeerFetcher interface {
-	// FetchHead returns the pair that the router at address has in force; a
-	// zero version when it has none.
+	// FetchHead returns the file in force on the router at address, with version
+	// zero when it has none.
 	FetchHead(ctx context.Context, address string) (FileRef, error)
-	// FetchBody returns the body with the given digest. It need not verify it.
+	// FetchBody returns the body with the given digest, which it need not verify.
 	FetchBody(ctx context.Context, address string, digest Digest) ([]byte, error)
 }
 
-// SyncerOptions is what a Syncer works with. All fields are required.
+// SyncerOptions configures a Syncer. All fields are required.
 type SyncerOptions struct {
 	// Self and Zone are this router's.
 	Self ident.Node
 	Zone ident.Zone
 	// Table is the platform's table service.
 	Table store.Table
-	// Peers asks other routers.
+	// Peers fetches from other routers.
 	Peers PeerFetcher
 	// View returns the current membership.
 	View func() membership.View
 }
 
-// Syncer is the duty that keeps the newest accepted fleet file in force on
-// this router. It is the shell of an Adopter.
+// Syncer keeps the newest accepted fleet file in force on this router. It does the
+// I/O of an Adopter.
 type Syncer struct {
 	options  SyncerOptions
 	inForce  atomic.Pointer[inForce]
@@ -73,7 +73,7 @@
 	listeners []func(*Compiled)
 }
 
-// inForce is a compiled file with its bytes, which peers may ask for.
+// inForce is a compiled file with its bytes, which peers may fetch.
 type inForce struct {
 	compiled *Compiled
 	body     []byte
@@ -84,7 +84,6 @@
 	address string
 }
 
-// requestResult is the outcome of one request.
 type requestResult struct {
 	action AdoptAction
 	ref    FileRef
@@ -93,7 +92,7 @@
 	err    error
 }
 
-// NewSyncer returns a Syncer that has no file yet. Run starts it.
+// NewSyncer returns a Syncer without a file; Run starts it.
 func NewSyncer(options SyncerOptions) *Syncer {
 	syncer := &Syncer{
 		options:  options,
@@ -104,7 +103,7 @@
 	return syncer
 }
 
-// Current returns the file in force, or nil when there is none yet.
+// Current returns the file in force, nil when there is none yet.
 func (s *Syncer) Current() *Compiled {
 	if file := s.inForce.Load(); file != nil {
 		return file.compiled
@@ -120,7 +119,7 @@
 	return nil, fault.New(fault.NotReady, "this router has no fleet file yet").WithRetryAfter(time.Second)
 }
 
-// CurrentRef returns the pair in force, for gossip and for peers that ask.
+// CurrentRef returns the version and digest in force, for gossip and peers.
 func (s *Syncer) CurrentRef() FileRef {
 	if compiled := s.Current(); compiled != nil {
 		return FileRef{Version: compiled.Version, Digest: compiled.Digest}
@@ -128,8 +127,8 @@
 	return FileRef{}
 }
 
-// Body returns the bytes of the file in force if it has this digest, for peers
-// that ask. They must not be changed.
+// Body returns the bytes of the file in force if it has this digest. They must
+// not be changed.
 func (s *Syncer) Body(digest Digest) ([]byte, bool) {
 	file := s.inForce.Load()
 	if file == nil || file.compiled.Digest != digest {
@@ -138,7 +137,7 @@
 	return file.body, true
 }
 
-// Counters returns what the Syncer has met so far.
+// Counters returns the Adopter's counters.
 func (s *Syncer) Counters() AdopterCounters { return *s.counters.Load() }
 
 // Rings returns the counters of the Syncer's rings.
@@ -147,8 +146,8 @@
 }
 
 // OnPrepare adds a function that is called, on the Syncer's goroutine, with each
-// file just before Current changes to it: whoever reads Current then finds the
-// file's back ends known. It must not block.
+// file just before Current returns it, so that the file's back ends are registered
+// first. It must not block.
 func (s *Syncer) OnPrepare(preparer func(*Compiled)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -163,8 +162,8 @@
 	s.listeners = append(s.listeners, listener)
 }
 
-// ObserveHead takes in a pair that the router at address has in force. It never
-// blocks and may be called by any goroutine, for every gossip message.
+// ObserveHead records the file in force on the router at address. It never blocks
+// and may be called by any goroutine, for every gossip message.
 func (s *Syncer) ObserveHead(version Version, digest Digest, address string) {
 	ref := FileRef{Version: version, Digest: digest}
 	current := s.CurrentRef()
@@ -173,8 +172,8 @@
 	}
 }
 
-// Run keeps the file until ctx ends, and returns after every request it made
-// has ended.
+// Run updates the file until ctx ends, and returns once all its requests have
+// ended.
 func (s *Syncer) Run(ctx context.Context) {
 	defer s.requests.Wait()
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(string(s.options.Self)), 0))
@@ -201,7 +200,7 @@
 	}
 }
 
-// applyEvents gives every waiting event to the machine.
+// applyEvents passes all queued events to the adopter.
 func (s *Syncer) applyEvents(adopter *Adopter, now time.Time) {
 	for head, ok := s.observed.Pop(); ok; head, ok = s.observed.Pop() {
 		adopter.ObserveHead(now, head.ref, head.address)
@@ -236,7 +235,7 @@
 	}
 }
 
-// adopt puts a file in force and tells the listeners.
+// adopt puts a file in force and calls the preparers and listeners.
 func (s *Syncer) adopt(action AdoptAction) {
 	compiled := Compile(action.Document, action.Ref.Version, action.Ref.Digest)
 	s.mutex.Lock()
@@ -252,8 +251,8 @@
 	}
 }
 
-// start makes one request in a goroutine of its own; its outcome comes back
-// through the ring.
+// start makes one request in a goroutine of its own, which pushes the result to
+// the ring.
 func (s *Syncer) start(ctx context.Context, action AdoptAction) {
 	s.requests.Add(1)
 	go func() {
@@ -287,13 +286,12 @@
 	return result
 }
 
-// topology derives from the membership who polls and who can be asked.
 func (s *Syncer) topology() Topology {
 	return TopologyOf(s.options.View(), s.options.Self, s.options.Zone)
 }
 
-// TopologyOf derives from a view of the membership who polls and whom the
-// router self in the given zone can ask.
+// TopologyOf derives the pollers, and the peers of router self in the given zone,
+// from a membership view.
 func TopologyOf(view membership.View, self ident.Node, zone ident.Zone) Topology {
 	zones := map[ident.Zone][]membership.Member{}
 	topology := Topology{}
@@ -310,7 +308,7 @@
 		}
 	}
 	for _, member := range view.Members {
-		// A member may be heard of before its address is.
+		// A member may be listed before its address is known.
 		if member.State > membership.Leaving || member.Node == self || member.HTTPAddress == "" {
 			continue
 		}
--- a/internal/fleet/syncer_test.go
+++ b/internal/fleet/syncer_test.go
@@ -16,18 +16,18 @@
 	"github.com/fieldpond/fieldpond/internal/membership"
 )
 
-// cluster joins Syncers as the routers' peer protocol and gossip would.
+// cluster connects Syncers in place of the peer protocol and gossip.
 type cluster struct {
 	table   *fakeTable
 	members []membership.Member
 	mutex   sync.Mutex
 	syncers map[string]*Syncer
-	// stale is a router that offers an old file as the newest; empty for none.
+	// stale is the address of a router that serves an old file as its newest, if any.
 	stale     string
 	staleBody []byte
-	// partitioned is a router that neither hears nor is heard; empty for none.
+	// partitioned is the address of a router cut off from its peers, if any.
 	partitioned string
-	// adopted holds what each router put in force, by life and in order; the
+	// adopted holds what each router put in force, by incarnation and in order; the
 	// digest is that of the body.
 	adopted map[string][][]FileRef
 }
@@ -82,7 +82,7 @@
 	if syncer := c.syncers[address]; syncer != nil && address != c.partitioned {
 		return syncer, nil
 	}
-	return nil, fault.New(fault.BackendLost, "%s does not run", address)
+	return nil, fault.New(fault.BackendLost, "%s is not running", address)
 }
 
 func (c *cluster) isStale(address string) bool {
@@ -169,7 +169,7 @@
 			c.table.setMode(mode)
 			restarted := c.start(t.Context(), c.members[5])
 			time.Sleep(3 * time.Second)
-			check.Equal(restarted.CurrentRef().Version, Version(1)) // peers have it
+			check.Equal(restarted.CurrentRef().Version, Version(1)) // from peers
 		})
 	}
 }
@@ -186,15 +186,15 @@
 		time.Sleep(time.Minute)
 		check.Equal(c.countInForce(0), 6)
 		_, err := c.syncers["node-0"].Ready()
-		check.True(fault.Is(err, fault.NotReady)) // refuses rather than guesses
+		check.True(fault.Is(err, fault.NotReady)) // not an empty file
 		c.table.setMode(works)
 		time.Sleep(5 * time.Second)
 		check.Equal(c.countInForce(1), 6)
 	})
 }
 
-// TestBodyReadRetriesRateLimits: a body of several rows, of which every second
-// read is refused, can only be had by going on where the limit struck.
+// TestBodyReadRetriesRateLimits guards against restarting a body's read after a rate
+// limit: here every second read is refused, so it would never end.
 func TestBodyReadRetriesRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
--- a/internal/fleet/table_test.go
+++ b/internal/fleet/table_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/storetest"
 )
 
-// tableModel is the table service: rows, and the truth log of accepted heads.
+// tableModel is a model of the table service, with a log of the accepted heads.
 type tableModel struct {
 	*storetest.Rows
 	heads []HistoryEntry
@@ -37,30 +37,30 @@
 	return result
 }
 
-// faultMode is what happens to an exchange with the fake table.
+// faultMode is the outcome of a request to the fake table.
 type faultMode int
 
 const (
 	works faultMode = iota
-	// lostAfter loses the answer after the effect, lostBefore the request.
+	// lostAfter loses the answer after the commit, lostBefore the request.
 	lostAfter
 	lostBefore
-	// down refuses the connection, limited answers 429; nothing is done.
+	// down refuses the connection, limited answers 429; neither has an effect.
 	down
 	limited
-	// hangs answers only when the context has ended.
+	// hangs fails once the context has ended.
 	hangs
 	modeCount
 )
 
-// fakeTable is platform.Table over a tableModel, with faults by request.
+// fakeTable is a store.Table over a tableModel, with a fault for each request.
 type fakeTable struct {
 	mutex sync.Mutex
 	model *tableModel
 	// mode chooses the fault of each request; nil means none.
 	mode  func(key string, write bool) faultMode
 	reads int
-	// delay is how long each request takes until it has its effect.
+	// delay is the time until a request takes effect.
 	delay time.Duration
 }
 
@@ -78,7 +78,7 @@
 	return f.reads
 }
 
-// exchange runs one request under the chosen fault.
+// exchange runs one request with the chosen fault.
 func (f *fakeTable) exchange(ctx context.Context, key string, write bool, run func()) error {
 	f.mutex.Lock()
 	if delay := f.delay; delay > 0 {
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,8 +1,6 @@
-// Package ident declares the named identifier types that every other package
-// shares, so that a tenant can never be passed where an engine is meant.
-//
-// The types hold no behaviour beyond formatting. They are plain strings and
-// integers on every wire (JSON, CBOR, YAML).
+// Package ident declares the identifier types that the other packages share, so that
+// the compiler rejects a tenant in place of an engine. They are encoded as plain
+// strings and integers (JSON, CBOR, YAML).
 package ident
 
 import (
@@ -11,10 +9,10 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// Tenant names one customer of the fleet, as written in the fleet file.
+// Tenant names one customer, as in the fleet file.
 type Tenant string
 
-// Service names something a caller may ask for: a model service (named in the
+// Service names a service that a caller may use: a model service (named in the
 // "model" field of a chat or completions request) or an application service
 // (named in the path /v1/services/{service}/...).
 type Service string
@@ -28,34 +26,33 @@
 // ModelVersion names one immutable set of weights of a Model.
 type ModelVersion string
 
-// Release names one version of a back end's software. It says nothing of the weights
-// that an engine serves.
+// Release names one version of a back end's software, independent of the weights that
+// an engine serves.
 type Release string
 
-// Adapter names a fine-tuned adapter loaded beside a model; empty means none.
+// Adapter names a fine-tuned adapter of a model; empty means none.
 type Adapter string
 
-// Zone names the smallest place in which data may live.
+// Zone names the smallest place where data may reside.
 type Zone string
 
 // Region names a group of zones.
 type Region string
 
-// Engine names a model engine of the fleet file. The name outlives restarts.
+// Engine names a model engine of the fleet file, across restarts.
 type Engine string
 
 // Application names one application back end of the fleet file.
 type Application string
 
-// Incarnation identifies one life of an engine or application process. A
-// process that restarts, and so returns with an empty cache, has a new one.
-// The empty value means "not known yet".
+// Incarnation identifies one process lifetime of an engine or application. A process
+// that restarts, with an empty cache, has a new one. Empty means "not known yet".
 type Incarnation string
 
 // Node names one fieldpond router process.
 type Node string
 
-// Request identifies one caller request, chosen by the router that accepted it.
+// Request identifies one caller's request, assigned by the router that accepted it.
 type Request string
 
 // Stream identifies one generation on one engine incarnation.
@@ -64,10 +61,10 @@
 // Attempt counts the attempts of one Request, starting at 1.
 type Attempt uint32
 
-// NewRequest returns a fresh, time-ordered, unguessable request identifier.
+// NewRequest returns a new, time-ordered, unguessable request identifier.
 func NewRequest() Request { return Request(newULID()) }
 
-// NewUniqueID returns a fresh identifier for claims, applies, orders and lives.
+// NewUniqueID returns a new identifier for claims, applies, orders and incarnations.
 func NewUniqueID() string { return newULID() }
 
 func newULID() string { return ulid.MustNew(ulid.Now(), rand.Reader).String() }
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,5 +1,5 @@
-// Package mechanism names the policies of a router that can be switched off one by
-// one, so that what each is worth can be measured.
+// Package mechanism names the policies of a router that can be disabled one by one, to
+// measure the effect of each.
 package mechanism
 
 import (
@@ -9,50 +9,51 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Name names a mechanism.
+// Name is the name of a mechanism.
 type Name string
 
 // The mechanisms.
 const (
-	// HomeEngines sends prompts with the same shared part to the same engine.
+	// HomeEngines sends prompts with the same shared prefix to the same engine.
 	HomeEngines Name = "home-engines"
-	// CacheStore fetches prompts from stores of kept caches, and saves them there.
+	// CacheStore loads prompt caches from cache stores, and saves them there.
 	CacheStore Name = "cache-store"
-	// CacheIndex reads what the stores of kept caches hold, and saves what is missing.
+	// CacheIndex reads the contents of cache stores, and saves what is missing.
 	CacheIndex Name = "cache-index"
-	// SharedSaves saves only prompts that are mostly shared.
+	// SharedSaves saves only prompts whose shared prefix is most of the prompt.
 	SharedSaves Name = "shared-saves"
-	// LongIdle keeps connections whose peers tell no time for longer than a second.
+	// LongIdle keeps idle connections whose peers state no idle timeout for longer than
+	// a second.
 	LongIdle Name = "long-idle"
-	// EarlyOrders orders new weights as soon as their version is seen.
+	// EarlyOrders orders engines to load new weights as soon as the version is observed.
 	EarlyOrders Name = "early-orders"
-	// Notifications tells routers ahead of the list which engines change.
+	// Notifications notifies routers of changed engines ahead of the instance list.
 	Notifications Name = "notices"
-	// QuiesceFirst has an engine emptied before it is ordered to take new weights.
+	// QuiesceFirst quiesces an engine before it is ordered to load new weights.
 	QuiesceFirst Name = "empty-first"
-	// NewerWeights prefers engines that have the newest weights.
+	// NewerWeights prefers engines with the newest weights.
 	NewerWeights Name = "newer-weights"
-	// PrefillRate learns how fast engines read prompts.
+	// PrefillRate estimates the prefill rate of engines.
 	PrefillRate Name = "reading-rate"
-	// EarlyRefusal refuses prompts under overload that would wait for too long.
+	// EarlyRefusal refuses prompts that would wait for too long under overload.
 	EarlyRefusal Name = "early-refusal"
-	// LatenessAllowance allows for the usual lateness of a back end before an attempt
-	// is given up as silent.
+	// LatenessAllowance adds the usual lateness of a back end to the time until an
+	// attempt without an answer is abandoned.
 	LatenessAllowance Name = "late-patience"
-	// ExpiryGrace keeps entries for a while that lapsed in an outage of the list.
+	// ExpiryGrace keeps entries that expired during an outage of the list for a time.
 	ExpiryGrace Name = "lapse-grace"
-	// SharedHealth lets one router of each zone check its engines for all others.
+	// SharedHealth has one router of each zone check its engines for all others.
 	SharedHealth Name = "shared-health"
 	// SharedQuotas pools the limits of tenants over routers; without it each router
-	// grants its equal share of them.
+	// grants an equal share of them.
 	SharedQuotas Name = "shared-quotas"
-	// BackendLimits keeps back ends within the limits that they name; without it routers
-	// choose as if there were none.
+	// BackendLimits keeps back ends within the limits that they advertise; without it
+	// routers choose as if there were none.
 	BackendLimits Name = "backend-limits"
-	// BackendAdvertised keeps requests from back ends that say in their answers that they leave, or
-	// want rest; without it routers choose as if they had not.
+	// BackendAdvertised sends no requests to back ends that advertise a drain or a
+	// back-off in their answers; without it routers ignore both.
 	BackendAdvertised Name = "backend-words"
-	// StartHold lets requests wait a short while for the first configuration of a router
+	// StartHold has requests wait a short time for the first configuration of a router
 	// that has just started; without it they are refused at once.
 	StartHold Name = "start-hold"
 )
@@ -67,25 +68,25 @@
 	}
 }
 
-// Disabled is a set of mechanisms that are switched off; the zero value leaves all on.
+// Disabled is the set of disabled mechanisms; the zero value leaves all enabled.
 type Disabled struct{ names []Name }
 
-// ParseDisabled reads a set from names of mechanisms. Its error names those there are.
+// ParseDisabled returns the set with the given names. Its error lists the valid names.
 func ParseDisabled(names []string) (Disabled, error) {
 	var disabled Disabled
 	for _, name := range names {
 		if !slices.Contains(All(), Name(name)) {
-			return Disabled{}, fault.New(fault.InvalidSettings, "there is no mechanism %q; there are %s", name, joinedNames())
+			return Disabled{}, fault.New(fault.InvalidSettings, "unknown mechanism %q; the mechanisms are %s", name, joinedNames())
 		}
 		disabled.names = append(disabled.names, Name(name))
 	}
 	return disabled, nil
 }
 
-// Enabled reports whether a mechanism is on.
+// Enabled reports whether a mechanism is enabled.
 func (d Disabled) Enabled(name Name) bool { return !slices.Contains(d.names, name) }
 
-// joinedNames returns the names of all mechanisms for a message.
+// joinedNames returns the names of all mechanisms, for a message.
 func joinedNames() string {
 	var names []string
 	for _, name := range All() {
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -36,7 +36,7 @@
 			is := is.New(t)
 			disabled, err := mechanism.ParseDisabled(tt.names)
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), string(mechanism.EarlyRefusal))) // the remedy
+			is.True(strings.Contains(err.Error(), string(mechanism.EarlyRefusal))) // lists the valid names
 			is.True(disabled.Enabled(mechanism.Notifications))
 		})
 	}
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the pauses that end early with their context.
+// Package wait implements waits that end with their context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a duration, and reports whether the context is still open.
+// For waits for a duration or the context's end, and reports whether the duration elapsed.
 func For(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -18,7 +18,7 @@
 	}
 }
 
-// Every calls work once in each interval until the context ends.
+// Every calls work once per interval until the context ends.
 func Every(ctx context.Context, interval time.Duration, work func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
