--- a/internal/fleet/adopter.go
+++ b/internal/fleet/adopter.go
@@ -272,7 +272,7 @@
 	if a.current.Version == 0 && !now.Before(a.nextAsk) {
 		actions = append(actions, a.askPeers(now)...)
 	}
-	if fetch, wanted := a.planFetch(now); wanted {
+	if fetch, due := a.planFetch(now); due {
 		actions = append(actions, fetch)
 	}
 	return actions
--- a/internal/fleet/adopter_test.go
+++ b/internal/fleet/adopter_test.go
@@ -202,15 +202,15 @@
 // replaces a wrong one in force.
 func TestTableResolvesConflictingDigests(t *testing.T) {
 	files := newAdopterFiles(2)
-	truth, other := files.ref(2), FileRef{Version: 2, Digest: DigestOf(files.unaccepted[1])}
+	accepted, other := files.ref(2), FileRef{Version: 2, Digest: DigestOf(files.unaccepted[1])}
 	cases := []struct {
 		name     string
 		reported []FileRef
 		want     FileRef
 	}{
-		{"reported together", []FileRef{other, truth}, FileRef{}},
+		{"reported together", []FileRef{other, accepted}, FileRef{}},
 		{"wrong one only", []FileRef{other}, other},
-		{"correct one only", []FileRef{truth}, truth},
+		{"correct one only", []FileRef{accepted}, accepted},
 	}
 	for _, test := range cases {
 		now := time.Unix(1000, 0)
@@ -231,10 +231,10 @@
 		if adopter.Current() != test.want {
 			t.Errorf("%s: in force %v before the table answered, want %v", test.name, adopter.Current(), test.want)
 		}
-		adopter.HeadPolled(now, truth, true)
+		adopter.HeadPolled(now, accepted, true)
 		run()
-		if adopter.Current() != truth {
-			t.Errorf("%s: in force %v after the table answered, want %v", test.name, adopter.Current(), truth)
+		if adopter.Current() != accepted {
+			t.Errorf("%s: in force %v after the table answered, want %v", test.name, adopter.Current(), accepted)
 		}
 	}
 }
--- a/internal/fleet/applier.go
+++ b/internal/fleet/applier.go
@@ -178,7 +178,7 @@
 // resolve decides on a read of the head after a commit whose answer was lost.
 func (a *Applier) resolve(row protocol.Row, found bool, head Head) {
 	if found {
-		if entry, ours := head.find(a.options.ApplyID); ours {
+		if entry, accepted := head.find(a.options.ApplyID); accepted {
 			a.finishApplied(entry, head)
 			return
 		}
--- a/internal/fleet/compile.go
+++ b/internal/fleet/compile.go
@@ -191,8 +191,8 @@
 // zoneSetOf returns the zones of places, as one set for all equal lists.
 func zoneSetOf(places []string, zonesOf map[string][]ident.Zone, sets map[string]*ZoneSet) *ZoneSet {
 	name := strings.Join(places, "\x00")
-	if known, found := sets[name]; found {
-		return known
+	if shared, found := sets[name]; found {
+		return shared
 	}
 	set := &ZoneSet{}
 	for _, place := range places {
--- a/internal/fleet/decode.go
+++ b/internal/fleet/decode.go
@@ -165,8 +165,8 @@
 	}
 	value := node.Value
 	if len(value) <= maxInterned {
-		if known, found := d.interned[value]; found {
-			value = known
+		if shared, found := d.interned[value]; found {
+			value = shared
 		} else {
 			d.interned[value] = value
 		}
--- a/internal/fleet/syncer.go
+++ b/internal/fleet/syncer.go
@@ -266,22 +266,22 @@
 	if action.Kind == ActionFetchBody {
 		timeout = bodyTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	requestCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	result := requestResult{action: action}
 	switch {
 	case action.Kind == ActionPollTable:
 		var head Head
-		head, result.found, result.err = ReadHead(bounded, s.options.Table)
+		head, result.found, result.err = ReadHead(requestCtx, s.options.Table)
 		if result.found {
 			result.ref = head.CurrentRef()
 		}
 	case action.Kind == ActionAskPeer:
-		result.ref, result.err = s.options.Peers.FetchHead(bounded, action.Address)
+		result.ref, result.err = s.options.Peers.FetchHead(requestCtx, action.Address)
 	case action.Address == "":
-		result.body, result.err = ReadBody(bounded, s.options.Table, action.Ref.Digest)
+		result.body, result.err = ReadBody(requestCtx, s.options.Table, action.Ref.Digest)
 	default:
-		result.body, result.err = s.options.Peers.FetchBody(bounded, action.Address, action.Ref.Digest)
+		result.body, result.err = s.options.Peers.FetchBody(requestCtx, action.Address, action.Ref.Digest)
 	}
 	return result
 }
