--- a/internal/fault/kinds.go
+++ b/internal/fault/kinds.go
@@ -35,7 +35,7 @@
 	// StoreUnavailable is a table or object store of the platform that did not
 	// answer in time.
 	StoreUnavailable Kind = "store_unavailable"
-	// BackendLost is a back end whose connection failed after the attempt was sent.
+	// BackendLost is a back end that failed after the attempt was sent.
 	BackendLost Kind = "backend_lost"
 	// Quarantined is a request that is not forwarded, since back ends crashed under it.
 	Quarantined Kind = "quarantined"
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -20,7 +20,7 @@
 	CacheStore Name = "cache-store"
 	// CacheIndex reads the contents of cache stores, and saves what is missing.
 	CacheIndex Name = "cache-index"
-	// SharedSaves saves only prompts whose shared prefix is most of the prompt.
+	// SharedSaves saves only prompts that other requests can mostly reuse.
 	SharedSaves Name = "shared-saves"
 	// LongIdle keeps idle connections whose peers state no idle timeout for longer than
 	// a second.
