--- a/cmd/fieldpond/edge.go
+++ b/cmd/fieldpond/edge.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			if options.Disabled, err = mechanism.Without(without); err != nil {
+			if options.Disabled, err = mechanism.ParseDisabled(without); err != nil {
 				return err
 			}
 			ctx, stop := commandline.UntilStopped(command)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,50 +10,50 @@
 	"github.com/fieldpond/fieldpond/internal/clock"
 )
 
-func TestSuspensionsCount(t *testing.T) {
+func TestSuspensionIsCounted(t *testing.T) {
 	is := is.New(t)
-	asleep := time.Duration(0)
-	defer clock.Replace(func() time.Duration { return asleep })()
+	suspended := time.Duration(0)
+	defer clock.ReplaceSource(func() time.Duration { return suspended })()
 	before := clock.Sync()
-	asleep = 5 * time.Second
-	is.True(clock.Since(before) < 4*time.Second) // nobody has looked yet
+	suspended = 5 * time.Second
+	is.True(clock.Since(before) < 4*time.Second) // before Sync
 	is.True(clock.Sync().Sub(before) >= 5*time.Second)
 	is.True(clock.Since(before) >= 5*time.Second)
-	woke, found := clock.WokeAt()
+	resumedAt, found := clock.ResumedAt()
 	is.True(found)
-	is.True(clock.Since(woke) < time.Second)
-	// What lies between two looks at the clocks is no suspension.
-	asleep += 10 * time.Millisecond
+	is.True(clock.Since(resumedAt) < time.Second)
+	// A small difference between the two clocks is not a suspension.
+	suspended += 10 * time.Millisecond
 	clock.Sync()
 	is.Equal(clock.Suspended(), 5*time.Second)
 }
 
-func TestTheSystemTellsSuspensions(t *testing.T) {
+func TestSyncReadsSystemClock(t *testing.T) {
 	is := is.New(t)
 	before := clock.Sync()
 	time.Sleep(time.Millisecond)
 	is.True(clock.Sync().After(before))
 }
 
-// A process that is frozen, while the clocks of its machine go on, has stood still too.
-func TestAFrozenProcessWakes(t *testing.T) {
+// A freeze of the process counts, though the machine's clocks advance.
+func TestFreezeIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		defer clock.Replace(func() time.Duration { return 0 })()
+		defer clock.ReplaceSource(func() time.Duration { return 0 })()
 		clock.Sync()
 		time.Sleep(time.Minute)
 		clock.Sync()
-		_, found := clock.WokeAt()
-		is.True(!found) // nobody looks all the time
-		defer clock.Watch()()
-		time.Sleep(clock.WatchInterval)
+		_, found := clock.ResumedAt()
+		is.True(!found) // detection is off
+		defer clock.DetectFreezes()()
+		time.Sleep(clock.SyncInterval)
 		clock.Sync()
-		_, found = clock.WokeAt()
+		_, found = clock.ResumedAt()
 		is.True(!found)
 		time.Sleep(3 * time.Second)
 		now := clock.Sync()
-		woke, found := clock.WokeAt()
+		resumedAt, found := clock.ResumedAt()
 		is.True(found)
-		is.Equal(woke, now)
+		is.Equal(resumedAt, now)
 	})
 }
--- a/internal/fleet/adopter.go
+++ b/internal/fleet/adopter.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// oftenInterval is how often the few pollers of each zone read the head.
-	oftenInterval = 1500 * time.Millisecond
-	// rareInterval is the least time between two reads by any other node.
-	rareInterval = 30 * time.Second
-	// rareIntervalPerMember stretches rareInterval in large fleets, so that all
-	// nodes together read the head four times a second at most.
-	rareIntervalPerMember = 250 * time.Millisecond
-	// startAnswerLimit is how long a starting node waits for the table before
-	// it takes the word of its peers.
-	startAnswerLimit = time.Second
-	// maxStartPeers is how many peers a starting node asks.
+	// pollerInterval is the time between two reads of the head by a zone's pollers.
+	pollerInterval = 1500 * time.Millisecond
+	// nonPollerInterval is the shortest time between two reads by any other node.
+	nonPollerInterval = 30 * time.Second
+	// nonPollerIntervalPerMember extends nonPollerInterval in large fleets, so that
+	// the nodes together read the head four times a second at most.
+	nonPollerIntervalPerMember = 250 * time.Millisecond
+	// startTableTimeout is how long a starting node waits for the table before it
+	// adopts a file that only peers reported.
+	startTableTimeout = time.Second
+	// maxStartPeers bounds the peers that a starting node asks, and the holders of a
+	// candidate.
 	maxStartPeers = 5
-	// maxPeerSources is how many peers are asked for a body before the table is.
+	// maxPeerSources is how many peers are asked for a body before the table.
 	maxPeerSources = 3
-	// fetchRetryDelay doubles with each round of failed fetches up to
-	// maxFetchRetryDelay.
+	// fetchRetryDelay doubles with each failed round up to maxFetchRetryDelay.
 	fetchRetryDelay    = 250 * time.Millisecond
 	maxFetchRetryDelay = 10 * time.Second
-	// askAgainInterval is how often a node without a file asks its peers again.
-	askAgainInterval = time.Second
+	// askInterval is the time between two requests to peers by a node without a file.
+	askInterval = time.Second
 )
 
-// Peer is another router that can be asked for a file.
+// Peer is another router that may serve the file.
 type Peer struct {
-	// Address is host:port of its HTTP listener.
+	// Address is the host:port of its HTTP listener.
 	Address string
-	// SameZone says that it is in this node's zone.
+	// SameZone is whether it is in this node's zone.
 	SameZone bool
-	// Poller says that it reads the table often.
+	// Poller is whether it reads the table often.
 	Poller bool
 }
 
-// Surroundings is what the Adopter knows of the other routers.
-type Surroundings struct {
-	// Poller says that this node is one of the few that read the table often.
+// Topology describes the other routers to the Adopter.
+type Topology struct {
+	// Poller is whether this node is one of the few that read the table often.
 	Poller bool
 	// Members counts the routers, this one included.
 	Members int
@@ -49,60 +49,59 @@
 	Peers []Peer
 }
 
-// AdoptActionKind names what the Adopter wants done.
+// AdoptActionKind is what the caller of the Adopter is to do.
 type AdoptActionKind uint8
 
 const (
-	// ActionPollTable asks for HeadPolled or PollFailed.
+	// ActionPollTable reads the head row: HeadPolled or PollFailed.
 	ActionPollTable AdoptActionKind = iota
 	// ActionAskPeer asks Address for its head: PeerAnswered or PeerFailed.
 	ActionAskPeer
-	// ActionFetchBody asks Address, or the table when it is empty, for the body
-	// of Pair: BodyReceived or FetchFailed.
+	// ActionFetchBody fetches the body of Ref from Address, or from the table when
+	// that is empty: BodyReceived or FetchFailed.
 	ActionFetchBody
-	// ActionAdopt says that Document is now the file in force here.
+	// ActionAdopt puts Document in force.
 	ActionAdopt
 )
 
-// AdoptAction is one output of the Adopter.
+// AdoptAction is one request of the Adopter to its caller.
 type AdoptAction struct {
 	Kind     AdoptActionKind
 	Address  string
-	Pair     Pair
+	Ref      FileRef
 	Document *Document
 	Body     []byte
 }
 
-// AdopterCounters count what the Adopter met.
+// AdopterCounters count the Adopter's events.
 type AdopterCounters struct {
-	// Adopted counts files put in force, Disputed pairs that contradicted
-	// another digest of the same version, TableBehind table reads below the
-	// version in force, BadBodies bodies that failed verification.
+	// Adopted counts files put in force, Disputed reports of another digest for
+	// the same version, TableBehind table reads below the version in force,
+	// BadBodies bodies that failed verification.
 	Adopted, Disputed, TableBehind, BadBodies uint64
 }
 
-// candidate is the file that is to be adopted next.
+// candidate is the file to adopt next.
 type candidate struct {
-	pair Pair
-	// fromTable says that the table has named the pair.
+	ref FileRef
+	// fromTable is whether the table reported it.
 	fromTable bool
-	// disputed says that two digests were heard for the version; only the table
-	// can settle which is the file.
+	// disputed is whether peers reported two digests for the version; only the
+	// table can resolve that.
 	disputed bool
-	// claimed lists the peers that said they have it, tried those that failed.
-	claimed []string
+	// holders lists the peers that reported it, tried the sources that failed.
+	holders []string
 	tried   map[string]bool
 }
 
 // Adopter decides which fleet file is in force on one node, without I/O.
-// Invariants: the version in force never falls; a file is put in force only
+// Invariants: the version in force never decreases; a file is put in force only
 // after its body has matched its digest and passed its checks; at an equal
-// version the table's word alone replaces the digest. It is used by one
-// goroutine.
+// version only the table replaces the digest. Only one goroutine may use it.
 type Adopter struct {
-	around   Surroundings
+	topology Topology
 	jitter   func() float64
-	current  Pair
+	current  FileRef
 	target   candidate
 	counters AdopterCounters
 
@@ -110,180 +109,179 @@
 	startUntil time.Time
 	polling    bool
 	nextPoll   time.Time
-	// pollWanted asks for a read before nextPoll, but never before pollNotBefore,
-	// which paces this node, nor before retryNotBefore, which the table set.
-	pollWanted     bool
+	// pollRequested advances the next read to pollNotBefore, which limits this
+	// node's rate, or to retryNotBefore, set by the table, if that is later.
+	pollRequested  bool
 	pollNotBefore  time.Time
 	retryNotBefore time.Time
 	asked          map[string]bool
 	nextAsk        time.Time
 	fetching       bool
 	fetchSource    string
-	fetchPair      Pair
+	fetchRef       FileRef
 	fetchRounds    int
 	nextFetch      time.Time
-	// dropped is a pair that only peers named and nobody could show. It is not
-	// taken up again before droppedUntil.
-	dropped      Pair
+	// dropped is a file that only peers reported and that no source could deliver.
+	// It is ignored until droppedUntil.
+	dropped      FileRef
 	droppedUntil time.Time
 }
 
-// NewAdopter returns the machine of a node that has no file yet. jitter returns
-// numbers from [0,1) and spreads the reads of many nodes.
+// NewAdopter returns the Adopter of a node without a file. jitter returns numbers
+// in [0,1), to spread the reads of many nodes.
 func NewAdopter(now time.Time, jitter func() float64) *Adopter {
 	return &Adopter{
-		jitter: jitter, starting: true, startUntil: now.Add(startAnswerLimit),
+		jitter: jitter, starting: true, startUntil: now.Add(startTableTimeout),
 		nextPoll: now, nextAsk: now, nextFetch: now, asked: map[string]bool{},
 	}
 }
 
-// Current returns the file in force; its version is zero when there is none.
-func (a *Adopter) Current() Pair { return a.current }
+// Current returns the file in force, with version zero when there is none.
+func (a *Adopter) Current() FileRef { return a.current }
 
-// Counters returns the counters.
+// Counters returns the counts since the start.
 func (a *Adopter) Counters() AdopterCounters { return a.counters }
 
-// SetSurroundings replaces what is known of the other routers.
-func (a *Adopter) SetSurroundings(now time.Time, around Surroundings) {
-	if around.Poller && !a.around.Poller {
-		soon := now.Add(a.scaled(oftenInterval))
-		a.nextPoll, a.pollNotBefore = earlier(a.nextPoll, soon), earlier(a.pollNotBefore, soon)
+// SetTopology replaces the topology; a node that becomes a poller polls soon.
+func (a *Adopter) SetTopology(now time.Time, next Topology) {
+	if next.Poller && !a.topology.Poller {
+		pollerDue := now.Add(a.jittered(pollerInterval))
+		a.nextPoll, a.pollNotBefore = earlier(a.nextPoll, pollerDue), earlier(a.pollNotBefore, pollerDue)
 	}
-	a.around = around
+	a.topology = next
 }
 
-// Heard takes in a pair that a peer says it has in force.
-func (a *Adopter) Heard(now time.Time, pair Pair, address string) {
-	if pair.Version == 0 || (pair == a.dropped && now.Before(a.droppedUntil)) {
+// ObserveHead records the file that a peer reports in force.
+func (a *Adopter) ObserveHead(now time.Time, ref FileRef, address string) {
+	if ref.Version == 0 || (ref == a.dropped && now.Before(a.droppedUntil)) {
 		return
 	}
-	a.offer(pair, address, false)
+	a.evaluate(ref, address, false)
 }
 
-// PeerAnswered takes in a peer's answer to ActionAskPeer.
-func (a *Adopter) PeerAnswered(now time.Time, address string, pair Pair) {
+// PeerAnswered applies a peer's answer to ActionAskPeer.
+func (a *Adopter) PeerAnswered(now time.Time, address string, ref FileRef) {
 	delete(a.asked, address)
-	a.Heard(now, pair, address)
+	a.ObserveHead(now, ref, address)
 }
 
-// PeerFailed says that a peer did not answer ActionAskPeer.
+// PeerFailed records that a peer did not answer ActionAskPeer.
 func (a *Adopter) PeerFailed(address string) { delete(a.asked, address) }
 
-// HeadPolled takes in a read of the head row.
-func (a *Adopter) HeadPolled(now time.Time, pair Pair, found bool) {
-	a.pollEnded(now)
+// HeadPolled applies a read of the head row.
+func (a *Adopter) HeadPolled(now time.Time, ref FileRef, found bool) {
+	a.schedulePoll(now)
 	if found {
-		a.offer(pair, "", true)
+		a.evaluate(ref, "", true)
 	}
 }
 
-// PollFailed says that the table did not answer.
+// PollFailed records that the table did not answer; it is not read for retryAfter.
 func (a *Adopter) PollFailed(now time.Time, retryAfter time.Duration) {
-	a.pollEnded(now)
+	a.schedulePoll(now)
 	a.retryNotBefore = now.Add(retryAfter)
 }
 
-// pollEnded plans the next read. Pollers read often. All others together read
-// at a rate that does not grow with their number, even while they have no file
-// or a dispute to settle: then they hear of the table through the pollers.
-func (a *Adopter) pollEnded(now time.Time) {
+// schedulePoll plans the next read. Pollers read often. The others together read at
+// a rate that does not grow with their number, even without a file or with a
+// disputed one: they receive the table's head through the pollers.
+func (a *Adopter) schedulePoll(now time.Time) {
 	a.polling, a.starting = false, false
-	soonest, usual := oftenInterval, oftenInterval
-	if !a.around.Poller {
-		soonest = max(oftenInterval, time.Duration(a.around.Members)*rareIntervalPerMember)
-		usual = max(rareInterval, soonest)
+	minInterval, interval := pollerInterval, pollerInterval
+	if !a.topology.Poller {
+		minInterval = max(pollerInterval, time.Duration(a.topology.Members)*nonPollerIntervalPerMember)
+		interval = max(nonPollerInterval, minInterval)
 	}
 	if a.current.Version == 0 {
-		usual = soonest
+		interval = minInterval
 	}
-	a.pollNotBefore = now.Add(a.scaled(soonest))
-	a.nextPoll = later(a.pollNotBefore, now.Add(a.scaled(usual)))
+	a.pollNotBefore = now.Add(a.jittered(minInterval))
+	a.nextPoll = later(a.pollNotBefore, now.Add(a.jittered(interval)))
 }
 
-// pollDue returns when the head is to be read next.
+// pollDue returns when to read the head next.
 func (a *Adopter) pollDue() time.Time {
 	due := later(a.pollNotBefore, a.retryNotBefore)
-	if a.pollWanted {
+	if a.pollRequested {
 		return due
 	}
 	return later(a.nextPoll, due)
 }
 
-// scaled returns the interval with up to a fifth more or less.
-func (a *Adopter) scaled(interval time.Duration) time.Duration {
+// jittered returns the interval, changed by up to a fifth.
+func (a *Adopter) jittered(interval time.Duration) time.Duration {
 	const spread = 0.4
 	return time.Duration(float64(interval) * (1 + spread*(a.jitter()-0.5)))
 }
 
-// offer weighs a pair against the version in force and the current candidate.
-func (a *Adopter) offer(pair Pair, address string, fromTable bool) {
+// evaluate compares a file with the one in force and the candidate.
+func (a *Adopter) evaluate(ref FileRef, address string, fromTable bool) {
 	switch {
-	case pair.Version < a.current.Version:
+	case ref.Version < a.current.Version:
 		if fromTable {
 			a.counters.TableBehind++
 		}
-	case pair == a.current:
-	case pair.Version == a.current.Version && !fromTable:
+	case ref == a.current:
+	case ref.Version == a.current.Version && !fromTable:
 		a.counters.Disputed++
-		a.pollWanted = true
-	case pair.Version == a.target.pair.Version:
-		a.offerSameVersion(pair, address, fromTable)
-	case pair.Version > a.target.pair.Version, fromTable && a.target.disputed:
-		a.setTarget(pair, address, fromTable)
+		a.pollRequested = true
+	case ref.Version == a.target.ref.Version:
+		a.evaluateSameVersion(ref, address, fromTable)
+	case ref.Version > a.target.ref.Version, fromTable && a.target.disputed:
+		a.setTarget(ref, address, fromTable)
 	}
 }
 
-// offerSameVersion weighs a pair against a candidate of the same version.
-func (a *Adopter) offerSameVersion(pair Pair, address string, fromTable bool) {
+// evaluateSameVersion compares a file with a candidate of the same version.
+func (a *Adopter) evaluateSameVersion(ref FileRef, address string, fromTable bool) {
 	switch {
-	case fromTable && pair.Digest != a.target.pair.Digest:
+	case fromTable && ref.Digest != a.target.ref.Digest:
 		a.counters.Disputed++
-		a.setTarget(pair, "", true)
+		a.setTarget(ref, "", true)
 	case fromTable:
 		a.target.fromTable, a.target.disputed = true, false
-	case pair.Digest == a.target.pair.Digest:
-		if !slices.Contains(a.target.claimed, address) && len(a.target.claimed) < maxStartPeers {
-			a.target.claimed = append(a.target.claimed, address)
+	case ref.Digest == a.target.ref.Digest:
+		if !slices.Contains(a.target.holders, address) && len(a.target.holders) < maxStartPeers {
+			a.target.holders = append(a.target.holders, address)
 		}
 	case !a.target.fromTable:
 		a.counters.Disputed++
-		a.target.disputed, a.pollWanted = true, true
+		a.target.disputed, a.pollRequested = true, true
 	default:
 		a.counters.Disputed++
 	}
 }
 
-func (a *Adopter) setTarget(pair Pair, address string, fromTable bool) {
-	a.target = candidate{pair: pair, fromTable: fromTable, tried: map[string]bool{}}
+func (a *Adopter) setTarget(ref FileRef, address string, fromTable bool) {
+	a.target = candidate{ref: ref, fromTable: fromTable, tried: map[string]bool{}}
 	if address != "" {
-		a.target.claimed = []string{address}
+		a.target.holders = []string{address}
 	}
-	if pair != a.dropped {
+	if ref != a.dropped {
 		a.fetchRounds, a.nextFetch = 0, time.Time{}
 	}
 }
 
-// Tick returns what is to be done now. Call it after every event and when
-// NextTick has come.
+// Tick returns what to do now. Call it after every event and at NextTick.
 func (a *Adopter) Tick(now time.Time) []AdoptAction {
 	var actions []AdoptAction
 	if !a.polling && !now.Before(a.pollDue()) {
-		a.polling, a.pollWanted = true, false
+		a.polling, a.pollRequested = true, false
 		actions = append(actions, AdoptAction{Kind: ActionPollTable})
 	}
 	if a.current.Version == 0 && !now.Before(a.nextAsk) {
 		actions = append(actions, a.askPeers(now)...)
 	}
-	if fetch, wanted := a.planFetch(now); wanted {
+	if fetch, due := a.planFetch(now); due {
 		actions = append(actions, fetch)
 	}
 	return actions
 }
 
-// askPeers asks some peers for their heads, because this node has no file.
+// askPeers asks some peers for their heads while this node has no file.
 func (a *Adopter) askPeers(now time.Time) []AdoptAction {
 	var actions []AdoptAction
-	for _, peer := range a.peersBestFirst() {
+	for _, peer := range a.rankedPeers() {
 		if len(actions) == maxStartPeers {
 			break
 		}
@@ -293,14 +291,14 @@
 		}
 	}
 	if len(actions) > 0 {
-		a.nextAsk = now.Add(a.scaled(askAgainInterval))
+		a.nextAsk = now.Add(a.jittered(askInterval))
 	}
 	return actions
 }
 
-// peersBestFirst returns the peers of this zone, pollers first, then the rest.
-func (a *Adopter) peersBestFirst() []Peer {
-	peers := slices.Clone(a.around.Peers)
+// rankedPeers returns this zone's peers, pollers first, then the others likewise.
+func (a *Adopter) rankedPeers() []Peer {
+	peers := slices.Clone(a.topology.Peers)
 	rank := func(peer Peer) int {
 		switch {
 		case peer.SameZone && peer.Poller:
@@ -316,21 +314,21 @@
 	return peers
 }
 
-// NextTick returns when Tick must be called at the latest.
+// NextTick returns the latest time at which to call Tick.
 func (a *Adopter) NextTick(now time.Time) time.Time {
-	next := now.Add(rareInterval)
+	next := now.Add(nonPollerInterval)
 	if !a.polling {
 		next = earlier(next, a.pollDue())
 	}
 	if a.current.Version == 0 {
 		next = earlier(next, later(a.nextAsk, now.Add(fetchRetryDelay)))
 	}
-	if !a.fetching && a.target.pair.Version > 0 && !a.target.disputed {
-		wait := a.nextFetch
+	if !a.fetching && a.target.ref.Version > 0 && !a.target.disputed {
+		fetchDue := a.nextFetch
 		if a.starting && !a.target.fromTable {
-			wait = later(wait, a.startUntil)
+			fetchDue = later(fetchDue, a.startUntil)
 		}
-		next = earlier(next, wait)
+		next = earlier(next, fetchDue)
 	}
 	return next
 }
--- a/internal/fleet/apply_test.go
+++ b/internal/fleet/apply_test.go
@@ -15,7 +15,7 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// smallFile returns a sound fleet file that differs by name.
+// smallFile returns a valid fleet file with the given name.
 func smallFile(name string) []byte {
 	return []byte("schema: fieldpond/v1\nname: " + name + "\nregions: [{name: r, zones: [z]}]\nclasses: [{name: c}]\n" +
 		"models: [{name: m, version: v1}]\nservices: [{name: s, kind: model, model: m, classes: [c]}]\n" +
@@ -23,11 +23,11 @@
 		"tenants: [{name: t, keyHashes: [" + keyHash("t") + "], places: [r], services: [s]}]\n")
 }
 
-// operator runs applies one after the other against the model.
+// operator runs applies one after the other.
 type operator struct {
 	name     string
 	applies  int
-	machine  *Applier
+	applier  *Applier
 	applyID  string
 	outcomes []outcome
 }
@@ -38,10 +38,9 @@
 	err     error
 }
 
-// TestTwoOperatorsInterleave lets two operators race over a table that loses
-// requests and answers and commits some writes only later, and judges the
-// table's own log.
-func TestTwoOperatorsInterleave(t *testing.T) {
+// TestConcurrentAppliers checks concurrent applies on a table that loses requests
+// and answers and delays commits, by the table's own log.
+func TestConcurrentAppliers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTableModel()
 		var late []protocol.Transaction
@@ -49,80 +48,80 @@
 		deliver := func() {
 			table.commit(late[0])
 			late = late[1:]
-			judgeBodies(t, table)
+			checkHeadsAndBodies(t, table)
 		}
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
 			if len(late) > 0 && rapid.IntRange(0, 3).Draw(t, "late") == 0 {
 				deliver()
 			}
 			operator := rapid.SampledFrom(operators).Draw(t, "operator")
-			if operator.machine == nil {
+			if operator.applier == nil {
 				operator.applies++
 				operator.applyID = fmt.Sprintf("%s-%d", operator.name, operator.applies)
 				body := []byte(rapid.SampledFrom([]string{"A", "B", "C"}).Draw(t, "body"))
-				operator.machine = NewApplier(body, ApplyOptions{ApplyID: operator.applyID})
+				operator.applier = NewApplier(body, ApplyOptions{ApplyID: operator.applyID})
 			}
-			step := operator.machine.Step()
+			step := operator.applier.Step()
 			if step.Kind == StepDone {
-				applied, err := operator.machine.Result()
+				applied, err := operator.applier.Result()
 				operator.outcomes = append(operator.outcomes, outcome{operator.applyID, applied, err})
-				operator.machine = nil
+				operator.applier = nil
 				continue
 			}
 			mode := rapid.SampledFrom([]faultMode{works, works, works, lostAfter, lostBefore, down, limited, hangs}).Draw(t, "mode")
 			if mode == hangs && step.Kind != StepReadHead {
 				late = append(late, step.Transaction)
 			}
-			runModelStep(table, operator.machine, step, mode)
-			judgeBodies(t, table)
+			runModelStep(table, operator.applier, step, mode)
+			checkHeadsAndBodies(t, table)
 		}
 		for len(late) > 0 {
 			deliver()
 		}
 		for _, operator := range operators {
-			judgeOutcomes(t, table, operator.outcomes)
+			checkOutcomes(t, table, operator.outcomes)
 		}
 	})
 }
 
-func runModelStep(table *tableModel, machine *Applier, step ApplyStep, mode faultMode) {
+func runModelStep(table *tableModel, applier *Applier, step ApplyStep, mode faultMode) {
 	var result protocol.TransactionResult
 	if step.Kind != StepReadHead && (mode == works || mode == lostAfter) {
 		result = table.commit(step.Transaction)
 	}
 	if err := faultOf(mode); err != nil {
-		machine.Failed(fault.From(err))
+		applier.Failed(fault.From(err))
 		return
 	}
 	switch step.Kind {
 	case StepReadHead:
 		row, found := table.Current[HeadKey]
-		machine.HeadRead(row, found)
+		applier.HeadRead(row, found)
 	case StepCommitChunk:
-		machine.ChunkCommitted()
+		applier.ChunkCommitted()
 	case StepCommitHead:
-		machine.HeadCommitted(result)
+		applier.HeadCommitted(result)
 	}
 }
 
-// judgeBodies checks that versions count up by one, each with one file, and
-// that the file in force always has its body.
-func judgeBodies(t *rapid.T, table *tableModel) {
+// checkHeadsAndBodies checks that versions increase by one and that the file in force
+// has its body.
+func checkHeadsAndBodies(t *rapid.T, table *tableModel) {
 	for index, entry := range table.heads {
-		if entry.Pair.Version != Version(index+1) {
-			t.Fatalf("accepted head %d has version %d", index+1, entry.Pair.Version)
+		if entry.Ref.Version != Version(index+1) {
+			t.Fatalf("accepted head %d has version %d", index+1, entry.Ref.Version)
 		}
 	}
 	if len(table.heads) > 0 {
 		last := table.heads[len(table.heads)-1]
-		if _, found := table.Current[chunkKey(last.Pair.Digest, 0)]; !found {
-			t.Fatalf("version %d has no body", last.Pair.Version)
+		if _, found := table.Current[chunkKey(last.Ref.Digest, 0)]; !found {
+			t.Fatalf("version %d has no body", last.Ref.Version)
 		}
 	}
 }
 
-// judgeOutcomes compares what operators were told with what was accepted.
-func judgeOutcomes(t *rapid.T, table *tableModel, outcomes []outcome) {
+// checkOutcomes compares the reported outcomes with the accepted applies.
+func checkOutcomes(t *rapid.T, table *tableModel, outcomes []outcome) {
 	accepted := map[string][]HistoryEntry{}
 	for _, entry := range table.heads {
 		accepted[entry.ApplyID] = append(accepted[entry.ApplyID], entry)
@@ -134,15 +133,15 @@
 		case len(entries) > 1:
 			t.Fatalf("apply %s was accepted %d times", outcome.applyID, len(entries))
 		case failure == nil && outcome.applied.Unchanged:
-			if named := table.heads[outcome.applied.Version-1]; len(entries) != 0 || named.Pair.Digest != outcome.applied.Digest {
-				t.Fatalf("apply %s was told unchanged at %v", outcome.applyID, named)
+			if named := table.heads[outcome.applied.Version-1]; len(entries) != 0 || named.Ref.Digest != outcome.applied.Digest {
+				t.Fatalf("apply %s was reported as unchanged at %v", outcome.applyID, named)
 			}
 		case failure == nil:
-			if len(entries) != 1 || entries[0].Pair != (Pair{outcome.applied.Version, outcome.applied.Digest}) {
-				t.Fatalf("apply %s was told %v but the log has %v", outcome.applyID, outcome.applied, entries)
+			if len(entries) != 1 || entries[0].Ref != (FileRef{outcome.applied.Version, outcome.applied.Digest}) {
+				t.Fatalf("apply %s was reported as %v but the log has %v", outcome.applyID, outcome.applied, entries)
 			}
 		case failure.Ran == fault.RanNo && len(entries) != 0:
-			t.Fatalf("apply %s was told that it did not run (%v) but it was accepted", outcome.applyID, failure)
+			t.Fatalf("apply %s was reported as not run (%v) but was accepted", outcome.applyID, failure)
 		}
 	}
 }
@@ -150,17 +149,17 @@
 func TestApplyFaults(t *testing.T) {
 	cases := []struct {
 		name string
-		// commits gives the fault of each commit of the head, the last for all
-		// later ones; reads likewise for reads of the head.
+		// commits are the faults of the head's commits, the last for all later
+		// ones; reads those of its reads.
 		commits, reads []faultMode
 		kind           fault.Kind
 		ran            fault.Ran
 	}{
-		{name: "all well"},
+		{name: "no fault"},
 		{name: "lost answer", commits: []faultMode{lostAfter, works}},
 		{name: "lost request", commits: []faultMode{lostBefore, works}},
 		{name: "rate limit", commits: []faultMode{limited, limited, works}, reads: []faultMode{limited, works}},
-		{name: "hanging commit", commits: []faultMode{hangs, works}},
+		{name: "commit hangs", commits: []faultMode{hangs, works}},
 		{name: "table down", reads: []faultMode{down}, kind: fault.StoreUnavailable, ran: fault.RanNo},
 		{name: "down after a lost answer", commits: []faultMode{lostAfter}, reads: []faultMode{works, down}, kind: fault.StoreUnavailable, ran: fault.RanUnknown},
 		{name: "commits always lost", commits: []faultMode{lostBefore}, kind: fault.StoreUnavailable, ran: fault.RanUnknown},
@@ -201,7 +200,7 @@
 	}
 }
 
-func TestApplyConflictsAndRepeats(t *testing.T) {
+func TestApplyConflictsAndReapply(t *testing.T) {
 	check := is.New(t)
 	ctx, table := context.Background(), newFakeTable()
 	apply := func(name string, base *Version) (Applied, error) {
@@ -217,8 +216,8 @@
 	check.Equal(second.Version, Version(2))
 	_, err = apply("three", &first.Version)
 	check.True(fault.Is(err, fault.Conflict))
-	check.True(strings.Contains(err.Error(), "version 2"))        // the winner is named
-	check.True(strings.Contains(err.Error(), "fieldpond diff"))   // and the remedy
+	check.True(strings.Contains(err.Error(), "version 2"))        // the winner
+	check.True(strings.Contains(err.Error(), "fieldpond diff"))   // the remedy
 	_, err = Apply(ctx, table, []byte("name: x"), ApplyOptions{}) // never reaches the table
 	check.True(fault.Is(err, fault.InvalidFleet))
 	stored, found, err := ReadStored(ctx, table)
@@ -243,7 +242,7 @@
 	check.Equal(stored.Document.Name, fmt.Sprint("n", applies-1))
 }
 
-func TestCompareNamesWhatChanges(t *testing.T) {
+func TestCompareReportsChanges(t *testing.T) {
 	check := is.New(t)
 	before := string(exampleFile(t, "muldenring"))
 	after := strings.NewReplacer(
--- a/internal/fleet/syncer.go
+++ b/internal/fleet/syncer.go
@@ -18,54 +18,54 @@
 )
 
 const (
-	// pollersPerZone is how many routers of a zone read the table often: one,
-	// and one more for the time in which the first one's death is not known.
+	// pollersPerZone is how many routers of a zone read the table often; the second
+	// covers the time until a crash of the first is detected.
 	pollersPerZone = 2
-	// heardCapacity and resultCapacity bound the Syncer's rings. Heard pairs
-	// are replaced by later ones. Results are bounded by the requests that are
-	// open at once: one poll, one fetch and a few questions to peers.
-	heardCapacity  = 256
-	resultCapacity = 256
+	// observedCapacity and resultCapacity bound the Syncer's rings. Observed heads
+	// may be dropped, since later ones supersede them; results may not, and are
+	// bounded by the open requests: one poll, one fetch and a few to peers.
+	observedCapacity = 256
+	resultCapacity   = 256
 	// headTimeout and bodyTimeout bound one exchange with a peer or the table.
 	headTimeout = 2 * time.Second
 	bodyTimeout = 15 * time.Second
-	// minWait is the shortest wait between two looks of the Syncer. Above zero it
-	// keeps a machine that is due from spinning, and timers from having run out
-	// before anybody waits for them: under the race detector, Go 1.26 crashes when
-	// several goroutines of one synctest bubble meet such timers at one time.
+	// minWait is the shortest time between two iterations of Run. It prevents a busy
+	// loop, and timers that have expired before anybody waits for them: with the
+	// race detector, Go 1.26 crashes when several goroutines of one synctest bubble
+	// wait for such timers at the same time.
 	minWait = time.Millisecond
 )
 
-// PeerFetcher asks other routers for what they have in force.
+// PeerFetcher fetches the files in force on other routers.
 type PeerFetcher interface {
-	// FetchHead returns the pair that the router at address has in force; a
-	// zero version when it has none.
-	FetchHead(ctx context.Context, address string) (Pair, error)
-	// FetchBody returns the body with the given digest. It need not verify it.
+	// FetchHead returns the file in force on the router at address, with version
+	// zero when it has none.
+	FetchHead(ctx context.Context, address string) (FileRef, error)
+	// FetchBody returns the body with the given digest, which it need not verify.
 	FetchBody(ctx context.Context, address string, digest Digest) ([]byte, error)
 }
 
-// SyncerOptions is what a Syncer works with. All fields are required.
+// SyncerOptions configures a Syncer. All fields are required.
 type SyncerOptions struct {
 	// Self and Zone are this router's.
 	Self ident.Node
 	Zone ident.Zone
 	// Table is the platform's table service.
 	Table store.Table
-	// Peers asks other routers.
+	// Peers fetches from other routers.
 	Peers PeerFetcher
 	// View returns the current membership.
 	View func() membership.View
 }
 
-// Syncer is the duty that keeps the newest accepted fleet file in force on
-// this router. It is the shell of an Adopter.
+// Syncer keeps the newest accepted fleet file in force on this router. It does the
+// I/O of an Adopter.
 type Syncer struct {
 	options  SyncerOptions
 	inForce  atomic.Pointer[inForce]
 	counters atomic.Pointer[AdopterCounters]
-	heard    *ring.Ring[heardPair]
-	results  *ring.Ring[keeperResult]
+	observed *ring.Ring[observedHead]
+	results  *ring.Ring[requestResult]
 	requests sync.WaitGroup
 
 	mutex     sync.Mutex
@@ -73,111 +73,110 @@
 	listeners []func(*Compiled)
 }
 
-// inForce is a compiled file with its bytes, which peers may ask for.
+// inForce is a compiled file with its bytes, which peers may fetch.
 type inForce struct {
 	compiled *Compiled
 	body     []byte
 }
 
-type heardPair struct {
-	pair    Pair
+type observedHead struct {
+	ref     FileRef
 	address string
 }
 
-// keeperResult is the outcome of one request.
-type keeperResult struct {
+type requestResult struct {
 	action AdoptAction
-	pair   Pair
+	ref    FileRef
 	found  bool
 	body   []byte
 	err    error
 }
 
-// NewSyncer returns a Syncer that has no file yet. Run starts it.
+// NewSyncer returns a Syncer without a file; Run starts it.
 func NewSyncer(options SyncerOptions) *Syncer {
 	syncer := &Syncer{
-		options: options,
-		heard:   ring.New[heardPair]("fleet-heard", heardCapacity, ring.DropOldest),
-		results: ring.New[keeperResult]("fleet-results", resultCapacity, ring.RefuseNew),
+		options:  options,
+		observed: ring.New[observedHead]("fleet-heard", observedCapacity, ring.DropOldest),
+		results:  ring.New[requestResult]("fleet-results", resultCapacity, ring.RefuseNew),
 	}
 	syncer.counters.Store(&AdopterCounters{})
 	return syncer
 }
 
-// Current returns the file in force, or nil when there is none yet.
-func (k *Syncer) Current() *Compiled {
-	if file := k.inForce.Load(); file != nil {
+// Current returns the file in force, nil when there is none yet.
+func (s *Syncer) Current() *Compiled {
+	if file := s.inForce.Load(); file != nil {
 		return file.compiled
 	}
 	return nil
 }
 
 // Ready returns the file in force, or a NotReady fault.
-func (k *Syncer) Ready() (*Compiled, error) {
-	if compiled := k.Current(); compiled != nil {
+func (s *Syncer) Ready() (*Compiled, error) {
+	if compiled := s.Current(); compiled != nil {
 		return compiled, nil
 	}
 	return nil, fault.New(fault.NotReady, "this router has no fleet file yet").WithRetryAfter(time.Second)
 }
 
-// Pair returns the pair in force, for gossip and for peers that ask.
-func (k *Syncer) Pair() Pair {
-	if compiled := k.Current(); compiled != nil {
-		return Pair{Version: compiled.Version, Digest: compiled.Digest}
+// CurrentRef returns the version and digest in force, for gossip and peers.
+func (s *Syncer) CurrentRef() FileRef {
+	if compiled := s.Current(); compiled != nil {
+		return FileRef{Version: compiled.Version, Digest: compiled.Digest}
 	}
-	return Pair{}
+	return FileRef{}
 }
 
-// Body returns the bytes of the file in force if it has this digest, for peers
-// that ask. They must not be changed.
-func (k *Syncer) Body(digest Digest) ([]byte, bool) {
-	file := k.inForce.Load()
+// Body returns the bytes of the file in force if it has this digest. They must
+// not be changed.
+func (s *Syncer) Body(digest Digest) ([]byte, bool) {
+	file := s.inForce.Load()
 	if file == nil || file.compiled.Digest != digest {
 		return nil, false
 	}
 	return file.body, true
 }
 
-// Counters returns what the Syncer has met so far.
-func (k *Syncer) Counters() AdopterCounters { return *k.counters.Load() }
+// Counters returns the Adopter's counters.
+func (s *Syncer) Counters() AdopterCounters { return *s.counters.Load() }
 
 // Rings returns the counters of the Syncer's rings.
-func (k *Syncer) Rings() []ring.Counters {
-	return []ring.Counters{k.heard.Counters(), k.results.Counters()}
+func (s *Syncer) Rings() []ring.Counters {
+	return []ring.Counters{s.observed.Counters(), s.results.Counters()}
 }
 
 // OnPrepare adds a function that is called, on the Syncer's goroutine, with each
-// file just before Current changes to it: whoever reads Current then finds the
-// file's back ends known. It must not block.
-func (k *Syncer) OnPrepare(preparer func(*Compiled)) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.preparers = append(k.preparers, preparer)
+// file just before Current returns it, so that the file's back ends are registered
+// first. It must not block.
+func (s *Syncer) OnPrepare(preparer func(*Compiled)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.preparers = append(s.preparers, preparer)
 }
 
 // OnAdopt adds a function that is called, on the Syncer's goroutine and after
 // Current has changed, with each file put in force. It must not block.
-func (k *Syncer) OnAdopt(listener func(*Compiled)) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.listeners = append(k.listeners, listener)
+func (s *Syncer) OnAdopt(listener func(*Compiled)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.listeners = append(s.listeners, listener)
 }
 
-// HeadHeard takes in a pair that the router at address has in force. It never
-// blocks and may be called by any goroutine, for every gossip message.
-func (k *Syncer) HeadHeard(version Version, digest Digest, address string) {
-	pair := Pair{Version: version, Digest: digest}
-	current := k.Pair()
-	if version >= current.Version && pair != current {
-		k.heard.Push(heardPair{pair: pair, address: address})
+// ObserveHead records the file in force on the router at address. It never blocks
+// and may be called by any goroutine, for every gossip message.
+func (s *Syncer) ObserveHead(version Version, digest Digest, address string) {
+	ref := FileRef{Version: version, Digest: digest}
+	current := s.CurrentRef()
+	if version >= current.Version && ref != current {
+		s.observed.Push(observedHead{ref: ref, address: address})
 	}
 }
 
-// Run keeps the file until ctx ends, and returns after every request it made
-// has ended.
-func (k *Syncer) Run(ctx context.Context) {
-	defer k.requests.Wait()
-	random := rand.New(rand.NewPCG(xxhash.Sum64String(string(k.options.Self)), 0))
+// Run updates the file until ctx ends, and returns once all its requests have
+// ended.
+func (s *Syncer) Run(ctx context.Context) {
+	defer s.requests.Wait()
+	random := rand.New(rand.NewPCG(xxhash.Sum64String(string(s.options.Self)), 0))
 	adopter := NewAdopter(time.Now(), random.Float64)
 	timer := time.NewTimer(minWait)
 	defer timer.Stop()
@@ -186,121 +185,120 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-k.heard.Ready():
-		case <-k.results.Ready():
+		case <-s.observed.Ready():
+		case <-s.results.Ready():
 		}
 		now := time.Now()
-		adopter.SetSurroundings(now, k.surroundings())
-		k.takeIn(adopter, now)
+		adopter.SetTopology(now, s.topology())
+		s.applyEvents(adopter, now)
 		for _, action := range adopter.Tick(now) {
-			k.start(ctx, action)
+			s.start(ctx, action)
 		}
 		counters := adopter.Counters()
-		k.counters.Store(&counters)
+		s.counters.Store(&counters)
 		timer.Reset(max(minWait, min(time.Until(adopter.NextTick(now)), time.Second)))
 	}
 }
 
-// takeIn gives every waiting event to the machine.
-func (k *Syncer) takeIn(adopter *Adopter, now time.Time) {
-	for heard, ok := k.heard.Pop(); ok; heard, ok = k.heard.Pop() {
-		adopter.Heard(now, heard.pair, heard.address)
+// applyEvents passes all queued events to the adopter.
+func (s *Syncer) applyEvents(adopter *Adopter, now time.Time) {
+	for head, ok := s.observed.Pop(); ok; head, ok = s.observed.Pop() {
+		adopter.ObserveHead(now, head.ref, head.address)
 	}
-	for result, ok := k.results.Pop(); ok; result, ok = k.results.Pop() {
-		k.takeInResult(adopter, now, result)
+	for result, ok := s.results.Pop(); ok; result, ok = s.results.Pop() {
+		s.applyResult(adopter, now, result)
 	}
 }
 
-func (k *Syncer) takeInResult(adopter *Adopter, now time.Time, result keeperResult) {
+func (s *Syncer) applyResult(adopter *Adopter, now time.Time, result requestResult) {
 	switch result.action.Kind {
 	case ActionPollTable:
 		if result.err != nil {
 			adopter.PollFailed(now, fault.From(result.err).RetryAfter)
 			return
 		}
-		adopter.HeadPolled(now, result.pair, result.found)
+		adopter.HeadPolled(now, result.ref, result.found)
 	case ActionAskPeer:
 		if result.err != nil {
 			adopter.PeerFailed(result.action.Address)
 			return
 		}
-		adopter.PeerAnswered(now, result.action.Address, result.pair)
+		adopter.PeerAnswered(now, result.action.Address, result.ref)
 	case ActionFetchBody:
 		if result.err != nil {
 			adopter.FetchFailed(now)
 			return
 		}
 		for _, action := range adopter.BodyReceived(now, result.body) {
-			k.adopt(action)
+			s.adopt(action)
 		}
 	}
 }
 
-// adopt puts a file in force and tells the listeners.
-func (k *Syncer) adopt(action AdoptAction) {
-	compiled := Compile(action.Document, action.Pair.Version, action.Pair.Digest)
-	k.mutex.Lock()
-	preparers, listeners := k.preparers, k.listeners
-	k.mutex.Unlock()
+// adopt puts a file in force and calls the preparers and listeners.
+func (s *Syncer) adopt(action AdoptAction) {
+	compiled := Compile(action.Document, action.Ref.Version, action.Ref.Digest)
+	s.mutex.Lock()
+	preparers, listeners := s.preparers, s.listeners
+	s.mutex.Unlock()
 	for _, preparer := range preparers {
 		preparer(compiled)
 	}
-	k.inForce.Store(&inForce{compiled: compiled, body: action.Body})
+	s.inForce.Store(&inForce{compiled: compiled, body: action.Body})
 	log.WithFields(log.Fields{"version": compiled.Version, "digest": compiled.Digest}).Info("fleet file in force")
 	for _, listener := range listeners {
 		listener(compiled)
 	}
 }
 
-// start makes one request in a goroutine of its own; its outcome comes back
-// through the ring.
-func (k *Syncer) start(ctx context.Context, action AdoptAction) {
-	k.requests.Add(1)
+// start makes one request in a goroutine of its own, which pushes the result to
+// the ring.
+func (s *Syncer) start(ctx context.Context, action AdoptAction) {
+	s.requests.Add(1)
 	go func() {
-		defer k.requests.Done()
-		k.results.Push(k.request(ctx, action))
+		defer s.requests.Done()
+		s.results.Push(s.request(ctx, action))
 	}()
 }
 
-func (k *Syncer) request(ctx context.Context, action AdoptAction) keeperResult {
+func (s *Syncer) request(ctx context.Context, action AdoptAction) requestResult {
 	timeout := headTimeout
 	if action.Kind == ActionFetchBody {
 		timeout = bodyTimeout
 	}
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	requestCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	result := keeperResult{action: action}
+	result := requestResult{action: action}
 	switch {
 	case action.Kind == ActionPollTable:
 		var head Head
-		head, result.found, result.err = ReadHead(bounded, k.options.Table)
+		head, result.found, result.err = ReadHead(requestCtx, s.options.Table)
 		if result.found {
-			result.pair = head.Pair()
+			result.ref = head.CurrentRef()
 		}
 	case action.Kind == ActionAskPeer:
-		result.pair, result.err = k.options.Peers.FetchHead(bounded, action.Address)
+		result.ref, result.err = s.options.Peers.FetchHead(requestCtx, action.Address)
 	case action.Address == "":
-		result.body, result.err = ReadBody(bounded, k.options.Table, action.Pair.Digest)
+		result.body, result.err = ReadBody(requestCtx, s.options.Table, action.Ref.Digest)
 	default:
-		result.body, result.err = k.options.Peers.FetchBody(bounded, action.Address, action.Pair.Digest)
+		result.body, result.err = s.options.Peers.FetchBody(requestCtx, action.Address, action.Ref.Digest)
 	}
 	return result
 }
 
-// surroundings derives from the membership who polls and who can be asked.
-func (k *Syncer) surroundings() Surroundings {
-	return SurroundingsOf(k.options.View(), k.options.Self, k.options.Zone)
+func (s *Syncer) topology() Topology {
+	return TopologyOf(s.options.View(), s.options.Self, s.options.Zone)
 }
 
-// SurroundingsOf derives from a view of the membership who polls and whom the
-// router self in the given zone can ask.
-func SurroundingsOf(view membership.View, self ident.Node, zone ident.Zone) Surroundings {
+// TopologyOf derives the pollers, and the peers of router self in the given zone,
+// from a membership view.
+func TopologyOf(view membership.View, self ident.Node, zone ident.Zone) Topology {
 	zones := map[ident.Zone][]membership.Member{}
-	around := Surroundings{}
+	topology := Topology{}
 	for _, member := range view.Members {
 		if member.State == membership.Alive || member.State == membership.Suspect {
 			zones[member.Zone] = append(zones[member.Zone], member)
-			around.Members++
+			topology.Members++
 		}
 	}
 	pollers := map[ident.Node]bool{}
@@ -310,14 +308,14 @@
 		}
 	}
 	for _, member := range view.Members {
-		// A member may be heard of before its address is.
+		// A member may be listed before its address is known.
 		if member.State > membership.Leaving || member.Node == self || member.HTTPAddress == "" {
 			continue
 		}
-		around.Peers = append(around.Peers, Peer{
+		topology.Peers = append(topology.Peers, Peer{
 			Address: member.HTTPAddress, SameZone: member.Zone == zone, Poller: pollers[member.Node],
 		})
 	}
-	around.Poller = pollers[self] || len(zones) == 0
-	return around
+	topology.Poller = pollers[self] || len(zones) == 0
+	return topology
 }
--- a/internal/fleet/syncer_test.go
+++ b/internal/fleet/syncer_test.go
@@ -16,24 +16,24 @@
 	"github.com/fieldpond/fieldpond/internal/membership"
 )
 
-// cluster joins Syncers as the routers' peer protocol and gossip would.
+// cluster connects Syncers in place of the peer protocol and gossip.
 type cluster struct {
 	table   *fakeTable
 	members []membership.Member
 	mutex   sync.Mutex
-	keepers map[string]*Syncer
-	// stale is a router that offers an old file as the newest; empty for none.
+	syncers map[string]*Syncer
+	// stale is the address of a router that serves an old file as its newest, if any.
 	stale     string
 	staleBody []byte
-	// cutOff is a router that neither hears nor is heard; empty for none.
-	cutOff string
-	// adopted holds what each router put in force, by life and in order; the
+	// partitioned is the address of a router cut off from its peers, if any.
+	partitioned string
+	// adopted holds what each router put in force, by incarnation and in order; the
 	// digest is that of the body.
-	adopted map[string][][]Pair
+	adopted map[string][][]FileRef
 }
 
 func newCluster(nodes int) *cluster {
-	c := &cluster{table: newFakeTable(), keepers: map[string]*Syncer{}, adopted: map[string][][]Pair{}}
+	c := &cluster{table: newFakeTable(), syncers: map[string]*Syncer{}, adopted: map[string][][]FileRef{}}
 	for index := range nodes {
 		name := fmt.Sprint("node-", index)
 		c.members = append(c.members, membership.Member{Node: ident.Node(name), Zone: ident.Zone(fmt.Sprint("zone-", index%3)), HTTPAddress: name})
@@ -48,13 +48,13 @@
 		View: func() membership.View { return membership.View{Self: member.Node, Members: c.members} },
 	})
 	c.mutex.Lock()
-	address, life := member.HTTPAddress, len(c.adopted[member.HTTPAddress])
-	c.keepers[address] = syncer
+	address, incarnation := member.HTTPAddress, len(c.adopted[member.HTTPAddress])
+	c.syncers[address] = syncer
 	c.adopted[address] = append(c.adopted[address], nil)
 	c.mutex.Unlock()
 	prepared := Version(0)
 	syncer.OnPrepare(func(compiled *Compiled) {
-		if syncer.Pair().Version < compiled.Version {
+		if syncer.CurrentRef().Version < compiled.Version {
 			prepared = compiled.Version
 		}
 	})
@@ -65,10 +65,10 @@
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		body, _ := syncer.Body(compiled.Digest)
-		c.adopted[address][life] = append(c.adopted[address][life], Pair{compiled.Version, DigestOf(body)})
-		for heard, other := range c.keepers {
-			if c.cutOff == "" || (heard != c.cutOff && address != c.cutOff) {
-				other.HeadHeard(compiled.Version, compiled.Digest, member.HTTPAddress)
+		c.adopted[address][incarnation] = append(c.adopted[address][incarnation], FileRef{compiled.Version, DigestOf(body)})
+		for receiver, other := range c.syncers {
+			if c.partitioned == "" || (receiver != c.partitioned && address != c.partitioned) {
+				other.ObserveHead(compiled.Version, compiled.Digest, member.HTTPAddress)
 			}
 		}
 	})
@@ -79,10 +79,10 @@
 func (c *cluster) at(address string) (*Syncer, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if syncer := c.keepers[address]; syncer != nil && address != c.cutOff {
+	if syncer := c.syncers[address]; syncer != nil && address != c.partitioned {
 		return syncer, nil
 	}
-	return nil, fault.New(fault.BackendLost, "%s does not run", address)
+	return nil, fault.New(fault.BackendLost, "%s is not running", address)
 }
 
 func (c *cluster) isStale(address string) bool {
@@ -91,15 +91,15 @@
 	return address == c.stale
 }
 
-func (c *cluster) FetchHead(_ context.Context, address string) (Pair, error) {
+func (c *cluster) FetchHead(_ context.Context, address string) (FileRef, error) {
 	syncer, err := c.at(address)
 	if err != nil {
-		return Pair{}, err
+		return FileRef{}, err
 	}
 	if c.isStale(address) {
-		return Pair{Version: 1, Digest: DigestOf(c.staleBody)}, nil
+		return FileRef{Version: 1, Digest: DigestOf(c.staleBody)}, nil
 	}
-	return syncer.Pair(), nil
+	return syncer.CurrentRef(), nil
 }
 
 func (c *cluster) FetchBody(_ context.Context, address string, digest Digest) ([]byte, error) {
@@ -118,8 +118,8 @@
 
 func (c *cluster) countInForce(version Version) int {
 	count := 0
-	for _, syncer := range c.keepers {
-		if syncer.Pair().Version == version {
+	for _, syncer := range c.syncers {
+		if syncer.CurrentRef().Version == version {
 			count++
 		}
 	}
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestAppliedFileIsInForceEverywhere(t *testing.T) {
+func TestAppliedFileReachesAllRouters(t *testing.T) {
 	const nodes, readsPerSecond, quietSeconds = 90, 9, 120
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
@@ -156,7 +156,7 @@
 	})
 }
 
-func TestStartWithoutTheTable(t *testing.T) {
+func TestStartWithoutTable(t *testing.T) {
 	for _, mode := range []faultMode{down, hangs} {
 		synctest.Test(t, func(t *testing.T) {
 			check := is.New(t)
@@ -169,12 +169,12 @@
 			c.table.setMode(mode)
 			restarted := c.start(t.Context(), c.members[5])
 			time.Sleep(3 * time.Second)
-			check.Equal(restarted.Pair().Version, Version(1)) // peers have it
+			check.Equal(restarted.CurrentRef().Version, Version(1)) // from peers
 		})
 	}
 }
 
-func TestHerdRestartWithoutTheTable(t *testing.T) {
+func TestSimultaneousStartWithoutTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		c := newCluster(6)
@@ -185,17 +185,17 @@
 		}
 		time.Sleep(time.Minute)
 		check.Equal(c.countInForce(0), 6)
-		_, err := c.keepers["node-0"].Ready()
-		check.True(fault.Is(err, fault.NotReady)) // refuses rather than guesses
+		_, err := c.syncers["node-0"].Ready()
+		check.True(fault.Is(err, fault.NotReady)) // not an empty file
 		c.table.setMode(works)
 		time.Sleep(5 * time.Second)
 		check.Equal(c.countInForce(1), 6)
 	})
 }
 
-// TestBodyOutlastsRateLimits: a body of several rows, of which every second
-// read is refused, can only be had by going on where the limit struck.
-func TestBodyOutlastsRateLimits(t *testing.T) {
+// TestBodyReadRetriesRateLimits guards against restarting a body's read after a rate
+// limit: here every second read is refused, so it would never end.
+func TestBodyReadRetriesRateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		c := newCluster(1)
@@ -212,6 +212,6 @@
 		}
 		syncer := c.start(t.Context(), c.members[0])
 		time.Sleep(8 * time.Second)
-		check.Equal(syncer.Pair().Version, Version(1))
+		check.Equal(syncer.CurrentRef().Version, Version(1))
 	})
 }
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -36,7 +36,7 @@
 		exchangeTimeout: config.ExchangeTimeout,
 		releaseTimeout:  config.Duration / renewalsPerDuration,
 		changed:         make(chan struct{}, 1),
-		machine:         NewMachine(config, name, node, ident.NewUnique()),
+		machine:         NewMachine(config, name, node, ident.NewUniqueID()),
 	}
 }
 
--- a/internal/lease/suspended_test.go
+++ b/internal/lease/suspended_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		suspended := time.Duration(0)
-		defer clock.Replace(func() time.Duration { return suspended })()
+		defer clock.ReplaceSource(func() time.Duration { return suspended })()
 		elector := NewElector(&link{fakeTable: &fakeTable{model: newTableModel()}}, Config{Duration: duration}, "x", "n")
 		elector.Contend(true)
 		go elector.Run(t.Context())
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,5 +1,5 @@
-// Package mechanism names the policies of a router that can be switched off one by
-// one, so that what each is worth can be measured.
+// Package mechanism names the policies of a router that can be disabled one by one, to
+// measure the effect of each.
 package mechanism
 
 import (
@@ -9,50 +9,51 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Name names a mechanism.
+// Name is the name of a mechanism.
 type Name string
 
 // The mechanisms.
 const (
-	// HomeEngines sends prompts with the same shared part to the same engine.
+	// HomeEngines sends prompts with the same shared prefix to the same engine.
 	HomeEngines Name = "home-engines"
-	// CacheStore fetches prompts from stores of kept caches, and saves them there.
+	// CacheStore loads prompt caches from cache stores, and saves them there.
 	CacheStore Name = "cache-store"
-	// CacheIndex reads what the stores of kept caches hold, and saves what is missing.
+	// CacheIndex reads the contents of cache stores, and saves what is missing.
 	CacheIndex Name = "cache-index"
-	// SharedSaves saves only prompts that are mostly shared.
+	// SharedSaves saves only prompts that other requests can mostly reuse.
 	SharedSaves Name = "shared-saves"
-	// LongIdle keeps connections whose peers tell no time for longer than a second.
+	// LongIdle keeps idle connections whose peers state no idle timeout for longer than
+	// a second.
 	LongIdle Name = "long-idle"
-	// EarlyOrders orders new weights as soon as their version is seen.
+	// EarlyOrders orders engines to load new weights as soon as the version is observed.
 	EarlyOrders Name = "early-orders"
-	// Notices tells routers ahead of the list which engines change.
-	Notices Name = "notices"
-	// EmptyFirst has an engine emptied before it is ordered to take new weights.
-	EmptyFirst Name = "empty-first"
-	// NewerWeights prefers engines that have the newest weights.
+	// Notifications notifies routers of changed engines ahead of the instance list.
+	Notifications Name = "notices"
+	// QuiesceFirst quiesces an engine before it is ordered to load new weights.
+	QuiesceFirst Name = "empty-first"
+	// NewerWeights prefers engines with the newest weights.
 	NewerWeights Name = "newer-weights"
-	// ReadingRate learns how fast engines read prompts.
-	ReadingRate Name = "reading-rate"
-	// EarlyRefusal refuses prompts under overload that would wait for too long.
+	// PrefillRate estimates the prefill rate of engines.
+	PrefillRate Name = "reading-rate"
+	// EarlyRefusal refuses prompts that would wait for too long under overload.
 	EarlyRefusal Name = "early-refusal"
-	// LatePatience allows for the usual lateness of a back end before an attempt
-	// is given up as silent.
-	LatePatience Name = "late-patience"
-	// LapseGrace keeps entries for a while that lapsed in an outage of the list.
-	LapseGrace Name = "lapse-grace"
-	// SharedHealth lets one router of each zone check its engines for all others.
+	// LatenessAllowance adds the usual lateness of a back end to the time until an
+	// attempt without an answer is abandoned.
+	LatenessAllowance Name = "late-patience"
+	// ExpiryGrace keeps entries that expired during an outage of the list for a time.
+	ExpiryGrace Name = "lapse-grace"
+	// SharedHealth has one router of each zone check its engines for all others.
 	SharedHealth Name = "shared-health"
 	// SharedQuotas pools the limits of tenants over routers; without it each router
-	// grants its equal share of them.
+	// grants an equal share of them.
 	SharedQuotas Name = "shared-quotas"
-	// BackendLimits keeps back ends within the limits that they name; without it routers
-	// choose as if there were none.
+	// BackendLimits keeps back ends within the limits that they advertise; without it
+	// routers choose as if there were none.
 	BackendLimits Name = "backend-limits"
-	// BackendWords keeps requests from back ends that say in their answers that they leave, or
-	// want rest; without it routers choose as if they had not.
-	BackendWords Name = "backend-words"
-	// StartHold lets requests wait a short while for the first configuration of a router
+	// BackendAdvertised sends no requests to back ends that advertise a drain or a
+	// back-off in their answers; without it routers ignore both.
+	BackendAdvertised Name = "backend-words"
+	// StartHold has requests wait a short time for the first configuration of a router
 	// that has just started; without it they are refused at once.
 	StartHold Name = "start-hold"
 )
@@ -60,33 +61,33 @@
 // All returns every mechanism.
 func All() []Name {
 	return []Name{
-		HomeEngines, CacheStore, CacheIndex, SharedSaves, LongIdle, EarlyOrders, Notices, EmptyFirst,
-		NewerWeights, ReadingRate,
-		EarlyRefusal, LatePatience, LapseGrace, SharedHealth, SharedQuotas,
-		StartHold, BackendLimits, BackendWords,
+		HomeEngines, CacheStore, CacheIndex, SharedSaves, LongIdle, EarlyOrders, Notifications, QuiesceFirst,
+		NewerWeights, PrefillRate,
+		EarlyRefusal, LatenessAllowance, ExpiryGrace, SharedHealth, SharedQuotas,
+		StartHold, BackendLimits, BackendAdvertised,
 	}
 }
 
-// Disabled is a set of mechanisms that are switched off; the zero value leaves all on.
+// Disabled is the set of disabled mechanisms; the zero value leaves all enabled.
 type Disabled struct{ names []Name }
 
-// Without reads a set from names of mechanisms. Its error names those there are.
-func Without(names []string) (Disabled, error) {
-	var off Disabled
+// ParseDisabled returns the set with the given names. Its error lists the valid names.
+func ParseDisabled(names []string) (Disabled, error) {
+	var disabled Disabled
 	for _, name := range names {
 		if !slices.Contains(All(), Name(name)) {
-			return Disabled{}, fault.New(fault.InvalidSettings, "there is no mechanism %q; there are %s", name, list())
+			return Disabled{}, fault.New(fault.InvalidSettings, "unknown mechanism %q; the mechanisms are %s", name, joinedNames())
 		}
-		off.names = append(off.names, Name(name))
+		disabled.names = append(disabled.names, Name(name))
 	}
-	return off, nil
+	return disabled, nil
 }
 
-// On reports whether a mechanism is on.
-func (o Disabled) On(name Name) bool { return !slices.Contains(o.names, name) }
+// Enabled reports whether a mechanism is enabled.
+func (d Disabled) Enabled(name Name) bool { return !slices.Contains(d.names, name) }
 
-// list returns the names of all mechanisms for a message.
-func list() string {
+// joinedNames returns the names of all mechanisms, for a message.
+func joinedNames() string {
 	var names []string
 	for _, name := range All() {
 		names = append(names, string(name))
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -9,35 +9,35 @@
 	"github.com/fieldpond/fieldpond/internal/mechanism"
 )
 
-func TestMechanismsAreSwitchedOffByName(t *testing.T) {
+func TestDisableByName(t *testing.T) {
 	is := is.New(t)
 	var none mechanism.Disabled
 	for _, name := range mechanism.All() {
-		is.True(none.On(name))
-		off, err := mechanism.Without([]string{string(name)})
+		is.True(none.Enabled(name))
+		disabled, err := mechanism.ParseDisabled([]string{string(name)})
 		is.NoErr(err)
 		for _, other := range mechanism.All() {
-			is.Equal(off.On(other), other != name)
+			is.Equal(disabled.Enabled(other), other != name)
 		}
 	}
 }
 
-func TestAnUnknownMechanismIsRefused(t *testing.T) {
+func TestUnknownMechanismIsRejected(t *testing.T) {
 	tests := []struct {
 		name  string
 		names []string
 	}{
 		{"unknown", []string{"telepathy"}},
 		{"empty", []string{""}},
-		{"one of two", []string{string(mechanism.Notices), "Notices"}},
+		{"one of two", []string{string(mechanism.Notifications), "Notices"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			off, err := mechanism.Without(tt.names)
+			disabled, err := mechanism.ParseDisabled(tt.names)
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), string(mechanism.EarlyRefusal))) // the remedy
-			is.True(off.On(mechanism.Notices))
+			is.True(strings.Contains(err.Error(), string(mechanism.EarlyRefusal))) // lists the valid names
+			is.True(disabled.Enabled(mechanism.Notifications))
 		})
 	}
 }
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -193,7 +193,7 @@
 		r.withdraw(job)
 		return Placed{}, fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "the request was canceled or timed out while it waited for an engine")
 	case <-r.done:
-		return Placed{}, fault.New(fault.Leaving, "this router has stopped")
+		return Placed{}, fault.New(fault.ShuttingDown, "this router has stopped")
 	}
 }
 
@@ -295,6 +295,6 @@
 	case <-ctx.Done():
 		return State{}, fault.Wrap(ctx.Err(), fault.Timeout, "the placement runner did not answer")
 	case <-r.done:
-		return State{}, fault.New(fault.Leaving, "this router has stopped")
+		return State{}, fault.New(fault.ShuttingDown, "this router has stopped")
 	}
 }
