--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -60,15 +60,15 @@
 	}
 }
 
-// form makes the JSON of one request's answer.
-type form struct {
+// answerBuilder makes the JSON of one request's answer.
+type answerBuilder struct {
 	chat    bool
 	request ident.Request
 	service ident.Service
 	created int64
 }
 
-func (f form) base(version ident.ModelVersion, object string) Answer {
+func (f answerBuilder) base(version ident.ModelVersion, object string) Answer {
 	id := "cmpl-" + string(f.request)
 	if f.chat {
 		id = "chatcmpl-" + string(f.request)
@@ -76,8 +76,8 @@
 	return Answer{ID: id, Object: object, Created: f.created, Model: f.service, SystemFingerprint: version}
 }
 
-// whole returns a whole answer.
-func (f form) whole(text string, completion dispatch.Completion) Answer {
+// complete returns a whole answer.
+func (f answerBuilder) complete(text string, completion dispatch.Completion) Answer {
 	object := "text_completion"
 	choice := Choice{FinishReason: &completion.FinishReason}
 	if f.chat {
@@ -93,13 +93,13 @@
 }
 
 // chunk returns one chunk of a stream; the first one of an answer names the role.
-func (f form) chunk(text string, version ident.ModelVersion, naming bool) Answer {
+func (f answerBuilder) chunk(text string, version ident.ModelVersion, withRole bool) Answer {
 	object := "text_completion"
 	choice := Choice{}
 	if f.chat {
 		object = "chat.completion.chunk"
 		choice.Delta = &Message{Content: &text}
-		if naming {
+		if withRole {
 			choice.Delta.Role = roleAssistant
 		}
 	} else {
@@ -110,8 +110,8 @@
 	return answer
 }
 
-// last returns the chunk that carries finish reason and usage.
-func (f form) last(completion dispatch.Completion) Answer {
+// lastChunk returns the chunk that carries finish reason and usage.
+func (f answerBuilder) lastChunk(completion dispatch.Completion) Answer {
 	answer := f.chunk("", completion.Version, false)
 	if f.chat {
 		answer.Choices[0].Delta = &Message{}
--- a/internal/api/application.go
+++ b/internal/api/application.go
@@ -105,13 +105,13 @@
 
 // idempotencyKey returns the one key of the request. A bad key is refused on
 // every route, so that a caller learns of it before it matters.
-func idempotencyKey(header http.Header, repeatable bool) (string, error) {
+func idempotencyKey(header http.Header, retryable bool) (string, error) {
 	values := header.Values(headerIdempotencyKey)
 	if len(values) > 1 {
 		return "", fault.New(fault.BadRequest, "the %s header stands more than once", headerIdempotencyKey).WithRemedy("send one key")
 	}
 	if len(values) == 0 || values[0] == "" {
-		if repeatable {
+		if retryable {
 			return "", nil
 		}
 		return "", fault.New(fault.MissingIdempotencyKey, "the route is not repeatable and no key was sent")
@@ -124,4 +124,4 @@
 	return key, nil
 }
 
-func notPrintable(letter rune) bool { return letter < '!' || letter > '~' }
+func notPrintable(char rune) bool { return char < '!' || char > '~' }
--- a/internal/api/completions.go
+++ b/internal/api/completions.go
@@ -23,24 +23,24 @@
 func (e *exchange) completions() error { return e.complete(e.decodeCompletion) }
 
 // complete serves a chat or completions request.
-func (e *exchange) complete(decode func() (call, error)) error {
-	asked, err := decode()
+func (e *exchange) complete(decode func() (modelRequest, error)) error {
+	parsed, err := decode()
 	if err != nil {
 		return err
 	}
-	job, err := e.job(asked)
+	job, err := e.job(parsed)
 	if err != nil {
 		return err
 	}
-	answer := form{chat: asked.chat, request: job.ID, service: job.Service, created: time.Now().Unix()}
-	if !asked.stream {
-		return e.completeWhole(job, answer)
+	builder := answerBuilder{chat: parsed.chat, request: job.ID, service: job.Service, created: time.Now().Unix()}
+	if !parsed.stream {
+		return e.completeWhole(job, builder)
 	}
 	token, resuming, err := e.token()
 	if err != nil {
 		return err
 	}
-	if resuming && (token.Service != job.Service || token.Chat != asked.chat) {
+	if resuming && (token.Service != job.Service || token.Chat != parsed.chat) {
 		return fault.New(fault.InvalidToken, "the token is that of another service or form")
 	}
 	if resuming {
@@ -52,7 +52,7 @@
 		}
 	}
 	e.writer.Header().Set(headerRequest, string(job.ID))
-	sink := e.newStreamSink(answer)
+	sink := e.newStreamSink(builder)
 	completion, err := e.server.runner.Run(e.request.Context(), job, sink)
 	return sink.finish(completion, err)
 }
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (e *exchange) completeWhole(job *dispatch.Job, answer form) error {
+func (e *exchange) completeWhole(job *dispatch.Job, builder answerBuilder) error {
 	e.writer.Header().Set(headerRequest, string(job.ID))
 	var sink wholeSink
 	completion, err := e.server.runner.Run(e.request.Context(), job, &sink)
@@ -74,7 +74,7 @@
 		return err
 	}
 	e.allowWrite()
-	writeJSON(e.writer, http.StatusOK, answer.whole(sink.text.String(), completion))
+	writeJSON(e.writer, http.StatusOK, builder.complete(sink.text.String(), completion))
 	return nil
 }
 
@@ -123,9 +123,9 @@
 		config.KeepStream(token.Node, token.Position.Stream)
 	}
 	e.writer.Header().Set(headerRequest, string(token.Position.Request))
-	answer := form{chat: token.Chat, request: token.Position.Request, service: token.Service, created: token.Created}
-	sink := e.newStreamSink(answer)
-	sink.named = true
+	builder := answerBuilder{chat: token.Chat, request: token.Position.Request, service: token.Service, created: token.Created}
+	sink := e.newStreamSink(builder)
+	sink.roleSent = true
 	sink.lastID = e.request.Header.Get(headerLastEventID)
 	job := dispatch.ResumeJob{Position: token.Position, Address: engine.Address}
 	completion, err := e.server.runner.Resume(e.request.Context(), job, sink)
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -54,9 +54,9 @@
 	return 0
 }
 
-// tell reports a fault that a caller is answered with. One who has left is not
+// reportFault reports a fault that a caller is answered with. One who has left is not
 // answered: what was cut short for that is no refusal.
-func (s *Server) tell(caller context.Context, failure *fault.Fault) {
+func (s *Server) reportFault(caller context.Context, failure *fault.Fault) {
 	if caller.Err() == nil {
 		s.config.OnFault(failure)
 	}
@@ -67,7 +67,7 @@
 		seconds := int64((after + time.Second - 1) / time.Second)
 		writer.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	s.tell(request.Context(), failure)
+	s.reportFault(request.Context(), failure)
 	writeJSON(writer, failure.Kind.Status(), s.errorBody(failure))
 }
 
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -26,7 +26,7 @@
 			path = "/v1/chat/completions"
 		}
 		runner := &fakeRunner{chunks: []string{"a"}}
-		answer := exchangeWith(newTestServer(t, runner), http.MethodPost, path, body)
+		answer := sendRequest(newTestServer(t, runner), http.MethodPost, path, body)
 		if answer.Code == http.StatusOK {
 			return
 		}
--- a/internal/api/prompt.go
+++ b/internal/api/prompt.go
@@ -11,9 +11,9 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// call is a chat or completions request, understood but not yet checked
+// modelRequest is a chat or completions request, understood but not yet checked
 // against the fleet file.
-type call struct {
+type modelRequest struct {
 	chat      bool
 	service   ident.Service
 	prompt    string
@@ -45,39 +45,39 @@
 	if role == "" || len(role) > maxRoleBytes {
 		return false
 	}
-	for _, letter := range role {
-		if (letter < 'a' || letter > 'z') && letter != '_' {
+	for _, char := range role {
+		if (char < 'a' || char > 'z') && char != '_' {
 			return false
 		}
 	}
 	return true
 }
 
-func (e *exchange) decodeChat() (call, error) {
+func (e *exchange) decodeChat() (modelRequest, error) {
 	var body chatRequest
 	if err := e.decodeBody(&body); err != nil {
-		return call{}, err
+		return modelRequest{}, err
 	}
 	prompt, err := render(body.Messages)
 	if err != nil {
-		return call{}, err
+		return modelRequest{}, err
 	}
 	maxTokens := body.MaxCompletionTokens
 	if maxTokens == nil {
 		maxTokens = body.MaxTokens
 	}
-	return call{chat: true, service: ident.Service(body.Model), prompt: prompt, maxTokens: maxTokens, stream: body.Stream}, onlyOne(body.N)
+	return modelRequest{chat: true, service: ident.Service(body.Model), prompt: prompt, maxTokens: maxTokens, stream: body.Stream}, onlyOne(body.N)
 }
 
-func (e *exchange) decodeCompletion() (call, error) {
+func (e *exchange) decodeCompletion() (modelRequest, error) {
 	var body completionRequest
 	if err := e.decodeBody(&body); err != nil {
-		return call{}, err
+		return modelRequest{}, err
 	}
 	if body.Prompt == "" {
-		return call{}, fault.New(fault.BadRequest, "prompt is empty").WithRemedy("send a prompt")
+		return modelRequest{}, fault.New(fault.BadRequest, "prompt is empty").WithRemedy("send a prompt")
 	}
-	return call{service: ident.Service(body.Model), prompt: string(body.Prompt), maxTokens: body.MaxTokens, stream: body.Stream}, onlyOne(body.N)
+	return modelRequest{service: ident.Service(body.Model), prompt: string(body.Prompt), maxTokens: body.MaxTokens, stream: body.Stream}, onlyOne(body.N)
 }
 
 func onlyOne(n *int) error {
@@ -88,11 +88,11 @@
 }
 
 // job checks a call against the limits and the fleet file.
-func (e *exchange) job(asked call) (*dispatch.Job, error) {
-	if asked.service == "" {
+func (e *exchange) job(parsed modelRequest) (*dispatch.Job, error) {
+	if parsed.service == "" {
 		return nil, fault.New(fault.BadRequest, "model is missing").WithRemedy("name a service as \"model\"; 'GET /v1/models' lists them")
 	}
-	service, err := e.service(asked.service, fleet.ServiceModel)
+	service, err := e.service(parsed.service, fleet.ServiceModel)
 	if err != nil {
 		return nil, err
 	}
@@ -100,11 +100,11 @@
 	if err != nil {
 		return nil, err
 	}
-	maxTokens, err := e.server.maxTokens(asked.maxTokens)
+	maxTokens, err := e.server.maxTokens(parsed.maxTokens)
 	if err != nil {
 		return nil, err
 	}
-	if tokens := prefix.Tokens(asked.prompt); tokens > e.server.config.MaxPromptTokens {
+	if tokens := prefix.Tokens(parsed.prompt); tokens > e.server.config.MaxPromptTokens {
 		return nil, fault.New(fault.TooLarge, "the prompt has %d tokens, the limit is %d", tokens, e.server.config.MaxPromptTokens)
 	}
 	return &dispatch.Job{
@@ -118,20 +118,20 @@
 		Versions:            e.catalog.Versions(service.Model),
 		Zones:               e.catalog.Zones(e.tenant),
 		RecomputationWeight: service.Objective.RecomputationWeight,
-		Prompt:              asked.prompt,
+		Prompt:              parsed.prompt,
 		MaxTokens:           maxTokens,
 		PlacementDeadline:   time.Now().Add(class.MaxHold),
 		FirstTokenTimeout:   class.Deadline,
-		Resumable:           asked.stream,
+		Resumable:           parsed.stream,
 	}, nil
 }
 
-func (s *Server) maxTokens(asked *int) (int, error) {
-	if asked == nil {
+func (s *Server) maxTokens(requested *int) (int, error) {
+	if requested == nil {
 		return min(s.config.DefaultMaxTokens, s.config.MaxTokens), nil
 	}
-	if *asked < 1 || *asked > s.config.MaxTokens {
-		return 0, fault.New(fault.BadRequest, "max_tokens is %d", *asked).WithRemedy("send max_tokens between 1 and %d", s.config.MaxTokens)
+	if *requested < 1 || *requested > s.config.MaxTokens {
+		return 0, fault.New(fault.BadRequest, "max_tokens is %d", *requested).WithRemedy("send max_tokens between 1 and %d", s.config.MaxTokens)
 	}
-	return *asked, nil
+	return *requested, nil
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -23,8 +23,8 @@
 	"github.com/fieldpond/fieldpond/internal/resume"
 )
 
-// Fleet gives the fleet file in force.
-type Fleet interface {
+// CatalogSource gives the fleet file in force.
+type CatalogSource interface {
 	// Current returns the catalog in force, or false if there is none yet.
 	Current() (Catalog, bool)
 }
@@ -67,8 +67,8 @@
 	StateStarting State = "starting"
 	// StateServing means: requests are taken.
 	StateServing State = "serving"
-	// StateLeaving means: open requests are finished, then the process ends.
-	StateLeaving State = "leaving"
+	// StateShuttingDown means: open requests are finished, then the process ends.
+	StateShuttingDown State = "leaving"
 )
 
 // Config bounds what callers may send and how slowly they may read. Zero
@@ -136,23 +136,23 @@
 	return c
 }
 
-// closingRetryAfter is how long callers shall stay away from a router that is
+// shutdownRetryAfter is how long callers shall stay away from a router that is
 // about to close its listener. It is gone, or replaced, by then.
-const closingRetryAfter = time.Second
+const shutdownRetryAfter = time.Second
 
 // Server serves callers. It is safe for concurrent use.
 type Server struct {
-	closing atomic.Bool
-	config  Config
-	fleet   Fleet
-	runner  Runner
-	tokens  *resume.Sealer
-	state   func() State
+	rejecting atomic.Bool
+	config    Config
+	catalogs  CatalogSource
+	runner    Runner
+	tokens    *resume.Sealer
+	state     func() State
 }
 
 // NewServer returns a Server; state is asked on every request.
-func NewServer(config Config, catalogs Fleet, runner Runner, tokens *resume.Sealer, state func() State) *Server {
-	return &Server{config: config.withDefaults(), fleet: catalogs, runner: runner, tokens: tokens, state: state}
+func NewServer(config Config, catalogs CatalogSource, runner Runner, tokens *resume.Sealer, state func() State) *Server {
+	return &Server{config: config.withDefaults(), catalogs: catalogs, runner: runner, tokens: tokens, state: state}
 }
 
 // Handler returns the handler of every caller route.
@@ -160,11 +160,11 @@
 	router := mux.NewRouter().SkipClean(true)
 	router.HandleFunc("/healthz", s.health).Methods(http.MethodGet)
 	router.HandleFunc("/readyz", s.ready).Methods(http.MethodGet)
-	router.HandleFunc("/v1/models", s.guarded(s.models)).Methods(http.MethodGet)
-	router.HandleFunc("/v1/chat/completions", s.guarded((*exchange).chatCompletions)).Methods(http.MethodPost)
-	router.HandleFunc("/v1/completions", s.guarded((*exchange).completions)).Methods(http.MethodPost)
-	router.HandleFunc("/v1/streams", s.guarded(s.streams)).Methods(http.MethodGet)
-	router.PathPrefix("/v1/services/").HandlerFunc(s.guarded(s.application))
+	router.HandleFunc("/v1/models", s.withAuthentication(s.models)).Methods(http.MethodGet)
+	router.HandleFunc("/v1/chat/completions", s.withAuthentication((*exchange).chatCompletions)).Methods(http.MethodPost)
+	router.HandleFunc("/v1/completions", s.withAuthentication((*exchange).completions)).Methods(http.MethodPost)
+	router.HandleFunc("/v1/streams", s.withAuthentication(s.streams)).Methods(http.MethodGet)
+	router.PathPrefix("/v1/services/").HandlerFunc(s.withAuthentication(s.application))
 	router.NotFoundHandler = http.HandlerFunc(s.unknownRoute)
 	router.MethodNotAllowedHandler = http.HandlerFunc(s.unknownRoute)
 	return router
@@ -190,26 +190,26 @@
 	request *http.Request
 }
 
-// RefuseNew makes the server refuse every new request, not run, and tell its
+// RejectNewRequests makes the server refuse every new request, not run, and tell its
 // caller when to come back, while the open ones go on. A listener cannot be
 // closed without meeting a connection that is just being opened, so callers
 // are first told to go to another router.
-func (s *Server) RefuseNew() { s.closing.Store(true) }
+func (s *Server) RejectNewRequests() { s.rejecting.Store(true) }
 
-// guarded authenticates a request, runs the handler and writes its fault. A
+// withAuthentication authenticates a request, runs the handler and writes its fault. A
 // handler returns a fault only if it has written nothing.
-func (s *Server) guarded(handler func(*exchange) error) http.HandlerFunc {
+func (s *Server) withAuthentication(handler func(*exchange) error) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		if s.state() == StateLeaving {
+		if s.state() == StateShuttingDown {
 			writer.Header().Set("Connection", "close")
 		}
-		if s.closing.Load() {
-			s.writeFault(writer, request, fault.New(fault.Leaving, "this router is stopping").WithRetryAfter(closingRetryAfter))
+		if s.rejecting.Load() {
+			s.writeFault(writer, request, fault.New(fault.Leaving, "this router is stopping").WithRetryAfter(shutdownRetryAfter))
 			return
 		}
-		opened, err := s.authenticate(writer, request)
+		authenticated, err := s.authenticate(writer, request)
 		if err == nil {
-			err = handler(opened)
+			err = handler(authenticated)
 		}
 		if err != nil {
 			s.writeFault(writer, request, fault.From(err))
@@ -218,8 +218,8 @@
 }
 
 func (s *Server) authenticate(writer http.ResponseWriter, request *http.Request) (*exchange, error) {
-	catalog, inForce := s.fleet.Current()
-	if !inForce {
+	catalog, found := s.catalogs.Current()
+	if !found {
 		return nil, fault.New(fault.NotReady, "this router has no fleet file yet")
 	}
 	key, found := bearerKey(request.Header.Values("Authorization"))
@@ -267,16 +267,16 @@
 
 // class returns the class asked for, or the first one of the service.
 func (e *exchange) class(service fleet.Service) (fleet.Class, error) {
-	asked := e.request.Header.Values(headerClass)
-	if len(asked) > 1 {
+	values := e.request.Header.Values(headerClass)
+	if len(values) > 1 {
 		return fleet.Class{}, fault.New(fault.BadRequest, "the %s header stands more than once", headerClass)
 	}
 	if len(service.Classes) == 0 {
 		return fleet.Class{}, fault.New(fault.Internal, "service %q has no class", string(service.Name))
 	}
 	name := service.Classes[0]
-	if len(asked) == 1 {
-		name = ident.Class(asked[0])
+	if len(values) == 1 {
+		name = ident.Class(values[0])
 	}
 	for _, permitted := range service.Classes {
 		if permitted != name {
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -67,13 +67,13 @@
 
 // fakeRunner emits chunks, then ends or fails.
 type fakeRunner struct {
-	chunks  []string
-	failure error
-	gone    bool
-	job     *dispatch.Job
-	resumed *dispatch.ResumeJob
-	booking *dispatch.ApplicationJob
-	answer  dispatch.Answer
+	chunks         []string
+	failure        error
+	streamGone     bool
+	job            *dispatch.Job
+	resumed        *dispatch.ResumeJob
+	applicationJob *dispatch.ApplicationJob
+	answer         dispatch.Answer
 }
 
 func (r *fakeRunner) emit(sink dispatch.Sink, position dispatch.Position) (dispatch.Completion, error) {
@@ -97,14 +97,14 @@
 
 func (r *fakeRunner) Resume(_ context.Context, job dispatch.ResumeJob, sink dispatch.Sink) (dispatch.Completion, error) {
 	r.resumed = &job
-	if r.gone {
+	if r.streamGone {
 		return dispatch.Completion{}, fault.New(fault.StreamBroken, "gone").WithRan(fault.RanYes)
 	}
 	return r.emit(sink, job.Position)
 }
 
 func (r *fakeRunner) RunApplication(_ context.Context, job *dispatch.ApplicationJob) (dispatch.Answer, error) {
-	r.booking = job
+	r.applicationJob = job
 	return r.answer, r.failure
 }
 
@@ -117,8 +117,8 @@
 	return NewServer(config, fakeCatalog{}, runner, sealer, func() State { return StateServing })
 }
 
-// exchangeWith sends one request; headers are "Name: value" lines.
-func exchangeWith(server *Server, method, path, body string, headers ...string) *httptest.ResponseRecorder {
+// sendRequest sends one request; headers are "Name: value" lines.
+func sendRequest(server *Server, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer key-graz")
 	for _, line := range headers {
@@ -166,11 +166,11 @@
 	return value
 }
 
-func TestStreamedChatEndsWithUsageAndDoneAndCanBeResumedFromEveryEvent(t *testing.T) {
+func TestStreamedChatResumesFromEveryEvent(t *testing.T) {
 	is := is.New(t)
 	runner := &fakeRunner{chunks: []string{"", "Hello ", "driver"}}
 	server := newTestServer(t, runner)
-	answer := exchangeWith(server, "POST", "/v1/chat/completions", streamBody, "X-Class: rulings")
+	answer := sendRequest(server, "POST", "/v1/chat/completions", streamBody, "X-Class: rulings")
 	is.Equal(answer.Code, http.StatusOK)
 	is.Equal(answer.Header().Get("Content-Type"), "text/event-stream")
 	is.Equal(runner.job.Prompt, "<|system|>\nS\n<|user|>\nU\n<|assistant|>\n")
@@ -194,11 +194,11 @@
 			path := map[string]string{"GET": "/v1/streams", "POST": "/v1/chat/completions"}[method]
 			other := &fakeRunner{chunks: []string{"rest"}}
 			router := newTestServer(t, other)
-			var told ident.Node
+			var keptBy ident.Node
 			router.config.Node = "n2"
-			router.config.KeepStream = func(node ident.Node, _ ident.Stream) { told = node }
-			answer := exchangeWith(router, method, path, streamBody, "Last-Event-ID: "+next.id)
-			is.Equal(told, ident.Node("n1")) // it must not cancel what is read here
+			router.config.KeepStream = func(node ident.Node, _ ident.Stream) { keptBy = node }
+			answer := sendRequest(router, method, path, streamBody, "Last-Event-ID: "+next.id)
+			is.Equal(keptBy, ident.Node("n1")) // it must not cancel what is read here
 			is.Equal(answer.Code, http.StatusOK)
 			is.Equal(other.resumed.Position.Next, uint64(min(index+2, 3)))
 			is.Equal(other.resumed.Address, "127.0.0.1:1")
@@ -207,23 +207,23 @@
 		}
 	}
 	// The tenant's data may no longer be where the engine is.
-	moved, err := server.tokens.Seal(resume.Token{Tenant: "linz", Service: "chat"})
+	movedToken, err := server.tokens.Seal(resume.Token{Tenant: "linz", Service: "chat"})
 	is.NoErr(err)
 	outside := &fakeRunner{}
-	refused := exchangeWith(newTestServer(t, outside), "GET", "/v1/streams", "", "Last-Event-ID: "+moved, "Authorization: Bearer key-linz")
+	refused := sendRequest(newTestServer(t, outside), "GET", "/v1/streams", "", "Last-Event-ID: "+movedToken, "Authorization: Bearer key-linz")
 	is.Equal(decode[ErrorBody](t, refused.Body.String()).Error.Kind, fault.StreamBroken)
 	is.True(outside.resumed == nil)
-	foreign := exchangeWith(server, "GET", "/v1/streams", "", "Last-Event-ID: "+list[1].id, "Authorization: Bearer key-linz")
+	foreign := sendRequest(server, "GET", "/v1/streams", "", "Last-Event-ID: "+list[1].id, "Authorization: Bearer key-linz")
 	is.Equal(decode[ErrorBody](t, foreign.Body.String()).Error.Kind, fault.InvalidToken)
 }
 
 // Only a caller that has no text yet gets a fresh run when its stream is gone.
-func TestGoneStreamIsRunAnewOnlyWithoutText(t *testing.T) {
+func TestLostStreamRunsAgainOnlyWithoutText(t *testing.T) {
 	is := is.New(t)
-	first := exchangeWith(newTestServer(t, &fakeRunner{chunks: []string{"", "Hello"}}), "POST", "/v1/chat/completions", streamBody)
+	first := sendRequest(newTestServer(t, &fakeRunner{chunks: []string{"", "Hello"}}), "POST", "/v1/chat/completions", streamBody)
 	for index, next := range events(first.Body.String())[:2] {
-		runner := &fakeRunner{chunks: []string{"new"}, gone: true}
-		answer := exchangeWith(newTestServer(t, runner), "POST", "/v1/chat/completions", streamBody, "Last-Event-ID: "+next.id)
+		runner := &fakeRunner{chunks: []string{"new"}, streamGone: true}
+		answer := sendRequest(newTestServer(t, runner), "POST", "/v1/chat/completions", streamBody, "Last-Event-ID: "+next.id)
 		is.Equal(runner.job != nil, index == 0)
 		if index > 0 {
 			is.Equal(answer.Code, fault.StreamBroken.Status())
@@ -232,10 +232,10 @@
 	}
 }
 
-func TestBrokenStreamEndsWithAnErrorEventAndNoDone(t *testing.T) {
+func TestBrokenStreamEndsWithErrorEvent(t *testing.T) {
 	is := is.New(t)
 	broken := fault.New(fault.StreamBroken, "lost").WithRan(fault.RanYes).WithRetryAfter(1500 * time.Millisecond)
-	answer := exchangeWith(newTestServer(t, &fakeRunner{chunks: []string{"", "Hel"}, failure: broken}), "POST", "/v1/chat/completions", streamBody)
+	answer := sendRequest(newTestServer(t, &fakeRunner{chunks: []string{"", "Hel"}, failure: broken}), "POST", "/v1/chat/completions", streamBody)
 	list := events(answer.Body.String())
 	is.Equal(len(list), 3)
 	is.Equal(list[2].name, "error")
@@ -246,7 +246,7 @@
 
 	// Before anything was written it is a plain error with its status.
 	full := fault.New(fault.Overloaded, "full").WithRetryAfter(1500 * time.Millisecond)
-	answer = exchangeWith(newTestServer(t, &fakeRunner{failure: full}), "POST", "/v1/chat/completions", streamBody)
+	answer = sendRequest(newTestServer(t, &fakeRunner{failure: full}), "POST", "/v1/chat/completions", streamBody)
 	is.Equal(answer.Code, http.StatusTooManyRequests)
 	is.Equal(answer.Header().Get("Retry-After"), "2")
 }
@@ -254,18 +254,18 @@
 func TestWholeAnswers(t *testing.T) {
 	is := is.New(t)
 	server := newTestServer(t, &fakeRunner{chunks: []string{"", "Hello ", "driver"}})
-	chat := decode[Answer](t, exchangeWith(server, "POST", "/v1/chat/completions", strings.Replace(streamBody, "true", "false", 1)).Body.String())
+	chat := decode[Answer](t, sendRequest(server, "POST", "/v1/chat/completions", strings.Replace(streamBody, "true", "false", 1)).Body.String())
 	is.Equal(chat.Object, "chat.completion")
 	is.Equal(*chat.Choices[0].Message.Content, "Hello driver")
 	is.Equal(chat.Usage.TotalTokens, 11)
-	plain := decode[Answer](t, exchangeWith(server, "POST", "/v1/completions", `{"model":"chat","prompt":["P"],"max_tokens":3}`).Body.String())
+	plain := decode[Answer](t, sendRequest(server, "POST", "/v1/completions", `{"model":"chat","prompt":["P"],"max_tokens":3}`).Body.String())
 	is.Equal(plain.Object, "text_completion")
 	is.Equal(*plain.Choices[0].Text, "Hello driver")
-	models := exchangeWith(server, "GET", "/v1/models", "").Body.String()
+	models := sendRequest(server, "GET", "/v1/models", "").Body.String()
 	is.True(strings.Contains(models, `"id":"chat"`) && !strings.Contains(models, "secret") && !strings.Contains(models, "bay"))
 }
 
-func TestBadRequestsGetATypedErrorAndNeverRun(t *testing.T) {
+func TestBadRequestsAreRejectedWithoutRunning(t *testing.T) {
 	chat, book := "POST /v1/chat/completions", "POST /v1/services/bay/book"
 	cases := []struct {
 		name, route, body string
@@ -314,13 +314,13 @@
 			is := is.New(t)
 			runner := &fakeRunner{}
 			method, path, _ := strings.Cut(c.route, " ")
-			answer := exchangeWith(newTestServer(t, runner), method, path, c.body, c.headers...)
+			answer := sendRequest(newTestServer(t, runner), method, path, c.body, c.headers...)
 			detail := decode[ErrorBody](t, answer.Body.String()).Error
 			is.Equal(detail.Kind, c.kind)
 			is.Equal(answer.Code, c.kind.Status())
 			is.Equal(detail.Ran, fault.RanNo)
 			is.True(detail.Message != "" && detail.Remedy != "")
-			is.True(runner.job == nil && runner.booking == nil)
+			is.True(runner.job == nil && runner.applicationJob == nil)
 		})
 	}
 }
@@ -328,53 +328,53 @@
 func TestApplicationAnswersPassThrough(t *testing.T) {
 	is := is.New(t)
 	runner := &fakeRunner{answer: dispatch.Answer{Status: 409, ContentType: "text/x", Body: []byte("taken"), Replayed: true}}
-	answer := exchangeWith(newTestServer(t, runner), "POST", "/v1/services/bay/book?lot=7", "bay 7", "Idempotency-Key: k1", "Content-Type: text/y")
+	answer := sendRequest(newTestServer(t, runner), "POST", "/v1/services/bay/book?lot=7", "bay 7", "Idempotency-Key: k1", "Content-Type: text/y")
 	is.Equal(answer.Code, 409)
 	is.Equal(answer.Body.String(), "taken")
 	is.Equal(answer.Header().Get("Content-Type"), "text/x")
 	is.Equal(answer.Header().Get("Idempotency-Replayed"), "true")
-	job := runner.booking
+	job := runner.applicationJob
 	is.Equal([]string{job.IdempotencyKey, job.Path, job.RawQuery, job.ContentType, string(job.Body)}, []string{"k1", "/book", "lot=7", "text/y", "bay 7"})
 	is.True(!job.Retryable)
 }
 
-func TestStatesAreToldApart(t *testing.T) {
-	for state, status := range map[State]int{StateStarting: 503, StateServing: 200, StateLeaving: 503} {
+func TestReadinessByState(t *testing.T) {
+	for state, status := range map[State]int{StateStarting: 503, StateServing: 200, StateShuttingDown: 503} {
 		is := is.New(t)
 		server := newTestServer(t, &fakeRunner{})
 		server.state = func() State { return state }
-		server.fleet = fakeCatalog{missing: state == StateStarting}
-		answer := exchangeWith(server, "GET", "/readyz", "")
+		server.catalogs = fakeCatalog{missing: state == StateStarting}
+		answer := sendRequest(server, "GET", "/readyz", "")
 		is.Equal(answer.Code, status)
 		is.Equal(decode[Health](t, answer.Body.String()), Health{State: state, Ready: state == StateServing})
-		is.Equal(exchangeWith(server, "GET", "/healthz", "").Code, http.StatusOK)
-		models := exchangeWith(server, "GET", "/v1/models", "")
+		is.Equal(sendRequest(server, "GET", "/healthz", "").Code, http.StatusOK)
+		models := sendRequest(server, "GET", "/v1/models", "")
 		is.Equal(models.Code == http.StatusServiceUnavailable, state == StateStarting)
 		is.Equal(models.Header().Get("Retry-After") != "", state == StateStarting)
 	}
 }
 
-// stuckWriter is a caller that never reads: every write runs into its deadline.
-type stuckWriter struct {
+// blockedWriter is a caller that never reads: every write runs into its deadline.
+type blockedWriter struct {
 	*httptest.ResponseRecorder
 	deadline time.Time
 }
 
-func (w *stuckWriter) SetWriteDeadline(deadline time.Time) error { w.deadline = deadline; return nil }
+func (w *blockedWriter) SetWriteDeadline(deadline time.Time) error { w.deadline = deadline; return nil }
 
-func (w *stuckWriter) Write([]byte) (int, error) {
+func (w *blockedWriter) Write([]byte) (int, error) {
 	time.Sleep(time.Until(w.deadline))
 	return 0, os.ErrDeadlineExceeded
 }
 
-func TestSlowReaderIsCutWithinTheWriteTimeout(t *testing.T) {
+func TestSlowReaderIsCutOffAfterWriteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		server := newTestServer(t, &fakeRunner{chunks: strings.Split(strings.Repeat("x ", 50), " ")})
 		request := httptest.NewRequest("POST", "/v1/chat/completions", io.NopCloser(strings.NewReader(streamBody)))
 		request.Header.Set("Authorization", "Bearer key-graz")
 		began := time.Now()
-		server.Handler().ServeHTTP(&stuckWriter{ResponseRecorder: httptest.NewRecorder()}, request)
+		server.Handler().ServeHTTP(&blockedWriter{ResponseRecorder: httptest.NewRecorder()}, request)
 		is.Equal(time.Since(began), defaultWriteTimeout)
 	})
 }
@@ -384,16 +384,16 @@
 func TestServerOverTCP(t *testing.T) {
 	is := is.New(t)
 	server := newTestServer(t, &fakeRunner{chunks: []string{"", "Hello"}})
-	listening := httptest.NewUnstartedServer(nil)
-	listening.Config = server.NewHTTPServer()
-	listening.Start()
-	defer listening.Close()
+	httpServer := httptest.NewUnstartedServer(nil)
+	httpServer.Config = server.NewHTTPServer()
+	httpServer.Start()
+	defer httpServer.Close()
 	for _, extra := range []string{"", "", strings.Repeat("x", 2*defaultMaxHeaderBytes)} {
-		request, err := http.NewRequestWithContext(t.Context(), "POST", listening.URL+"/v1/chat/completions", strings.NewReader(streamBody))
+		request, err := http.NewRequestWithContext(t.Context(), "POST", httpServer.URL+"/v1/chat/completions", strings.NewReader(streamBody))
 		is.NoErr(err)
 		request.Header.Set("Authorization", "Bearer key-graz")
 		request.Header.Set("X-Extra", extra)
-		answer, err := listening.Client().Do(request)
+		answer, err := httpServer.Client().Do(request)
 		is.NoErr(err)
 		body, err := io.ReadAll(answer.Body)
 		is.NoErr(err)
@@ -406,21 +406,21 @@
 	}
 }
 
-func TestARouterAboutToCloseRefusesWhatComesAndSaysWhenToComeBack(t *testing.T) {
+func TestRejectNewRequests(t *testing.T) {
 	is := is.New(t)
 	runner := &fakeRunner{chunks: []string{"a"}}
 	server := newTestServer(t, runner)
 	const body = `{"model":"chat","prompt":"hi"}`
-	is.Equal(exchangeWith(server, http.MethodPost, "/v1/completions", body).Code, http.StatusOK)
+	is.Equal(sendRequest(server, http.MethodPost, "/v1/completions", body).Code, http.StatusOK)
 
 	runner.job = nil
-	server.RefuseNew()
-	answer := exchangeWith(server, http.MethodPost, "/v1/completions", body)
-	told := decode[ErrorBody](t, answer.Body.String())
+	server.RejectNewRequests()
+	answer := sendRequest(server, http.MethodPost, "/v1/completions", body)
+	rejected := decode[ErrorBody](t, answer.Body.String())
 	is.Equal(answer.Code, http.StatusServiceUnavailable)
 	is.Equal(answer.Header().Get("Retry-After"), "1")
-	is.Equal(told.Error.Kind, fault.Leaving)
-	is.Equal(told.Error.Ran, fault.RanNo)
+	is.Equal(rejected.Error.Kind, fault.Leaving)
+	is.Equal(rejected.Error.Ran, fault.RanNo)
 	is.True(runner.job == nil) // nothing ran
-	is.Equal(exchangeWith(server, http.MethodGet, "/healthz", "").Code, http.StatusOK)
+	is.Equal(sendRequest(server, http.MethodGet, "/healthz", "").Code, http.StatusOK)
 }
--- a/internal/api/stream.go
+++ b/internal/api/stream.go
@@ -25,31 +25,31 @@
 // streamSink writes an answer as server-sent events. Chunks wait for the
 // caller in a bounded buffer, which one goroutine writes out.
 type streamSink struct {
-	server *Server
-	form   form
-	tenant ident.Tenant
-	writer http.ResponseWriter
-	// caller ends when the caller leaves.
-	caller context.Context
+	server  *Server
+	builder answerBuilder
+	tenant  ident.Tenant
+	writer  http.ResponseWriter
+	// callerContext ends when the caller leaves.
+	callerContext context.Context
 
 	started bool
-	// named says that the caller knows the role of the answer.
-	named   bool
-	lastID  string
-	frames  chan []byte
-	failed  chan struct{}
-	written sync.WaitGroup
+	// roleSent says that the caller knows the role of the answer.
+	roleSent bool
+	lastID   string
+	frames   chan []byte
+	failed   chan struct{}
+	writing  sync.WaitGroup
 }
 
-func (e *exchange) newStreamSink(answer form) *streamSink {
+func (e *exchange) newStreamSink(builder answerBuilder) *streamSink {
 	return &streamSink{
-		server: e.server,
-		form:   answer,
-		tenant: e.tenant,
-		writer: e.writer,
-		caller: e.request.Context(),
-		frames: make(chan []byte, e.server.config.BufferedChunks),
-		failed: make(chan struct{}),
+		server:        e.server,
+		builder:       builder,
+		tenant:        e.tenant,
+		writer:        e.writer,
+		callerContext: e.request.Context(),
+		frames:        make(chan []byte, e.server.config.BufferedChunks),
+		failed:        make(chan struct{}),
 	}
 }
 
@@ -60,19 +60,19 @@
 	}
 	id, err := s.server.tokens.Seal(resume.Token{
 		Tenant:   s.tenant,
-		Service:  s.form.service,
+		Service:  s.builder.service,
 		Node:     s.server.config.Node,
-		Chat:     s.form.chat,
-		Created:  s.form.created,
+		Chat:     s.builder.chat,
+		Created:  s.builder.created,
 		Position: chunk.Position,
 	})
 	if err != nil {
 		return err
 	}
 	s.lastID = id
-	naming := !s.named
-	s.named = true
-	return s.push(frame("", id, s.form.chunk(chunk.Text, chunk.Position.Version, naming)))
+	withRole := !s.roleSent
+	s.roleSent = true
+	return s.push(frame("", id, s.builder.chunk(chunk.Text, chunk.Position.Version, withRole)))
 }
 
 // start sends the headers and starts the writing goroutine.
@@ -82,7 +82,7 @@
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	s.writer.WriteHeader(http.StatusOK)
-	s.written.Go(s.write)
+	s.writing.Go(s.write)
 }
 
 // write writes frames until the buffer is closed. After a failure it only
@@ -142,14 +142,14 @@
 		s.start()
 	}
 	if err != nil {
-		s.server.tell(s.caller, fault.From(err))
+		s.server.reportFault(s.callerContext, fault.From(err))
 		_ = s.push(frame("error", "", s.server.errorBody(fault.From(err))))
 	} else {
 		// The id is that of the last chunk: resuming there brings the end again.
-		_ = s.push(append(frame("", s.lastID, s.form.last(completion)), "data: "+doneData+"\n\n"...))
+		_ = s.push(append(frame("", s.lastID, s.builder.lastChunk(completion)), "data: "+doneData+"\n\n"...))
 	}
 	close(s.frames)
-	s.written.Wait()
+	s.writing.Wait()
 	return nil
 }
 
--- a/internal/router/applications.go
+++ b/internal/router/applications.go
@@ -30,10 +30,10 @@
 type applicationPlacer struct {
 	current  func() *fleet.Compiled
 	homeZone ident.Zone
-	// onLeaving is told the first sign that an application is leaving. It is
+	// onDraining is told the first sign that an application is leaving. It is
 	// called with the mutex held and must not block.
-	onLeaving func(name ident.Application, incarnation ident.Incarnation)
-	mutex     sync.Mutex
+	onDraining func(name ident.Application, incarnation ident.Incarnation)
+	mutex      sync.Mutex
 	// health is keyed by application name; see backendName.
 	health *endpoint.Registry
 	calls  map[ident.Application]int
@@ -41,11 +41,11 @@
 
 func newApplicationPlacer(current func() *fleet.Compiled, homeZone ident.Zone) *applicationPlacer {
 	return &applicationPlacer{
-		current:   current,
-		homeZone:  homeZone,
-		onLeaving: func(ident.Application, ident.Incarnation) {},
-		health:    endpoint.NewRegistry(),
-		calls:     make(map[ident.Application]int),
+		current:    current,
+		homeZone:   homeZone,
+		onDraining: func(ident.Application, ident.Incarnation) {},
+		health:     endpoint.NewRegistry(),
+		calls:      make(map[ident.Application]int),
 	}
 }
 
@@ -87,14 +87,14 @@
 	if !known {
 		return nil
 	}
-	unfit := make(map[ident.Engine]bool)
+	unavailable := make(map[ident.Engine]bool)
 	for _, backend := range p.health.Endpoints(time.Now()) {
-		unfit[backend.Engine] = backend.Draining || p.health.Dead(backend.Engine)
+		unavailable[backend.Engine] = backend.Draining || p.health.Dead(backend.Engine)
 	}
 	zones := compiled.PermittedZones(job.Tenant)
 	var permitted []*fleet.Application
 	for _, application := range service.Applications {
-		if zones.Has(application.Zone) && !job.Excluded[application.Name] && !unfit[backendName(application.Name)] {
+		if zones.Has(application.Zone) && !job.Excluded[application.Name] && !unavailable[backendName(application.Name)] {
 			permitted = append(permitted, application)
 		}
 	}
@@ -124,7 +124,7 @@
 	case result.Outcome == dispatch.OutcomeUnreachable:
 		p.health.ObserveUnreachable(backendName(name))
 	case result.Refusal == protocol.RefusalLeaving:
-		p.changed(p.health.ObserveDraining(time.Now(), backendName(name), result.Incarnation))
+		p.notifyDraining(p.health.ObserveDraining(time.Now(), backendName(name), result.Incarnation))
 	}
 }
 
@@ -142,30 +142,30 @@
 	p.health.Configure(targets)
 }
 
-// leavingSeen takes in a sign that an application is leaving.
-func (p *applicationPlacer) leavingSeen(name ident.Application, incarnation ident.Incarnation) {
+// observeDraining takes in a sign that an application is leaving.
+func (p *applicationPlacer) observeDraining(name ident.Application, incarnation ident.Incarnation) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.changed(p.health.ObserveDraining(time.Now(), backendName(name), incarnation))
+	p.notifyDraining(p.health.ObserveDraining(time.Now(), backendName(name), incarnation))
 }
 
-// listed takes in a machine list: for each application, whether its machine
+// applyMachineList takes in a machine list: for each application, whether its machine
 // leaves.
-func (p *applicationPlacer) listed(leaving map[ident.Application]bool) {
-	named := make(map[ident.Engine]bool, len(leaving))
-	for name, leaves := range leaving {
-		named[backendName(name)] = leaves
+func (p *applicationPlacer) applyMachineList(draining map[ident.Application]bool) {
+	listed := make(map[ident.Engine]bool, len(draining))
+	for name, isDraining := range draining {
+		listed[backendName(name)] = isDraining
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.changed(p.health.ApplyMachineList(time.Now(), named))
+	p.notifyDraining(p.health.ApplyMachineList(time.Now(), listed))
 }
 
-// changed tells the first sign that an application is leaving to onLeaving.
-func (p *applicationPlacer) changed(changes []endpoint.Change) {
+// notifyDraining tells the first sign that an application is leaving to onDraining.
+func (p *applicationPlacer) notifyDraining(changes []endpoint.Change) {
 	for _, change := range changes {
 		if change.Kind == endpoint.ChangeDraining {
-			p.onLeaving(ident.Application(change.Engine), change.Incarnation)
+			p.onDraining(ident.Application(change.Engine), change.Incarnation)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 			p.health.ObserveReportFailure(answer.Engine)
 			continue
 		}
-		p.changed(p.health.ObserveReport(now, answer.Engine, answer.Report))
+		p.notifyDraining(p.health.ObserveReport(now, answer.Engine, answer.Report))
 	}
 	poller.Enqueue(p.health.Due(now, interval, budget))
 }
--- a/internal/router/applications_test.go
+++ b/internal/router/applications_test.go
@@ -25,7 +25,7 @@
   - {name: t, keyHashes: [e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855], places: [r], services: [bays]}
 `
 
-func TestApplicationsThatMayBeCalled(t *testing.T) {
+func TestPermittedApplicationsAfterFirstCall(t *testing.T) {
 	answered := dispatch.Result{Outcome: dispatch.OutcomeAnswered, Incarnation: "life-1"}
 	cases := []struct {
 		name string
@@ -55,21 +55,21 @@
 		t.Run(test.name, func(t *testing.T) {
 			check := is.New(t)
 			placer := newApplicationPlacer(func() *fleet.Compiled { return compiled }, "z")
-			var told []ident.Application
-			placer.onLeaving = func(name ident.Application, _ ident.Incarnation) { told = append(told, name) }
+			var notified []ident.Application
+			placer.onDraining = func(name ident.Application, _ ident.Incarnation) { notified = append(notified, name) }
 			placer.configure(compiled)
 			job := &dispatch.ApplicationJob{Tenant: "t", Service: "bays"}
 			placed, err := placer.PlaceApplication(t.Context(), job)
 			check.NoErr(err)
 			check.Equal(placed.Application, ident.Application("a-1"))
 			placed.Release(test.first)
-			placer.listed(test.listed)
-			var left []ident.Application
+			placer.applyMachineList(test.listed)
+			var permitted []ident.Application
 			for _, application := range placer.permitted(compiled, job) {
-				left = append(left, application.Name)
+				permitted = append(permitted, application.Name)
 			}
-			check.Equal(left, test.left)
-			check.Equal(told, test.told)
+			check.Equal(permitted, test.left)
+			check.Equal(notified, test.told)
 		})
 	}
 }
--- a/internal/router/callerserver.go
+++ b/internal/router/callerserver.go
@@ -16,32 +16,32 @@
 	server   *http.Server
 	listener *drainingListener
 	open     *connections
-	// refuseNew makes the handler refuse every new request, not run.
-	refuseNew func()
-	// served receives the error with which serving ended.
-	served chan error
+	// rejectNewRequests makes the handler refuse every new request, not run.
+	rejectNewRequests func()
+	// serveError receives the error with which serving ended.
+	serveError chan error
 }
 
 // listenForCallers opens the listener; serve has to be called next.
-func listenForCallers(address string, server *http.Server, refuseNew func()) (*callerServer, error) {
+func listenForCallers(address string, server *http.Server, rejectNewRequests func()) (*callerServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.InvalidSettings, "opening the listener %s", address)
 	}
 	open := newConnections()
-	server.ConnState = open.changed
+	server.ConnState = open.trackState
 	return &callerServer{
-		server:    server,
-		listener:  &drainingListener{TCPListener: listener.(*net.TCPListener)},
-		open:      open,
-		refuseNew: refuseNew,
-		served:    make(chan error, 1),
+		server:            server,
+		listener:          &drainingListener{TCPListener: listener.(*net.TCPListener)},
+		open:              open,
+		rejectNewRequests: rejectNewRequests,
+		serveError:        make(chan error, 1),
 	}, nil
 }
 
 // serve begins to serve.
 func (c *callerServer) serve() {
-	go func() { c.served <- c.server.Serve(c.listener) }()
+	go func() { c.serveError <- c.server.Serve(c.listener) }()
 }
 
 // stop ends in this order, so that no request is cut: connections from before
@@ -51,12 +51,12 @@
 // open request is answered. It returns early if ctx ends.
 func (c *callerServer) stop(ctx context.Context) error {
 	c.open.drain(ctx)
-	c.refuseNew()
-	if err := c.listener.finish(); err != nil {
+	c.rejectNewRequests()
+	if err := c.listener.closeWhenQuiet(); err != nil {
 		return errors.Wrap(err, "ending the listener")
 	}
 	select {
-	case <-c.served:
+	case <-c.serveError:
 	case <-ctx.Done():
 	}
 	return c.server.Shutdown(ctx)
--- a/internal/router/catalog.go
+++ b/internal/router/catalog.go
@@ -13,7 +13,7 @@
 	current func() *fleet.Compiled
 }
 
-// Current implements api.Fleet.
+// Current implements api.CatalogSource.
 func (c catalogs) Current() (api.Catalog, bool) {
 	compiled := c.current()
 	if compiled == nil {
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -12,8 +12,8 @@
 	// idleBeforeClose is how long a connection is idle before a leaving router
 	// closes it. A caller that has not used it for so long is hardly about to.
 	idleBeforeClose = 2 * time.Second
-	// drainLook is the time between two looks at the open connections.
-	drainLook = 50 * time.Millisecond
+	// drainCheckInterval is the time between two looks at the open connections.
+	drainCheckInterval = 50 * time.Millisecond
 )
 
 // connections follows the caller connections of an HTTP server, so that a
@@ -36,8 +36,8 @@
 
 func newConnections() *connections { return &connections{open: make(map[net.Conn]connection)} }
 
-// changed is the ConnState hook of the HTTP server.
-func (c *connections) changed(conn net.Conn, state http.ConnState) {
+// trackState is the ConnState hook of the HTTP server.
+func (c *connections) trackState(conn net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch state {
@@ -53,9 +53,9 @@
 // drain returns when every connection that is open now has been closed, or ctx
 // ends. The server must tell callers to close with every answer it begins.
 func (c *connections) drain(ctx context.Context) {
-	before := c.snapshot()
-	for ctx.Err() == nil && c.closeIdle(before, time.Now()) > 0 {
-		sleep(ctx, drainLook)
+	existing := c.snapshot()
+	for ctx.Err() == nil && c.closeIdle(existing, time.Now()) > 0 {
+		sleep(ctx, drainCheckInterval)
 	}
 }
 
@@ -71,14 +71,14 @@
 
 // closeIdle closes those connections that have been idle for long enough, and
 // returns how many are left.
-func (c *connections) closeIdle(of []net.Conn, now time.Time) (left int) {
+func (c *connections) closeIdle(conns []net.Conn, now time.Time) (left int) {
 	c.mutex.Lock()
 	var idle []net.Conn
-	for _, conn := range of {
-		known, open := c.open[conn]
+	for _, conn := range conns {
+		tracked, open := c.open[conn]
 		switch {
 		case !open:
-		case known.idle && now.Sub(known.since) >= idleBeforeClose:
+		case tracked.idle && now.Sub(tracked.since) >= idleBeforeClose:
 			idle = append(idle, conn)
 		default:
 			left++
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -21,14 +21,14 @@
 		{"idle all the time", func(*connections, net.Conn) {}, idleBeforeClose},
 		{"used once more, and closed by its answer", func(callers *connections, conn net.Conn) {
 			time.Sleep(time.Second)
-			callers.changed(conn, http.StateActive)
+			callers.trackState(conn, http.StateActive)
 			time.Sleep(3 * time.Second)
-			callers.changed(conn, http.StateClosed)
+			callers.trackState(conn, http.StateClosed)
 		}, 4 * time.Second},
 		{"a stream that began before, then idle", func(callers *connections, conn net.Conn) {
-			callers.changed(conn, http.StateActive)
+			callers.trackState(conn, http.StateActive)
 			time.Sleep(time.Minute)
-			callers.changed(conn, http.StateIdle)
+			callers.trackState(conn, http.StateIdle)
 		}, time.Minute + idleBeforeClose},
 	}
 	for _, test := range cases {
@@ -38,19 +38,19 @@
 				callers := newConnections()
 				conn, peer := net.Pipe()
 				defer func() { _ = peer.Close() }()
-				callers.changed(conn, http.StateNew)
-				callers.changed(conn, http.StateIdle)
+				callers.trackState(conn, http.StateNew)
+				callers.trackState(conn, http.StateIdle)
 				begun := time.Now()
 				go test.live(callers, conn)
 				callers.drain(t.Context())
 				is.True(time.Since(begun) >= test.closedAfter)
-				is.True(time.Since(begun) <= test.closedAfter+2*drainLook)
+				is.True(time.Since(begun) <= test.closedAfter+2*drainCheckInterval)
 			})
 		})
 	}
 }
 
-func TestDrainDoesNotWaitForConnectionsThatCameLater(t *testing.T) {
+func TestDrainIgnoresLaterConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		callers := newConnections()
--- a/internal/router/controlmetrics.go
+++ b/internal/router/controlmetrics.go
@@ -9,11 +9,11 @@
 type controlTotals struct {
 	held            int
 	loading         int
-	orders, repeats uint64
+	orders, retries uint64
 	refused         uint64
 	staleFences     uint64
-	guarded         uint64
-	lapsed          uint64
+	deferredUnloads uint64
+	expired         uint64
 }
 
 func totalsOf(groups []control.GroupStatus) controlTotals {
@@ -24,11 +24,11 @@
 		}
 		totals.loading += group.Counters.Loading
 		totals.orders += group.Counters.Orders
-		totals.repeats += group.Counters.Retries
+		totals.retries += group.Counters.Retries
 		totals.refused += group.Counters.Refused
 		totals.staleFences += group.Counters.StaleFences + group.Leases.StaleFences
-		totals.guarded += group.Counters.Guarded
-		totals.lapsed += group.Leases.Lapsed
+		totals.deferredUnloads += group.Counters.Guarded
+		totals.expired += group.Leases.Lapsed
 	}
 	return totals
 }
@@ -38,10 +38,10 @@
 	group.Gauge("control_leases_held", "Groups of engines that this router is in charge of.", func(t controlTotals) int { return t.held })
 	group.Gauge("control_loads_under_way", "Loads of model weights ordered and not yet shown.", func(t controlTotals) int { return t.loading })
 	group.Counter("control_orders_total", "Orders issued to engines.", func(t controlTotals) uint64 { return t.orders })
-	group.Counter("control_orders_repeated_total", "Orders issued again under the same id after a lost answer.", func(t controlTotals) uint64 { return t.repeats })
+	group.Counter("control_orders_repeated_total", "Orders issued again under the same id after a lost answer.", func(t controlTotals) uint64 { return t.retries })
 	group.Counter("control_orders_refused_total", "Orders that an engine refused.", func(t controlTotals) uint64 { return t.refused })
 	group.Counter("control_stale_fences_total", "Times a newer fence than this router's was met.", func(t controlTotals) uint64 { return t.staleFences })
-	group.Counter("control_unloads_guarded_total", "Looks at unloads that would have taken the last warm engine away.", func(t controlTotals) uint64 { return t.guarded })
-	group.Counter("control_leases_lapsed_total", "Leases that ran out before they were renewed.", func(t controlTotals) uint64 { return t.lapsed })
+	group.Counter("control_unloads_guarded_total", "Looks at unloads that would have taken the last warm engine away.", func(t controlTotals) uint64 { return t.deferredUnloads })
+	group.Counter("control_leases_lapsed_total", "Leases that ran out before they were renewed.", func(t controlTotals) uint64 { return t.expired })
 	group.Register()
 }
--- a/internal/router/directory.go
+++ b/internal/router/directory.go
@@ -28,8 +28,8 @@
 	Message directory.Message `cbor:"2,keyasint"`
 }
 
-// directoryReceipt confirms a delivery.
-type directoryReceipt struct{}
+// directoryAck confirms a delivery.
+type directoryAck struct{}
 
 // directorySender delivers directory messages to other routers. A message that
 // is lost costs a recomputation and never correctness, so none is repeated.
@@ -71,15 +71,15 @@
 		}
 		bounded, cancel := context.WithTimeout(ctx, directoryTimeout)
 		defer cancel()
-		var receipt directoryReceipt
+		var ack directoryAck
 		_ = s.peers.Call(bounded, member.HTTPAddress, methodDirectory,
-			directoryDelivery{s.self, envelope.Message}, &receipt)
+			directoryDelivery{s.self, envelope.Message}, &ack)
 		return
 	}
 }
 
 // serveDirectory takes in a directory message of another router.
-func (r *Router) serveDirectory(_ context.Context, delivery directoryDelivery) (directoryReceipt, error) {
-	r.duty.DirectoryMessage(delivery.From, delivery.Message)
-	return directoryReceipt{}, nil
+func (r *Router) serveDirectory(_ context.Context, delivery directoryDelivery) (directoryAck, error) {
+	r.placementRunner.DirectoryMessage(delivery.From, delivery.Message)
+	return directoryAck{}, nil
 }
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -54,8 +54,8 @@
 	return time.Duration(slowest * float64(time.Microsecond))
 }
 
-// ownStreams lists the engines whose cache events this router reads.
-func (r *Router) ownStreams(compiled *fleet.Compiled) []streamSource {
+// assignedStreams lists the engines whose cache events this router reads.
+func (r *Router) assignedStreams(compiled *fleet.Compiled) []streamSource {
 	all := len(compiled.Engines()) <= smallFleet
 	view := r.view()
 	var sources []streamSource
@@ -81,7 +81,7 @@
 		entry.Warn("engine believed dead")
 	case endpoint.ChangeDraining:
 		entry.Info("engine leaving")
-		r.broadcastLeaving(string(change.Engine), change.Incarnation)
+		r.broadcastDraining(string(change.Engine), change.Incarnation)
 	case endpoint.ChangeLoaded:
 		entry.Info("engine's loaded models changed")
 	case endpoint.ChangeRemoved:
@@ -89,8 +89,8 @@
 	}
 }
 
-// snapshotWanted starts the read of an engine's cache snapshot.
-func (r *Router) snapshotWanted(name ident.Engine) {
+// requestSnapshot starts the read of an engine's cache snapshot.
+func (r *Router) requestSnapshot(name ident.Engine) {
 	compiled := r.syncer.Current()
 	if compiled == nil {
 		return
--- a/internal/router/listener.go
+++ b/internal/router/listener.go
@@ -14,8 +14,8 @@
 	// router closes its listener: those that wait in the kernel at that moment
 	// would be reset although their callers may have sent a request.
 	quietBeforeClose = 300 * time.Millisecond
-	// longestQuietWait bounds the wait for such a pause under steady arrivals.
-	longestQuietWait = 5 * time.Second
+	// maxQuietWait bounds the wait for such a pause under steady arrivals.
+	maxQuietWait = 5 * time.Second
 )
 
 // drainingListener is a TCP listener that can be closed at a moment at which
@@ -25,41 +25,41 @@
 	// closeBy is when the listener closes at the latest, in nanoseconds of the
 	// Unix epoch; zero until finish is called.
 	closeBy atomic.Int64
-	// last holds connections taken from the kernel in the moment of closing.
-	last []net.Conn
-	shut bool
+	// pending holds connections taken from the kernel in the moment of closing.
+	pending []net.Conn
+	closed  bool
 }
 
 // Accept implements net.Listener. After finish it returns net.ErrClosed once
 // no connection has come for a while. It is called by one goroutine.
 func (l *drainingListener) Accept() (net.Conn, error) {
-	if !l.shut {
+	if !l.closed {
 		conn, err := l.TCPListener.Accept()
 		if err == nil {
-			l.renewDeadline()
+			l.extendDeadline()
 			return conn, nil
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil, err
 		}
-		l.shutDown()
+		l.closeWithoutLoss()
 	}
-	if len(l.last) == 0 {
+	if len(l.pending) == 0 {
 		return nil, net.ErrClosed
 	}
-	conn := l.last[0]
-	l.last = l.last[1:]
+	conn := l.pending[0]
+	l.pending = l.pending[1:]
 	return conn, nil
 }
 
-// finish makes Accept close the listener at the next pause between arrivals.
-func (l *drainingListener) finish() error {
-	l.closeBy.Store(time.Now().Add(longestQuietWait).UnixNano())
+// closeWhenQuiet makes Accept close the listener at the next pause between arrivals.
+func (l *drainingListener) closeWhenQuiet() error {
+	l.closeBy.Store(time.Now().Add(maxQuietWait).UnixNano())
 	return l.SetDeadline(time.Now().Add(quietBeforeClose))
 }
 
-// renewDeadline waits for a pause anew after an arrival.
-func (l *drainingListener) renewDeadline() {
+// extendDeadline waits for a pause anew after an arrival.
+func (l *drainingListener) extendDeadline() {
 	closeBy := l.closeBy.Load()
 	if closeBy == 0 {
 		return
@@ -72,36 +72,36 @@
 	_ = l.SetDeadline(pause)
 }
 
-// shutDown takes every connection that the kernel holds and, in the moment in
+// closeWithoutLoss takes every connection that the kernel holds and, in the moment in
 // which there is none, makes it take no more.
-func (l *drainingListener) shutDown() {
-	l.shut = true
+func (l *drainingListener) closeWithoutLoss() {
+	l.closed = true
 	raw, err := l.SyscallConn()
 	if err == nil {
 		// An error means that the listener is closed already.
 		_ = raw.Control(func(descriptor uintptr) {
-			l.takeLast(int(descriptor))
+			l.acceptPending(int(descriptor))
 			_ = syscall.Shutdown(int(descriptor), syscall.SHUT_RD)
 		})
 	}
 	_ = l.Close()
 }
 
-// takeLast accepts without waiting until the kernel holds no connection.
-func (l *drainingListener) takeLast(descriptor int) {
+// acceptPending accepts without waiting until the kernel holds no connection.
+func (l *drainingListener) acceptPending(descriptor int) {
 	for {
-		taken, _, err := syscall.Accept4(descriptor, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		accepted, _, err := syscall.Accept4(descriptor, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		if errors.Is(err, syscall.EINTR) {
 			continue
 		}
 		if err != nil {
 			return
 		}
-		file := os.NewFile(uintptr(taken), "caller connection")
+		file := os.NewFile(uintptr(accepted), "caller connection")
 		conn, err := net.FileConn(file)
 		_ = file.Close()
 		if err == nil {
-			l.last = append(l.last, conn)
+			l.pending = append(l.pending, conn)
 		}
 	}
 }
--- a/internal/router/listener_test.go
+++ b/internal/router/listener_test.go
@@ -11,7 +11,7 @@
 
 // Connections that the kernel has taken before the close are still accepted
 // and answered, although nobody had accepted them by then.
-func TestTheClosingListenerHandsOutWhoeverWaits(t *testing.T) {
+func TestClosingListenerAcceptsPendingConnections(t *testing.T) {
 	is := is.New(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -22,7 +22,7 @@
 		is.NoErr(err)
 		callers = append(callers, caller)
 	}
-	listener.shutDown()
+	listener.closeWithoutLoss()
 	for _, caller := range callers {
 		accepted, err := listener.Accept()
 		is.NoErr(err)
--- a/internal/router/machines.go
+++ b/internal/router/machines.go
@@ -16,28 +16,28 @@
 		list, err := r.platform.ListMachines(bounded)
 		cancel()
 		if err == nil {
-			r.takeMachines(ctx, list)
+			r.applyMachineList(ctx, list)
 		}
 		sleep(ctx, r.settings.Intervals.MachinePoll)
 	}
 }
 
-func (r *Router) takeMachines(ctx context.Context, list protocol.MachineList) {
+func (r *Router) applyMachineList(ctx context.Context, list protocol.MachineList) {
 	var seeds []string
 	engines := make(map[ident.Engine]bool)
 	applications := make(map[ident.Application]bool)
 	for _, machine := range list.Machines {
-		leaving := machine.State == protocol.MachineLeaving
+		draining := machine.State == protocol.MachineLeaving
 		switch {
-		case machine.Kind == protocol.MachineRouter && machine.GossipAddress != "" && !leaving:
+		case machine.Kind == protocol.MachineRouter && machine.GossipAddress != "" && !draining:
 			seeds = append(seeds, machine.GossipAddress)
 		case machine.Kind == protocol.MachineEngine:
-			engines[ident.Engine(machine.Name)] = leaving
+			engines[ident.Engine(machine.Name)] = draining
 		case machine.Kind == protocol.MachineApplication:
-			applications[ident.Application(machine.Name)] = leaving
+			applications[ident.Application(machine.Name)] = draining
 		}
 	}
-	r.duty.Listed(engines)
-	r.apps.listed(applications)
+	r.placementRunner.Listed(engines)
+	r.apps.applyMachineList(applications)
 	r.addSeeds(ctx, seeds)
 }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -62,7 +62,7 @@
 		}
 		changed := false
 		for event, ok := r.members.Events().Pop(); ok; event, ok = r.members.Events().Pop() {
-			changed = r.takeEvent(event, states) || changed
+			changed = r.applyEvent(event, states) || changed
 		}
 		if changed {
 			r.viewChanged(ctx)
@@ -70,32 +70,32 @@
 	}
 }
 
-// takeEvent takes in one event and reports whether the view has changed.
-func (r *Router) takeEvent(event membership.Event, states map[ident.Node]membership.State) (changed bool) {
+// applyEvent takes in one event and reports whether the view has changed.
+func (r *Router) applyEvent(event membership.Event, states map[ident.Node]membership.State) (changed bool) {
 	switch event.Kind {
 	case membership.ReportReceived:
 		if event.Report.Kind == membership.ReportDraining {
-			r.duty.LeavingSeen(ident.Engine(event.Report.Backend), event.Report.Incarnation)
-			r.apps.leavingSeen(ident.Application(event.Report.Backend), event.Report.Incarnation)
+			r.placementRunner.LeavingSeen(ident.Engine(event.Report.Backend), event.Report.Incarnation)
+			r.apps.observeDraining(ident.Application(event.Report.Backend), event.Report.Incarnation)
 		}
 		return false
 	case membership.FleetHeadRaised:
-		r.headHeard(event.Head)
+		r.observeFleetHead(event.Head)
 		return false
 	case membership.MemberRemoved:
 		delete(states, event.Member.Node)
 		return true
 	case membership.MemberChanged:
-		logState(event.Member, states)
+		logStateChange(event.Member, states)
 		return true
 	default:
 		return false
 	}
 }
 
-// logState writes a line when the state of another router is a new one.
-func logState(member membership.Member, states map[ident.Node]membership.State) {
-	if known, found := states[member.Node]; found && known == member.State {
+// logStateChange writes a line when the state of another router is a new one.
+func logStateChange(member membership.Member, states map[ident.Node]membership.State) {
+	if previous, found := states[member.Node]; found && previous == member.State {
 		return
 	}
 	states[member.Node] = member.State
@@ -104,14 +104,14 @@
 
 // viewChanged acts on a change of the membership.
 func (r *Router) viewChanged(ctx context.Context) {
-	r.duty.SetView(r.view())
+	r.placementRunner.SetView(r.view())
 	if compiled := r.syncer.Current(); compiled != nil {
-		r.streams.Set(ctx, r.ownStreams(compiled))
+		r.streams.Set(ctx, r.assignedStreams(compiled))
 	}
 }
 
-// headHeard tells the fleet syncer of a version that another router has.
-func (r *Router) headHeard(head membership.FleetHead) {
+// observeFleetHead tells the fleet syncer of a version that another router has.
+func (r *Router) observeFleetHead(head membership.FleetHead) {
 	for _, member := range r.view().Members {
 		if member.Node == head.Holder {
 			r.syncer.HeadHeard(fleet.Version(head.Version), fleet.Digest(head.Digest), member.HTTPAddress)
@@ -120,9 +120,9 @@
 	}
 }
 
-// broadcastLeaving tells the other routers that a back end is leaving.
-func (r *Router) broadcastLeaving(backend string, incarnation ident.Incarnation) {
-	r.work.Go(func() {
+// broadcastDraining tells the other routers that a back end is leaving.
+func (r *Router) broadcastDraining(backend string, incarnation ident.Incarnation) {
+	r.background.Go(func() {
 		bounded, cancel := context.WithTimeout(context.Background(), membershipTimeout)
 		defer cancel()
 		// A sign that is not taken costs the others a refusal each, no more.
@@ -141,8 +141,8 @@
 	_ = r.members.AddSeeds(bounded, addresses)
 }
 
-// announceFleet tells the other routers which fleet file is in force here.
-func (r *Router) announceFleet(ctx context.Context, compiled *fleet.Compiled) {
+// advertiseFleet tells the other routers which fleet file is in force here.
+func (r *Router) advertiseFleet(ctx context.Context, compiled *fleet.Compiled) {
 	bounded, cancel := context.WithTimeout(ctx, membershipTimeout)
 	defer cancel()
 	if err := r.members.SetFleetVersion(bounded, uint64(compiled.Version), string(compiled.Digest)); err != nil {
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -23,7 +23,7 @@
 // registerMetrics exports the counters of the parts that count for themselves.
 func (r *Router) registerMetrics() {
 	r.registerPlacement()
-	r.registerBeliefs()
+	r.registerCacheBeliefs()
 	r.registerDirectory()
 	r.registerApplications()
 	r.registerDispatch()
@@ -39,16 +39,16 @@
 // rings returns the counters of the rings between the duties. Rings of one name
 // are told apart by their place only; /metrics adds them up.
 func (r *Router) rings() []func() ring.Counters {
-	rings := append(r.duty.Rings(), r.appPoller.Rings()...)
+	rings := append(r.placementRunner.Rings(), r.appPoller.Rings()...)
 	rings = append(rings, r.directoryMessages.messages.Counters, r.quarantines.calls.Counters)
 	rings = append(rings, r.control.Rings()...)
-	rings = append(rings, each(r.syncer.Rings)...)
-	return append(rings, each(func() []ring.Counters { return r.members.Counters().Rings })...)
+	rings = append(rings, eachRing(r.syncer.Rings)...)
+	return append(rings, eachRing(func() []ring.Counters { return r.members.Counters().Rings })...)
 }
 
-// each splits a reading of several rings, always in the same order, into one
+// eachRing splits a reading of several rings, always in the same order, into one
 // reading for each.
-func each(read func() []ring.Counters) []func() ring.Counters {
+func eachRing(read func() []ring.Counters) []func() ring.Counters {
 	var rings []func() ring.Counters
 	for index := range read() {
 		rings = append(rings, func() ring.Counters { return read()[index] })
@@ -78,7 +78,7 @@
 
 func (r *Router) registerQuarantine() {
 	group := telemetry.NewGroup(r.telemetry, func() (quarantineCounts, bool) { return r.quarantines.counts(), true })
-	group.Gauge("quarantined_requests", "Requests that are held, since engines crashed while they ran them.", func(c quarantineCounts) int { return c.held })
+	group.Gauge("quarantined_requests", "Requests that are held, since engines crashed while they ran them.", func(c quarantineCounts) int { return c.quarantined })
 	group.Gauge("crash_suspects", "Requests that ran on an engine as it crashed, and were not answered since.", func(c quarantineCounts) int { return c.suspects })
 	group.Register()
 }
--- a/internal/router/metricsplacement.go
+++ b/internal/router/metricsplacement.go
@@ -14,7 +14,7 @@
 func (r *Router) readPlacement() (placement.Reading, bool) {
 	bounded, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	reading, err := r.duty.Read(bounded)
+	reading, err := r.placementRunner.Read(bounded)
 	return reading, err == nil
 }
 
@@ -59,11 +59,11 @@
 // backendStates counts back ends by state.
 type backendStates map[string]float64
 
-func (s backendStates) count(alive, leaving bool) {
+func (s backendStates) count(alive, draining bool) {
 	switch {
 	case !alive:
 		s["dead"]++
-	case leaving:
+	case draining:
 		s["leaving"]++
 	default:
 		s["alive"]++
@@ -89,7 +89,7 @@
 	group.Register()
 }
 
-func (r *Router) registerBeliefs() {
+func (r *Router) registerCacheBeliefs() {
 	group := telemetry.NewGroup(r.telemetry, r.readPlacement)
 	group.Counter("prompt_tokens_total", "Prompt tokens of answered attempts.", func(p placement.Reading) uint64 { return p.Decisions.PromptTokens })
 	group.Counter("believed_cached_tokens_total", "Prompt tokens of answered attempts that were believed cached when the engine was chosen.", func(p placement.Reading) uint64 { return p.Decisions.CreditedTokens })
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -57,7 +57,7 @@
 		if member.Node != node || member.State == membership.Dead {
 			continue
 		}
-		r.work.Go(func() {
+		r.background.Go(func() {
 			bounded, cancel := context.WithTimeout(context.Background(), keepTimeout)
 			defer cancel()
 			var kept keepResponse
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -23,10 +23,10 @@
 
 // placer implements dispatch.Placer over the placement duty.
 type placer struct {
-	duty      *placement.Runner
-	transfers engine.Transferer
-	current   func() *fleet.Compiled
-	homeZone  ident.Zone
+	placementRunner *placement.Runner
+	transfers       engine.Transferer
+	current         func() *fleet.Compiled
+	homeZone        ident.Zone
 	// sequence numbers the calls of Place, so that each has a key of its own.
 	sequence atomic.Uint32
 }
@@ -38,19 +38,19 @@
 		if compiled == nil {
 			return dispatch.Placement{}, fault.New(fault.NotReady, "this router has no fleet file yet")
 		}
-		wanted := p.job(job, compiled)
-		placed, err := p.duty.Place(ctx, wanted)
+		placementJob := p.newPlacementJob(job, compiled)
+		placed, err := p.placementRunner.Place(ctx, placementJob)
 		if err != nil {
 			return dispatch.Placement{}, err
 		}
 		if p.permits(job, compiled, placed) {
-			p.move(ctx, wanted, placed, compiled)
+			p.transferBlocks(ctx, placementJob, placed, compiled)
 		}
 		if p.permits(job, compiled, placed) {
-			return p.placement(job, wanted, placed), nil
+			return p.placement(job, placementJob, placed), nil
 		}
 		// A fleet file adopted while the job waited forbids the place.
-		p.duty.Ended(wanted.Key, placement.Result{})
+		p.placementRunner.Ended(placementJob.Key, placement.Result{})
 	}
 }
 
@@ -68,10 +68,10 @@
 		slices.Contains(versionsFor(job, compiled), chosen.Version)
 }
 
-// job builds what the placement duty needs to know. Zones and versions are read
+// newPlacementJob builds what the placement duty needs to know. Zones and versions are read
 // from the fleet file in force now, not from the one in force when the request
 // came: what was withdrawn meanwhile binds a waiting request too.
-func (p *placer) job(job *dispatch.Job, compiled *fleet.Compiled) *placement.Job {
+func (p *placer) newPlacementJob(job *dispatch.Job, compiled *fleet.Compiled) *placement.Job {
 	blockTokens := prefix.DefaultBlockTokens
 	if model, known := compiled.Model(job.Model); known {
 		blockTokens = model.BlockTokens
@@ -85,7 +85,7 @@
 	}
 	return &placement.Job{
 		Key:     placement.AttemptKeyOf(job.ID, ident.Attempt(p.sequence.Add(1))),
-		Weight:  shareOf(compiled, job.Tenant),
+		Weight:  tenantShare(compiled, job.Tenant),
 		MaxHold: max(0, time.Until(job.PlacementDeadline)),
 		Request: framework.Request{
 			ID:                  job.ID,
@@ -117,7 +117,7 @@
 	return catalog{compiled}.Versions(job.Model)
 }
 
-func shareOf(compiled *fleet.Compiled, tenant ident.Tenant) float64 {
+func tenantShare(compiled *fleet.Compiled, tenant ident.Tenant) float64 {
 	entry, known := compiled.Tenant(tenant)
 	if !known {
 		return 1
@@ -125,9 +125,9 @@
 	return entry.Share
 }
 
-func (p *placer) placement(job *dispatch.Job, wanted *placement.Job, placed placement.Placed) dispatch.Placement {
+func (p *placer) placement(job *dispatch.Job, placementJob *placement.Job, placed placement.Placed) dispatch.Placement {
 	chosen := placed.Candidate
-	key := wanted.Key
+	key := placementJob.Key
 	namespace := prefix.Namespace{Tenant: job.Tenant, Model: job.Model, Version: chosen.Version, Adapter: job.Adapter}
 	return dispatch.Placement{
 		Engine:               chosen.Endpoint.Engine,
@@ -140,10 +140,10 @@
 		Salt:                 namespace.Salt(),
 		ExpectedCachedTokens: chosen.CreditTokens,
 		Started: func(incarnation ident.Incarnation, usage protocol.Usage) {
-			p.duty.Started(key, incarnation, usage)
+			p.placementRunner.Started(key, incarnation, usage)
 		},
-		FirstToken: func() { p.duty.FirstToken(key) },
-		Release:    func(result dispatch.Result) { p.duty.Ended(key, resultOf(result)) },
+		FirstToken: func() { p.placementRunner.FirstToken(key) },
+		Release:    func(result dispatch.Result) { p.placementRunner.Ended(key, resultOf(result)) },
 	}
 }
 
@@ -160,14 +160,14 @@
 
 // move exports the prompt's cached blocks from the engine that holds them and
 // imports them into the chosen one. A failed move costs a recomputation only.
-func (p *placer) move(ctx context.Context, wanted *placement.Job, placed placement.Placed, compiled *fleet.Compiled) {
+func (p *placer) transferBlocks(ctx context.Context, placementJob *placement.Job, placed placement.Placed, compiled *fleet.Compiled) {
 	source, known := compiled.Engine(placed.MoveFrom)
-	if !known || !wanted.Request.Zones[source.Zone] {
+	if !known || !placementJob.Request.Zones[source.Zone] {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	request := &wanted.Request
+	request := &placementJob.Request
 	namespace := prefix.Namespace{
 		Tenant: request.Tenant, Model: request.Model, Version: placed.Candidate.Version, Adapter: request.Adapter,
 	}
--- a/internal/router/placer_test.go
+++ b/internal/router/placer_test.go
@@ -25,8 +25,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// twoPlaces is a fleet file whose tenant may use the first of two regions.
-const twoPlaces = `schema: fieldpond/v1
+// twoRegions is a fleet file whose tenant may use the first of two regions.
+const twoRegions = `schema: fieldpond/v1
 name: test
 regions: [{name: here, zones: [z-1]}, {name: there, zones: [z-2]}]
 classes: [{name: c}]
@@ -48,14 +48,14 @@
 	return fleet.Compile(document, version, "digest")
 }
 
-// lateObserver answers load reports only after a time. Every engine has loaded
+// delayedObserver answers load reports only after a time. Every engine has loaded
 // two versions.
-type lateObserver struct {
+type delayedObserver struct {
 	engine.Observer
 	after time.Time
 }
 
-func (o lateObserver) Load(ctx context.Context, address string) (protocol.LoadReport, error) {
+func (o delayedObserver) Load(ctx context.Context, address string) (protocol.LoadReport, error) {
 	if time.Now().Before(o.after) {
 		return protocol.LoadReport{}, fault.Wrap(context.DeadlineExceeded, fault.Timeout, "no report yet")
 	}
@@ -65,31 +65,31 @@
 	}, ctx.Err()
 }
 
-func newTestDuty(t *testing.T, observer engine.Observer) *placement.Runner {
+func newTestRunner(t *testing.T, observer engine.Observer) *placement.Runner {
 	t.Helper()
 	scheduler, err := routing.NewPredictive(routing.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	believed, err := beliefs.New(beliefs.Config{}, time.Now())
+	cacheBeliefs, err := beliefs.New(beliefs.Config{}, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	poller := endpoint.NewPoller(observer, time.Second, 64)
 	poller.Start(t.Context(), 1)
-	duty := placement.NewRunner(placement.RunnerConfig{
+	placementRunner := placement.NewRunner(placement.RunnerConfig{
 		MaxOpen: 16, PollInterval: 250 * time.Millisecond, PollsPerTick: 8, PollTick: 50 * time.Millisecond,
 		OnChange: func(endpoint.Change) {}, OnSnapshotWanted: func(ident.Engine) {},
 	}, placement.New(placement.Config{
-		Scheduler: scheduler, Beliefs: believed, Queue: admission.NewQueue(admission.Config{}), Hop: hopFrom("z-1"),
+		Scheduler: scheduler, Beliefs: cacheBeliefs, Queue: admission.NewQueue(admission.Config{}), Hop: hopFrom("z-1"),
 	}), poller)
-	go duty.Run(t.Context())
-	return duty
+	go placementRunner.Run(t.Context())
+	return placementRunner
 }
 
-// TestWaitingRequestObeysTheFileInForce adopts a file while a request waits for
+// TestWaitingRequestFollowsNewFleetFile adopts a file while a request waits for
 // the first load report.
-func TestWaitingRequestObeysTheFileInForce(t *testing.T) {
+func TestWaitingRequestFollowsNewFleetFile(t *testing.T) {
 	begun := func(job *dispatch.Job) { job.Continued = "text of the old version" }
 	cases := []struct {
 		name, old, replacement string
@@ -109,14 +109,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				check := is.New(t)
 				var current atomic.Pointer[fleet.Compiled]
-				current.Store(compile(t, twoPlaces, 1))
+				current.Store(compile(t, twoRegions, 1))
 				const reports, adoption = 500 * time.Millisecond, 400 * time.Millisecond
-				duty := newTestDuty(t, lateObserver{after: time.Now().Add(reports)})
-				duty.Configure(engineTargets(current.Load()))
-				placer := &placer{duty: duty, current: current.Load, homeZone: "z-1"}
+				placementRunner := newTestRunner(t, delayedObserver{after: time.Now().Add(reports)})
+				placementRunner.Configure(engineTargets(current.Load()))
+				placer := &placer{placementRunner: placementRunner, current: current.Load, homeZone: "z-1"}
 				time.AfterFunc(adoption, func() {
-					current.Store(compile(t, strings.Replace(twoPlaces, test.old, test.replacement, 1), 2))
-					duty.Configure(engineTargets(current.Load()))
+					current.Store(compile(t, strings.Replace(twoRegions, test.old, test.replacement, 1), 2))
+					placementRunner.Configure(engineTargets(current.Load()))
 				})
 				job := &dispatch.Job{
 					ID: "r", Tenant: "t", Service: "s", Model: "m", Versions: []ident.ModelVersion{"v1"},
@@ -151,26 +151,26 @@
 	return protocol.TransferResult{}, nil
 }
 
-// TestMovedBlocksStayWithTheirTenantAndPlace: blocks are exported from permitted
+// TestTransferredBlocksStayWithTenantAndPlace: blocks are exported from permitted
 // places only, from the life believed to hold them, under the salt of the
 // request's tenant and version, and imported into the life that was chosen.
-func TestMovedBlocksStayWithTheirTenantAndPlace(t *testing.T) {
-	compiled := compile(t, twoPlaces, 1)
-	for source, moves := range map[ident.Engine]int{"e-1": 1, "e-2": 0, "e-9": 0, "": 0} {
+func TestTransferredBlocksStayWithTenantAndPlace(t *testing.T) {
+	compiled := compile(t, twoRegions, 1)
+	for source, transfers := range map[ident.Engine]int{"e-1": 1, "e-2": 0, "e-9": 0, "": 0} {
 		check := is.New(t)
 		log := &transferLog{}
 		placer := &placer{transfers: log, current: func() *fleet.Compiled { return compiled }, homeZone: "z-1"}
-		wanted := placer.job(&dispatch.Job{ID: "r", Tenant: "t", Model: "m", Prompt: strings.Repeat("long shared prompt ", 20)}, compiled)
+		placementJob := placer.newPlacementJob(&dispatch.Job{ID: "r", Tenant: "t", Model: "m", Prompt: strings.Repeat("long shared prompt ", 20)}, compiled)
 		chosen := framework.Candidate{Endpoint: &framework.Endpoint{Engine: "e-3", Incarnation: "life-3"}, Version: "v1"}
-		placer.move(t.Context(), wanted, placement.Placed{Job: wanted, Candidate: chosen, MoveFrom: source, MoveFromIncarnation: "life-1"}, compiled)
-		check.Equal(len(log.exports), moves)
-		check.Equal(len(log.imports), moves)
-		if moves > 0 {
+		placer.transferBlocks(t.Context(), placementJob, placement.Placed{Job: placementJob, Candidate: chosen, MoveFrom: source, MoveFromIncarnation: "life-1"}, compiled)
+		check.Equal(len(log.exports), transfers)
+		check.Equal(len(log.imports), transfers)
+		if transfers > 0 {
 			salt := prefix.Namespace{Tenant: "t", Model: "m", Version: "v1"}.Salt()
 			check.Equal(log.exports[0].Salt, salt)
 			check.Equal(log.exports[0].ExpectedIncarnation, ident.Incarnation("life-1"))
 			check.Equal(log.imports[0].Salt, salt)
-			check.Equal(log.exports[0].Hashes, wanted.Request.Chains["v1"])
+			check.Equal(log.exports[0].Hashes, placementJob.Request.Chains["v1"])
 			check.Equal(log.imports[0].ExpectedIncarnation, ident.Incarnation("life-3"))
 		}
 	}
@@ -197,7 +197,7 @@
 }
 
 // A move names the lives of both engines, and never leaves the tenant's places.
-func TestMoveNamesBothLivesAndStaysInPlaces(t *testing.T) {
+func TestTransferNamesBothIncarnations(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		zones    map[ident.Zone]bool
@@ -212,8 +212,8 @@
 			transfers := &strictTransferer{}
 			placed := placement.Placed{MoveFrom: "e-2", MoveFromIncarnation: test.life}
 			placed.Candidate.Endpoint = &framework.Endpoint{Engine: "e-1", Address: "127.0.0.1:7001", Incarnation: "127.0.0.1:7001 life"}
-			wanted := &placement.Job{Request: framework.Request{Tenant: "t", Zones: test.zones}}
-			(&placer{transfers: transfers}).move(t.Context(), wanted, placed, compile(t, twoPlaces, 1))
+			placementJob := &placement.Job{Request: framework.Request{Tenant: "t", Zones: test.zones}}
+			(&placer{transfers: transfers}).transferBlocks(t.Context(), placementJob, placed, compile(t, twoRegions, 1))
 			is.New(t).Equal(transfers.imported, test.imported)
 		})
 	}
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -27,29 +27,29 @@
 	quarantineRing = 1024
 	// quarantineTimeout bounds one call.
 	quarantineTimeout = time.Second
-	// quarantineInterval is the time between two questions to one other router for what is held,
+	// quarantinePollInterval is the time between two questions to one other router for what is held,
 	// for a router that started later or missed the news; the call is empty while nothing is.
-	quarantineInterval = 2 * time.Second
+	quarantinePollInterval = 2 * time.Second
 	// methodQuarantine tells another router of crashes, and asks for what it holds.
 	methodQuarantine = "quarantine.news"
 )
 
-// quarantineNews is what one router tells another one of requests under which engines crashed.
-type quarantineNews struct {
-	Told []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
+// quarantineUpdate is what one router tells another one of requests under which engines crashed.
+type quarantineUpdate struct {
+	Evidence []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
 	// Digest names what the teller knows of requests that are held, as guard.Guard.Digest does.
 	Digest uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // quarantineReply is what the teller lacks.
 type quarantineReply struct {
-	Told []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
+	Evidence []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
 }
 
 // quarantineCall is one call that is to be made.
 type quarantineCall struct {
-	address string
-	told    []quarantine.Evidence
+	address  string
+	evidence []quarantine.Evidence
 }
 
 // quarantines implements dispatch.Quarantine.
@@ -60,12 +60,12 @@
 	self    ident.Node
 	view    func() membership.View
 	calls   *ring.Ring[quarantineCall]
-	// turn counts the questions for what is held.
-	turn int
+	// polls counts the questions for what is held.
+	polls int
 
 	mu sync.Mutex
-	// leaving are the lives that told that they leave, by engine.
-	leaving map[ident.Engine]ident.Incarnation
+	// draining are the lives that told that they leave, by engine.
+	draining map[ident.Engine]ident.Incarnation
 }
 
 var (
@@ -78,8 +78,8 @@
 func newQuarantines(config guard.Config, engines engine.Observer, peers *peer.Client, self ident.Node, view func() membership.View) *quarantines {
 	q := &quarantines{
 		engines: engines, peers: peers, self: self, view: view,
-		calls:   ring.New[quarantineCall]("quarantine-calls", quarantineRing, ring.DropOldest),
-		leaving: make(map[ident.Engine]ident.Incarnation),
+		calls:    ring.New[quarantineCall]("quarantine-calls", quarantineRing, ring.DropOldest),
+		draining: make(map[ident.Engine]ident.Incarnation),
 	}
 	config.Backends, config.Send = q, q.send
 	config.MaintainsRows = func() bool {
@@ -91,38 +91,38 @@
 }
 
 // quarantineCounts are the requests that are held, and all that are known.
-type quarantineCounts struct{ held, suspects int }
+type quarantineCounts struct{ quarantined, suspects int }
 
 func (q *quarantines) counts() quarantineCounts {
-	held, suspects := q.Counts()
-	return quarantineCounts{held, suspects}
+	quarantined, suspects := q.Counts()
+	return quarantineCounts{quarantined, suspects}
 }
 
-// lifeOf names a life of an engine: incarnations are unique within an engine.
-func lifeOf(name ident.Engine, incarnation ident.Incarnation) ident.Incarnation {
+// incarnationKey names a life of an engine: incarnations are unique within an engine.
+func incarnationKey(name ident.Engine, incarnation ident.Incarnation) ident.Incarnation {
 	return ident.Incarnation(name) + "/" + incarnation
 }
 
 // ObserveBroken implements dispatch.Quarantine.
 func (q *quarantines) ObserveBroken(now time.Time, request *quarantine.Subject, at dispatch.Placement) {
-	q.Guard.ObserveBroken(now, request, q.place(&at))
+	q.Guard.ObserveBroken(now, request, q.target(&at))
 }
 
 // ObserveAbandoned implements dispatch.Quarantine.
 func (q *quarantines) ObserveAbandoned(now time.Time, request *quarantine.Subject, at dispatch.Placement) {
-	q.Guard.ObserveAbandoned(now, request, q.place(&at))
+	q.Guard.ObserveAbandoned(now, request, q.target(&at))
 }
 
 // ObserveUnreachable implements dispatch.Quarantine.
 func (q *quarantines) ObserveUnreachable(now time.Time, at dispatch.Placement) {
-	q.Guard.ObserveUnreachable(now, q.place(&at))
+	q.Guard.ObserveUnreachable(now, q.target(&at))
 }
 
-// place returns the life of an engine that a placement names. Engines bound their work, not their
+// target returns the life of an engine that a placement names. Engines bound their work, not their
 // connections, so that a refused one means that no process listens, whatever is open there.
-func (q *quarantines) place(at *dispatch.Placement) guard.Target {
+func (q *quarantines) target(at *dispatch.Placement) guard.Target {
 	address, incarnation := at.Address, at.Incarnation
-	return guard.Target{Incarnation: lifeOf(at.Engine, incarnation), Probe: func(ctx context.Context, _ time.Time) guard.ProbeResult {
+	return guard.Target{Incarnation: incarnationKey(at.Engine, incarnation), Probe: func(ctx context.Context, _ time.Time) guard.ProbeResult {
 		report, err := q.engines.Load(ctx, address)
 		switch {
 		case err == nil && report.Incarnation == incarnation:
@@ -138,11 +138,11 @@
 }
 
 // DrainingOrUnlisted implements guard.Backends.
-func (q *quarantines) DrainingOrUnlisted(life ident.Incarnation) bool {
+func (q *quarantines) DrainingOrUnlisted(incarnation ident.Incarnation) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, leaving := range q.leaving {
-		if leaving == life {
+	for _, draining := range q.draining {
+		if draining == incarnation {
 			return true
 		}
 	}
@@ -159,14 +159,14 @@
 	defer q.mu.Unlock()
 	switch change.Kind {
 	case endpoint.ChangeDraining:
-		q.leaving[change.Engine] = lifeOf(change.Engine, change.Incarnation)
+		q.draining[change.Engine] = incarnationKey(change.Engine, change.Incarnation)
 	case endpoint.ChangeRemoved:
-		delete(q.leaving, change.Engine)
+		delete(q.draining, change.Engine)
 	}
 }
 
-// others returns the addresses of the other routers that are not believed dead.
-func (q *quarantines) others() []string {
+// peerAddresses returns the addresses of the other routers that are not believed dead.
+func (q *quarantines) peerAddresses() []string {
 	var addresses []string
 	for _, member := range q.view().Members {
 		if member.Node != q.self && member.State != membership.Dead {
@@ -177,9 +177,9 @@
 }
 
 // send queues news for all other routers; it never blocks.
-func (q *quarantines) send(told []quarantine.Evidence) {
-	for _, address := range q.others() {
-		q.calls.Push(quarantineCall{address, slices.Clone(told)})
+func (q *quarantines) send(evidence []quarantine.Evidence) {
+	for _, address := range q.peerAddresses() {
+		q.calls.Push(quarantineCall{address, slices.Clone(evidence)})
 	}
 }
 
@@ -192,36 +192,36 @@
 		case <-q.calls.Ready():
 		}
 		for call, ok := q.calls.Pop(); ok; call, ok = q.calls.Pop() {
-			q.call(ctx, call.address, quarantineNews{Told: call.told, Digest: q.Digest()})
+			q.call(ctx, call.address, quarantineUpdate{Evidence: call.evidence, Digest: q.Digest()})
 		}
 	}
 }
 
-// ask asks one other router in turn for what is held, until ctx ends.
-func (q *quarantines) ask(ctx context.Context) {
+// pollPeers asks one other router in turn for what is held, until ctx ends.
+func (q *quarantines) pollPeers(ctx context.Context) {
 	for ctx.Err() == nil {
-		if others := q.others(); len(others) > 0 {
-			q.turn++
-			q.call(ctx, others[q.turn%len(others)], quarantineNews{Digest: q.Digest()})
+		if peers := q.peerAddresses(); len(peers) > 0 {
+			q.polls++
+			q.call(ctx, peers[q.polls%len(peers)], quarantineUpdate{Digest: q.Digest()})
 		}
-		sleep(ctx, quarantineInterval)
+		sleep(ctx, quarantinePollInterval)
 	}
 }
 
 // call makes one call and takes in the reply. One that fails is not repeated: news are told some
 // times, and what is held is asked for again.
-func (q *quarantines) call(ctx context.Context, address string, news quarantineNews) {
+func (q *quarantines) call(ctx context.Context, address string, update quarantineUpdate) {
 	bounded, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	var reply quarantineReply
-	if err := q.peers.Call(bounded, address, methodQuarantine, news, &reply); err == nil {
-		q.Merge(clock.Now(), reply.Told)
+	if err := q.peers.Call(bounded, address, methodQuarantine, update, &reply); err == nil {
+		q.Merge(clock.Now(), reply.Evidence)
 	}
 }
 
 // serve takes in news of another router, and returns what that one lacks.
-func (q *quarantines) serve(_ context.Context, news quarantineNews) (quarantineReply, error) {
+func (q *quarantines) serve(_ context.Context, update quarantineUpdate) (quarantineReply, error) {
 	now := clock.Now()
-	lacks := q.Merge(now, news.Told)
-	return quarantineReply{Told: append(lacks, q.EvidenceSince(now, news.Digest)...)}, nil
+	missing := q.Merge(now, update.Evidence)
+	return quarantineReply{Evidence: append(missing, q.EvidenceSince(now, update.Digest)...)}, nil
 }
--- a/internal/router/quarantine_test.go
+++ b/internal/router/quarantine_test.go
@@ -31,35 +31,35 @@
 	storeprotocol "github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// awayTable is a table that is down.
-type awayTable struct{}
+// unavailableTable is a table that is down.
+type unavailableTable struct{}
 
-var errAway = fault.New(fault.StoreUnavailable, "down")
+var errTableDown = fault.New(fault.StoreUnavailable, "down")
 
 // Commit implements store.Table.
-func (awayTable) Commit(context.Context, storeprotocol.Transaction) (storeprotocol.TransactionResult, error) {
-	return storeprotocol.TransactionResult{}, errAway
+func (unavailableTable) Commit(context.Context, storeprotocol.Transaction) (storeprotocol.TransactionResult, error) {
+	return storeprotocol.TransactionResult{}, errTableDown
 }
 
 // Read implements store.Table.
-func (awayTable) Read(context.Context, string) (storeprotocol.Row, bool, error) {
-	return storeprotocol.Row{}, false, errAway
+func (unavailableTable) Read(context.Context, string) (storeprotocol.Row, bool, error) {
+	return storeprotocol.Row{}, false, errTableDown
 }
 
 // List implements store.Table.
-func (awayTable) List(context.Context, string, int) (storeprotocol.RowList, error) {
-	return storeprotocol.RowList{}, errAway
+func (unavailableTable) List(context.Context, string, int) (storeprotocol.RowList, error) {
+	return storeprotocol.RowList{}, errTableDown
 }
 
-// reports are engines that answer a look in one way.
-type reports struct {
+// fixedReport are engines that answer a look in one way.
+type fixedReport struct {
 	engine.Observer
 	incarnation ident.Incarnation
 	err         error
 }
 
 // Load implements engine.Observer.
-func (r reports) Load(context.Context, string) (protocol.LoadReport, error) {
+func (r fixedReport) Load(context.Context, string) (protocol.LoadReport, error) {
 	return protocol.LoadReport{Incarnation: r.incarnation}, r.err
 }
 
@@ -79,7 +79,7 @@
 	return membership.View{Members: slices.Clone(f.members)}
 }
 
-func (f *quarantineFleet) start(looks reports) *quarantines {
+func (f *quarantineFleet) start(observer fixedReport) *quarantines {
 	f.t.Helper()
 	key := []byte(strings.Repeat("k", 32))
 	client, err := peer.NewClient(key, 0)
@@ -87,7 +87,7 @@
 		f.t.Fatal(err)
 	}
 	self := ident.Node(fmt.Sprint("n", len(f.all)))
-	q := newQuarantines(guard.Config{Table: awayTable{}, Timeout: time.Second}, looks, client, self, f.view)
+	q := newQuarantines(guard.Config{Table: unavailableTable{}, Timeout: time.Second}, observer, client, self, f.view)
 	server, err := peer.NewServer(key, 0)
 	if err != nil {
 		f.t.Fatal(err)
@@ -102,7 +102,7 @@
 	f.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{}, 3)
-	for _, duty := range []func(context.Context){q.Run, q.runCalls, q.ask} {
+	for _, duty := range []func(context.Context){q.Run, q.runCalls, q.pollPeers} {
 		go func() {
 			duty(ctx)
 			ended <- struct{}{}
@@ -123,10 +123,10 @@
 	return &quarantine.Subject{Identity: quarantine.Identity{Tenant: "t", Body: []byte(body)}}
 }
 
-// heldBy waits for a short time until a router holds a request, and does something meanwhile.
-func heldBy(q *quarantines, body string, meanwhile func()) bool {
+// becomesQuarantined waits for a short time until a router holds a request, and does something meanwhile.
+func becomesQuarantined(q *quarantines, body string, repeat func()) bool {
 	for range 300 {
-		meanwhile()
+		repeat()
 		if q.Check(time.Now(), crashSubject(body)) != nil {
 			return true
 		}
@@ -141,62 +141,62 @@
 
 // Three routers each saw one engine crash: all of them hold the request, and so does one that
 // starts later. The table is down all the time.
-func TestRoutersTellEachOtherOfCrashes(t *testing.T) {
+func TestRoutersExchangeCrashEvidence(t *testing.T) {
 	is := is.New(t)
 	f := &quarantineFleet{t: t}
 	for range 3 {
-		f.start(reports{err: fault.Wrap(syscall.ECONNREFUSED, fault.BackendLost, "refused")})
+		f.start(fixedReport{err: fault.Wrap(syscall.ECONNREFUSED, fault.BackendLost, "refused")})
 	}
 	for _, q := range f.all {
-		is.True(heldBy(q, "guilty", func() {
+		is.True(becomesQuarantined(q, "guilty", func() {
 			// Again and again, as the duties of a router may not have begun.
-			for index, teller := range f.all {
-				teller.ObserveBroken(time.Now(), crashSubject("guilty"), crashPlacement(fmt.Sprint("e", index)))
+			for index, reporter := range f.all {
+				reporter.ObserveBroken(time.Now(), crashSubject("guilty"), crashPlacement(fmt.Sprint("e", index)))
 			}
 		}))
 		is.True(q.Check(time.Now(), crashSubject("other")) == nil)
 	}
-	late := f.start(reports{})
-	is.True(heldBy(late, "guilty", func() {}))
+	newcomer := f.start(fixedReport{})
+	is.True(becomesQuarantined(newcomer, "guilty", func() {}))
 }
 
-func TestWhatALoadReportSaysOfALife(t *testing.T) {
+func TestProbeResultByLoadReport(t *testing.T) {
 	refused := fault.Wrap(syscall.ECONNREFUSED, fault.BackendLost, "refused")
 	tests := []struct {
 		name  string
-		looks reports
+		looks fixedReport
 		want  guard.ProbeResult
 	}{
-		{"the same life", reports{incarnation: "1"}, guard.ProbeAlive},
-		{"another life", reports{incarnation: "2"}, guard.ProbeEnded},
-		{"refused", reports{err: refused}, guard.ProbeRefused},
-		{"silence", reports{err: context.DeadlineExceeded}, guard.ProbeInconclusive},
+		{"the same life", fixedReport{incarnation: "1"}, guard.ProbeAlive},
+		{"another life", fixedReport{incarnation: "2"}, guard.ProbeEnded},
+		{"refused", fixedReport{err: refused}, guard.ProbeRefused},
+		{"silence", fixedReport{err: context.DeadlineExceeded}, guard.ProbeInconclusive},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			q := &quarantines{engines: tt.looks}
 			placement := crashPlacement("e")
-			is.New(t).Equal(q.place(&placement).Probe(t.Context(), time.Now()), tt.want)
+			is.New(t).Equal(q.target(&placement).Probe(t.Context(), time.Now()), tt.want)
 		})
 	}
 }
 
 // A connection that is refused for real shows as such through all layers of the client.
-func TestARefusedConnectionIsASign(t *testing.T) {
+func TestProbeDetectsRefusedConnection(t *testing.T) {
 	client := engine.NewHTTPClient(engine.Options{})
 	defer client.CloseIdle()
 	q := &quarantines{engines: client}
 	placement := crashPlacement(addrtest.Free(t).String())
-	is.New(t).Equal(q.place(&placement).Probe(t.Context(), time.Now()), guard.ProbeRefused)
+	is.New(t).Equal(q.target(&placement).Probe(t.Context(), time.Now()), guard.ProbeRefused)
 }
 
 // An engine that told that it leaves has ended as planned.
-func TestAnEngineThatLeavesHasNotCrashed(t *testing.T) {
+func TestDrainingEngineHasNotCrashed(t *testing.T) {
 	is := is.New(t)
-	q := &quarantines{leaving: make(map[ident.Engine]ident.Incarnation)}
+	q := &quarantines{draining: make(map[ident.Engine]ident.Incarnation)}
 	q.engineChanged(endpoint.Change{Kind: endpoint.ChangeDraining, Engine: "e", Incarnation: "1"})
-	is.True(q.DrainingOrUnlisted(lifeOf("e", "1")))
-	is.True(!q.DrainingOrUnlisted(lifeOf("e", "2")))
+	is.True(q.DrainingOrUnlisted(incarnationKey("e", "1")))
+	is.True(!q.DrainingOrUnlisted(incarnationKey("e", "2")))
 	q.engineChanged(endpoint.Change{Kind: endpoint.ChangeRemoved, Engine: "e"})
-	is.True(!q.DrainingOrUnlisted(lifeOf("e", "1")))
+	is.True(!q.DrainingOrUnlisted(incarnationKey("e", "1")))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -50,31 +50,31 @@
 
 // Router is one router process.
 type Router struct {
-	settings   *settings.Settings
-	telemetry  *telemetry.Registry
-	life       *statechart.Instance
-	platform   *store.HTTPClient
-	engines    *engine.HTTPClient
-	members    *membership.Node
-	peers      *peer.Client
-	peerServer *peer.Server
-	syncer     *fleet.Syncer
-	claims     *claim.Manager
-	sweeper    *claim.Sweeper
-	control    *control.Controller
-	duty       *placement.Runner
-	placer     *placer
-	apps       *applicationPlacer
-	appPoller  *endpoint.Poller
-	poller     *endpoint.Poller
-	streams    *streamReaders
+	settings        *settings.Settings
+	telemetry       *telemetry.Registry
+	lifecycle       *statechart.Instance
+	platform        *store.HTTPClient
+	engines         *engine.HTTPClient
+	members         *membership.Node
+	peers           *peer.Client
+	peerServer      *peer.Server
+	syncer          *fleet.Syncer
+	claims          *claim.Manager
+	sweeper         *claim.Sweeper
+	control         *control.Controller
+	placementRunner *placement.Runner
+	placer          *placer
+	apps            *applicationPlacer
+	appPoller       *endpoint.Poller
+	poller          *endpoint.Poller
+	streams         *streamReaders
 	// directoryMessages are on their way to other routers.
 	directoryMessages *directorySender
 	// quarantines keeps requests from engines under which these crash.
 	quarantines *quarantines
 	dispatch    *dispatch.Dispatcher
 	api         *api.Server
-	work        sync.WaitGroup
+	background  sync.WaitGroup
 }
 
 // Run runs a router until ctx ends, then stops it as planned: no new work,
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "loading the router chart")
 	}
-	r.life = chart.New(statechart.Observe(r.telemetry.ChartObserver()))
+	r.lifecycle = chart.New(statechart.Observe(r.telemetry.ChartObserver()))
 	r.platform, err = store.NewHTTPClient(configured.Platform, store.Options{
 		RequestsPerSecond: configured.Table.RequestsPerSecond,
 		Burst:             max(1, int(configured.Table.RequestsPerSecond)),
@@ -148,18 +148,18 @@
 	if err != nil {
 		return err
 	}
-	believed, err := beliefs.New(beliefs.Config{}, time.Now())
+	cacheBeliefs, err := beliefs.New(beliefs.Config{}, time.Now())
 	if err != nil {
 		return err
 	}
-	prefixes, err := directory.New(directory.Config{}, believed)
+	prefixes, err := directory.New(directory.Config{}, cacheBeliefs)
 	if err != nil {
 		return err
 	}
 	home := ident.Zone(r.settings.Zone)
 	core := placement.New(placement.Config{
 		Scheduler:  scheduler,
-		Beliefs:    believed,
+		Beliefs:    cacheBeliefs,
 		Directory:  prefixes,
 		SmallFleet: smallFleet,
 		Queue:      admission.NewQueue(admission.Config{}),
@@ -168,22 +168,22 @@
 	})
 	r.directoryMessages = newDirectorySender(r.peers, ident.Node(r.settings.Node), r.view)
 	r.poller = endpoint.NewPoller(r.engines, pollTimeout, pollRing)
-	r.duty = placement.NewRunner(placement.RunnerConfig{
+	r.placementRunner = placement.NewRunner(placement.RunnerConfig{
 		MaxOpen:          r.settings.Limits.MaxOpenRequests,
 		PollInterval:     r.settings.Intervals.LoadPoll,
 		PollsPerTick:     pollsPerTick,
 		PollTick:         pollTick,
 		OnChange:         r.engineChanged,
-		OnSnapshotWanted: r.snapshotWanted,
+		OnSnapshotWanted: r.requestSnapshot,
 		OnMessage:        r.directoryMessages.push,
 	}, core, r.poller)
-	r.streams = newStreamReaders(r.engines, r.duty)
+	r.streams = newStreamReaders(r.engines, r.placementRunner)
 	r.apps = newApplicationPlacer(r.syncer.Current, home)
-	r.apps.onLeaving = func(name ident.Application, incarnation ident.Incarnation) {
-		r.broadcastLeaving(string(name), incarnation)
+	r.apps.onDraining = func(name ident.Application, incarnation ident.Incarnation) {
+		r.broadcastDraining(string(name), incarnation)
 	}
 	r.appPoller = endpoint.NewPoller(r.engines, pollTimeout, pollRing)
-	r.placer = &placer{duty: r.duty, transfers: r.engines, current: r.syncer.Current, homeZone: home}
+	r.placer = &placer{placementRunner: r.placementRunner, transfers: r.engines, current: r.syncer.Current, homeZone: home}
 	return nil
 }
 
@@ -214,7 +214,7 @@
 		Node:           ident.Node(r.settings.Node),
 		KeepStream:     r.keepStream,
 		OnFault:        r.telemetry.Refused,
-	}, catalogs{r.syncer.Current}, &runner{r.dispatch, newTenantRates(r.syncer.Current)}, sealer, r.state)
+	}, catalogs{r.syncer.Current}, &rateLimitedRunner{r.dispatch, newTenantRates(r.syncer.Current)}, sealer, r.state)
 	return nil
 }
 
@@ -226,30 +226,30 @@
 	}
 	server := r.api.NewHTTPServer()
 	server.Handler = routes
-	callers, err := listenForCallers(r.settings.Listen, server, r.api.RefuseNew)
+	callers, err := listenForCallers(r.settings.Listen, server, r.api.RejectNewRequests)
 	if err != nil {
 		return err
 	}
-	duties, endDuties := context.WithCancel(context.Background())
-	defer endDuties()
-	if err := r.startMembership(duties); err != nil {
+	backgroundCtx, stopBackground := context.WithCancel(context.Background())
+	defer stopBackground()
+	if err := r.startMembership(backgroundCtx); err != nil {
 		_ = callers.listener.Close()
 		return err
 	}
-	r.startDuties(duties)
-	r.duty.SetView(r.view())
+	r.startBackground(backgroundCtx)
+	r.placementRunner.SetView(r.view())
 	callers.serve()
 	log.WithField("listen", callers.listener.Addr().String()).WithField("node", r.settings.Node).Info("router started")
 
 	select {
 	case <-ctx.Done():
 		err = r.stop(callers)
-	case err = <-callers.served:
+	case err = <-callers.serveError:
 		err = fault.Wrap(err, fault.Internal, "the HTTP listener ended")
 	}
-	endDuties()
+	stopBackground()
 	r.members.Stop()
-	r.work.Wait()
+	r.background.Wait()
 	r.streams.Wait()
 	log.Info("router stopped")
 	return err
@@ -259,7 +259,7 @@
 func (r *Router) stop(callers *callerServer) error {
 	r.fire(statechart.RouterEventStopRequested)
 	log.Info("router leaving")
-	r.leave()
+	r.announceShutdown()
 	bounded, cancel := context.WithTimeout(context.Background(), r.settings.StopGrace)
 	defer cancel()
 	err := callers.stop(bounded)
@@ -273,9 +273,9 @@
 	return nil
 }
 
-// leave announces the stop to the other routers, so that they take over what
+// announceShutdown announces the stop to the other routers, so that they take over what
 // this one owns before it is gone.
-func (r *Router) leave() {
+func (r *Router) announceShutdown() {
 	bounded, cancel := context.WithTimeout(context.Background(), membershipTimeout)
 	defer cancel()
 	if err := r.members.Leave(bounded); err != nil {
@@ -283,35 +283,35 @@
 	}
 }
 
-// startDuties starts every goroutine of the router. They end with ctx.
-func (r *Router) startDuties(ctx context.Context) {
+// startBackground starts every goroutine of the router. They end with ctx.
+func (r *Router) startBackground(ctx context.Context) {
 	r.syncer.OnPrepare(func(compiled *fleet.Compiled) {
-		r.duty.Configure(engineTargets(compiled))
+		r.placementRunner.Configure(engineTargets(compiled))
 		r.apps.configure(compiled)
 	})
 	r.syncer.OnAdopt(func(compiled *fleet.Compiled) { r.adopt(ctx, compiled) })
 	r.poller.Start(ctx, pollWorkers)
 	r.appPoller.Start(ctx, pollWorkers)
-	r.work.Go(func() { r.duty.Run(ctx) })
+	r.background.Go(func() { r.placementRunner.Run(ctx) })
 	for range directorySenders {
-		r.work.Go(func() { r.directoryMessages.run(ctx) })
+		r.background.Go(func() { r.directoryMessages.run(ctx) })
 	}
 	for range quarantineSenders {
-		r.work.Go(func() { r.quarantines.runCalls(ctx) })
+		r.background.Go(func() { r.quarantines.runCalls(ctx) })
 	}
-	r.work.Go(func() { r.quarantines.ask(ctx) })
-	r.work.Go(func() { r.quarantines.Run(ctx) })
+	r.background.Go(func() { r.quarantines.pollPeers(ctx) })
+	r.background.Go(func() { r.quarantines.Run(ctx) })
 	// Beside the start: a router serves while the table is down.
-	r.work.Go(func() { r.quarantines.Load(ctx, 0) })
-	r.work.Go(func() { r.syncer.Run(ctx) })
-	r.work.Go(func() { r.claims.Run(ctx) })
-	r.work.Go(func() { r.sweeper.Run(ctx) })
-	r.work.Go(func() { r.control.Run(ctx) })
-	r.work.Go(func() { r.pollApplications(ctx) })
-	r.work.Go(func() { r.watchMachines(ctx) })
-	r.work.Go(func() { r.watchMembers(ctx) })
-	r.work.Go(r.poller.Wait)
-	r.work.Go(r.appPoller.Wait)
+	r.background.Go(func() { r.quarantines.Load(ctx, 0) })
+	r.background.Go(func() { r.syncer.Run(ctx) })
+	r.background.Go(func() { r.claims.Run(ctx) })
+	r.background.Go(func() { r.sweeper.Run(ctx) })
+	r.background.Go(func() { r.control.Run(ctx) })
+	r.background.Go(func() { r.pollApplications(ctx) })
+	r.background.Go(func() { r.watchMachines(ctx) })
+	r.background.Go(func() { r.watchMembers(ctx) })
+	r.background.Go(r.poller.Wait)
+	r.background.Go(r.appPoller.Wait)
 	r.registerMetrics()
 	for _, read := range r.rings() {
 		r.telemetry.RegisterRing(read)
@@ -321,8 +321,8 @@
 // adopt acts on a fleet file that is now in force; its back ends are known since
 // it was prepared.
 func (r *Router) adopt(ctx context.Context, compiled *fleet.Compiled) {
-	r.streams.Set(ctx, r.ownStreams(compiled))
-	r.announceFleet(ctx, compiled)
+	r.streams.Set(ctx, r.assignedStreams(compiled))
+	r.advertiseFleet(ctx, compiled)
 	r.fire(statechart.RouterEventReady)
 }
 
@@ -336,16 +336,16 @@
 
 // fire moves the router's own chart; an event that it does not take is counted
 // by the chart's observer.
-func (r *Router) fire(event statechart.Event) { _, _ = r.life.Fire(event) }
+func (r *Router) fire(event statechart.Event) { _, _ = r.lifecycle.Fire(event) }
 
 // state says what the API tells of this router.
 func (r *Router) state() api.State {
-	switch r.life.State() {
+	switch r.lifecycle.State() {
 	case statechart.RouterStateServing:
 		return api.StateServing
 	case statechart.RouterStateStarting:
 		return api.StateStarting
 	default:
-		return api.StateLeaving
+		return api.StateShuttingDown
 	}
 }
--- a/internal/router/runner.go
+++ b/internal/router/runner.go
@@ -11,15 +11,15 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// runner implements api.Runner: it keeps each tenant to its rate and leaves the
+// rateLimitedRunner implements api.Runner: it keeps each tenant to its rate and leaves the
 // rest to dispatch.
-type runner struct {
+type rateLimitedRunner struct {
 	*dispatch.Dispatcher
 	rates *tenantRates
 }
 
 // Run implements api.Runner.
-func (r *runner) Run(ctx context.Context, job *dispatch.Job, sink dispatch.Sink) (dispatch.Completion, error) {
+func (r *rateLimitedRunner) Run(ctx context.Context, job *dispatch.Job, sink dispatch.Sink) (dispatch.Completion, error) {
 	if refusal := r.rates.admit(job.Tenant, job.ID); refusal != nil {
 		return dispatch.Completion{}, refusal
 	}
@@ -27,7 +27,7 @@
 }
 
 // RunApplication implements api.Runner.
-func (r *runner) RunApplication(ctx context.Context, job *dispatch.ApplicationJob) (dispatch.Answer, error) {
+func (r *rateLimitedRunner) RunApplication(ctx context.Context, job *dispatch.ApplicationJob) (dispatch.Answer, error) {
 	if refusal := r.rates.admit(job.Tenant, job.ID); refusal != nil {
 		return dispatch.Answer{}, refusal
 	}
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -57,7 +57,7 @@
 	for _, member := range r.view().Members {
 		report.Members = append(report.Members, statusMember(member))
 	}
-	if reading, err := r.duty.Read(ctx); err == nil {
+	if reading, err := r.placementRunner.Read(ctx); err == nil {
 		report.Engines = statusEngines(reading.Endpoints)
 		report.Queue = statusQueue(reading)
 		report.Decisions = status.Decisions(reading.Decisions)
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -17,8 +17,8 @@
 	// streamOwners is the number of routers that read the events of an engine
 	// of a large fleet: the owner and one standby.
 	streamOwners = 2
-	// streamPause is the pause before a broken event stream is opened anew.
-	streamPause = 500 * time.Millisecond
+	// streamRetryDelay is the pause before a broken event stream is opened anew.
+	streamRetryDelay = 500 * time.Millisecond
 	// snapshotTimeout bounds the read of a cache snapshot.
 	snapshotTimeout = 5 * time.Second
 )
@@ -32,15 +32,15 @@
 // streamReaders runs one goroutine for each cache event stream that this
 // router reads, and one for each snapshot being read.
 type streamReaders struct {
-	observer engine.Observer
-	duty     *placement.Runner
-	mutex    sync.Mutex
-	running  map[streamSource]context.CancelFunc
-	work     sync.WaitGroup
+	observer        engine.Observer
+	placementRunner *placement.Runner
+	mutex           sync.Mutex
+	running         map[streamSource]context.CancelFunc
+	background      sync.WaitGroup
 }
 
-func newStreamReaders(observer engine.Observer, duty *placement.Runner) *streamReaders {
-	return &streamReaders{observer: observer, duty: duty, running: make(map[streamSource]context.CancelFunc)}
+func newStreamReaders(observer engine.Observer, placementRunner *placement.Runner) *streamReaders {
+	return &streamReaders{observer: observer, placementRunner: placementRunner, running: make(map[streamSource]context.CancelFunc)}
 }
 
 // Set makes the wanted streams, and no others, be read until ctx ends.
@@ -63,15 +63,15 @@
 }
 
 // Wait returns when every goroutine has ended.
-func (s *streamReaders) Wait() { s.work.Wait() }
+func (s *streamReaders) Wait() { s.background.Wait() }
 
 func (s *streamReaders) start(ctx context.Context, source streamSource) {
 	bounded, stop := context.WithCancel(ctx)
 	s.running[source] = stop
-	s.work.Go(func() {
+	s.background.Go(func() {
 		for bounded.Err() == nil {
 			s.read(bounded, source)
-			sleep(bounded, streamPause)
+			sleep(bounded, streamRetryDelay)
 		}
 	})
 }
@@ -90,18 +90,18 @@
 		if err != nil {
 			return
 		}
-		s.duty.CacheEvents(source.Engine, batch)
+		s.placementRunner.CacheEvents(source.Engine, batch)
 	}
 }
 
 // Snapshot reads the whole state of an engine's cache in the background.
 func (s *streamReaders) Snapshot(ctx context.Context, source streamSource) {
-	s.work.Go(func() {
+	s.background.Go(func() {
 		bounded, cancel := context.WithTimeout(ctx, snapshotTimeout)
 		defer cancel()
 		snapshot, err := s.observer.CacheSnapshot(bounded, source.Address)
 		if err == nil {
-			s.duty.CacheSnapshot(source.Engine, snapshot)
+			s.placementRunner.CacheSnapshot(source.Engine, snapshot)
 		}
 	})
 }
