--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -6,8 +6,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Answer is the JSON of a whole answer, or of one chunk of a stream, in the
-// usual form of the chat and completions API.
+// Answer is the JSON of a whole answer, or of one chunk of a stream, as in the
+// OpenAI chat and completions API.
 type Answer struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -19,7 +19,7 @@
 	Usage             *Usage             `json:"usage,omitempty"`
 }
 
-// Choice is the one choice of an answer.
+// Choice is the only choice of an answer.
 type Choice struct {
 	Index int `json:"index"`
 	// Message is set in whole chat answers, Delta in chat chunks, and Text in
@@ -30,7 +30,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Message is a chat message, or a piece of one.
+// Message is a chat message, or a fragment of one.
 type Message struct {
 	Role    string  `json:"role,omitempty"`
 	Content *string `json:"content,omitempty"`
@@ -44,7 +44,7 @@
 	PromptTokensDetails PromptTokensDetails `json:"prompt_tokens_details"`
 }
 
-// PromptTokensDetails says how much of the prompt was found cached.
+// PromptTokensDetails counts the prompt tokens found in the engine's cache.
 type PromptTokensDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-// answerBuilder makes the JSON of one request's answer.
+// answerBuilder builds the JSON of one request's answer.
 type answerBuilder struct {
 	chat    bool
 	request ident.Request
@@ -76,7 +76,7 @@
 	return Answer{ID: id, Object: object, Created: f.created, Model: f.service, SystemFingerprint: version}
 }
 
-// complete returns a whole answer.
+// complete returns the answer to a request without streaming.
 func (f answerBuilder) complete(text string, completion dispatch.Completion) Answer {
 	object := "text_completion"
 	choice := Choice{FinishReason: &completion.FinishReason}
@@ -92,7 +92,7 @@
 	return answer
 }
 
-// chunk returns one chunk of a stream; the first one of an answer names the role.
+// chunk returns one chunk of a stream; the first one carries the role.
 func (f answerBuilder) chunk(text string, version ident.ModelVersion, withRole bool) Answer {
 	object := "text_completion"
 	choice := Choice{}
@@ -110,7 +110,7 @@
 	return answer
 }
 
-// lastChunk returns the chunk that carries finish reason and usage.
+// lastChunk returns the chunk with the finish reason and usage.
 func (f answerBuilder) lastChunk(completion dispatch.Completion) Answer {
 	answer := f.chunk("", completion.Version, false)
 	if f.chat {
--- a/internal/api/application.go
+++ b/internal/api/application.go
@@ -15,11 +15,10 @@
 const (
 	servicesPrefix       = "/v1/services/"
 	headerIdempotencyKey = "Idempotency-Key"
-	// headerReplayed marks the answer of an earlier sending under the same key.
-	headerReplayed = "Idempotency-Replayed"
-	// maxIdempotencyKeyBytes bounds an idempotency key.
+	// headerReplayed marks the retained answer to an earlier request with the same key.
+	headerReplayed         = "Idempotency-Replayed"
 	maxIdempotencyKeyBytes = 255
-	// maxStatus is the largest HTTP status that is passed on.
+	// maxStatus is the largest HTTP status passed on to a caller.
 	maxStatus = 599
 )
 
@@ -54,7 +53,7 @@
 func (e *exchange) applicationJob() (*dispatch.ApplicationJob, error) {
 	name, path, found := strings.Cut(strings.TrimPrefix(e.request.URL.Path, servicesPrefix), "/")
 	if !found || e.request.URL.RawPath != "" {
-		return nil, fault.New(fault.UnknownRoute, "the path names no route of a service, or is escaped in an unusual way")
+		return nil, fault.New(fault.UnknownRoute, "the path matches no route of a service, or has a non-canonical escape")
 	}
 	service, err := e.service(ident.Service(name), fleet.ServiceApplication)
 	if err != nil {
@@ -103,12 +102,12 @@
 	return fleet.Route{}, fault.New(fault.UnknownRoute, "service %q has no such method and path", string(service.Name))
 }
 
-// idempotencyKey returns the one key of the request. A bad key is refused on
-// every route, so that a caller learns of it before it matters.
+// idempotencyKey returns the key of the request. A malformed key is rejected on
+// retryable routes too, which do not need one.
 func idempotencyKey(header http.Header, retryable bool) (string, error) {
 	values := header.Values(headerIdempotencyKey)
 	if len(values) > 1 {
-		return "", fault.New(fault.BadRequest, "the %s header stands more than once", headerIdempotencyKey).WithRemedy("send one key")
+		return "", fault.New(fault.BadRequest, "the %s header appears more than once", headerIdempotencyKey).WithRemedy("send one key")
 	}
 	if len(values) == 0 || values[0] == "" {
 		if retryable {
--- a/internal/api/completions.go
+++ b/internal/api/completions.go
@@ -12,7 +12,6 @@
 	"github.com/fieldpond/fieldpond/internal/resume"
 )
 
-// The headers of resumption and identification.
 const (
 	headerLastEventID = "Last-Event-ID"
 	headerRequest     = "X-Request-Id"
@@ -41,12 +40,12 @@
 		return err
 	}
 	if resuming && (token.Service != job.Service || token.Chat != parsed.chat) {
-		return fault.New(fault.InvalidToken, "the token is that of another service or form")
+		return fault.New(fault.InvalidToken, "the token belongs to another service or endpoint")
 	}
 	if resuming {
 		err := e.resume(token)
-		// Without text the caller has nothing of the answer yet, and a fresh
-		// run cannot contradict what it has.
+		// A caller that has received no text gets a new run, which cannot
+		// contradict anything.
 		if err == nil || token.Position.EmittedBytes > 0 {
 			return err
 		}
@@ -78,19 +77,19 @@
 	return nil
 }
 
-// allowWrite bounds the writing of a whole answer.
+// allowWrite sets the deadline for writing a whole answer.
 func (e *exchange) allowWrite() {
 	_ = http.NewResponseController(e.writer).SetWriteDeadline(time.Now().Add(e.server.config.WriteTimeout))
 }
 
-// token opens the Last-Event-ID header, if there is one.
+// token decrypts the Last-Event-ID header, if there is one.
 func (e *exchange) token() (token resume.Token, found bool, err error) {
 	values := e.request.Header.Values(headerLastEventID)
 	if len(values) == 0 {
 		return resume.Token{}, false, nil
 	}
 	if len(values) > 1 {
-		return resume.Token{}, false, fault.New(fault.InvalidToken, "the %s header stands more than once", headerLastEventID)
+		return resume.Token{}, false, fault.New(fault.InvalidToken, "the %s header appears more than once", headerLastEventID)
 	}
 	token, err = e.server.tokens.Open(values[0], e.tenant)
 	return token, err == nil, err
@@ -109,8 +108,8 @@
 	return e.resume(token)
 }
 
-// resume gives the rest of a stream, if the tenant may still use the service
-// and its data may still be where the engine is.
+// resume streams the rest of an answer, if the tenant may still use the service
+// and the zone of the engine.
 func (e *exchange) resume(token resume.Token) error {
 	if _, err := e.service(token.Service, fleet.ServiceModel); err != nil {
 		return fault.From(err).WithRan(fault.RanYes)
--- a/internal/api/decode.go
+++ b/internal/api/decode.go
@@ -14,8 +14,8 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// chatRequest is the body of POST /v1/chat/completions. Fields of the usual
-// API that are not named here are taken and not used.
+// chatRequest is the body of POST /v1/chat/completions. Other fields of the
+// OpenAI API are accepted and ignored.
 type chatRequest struct {
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
@@ -33,7 +33,6 @@
 // chatContent is a string, or a list of text parts.
 type chatContent string
 
-// contentPart is one part of a message's content.
 type contentPart struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
@@ -72,7 +71,7 @@
 	N         *int       `json:"n"`
 }
 
-// promptText is a string, or a list of one string.
+// promptText is a string, or a list with one string.
 type promptText string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -88,10 +87,10 @@
 	return nil
 }
 
-// readBody reads the whole body within the limits of size and time.
+// readBody reads the whole body within the size and time limits.
 func (e *exchange) readBody() ([]byte, error) {
 	control := http.NewResponseController(e.writer)
-	// A writer without deadlines (as in tests) reads without a time limit.
+	// Without deadline support (in tests) there is no time limit.
 	_ = control.SetReadDeadline(time.Now().Add(e.server.config.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(e.writer, e.request.Body, e.server.config.MaxBodyBytes))
 	_ = control.SetReadDeadline(time.Time{})
@@ -117,12 +116,12 @@
 		return jsonFault(err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return fault.New(fault.BadRequest, "something stands after the JSON body").WithRemedy("send one JSON object and nothing after it")
+		return fault.New(fault.BadRequest, "the JSON body is followed by other data").WithRemedy("send one JSON object and nothing after it")
 	}
 	return nil
 }
 
-// jsonName names the JSON type that a Go kind is read from.
+// jsonName returns the JSON type that decodes into a Go kind.
 func jsonName(kind reflect.Kind) string {
 	switch kind {
 	case reflect.String:
@@ -138,11 +137,12 @@
 	}
 }
 
-// jsonFault describes a JSON error by place and type; it never repeats values.
+// jsonFault describes a JSON error by position and type, without values of the
+// caller.
 func jsonFault(err error) *fault.Fault {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return fault.New(fault.BadRequest, "a JSON %s stands at %.80q", wrongType.Value, "body."+wrongType.Field).
+		return fault.New(fault.BadRequest, "unexpected JSON %s at %.80q", wrongType.Value, "body."+wrongType.Field).
 			WithRemedy("send %s there", jsonName(wrongType.Type.Kind()))
 	}
 	var syntax *json.SyntaxError
@@ -152,5 +152,5 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return fault.New(fault.BadRequest, "the JSON body is empty or ends too early").WithRemedy("send one whole JSON object")
 	}
-	return fault.New(fault.BadRequest, "the body does not fit: %s", err.Error()).WithRemedy("correct the field named")
+	return fault.New(fault.BadRequest, "the body is invalid: %s", err.Error()).WithRemedy("correct the field named")
 }
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -17,7 +17,7 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what went wrong, what ran, and what to do.
+// ErrorDetail holds the error, whether the request ran, and a remedy.
 type ErrorDetail struct {
 	Kind             fault.Kind `json:"kind"`
 	Message          string     `json:"message"`
@@ -26,7 +26,7 @@
 	RetryAfterMillis int64      `json:"retry_after_millis"`
 }
 
-// errorBody renders a fault. The cause stays inside: it may hold addresses.
+// errorBody renders a fault without its cause, which may contain addresses.
 func (s *Server) errorBody(failure *fault.Fault) ErrorBody {
 	ran := failure.Ran
 	if ran == "" {
@@ -41,8 +41,7 @@
 	}}
 }
 
-// retryAfter returns when to come back; faults that pass by themselves always
-// state a time.
+// retryAfter returns the time until a retry; temporary faults always have one.
 func (s *Server) retryAfter(failure *fault.Fault) time.Duration {
 	if failure.RetryAfter > 0 {
 		return failure.RetryAfter
@@ -54,8 +53,8 @@
 	return 0
 }
 
-// reportFault reports a fault that a caller is answered with. One who has left is not
-// answered: what was cut short for that is no refusal.
+// reportFault passes a fault to OnFault, unless the caller has disconnected: a
+// request cancelled for that reason was not refused.
 func (s *Server) reportFault(caller context.Context, failure *fault.Fault) {
 	if caller.Err() == nil {
 		s.config.OnFault(failure)
@@ -71,7 +70,8 @@
 	writeJSON(writer, failure.Kind.Status(), s.errorBody(failure))
 }
 
-// writeJSON writes a whole answer. A caller that left is no error of ours.
+// writeJSON writes a whole response and ignores write errors: the caller has
+// disconnected.
 func writeJSON(writer http.ResponseWriter, status int, body any) {
 	var encoded bytes.Buffer
 	if err := json.NewEncoder(&encoded).Encode(body); err != nil {
@@ -83,7 +83,7 @@
 	_, _ = writer.Write(encoded.Bytes())
 }
 
-// bearerKey returns the key of the one Authorization header.
+// bearerKey returns the bearer key if there is exactly one Authorization header.
 func bearerKey(values []string) (string, bool) {
 	if len(values) != 1 {
 		return "", false
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Whatever bytes a caller sends as a body, it gets a whole answer or a typed
-// fault with a remedy, and nothing that was refused here reaches the runner.
+// Any body must get an answer, or a typed fault with a remedy without reaching the
+// runner.
 func FuzzCallerBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"chat","messages":[{"role":"user","content":"hi"}]}`,
@@ -30,12 +30,12 @@
 		if answer.Code == http.StatusOK {
 			return
 		}
-		var told ErrorBody
-		if err := json.Unmarshal(answer.Body.Bytes(), &told); err != nil {
+		var rejected ErrorBody
+		if err := json.Unmarshal(answer.Body.Bytes(), &rejected); err != nil {
 			t.Fatalf("status %d without a JSON fault: %q", answer.Code, answer.Body.String())
 		}
-		if told.Error.Kind == fault.Internal || told.Error.Remedy == "" || told.Error.Ran != fault.RanNo {
-			t.Fatalf("a bad body was answered with %+v", told.Error)
+		if rejected.Error.Kind == fault.Internal || rejected.Error.Remedy == "" || rejected.Error.Ran != fault.RanNo {
+			t.Fatalf("a bad body was answered with %+v", rejected.Error)
 		}
 		if runner.job != nil {
 			t.Fatal("a refused request reached the runner")
--- a/internal/api/health.go
+++ b/internal/api/health.go
@@ -14,7 +14,7 @@
 	writeJSON(writer, http.StatusOK, Health{State: state, Ready: state == StateServing})
 }
 
-// ready answers 200 only while requests are taken.
+// ready answers 200 only while requests are accepted.
 func (s *Server) ready(writer http.ResponseWriter, _ *http.Request) {
 	state := s.state()
 	status := http.StatusServiceUnavailable
--- a/internal/api/prompt.go
+++ b/internal/api/prompt.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// modelRequest is a chat or completions request, understood but not yet checked
-// against the fleet file.
+// modelRequest is a decoded chat or completions request, not yet checked against
+// the fleet file.
 type modelRequest struct {
 	chat      bool
 	service   ident.Service
@@ -21,10 +21,9 @@
 	stream    bool
 }
 
-// maxRoleBytes bounds the role of a message.
 const maxRoleBytes = 32
 
-// render joins the messages to the prompt of an engine.
+// render joins the messages into the prompt for an engine.
 func render(messages []chatMessage) (string, error) {
 	if len(messages) == 0 {
 		return "", fault.New(fault.BadRequest, "messages is empty").WithRemedy("send at least one message")
@@ -32,7 +31,7 @@
 	var prompt strings.Builder
 	for index, message := range messages {
 		if !validRole(message.Role) {
-			return "", fault.New(fault.BadRequest, "message %d has no usable role", index).
+			return "", fault.New(fault.BadRequest, "message %d has an invalid role", index).
 				WithRemedy("send a role of up to %d lower-case letters, such as \"user\"", maxRoleBytes)
 		}
 		prompt.WriteString("<|" + message.Role + "|>\n" + string(message.Content) + "\n")
@@ -87,7 +86,7 @@
 	return nil
 }
 
-// job checks a call against the limits and the fleet file.
+// job checks a request against the limits and the fleet file.
 func (e *exchange) job(parsed modelRequest) (*dispatch.Job, error) {
 	if parsed.service == "" {
 		return nil, fault.New(fault.BadRequest, "model is missing").WithRemedy("name a service as \"model\"; 'GET /v1/models' lists them")
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,10 +1,10 @@
-// Package api is the HTTP interface to callers: the usual chat and completions
-// API with server-sent events, resumption of streams, application services and
-// health.
+// Package api is the HTTP interface to callers: an OpenAI-compatible chat and
+// completions API with server-sent events, resumption of streams, application
+// services and health.
 //
 // Errors are JSON {"error": {kind, message, remedy, ran, retry_after_millis}}
-// with the HTTP status of the kind. An answer that breaks off mid-stream ends
-// with an "error" event that carries the same JSON, and without [DONE].
+// with the HTTP status of the kind. A stream that breaks ends with an "error"
+// event that carries the same JSON, and without [DONE].
 package api
 
 import (
@@ -23,13 +23,13 @@
 	"github.com/fieldpond/fieldpond/internal/resume"
 )
 
-// CatalogSource gives the fleet file in force.
+// CatalogSource provides the fleet file in force.
 type CatalogSource interface {
-	// Current returns the catalog in force, or false if there is none yet.
+	// Current returns the catalog, or false if there is none yet.
 	Current() (Catalog, bool)
 }
 
-// Catalog is one fleet file in force. It does not change.
+// Catalog is an immutable fleet file.
 type Catalog interface {
 	// Authenticate returns the tenant of a bearer key.
 	Authenticate(key string) (ident.Tenant, bool)
@@ -39,7 +39,7 @@
 	Zones(name ident.Tenant) map[ident.Zone]bool
 	// Service returns a service's entry.
 	Service(name ident.Service) (fleet.Service, bool)
-	// Class returns a class's entry, with its defaults filled in.
+	// Class returns a class's entry with defaults applied.
 	Class(name ident.Class) (fleet.Class, bool)
 	// Versions returns the permitted versions of a model, preferred first.
 	Versions(model ident.Model) []ident.ModelVersion
@@ -51,7 +51,7 @@
 type Runner interface {
 	// Run runs a model request.
 	Run(ctx context.Context, job *dispatch.Job, sink dispatch.Sink) (dispatch.Completion, error)
-	// Resume gives the rest of a stream.
+	// Resume streams the rest of an answer.
 	Resume(ctx context.Context, job dispatch.ResumeJob, sink dispatch.Sink) (dispatch.Completion, error)
 	// RunApplication runs an application request.
 	RunApplication(ctx context.Context, job *dispatch.ApplicationJob) (dispatch.Answer, error)
@@ -59,20 +59,20 @@
 
 var _ Runner = (*dispatch.Dispatcher)(nil)
 
-// State is what the router says of itself on /readyz.
+// State is the state of the router on /healthz and /readyz.
 type State string
 
 const (
-	// StateStarting means: no fleet file is in force yet.
+	// StateStarting means that no fleet file is in force yet.
 	StateStarting State = "starting"
-	// StateServing means: requests are taken.
+	// StateServing means that requests are accepted.
 	StateServing State = "serving"
-	// StateShuttingDown means: open requests are finished, then the process ends.
+	// StateShuttingDown means that open requests finish, then the process exits.
 	StateShuttingDown State = "leaving"
 )
 
-// Config bounds what callers may send and how slowly they may read. Zero
-// fields take the defaults.
+// Config limits what callers may send and how slowly they may read. Zero fields
+// mean the defaults.
 type Config struct {
 	// MaxBodyBytes bounds a request body. Default: 4 MiB.
 	MaxBodyBytes int64
@@ -82,24 +82,23 @@
 	MaxPromptTokens int
 	// MaxTokens bounds max_tokens. Default: 16384.
 	MaxTokens int
-	// DefaultMaxTokens is used if a request names none. Default: 1024.
+	// DefaultMaxTokens applies to a request without max_tokens. Default: 1024.
 	DefaultMaxTokens int
-	// BodyTimeout bounds the reading of a request body. Default: 30s.
+	// BodyTimeout bounds reading a request body. Default: 30s.
 	BodyTimeout time.Duration
 	// WriteTimeout bounds the wait for a slow reader. Default: 15s.
 	WriteTimeout time.Duration
 	// BufferedChunks bounds the chunks waiting for a slow reader. Default: 256.
 	BufferedChunks int
-	// RetryAfter is told to callers when nothing better is known. Default: 1s.
+	// RetryAfter is sent with a temporary fault that states no time. Default: 1s.
 	RetryAfter time.Duration
-	// OnFault is told of every fault that a caller was answered with. It must not
-	// block. Default: nobody is told.
+	// OnFault is called with every fault returned to a caller. It must not block.
+	// May be nil.
 	OnFault func(*fault.Fault)
-	// Node is this router.
+	// Node is the name of this router.
 	Node ident.Node
-	// KeepStream tells another router that the caller of one of its streams has
-	// resumed it here, so that it drops the pending cancel. It must not block.
-	// Default: nobody is told.
+	// KeepStream notifies another router that a stream of its own was resumed
+	// here, so that it drops the pending cancel. It must not block. May be nil.
 	KeepStream func(node ident.Node, stream ident.Stream)
 }
 
@@ -116,7 +115,7 @@
 	defaultRetryAfter       = time.Second
 	readHeaderTimeout       = 10 * time.Second
 	idleTimeout             = 2 * time.Minute
-	// fallbackHold is the hold time of a class that the catalog left without one.
+	// fallbackHold is the hold time of a class without one.
 	fallbackHold = 2 * time.Second
 )
 
@@ -136,8 +135,8 @@
 	return c
 }
 
-// shutdownRetryAfter is how long callers shall stay away from a router that is
-// about to close its listener. It is gone, or replaced, by then.
+// shutdownRetryAfter is the Retry-After of a router about to close its listener:
+// it has stopped, or was replaced, by then.
 const shutdownRetryAfter = time.Second
 
 // Server serves callers. It is safe for concurrent use.
@@ -150,7 +149,7 @@
 	state     func() State
 }
 
-// NewServer returns a Server; state is asked on every request.
+// NewServer returns a Server; state is called on every request.
 func NewServer(config Config, catalogs CatalogSource, runner Runner, tokens *resume.Sealer, state func() State) *Server {
 	return &Server{config: config.withDefaults(), catalogs: catalogs, runner: runner, tokens: tokens, state: state}
 }
@@ -170,8 +169,8 @@
 	return router
 }
 
-// NewHTTPServer returns an http.Server for the handler with bounded headers
-// and idle times. Bodies and answers are bounded by the handlers themselves.
+// NewHTTPServer returns an http.Server for the handler with bounded headers and
+// idle times. The handlers bound bodies and answers themselves.
 func (s *Server) NewHTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s.Handler(),
@@ -190,14 +189,13 @@
 	request *http.Request
 }
 
-// RejectNewRequests makes the server refuse every new request, not run, and tell its
-// caller when to come back, while the open ones go on. A listener cannot be
-// closed without meeting a connection that is just being opened, so callers
-// are first told to go to another router.
+// RejectNewRequests rejects new requests with Retry-After, without running them;
+// open ones continue. It sends callers to other routers before the listener
+// closes, which would reset a connection that is just being opened.
 func (s *Server) RejectNewRequests() { s.rejecting.Store(true) }
 
-// withAuthentication authenticates a request, runs the handler and writes its fault. A
-// handler returns a fault only if it has written nothing.
+// withAuthentication authenticates a request, runs the handler and writes its
+// fault. A handler returns a fault only if it has written nothing.
 func (s *Server) withAuthentication(handler func(*exchange) error) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		if s.state() == StateShuttingDown {
@@ -218,8 +216,8 @@
 }
 
 func (s *Server) authenticate(writer http.ResponseWriter, request *http.Request) (*exchange, error) {
-	catalog, found := s.catalogs.Current()
-	if !found {
+	catalog, loaded := s.catalogs.Current()
+	if !loaded {
 		return nil, fault.New(fault.NotReady, "this router has no fleet file yet")
 	}
 	key, found := bearerKey(request.Header.Values("Authorization"))
@@ -228,7 +226,7 @@
 	}
 	tenant, known := catalog.Authenticate(key)
 	if !known {
-		return nil, fault.New(fault.Unauthorized, "the bearer key is not known")
+		return nil, fault.New(fault.Unauthorized, "the bearer key is unknown")
 	}
 	return &exchange{server: s, catalog: catalog, tenant: tenant, writer: writer, request: request}, nil
 }
@@ -237,7 +235,7 @@
 	s.writeFault(writer, request, fault.New(fault.UnknownRoute, "there is no route for this method (%.10q) and path", request.Method))
 }
 
-// service returns a service of the wanted kind that the tenant may use.
+// service returns a service of this kind that the tenant may use.
 func (e *exchange) service(name ident.Service, kind fleet.ServiceKind) (fleet.Service, error) {
 	service, known := e.catalog.Service(name)
 	if !known || service.Kind != kind {
@@ -262,14 +260,14 @@
 	return false
 }
 
-// headerClass names the header that asks for a priority class.
+// headerClass is the header that selects a priority class.
 const headerClass = "X-Class"
 
-// class returns the class asked for, or the first one of the service.
+// class returns the requested class, or the first one of the service.
 func (e *exchange) class(service fleet.Service) (fleet.Class, error) {
 	values := e.request.Header.Values(headerClass)
 	if len(values) > 1 {
-		return fleet.Class{}, fault.New(fault.BadRequest, "the %s header stands more than once", headerClass)
+		return fleet.Class{}, fault.New(fault.BadRequest, "the %s header appears more than once", headerClass)
 	}
 	if len(service.Classes) == 0 {
 		return fleet.Class{}, fault.New(fault.Internal, "service %q has no class", string(service.Name))
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeCatalog is a Fleet and a Catalog: keys are "key-" and the tenant's name.
+// fakeCatalog is a CatalogSource and a Catalog with keys "key-<tenant>".
 type fakeCatalog struct{ missing bool }
 
 func (c fakeCatalog) Current() (Catalog, bool) { return c, !c.missing }
@@ -65,7 +65,7 @@
 	return fleet.Engine{Name: name, Address: "127.0.0.1:1", Zone: "zone-graz"}, true
 }
 
-// fakeRunner emits chunks, then ends or fails.
+// fakeRunner emits chunks, then completes or fails.
 type fakeRunner struct {
 	chunks         []string
 	failure        error
@@ -188,7 +188,7 @@
 	is.Equal(*last.Choices[0].FinishReason, "stop")
 	is.Equal(*last.Usage, Usage{PromptTokens: 9, CompletionTokens: 2, TotalTokens: 11, PromptTokensDetails: PromptTokensDetails{CachedTokens: 4}})
 
-	// Another router of the cluster resumes, with GET or with the same POST.
+	// Another router resumes the stream, with GET or with the same POST.
 	for index, next := range list[1:4] {
 		for _, method := range []string{"GET", "POST"} {
 			path := map[string]string{"GET": "/v1/streams", "POST": "/v1/chat/completions"}[method]
@@ -198,7 +198,7 @@
 			router.config.Node = "n2"
 			router.config.KeepStream = func(node ident.Node, _ ident.Stream) { keptBy = node }
 			answer := sendRequest(router, method, path, streamBody, "Last-Event-ID: "+next.id)
-			is.Equal(keptBy, ident.Node("n1")) // it must not cancel what is read here
+			is.Equal(keptBy, ident.Node("n1")) // must not cancel the resumed stream
 			is.Equal(answer.Code, http.StatusOK)
 			is.Equal(other.resumed.Position.Next, uint64(min(index+2, 3)))
 			is.Equal(other.resumed.Address, "127.0.0.1:1")
@@ -206,7 +206,7 @@
 			is.Equal(decode[Answer](t, events(answer.Body.String())[0].data).ID, last.ID)
 		}
 	}
-	// The tenant's data may no longer be where the engine is.
+	// The tenant may no longer use the zone of the engine.
 	movedToken, err := server.tokens.Seal(resume.Token{Tenant: "linz", Service: "chat"})
 	is.NoErr(err)
 	outside := &fakeRunner{}
@@ -217,7 +217,7 @@
 	is.Equal(decode[ErrorBody](t, foreign.Body.String()).Error.Kind, fault.InvalidToken)
 }
 
-// Only a caller that has no text yet gets a fresh run when its stream is gone.
+// A lost stream may be generated again only before the caller has received text.
 func TestLostStreamRunsAgainOnlyWithoutText(t *testing.T) {
 	is := is.New(t)
 	first := sendRequest(newTestServer(t, &fakeRunner{chunks: []string{"", "Hello"}}), "POST", "/v1/chat/completions", streamBody)
@@ -244,7 +244,7 @@
 	})
 	is.True(!strings.Contains(answer.Body.String(), "[DONE]"))
 
-	// Before anything was written it is a plain error with its status.
+	// Before anything is written the fault sets the HTTP status.
 	full := fault.New(fault.Overloaded, "full").WithRetryAfter(1500 * time.Millisecond)
 	answer = sendRequest(newTestServer(t, &fakeRunner{failure: full}), "POST", "/v1/chat/completions", streamBody)
 	is.Equal(answer.Code, http.StatusTooManyRequests)
@@ -354,7 +354,7 @@
 	}
 }
 
-// blockedWriter is a caller that never reads: every write runs into its deadline.
+// blockedWriter is a caller that never reads: every write exceeds its deadline.
 type blockedWriter struct {
 	*httptest.ResponseRecorder
 	deadline time.Time
@@ -379,8 +379,8 @@
 	})
 }
 
-// Over real connections: deadlines of a stream do not outlive it on a
-// connection that is used again, and headers are bounded.
+// The deadlines of a stream must not affect the next request on its connection,
+// and headers are bounded.
 func TestServerOverTCP(t *testing.T) {
 	is := is.New(t)
 	server := newTestServer(t, &fakeRunner{chunks: []string{"", "Hello"}})
--- a/internal/api/stream.go
+++ b/internal/api/stream.go
@@ -16,24 +16,25 @@
 	"github.com/fieldpond/fieldpond/internal/resume"
 )
 
-// doneData is the data of the event that ends a whole stream.
+// doneData is the data of the event that ends a complete stream.
 const doneData = "[DONE]"
 
-// errSlowReader cuts a caller that reads too slowly; the stream stays resumable.
+// errSlowReader disconnects a caller that reads too slowly; the stream remains
+// resumable.
 var errSlowReader = errors.New("the caller reads too slowly")
 
-// streamSink writes an answer as server-sent events. Chunks wait for the
-// caller in a bounded buffer, which one goroutine writes out.
+// streamSink writes an answer as server-sent events. One goroutine writes the
+// chunks from a bounded buffer.
 type streamSink struct {
 	server  *Server
 	builder answerBuilder
 	tenant  ident.Tenant
 	writer  http.ResponseWriter
-	// callerContext ends when the caller leaves.
+	// callerContext ends when the caller disconnects.
 	callerContext context.Context
 
 	started bool
-	// roleSent says that the caller knows the role of the answer.
+	// roleSent is set once the caller has received the role of the answer.
 	roleSent bool
 	lastID   string
 	frames   chan []byte
@@ -85,8 +86,8 @@
 	s.writing.Go(s.write)
 }
 
-// write writes frames until the buffer is closed. After a failure it only
-// drains, so that nobody blocks on it.
+// write writes frames until the buffer is closed. After a failure it only drains
+// the buffer, so that push does not block.
 func (s *streamSink) write() {
 	control := http.NewResponseController(s.writer)
 	broken := false
@@ -94,7 +95,7 @@
 		if broken {
 			continue
 		}
-		// A writer without deadlines (as in tests) writes without a time limit.
+		// Without deadline support (in tests) there is no time limit.
 		_ = control.SetWriteDeadline(time.Now().Add(s.server.config.WriteTimeout))
 		_, err := s.writer.Write(next)
 		if err == nil && len(s.frames) == 0 {
@@ -107,8 +108,8 @@
 	}
 }
 
-// push hands a frame to the writing goroutine, or tells that the caller is
-// gone or too slow.
+// push queues a frame for the writing goroutine. It returns errSlowReader if the
+// caller has disconnected or reads too slowly.
 func (s *streamSink) push(next []byte) error {
 	select {
 	case <-s.failed:
@@ -132,8 +133,8 @@
 	}
 }
 
-// finish ends the stream: with the last chunk and [DONE] if the answer is
-// whole, else with an error event. It returns the fault if nothing was written.
+// finish ends the stream with the last chunk and [DONE], or with an error event.
+// It returns the fault if nothing was written.
 func (s *streamSink) finish(completion dispatch.Completion, err error) error {
 	if !s.started {
 		if err != nil {
@@ -145,7 +146,7 @@
 		s.server.reportFault(s.callerContext, fault.From(err))
 		_ = s.push(frame("error", "", s.server.errorBody(fault.From(err))))
 	} else {
-		// The id is that of the last chunk: resuming there brings the end again.
+		// The id of the last chunk: a resumption from it repeats the end.
 		_ = s.push(append(frame("", s.lastID, s.builder.lastChunk(completion)), "data: "+doneData+"\n\n"...))
 	}
 	close(s.frames)
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// frame renders one server-sent event whose data is JSON, hence one line.
+// frame renders one server-sent event with JSON data, which is one line.
 func frame(event, id string, data any) []byte {
 	var text bytes.Buffer
 	if event != "" {
@@ -163,7 +164,7 @@
 		text.WriteString("id: " + id + "\n")
 	}
 	text.WriteString("data: ")
-	// The types of this package always encode.
+	// Encoding the types of this package cannot fail.
 	_ = json.NewEncoder(&text).Encode(data)
 	text.WriteString("\n")
 	return text.Bytes()
--- a/internal/router/answers.go
+++ b/internal/router/answers.go
@@ -14,8 +14,8 @@
 // answersPrefix is the object key prefix of retained answers.
 const answersPrefix = "answers/"
 
-// answerStore implements dispatch.AnswerStore over the platform's object
-// store. An answer stays in the zone of the application that gave it.
+// answerStore implements dispatch.AnswerStore over the platform's object store.
+// An answer is stored in the zone of its application.
 type answerStore struct {
 	objects store.Objects
 }
--- a/internal/router/applications.go
+++ b/internal/router/applications.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// applicationConcurrency bounds this router's own calls to one application.
+	// applicationConcurrency limits this router's concurrent calls to one application.
 	applicationConcurrency = 64
-	// applicationRetryAfter is told when no application may be called.
+	// applicationRetryAfter is sent to callers when no application may be called.
 	applicationRetryAfter = time.Second
 )
 
-// applicationPlacer implements dispatch.ApplicationPlacer: the permitted, live
-// application with the fewest own calls, those of the router's zone first.
-// Applications are few and hold no cache, so there is no queue before them:
-// whoever finds all of them at their limit is refused at once, not run.
+// applicationPlacer implements dispatch.ApplicationPlacer. It chooses the live
+// application with the fewest calls of this router, its own zone first.
+// Applications are few and have no cache, so there is no queue: a request is
+// refused if all of them are at their limit.
 type applicationPlacer struct {
 	current  func() *fleet.Compiled
 	homeZone ident.Zone
-	// onDraining is told the first sign that an application is leaving. It is
-	// called with the mutex held and must not block.
+	// onDraining is called once per draining incarnation, with the mutex held. It
+	// must not block.
 	onDraining func(name ident.Application, incarnation ident.Incarnation)
 	mutex      sync.Mutex
 	// health is keyed by application name; see backendName.
@@ -49,8 +49,8 @@
 	}
 }
 
-// backendName is the name under which the endpoint registry keeps an
-// application: it tells back ends apart by name only, whatever their kind.
+// backendName returns the name of an application in the endpoint registry, which
+// identifies back ends of every kind by name.
 func backendName(name ident.Application) ident.Engine { return ident.Engine(name) }
 
 // PlaceApplication implements dispatch.ApplicationPlacer.
@@ -64,7 +64,7 @@
 	candidates := p.permitted(compiled, job)
 	if len(candidates) == 0 {
 		return dispatch.ApplicationPlacement{}, fault.New(fault.NoPermittedEngine,
-			"no application is left for service %q", job.Service).WithRetryAfter(applicationRetryAfter)
+			"no application is available for service %q", job.Service).WithRetryAfter(applicationRetryAfter)
 	}
 	chosen := slices.MinFunc(candidates, p.compare)
 	if p.calls[chosen.Name] >= applicationConcurrency {
@@ -80,8 +80,8 @@
 	}, nil
 }
 
-// permitted returns the applications that may get the job. One that has not
-// reported yet may be tried: a router that has just started serves at once.
+// permitted returns the applications that may get the job, including those that
+// have not reported yet, so that a router serves right after its start.
 func (p *applicationPlacer) permitted(compiled *fleet.Compiled, job *dispatch.ApplicationJob) []*fleet.Application {
 	service, known := compiled.Service(job.Service)
 	if !known {
@@ -128,7 +128,7 @@
 	}
 }
 
-// configure takes over the applications of a fleet file.
+// configure sets the applications of a fleet file.
 func (p *applicationPlacer) configure(compiled *fleet.Compiled) {
 	targets := make([]endpoint.Target, 0, len(compiled.Document.Applications))
 	for _, application := range compiled.Document.Applications {
@@ -142,15 +142,15 @@
 	p.health.Configure(targets)
 }
 
-// observeDraining takes in a sign that an application is leaving.
+// observeDraining records that another router observed an application draining.
 func (p *applicationPlacer) observeDraining(name ident.Application, incarnation ident.Incarnation) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.notifyDraining(p.health.ObserveDraining(time.Now(), backendName(name), incarnation))
 }
 
-// applyMachineList takes in a machine list: for each application, whether its machine
-// leaves.
+// applyMachineList applies a machine list: for each application, whether its
+// machine is draining.
 func (p *applicationPlacer) applyMachineList(draining map[ident.Application]bool) {
 	listed := make(map[ident.Engine]bool, len(draining))
 	for name, isDraining := range draining {
@@ -161,7 +161,7 @@
 	p.notifyDraining(p.health.ApplyMachineList(time.Now(), listed))
 }
 
-// notifyDraining tells the first sign that an application is leaving to onDraining.
+// notifyDraining calls onDraining for the applications that began to drain.
 func (p *applicationPlacer) notifyDraining(changes []endpoint.Change) {
 	for _, change := range changes {
 		if change.Kind == endpoint.ChangeDraining {
@@ -170,7 +170,7 @@
 	}
 }
 
-// poll asks for the reports that are due and takes in those that came.
+// poll records the reports that have arrived and requests those that are due.
 func (p *applicationPlacer) poll(poller *endpoint.Poller, interval time.Duration, budget int) {
 	now := time.Now()
 	p.mutex.Lock()
@@ -188,7 +188,7 @@
 	poller.Enqueue(p.health.Due(now, interval, budget))
 }
 
-// status returns what is known of every application.
+// status returns the state of every application.
 func (p *applicationPlacer) status(now time.Time) []status.Application {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/router/applications_test.go
+++ b/internal/router/applications_test.go
@@ -26,24 +26,24 @@
 `
 
 func TestPermittedApplicationsAfterFirstCall(t *testing.T) {
-	answered := dispatch.Result{Outcome: dispatch.OutcomeAnswered, Incarnation: "life-1"}
+	answered := dispatch.Result{Outcome: dispatch.OutcomeAnswered, Incarnation: "incarnation-1"}
 	cases := []struct {
 		name string
-		// first is how the first call, to a-1, ended; listed is the machine list.
+		// first is the result of the first call, to a-1; listed is the machine list.
 		first  dispatch.Result
 		listed map[ident.Application]bool
-		// left lists who may be called next, told whom the others hear is leaving.
-		left, told []ident.Application
+		// permitted may be called next; notified are those passed to onDraining.
+		permitted, notified []ident.Application
 	}{
 		{"an answer before the first report", answered, nil, []ident.Application{"a-1", "a-2"}, nil},
-		{"unreachable after an answer", dispatch.Result{Outcome: dispatch.OutcomeUnreachable, Incarnation: "life-1"}, nil,
+		{"unreachable after an answer", dispatch.Result{Outcome: dispatch.OutcomeUnreachable, Incarnation: "incarnation-1"}, nil,
 			[]ident.Application{"a-2"}, nil},
-		{"its own refusal", dispatch.Result{Outcome: dispatch.OutcomeRefused, Refusal: protocol.RefusalLeaving, Incarnation: "life-1"}, nil,
+		{"its own refusal", dispatch.Result{Outcome: dispatch.OutcomeRefused, Refusal: protocol.RefusalLeaving, Incarnation: "incarnation-1"}, nil,
 			[]ident.Application{"a-2"}, []ident.Application{"a-1"}},
 		{"the machine list", answered, map[ident.Application]bool{"a-1": false, "a-2": true},
 			[]ident.Application{"a-1"}, []ident.Application{"a-2"}},
 		{"its own refusal while the list lags",
-			dispatch.Result{Outcome: dispatch.OutcomeRefused, Refusal: protocol.RefusalLeaving, Incarnation: "life-1"},
+			dispatch.Result{Outcome: dispatch.OutcomeRefused, Refusal: protocol.RefusalLeaving, Incarnation: "incarnation-1"},
 			map[ident.Application]bool{"a-1": false, "a-2": false}, []ident.Application{"a-2"}, []ident.Application{"a-1"}},
 	}
 	document, problems := fleet.Parse([]byte(twoApplications), "test")
@@ -68,8 +68,8 @@
 			for _, application := range placer.permitted(compiled, job) {
 				permitted = append(permitted, application.Name)
 			}
-			check.Equal(permitted, test.left)
-			check.Equal(notified, test.told)
+			check.Equal(permitted, test.permitted)
+			check.Equal(notified, test.notified)
 		})
 	}
 }
--- a/internal/router/callerserver.go
+++ b/internal/router/callerserver.go
@@ -10,19 +10,19 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// callerServer serves HTTP on one listener and can be stopped without cutting
-// a request.
+// callerServer serves HTTP on one listener and can be stopped without
+// interrupting a request.
 type callerServer struct {
 	server   *http.Server
 	listener *drainingListener
 	open     *connections
-	// rejectNewRequests makes the handler refuse every new request, not run.
+	// rejectNewRequests makes the handler reject new requests without running them.
 	rejectNewRequests func()
-	// serveError receives the error with which serving ended.
+	// serveError receives the result of Serve.
 	serveError chan error
 }
 
-// listenForCallers opens the listener; serve has to be called next.
+// listenForCallers opens the listener; the caller must call serve next.
 func listenForCallers(address string, server *http.Server, rejectNewRequests func()) (*callerServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -39,21 +39,20 @@
 	}, nil
 }
 
-// serve begins to serve.
 func (c *callerServer) serve() {
 	go func() { c.serveError <- c.server.Serve(c.listener) }()
 }
 
-// stop ends in this order, so that no request is cut: connections from before
-// the stop are closed by an answer or when idle; callers that still come are
-// refused, not run, so that they stay away; the listener closes at a pause
-// between arrivals; what it accepted last is known to the server; and every
-// open request is answered. It returns early if ctx ends.
+// stop stops without interrupting a request, in this order: existing connections
+// close with an answer or when idle; new requests are rejected, so that callers
+// use other routers; the listener closes at a pause between arrivals; the server
+// has received its last connections; open requests finish. It returns early if
+// ctx ends.
 func (c *callerServer) stop(ctx context.Context) error {
 	c.open.drain(ctx)
 	c.rejectNewRequests()
 	if err := c.listener.closeWhenQuiet(); err != nil {
-		return errors.Wrap(err, "ending the listener")
+		return errors.Wrap(err, "closing the listener")
 	}
 	select {
 	case <-c.serveError:
--- a/internal/router/catalog.go
+++ b/internal/router/catalog.go
@@ -1,5 +1,5 @@
-// Package router composes one router process: it builds every part from the
-// settings, joins them, and runs their duties until the process is stopped.
+// Package router composes one router process: it builds the components from the
+// settings, connects them, and runs them until the process is stopped.
 package router
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// catalogs gives the API the fleet file in force.
+// catalogs implements api.CatalogSource with the fleet file in force.
 type catalogs struct {
 	current func() *fleet.Compiled
 }
@@ -22,7 +22,7 @@
 	return catalog{compiled}, true
 }
 
-// catalog is one fleet file in force as the API asks for it.
+// catalog implements api.Catalog with one fleet file.
 type catalog struct {
 	compiled *fleet.Compiled
 }
--- a/internal/router/charts.go
+++ b/internal/router/charts.go
@@ -5,8 +5,8 @@
 	"github.com/fieldpond/fieldpond/internal/statechart"
 )
 
-// guardRepeatable is the guard of the request chart that permits a further
-// attempt after one whose fate is not known.
+// guardRepeatable is the guard of the request chart that permits a retry after an
+// attempt with an unknown outcome.
 const guardRepeatable statechart.Guard = "repeatable"
 
 // requestChart drives one instance of the request chart for dispatch.
@@ -14,11 +14,11 @@
 	instance *statechart.Instance
 }
 
-// Fire implements dispatch.Chart. An event that the chart refuses is a fault
-// of the program; the chart's observer counts it and the answer stands.
+// Fire implements dispatch.Chart. An event that the chart rejects is a bug: the
+// chart's observer counts it, and the request continues.
 func (c requestChart) Fire(event dispatch.Event) { _, _ = c.instance.Fire(statechart.Event(event)) }
 
-// newRequestCharts returns the function that makes a chart for each request.
+// newRequestCharts returns a function that creates the chart of a request.
 func newRequestCharts(chart *statechart.Chart, observer statechart.Observer) func(repeatable bool) dispatch.Chart {
 	return func(repeatable bool) dispatch.Chart {
 		options := []statechart.Option{statechart.Observe(observer)}
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -9,19 +9,17 @@
 )
 
 const (
-	// idleBeforeClose is how long a connection is idle before a leaving router
-	// closes it. A caller that has not used it for so long is hardly about to.
+	// idleBeforeClose is the idle time after which a stopping router closes a
+	// connection; a shorter one risks meeting the caller's next request.
 	idleBeforeClose = 2 * time.Second
-	// drainCheckInterval is the time between two looks at the open connections.
+	// drainCheckInterval is the time between checks of the open connections.
 	drainCheckInterval = 50 * time.Millisecond
 )
 
-// connections follows the caller connections of an HTTP server, so that a
-// planned stop cuts none. The answer to a request that came before the stop
-// has told its caller that the connection stays open; closing it right after
-// the answer would meet the caller's next request. Such a connection is closed
-// by the answer to its next request, which says so, or when it has been idle
-// for a while.
+// connections tracks the caller connections of an HTTP server, so that a planned
+// stop interrupts no request. Closing a keep-alive connection right after an
+// answer could race with the caller's next request; instead it closes with the
+// answer to that request ("Connection: close"), or after idleBeforeClose.
 type connections struct {
 	mutex sync.Mutex
 	open  map[net.Conn]connection
@@ -51,7 +49,7 @@
 }
 
 // drain returns when every connection that is open now has been closed, or ctx
-// ends. The server must tell callers to close with every answer it begins.
+// ends. The server must send "Connection: close" with every answer.
 func (c *connections) drain(ctx context.Context) {
 	existing := c.snapshot()
 	for ctx.Err() == nil && c.closeIdle(existing, time.Now()) > 0 {
@@ -69,8 +67,8 @@
 	return open
 }
 
-// closeIdle closes those connections that have been idle for long enough, and
-// returns how many are left.
+// closeIdle closes the connections that have been idle for idleBeforeClose, and
+// returns how many of the others are open.
 func (c *connections) closeIdle(conns []net.Conn, now time.Time) (left int) {
 	c.mutex.Lock()
 	var idle []net.Conn
@@ -86,8 +84,8 @@
 	}
 	c.mutex.Unlock()
 	for _, conn := range idle {
-		// Closing makes the server report the connection as closed; an error
-		// says that it is closed already.
+		// The server then reports StateClosed. An error means that the
+		// connection is closed already.
 		_ = conn.Close()
 	}
 	return left
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -13,9 +13,9 @@
 func TestDrainWaitsForOpenConnections(t *testing.T) {
 	cases := []struct {
 		name string
-		// live brings the connection through its states, from the begin of the drain.
+		// live runs from the start of the drain and changes the connection's state.
 		live func(callers *connections, conn net.Conn)
-		// closedAfter is when the drain may end.
+		// closedAfter is the time until the drain may end.
 		closedAfter time.Duration
 	}{
 		{"idle all the time", func(*connections, net.Conn) {}, idleBeforeClose},
--- a/internal/router/directory.go
+++ b/internal/router/directory.go
@@ -14,11 +14,11 @@
 const (
 	// directorySenders is the number of goroutines that send directory messages.
 	directorySenders = 4
-	// directoryRing is the capacity of the ring of messages to be sent.
+	// directoryRing is the capacity of the send ring.
 	directoryRing = 1024
 	// directoryTimeout bounds the delivery of one message.
 	directoryTimeout = time.Second
-	// methodDirectory delivers one message to another router's directory.
+	// methodDirectory delivers a message to another router's directory.
 	methodDirectory = "directory.message"
 )
 
@@ -31,8 +31,8 @@
 // directoryAck confirms a delivery.
 type directoryAck struct{}
 
-// directorySender delivers directory messages to other routers. A message that
-// is lost costs a recomputation and never correctness, so none is repeated.
+// directorySender delivers directory messages to other routers, without retries:
+// a lost message costs only a recomputation.
 type directorySender struct {
 	peers    *peer.Client
 	self     ident.Node
@@ -78,7 +78,7 @@
 	}
 }
 
-// serveDirectory takes in a directory message of another router.
+// serveDirectory receives a directory message from another router.
 func (r *Router) serveDirectory(_ context.Context, delivery directoryDelivery) (directoryAck, error) {
 	r.placementRunner.DirectoryMessage(delivery.From, delivery.Message)
 	return directoryAck{}, nil
--- a/internal/router/engines.go
+++ b/internal/router/engines.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// The one-way network times assumed between and within zones, as measured by
-// the users. Predicted times to first token contain them.
+// The assumed one-way network times within and between zones, which are part of
+// the predicted time to first token.
 const (
 	hopWithinZone   = 100 * time.Microsecond
 	hopBetweenZones = 1500 * time.Microsecond
@@ -43,7 +43,8 @@
 	return targets
 }
 
-// assumedPrefill is the slowest prefill slope of the models an engine serves.
+// assumedPrefill returns the longest prefill time per token of the models that an
+// engine serves.
 func assumedPrefill(compiled *fleet.Compiled, configured *fleet.Engine) time.Duration {
 	slowest := 0.0
 	for _, name := range configured.Models {
@@ -54,7 +55,7 @@
 	return time.Duration(slowest * float64(time.Microsecond))
 }
 
-// assignedStreams lists the engines whose cache events this router reads.
+// assignedStreams returns the engines whose cache events this router reads.
 func (r *Router) assignedStreams(compiled *fleet.Compiled) []streamSource {
 	all := len(compiled.Engines()) <= smallFleet
 	view := r.view()
@@ -67,8 +68,7 @@
 	return sources
 }
 
-// engineChanged reports a change of an engine's state: once in the log, and to
-// the other routers where they should know before they find out.
+// engineChanged logs a change of an engine's state, and broadcasts that it drains.
 func (r *Router) engineChanged(change endpoint.Change) {
 	r.quarantines.engineChanged(change)
 	entry := log.WithField("engine", change.Engine).WithField("incarnation", change.Incarnation)
@@ -89,7 +89,7 @@
 	}
 }
 
-// requestSnapshot starts the read of an engine's cache snapshot.
+// requestSnapshot starts reading an engine's cache snapshot.
 func (r *Router) requestSnapshot(name ident.Engine) {
 	compiled := r.syncer.Current()
 	if compiled == nil {
--- a/internal/router/gen/main.go
+++ b/internal/router/gen/main.go
@@ -1,4 +1,4 @@
-// Command gen writes the reference page of the metrics. Run it by
+// Command gen writes the reference page of the metrics. Run it with
 // "go generate ./internal/router".
 package main
 
--- a/internal/router/leak_test.go
+++ b/internal/router/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No test of this package may leave a goroutine of a duty behind.
+// No test of this package may leak a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/router/listener.go
+++ b/internal/router/listener.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// quietBeforeClose is how long no new connection may come before a leaving
-	// router closes its listener: those that wait in the kernel at that moment
-	// would be reset although their callers may have sent a request.
+	// quietBeforeClose is the time without new connections before a stopping
+	// router closes its listener: closing it resets connections that wait in the
+	// kernel's accept queue.
 	quietBeforeClose = 300 * time.Millisecond
-	// maxQuietWait bounds the wait for such a pause under steady arrivals.
+	// maxQuietWait bounds the wait for such a pause.
 	maxQuietWait = 5 * time.Second
 )
 
-// drainingListener is a TCP listener that can be closed at a moment at which
-// no connection waits to be accepted.
+// drainingListener is a TCP listener that can be closed without resetting
+// connections that wait to be accepted.
 type drainingListener struct {
 	*net.TCPListener
-	// closeBy is when the listener closes at the latest, in nanoseconds of the
-	// Unix epoch; zero until finish is called.
+	// closeBy is the latest time to close the listener, in Unix nanoseconds; zero
+	// until closeWhenQuiet is called.
 	closeBy atomic.Int64
-	// pending holds connections taken from the kernel in the moment of closing.
+	// pending holds connections accepted while closing.
 	pending []net.Conn
 	closed  bool
 }
 
-// Accept implements net.Listener. After finish it returns net.ErrClosed once
-// no connection has come for a while. It is called by one goroutine.
+// Accept implements net.Listener. After closeWhenQuiet it returns net.ErrClosed
+// at the next pause between arrivals. Only one goroutine may call it.
 func (l *drainingListener) Accept() (net.Conn, error) {
 	if !l.closed {
 		conn, err := l.TCPListener.Accept()
@@ -58,7 +58,7 @@
 	return l.SetDeadline(time.Now().Add(quietBeforeClose))
 }
 
-// extendDeadline waits for a pause anew after an arrival.
+// extendDeadline restarts the wait for a pause after an arrival.
 func (l *drainingListener) extendDeadline() {
 	closeBy := l.closeBy.Load()
 	if closeBy == 0 {
@@ -68,12 +68,12 @@
 	if latest := time.Unix(0, closeBy); latest.Before(pause) {
 		pause = latest
 	}
-	// The listener is open, or Accept returns the reason why it is not.
+	// If the listener is closed, Accept returns the error.
 	_ = l.SetDeadline(pause)
 }
 
-// closeWithoutLoss takes every connection that the kernel holds and, in the moment in
-// which there is none, makes it take no more.
+// closeWithoutLoss accepts every connection that waits in the kernel, then closes
+// the listener.
 func (l *drainingListener) closeWithoutLoss() {
 	l.closed = true
 	raw, err := l.SyscallConn()
@@ -87,7 +87,7 @@
 	_ = l.Close()
 }
 
-// acceptPending accepts without waiting until the kernel holds no connection.
+// acceptPending accepts without blocking until no connection waits in the kernel.
 func (l *drainingListener) acceptPending(descriptor int) {
 	for {
 		accepted, _, err := syscall.Accept4(descriptor, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
--- a/internal/router/listener_test.go
+++ b/internal/router/listener_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// Connections that the kernel has taken before the close are still accepted
-// and answered, although nobody had accepted them by then.
+// Connections waiting in the kernel at the close must be accepted and answered, not
+// reset.
 func TestClosingListenerAcceptsPendingConnections(t *testing.T) {
 	is := is.New(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/router/machines.go
+++ b/internal/router/machines.go
@@ -7,9 +7,9 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// watchMachines reads the platform's machine list until ctx ends. The list
-// lags, so it is only ever a source of seeds and of signs that something is
-// leaving; a machine that is missing from it is not thereby gone.
+// watchMachines polls the platform's machine list until ctx ends. The list lags,
+// so it only supplies seeds and draining states; a machine missing from it may
+// still run.
 func (r *Router) watchMachines(ctx context.Context) {
 	for ctx.Err() == nil {
 		bounded, cancel := context.WithTimeout(ctx, r.settings.Table.Timeout)
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -11,10 +11,10 @@
 	"github.com/fieldpond/fieldpond/internal/membership"
 )
 
-// membershipTimeout bounds one input to the membership duty.
+// membershipTimeout bounds one call to membership.
 const membershipTimeout = 2 * time.Second
 
-// view returns this router's view of the others; before the start it is empty.
+// view returns this router's view of the cluster; empty before membership starts.
 func (r *Router) view() membership.View {
 	if r.members == nil {
 		return membership.View{}
@@ -49,9 +49,9 @@
 	return err
 }
 
-// watchMembers takes in what gossip brings until ctx ends. Signs of back ends
-// that leave go first: what follows from a changed view costs time with each
-// engine, and is worked out once for all changes that are waiting.
+// watchMembers applies membership events until ctx ends. It calls viewChanged once
+// for all queued events, as its cost grows with the number of engines; draining
+// reports are not delayed by it.
 func (r *Router) watchMembers(ctx context.Context) {
 	states := make(map[ident.Node]membership.State)
 	for {
@@ -70,7 +70,7 @@
 	}
 }
 
-// applyEvent takes in one event and reports whether the view has changed.
+// applyEvent applies one event and returns whether the view has changed.
 func (r *Router) applyEvent(event membership.Event, states map[ident.Node]membership.State) (changed bool) {
 	switch event.Kind {
 	case membership.ReportReceived:
@@ -93,16 +93,16 @@
 	}
 }
 
-// logStateChange writes a line when the state of another router is a new one.
+// logStateChange logs a router's state if it has changed.
 func logStateChange(member membership.Member, states map[ident.Node]membership.State) {
 	if previous, found := states[member.Node]; found && previous == member.State {
 		return
 	}
 	states[member.Node] = member.State
-	log.WithField("router", member.Node).WithField("state", member.State.String()).Info("router in another state")
+	log.WithField("router", member.Node).WithField("state", member.State.String()).Info("router changed state")
 }
 
-// viewChanged acts on a change of the membership.
+// viewChanged applies a changed view.
 func (r *Router) viewChanged(ctx context.Context) {
 	r.placementRunner.SetView(r.view())
 	if compiled := r.syncer.Current(); compiled != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// observeFleetHead tells the fleet syncer of a version that another router has.
+// observeFleetHead passes another router's fleet version to the syncer.
 func (r *Router) observeFleetHead(head membership.FleetHead) {
 	for _, member := range r.view().Members {
 		if member.Node == head.Holder {
@@ -120,12 +120,12 @@
 	}
 }
 
-// broadcastDraining tells the other routers that a back end is leaving.
+// broadcastDraining tells the other routers that a back end is draining.
 func (r *Router) broadcastDraining(backend string, incarnation ident.Incarnation) {
 	r.background.Go(func() {
 		bounded, cancel := context.WithTimeout(context.Background(), membershipTimeout)
 		defer cancel()
-		// A sign that is not taken costs the others a refusal each, no more.
+		// A lost report costs each other router only a refused request.
 		_ = r.members.Broadcast(bounded, membership.BackendReport{
 			Backend: backend, Incarnation: incarnation, Kind: membership.ReportDraining,
 			Observer: ident.Node(r.settings.Node), ObservedAt: time.Now().UnixMilli(),
@@ -133,19 +133,19 @@
 	})
 }
 
-// addSeeds hands gossip addresses from the machine list to membership.
+// addSeeds passes gossip addresses from the machine list to membership.
 func (r *Router) addSeeds(ctx context.Context, addresses []string) {
 	bounded, cancel := context.WithTimeout(ctx, membershipTimeout)
 	defer cancel()
-	// The list is read again in a moment, and the seeds with it.
+	// The next poll of the list retries.
 	_ = r.members.AddSeeds(bounded, addresses)
 }
 
-// advertiseFleet tells the other routers which fleet file is in force here.
+// advertiseFleet advertises the fleet file in force to the other routers.
 func (r *Router) advertiseFleet(ctx context.Context, compiled *fleet.Compiled) {
 	bounded, cancel := context.WithTimeout(ctx, membershipTimeout)
 	defer cancel()
 	if err := r.members.SetFleetVersion(bounded, uint64(compiled.Version), string(compiled.Digest)); err != nil {
-		log.WithError(err).Warn("fleet version not announced")
+		log.WithError(err).Warn("fleet version not advertised")
 	}
 }
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -12,7 +12,7 @@
 	"github.com/fieldpond/fieldpond/internal/peer"
 )
 
-// The methods that routers call at each other.
+// The methods that routers call on each other.
 const (
 	methodFleetHead  = "fleet.head"
 	methodFleetBody  = "fleet.body"
@@ -22,7 +22,7 @@
 // headRequest asks for the fleet file in force.
 type headRequest struct{}
 
-// headResponse names the fleet file in force; version 0 means none.
+// headResponse identifies the fleet file in force; version 0 means none.
 type headResponse struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Digest  string `cbor:"2,keyasint"`
@@ -38,8 +38,8 @@
 	Body []byte `cbor:"1,keyasint"`
 }
 
-// keepRequest tells a router that the caller of one of its streams has resumed
-// it elsewhere, so that its cancel must not be sent.
+// keepRequest tells a router that one of its streams was resumed at another
+// router, so that it must not cancel the stream.
 type keepRequest struct {
 	Stream ident.Stream `cbor:"1,keyasint"`
 }
@@ -50,8 +50,8 @@
 // keepTimeout bounds the call that keeps a stream.
 const keepTimeout = 2 * time.Second
 
-// keepStream tells the router that opened a stream to keep it, in the
-// background: a lost call costs the caller an explicit break, never a wrong end.
+// keepStream asks the router that opened a stream to keep it, in the background: a
+// lost call costs the caller an explicit break of the stream, never a wrong end.
 func (r *Router) keepStream(node ident.Node, stream ident.Stream) {
 	for _, member := range r.view().Members {
 		if member.Node != node || member.State == membership.Dead {
@@ -97,7 +97,7 @@
 func (r *Router) serveBody(_ context.Context, request bodyRequest) (bodyResponse, error) {
 	body, found := r.syncer.Body(fleet.Digest(request.Digest))
 	if !found {
-		return bodyResponse{}, fault.New(fault.NotReady, "this router does not hold the fleet file asked for")
+		return bodyResponse{}, fault.New(fault.NotReady, "this router does not have the requested fleet file")
 	}
 	return bodyResponse{body}, nil
 }
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -17,17 +17,17 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// transferTimeout bounds one move of cached blocks between engines. A move
-// that takes longer saves nothing over the recomputation.
+// transferTimeout bounds one transfer of cached blocks between engines; a longer
+// one saves nothing over recomputation.
 const transferTimeout = 250 * time.Millisecond
 
-// placer implements dispatch.Placer over the placement duty.
+// placer implements dispatch.Placer over the placement runner.
 type placer struct {
 	placementRunner *placement.Runner
 	transfers       engine.Transferer
 	current         func() *fleet.Compiled
 	homeZone        ident.Zone
-	// sequence numbers the calls of Place, so that each has a key of its own.
+	// sequence numbers the placements, so that each has its own key.
 	sequence atomic.Uint32
 }
 
@@ -49,13 +49,13 @@
 		if p.permits(job, compiled, placed) {
 			return p.placement(job, placementJob, placed), nil
 		}
-		// A fleet file adopted while the job waited forbids the place.
+		// A fleet file adopted while the job waited forbids the engine.
 		p.placementRunner.Ended(placementJob.Key, placement.Result{})
 	}
 }
 
-// permits reports whether the fleet file in force now still permits a place
-// that was chosen under an earlier one.
+// permits returns whether the fleet file in force now still permits an engine
+// chosen under an earlier one.
 func (p *placer) permits(job *dispatch.Job, earlier *fleet.Compiled, placed placement.Placed) bool {
 	compiled := p.current()
 	if compiled == earlier {
@@ -68,9 +68,9 @@
 		slices.Contains(versionsFor(job, compiled), chosen.Version)
 }
 
-// newPlacementJob builds what the placement duty needs to know. Zones and versions are read
-// from the fleet file in force now, not from the one in force when the request
-// came: what was withdrawn meanwhile binds a waiting request too.
+// newPlacementJob returns the job for the placement runner. Zones and versions are
+// read from the fleet file in force now, not when the request arrived: permissions
+// withdrawn since then apply to a waiting request too.
 func (p *placer) newPlacementJob(job *dispatch.Job, compiled *fleet.Compiled) *placement.Job {
 	blockTokens := prefix.DefaultBlockTokens
 	if model, known := compiled.Model(job.Model); known {
@@ -108,8 +108,8 @@
 }
 
 // versionsFor returns the versions that may serve the job. An answer that has
-// begun goes on with the version that began it, whatever the file says now: no
-// answer has text of two versions.
+// begun continues with its version whatever the file lists, so that no answer has
+// text of two versions.
 func versionsFor(job *dispatch.Job, compiled *fleet.Compiled) []ident.ModelVersion {
 	if job.Continued != "" {
 		return job.Versions
@@ -158,8 +158,8 @@
 	}
 }
 
-// move exports the prompt's cached blocks from the engine that holds them and
-// imports them into the chosen one. A failed move costs a recomputation only.
+// transferBlocks copies the prompt's cached blocks from the engine that holds them
+// to the chosen one. A failed transfer costs only a recomputation.
 func (p *placer) transferBlocks(ctx context.Context, placementJob *placement.Job, placed placement.Placed, compiled *fleet.Compiled) {
 	source, known := compiled.Engine(placed.MoveFrom)
 	if !known || !placementJob.Request.Zones[source.Zone] {
--- a/internal/router/placer_test.go
+++ b/internal/router/placer_test.go
@@ -25,7 +25,7 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// twoRegions is a fleet file whose tenant may use the first of two regions.
+// twoRegions is a fleet file whose tenant may use only the first of two regions.
 const twoRegions = `schema: fieldpond/v1
 name: test
 regions: [{name: here, zones: [z-1]}, {name: there, zones: [z-2]}]
@@ -48,7 +48,7 @@
 	return fleet.Compile(document, version, "digest")
 }
 
-// delayedObserver answers load reports only after a time. Every engine has loaded
+// delayedObserver returns load reports only after a time. Every engine has loaded
 // two versions.
 type delayedObserver struct {
 	engine.Observer
@@ -87,8 +87,8 @@
 	return placementRunner
 }
 
-// TestWaitingRequestFollowsNewFleetFile adopts a file while a request waits for
-// the first load report.
+// A fleet file adopted while a request waits for the first load report must apply
+// to that request.
 func TestWaitingRequestFollowsNewFleetFile(t *testing.T) {
 	begun := func(job *dispatch.Job) { job.Continued = "text of the old version" }
 	cases := []struct {
@@ -138,7 +138,7 @@
 	}
 }
 
-// transferLog is an engine.Transferer that notes what it was asked.
+// transferLog is an engine.Transferer that records its requests.
 type transferLog struct{ exports, imports []protocol.TransferRequest }
 
 func (l *transferLog) Export(_ context.Context, _ string, request protocol.TransferRequest) ([]byte, error) {
@@ -151,9 +151,9 @@
 	return protocol.TransferResult{}, nil
 }
 
-// TestTransferredBlocksStayWithTenantAndPlace: blocks are exported from permitted
-// places only, from the life believed to hold them, under the salt of the
-// request's tenant and version, and imported into the life that was chosen.
+// Blocks must be exported only from permitted zones and from the incarnation that
+// cached them, under the salt of the request's tenant and version, and imported
+// into the chosen incarnation.
 func TestTransferredBlocksStayWithTenantAndPlace(t *testing.T) {
 	compiled := compile(t, twoRegions, 1)
 	for source, transfers := range map[ident.Engine]int{"e-1": 1, "e-2": 0, "e-9": 0, "": 0} {
@@ -161,27 +161,27 @@
 		log := &transferLog{}
 		placer := &placer{transfers: log, current: func() *fleet.Compiled { return compiled }, homeZone: "z-1"}
 		placementJob := placer.newPlacementJob(&dispatch.Job{ID: "r", Tenant: "t", Model: "m", Prompt: strings.Repeat("long shared prompt ", 20)}, compiled)
-		chosen := framework.Candidate{Endpoint: &framework.Endpoint{Engine: "e-3", Incarnation: "life-3"}, Version: "v1"}
-		placer.transferBlocks(t.Context(), placementJob, placement.Placed{Job: placementJob, Candidate: chosen, MoveFrom: source, MoveFromIncarnation: "life-1"}, compiled)
+		chosen := framework.Candidate{Endpoint: &framework.Endpoint{Engine: "e-3", Incarnation: "incarnation-3"}, Version: "v1"}
+		placer.transferBlocks(t.Context(), placementJob, placement.Placed{Job: placementJob, Candidate: chosen, MoveFrom: source, MoveFromIncarnation: "incarnation-1"}, compiled)
 		check.Equal(len(log.exports), transfers)
 		check.Equal(len(log.imports), transfers)
 		if transfers > 0 {
 			salt := prefix.Namespace{Tenant: "t", Model: "m", Version: "v1"}.Salt()
 			check.Equal(log.exports[0].Salt, salt)
-			check.Equal(log.exports[0].ExpectedIncarnation, ident.Incarnation("life-1"))
+			check.Equal(log.exports[0].ExpectedIncarnation, ident.Incarnation("incarnation-1"))
 			check.Equal(log.imports[0].Salt, salt)
 			check.Equal(log.exports[0].Hashes, placementJob.Request.Chains["v1"])
-			check.Equal(log.imports[0].ExpectedIncarnation, ident.Incarnation("life-3"))
+			check.Equal(log.imports[0].ExpectedIncarnation, ident.Incarnation("incarnation-3"))
 		}
 	}
 }
 
-// strictTransferer refuses transfers that name another life than its engine's,
-// as engines do, and counts what it imports.
+// strictTransferer refuses transfers for another incarnation than its engine's, as
+// engines do, and counts imports.
 type strictTransferer struct{ imported int }
 
 func (s *strictTransferer) Export(_ context.Context, address string, request protocol.TransferRequest) ([]byte, error) {
-	if request.ExpectedIncarnation != ident.Incarnation(address+" life") {
+	if request.ExpectedIncarnation != ident.Incarnation(address+" incarnation") {
 		return nil, fault.New(fault.BackendRefused, "another incarnation is in force")
 	}
 	return []byte("blocks"), nil
@@ -190,28 +190,29 @@
 func (s *strictTransferer) Import(
 	_ context.Context, address string, request protocol.TransferRequest, blocks []byte,
 ) (protocol.TransferResult, error) {
-	if request.ExpectedIncarnation == ident.Incarnation(address+" life") && string(blocks) == "blocks" {
+	if request.ExpectedIncarnation == ident.Incarnation(address+" incarnation") && string(blocks) == "blocks" {
 		s.imported++
 	}
 	return protocol.TransferResult{}, nil
 }
 
-// A move names the lives of both engines, and never leaves the tenant's places.
+// A transfer must name the incarnations of both engines and stay in the permitted
+// zones.
 func TestTransferNamesBothIncarnations(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		zones    map[ident.Zone]bool
-		life     ident.Incarnation
-		imported int
+		name        string
+		zones       map[ident.Zone]bool
+		incarnation ident.Incarnation
+		imported    int
 	}{
-		{"permitted", map[ident.Zone]bool{"z-1": true, "z-2": true}, "127.0.0.1:7002 life", 1},
-		{"source in a forbidden place", map[ident.Zone]bool{"z-1": true}, "127.0.0.1:7002 life", 0},
-		{"source in another life", map[ident.Zone]bool{"z-1": true, "z-2": true}, "earlier", 0},
+		{"permitted", map[ident.Zone]bool{"z-1": true, "z-2": true}, "127.0.0.1:7002 incarnation", 1},
+		{"source in a forbidden zone", map[ident.Zone]bool{"z-1": true}, "127.0.0.1:7002 incarnation", 0},
+		{"source in another incarnation", map[ident.Zone]bool{"z-1": true, "z-2": true}, "earlier", 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			transfers := &strictTransferer{}
-			placed := placement.Placed{MoveFrom: "e-2", MoveFromIncarnation: test.life}
-			placed.Candidate.Endpoint = &framework.Endpoint{Engine: "e-1", Address: "127.0.0.1:7001", Incarnation: "127.0.0.1:7001 life"}
+			placed := placement.Placed{MoveFrom: "e-2", MoveFromIncarnation: test.incarnation}
+			placed.Candidate.Endpoint = &framework.Endpoint{Engine: "e-1", Address: "127.0.0.1:7001", Incarnation: "127.0.0.1:7001 incarnation"}
 			placementJob := &placement.Job{Request: framework.Request{Tenant: "t", Zones: test.zones}}
 			(&placer{transfers: transfers}).transferBlocks(t.Context(), placementJob, placed, compile(t, twoRegions, 1))
 			is.New(t).Equal(transfers.imported, test.imported)
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -21,32 +21,32 @@
 )
 
 const (
-	// quarantineSenders is the number of goroutines that tell other routers of crashes.
+	// quarantineSenders is the number of goroutines that send crash evidence.
 	quarantineSenders = 4
-	// quarantineRing is the capacity of the ring of what is to be told.
+	// quarantineRing is the capacity of the ring of queued calls.
 	quarantineRing = 1024
 	// quarantineTimeout bounds one call.
 	quarantineTimeout = time.Second
-	// quarantinePollInterval is the time between two questions to one other router for what is held,
-	// for a router that started later or missed the news; the call is empty while nothing is.
+	// quarantinePollInterval is the time between polls, of one peer each, for evidence that this
+	// router lacks because it started later or missed an update.
 	quarantinePollInterval = 2 * time.Second
-	// methodQuarantine tells another router of crashes, and asks for what it holds.
+	// methodQuarantine sends crash evidence to another router and returns what the sender lacks.
 	methodQuarantine = "quarantine.news"
 )
 
-// quarantineUpdate is what one router tells another one of requests under which engines crashed.
+// quarantineUpdate sends evidence of requests that crash engines to another router.
 type quarantineUpdate struct {
 	Evidence []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
-	// Digest names what the teller knows of requests that are held, as guard.Guard.Digest does.
+	// Digest is the sender's guard.Guard.Digest.
 	Digest uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// quarantineReply is what the teller lacks.
+// quarantineReply returns the evidence that the sender lacks.
 type quarantineReply struct {
 	Evidence []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
 }
 
-// quarantineCall is one call that is to be made.
+// quarantineCall is a queued call.
 type quarantineCall struct {
 	address  string
 	evidence []quarantine.Evidence
@@ -60,11 +60,11 @@
 	self    ident.Node
 	view    func() membership.View
 	calls   *ring.Ring[quarantineCall]
-	// polls counts the questions for what is held.
+	// polls counts the polls of peers, to choose the next peer.
 	polls int
 
 	mu sync.Mutex
-	// draining are the lives that told that they leave, by engine.
+	// draining holds the incarnations that drain, by engine.
 	draining map[ident.Engine]ident.Incarnation
 }
 
@@ -73,8 +73,8 @@
 	_ guard.Backends      = (*quarantines)(nil)
 )
 
-// newQuarantines returns the quarantines of a router. It sets what of the config concerns other
-// routers and back ends itself.
+// newQuarantines returns the quarantines of a router. It overwrites Backends, Send and
+// MaintainsRows of the config.
 func newQuarantines(config guard.Config, engines engine.Observer, peers *peer.Client, self ident.Node, view func() membership.View) *quarantines {
 	q := &quarantines{
 		engines: engines, peers: peers, self: self, view: view,
@@ -90,7 +90,7 @@
 	return q
 }
 
-// quarantineCounts are the requests that are held, and all that are known.
+// quarantineCounts counts the quarantined requests and all suspects, these included.
 type quarantineCounts struct{ quarantined, suspects int }
 
 func (q *quarantines) counts() quarantineCounts {
@@ -98,7 +98,8 @@
 	return quarantineCounts{quarantined, suspects}
 }
 
-// incarnationKey names a life of an engine: incarnations are unique within an engine.
+// incarnationKey returns a name that is unique among engines; an incarnation is unique only
+// within its engine.
 func incarnationKey(name ident.Engine, incarnation ident.Incarnation) ident.Incarnation {
 	return ident.Incarnation(name) + "/" + incarnation
 }
@@ -118,8 +119,8 @@
 	q.Guard.ObserveUnreachable(now, q.target(&at))
 }
 
-// target returns the life of an engine that a placement names. Engines bound their work, not their
-// connections, so that a refused one means that no process listens, whatever is open there.
+// target returns the incarnation of an engine that a placement names. Engines do not limit their
+// connections, so a refused connection means that no process listens.
 func (q *quarantines) target(at *dispatch.Placement) guard.Target {
 	address, incarnation := at.Address, at.Incarnation
 	return guard.Target{Incarnation: incarnationKey(at.Engine, incarnation), Probe: func(ctx context.Context, _ time.Time) guard.ProbeResult {
@@ -149,11 +150,11 @@
 	return false
 }
 
-// ObserveGone implements guard.Backends. Each call names the life that it is meant for, so that
-// nothing reaches the next one under the name of this one.
+// ObserveGone implements guard.Backends. It does nothing: each call names its incarnation, so that
+// none reaches the next one.
 func (q *quarantines) ObserveGone(time.Time, ident.Incarnation) {}
 
-// engineChanged takes in which lives leave.
+// engineChanged records which incarnations drain.
 func (q *quarantines) engineChanged(change endpoint.Change) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// peerAddresses returns the addresses of the other routers that are not believed dead.
+// peerAddresses returns the addresses of the other routers that are not considered dead.
 func (q *quarantines) peerAddresses() []string {
 	var addresses []string
 	for _, member := range q.view().Members {
@@ -176,7 +177,7 @@
 	return addresses
 }
 
-// send queues news for all other routers; it never blocks.
+// send queues evidence for all other routers; it never blocks.
 func (q *quarantines) send(evidence []quarantine.Evidence) {
 	for _, address := range q.peerAddresses() {
 		q.calls.Push(quarantineCall{address, slices.Clone(evidence)})
@@ -197,7 +198,7 @@
 	}
 }
 
-// pollPeers asks one other router in turn for what is held, until ctx ends.
+// pollPeers polls the other routers in turn for missing evidence until ctx ends.
 func (q *quarantines) pollPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		if peers := q.peerAddresses(); len(peers) > 0 {
@@ -208,8 +209,8 @@
 	}
 }
 
-// call makes one call and takes in the reply. One that fails is not repeated: news are told some
-// times, and what is held is asked for again.
+// call makes one call and merges the reply. It does not retry: evidence is sent several times, and
+// pollPeers fetches what is missing.
 func (q *quarantines) call(ctx context.Context, address string, update quarantineUpdate) {
 	bounded, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
@@ -219,7 +220,7 @@
 	}
 }
 
-// serve takes in news of another router, and returns what that one lacks.
+// serve merges the evidence of another router, and returns what that one lacks.
 func (q *quarantines) serve(_ context.Context, update quarantineUpdate) (quarantineReply, error) {
 	now := clock.Now()
 	missing := q.Merge(now, update.Evidence)
--- a/internal/router/quarantine_test.go
+++ b/internal/router/quarantine_test.go
@@ -1,8 +1,7 @@
 package router
 
-// Each router of the product's own way in sent a request on under which engines crash: one request
-// took up to six engines by itself, and its next try, under another id, six more. Nobody kept what
-// the engines had crashed of.
+// These tests guard against routers that resend a request which crashes engines, or that do not
+// share the evidence of crashes.
 
 import (
 	"context"
@@ -31,7 +30,7 @@
 	storeprotocol "github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// unavailableTable is a table that is down.
+// unavailableTable is a store.Table that is down.
 type unavailableTable struct{}
 
 var errTableDown = fault.New(fault.StoreUnavailable, "down")
@@ -51,7 +50,7 @@
 	return storeprotocol.RowList{}, errTableDown
 }
 
-// fixedReport are engines that answer a look in one way.
+// fixedReport is an engine.Observer with a fixed result.
 type fixedReport struct {
 	engine.Observer
 	incarnation ident.Incarnation
@@ -63,7 +62,7 @@
 	return protocol.LoadReport{Incarnation: r.incarnation}, r.err
 }
 
-// quarantineFleet are the quarantines of some routers that call each other.
+// quarantineFleet holds the quarantines of several routers that call each other.
 type quarantineFleet struct {
 	t   *testing.T
 	all []*quarantines
@@ -72,7 +71,6 @@
 	members []membership.Member
 }
 
-// view returns the routers there are.
 func (f *quarantineFleet) view() membership.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,9 +100,9 @@
 	f.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{}, 3)
-	for _, duty := range []func(context.Context){q.Run, q.runCalls, q.pollPeers} {
+	for _, run := range []func(context.Context){q.Run, q.runCalls, q.pollPeers} {
 		go func() {
-			duty(ctx)
+			run(ctx)
 			ended <- struct{}{}
 		}()
 	}
@@ -123,7 +121,7 @@
 	return &quarantine.Subject{Identity: quarantine.Identity{Tenant: "t", Body: []byte(body)}}
 }
 
-// becomesQuarantined waits for a short time until a router holds a request, and does something meanwhile.
+// becomesQuarantined calls repeat until the router quarantines the request, for 3 s at most.
 func becomesQuarantined(q *quarantines, body string, repeat func()) bool {
 	for range 300 {
 		repeat()
@@ -139,8 +137,8 @@
 	return dispatch.Placement{Engine: ident.Engine(name), Address: name, Incarnation: "1"}
 }
 
-// Three routers each saw one engine crash: all of them hold the request, and so does one that
-// starts later. The table is down all the time.
+// Routers that each observe one crash must all quarantine the request, and so must a router that
+// starts later, while the table is down.
 func TestRoutersExchangeCrashEvidence(t *testing.T) {
 	is := is.New(t)
 	f := &quarantineFleet{t: t}
@@ -149,7 +147,7 @@
 	}
 	for _, q := range f.all {
 		is.True(becomesQuarantined(q, "guilty", func() {
-			// Again and again, as the duties of a router may not have begun.
+			// Repeatedly, as the routers' goroutines may not have started yet.
 			for index, reporter := range f.all {
 				reporter.ObserveBroken(time.Now(), crashSubject("guilty"), crashPlacement(fmt.Sprint("e", index)))
 			}
@@ -163,25 +161,25 @@
 func TestProbeResultByLoadReport(t *testing.T) {
 	refused := fault.Wrap(syscall.ECONNREFUSED, fault.BackendLost, "refused")
 	tests := []struct {
-		name  string
-		looks fixedReport
-		want  guard.ProbeResult
+		name     string
+		observer fixedReport
+		want     guard.ProbeResult
 	}{
-		{"the same life", fixedReport{incarnation: "1"}, guard.ProbeAlive},
-		{"another life", fixedReport{incarnation: "2"}, guard.ProbeEnded},
+		{"the same incarnation", fixedReport{incarnation: "1"}, guard.ProbeAlive},
+		{"another incarnation", fixedReport{incarnation: "2"}, guard.ProbeEnded},
 		{"refused", fixedReport{err: refused}, guard.ProbeRefused},
 		{"silence", fixedReport{err: context.DeadlineExceeded}, guard.ProbeInconclusive},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			q := &quarantines{engines: tt.looks}
+			q := &quarantines{engines: tt.observer}
 			placement := crashPlacement("e")
 			is.New(t).Equal(q.target(&placement).Probe(t.Context(), time.Now()), tt.want)
 		})
 	}
 }
 
-// A connection that is refused for real shows as such through all layers of the client.
+// A refused TCP connection must be recognised through all layers of the client.
 func TestProbeDetectsRefusedConnection(t *testing.T) {
 	client := engine.NewHTTPClient(engine.Options{})
 	defer client.CloseIdle()
@@ -190,7 +188,7 @@
 	is.New(t).Equal(q.target(&placement).Probe(t.Context(), time.Now()), guard.ProbeRefused)
 }
 
-// An engine that told that it leaves has ended as planned.
+// A draining engine that ends must not count as crashed.
 func TestDrainingEngineHasNotCrashed(t *testing.T) {
 	is := is.New(t)
 	q := &quarantines{draining: make(map[ident.Engine]ident.Incarnation)}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -33,9 +33,9 @@
 )
 
 const (
-	// pollTick is the time between two looks at which load reports are due.
+	// pollTick is the time between checks for due load reports.
 	pollTick = 50 * time.Millisecond
-	// pollsPerTick bounds the load reports asked for in one pollTick.
+	// pollsPerTick bounds the load reports requested in one pollTick.
 	pollsPerTick = 8
 	// pollWorkers is the number of goroutines that read load reports.
 	pollWorkers = 8
@@ -43,8 +43,8 @@
 	pollTimeout = time.Second
 	// pollRing is the capacity of the rings between placement and its poller.
 	pollRing = 1024
-	// maxPeerBytes bounds the body of a call between routers; a fleet file of
-	// the largest size fits.
+	// maxPeerBytes bounds the body of a call between routers; the largest fleet
+	// file fits.
 	maxPeerBytes = 64 << 20
 )
 
@@ -68,18 +68,18 @@
 	appPoller       *endpoint.Poller
 	poller          *endpoint.Poller
 	streams         *streamReaders
-	// directoryMessages are on their way to other routers.
+	// directoryMessages sends directory messages to other routers.
 	directoryMessages *directorySender
-	// quarantines keeps requests from engines under which these crash.
+	// quarantines rejects requests that crash engines.
 	quarantines *quarantines
 	dispatch    *dispatch.Dispatcher
 	api         *api.Server
 	background  sync.WaitGroup
 }
 
-// Run runs a router until ctx ends, then stops it as planned: no new work,
-// every open request finished, every duty ended. It returns a *fault.Fault
-// when the router could not start or a stop ran into its grace period.
+// Run runs a router until ctx ends, then stops it gracefully: it accepts no new
+// requests and finishes open ones. It returns a *fault.Fault if the router could
+// not start or the stop exceeded its grace period.
 func Run(ctx context.Context, configured *settings.Settings) error {
 	router, err := build(configured)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return router.run(ctx)
 }
 
-// build creates every part; nothing runs and no socket is open yet.
+// build creates the components without starting them or opening sockets.
 func build(configured *settings.Settings) (*Router, error) {
 	r := &Router{settings: configured, telemetry: telemetry.New()}
 	chart, err := statechart.Load("router")
@@ -142,7 +142,7 @@
 	return r, r.buildDispatch()
 }
 
-// buildPlacement creates the parts that choose engines and applications.
+// buildPlacement creates the components that choose engines and applications.
 func (r *Router) buildPlacement() error {
 	scheduler, err := routing.NewPredictive(routing.Config{})
 	if err != nil {
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// buildDispatch creates the parts that face the callers.
+// buildDispatch creates the components that serve callers.
 func (r *Router) buildDispatch() error {
 	request, err := statechart.Load("request")
 	if err != nil {
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// run opens the sockets, runs the duties and stops them in order.
+// run opens the sockets, starts the components and stops them in order.
 func (r *Router) run(ctx context.Context) error {
 	routes, err := r.handler()
 	if err != nil {
@@ -255,10 +255,10 @@
 	return err
 }
 
-// stop ends the caller side: nothing new, everything open finished.
+// stop stops serving callers once open requests have finished.
 func (r *Router) stop(callers *callerServer) error {
 	r.fire(statechart.RouterEventStopRequested)
-	log.Info("router leaving")
+	log.Info("router shutting down")
 	r.announceShutdown()
 	bounded, cancel := context.WithTimeout(context.Background(), r.settings.StopGrace)
 	defer cancel()
@@ -273,17 +273,17 @@
 	return nil
 }
 
-// announceShutdown announces the stop to the other routers, so that they take over what
-// this one owns before it is gone.
+// announceShutdown announces the stop, so that other routers take over what this
+// one owns before it stops.
 func (r *Router) announceShutdown() {
 	bounded, cancel := context.WithTimeout(context.Background(), membershipTimeout)
 	defer cancel()
 	if err := r.members.Leave(bounded); err != nil {
-		log.WithError(err).Warn("leaving was not announced")
+		log.WithError(err).Warn("shutdown not announced to the other routers")
 	}
 }
 
-// startBackground starts every goroutine of the router. They end with ctx.
+// startBackground starts the router's goroutines, which end with ctx.
 func (r *Router) startBackground(ctx context.Context) {
 	r.syncer.OnPrepare(func(compiled *fleet.Compiled) {
 		r.placementRunner.Configure(engineTargets(compiled))
@@ -301,7 +301,7 @@
 	}
 	r.background.Go(func() { r.quarantines.pollPeers(ctx) })
 	r.background.Go(func() { r.quarantines.Run(ctx) })
-	// Beside the start: a router serves while the table is down.
+	// In the background: a router starts while the table is down.
 	r.background.Go(func() { r.quarantines.Load(ctx, 0) })
 	r.background.Go(func() { r.syncer.Run(ctx) })
 	r.background.Go(func() { r.claims.Run(ctx) })
@@ -318,8 +318,8 @@
 	}
 }
 
-// adopt acts on a fleet file that is now in force; its back ends are known since
-// it was prepared.
+// adopt applies a fleet file that is now in force; OnPrepare has configured its
+// back ends.
 func (r *Router) adopt(ctx context.Context, compiled *fleet.Compiled) {
 	r.streams.Set(ctx, r.assignedStreams(compiled))
 	r.advertiseFleet(ctx, compiled)
@@ -334,11 +334,11 @@
 	}
 }
 
-// fire moves the router's own chart; an event that it does not take is counted
-// by the chart's observer.
+// fire sends an event to the router's state chart, whose observer counts events
+// that it rejects.
 func (r *Router) fire(event statechart.Event) { _, _ = r.lifecycle.Fire(event) }
 
-// state says what the API tells of this router.
+// state returns the state that the API reports.
 func (r *Router) state() api.State {
 	switch r.lifecycle.State() {
 	case statechart.RouterStateServing:
--- a/internal/router/runner.go
+++ b/internal/router/runner.go
@@ -11,8 +11,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// rateLimitedRunner implements api.Runner: it keeps each tenant to its rate and leaves the
-// rest to dispatch.
+// rateLimitedRunner implements api.Runner: it enforces the tenants' rate limits
+// before dispatch.
 type rateLimitedRunner struct {
 	*dispatch.Dispatcher
 	rates *tenantRates
@@ -41,7 +41,7 @@
 	rates   map[ident.Tenant]*tenantRate
 }
 
-// tenantRate is the limiter of one tenant, and the limit it was made for.
+// tenantRate is the limiter of one tenant, and its limit in requests per second.
 type tenantRate struct {
 	limit   float64
 	limiter *admission.TenantRate
@@ -51,7 +51,7 @@
 	return &tenantRates{current: current, rates: make(map[ident.Tenant]*tenantRate)}
 }
 
-// admit returns the refusal of a request above its tenant's rate, or nil.
+// admit returns a fault for a request above its tenant's rate, or nil.
 func (t *tenantRates) admit(tenant ident.Tenant, id ident.Request) error {
 	compiled := t.current()
 	if compiled == nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// retryBudgets implements dispatch.RetryBudget with one budget a service.
+// retryBudgets implements dispatch.RetryBudget with one budget per service.
 type retryBudgets struct {
 	mutex   sync.Mutex
 	budgets map[ident.Service]*admission.RetryBudget
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -18,7 +18,7 @@
 	"github.com/fieldpond/fieldpond/internal/status"
 )
 
-// statusTimeout bounds the time until the placement duty tells its state.
+// statusTimeout bounds reading the state of the placement runner.
 const statusTimeout = 2 * time.Second
 
 // handler returns the handler of every route of the process: callers,
@@ -43,8 +43,8 @@
 	_ = json.NewEncoder(writer).Encode(r.status(bounded))
 }
 
-// status collects what every part tells of itself. A placement duty that does
-// not answer in time leaves its parts of the report empty.
+// status collects the state of every component. Engines, queue and decisions are
+// empty if the placement runner does not answer in time.
 func (r *Router) status(ctx context.Context) status.Router {
 	pair := r.syncer.Pair()
 	report := status.Router{
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -12,12 +12,12 @@
 
 const (
 	// smallFleet is the number of engines up to which every router reads every
-	// cache event stream. Beyond it a router reads only the streams it owns.
+	// cache event stream. In a larger fleet a router reads only those it owns.
 	smallFleet = 32
-	// streamOwners is the number of routers that read the events of an engine
-	// of a large fleet: the owner and one standby.
+	// streamOwners is the number of routers that read the events of an engine in
+	// a larger fleet: the owner and one standby.
 	streamOwners = 2
-	// streamRetryDelay is the pause before a broken event stream is opened anew.
+	// streamRetryDelay is the delay before a broken event stream is reopened.
 	streamRetryDelay = 500 * time.Millisecond
 	// snapshotTimeout bounds the read of a cache snapshot.
 	snapshotTimeout = 5 * time.Second
@@ -29,8 +29,8 @@
 	Address string
 }
 
-// streamReaders runs one goroutine for each cache event stream that this
-// router reads, and one for each snapshot being read.
+// streamReaders runs one goroutine per cache event stream and per snapshot that
+// this router reads.
 type streamReaders struct {
 	observer        engine.Observer
 	placementRunner *placement.Runner
@@ -43,12 +43,13 @@
 	return &streamReaders{observer: observer, placementRunner: placementRunner, running: make(map[streamSource]context.CancelFunc)}
 }
 
-// Set makes the wanted streams, and no others, be read until ctx ends.
-func (s *streamReaders) Set(ctx context.Context, wanted []streamSource) {
+// Set starts and stops readers so that exactly the given streams are read until
+// ctx ends.
+func (s *streamReaders) Set(ctx context.Context, sources []streamSource) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	keep := make(map[streamSource]bool, len(wanted))
-	for _, source := range wanted {
+	keep := make(map[streamSource]bool, len(sources))
+	for _, source := range sources {
 		keep[source] = true
 		if s.running[source] == nil {
 			s.start(ctx, source)
@@ -76,7 +77,7 @@
 	})
 }
 
-// read takes batches from one connection until it breaks.
+// read reads batches from one connection until it breaks.
 func (s *streamReaders) read(ctx context.Context, source streamSource) {
 	var after uint64
 	stream, err := s.observer.CacheEvents(ctx, source.Address, after)
@@ -94,7 +95,7 @@
 	}
 }
 
-// Snapshot reads the whole state of an engine's cache in the background.
+// Snapshot reads an engine's cache snapshot in the background.
 func (s *streamReaders) Snapshot(ctx context.Context, source streamSource) {
 	s.background.Go(func() {
 		bounded, cancel := context.WithTimeout(ctx, snapshotTimeout)
--- a/internal/router/sweeper.go
+++ b/internal/router/sweeper.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// sweepContenders is how many routers contend for the lease of the sweep.
+	// sweepContenders is the number of routers that contend for the sweep's lease.
 	sweepContenders = 3
-	// sweepRate is the most requests a second of a sweep, and sweepShare the
-	// most of this router's share of the table's rate limit.
+	// sweepRate limits the requests of a sweep per second, and sweepShare its
+	// fraction of this router's share of the table's rate limit.
 	sweepRate  = 2
 	sweepShare = 0.1
 )
 
-// newSweeper returns the duty that deletes old claims while this router holds
-// the lease for it.
+// newSweeper returns the sweeper, which deletes old claims while this router holds
+// its lease.
 func (r *Router) newSweeper() *claim.Sweeper {
 	return claim.NewSweeper(claim.SweeperOptions{
 		Node:  ident.Node(r.settings.Node),
@@ -33,9 +33,8 @@
 	})
 }
 
-// claimPrefixes returns the prefixes of the claims of every tenant and
-// application service of the file. It does not matter whether the tenant may
-// use the service now: it may have been allowed to.
+// claimPrefixes returns the claim prefixes of every tenant and application service
+// of the file, permitted or not: the tenant may have been permitted earlier.
 func claimPrefixes(compiled *fleet.Compiled) []string {
 	if compiled == nil {
 		return nil
@@ -52,7 +51,7 @@
 	return prefixes
 }
 
-// sweepReading is what the sweep tells of itself.
+// sweepReading is the state of the sweeper.
 type sweepReading struct {
 	held     bool
 	counters claim.SweepCounters
@@ -68,10 +67,10 @@
 		}
 		return 0
 	})
-	group.Counter("claims_swept_total", "Claim rows deleted since their retention had passed.", func(s sweepReading) uint64 { return s.counters.Deleted })
+	group.Counter("claims_swept_total", "Claim rows deleted after their retention had passed.", func(s sweepReading) uint64 { return s.counters.Deleted })
 	group.Counter("claim_sweep_rows_read_total", "Claim rows read to see whether their retention has passed.", func(s sweepReading) uint64 { return s.counters.Read })
-	group.Counter("claim_sweep_rows_changed_total", "Claim rows left alone since they had changed after they were read.", func(s sweepReading) uint64 { return s.counters.Changed })
-	group.Counter("claim_sweep_failures_total", "Requests of the sweep without an answer of the table; they are made again.", func(s sweepReading) uint64 { return s.counters.Failed })
+	group.Counter("claim_sweep_rows_changed_total", "Claim rows not deleted because they had changed after they were read.", func(s sweepReading) uint64 { return s.counters.Changed })
+	group.Counter("claim_sweep_failures_total", "Requests of the sweep without an answer from the table; they are retried.", func(s sweepReading) uint64 { return s.counters.Failed })
 	group.Counter("claim_sweep_passes_total", "Whole passes over all claim rows.", func(s sweepReading) uint64 { return s.counters.Passes })
 	group.Register()
 }
