--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -6,8 +6,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Answer is the JSON of a whole answer, or of one chunk of a stream, in the
-// usual form of the chat and completions API.
+// Answer is the JSON of a whole answer, or of one chunk of a stream, as in the
+// OpenAI chat and completions API.
 type Answer struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -19,7 +19,7 @@
 	Usage             *Usage             `json:"usage,omitempty"`
 }
 
-// Choice is the one choice of an answer.
+// Choice is the only choice of an answer.
 type Choice struct {
 	Index int `json:"index"`
 	// Message is set in whole chat answers, Delta in chat chunks, and Text in
@@ -30,7 +30,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Message is a chat message, or a piece of one.
+// Message is a chat message, or a fragment of one.
 type Message struct {
 	Role    string  `json:"role,omitempty"`
 	Content *string `json:"content,omitempty"`
@@ -44,7 +44,7 @@
 	PromptTokensDetails PromptTokensDetails `json:"prompt_tokens_details"`
 }
 
-// PromptTokensDetails says how much of the prompt was found cached.
+// PromptTokensDetails counts the prompt tokens found in the engine's cache.
 type PromptTokensDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
@@ -60,15 +60,15 @@
 	}
 }
 
-// form makes the JSON of one request's answer.
-type form struct {
+// answerBuilder builds the JSON of one request's answer.
+type answerBuilder struct {
 	chat    bool
 	request ident.Request
 	service ident.Service
 	created int64
 }
 
-func (f form) base(version ident.ModelVersion, object string) Answer {
+func (f answerBuilder) base(version ident.ModelVersion, object string) Answer {
 	id := "cmpl-" + string(f.request)
 	if f.chat {
 		id = "chatcmpl-" + string(f.request)
@@ -76,8 +76,8 @@
 	return Answer{ID: id, Object: object, Created: f.created, Model: f.service, SystemFingerprint: version}
 }
 
-// whole returns a whole answer.
-func (f form) whole(text string, completion dispatch.Completion) Answer {
+// complete returns the answer to a request without streaming.
+func (f answerBuilder) complete(text string, completion dispatch.Completion) Answer {
 	object := "text_completion"
 	choice := Choice{FinishReason: &completion.FinishReason}
 	if f.chat {
@@ -92,14 +92,14 @@
 	return answer
 }
 
-// chunk returns one chunk of a stream; the first one of an answer names the role.
-func (f form) chunk(text string, version ident.ModelVersion, naming bool) Answer {
+// chunk returns one chunk of a stream; the first one carries the role.
+func (f answerBuilder) chunk(text string, version ident.ModelVersion, withRole bool) Answer {
 	object := "text_completion"
 	choice := Choice{}
 	if f.chat {
 		object = "chat.completion.chunk"
 		choice.Delta = &Message{Content: &text}
-		if naming {
+		if withRole {
 			choice.Delta.Role = roleAssistant
 		}
 	} else {
@@ -110,8 +110,8 @@
 	return answer
 }
 
-// last returns the chunk that carries finish reason and usage.
-func (f form) last(completion dispatch.Completion) Answer {
+// lastChunk returns the chunk with the finish reason and usage.
+func (f answerBuilder) lastChunk(completion dispatch.Completion) Answer {
 	answer := f.chunk("", completion.Version, false)
 	if f.chat {
 		answer.Choices[0].Delta = &Message{}
--- a/internal/api/completions.go
+++ b/internal/api/completions.go
@@ -12,7 +12,6 @@
 	"github.com/fieldpond/fieldpond/internal/resume"
 )
 
-// The headers of resumption and identification.
 const (
 	headerLastEventID = "Last-Event-ID"
 	headerRequest     = "X-Request-Id"
@@ -23,36 +22,36 @@
 func (e *exchange) completions() error { return e.complete(e.decodeCompletion) }
 
 // complete serves a chat or completions request.
-func (e *exchange) complete(decode func() (call, error)) error {
-	asked, err := decode()
+func (e *exchange) complete(decode func() (modelRequest, error)) error {
+	parsed, err := decode()
 	if err != nil {
 		return err
 	}
-	job, err := e.job(asked)
+	job, err := e.job(parsed)
 	if err != nil {
 		return err
 	}
-	answer := form{chat: asked.chat, request: job.ID, service: job.Service, created: time.Now().Unix()}
-	if !asked.stream {
-		return e.completeWhole(job, answer)
+	builder := answerBuilder{chat: parsed.chat, request: job.ID, service: job.Service, created: time.Now().Unix()}
+	if !parsed.stream {
+		return e.completeWhole(job, builder)
 	}
 	token, resuming, err := e.token()
 	if err != nil {
 		return err
 	}
-	if resuming && (token.Service != job.Service || token.Chat != asked.chat) {
-		return fault.New(fault.InvalidToken, "the token is that of another service or form")
+	if resuming && (token.Service != job.Service || token.Chat != parsed.chat) {
+		return fault.New(fault.InvalidToken, "the token belongs to another service or endpoint")
 	}
 	if resuming {
 		err := e.resume(token)
-		// Without text the caller has nothing of the answer yet, and a fresh
-		// run cannot contradict what it has.
+		// A caller that has received no text gets a new run, which cannot
+		// contradict anything.
 		if err == nil || token.Position.EmittedBytes > 0 {
 			return err
 		}
 	}
 	e.writer.Header().Set(headerRequest, string(job.ID))
-	sink := e.newStreamSink(answer)
+	sink := e.newStreamSink(builder)
 	completion, err := e.server.runner.Run(e.request.Context(), job, sink)
 	return sink.finish(completion, err)
 }
@@ -66,7 +65,7 @@
 	return nil
 }
 
-func (e *exchange) completeWhole(job *dispatch.Job, answer form) error {
+func (e *exchange) completeWhole(job *dispatch.Job, builder answerBuilder) error {
 	e.writer.Header().Set(headerRequest, string(job.ID))
 	var sink wholeSink
 	completion, err := e.server.runner.Run(e.request.Context(), job, &sink)
@@ -74,23 +73,23 @@
 		return err
 	}
 	e.allowWrite()
-	writeJSON(e.writer, http.StatusOK, answer.whole(sink.text.String(), completion))
+	writeJSON(e.writer, http.StatusOK, builder.complete(sink.text.String(), completion))
 	return nil
 }
 
-// allowWrite bounds the writing of a whole answer.
+// allowWrite sets the deadline for writing a whole answer.
 func (e *exchange) allowWrite() {
 	_ = http.NewResponseController(e.writer).SetWriteDeadline(time.Now().Add(e.server.config.WriteTimeout))
 }
 
-// token opens the Last-Event-ID header, if there is one.
+// token decrypts the Last-Event-ID header, if there is one.
 func (e *exchange) token() (token resume.Token, found bool, err error) {
 	values := e.request.Header.Values(headerLastEventID)
 	if len(values) == 0 {
 		return resume.Token{}, false, nil
 	}
 	if len(values) > 1 {
-		return resume.Token{}, false, fault.New(fault.InvalidToken, "the %s header stands more than once", headerLastEventID)
+		return resume.Token{}, false, fault.New(fault.InvalidToken, "the %s header appears more than once", headerLastEventID)
 	}
 	token, err = e.server.tokens.Open(values[0], e.tenant)
 	return token, err == nil, err
@@ -109,8 +108,8 @@
 	return e.resume(token)
 }
 
-// resume gives the rest of a stream, if the tenant may still use the service
-// and its data may still be where the engine is.
+// resume streams the rest of an answer, if the tenant may still use the service
+// and the zone of the engine.
 func (e *exchange) resume(token resume.Token) error {
 	if _, err := e.service(token.Service, fleet.ServiceModel); err != nil {
 		return fault.From(err).WithRan(fault.RanYes)
@@ -123,9 +122,9 @@
 		config.KeepStream(token.Node, token.Position.Stream)
 	}
 	e.writer.Header().Set(headerRequest, string(token.Position.Request))
-	answer := form{chat: token.Chat, request: token.Position.Request, service: token.Service, created: token.Created}
-	sink := e.newStreamSink(answer)
-	sink.named = true
+	builder := answerBuilder{chat: token.Chat, request: token.Position.Request, service: token.Service, created: token.Created}
+	sink := e.newStreamSink(builder)
+	sink.roleSent = true
 	sink.lastID = e.request.Header.Get(headerLastEventID)
 	job := dispatch.ResumeJob{Position: token.Position, Address: engine.Address}
 	completion, err := e.server.runner.Resume(e.request.Context(), job, sink)
--- a/internal/api/stream.go
+++ b/internal/api/stream.go
@@ -16,40 +16,41 @@
 	"github.com/fieldpond/fieldpond/internal/resume"
 )
 
-// doneData is the data of the event that ends a whole stream.
+// doneData is the data of the event that ends a complete stream.
 const doneData = "[DONE]"
 
-// errSlowReader cuts a caller that reads too slowly; the stream stays resumable.
+// errSlowReader disconnects a caller that reads too slowly; the stream remains
+// resumable.
 var errSlowReader = errors.New("the caller reads too slowly")
 
-// streamSink writes an answer as server-sent events. Chunks wait for the
-// caller in a bounded buffer, which one goroutine writes out.
+// streamSink writes an answer as server-sent events. One goroutine writes the
+// chunks from a bounded buffer.
 type streamSink struct {
-	server *Server
-	form   form
-	tenant ident.Tenant
-	writer http.ResponseWriter
-	// caller ends when the caller leaves.
-	caller context.Context
+	server  *Server
+	builder answerBuilder
+	tenant  ident.Tenant
+	writer  http.ResponseWriter
+	// callerContext ends when the caller disconnects.
+	callerContext context.Context
 
 	started bool
-	// named says that the caller knows the role of the answer.
-	named   bool
-	lastID  string
-	frames  chan []byte
-	failed  chan struct{}
-	written sync.WaitGroup
+	// roleSent is set once the caller has received the role of the answer.
+	roleSent bool
+	lastID   string
+	frames   chan []byte
+	failed   chan struct{}
+	writing  sync.WaitGroup
 }
 
-func (e *exchange) newStreamSink(answer form) *streamSink {
+func (e *exchange) newStreamSink(builder answerBuilder) *streamSink {
 	return &streamSink{
-		server: e.server,
-		form:   answer,
-		tenant: e.tenant,
-		writer: e.writer,
-		caller: e.request.Context(),
-		frames: make(chan []byte, e.server.config.BufferedChunks),
-		failed: make(chan struct{}),
+		server:        e.server,
+		builder:       builder,
+		tenant:        e.tenant,
+		writer:        e.writer,
+		callerContext: e.request.Context(),
+		frames:        make(chan []byte, e.server.config.BufferedChunks),
+		failed:        make(chan struct{}),
 	}
 }
 
@@ -60,19 +61,19 @@
 	}
 	id, err := s.server.tokens.Seal(resume.Token{
 		Tenant:   s.tenant,
-		Service:  s.form.service,
+		Service:  s.builder.service,
 		Node:     s.server.config.Node,
-		Chat:     s.form.chat,
-		Created:  s.form.created,
+		Chat:     s.builder.chat,
+		Created:  s.builder.created,
 		Position: chunk.Position,
 	})
 	if err != nil {
 		return err
 	}
 	s.lastID = id
-	naming := !s.named
-	s.named = true
-	return s.push(frame("", id, s.form.chunk(chunk.Text, chunk.Position.Version, naming)))
+	withRole := !s.roleSent
+	s.roleSent = true
+	return s.push(frame("", id, s.builder.chunk(chunk.Text, chunk.Position.Version, withRole)))
 }
 
 // start sends the headers and starts the writing goroutine.
@@ -82,11 +83,11 @@
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	s.writer.WriteHeader(http.StatusOK)
-	s.written.Go(s.write)
+	s.writing.Go(s.write)
 }
 
-// write writes frames until the buffer is closed. After a failure it only
-// drains, so that nobody blocks on it.
+// write writes frames until the buffer is closed. After a failure it only drains
+// the buffer, so that push does not block.
 func (s *streamSink) write() {
 	control := http.NewResponseController(s.writer)
 	broken := false
@@ -94,7 +95,7 @@
 		if broken {
 			continue
 		}
-		// A writer without deadlines (as in tests) writes without a time limit.
+		// Without deadline support (in tests) there is no time limit.
 		_ = control.SetWriteDeadline(time.Now().Add(s.server.config.WriteTimeout))
 		_, err := s.writer.Write(next)
 		if err == nil && len(s.frames) == 0 {
@@ -107,8 +108,8 @@
 	}
 }
 
-// push hands a frame to the writing goroutine, or tells that the caller is
-// gone or too slow.
+// push queues a frame for the writing goroutine. It returns errSlowReader if the
+// caller has disconnected or reads too slowly.
 func (s *streamSink) push(next []byte) error {
 	select {
 	case <-s.failed:
@@ -132,8 +133,8 @@
 	}
 }
 
-// finish ends the stream: with the last chunk and [DONE] if the answer is
-// whole, else with an error event. It returns the fault if nothing was written.
+// finish ends the stream with the last chunk and [DONE], or with an error event.
+// It returns the fault if nothing was written.
 func (s *streamSink) finish(completion dispatch.Completion, err error) error {
 	if !s.started {
 		if err != nil {
@@ -142,18 +143,18 @@
 		s.start()
 	}
 	if err != nil {
-		s.server.tell(s.caller, fault.From(err))
+		s.server.reportFault(s.callerContext, fault.From(err))
 		_ = s.push(frame("error", "", s.server.errorBody(fault.From(err))))
 	} else {
-		// The id is that of the last chunk: resuming there brings the end again.
-		_ = s.push(append(frame("", s.lastID, s.form.last(completion)), "data: "+doneData+"\n\n"...))
+		// The id of the last chunk: a resumption from it repeats the end.
+		_ = s.push(append(frame("", s.lastID, s.builder.lastChunk(completion)), "data: "+doneData+"\n\n"...))
 	}
 	close(s.frames)
-	s.written.Wait()
+	s.writing.Wait()
 	return nil
 }
 
-// frame renders one server-sent event whose data is JSON, hence one line.
+// frame renders one server-sent event with JSON data, which is one line.
 func frame(event, id string, data any) []byte {
 	var text bytes.Buffer
 	if event != "" {
@@ -163,7 +164,7 @@
 		text.WriteString("id: " + id + "\n")
 	}
 	text.WriteString("data: ")
-	// The types of this package always encode.
+	// Encoding the types of this package cannot fail.
 	_ = json.NewEncoder(&text).Encode(data)
 	text.WriteString("\n")
 	return text.Bytes()
--- a/internal/router/directory.go
+++ b/internal/router/directory.go
@@ -14,11 +14,11 @@
 const (
 	// directorySenders is the number of goroutines that send directory messages.
 	directorySenders = 4
-	// directoryRing is the capacity of the ring of messages to be sent.
+	// directoryRing is the capacity of the send ring.
 	directoryRing = 1024
 	// directoryTimeout bounds the delivery of one message.
 	directoryTimeout = time.Second
-	// methodDirectory delivers one message to another router's directory.
+	// methodDirectory delivers a message to another router's directory.
 	methodDirectory = "directory.message"
 )
 
@@ -28,11 +28,11 @@
 	Message directory.Message `cbor:"2,keyasint"`
 }
 
-// directoryReceipt confirms a delivery.
-type directoryReceipt struct{}
+// directoryAck confirms a delivery.
+type directoryAck struct{}
 
-// directorySender delivers directory messages to other routers. A message that
-// is lost costs a recomputation and never correctness, so none is repeated.
+// directorySender delivers directory messages to other routers, without retries:
+// a lost message costs only a recomputation.
 type directorySender struct {
 	peers    *peer.Client
 	self     ident.Node
@@ -71,15 +71,15 @@
 		}
 		bounded, cancel := context.WithTimeout(ctx, directoryTimeout)
 		defer cancel()
-		var receipt directoryReceipt
+		var ack directoryAck
 		_ = s.peers.Call(bounded, member.HTTPAddress, methodDirectory,
-			directoryDelivery{s.self, envelope.Message}, &receipt)
+			directoryDelivery{s.self, envelope.Message}, &ack)
 		return
 	}
 }
 
-// serveDirectory takes in a directory message of another router.
-func (r *Router) serveDirectory(_ context.Context, delivery directoryDelivery) (directoryReceipt, error) {
-	r.duty.HandleDirectoryMessage(delivery.From, delivery.Message)
-	return directoryReceipt{}, nil
+// serveDirectory receives a directory message from another router.
+func (r *Router) serveDirectory(_ context.Context, delivery directoryDelivery) (directoryAck, error) {
+	r.placementRunner.HandleDirectoryMessage(delivery.From, delivery.Message)
+	return directoryAck{}, nil
 }
--- a/internal/router/listener_test.go
+++ b/internal/router/listener_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// Connections that the kernel has taken before the close are still accepted
-// and answered, although nobody had accepted them by then.
-func TestTheClosingListenerHandsOutWhoeverWaits(t *testing.T) {
+// Connections waiting in the kernel at the close must be accepted and answered, not
+// reset.
+func TestClosingListenerAcceptsPendingConnections(t *testing.T) {
 	is := is.New(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -22,7 +22,7 @@
 		is.NoErr(err)
 		callers = append(callers, caller)
 	}
-	listener.shutDown()
+	listener.closeWithoutLoss()
 	for _, caller := range callers {
 		accepted, err := listener.Accept()
 		is.NoErr(err)
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -11,10 +11,10 @@
 	"github.com/fieldpond/fieldpond/internal/membership"
 )
 
-// membershipTimeout bounds one input to the membership duty.
+// membershipTimeout bounds one call to membership.
 const membershipTimeout = 2 * time.Second
 
-// view returns this router's view of the others; before the start it is empty.
+// view returns this router's view of the cluster; empty before membership starts.
 func (r *Router) view() membership.View {
 	if r.members == nil {
 		return membership.View{}
@@ -49,9 +49,9 @@
 	return err
 }
 
-// watchMembers takes in what gossip brings until ctx ends. Signs of back ends
-// that leave go first: what follows from a changed view costs time with each
-// engine, and is worked out once for all changes that are waiting.
+// watchMembers applies membership events until ctx ends. It calls viewChanged once
+// for all queued events, as its cost grows with the number of engines; draining
+// reports are not delayed by it.
 func (r *Router) watchMembers(ctx context.Context) {
 	states := make(map[ident.Node]membership.State)
 	for {
@@ -62,7 +62,7 @@
 		}
 		changed := false
 		for event, ok := r.members.Events().Pop(); ok; event, ok = r.members.Events().Pop() {
-			changed = r.takeEvent(event, states) || changed
+			changed = r.applyEvent(event, states) || changed
 		}
 		if changed {
 			r.viewChanged(ctx)
@@ -70,48 +70,48 @@
 	}
 }
 
-// takeEvent takes in one event and reports whether the view has changed.
-func (r *Router) takeEvent(event membership.Event, states map[ident.Node]membership.State) (changed bool) {
+// applyEvent applies one event and returns whether the view has changed.
+func (r *Router) applyEvent(event membership.Event, states map[ident.Node]membership.State) (changed bool) {
 	switch event.Kind {
 	case membership.ReportReceived:
 		if event.Report.Kind == membership.ReportDraining {
-			r.duty.ObserveDraining(ident.Engine(event.Report.Backend), event.Report.Incarnation)
-			r.apps.leavingSeen(ident.Application(event.Report.Backend), event.Report.Incarnation)
+			r.placementRunner.ObserveDraining(ident.Engine(event.Report.Backend), event.Report.Incarnation)
+			r.apps.observeDraining(ident.Application(event.Report.Backend), event.Report.Incarnation)
 		}
 		return false
 	case membership.FleetHeadRaised:
-		r.headHeard(event.Head)
+		r.observeFleetHead(event.Head)
 		return false
 	case membership.MemberRemoved:
 		delete(states, event.Member.Node)
 		return true
 	case membership.MemberChanged:
-		logState(event.Member, states)
+		logStateChange(event.Member, states)
 		return true
 	default:
 		return false
 	}
 }
 
-// logState writes a line when the state of another router is a new one.
-func logState(member membership.Member, states map[ident.Node]membership.State) {
-	if known, found := states[member.Node]; found && known == member.State {
+// logStateChange logs a router's state if it has changed.
+func logStateChange(member membership.Member, states map[ident.Node]membership.State) {
+	if previous, found := states[member.Node]; found && previous == member.State {
 		return
 	}
 	states[member.Node] = member.State
-	log.WithField("router", member.Node).WithField("state", member.State.String()).Info("router in another state")
+	log.WithField("router", member.Node).WithField("state", member.State.String()).Info("router changed state")
 }
 
-// viewChanged acts on a change of the membership.
+// viewChanged applies a changed view.
 func (r *Router) viewChanged(ctx context.Context) {
-	r.duty.SetView(r.view())
+	r.placementRunner.SetView(r.view())
 	if compiled := r.syncer.Current(); compiled != nil {
-		r.streams.Set(ctx, r.ownStreams(compiled))
+		r.streams.Set(ctx, r.assignedStreams(compiled))
 	}
 }
 
-// headHeard tells the fleet syncer of a version that another router has.
-func (r *Router) headHeard(head membership.FleetHead) {
+// observeFleetHead passes another router's fleet version to the syncer.
+func (r *Router) observeFleetHead(head membership.FleetHead) {
 	for _, member := range r.view().Members {
 		if member.Node == head.Holder {
 			r.syncer.ObserveHead(fleet.Version(head.Version), fleet.Digest(head.Digest), member.HTTPAddress)
@@ -120,12 +120,12 @@
 	}
 }
 
-// broadcastLeaving tells the other routers that a back end is leaving.
-func (r *Router) broadcastLeaving(backend string, incarnation ident.Incarnation) {
-	r.work.Go(func() {
+// broadcastDraining tells the other routers that a back end is draining.
+func (r *Router) broadcastDraining(backend string, incarnation ident.Incarnation) {
+	r.background.Go(func() {
 		bounded, cancel := context.WithTimeout(context.Background(), membershipTimeout)
 		defer cancel()
-		// A sign that is not taken costs the others a refusal each, no more.
+		// A lost report costs each other router only a refused request.
 		_ = r.members.Broadcast(bounded, membership.BackendReport{
 			Backend: backend, Incarnation: incarnation, Kind: membership.ReportDraining,
 			Observer: ident.Node(r.settings.Node), ObservedAt: time.Now().UnixMilli(),
@@ -133,19 +133,19 @@
 	})
 }
 
-// addSeeds hands gossip addresses from the machine list to membership.
+// addSeeds passes gossip addresses from the machine list to membership.
 func (r *Router) addSeeds(ctx context.Context, addresses []string) {
 	bounded, cancel := context.WithTimeout(ctx, membershipTimeout)
 	defer cancel()
-	// The list is read again in a moment, and the seeds with it.
+	// The next poll of the list retries.
 	_ = r.members.AddSeeds(bounded, addresses)
 }
 
-// announceFleet tells the other routers which fleet file is in force here.
-func (r *Router) announceFleet(ctx context.Context, compiled *fleet.Compiled) {
+// advertiseFleet advertises the fleet file in force to the other routers.
+func (r *Router) advertiseFleet(ctx context.Context, compiled *fleet.Compiled) {
 	bounded, cancel := context.WithTimeout(ctx, membershipTimeout)
 	defer cancel()
 	if err := r.members.SetFleetVersion(bounded, uint64(compiled.Version), string(compiled.Digest)); err != nil {
-		log.WithError(err).Warn("fleet version not announced")
+		log.WithError(err).Warn("fleet version not advertised")
 	}
 }
--- a/internal/router/metricsplacement.go
+++ b/internal/router/metricsplacement.go
@@ -10,11 +10,11 @@
 	"github.com/fieldpond/fieldpond/internal/telemetry"
 )
 
-// readPlacement reads the placement duty within a bounded time.
+// readPlacement reads the placement runner within statusTimeout.
 func (r *Router) readPlacement() (placement.State, bool) {
 	bounded, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	reading, err := r.duty.State(bounded)
+	reading, err := r.placementRunner.State(bounded)
 	return reading, err == nil
 }
 
@@ -34,7 +34,7 @@
 	group.Counter("admission_offered_total", "Requests offered to the queue.", func(p placement.State) uint64 { return p.Queue.Offered })
 	group.Counter("admission_dispatched_total", "Requests that left the queue for an engine.", func(p placement.State) uint64 { return p.Queue.Dispatched })
 	group.Counter("admission_aged_total", "Dispatches out of turn for the starvation bound.", func(p placement.State) uint64 { return p.Queue.Aged })
-	group.Counter("admission_withdrawn_total", "Requests whose caller left while they waited.", func(p placement.State) uint64 { return p.Queue.Removed })
+	group.Counter("admission_withdrawn_total", "Requests whose caller disconnected while they waited.", func(p placement.State) uint64 { return p.Queue.Removed })
 	group.Labelled(telemetry.KindCounter, "admission_refused_total",
 		"Requests refused by the queue: full, hopeless (predicted wait above the hold time), displaced by another, expired, or rejected for want of an engine.", "reason", refusedByQueue)
 	group.Labelled(telemetry.KindGauge, "engines", "Engines of the fleet file by state as this router sees them: alive, leaving or dead.", "state", enginesByState)
@@ -59,11 +59,11 @@
 // backendStates counts back ends by state.
 type backendStates map[string]float64
 
-func (s backendStates) count(alive, leaving bool) {
+func (s backendStates) count(alive, draining bool) {
 	switch {
 	case !alive:
 		s["dead"]++
-	case leaving:
+	case draining:
 		s["leaving"]++
 	default:
 		s["alive"]++
@@ -89,7 +89,7 @@
 	group.Register()
 }
 
-func (r *Router) registerBeliefs() {
+func (r *Router) registerCacheBeliefs() {
 	group := telemetry.NewGroup(r.telemetry, r.readPlacement)
 	group.Counter("prompt_tokens_total", "Prompt tokens of answered attempts.", func(p placement.State) uint64 { return p.Decisions.PromptTokens })
 	group.Counter("believed_cached_tokens_total", "Prompt tokens of answered attempts that were believed cached when the engine was chosen.", func(p placement.State) uint64 { return p.Decisions.CreditedTokens })
@@ -98,7 +98,7 @@
 	group.Counter("beliefs_low_total", "Answered attempts that found more tokens cached than believed, by more than one block.", func(p placement.State) uint64 { return p.Decisions.BeliefLow })
 	group.Counter("beliefs_right_total", "Answered attempts that found as many tokens cached as believed, within one block.", func(p placement.State) uint64 { return p.Decisions.BeliefRight })
 	group.Gauge("belief_blocks", "Cache blocks remembered now.", func(p placement.State) int { return p.Beliefs.Blocks })
-	group.Counter("belief_blocks_evicted_total", "Cache blocks forgotten for lack of room in the router.", func(p placement.State) uint64 { return p.Beliefs.Evicted })
+	group.Counter("belief_blocks_evicted_total", "Cache blocks evicted for lack of room in the router.", func(p placement.State) uint64 { return p.Beliefs.Evicted })
 	group.Counter("cache_event_gaps_total", "Gaps in the sequences of cache events.", func(p placement.State) uint64 { return p.Beliefs.Gaps })
 	group.Counter("cache_events_stale_total", "Observations of an incarnation that is no longer the engine's; dropped.", func(p placement.State) uint64 { return p.Beliefs.Stale })
 	group.Counter("beliefs_dropped_total", "Times that all beliefs about an engine were dropped: new incarnation, weights or death.", func(p placement.State) uint64 { return p.Beliefs.Dropped })
@@ -113,7 +113,7 @@
 	group.Counter("directory_reports_total", "Reports of cached prefixes sent to their owners.", func(p placement.State) uint64 { return p.Directory.Reports })
 	group.Counter("directory_malformed_total", "Directory messages ignored because of their form.", func(p placement.State) uint64 { return p.Directory.Malformed })
 	group.Counter("directory_misdirected_total", "Directory messages for a part that this router does not own.", func(p placement.State) uint64 { return p.Directory.Misdirected })
-	group.Counter("directory_overflow_total", "Directory entries forgotten for lack of room.", func(p placement.State) uint64 { return p.Directory.Overflow })
+	group.Counter("directory_overflow_total", "Directory entries evicted for lack of room.", func(p placement.State) uint64 { return p.Directory.Overflow })
 	group.Gauge("directory_roots", "Prefixes that this router holds for the directory now.", func(p placement.State) int { return p.Directory.Roots })
 	group.Register()
 }
--- a/internal/router/placer.go
+++ b/internal/router/placer.go
@@ -17,17 +17,17 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// transferTimeout bounds one move of cached blocks between engines. A move
-// that takes longer saves nothing over the recomputation.
+// transferTimeout bounds one transfer of cached blocks between engines; a longer
+// one saves nothing over recomputation.
 const transferTimeout = 250 * time.Millisecond
 
-// placer implements dispatch.Placer over the placement duty.
+// placer implements dispatch.Placer over the placement runner.
 type placer struct {
-	duty      *placement.Runner
-	transfers engine.Transferer
-	current   func() *fleet.Compiled
-	homeZone  ident.Zone
-	// sequence numbers the calls of Place, so that each has a key of its own.
+	placementRunner *placement.Runner
+	transfers       engine.Transferer
+	current         func() *fleet.Compiled
+	homeZone        ident.Zone
+	// sequence numbers the placements, so that each has its own key.
 	sequence atomic.Uint32
 }
 
@@ -38,24 +38,24 @@
 		if compiled == nil {
 			return dispatch.Placement{}, fault.New(fault.NotReady, "this router has no fleet file yet")
 		}
-		wanted := p.job(job, compiled)
-		placed, err := p.duty.Place(ctx, wanted)
+		placementJob := p.newPlacementJob(job, compiled)
+		placed, err := p.placementRunner.Place(ctx, placementJob)
 		if err != nil {
 			return dispatch.Placement{}, err
 		}
 		if p.permits(job, compiled, placed) {
-			p.move(ctx, wanted, placed, compiled)
+			p.transferBlocks(ctx, placementJob, placed, compiled)
 		}
 		if p.permits(job, compiled, placed) {
-			return p.placement(job, wanted, placed), nil
+			return p.placement(job, placementJob, placed), nil
 		}
-		// A fleet file adopted while the job waited forbids the place.
-		p.duty.RecordEnd(wanted.Key, placement.Result{})
+		// A fleet file adopted while the job waited forbids the engine.
+		p.placementRunner.RecordEnd(placementJob.Key, placement.Result{})
 	}
 }
 
-// permits reports whether the fleet file in force now still permits a place
-// that was chosen under an earlier one.
+// permits returns whether the fleet file in force now still permits an engine
+// chosen under an earlier one.
 func (p *placer) permits(job *dispatch.Job, earlier *fleet.Compiled, placed placement.Placed) bool {
 	compiled := p.current()
 	if compiled == earlier {
@@ -68,10 +68,10 @@
 		slices.Contains(versionsFor(job, compiled), chosen.Version)
 }
 
-// job builds what the placement duty needs to know. Zones and versions are read
-// from the fleet file in force now, not from the one in force when the request
-// came: what was withdrawn meanwhile binds a waiting request too.
-func (p *placer) job(job *dispatch.Job, compiled *fleet.Compiled) *placement.Job {
+// newPlacementJob returns the job for the placement runner. Zones and versions are
+// read from the fleet file in force now, not when the request arrived: permissions
+// withdrawn since then apply to a waiting request too.
+func (p *placer) newPlacementJob(job *dispatch.Job, compiled *fleet.Compiled) *placement.Job {
 	blockTokens := prefix.DefaultBlockTokens
 	if model, known := compiled.Model(job.Model); known {
 		blockTokens = model.BlockTokens
@@ -85,7 +85,7 @@
 	}
 	return &placement.Job{
 		Key:     placement.AttemptKeyOf(job.ID, ident.Attempt(p.sequence.Add(1))),
-		Weight:  shareOf(compiled, job.Tenant),
+		Weight:  tenantShare(compiled, job.Tenant),
 		MaxHold: max(0, time.Until(job.PlacementDeadline)),
 		Request: framework.Request{
 			ID:                  job.ID,
@@ -108,8 +108,8 @@
 }
 
 // versionsFor returns the versions that may serve the job. An answer that has
-// begun goes on with the version that began it, whatever the file says now: no
-// answer has text of two versions.
+// begun continues with its version whatever the file lists, so that no answer has
+// text of two versions.
 func versionsFor(job *dispatch.Job, compiled *fleet.Compiled) []ident.ModelVersion {
 	if job.Continued != "" {
 		return job.Versions
@@ -117,7 +117,7 @@
 	return catalog{compiled}.Versions(job.Model)
 }
 
-func shareOf(compiled *fleet.Compiled, tenant ident.Tenant) float64 {
+func tenantShare(compiled *fleet.Compiled, tenant ident.Tenant) float64 {
 	entry, known := compiled.Tenant(tenant)
 	if !known {
 		return 1
@@ -125,9 +125,9 @@
 	return entry.Share
 }
 
-func (p *placer) placement(job *dispatch.Job, wanted *placement.Job, placed placement.Placed) dispatch.Placement {
+func (p *placer) placement(job *dispatch.Job, placementJob *placement.Job, placed placement.Placed) dispatch.Placement {
 	chosen := placed.Candidate
-	key := wanted.Key
+	key := placementJob.Key
 	namespace := prefix.Namespace{Tenant: job.Tenant, Model: job.Model, Version: chosen.Version, Adapter: job.Adapter}
 	return dispatch.Placement{
 		Engine:               chosen.Endpoint.Engine,
@@ -140,10 +140,10 @@
 		Salt:                 namespace.Salt(),
 		ExpectedCachedTokens: chosen.CreditTokens,
 		Started: func(incarnation ident.Incarnation, usage protocol.Usage) {
-			p.duty.RecordStart(key, incarnation, usage)
+			p.placementRunner.RecordStart(key, incarnation, usage)
 		},
-		FirstToken: func() { p.duty.RecordFirstToken(key) },
-		Release:    func(result dispatch.Result) { p.duty.RecordEnd(key, resultOf(result)) },
+		FirstToken: func() { p.placementRunner.RecordFirstToken(key) },
+		Release:    func(result dispatch.Result) { p.placementRunner.RecordEnd(key, resultOf(result)) },
 	}
 }
 
@@ -158,16 +158,16 @@
 	}
 }
 
-// move exports the prompt's cached blocks from the engine that holds them and
-// imports them into the chosen one. A failed move costs a recomputation only.
-func (p *placer) move(ctx context.Context, wanted *placement.Job, placed placement.Placed, compiled *fleet.Compiled) {
+// transferBlocks copies the prompt's cached blocks from the engine that holds them
+// to the chosen one. A failed transfer costs only a recomputation.
+func (p *placer) transferBlocks(ctx context.Context, placementJob *placement.Job, placed placement.Placed, compiled *fleet.Compiled) {
 	source, known := compiled.Engine(placed.MoveFrom)
-	if !known || !wanted.Request.Zones[source.Zone] {
+	if !known || !placementJob.Request.Zones[source.Zone] {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	request := &wanted.Request
+	request := &placementJob.Request
 	namespace := prefix.Namespace{
 		Tenant: request.Tenant, Model: request.Model, Version: placed.Candidate.Version, Adapter: request.Adapter,
 	}
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -21,35 +21,35 @@
 )
 
 const (
-	// quarantineSenders is the number of goroutines that tell other routers of crashes.
+	// quarantineSenders is the number of goroutines that send crash evidence.
 	quarantineSenders = 4
-	// quarantineRing is the capacity of the ring of what is to be told.
+	// quarantineRing is the capacity of the ring of queued calls.
 	quarantineRing = 1024
 	// quarantineTimeout bounds one call.
 	quarantineTimeout = time.Second
-	// quarantineInterval is the time between two questions to one other router for what is held,
-	// for a router that started later or missed the news; the call is empty while nothing is.
-	quarantineInterval = 2 * time.Second
-	// methodQuarantine tells another router of crashes, and asks for what it holds.
+	// quarantinePollInterval is the time between polls, of one peer each, for evidence that this
+	// router lacks because it started later or missed an update.
+	quarantinePollInterval = 2 * time.Second
+	// methodQuarantine sends crash evidence to another router and returns what the sender lacks.
 	methodQuarantine = "quarantine.news"
 )
 
-// quarantineNews is what one router tells another one of requests under which engines crashed.
-type quarantineNews struct {
-	Told []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
-	// Digest names what the teller knows of requests that are held, as guard.Guard.Digest does.
+// quarantineUpdate sends evidence of requests that crash engines to another router.
+type quarantineUpdate struct {
+	Evidence []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
+	// Digest is the sender's guard.Guard.Digest.
 	Digest uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// quarantineReply is what the teller lacks.
+// quarantineReply returns the evidence that the sender lacks.
 type quarantineReply struct {
-	Told []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
+	Evidence []quarantine.Evidence `cbor:"1,keyasint,omitempty"`
 }
 
-// quarantineCall is one call that is to be made.
+// quarantineCall is a queued call.
 type quarantineCall struct {
-	address string
-	told    []quarantine.Evidence
+	address  string
+	evidence []quarantine.Evidence
 }
 
 // quarantines implements dispatch.Quarantine.
@@ -60,12 +60,12 @@
 	self    ident.Node
 	view    func() membership.View
 	calls   *ring.Ring[quarantineCall]
-	// turn counts the questions for what is held.
-	turn int
+	// polls counts the polls of peers, to choose the next peer.
+	polls int
 
 	mu sync.Mutex
-	// leaving are the lives that told that they leave, by engine.
-	leaving map[ident.Engine]ident.Incarnation
+	// draining holds the incarnations that drain, by engine.
+	draining map[ident.Engine]ident.Incarnation
 }
 
 var (
@@ -73,13 +73,13 @@
 	_ guard.Backends      = (*quarantines)(nil)
 )
 
-// newQuarantines returns the quarantines of a router. It sets what of the config concerns other
-// routers and back ends itself.
+// newQuarantines returns the quarantines of a router. It overwrites Backends, Send and
+// MaintainsRows of the config.
 func newQuarantines(config guard.Config, engines engine.Observer, peers *peer.Client, self ident.Node, view func() membership.View) *quarantines {
 	q := &quarantines{
 		engines: engines, peers: peers, self: self, view: view,
-		calls:   ring.New[quarantineCall]("quarantine-calls", quarantineRing, ring.DropOldest),
-		leaving: make(map[ident.Engine]ident.Incarnation),
+		calls:    ring.New[quarantineCall]("quarantine-calls", quarantineRing, ring.DropOldest),
+		draining: make(map[ident.Engine]ident.Incarnation),
 	}
 	config.Backends, config.Send = q, q.send
 	config.MaintainsRows = func() bool {
@@ -90,39 +90,40 @@
 	return q
 }
 
-// quarantineCounts are the requests that are held, and all that are known.
-type quarantineCounts struct{ held, suspects int }
+// quarantineCounts counts the quarantined requests and all suspects, these included.
+type quarantineCounts struct{ quarantined, suspects int }
 
 func (q *quarantines) counts() quarantineCounts {
-	held, suspects := q.Counts()
-	return quarantineCounts{held, suspects}
+	quarantined, suspects := q.Counts()
+	return quarantineCounts{quarantined, suspects}
 }
 
-// lifeOf names a life of an engine: incarnations are unique within an engine.
-func lifeOf(name ident.Engine, incarnation ident.Incarnation) ident.Incarnation {
+// incarnationKey returns a name that is unique among engines; an incarnation is unique only
+// within its engine.
+func incarnationKey(name ident.Engine, incarnation ident.Incarnation) ident.Incarnation {
 	return ident.Incarnation(name) + "/" + incarnation
 }
 
 // ObserveBroken implements dispatch.Quarantine.
 func (q *quarantines) ObserveBroken(now time.Time, request *quarantine.Subject, at dispatch.Placement) {
-	q.Guard.ObserveBroken(now, request, q.place(&at))
+	q.Guard.ObserveBroken(now, request, q.target(&at))
 }
 
 // ObserveAbandoned implements dispatch.Quarantine.
 func (q *quarantines) ObserveAbandoned(now time.Time, request *quarantine.Subject, at dispatch.Placement) {
-	q.Guard.ObserveAbandoned(now, request, q.place(&at))
+	q.Guard.ObserveAbandoned(now, request, q.target(&at))
 }
 
 // ObserveUnreachable implements dispatch.Quarantine.
 func (q *quarantines) ObserveUnreachable(now time.Time, at dispatch.Placement) {
-	q.Guard.ObserveUnreachable(now, q.place(&at))
+	q.Guard.ObserveUnreachable(now, q.target(&at))
 }
 
-// place returns the life of an engine that a placement names. Engines bound their work, not their
-// connections, so that a refused one means that no process listens, whatever is open there.
-func (q *quarantines) place(at *dispatch.Placement) guard.Target {
+// target returns the incarnation of an engine that a placement names. Engines do not limit their
+// connections, so a refused connection means that no process listens.
+func (q *quarantines) target(at *dispatch.Placement) guard.Target {
 	address, incarnation := at.Address, at.Incarnation
-	return guard.Target{Incarnation: lifeOf(at.Engine, incarnation), Probe: func(ctx context.Context, _ time.Time) guard.ProbeResult {
+	return guard.Target{Incarnation: incarnationKey(at.Engine, incarnation), Probe: func(ctx context.Context, _ time.Time) guard.ProbeResult {
 		report, err := q.engines.Load(ctx, address)
 		switch {
 		case err == nil && report.Incarnation == incarnation:
@@ -138,35 +139,35 @@
 }
 
 // DrainingOrUnlisted implements guard.Backends.
-func (q *quarantines) DrainingOrUnlisted(life ident.Incarnation) bool {
+func (q *quarantines) DrainingOrUnlisted(incarnation ident.Incarnation) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, leaving := range q.leaving {
-		if leaving == life {
+	for _, draining := range q.draining {
+		if draining == incarnation {
 			return true
 		}
 	}
 	return false
 }
 
-// ObserveGone implements guard.Backends. Each call names the life that it is meant for, so that
-// nothing reaches the next one under the name of this one.
+// ObserveGone implements guard.Backends. It does nothing: each call names its incarnation, so that
+// none reaches the next one.
 func (q *quarantines) ObserveGone(time.Time, ident.Incarnation) {}
 
-// engineChanged takes in which lives leave.
+// engineChanged records which incarnations drain.
 func (q *quarantines) engineChanged(change endpoint.Change) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	switch change.Kind {
 	case endpoint.ChangeDraining:
-		q.leaving[change.Engine] = lifeOf(change.Engine, change.Incarnation)
+		q.draining[change.Engine] = incarnationKey(change.Engine, change.Incarnation)
 	case endpoint.ChangeRemoved:
-		delete(q.leaving, change.Engine)
+		delete(q.draining, change.Engine)
 	}
 }
 
-// others returns the addresses of the other routers that are not believed dead.
-func (q *quarantines) others() []string {
+// peerAddresses returns the addresses of the other routers that are not considered dead.
+func (q *quarantines) peerAddresses() []string {
 	var addresses []string
 	for _, member := range q.view().Members {
 		if member.Node != q.self && member.State != membership.Dead {
@@ -176,10 +177,10 @@
 	return addresses
 }
 
-// send queues news for all other routers; it never blocks.
-func (q *quarantines) send(told []quarantine.Evidence) {
-	for _, address := range q.others() {
-		q.calls.Push(quarantineCall{address, slices.Clone(told)})
+// send queues evidence for all other routers; it never blocks.
+func (q *quarantines) send(evidence []quarantine.Evidence) {
+	for _, address := range q.peerAddresses() {
+		q.calls.Push(quarantineCall{address, slices.Clone(evidence)})
 	}
 }
 
@@ -192,36 +193,36 @@
 		case <-q.calls.Ready():
 		}
 		for call, ok := q.calls.Pop(); ok; call, ok = q.calls.Pop() {
-			q.call(ctx, call.address, quarantineNews{Told: call.told, Digest: q.Digest()})
+			q.call(ctx, call.address, quarantineUpdate{Evidence: call.evidence, Digest: q.Digest()})
 		}
 	}
 }
 
-// ask asks one other router in turn for what is held, until ctx ends.
-func (q *quarantines) ask(ctx context.Context) {
+// pollPeers polls the other routers in turn for missing evidence until ctx ends.
+func (q *quarantines) pollPeers(ctx context.Context) {
 	for ctx.Err() == nil {
-		if others := q.others(); len(others) > 0 {
-			q.turn++
-			q.call(ctx, others[q.turn%len(others)], quarantineNews{Digest: q.Digest()})
+		if peers := q.peerAddresses(); len(peers) > 0 {
+			q.polls++
+			q.call(ctx, peers[q.polls%len(peers)], quarantineUpdate{Digest: q.Digest()})
 		}
-		sleep(ctx, quarantineInterval)
+		sleep(ctx, quarantinePollInterval)
 	}
 }
 
-// call makes one call and takes in the reply. One that fails is not repeated: news are told some
-// times, and what is held is asked for again.
-func (q *quarantines) call(ctx context.Context, address string, news quarantineNews) {
+// call makes one call and merges the reply. It does not retry: evidence is sent several times, and
+// pollPeers fetches what is missing.
+func (q *quarantines) call(ctx context.Context, address string, update quarantineUpdate) {
 	bounded, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	var reply quarantineReply
-	if err := q.peers.Call(bounded, address, methodQuarantine, news, &reply); err == nil {
-		q.Merge(clock.Now(), reply.Told)
+	if err := q.peers.Call(bounded, address, methodQuarantine, update, &reply); err == nil {
+		q.Merge(clock.Now(), reply.Evidence)
 	}
 }
 
-// serve takes in news of another router, and returns what that one lacks.
-func (q *quarantines) serve(_ context.Context, news quarantineNews) (quarantineReply, error) {
+// serve merges the evidence of another router, and returns what that one lacks.
+func (q *quarantines) serve(_ context.Context, update quarantineUpdate) (quarantineReply, error) {
 	now := clock.Now()
-	lacks := q.Merge(now, news.Told)
-	return quarantineReply{Told: append(lacks, q.EvidenceSince(now, news.Digest)...)}, nil
+	missing := q.Merge(now, update.Evidence)
+	return quarantineReply{Evidence: append(missing, q.EvidenceSince(now, update.Digest)...)}, nil
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -33,9 +33,9 @@
 )
 
 const (
-	// pollTick is the time between two looks at which load reports are due.
+	// pollTick is the time between checks for due load reports.
 	pollTick = 50 * time.Millisecond
-	// pollsPerTick bounds the load reports asked for in one pollTick.
+	// pollsPerTick bounds the load reports requested in one pollTick.
 	pollsPerTick = 8
 	// pollWorkers is the number of goroutines that read load reports.
 	pollWorkers = 8
@@ -43,43 +43,43 @@
 	pollTimeout = time.Second
 	// pollRing is the capacity of the rings between placement and its poller.
 	pollRing = 1024
-	// maxPeerBytes bounds the body of a call between routers; a fleet file of
-	// the largest size fits.
+	// maxPeerBytes bounds the body of a call between routers; the largest fleet
+	// file fits.
 	maxPeerBytes = 64 << 20
 )
 
 // Router is one router process.
 type Router struct {
-	settings   *settings.Settings
-	telemetry  *telemetry.Registry
-	life       *statechart.Instance
-	platform   *store.HTTPClient
-	engines    *engine.HTTPClient
-	members    *membership.Node
-	peers      *peer.Client
-	peerServer *peer.Server
-	syncer     *fleet.Syncer
-	claims     *claim.Manager
-	sweeper    *claim.Sweeper
-	control    *control.Controller
-	duty       *placement.Runner
-	placer     *placer
-	apps       *applicationPlacer
-	appPoller  *endpoint.Poller
-	poller     *endpoint.Poller
-	streams    *streamReaders
-	// directoryMessages are on their way to other routers.
+	settings        *settings.Settings
+	telemetry       *telemetry.Registry
+	lifecycle       *statechart.Instance
+	platform        *store.HTTPClient
+	engines         *engine.HTTPClient
+	members         *membership.Node
+	peers           *peer.Client
+	peerServer      *peer.Server
+	syncer          *fleet.Syncer
+	claims          *claim.Manager
+	sweeper         *claim.Sweeper
+	control         *control.Controller
+	placementRunner *placement.Runner
+	placer          *placer
+	apps            *applicationPlacer
+	appPoller       *endpoint.Poller
+	poller          *endpoint.Poller
+	streams         *streamReaders
+	// directoryMessages sends directory messages to other routers.
 	directoryMessages *directorySender
-	// quarantines keeps requests from engines under which these crash.
+	// quarantines rejects requests that crash engines.
 	quarantines *quarantines
 	dispatch    *dispatch.Dispatcher
 	api         *api.Server
-	work        sync.WaitGroup
+	background  sync.WaitGroup
 }
 
-// Run runs a router until ctx ends, then stops it as planned: no new work,
-// every open request finished, every duty ended. It returns a *fault.Fault
-// when the router could not start or a stop ran into its grace period.
+// Run runs a router until ctx ends, then stops it gracefully: it accepts no new
+// requests and finishes open ones. It returns a *fault.Fault if the router could
+// not start or the stop exceeded its grace period.
 func Run(ctx context.Context, configured *settings.Settings) error {
 	router, err := build(configured)
 	if err != nil {
@@ -88,14 +88,14 @@
 	return router.run(ctx)
 }
 
-// build creates every part; nothing runs and no socket is open yet.
+// build creates the components without starting them or opening sockets.
 func build(configured *settings.Settings) (*Router, error) {
 	r := &Router{settings: configured, telemetry: telemetry.New()}
 	chart, err := statechart.Load("router")
 	if err != nil {
 		return nil, errors.Wrap(err, "loading the router chart")
 	}
-	r.life = chart.New(statechart.Observe(r.telemetry.ChartObserver()))
+	r.lifecycle = chart.New(statechart.Observe(r.telemetry.ChartObserver()))
 	r.platform, err = store.NewHTTPClient(configured.Platform, store.Options{
 		RequestsPerSecond: configured.Table.RequestsPerSecond,
 		Burst:             max(1, int(configured.Table.RequestsPerSecond)),
@@ -142,24 +142,24 @@
 	return r, r.buildDispatch()
 }
 
-// buildPlacement creates the parts that choose engines and applications.
+// buildPlacement creates the components that choose engines and applications.
 func (r *Router) buildPlacement() error {
 	scheduler, err := routing.NewPredictive(routing.Config{})
 	if err != nil {
 		return err
 	}
-	believed, err := beliefs.New(beliefs.Config{}, time.Now())
+	cacheBeliefs, err := beliefs.New(beliefs.Config{}, time.Now())
 	if err != nil {
 		return err
 	}
-	prefixes, err := directory.New(directory.Config{}, believed)
+	prefixes, err := directory.New(directory.Config{}, cacheBeliefs)
 	if err != nil {
 		return err
 	}
 	home := ident.Zone(r.settings.Zone)
 	core := placement.New(placement.Config{
 		Scheduler:  scheduler,
-		Beliefs:    believed,
+		Beliefs:    cacheBeliefs,
 		Directory:  prefixes,
 		SmallFleet: smallFleet,
 		Queue:      admission.NewQueue(admission.Config{}),
@@ -168,26 +168,26 @@
 	})
 	r.directoryMessages = newDirectorySender(r.peers, ident.Node(r.settings.Node), r.view)
 	r.poller = endpoint.NewPoller(r.engines, pollTimeout, pollRing)
-	r.duty = placement.NewRunner(placement.RunnerConfig{
+	r.placementRunner = placement.NewRunner(placement.RunnerConfig{
 		MaxOpen:       r.settings.Limits.MaxOpenRequests,
 		PollInterval:  r.settings.Intervals.LoadPoll,
 		PollsPerTick:  pollsPerTick,
 		PollTick:      pollTick,
 		OnChange:      r.engineChanged,
-		OnSnapshotDue: r.snapshotWanted,
+		OnSnapshotDue: r.requestSnapshot,
 		OnMessage:     r.directoryMessages.push,
 	}, core, r.poller)
-	r.streams = newStreamReaders(r.engines, r.duty)
+	r.streams = newStreamReaders(r.engines, r.placementRunner)
 	r.apps = newApplicationPlacer(r.syncer.Current, home)
-	r.apps.onLeaving = func(name ident.Application, incarnation ident.Incarnation) {
-		r.broadcastLeaving(string(name), incarnation)
+	r.apps.onDraining = func(name ident.Application, incarnation ident.Incarnation) {
+		r.broadcastDraining(string(name), incarnation)
 	}
 	r.appPoller = endpoint.NewPoller(r.engines, pollTimeout, pollRing)
-	r.placer = &placer{duty: r.duty, transfers: r.engines, current: r.syncer.Current, homeZone: home}
+	r.placer = &placer{placementRunner: r.placementRunner, transfers: r.engines, current: r.syncer.Current, homeZone: home}
 	return nil
 }
 
-// buildDispatch creates the parts that face the callers.
+// buildDispatch creates the components that serve callers.
 func (r *Router) buildDispatch() error {
 	request, err := statechart.Load("request")
 	if err != nil {
@@ -214,11 +214,11 @@
 		Node:           ident.Node(r.settings.Node),
 		KeepStream:     r.keepStream,
 		OnFault:        r.telemetry.Refused,
-	}, catalogs{r.syncer.Current}, &runner{r.dispatch, newTenantRates(r.syncer.Current)}, sealer, r.state)
+	}, catalogs{r.syncer.Current}, &rateLimitedRunner{r.dispatch, newTenantRates(r.syncer.Current)}, sealer, r.state)
 	return nil
 }
 
-// run opens the sockets, runs the duties and stops them in order.
+// run opens the sockets, starts the components and stops them in order.
 func (r *Router) run(ctx context.Context) error {
 	routes, err := r.handler()
 	if err != nil {
@@ -226,40 +226,40 @@
 	}
 	server := r.api.NewHTTPServer()
 	server.Handler = routes
-	callers, err := listenForCallers(r.settings.Listen, server, r.api.RefuseNew)
+	callers, err := listenForCallers(r.settings.Listen, server, r.api.RejectNewRequests)
 	if err != nil {
 		return err
 	}
-	duties, endDuties := context.WithCancel(context.Background())
-	defer endDuties()
-	if err := r.startMembership(duties); err != nil {
+	backgroundCtx, stopBackground := context.WithCancel(context.Background())
+	defer stopBackground()
+	if err := r.startMembership(backgroundCtx); err != nil {
 		_ = callers.listener.Close()
 		return err
 	}
-	r.startDuties(duties)
-	r.duty.SetView(r.view())
+	r.startBackground(backgroundCtx)
+	r.placementRunner.SetView(r.view())
 	callers.serve()
 	log.WithField("listen", callers.listener.Addr().String()).WithField("node", r.settings.Node).Info("router started")
 
 	select {
 	case <-ctx.Done():
 		err = r.stop(callers)
-	case err = <-callers.served:
+	case err = <-callers.serveError:
 		err = fault.Wrap(err, fault.Internal, "the HTTP listener ended")
 	}
-	endDuties()
+	stopBackground()
 	r.members.Stop()
-	r.work.Wait()
+	r.background.Wait()
 	r.streams.Wait()
 	log.Info("router stopped")
 	return err
 }
 
-// stop ends the caller side: nothing new, everything open finished.
+// stop stops serving callers once open requests have finished.
 func (r *Router) stop(callers *callerServer) error {
 	r.fire(statechart.RouterEventStopRequested)
-	log.Info("router leaving")
-	r.leave()
+	log.Info("router shutting down")
+	r.announceShutdown()
 	bounded, cancel := context.WithTimeout(context.Background(), r.settings.StopGrace)
 	defer cancel()
 	err := callers.stop(bounded)
@@ -273,56 +273,56 @@
 	return nil
 }
 
-// leave announces the stop to the other routers, so that they take over what
-// this one owns before it is gone.
-func (r *Router) leave() {
+// announceShutdown announces the stop, so that other routers take over what this
+// one owns before it stops.
+func (r *Router) announceShutdown() {
 	bounded, cancel := context.WithTimeout(context.Background(), membershipTimeout)
 	defer cancel()
 	if err := r.members.Leave(bounded); err != nil {
-		log.WithError(err).Warn("leaving was not announced")
+		log.WithError(err).Warn("shutdown not announced to the other routers")
 	}
 }
 
-// startDuties starts every goroutine of the router. They end with ctx.
-func (r *Router) startDuties(ctx context.Context) {
+// startBackground starts the router's goroutines, which end with ctx.
+func (r *Router) startBackground(ctx context.Context) {
 	r.syncer.OnPrepare(func(compiled *fleet.Compiled) {
-		r.duty.Configure(engineTargets(compiled))
+		r.placementRunner.Configure(engineTargets(compiled))
 		r.apps.configure(compiled)
 	})
 	r.syncer.OnAdopt(func(compiled *fleet.Compiled) { r.adopt(ctx, compiled) })
 	r.poller.Start(ctx, pollWorkers)
 	r.appPoller.Start(ctx, pollWorkers)
-	r.work.Go(func() { r.duty.Run(ctx) })
+	r.background.Go(func() { r.placementRunner.Run(ctx) })
 	for range directorySenders {
-		r.work.Go(func() { r.directoryMessages.run(ctx) })
+		r.background.Go(func() { r.directoryMessages.run(ctx) })
 	}
 	for range quarantineSenders {
-		r.work.Go(func() { r.quarantines.runCalls(ctx) })
+		r.background.Go(func() { r.quarantines.runCalls(ctx) })
 	}
-	r.work.Go(func() { r.quarantines.ask(ctx) })
-	r.work.Go(func() { r.quarantines.Run(ctx) })
-	// Beside the start: a router serves while the table is down.
-	r.work.Go(func() { r.quarantines.Load(ctx, 0) })
-	r.work.Go(func() { r.syncer.Run(ctx) })
-	r.work.Go(func() { r.claims.Run(ctx) })
-	r.work.Go(func() { r.sweeper.Run(ctx) })
-	r.work.Go(func() { r.control.Run(ctx) })
-	r.work.Go(func() { r.pollApplications(ctx) })
-	r.work.Go(func() { r.watchMachines(ctx) })
-	r.work.Go(func() { r.watchMembers(ctx) })
-	r.work.Go(r.poller.Wait)
-	r.work.Go(r.appPoller.Wait)
+	r.background.Go(func() { r.quarantines.pollPeers(ctx) })
+	r.background.Go(func() { r.quarantines.Run(ctx) })
+	// In the background: a router starts while the table is down.
+	r.background.Go(func() { r.quarantines.Load(ctx, 0) })
+	r.background.Go(func() { r.syncer.Run(ctx) })
+	r.background.Go(func() { r.claims.Run(ctx) })
+	r.background.Go(func() { r.sweeper.Run(ctx) })
+	r.background.Go(func() { r.control.Run(ctx) })
+	r.background.Go(func() { r.pollApplications(ctx) })
+	r.background.Go(func() { r.watchMachines(ctx) })
+	r.background.Go(func() { r.watchMembers(ctx) })
+	r.background.Go(r.poller.Wait)
+	r.background.Go(r.appPoller.Wait)
 	r.registerMetrics()
 	for _, read := range r.rings() {
 		r.telemetry.RegisterRing(read)
 	}
 }
 
-// adopt acts on a fleet file that is now in force; its back ends are known since
-// it was prepared.
+// adopt applies a fleet file that is now in force; OnPrepare has configured its
+// back ends.
 func (r *Router) adopt(ctx context.Context, compiled *fleet.Compiled) {
-	r.streams.Set(ctx, r.ownStreams(compiled))
-	r.announceFleet(ctx, compiled)
+	r.streams.Set(ctx, r.assignedStreams(compiled))
+	r.advertiseFleet(ctx, compiled)
 	r.fire(statechart.RouterEventReady)
 }
 
@@ -334,18 +334,18 @@
 	}
 }
 
-// fire moves the router's own chart; an event that it does not take is counted
-// by the chart's observer.
-func (r *Router) fire(event statechart.Event) { _, _ = r.life.Fire(event) }
+// fire sends an event to the router's state chart, whose observer counts events
+// that it rejects.
+func (r *Router) fire(event statechart.Event) { _, _ = r.lifecycle.Fire(event) }
 
-// state says what the API tells of this router.
+// state returns the state that the API reports.
 func (r *Router) state() api.State {
-	switch r.life.State() {
+	switch r.lifecycle.State() {
 	case statechart.RouterStateServing:
 		return api.StateServing
 	case statechart.RouterStateStarting:
 		return api.StateStarting
 	default:
-		return api.StateLeaving
+		return api.StateShuttingDown
 	}
 }
--- a/internal/router/runner.go
+++ b/internal/router/runner.go
@@ -11,15 +11,15 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// runner implements api.Runner: it keeps each tenant to its rate and leaves the
-// rest to dispatch.
-type runner struct {
+// rateLimitedRunner implements api.Runner: it enforces the tenants' rate limits
+// before dispatch.
+type rateLimitedRunner struct {
 	*dispatch.Dispatcher
 	rates *tenantRates
 }
 
 // Run implements api.Runner.
-func (r *runner) Run(ctx context.Context, job *dispatch.Job, sink dispatch.Sink) (dispatch.Completion, error) {
+func (r *rateLimitedRunner) Run(ctx context.Context, job *dispatch.Job, sink dispatch.Sink) (dispatch.Completion, error) {
 	if refusal := r.rates.admit(job.Tenant, job.ID); refusal != nil {
 		return dispatch.Completion{}, refusal
 	}
@@ -27,7 +27,7 @@
 }
 
 // RunApplication implements api.Runner.
-func (r *runner) RunApplication(ctx context.Context, job *dispatch.ApplicationJob) (dispatch.Answer, error) {
+func (r *rateLimitedRunner) RunApplication(ctx context.Context, job *dispatch.ApplicationJob) (dispatch.Answer, error) {
 	if refusal := r.rates.admit(job.Tenant, job.ID); refusal != nil {
 		return dispatch.Answer{}, refusal
 	}
@@ -41,7 +41,7 @@
 	rates   map[ident.Tenant]*tenantRate
 }
 
-// tenantRate is the limiter of one tenant, and the limit it was made for.
+// tenantRate is the limiter of one tenant, and its limit in requests per second.
 type tenantRate struct {
 	limit   float64
 	limiter *admission.TenantRate
@@ -51,7 +51,7 @@
 	return &tenantRates{current: current, rates: make(map[ident.Tenant]*tenantRate)}
 }
 
-// admit returns the refusal of a request above its tenant's rate, or nil.
+// admit returns a fault for a request above its tenant's rate, or nil.
 func (t *tenantRates) admit(tenant ident.Tenant, id ident.Request) error {
 	compiled := t.current()
 	if compiled == nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// retryBudgets implements dispatch.RetryBudget with one budget a service.
+// retryBudgets implements dispatch.RetryBudget with one budget per service.
 type retryBudgets struct {
 	mutex   sync.Mutex
 	budgets map[ident.Service]*admission.RetryBudget
--- a/internal/router/streams.go
+++ b/internal/router/streams.go
@@ -12,13 +12,13 @@
 
 const (
 	// smallFleet is the number of engines up to which every router reads every
-	// cache event stream. Beyond it a router reads only the streams it owns.
+	// cache event stream. In a larger fleet a router reads only those it owns.
 	smallFleet = 32
-	// streamOwners is the number of routers that read the events of an engine
-	// of a large fleet: the owner and one standby.
+	// streamOwners is the number of routers that read the events of an engine in
+	// a larger fleet: the owner and one standby.
 	streamOwners = 2
-	// streamPause is the pause before a broken event stream is opened anew.
-	streamPause = 500 * time.Millisecond
+	// streamRetryDelay is the delay before a broken event stream is reopened.
+	streamRetryDelay = 500 * time.Millisecond
 	// snapshotTimeout bounds the read of a cache snapshot.
 	snapshotTimeout = 5 * time.Second
 )
@@ -29,26 +29,27 @@
 	Address string
 }
 
-// streamReaders runs one goroutine for each cache event stream that this
-// router reads, and one for each snapshot being read.
+// streamReaders runs one goroutine per cache event stream and per snapshot that
+// this router reads.
 type streamReaders struct {
-	observer engine.Observer
-	duty     *placement.Runner
-	mutex    sync.Mutex
-	running  map[streamSource]context.CancelFunc
-	work     sync.WaitGroup
+	observer        engine.Observer
+	placementRunner *placement.Runner
+	mutex           sync.Mutex
+	running         map[streamSource]context.CancelFunc
+	background      sync.WaitGroup
 }
 
-func newStreamReaders(observer engine.Observer, duty *placement.Runner) *streamReaders {
-	return &streamReaders{observer: observer, duty: duty, running: make(map[streamSource]context.CancelFunc)}
+func newStreamReaders(observer engine.Observer, placementRunner *placement.Runner) *streamReaders {
+	return &streamReaders{observer: observer, placementRunner: placementRunner, running: make(map[streamSource]context.CancelFunc)}
 }
 
-// Set makes the wanted streams, and no others, be read until ctx ends.
-func (s *streamReaders) Set(ctx context.Context, wanted []streamSource) {
+// Set starts and stops readers so that exactly the given streams are read until
+// ctx ends.
+func (s *streamReaders) Set(ctx context.Context, sources []streamSource) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	keep := make(map[streamSource]bool, len(wanted))
-	for _, source := range wanted {
+	keep := make(map[streamSource]bool, len(sources))
+	for _, source := range sources {
 		keep[source] = true
 		if s.running[source] == nil {
 			s.start(ctx, source)
@@ -63,20 +64,20 @@
 }
 
 // Wait returns when every goroutine has ended.
-func (s *streamReaders) Wait() { s.work.Wait() }
+func (s *streamReaders) Wait() { s.background.Wait() }
 
 func (s *streamReaders) start(ctx context.Context, source streamSource) {
 	bounded, stop := context.WithCancel(ctx)
 	s.running[source] = stop
-	s.work.Go(func() {
+	s.background.Go(func() {
 		for bounded.Err() == nil {
 			s.read(bounded, source)
-			sleep(bounded, streamPause)
+			sleep(bounded, streamRetryDelay)
 		}
 	})
 }
 
-// read takes batches from one connection until it breaks.
+// read reads batches from one connection until it breaks.
 func (s *streamReaders) read(ctx context.Context, source streamSource) {
 	var after uint64
 	stream, err := s.observer.CacheEvents(ctx, source.Address, after)
@@ -90,18 +91,18 @@
 		if err != nil {
 			return
 		}
-		s.duty.ApplyCacheEvents(source.Engine, batch)
+		s.placementRunner.ApplyCacheEvents(source.Engine, batch)
 	}
 }
 
-// Snapshot reads the whole state of an engine's cache in the background.
+// Snapshot reads an engine's cache snapshot in the background.
 func (s *streamReaders) Snapshot(ctx context.Context, source streamSource) {
-	s.work.Go(func() {
+	s.background.Go(func() {
 		bounded, cancel := context.WithTimeout(ctx, snapshotTimeout)
 		defer cancel()
 		snapshot, err := s.observer.CacheSnapshot(bounded, source.Address)
 		if err == nil {
-			s.duty.ApplyCacheSnapshot(source.Engine, snapshot)
+			s.placementRunner.ApplyCacheSnapshot(source.Engine, snapshot)
 		}
 	})
 }
