--- a/cmd/fieldpond/edge.go
+++ b/cmd/fieldpond/edge.go
@@ -37,7 +37,7 @@
 			if options.Disabled, err = mechanism.Without(without); err != nil {
 				return err
 			}
-			ctx, stop := commandline.UntilStopped(command)
+			ctx, stop := commandline.SignalContext(command)
 			defer stop()
 			watchReload()
 			return platform.Run(ctx, settings, options, command.OutOrStdout())
--- a/cmd/fieldpond/explain.go
+++ b/cmd/fieldpond/explain.go
@@ -44,7 +44,7 @@
 }
 
 func explain(command *cobra.Command, filter eventlog.Filter, paths []string) error {
-	trail := eventlog.NewTrail(filter)
+	trail := eventlog.NewTimeline(filter)
 	if len(paths) == 0 {
 		if err := trail.Read(command.InOrStdin()); err != nil {
 			return fault.Wrap(err, fault.BadRequest, "standard input cannot be read")
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func readLog(trail *eventlog.Trail, path string) error {
+func readLog(trail *eventlog.Timeline, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return fault.Wrap(err, fault.BadRequest, "the log %s cannot be read", path)
--- a/cmd/fieldpond/router.go
+++ b/cmd/fieldpond/router.go
@@ -36,7 +36,7 @@
 			if err := telemetry.SetUpLogging(command.ErrOrStderr(), configured.LogLevel); err != nil {
 				return fault.Wrap(err, fault.InvalidSettings, "setting up the log")
 			}
-			ctx, stop := commandline.UntilStopped(command)
+			ctx, stop := commandline.SignalContext(command)
 			defer stop()
 			return router.Run(ctx, configured)
 		},
--- a/cmd/fieldpond/statustable.go
+++ b/cmd/fieldpond/statustable.go
@@ -85,7 +85,7 @@
 	}
 	t.row("\nENGINE", "ZONE", "STATE", "ALIVE TO", "INCARNATION", "RUNNING", "WAITING", "PREFILL QUEUE", "LIMIT", "LOADED")
 	for _, engine := range routers[0].Engines {
-		t.row(engine.Engine, engine.Zone, backendState(engine.Alive, engine.Leaving), fmt.Sprintf("%d of %d", alive[engine.Engine], len(routers)),
+		t.row(engine.Engine, engine.Zone, backendState(engine.Alive, engine.Draining), fmt.Sprintf("%d of %d", alive[engine.Engine], len(routers)),
 			shorten(string(engine.Incarnation)), engine.Running, engine.Waiting, engine.QueuedPrefillTokens,
 			fmt.Sprintf("%d of %s", engine.OwnInFlight, limitText(engine.ConcurrencyLimit)), loadedText(engine.Loaded))
 	}
@@ -105,7 +105,7 @@
 	}
 	t.row("\nAPPLICATION", "ZONE", "STATE", "ALIVE TO", "INCARNATION", "RUNNING", "IN FLIGHT")
 	for _, application := range routers[0].Applications {
-		t.row(application.Application, application.Zone, backendState(application.Alive, application.Leaving),
+		t.row(application.Application, application.Zone, backendState(application.Alive, application.Draining),
 			fmt.Sprintf("%d of %d", alive[application.Application], len(routers)), shorten(string(application.Incarnation)),
 			application.Running, calls[application.Application])
 	}
@@ -190,7 +190,7 @@
 			if group.Held && !shown[group.Lease] {
 				shown[group.Lease] = true
 				t.row(group.Lease, router.Node, group.Fence, fmt.Sprintf("%d of %d", group.Settled, group.Engines),
-					group.Loading, group.Orders, group.Repeated, group.Refused, group.PutOff, group.StaleFences)
+					group.Loading, group.Orders, group.Retried, group.Refused, group.PostponedUnloads, group.StaleFences)
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 	t.row("\nROUTER", "CLAIMS GRANTED", "SHOWN", "REFUSED", "WAITING", "GOSSIP OUT", "GOSSIP IN", "GOSSIP REFUSED", "RING ITEMS DROPPED")
 	for _, router := range routers {
 		claims, gossip := router.Claims, router.Gossip
-		t.row(router.Node, claims.Granted, claims.Shown, claims.Refused, claims.Waiting,
+		t.row(router.Node, claims.Granted, claims.AlreadyClaimed, claims.Refused, claims.Waiting,
 			byteText(gossip.BytesSent), byteText(gossip.BytesReceived), gossip.Refused, droppedText(router.Rings))
 	}
 }
--- a/cmd/rehearse/application.go
+++ b/cmd/rehearse/application.go
@@ -44,7 +44,7 @@
 				options.TruthWriter = file
 			}
 			server := application.NewServer(options)
-			ctx, stop := commandline.UntilStopped(command)
+			ctx, stop := commandline.SignalContext(command)
 			defer stop()
 			return serve.Run(ctx, server, serve.Options{
 				Name: "application stand-in", Listen: listen, Grace: grace,
--- a/cmd/rehearse/engine.go
+++ b/cmd/rehearse/engine.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return fault.Wrap(err, fault.InvalidSettings, "cannot listen on %q", flags.listen).WithRemedy("give --listen a free host:port")
 	}
-	ctx, stop := commandline.UntilStopped(command)
+	ctx, stop := commandline.SignalContext(command)
 	defer stop()
 	return server.Run(ctx, listener)
 }
--- a/cmd/rehearse/load.go
+++ b/cmd/rehearse/load.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := commandline.UntilStopped(command)
+	ctx, stop := commandline.SignalContext(command)
 	defer stop()
 	command.PrintErrf("sending for %s to %d routers, then waiting for the answers\n", config.Spec.Duration, len(config.Targets))
 	report, err := load.Run(ctx, config)
--- a/cmd/rehearse/platform.go
+++ b/cmd/rehearse/platform.go
@@ -38,7 +38,7 @@
 				}
 				options.Machines = list
 			}
-			ctx, stop := commandline.UntilStopped(command)
+			ctx, stop := commandline.SignalContext(command)
 			defer stop()
 			return serve.Run(ctx, platform.NewServer(options), serve.Options{
 				Name: "platform stand-in", Listen: listen, Grace: platformGrace,
--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -40,10 +40,10 @@
 	return fault.New(fault.BadRequest, "%s", err.Error()).WithRemedy("'%s COMMAND --help' shows flags and examples", root.Name())
 }
 
-// UntilStopped returns a context that ends when the process is told to stop, by
+// SignalContext returns a context that ends when the process is told to stop, by
 // SIGTERM or Ctrl-C, for a command that then ends in its planned way. Commands
 // without one end at once.
-func UntilStopped(command *cobra.Command) (context.Context, context.CancelFunc) {
+func SignalContext(command *cobra.Command) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(command.Context(), syscall.SIGTERM, os.Interrupt)
 }
 
--- a/internal/control/planner.go
+++ b/internal/control/planner.go
@@ -196,7 +196,7 @@
 
 // usable reports whether an engine is reachable, not draining and its last report recent enough.
 func (p *Planner) usable(now time.Time, state *engineState) bool {
-	draining := state.report.Leaving || state.target.State == fleet.BackendLeaving
+	draining := state.report.Draining || state.target.State == fleet.BackendLeaving
 	return state.reachable && !draining && now.Sub(state.sampledAt) <= p.maxReportAge
 }
 
--- a/internal/control/planner_test.go
+++ b/internal/control/planner_test.go
@@ -101,7 +101,7 @@
 	draining := func(name ident.Engine) setting {
 		return func(r *plannerHarness) {
 			report := r.reports[name]
-			report.Leaving = true
+			report.Draining = true
 			r.reports[name] = report
 		}
 	}
--- a/internal/dispatch/generation_test.go
+++ b/internal/dispatch/generation_test.go
@@ -145,7 +145,7 @@
 		ran  fault.Ran
 	}{
 		"full, then accepted":   {refusal(protocol.RefusalFull, "a0"), nil, "", ""},
-		"draining, unreachable": {refusal(protocol.RefusalLeaving, "a0"), unreachable, fault.NoPermittedEngine, fault.RanNo},
+		"draining, unreachable": {refusal(protocol.RefusalDraining, "a0"), unreachable, fault.NoPermittedEngine, fault.RanNo},
 		"refused, then lost":    {refusal(protocol.RefusalFull, "a0"), lost, fault.NoPermittedEngine, fault.RanUnknown},
 		"bad request":           {refusal(protocol.RefusalBadRequest, "a0"), nil, fault.BadRequest, fault.RanNo},
 		"lost, then refused":    {lost, refusal(protocol.RefusalFull, "b0"), fault.NoPermittedEngine, fault.RanUnknown},
--- a/internal/endpoint/registry.go
+++ b/internal/endpoint/registry.go
@@ -171,7 +171,7 @@
 	known.role = report.Role
 	known.queue.RecordReport(now, report)
 	known.reported = true
-	if report.Leaving {
+	if report.Draining {
 		changes = append(changes, known.markDraining(now, engine)...)
 	}
 	return changes
--- a/internal/engine/protocol/protocol.go
+++ b/internal/engine/protocol/protocol.go
@@ -119,8 +119,8 @@
 	RefusalMismatch RefusalKind = "mismatch"
 	// RefusalFull means: the waiting queue is full.
 	RefusalFull RefusalKind = "full"
-	// RefusalLeaving means: the back end is stopping and takes no new work.
-	RefusalLeaving RefusalKind = "leaving"
+	// RefusalDraining means: the back end is stopping and takes no new work.
+	RefusalDraining RefusalKind = "leaving"
 	// RefusalUnknownStream means: no such stream in this incarnation (resume, cancel).
 	RefusalUnknownStream RefusalKind = "unknown_stream"
 	// RefusalStaleFence means: an order with an older fence than one already taken.
@@ -146,7 +146,7 @@
 	MeasuredAt time.Time `json:"measured_at"`
 	// AgeMillis is how old the figures were when the report was sent.
 	AgeMillis int64 `json:"age_millis"`
-	Leaving   bool  `json:"leaving"`
+	Draining  bool  `json:"leaving"`
 	// Running and Waiting count requests.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
--- a/internal/eventlog/trail.go
+++ b/internal/eventlog/timeline.go
@@ -49,20 +49,20 @@
 	}
 }
 
-// Trail collects the lines of many logs that are about one thing.
-type Trail struct {
+// Timeline collects the lines of many logs that are about one thing.
+type Timeline struct {
 	filter Filter
 	lines  []map[string]any
 }
 
-// NewTrail returns an empty trail.
-func NewTrail(filter Filter) *Trail { return &Trail{filter: filter} }
+// NewTimeline returns an empty trail.
+func NewTimeline(filter Filter) *Timeline { return &Timeline{filter: filter} }
 
 // maxLine bounds one line of a log.
 const maxLine = 1 << 20
 
 // Read takes in one log. Lines that hold no JSON object are skipped.
-func (t *Trail) Read(log io.Reader) error {
+func (t *Timeline) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
@@ -84,7 +84,7 @@
 
 // Lines returns the lines as text, in order of time. Times of several routers
 // are those of their own clocks.
-func (t *Trail) Lines() []string {
+func (t *Timeline) Lines() []string {
 	slices.SortStableFunc(t.lines, func(a, b map[string]any) int {
 		return strings.Compare(fmt.Sprint(a["at"]), fmt.Sprint(b["at"]))
 	})
--- a/internal/eventlog/trail_test.go
+++ b/internal/eventlog/timeline_test.go
@@ -47,7 +47,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			trail := eventlog.NewTrail(c.filter)
+			trail := eventlog.NewTimeline(c.filter)
 			is.NoErr(trail.Read(strings.NewReader(firstLog)))
 			is.NoErr(trail.Read(strings.NewReader(secondLog)))
 			is.Equal(trail.Lines(), c.lines)
--- a/internal/exchange/silence_test.go
+++ b/internal/exchange/silence_test.go
@@ -58,7 +58,7 @@
 	for _, response := range open {
 		is.NoErr(response.Body.Close())
 	}
-	is.Equal(relay.Taken(), 2)
+	is.Equal(relay.Accepted(), 2)
 }
 
 // checkSilentError checks that an error reports a silent connection in time.
@@ -83,7 +83,7 @@
 	begun := time.Now()
 	checkSilentError(t, begun, doExchange(t, pool, relay))
 	is.NoErr(doExchange(t, pool, relay)) // the other idle connection is not tried
-	is.Equal(relay.Taken(), 3)
+	is.Equal(relay.Accepted(), 3)
 	is.Equal(pool.Silent(), uint64(1))
 }
 
@@ -184,7 +184,7 @@
 	is.NoErr(relay.Silence())
 	time.Sleep(4 * time.Second) // twice what the kernel needs
 	is.NoErr(doExchange(t, pool, relay))
-	is.Equal(relay.Taken(), 3)
+	is.Equal(relay.Accepted(), 3)
 	is.Equal(pool.Silent(), uint64(1))
 }
 
@@ -205,6 +205,6 @@
 	checkSilentError(t, time.Now(), doExchange(t, pool, relays[0]))
 	for _, relay := range relays {
 		is.NoErr(doExchange(t, pool, relay)) // the other addresses without a failure first
-		is.Equal(relay.Taken(), 2)
+		is.Equal(relay.Accepted(), 2)
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -78,7 +78,7 @@
 }
 
 func newMetrics(read func() gaugeValues) *metrics {
-	registry := telemetry.NewLean()
+	registry := telemetry.NewEmpty()
 	m := &metrics{
 		registry:        registry,
 		requests:        registry.Counter("edge_requests_total", "Requests by their end: answered, refused, broken or client_gone.", "end"),
@@ -192,5 +192,5 @@
 
 // MetricsReference returns the reference page of a node's metrics.
 func MetricsReference() []byte {
-	return newMetrics(func() gaugeValues { return gaugeValues{} }).registry.ReferenceUnder(metricsHeader)
+	return newMetrics(func() gaugeValues { return gaugeValues{} }).registry.ReferenceWithHeader(metricsHeader)
 }
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -119,7 +119,7 @@
 	}{
 		{"answered", Result{Incarnation: "a1", TimeToFirstToken: time.Millisecond}, nil},
 		{"unreachable", Result{Unreachable: true}, []endpoint.ChangeKind{endpoint.ChangeDead}},
-		{"leaving", Result{Incarnation: "a1", Refusal: protocol.RefusalLeaving}, []endpoint.ChangeKind{endpoint.ChangeDraining}},
+		{"leaving", Result{Incarnation: "a1", Refusal: protocol.RefusalDraining}, []endpoint.ChangeKind{endpoint.ChangeDraining}},
 		{"new life", Result{Incarnation: "a2", Refusal: protocol.RefusalMismatch}, []endpoint.ChangeKind{endpoint.ChangeIncarnation}},
 	}
 	for _, test := range cases {
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -182,7 +182,7 @@
 	switch {
 	case result.Unreachable:
 		c.changed(c.registry.ObserveUnreachable(flight.engine))
-	case result.Refusal == protocol.RefusalLeaving:
+	case result.Refusal == protocol.RefusalDraining:
 		c.changed(c.registry.ObserveDraining(now, flight.engine, result.Incarnation))
 	}
 	return c.pump(now)
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -47,8 +47,8 @@
 // Addr returns where the relay listens.
 func (r *Relay) Addr() netip.AddrPort { return netip.MustParseAddrPort(r.listener.Addr().String()) }
 
-// Taken returns how many connections the relay has taken.
-func (r *Relay) Taken() int {
+// Accepted returns how many connections the relay has taken.
+func (r *Relay) Accepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.taken
--- a/internal/router/applications.go
+++ b/internal/router/applications.go
@@ -123,7 +123,7 @@
 	switch {
 	case result.Outcome == dispatch.OutcomeUnreachable:
 		p.health.ObserveUnreachable(backendName(name))
-	case result.Refusal == protocol.RefusalLeaving:
+	case result.Refusal == protocol.RefusalDraining:
 		p.changed(p.health.ObserveDraining(time.Now(), backendName(name), result.Incarnation))
 	}
 }
@@ -197,7 +197,7 @@
 		name := ident.Application(backend.Engine)
 		applications = append(applications, status.Application{
 			Application: name, Zone: backend.Zone, Incarnation: backend.Incarnation,
-			Alive: backend.Alive, Leaving: backend.Draining, Running: backend.Load.Running, OwnInFlight: p.calls[name],
+			Alive: backend.Alive, Draining: backend.Draining, Running: backend.Load.Running, OwnInFlight: p.calls[name],
 		})
 	}
 	return applications
--- a/internal/router/applications_test.go
+++ b/internal/router/applications_test.go
@@ -38,12 +38,12 @@
 		{"an answer before the first report", answered, nil, []ident.Application{"a-1", "a-2"}, nil},
 		{"unreachable after an answer", dispatch.Result{Outcome: dispatch.OutcomeUnreachable, Incarnation: "life-1"}, nil,
 			[]ident.Application{"a-2"}, nil},
-		{"its own refusal", dispatch.Result{Outcome: dispatch.OutcomeRefused, Refusal: protocol.RefusalLeaving, Incarnation: "life-1"}, nil,
+		{"its own refusal", dispatch.Result{Outcome: dispatch.OutcomeRefused, Refusal: protocol.RefusalDraining, Incarnation: "life-1"}, nil,
 			[]ident.Application{"a-2"}, []ident.Application{"a-1"}},
 		{"the machine list", answered, map[ident.Application]bool{"a-1": false, "a-2": true},
 			[]ident.Application{"a-1"}, []ident.Application{"a-2"}},
 		{"its own refusal while the list lags",
-			dispatch.Result{Outcome: dispatch.OutcomeRefused, Refusal: protocol.RefusalLeaving, Incarnation: "life-1"},
+			dispatch.Result{Outcome: dispatch.OutcomeRefused, Refusal: protocol.RefusalDraining, Incarnation: "life-1"},
 			map[ident.Application]bool{"a-1": false, "a-2": false}, []ident.Application{"a-2"}, []ident.Application{"a-1"}},
 	}
 	document, problems := fleet.Parse([]byte(twoApplications), "test")
--- a/internal/router/metricsplacement.go
+++ b/internal/router/metricsplacement.go
@@ -75,7 +75,7 @@
 	group.Labelled(telemetry.KindGauge, "applications", "Applications of the fleet file by state as this router sees them: alive, leaving or dead.", "state", func(applications []status.Application) map[string]float64 {
 		states := backendStates{"alive": 0, "leaving": 0, "dead": 0}
 		for _, application := range applications {
-			states.count(application.Alive, application.Leaving)
+			states.count(application.Alive, application.Draining)
 		}
 		return states
 	})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -213,7 +213,7 @@
 		MaxHeaderBytes: r.settings.Limits.MaxHeaderBytes,
 		Node:           ident.Node(r.settings.Node),
 		KeepStream:     r.keepStream,
-		OnFault:        r.telemetry.Refused,
+		OnFault:        r.telemetry.CountRefusal,
 	}, catalogs{r.syncer.Current}, &runner{r.dispatch, newTenantRates(r.syncer.Current)}, sealer, r.state)
 	return nil
 }
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -64,7 +64,7 @@
 	}
 	report.Applications = r.apps.status(time.Now())
 	claims := r.claims.Counters()
-	report.Claims = status.Claims{Granted: claims.Granted, Shown: claims.AlreadyClaimed, Refused: claims.Refused, Waiting: claims.Waiting}
+	report.Claims = status.Claims{Granted: claims.Granted, AlreadyClaimed: claims.AlreadyClaimed, Refused: claims.Refused, Waiting: claims.Waiting}
 	gossip := r.members.Counters()
 	report.Gossip = status.Gossip{
 		BytesSent: gossip.BytesSent, BytesReceived: gossip.BytesReceived, Refused: gossip.Refused, Unsent: gossip.Unsent,
@@ -95,8 +95,8 @@
 		shown = append(shown, status.ControlGroup{
 			Lease: group.Lease, Held: group.Held, Fence: group.Fence, Holder: group.Holder, Contenders: group.Contenders,
 			Engines: group.Counters.Engines, Settled: group.Counters.Settled,
-			Loading: group.Counters.Loading, Orders: group.Counters.Orders, Repeated: group.Counters.Retries,
-			Refused: group.Counters.Refused, PutOff: group.Counters.Guarded,
+			Loading: group.Counters.Loading, Orders: group.Counters.Orders, Retried: group.Counters.Retries,
+			Refused: group.Counters.Refused, PostponedUnloads: group.Counters.Guarded,
 			StaleFences: group.Counters.StaleFences + group.Leases.StaleFences,
 		})
 	}
@@ -115,7 +115,7 @@
 	for _, endpoint := range endpoints {
 		shown := status.Engine{
 			Engine: endpoint.Engine, Zone: endpoint.Zone, Incarnation: endpoint.Incarnation,
-			Alive: endpoint.Alive, Leaving: endpoint.Draining,
+			Alive: endpoint.Alive, Draining: endpoint.Draining,
 			Running: endpoint.Load.Running, Waiting: endpoint.Load.Waiting,
 			QueuedPrefillTokens: int(endpoint.Load.QueuedPrefillTokens),
 			OwnInFlight:         endpoint.Load.OwnInFlight, ConcurrencyLimit: endpoint.Load.ConcurrencyLimit,
--- a/internal/statechart/chart_test.go
+++ b/internal/statechart/chart_test.go
@@ -141,7 +141,7 @@
 
 func (o *countingObserver) Transition(string, State, Event, State) { o.taken++ }
 func (o *countingObserver) Ignored(string, State, Event)           { o.ignored++ }
-func (o *countingObserver) NotTaken(string, State, Event, Reason)  { o.refused++ }
+func (o *countingObserver) Rejected(string, State, Event, Reason)  { o.refused++ }
 
 func TestClaimedRequestRunsOnce(t *testing.T) {
 	is := is.New(t)
@@ -165,6 +165,6 @@
 	is.NoErr(fire(RequestEventGaveUp))
 	is.Equal(instance.State(), RequestStateOutcomeUnknown)
 	is.Equal(*observer, countingObserver{taken: 6, ignored: 1, refused: 2})
-	is.Equal(instance.NotTaken(), uint64(2))
+	is.Equal(instance.Rejections(), uint64(2))
 	is.True(slices.Contains(Names(), RouterChart))
 }
--- a/internal/statechart/instance.go
+++ b/internal/statechart/instance.go
@@ -40,8 +40,8 @@
 	Transition(chart string, from State, event Event, to State)
 	// Ignored is told of an event that the state ignores.
 	Ignored(chart string, state State, event Event)
-	// NotTaken is told of an event that was refused with an EventError.
-	NotTaken(chart string, state State, event Event, reason Reason)
+	// Rejected is told of an event that was refused with an EventError.
+	Rejected(chart string, state State, event Event, reason Reason)
 }
 
 // Option configures an instance.
@@ -78,8 +78,8 @@
 // Terminal reports whether the instance has ended.
 func (i *Instance) Terminal() bool { return i.chart.Terminal(i.State()) }
 
-// NotTaken returns how many events were refused with an EventError.
-func (i *Instance) NotTaken() uint64 {
+// Rejections returns how many events were refused with an EventError.
+func (i *Instance) Rejections() uint64 {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.notTaken
@@ -122,7 +122,7 @@
 	}
 	i.notTaken++
 	if i.observer != nil {
-		i.observer.NotTaken(i.chart.definition.Name, at.state, at.event, reason)
+		i.observer.Rejected(i.chart.definition.Name, at.state, at.event, reason)
 	}
 	return &EventError{Chart: i.chart.definition.Name, State: at.state, Event: at.event, Reason: reason}
 }
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -51,7 +51,7 @@
 	Zone        ident.Zone        `json:"zone"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Alive       bool              `json:"alive"`
-	Leaving     bool              `json:"leaving"`
+	Draining    bool              `json:"leaving"`
 	// Running and Waiting count requests on the engine.
 	Running             int `json:"running"`
 	Waiting             int `json:"waiting"`
@@ -68,7 +68,7 @@
 	Zone        ident.Zone        `json:"zone"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Alive       bool              `json:"alive"`
-	Leaving     bool              `json:"leaving"`
+	Draining    bool              `json:"leaving"`
 	// Running counts requests on the application, OwnInFlight this router's.
 	Running     int `json:"running"`
 	OwnInFlight int `json:"own_in_flight"`
@@ -100,9 +100,9 @@
 type Claims struct {
 	// Granted were won by this router, Shown were another's or an earlier
 	// sending's, Refused ended without an answer of the table.
-	Granted uint64 `json:"granted"`
-	Shown   uint64 `json:"shown"`
-	Refused uint64 `json:"refused"`
+	Granted        uint64 `json:"granted"`
+	AlreadyClaimed uint64 `json:"shown"`
+	Refused        uint64 `json:"refused"`
 	// Waiting claims have no answer of the table yet.
 	Waiting int `json:"waiting"`
 }
@@ -136,13 +136,13 @@
 	Loading int `json:"loading"`
 	// Orders were issued by this router, Repeated are those issued again after a
 	// lost answer, Refused those that an engine refused.
-	Orders   uint64 `json:"orders"`
-	Repeated uint64 `json:"repeated"`
-	Refused  uint64 `json:"refused"`
-	// PutOff counts looks at unloads that would have taken the last warm engine
+	Orders  uint64 `json:"orders"`
+	Retried uint64 `json:"repeated"`
+	Refused uint64 `json:"refused"`
+	// PostponedUnloads counts looks at unloads that would have taken the last warm engine
 	// away, StaleFences times a newer fence than this router's was met.
-	PutOff      uint64 `json:"put_off"`
-	StaleFences uint64 `json:"stale_fences"`
+	PostponedUnloads uint64 `json:"put_off"`
+	StaleFences      uint64 `json:"stale_fences"`
 }
 
 // Ring is one bounded queue between two duties.
--- a/internal/telemetry/charts.go
+++ b/internal/telemetry/charts.go
@@ -24,7 +24,7 @@
 	o.ignored.WithLabelValues(chart, string(state), string(event)).Inc()
 }
 
-// NotTaken implements statechart.Observer.
-func (o *chartObserver) NotTaken(chart string, state statechart.State, event statechart.Event, reason statechart.Reason) {
+// Rejected implements statechart.Observer.
+func (o *chartObserver) Rejected(chart string, state statechart.State, event statechart.Event, reason statechart.Reason) {
 	o.notTaken.WithLabelValues(chart, string(state), string(event), string(reason)).Inc()
 }
--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -62,11 +62,11 @@
 `
 
 // Reference returns the reference page of the registry's metrics.
-func (r *Registry) Reference() []byte { return r.ReferenceUnder(referenceHeader) }
+func (r *Registry) Reference() []byte { return r.ReferenceWithHeader(referenceHeader) }
 
-// ReferenceUnder returns the reference page under another header, which ends
+// ReferenceWithHeader returns the reference page under another header, which ends
 // with the head of the table.
-func (r *Registry) ReferenceUnder(header string) []byte {
+func (r *Registry) ReferenceWithHeader(header string) []byte {
 	var page bytes.Buffer
 	page.WriteString(header)
 	for _, metric := range r.Metrics() {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -66,9 +66,9 @@
 	return r
 }
 
-// NewLean returns a registry that holds nothing of its own, for processes whose
+// NewEmpty returns a registry that holds nothing of its own, for processes whose
 // memory is dear.
-func NewLean() *Registry { return &Registry{registry: prometheus.NewRegistry()} }
+func NewEmpty() *Registry { return &Registry{registry: prometheus.NewRegistry()} }
 
 // Counter registers and returns a counter; its name gets the namespace. A
 // name that is registered twice is a fault of the program and panics.
@@ -96,8 +96,8 @@
 	return vector
 }
 
-// Refused counts a request that was answered with a fault.
-func (r *Registry) Refused(refusal *fault.Fault) {
+// CountRefusal counts a request that was answered with a fault.
+func (r *Registry) CountRefusal(refusal *fault.Fault) {
 	r.refusals.WithLabelValues(string(refusal.Kind), string(refusal.Ran)).Inc()
 }
 
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -35,7 +35,7 @@
 	is.NoErr(err)
 	_, err = instance.Fire(statechart.RouterEventDrained)
 	is.True(err != nil)
-	registry.Refused(fault.New(fault.Overloaded, "queue full"))
+	registry.CountRefusal(fault.New(fault.Overloaded, "queue full"))
 
 	answer := httptest.NewRecorder()
 	registry.Handler().ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/silence_test.go
@@ -23,6 +23,6 @@
 	update, _, err := client.Pull(t.Context(), peer, pull)
 	is.NoErr(err)
 	is.Equal(update.Routers, 3)
-	is.Equal(relay.Taken(), 2)
+	is.Equal(relay.Accepted(), 2)
 	is.Equal(client.SilentConnections(), uint64(1))
 }
--- a/proofs/harness/cluster.go
+++ b/proofs/harness/cluster.go
@@ -337,7 +337,7 @@
 
 func allAlive(engines []status.Engine) bool {
 	for _, engine := range engines {
-		if !engine.Alive && !engine.Leaving {
+		if !engine.Alive && !engine.Draining {
 			return false
 		}
 	}
--- a/proofs/leavingprocess_test.go
+++ b/proofs/leavingprocess_test.go
@@ -47,7 +47,7 @@
 			streams := openStreams(t, c, leaving)
 			sign.sign(leaving)
 			awaitEngines(t, c, leaving+" is leaving", func(engine status.Engine) bool {
-				return string(engine.Engine) != leaving || engine.Leaving || !engine.Alive
+				return string(engine.Engine) != leaving || engine.Draining || !engine.Alive
 			})
 			visible := time.Now()
 			callers.awaitAnswers(c, 60)
--- a/standin/application/application_test.go
+++ b/standin/application/application_test.go
@@ -116,10 +116,10 @@
 	_, err := client.Call(t.Context(), address, booking("k"))
 	var refused *engine.RefusedError
 	is.True(errors.As(err, &refused))
-	is.Equal(refused.Refusal.Kind, protocol.RefusalLeaving)
+	is.Equal(refused.Refusal.Kind, protocol.RefusalDraining)
 	is.Equal(fault.From(err).Ran, fault.RanNo)
 	report, err := client.Load(t.Context(), address)
 	is.NoErr(err)
-	is.True(report.Leaving)
+	is.True(report.Draining)
 	is.Equal(len(server.Executions()), 0)
 }
--- a/standin/application/server.go
+++ b/standin/application/server.go
@@ -119,7 +119,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.leaving {
-		return protocol.RefusalLeaving
+		return protocol.RefusalDraining
 	}
 	if s.options.MaxRunning > 0 && s.running >= s.options.MaxRunning {
 		return protocol.RefusalFull
@@ -137,7 +137,7 @@
 // refuse answers that nothing was executed.
 func (s *Server) refuse(w http.ResponseWriter, kind protocol.RefusalKind) {
 	status := http.StatusTooManyRequests
-	if kind == protocol.RefusalLeaving {
+	if kind == protocol.RefusalDraining {
 		status = http.StatusServiceUnavailable
 	}
 	w.Header().Set(protocol.HeaderRan, string(fault.RanNo))
@@ -150,7 +150,7 @@
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
 	report := protocol.LoadReport{
-		Incarnation: s.options.Incarnation, MeasuredAt: time.Now(), Leaving: s.leaving,
+		Incarnation: s.options.Incarnation, MeasuredAt: time.Now(), Draining: s.leaving,
 		Running: s.running, MaxRunning: s.options.MaxRunning,
 	}
 	s.mutex.Unlock()
--- a/standin/engine/handlers.go
+++ b/standin/engine/handlers.go
@@ -197,7 +197,7 @@
 	switch kind {
 	case protocol.RefusalFull:
 		return http.StatusTooManyRequests
-	case protocol.RefusalLeaving:
+	case protocol.RefusalDraining:
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusConflict
--- a/standin/engine/model/engine.go
+++ b/standin/engine/model/engine.go
@@ -178,11 +178,11 @@
 	}
 	switch {
 	case !e.alive:
-		return e.refuse(protocol.RefusalLeaving, "the engine is down")
+		return e.refuse(protocol.RefusalDraining, "the engine is down")
 	case request.ExpectedIncarnation != e.incarnation:
 		return e.refuse(protocol.RefusalMismatch, "another incarnation is in force")
 	case e.leaving || e.conditions.Leaving:
-		return e.refuse(protocol.RefusalLeaving, "the engine is stopping")
+		return e.refuse(protocol.RefusalDraining, "the engine is stopping")
 	case request.Prompt == "" || request.MaxTokens <= 0 || request.RequestID == "":
 		return e.refuse(protocol.RefusalBadRequest, "request_id, prompt and max_tokens must be set")
 	case prefix.Tokens(request.Prompt)+prefix.Tokens(request.Continued) > e.config.MaxPromptTokens,
--- a/standin/engine/model/orders.go
+++ b/standin/engine/model/orders.go
@@ -104,7 +104,7 @@
 	needsModel := order.Kind == protocol.OrderLoad || order.Kind == protocol.OrderUnload
 	switch {
 	case !e.alive:
-		return e.refuse(protocol.RefusalLeaving, "the engine is down")
+		return e.refuse(protocol.RefusalDraining, "the engine is down")
 	case order.ExpectedIncarnation != e.incarnation:
 		return e.refuse(protocol.RefusalMismatch, "another incarnation is in force")
 	case order.OrderID == "":
--- a/standin/engine/model/transfer.go
+++ b/standin/engine/model/transfer.go
@@ -45,7 +45,7 @@
 		return result, e.refuse(protocol.RefusalBadRequest, "the body is no export of an engine")
 	}
 	if !e.alive || e.leaving || e.conditions.Leaving {
-		return result, e.refuse(protocol.RefusalLeaving, "the engine is stopping")
+		return result, e.refuse(protocol.RefusalDraining, "the engine is stopping")
 	}
 	if len(imported.Hashes) == 0 {
 		return result, nil
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -201,7 +201,7 @@
 		defer func() { _ = late.Body.Close() }()
 		return late.StatusCode == http.StatusServiceUnavailable && json.NewDecoder(late.Body).Decode(&refusal) == nil
 	})
-	is.Equal(refusal.Kind, protocol.RefusalLeaving)
+	is.Equal(refusal.Kind, protocol.RefusalDraining)
 	clearing, err := http.NewRequest(http.MethodDelete, process.base+"/rehearsal/faults", nil)
 	is.NoErr(err)
 	_, err = http.DefaultClient.Do(clearing)
