--- a/internal/addrtest/addr.go
+++ b/internal/addrtest/addr.go
@@ -16,21 +16,21 @@
 // system chose the ports (four processes at once, twelve tests at a time in each).
 const (
 	firstPort = 20000
-	ports     = 12000
+	portCount = 12000
 	// firstOctet keeps the addresses apart from 127.0.0.1, where other tests listen.
 	firstOctet = 64
 )
 
-// given counts the addresses that this process handed out.
-var given atomic.Uint32
+// allocated counts the addresses that this process handed out.
+var allocated atomic.Uint32
 
 // Free returns an address that nothing listens on and that is handed out to nobody else: each
 // process has an IP of its own in 127.64.0.0/10, so that tests of several packages can run at
 // the same time, and each call a port.
 func Free(t testing.TB) netip.AddrPort {
 	t.Helper()
-	for range ports {
-		addr := netip.AddrPortFrom(ownIP(os.Getpid()), firstPort+uint16(given.Add(1)%ports))
+	for range portCount {
+		addr := netip.AddrPortFrom(ownIP(os.Getpid()), firstPort+uint16(allocated.Add(1)%portCount))
 		listener, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(addr))
 		if err != nil {
 			continue
--- a/internal/addrtest/addr_test.go
+++ b/internal/addrtest/addr_test.go
@@ -9,13 +9,13 @@
 )
 
 // Many tests of one process ask at once.
-func TestNoAddressIsHandedOutTwice(t *testing.T) {
+func TestFreeNeverReturnsAnAddressTwice(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	seen := make(map[netip.AddrPort]bool)
-	var asking sync.WaitGroup
+	var callers sync.WaitGroup
 	for range 8 {
-		asking.Go(func() {
+		callers.Go(func() {
 			for range 100 {
 				addr := Free(t)
 				mu.Lock()
@@ -24,11 +24,11 @@
 			}
 		})
 	}
-	asking.Wait()
+	callers.Wait()
 	is.Equal(len(seen), 800)
 }
 
-func TestEachProcessHasAnIPOfItsOwn(t *testing.T) {
+func TestEachProcessHasItsOwnIP(t *testing.T) {
 	is := is.New(t)
 	loopback := netip.MustParsePrefix("127.64.0.0/10")
 	seen := make(map[netip.Addr]bool)
--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -13,9 +13,9 @@
 )
 
 // program returns a program with one command that ends with an error.
-func program(example string, ends error) (*cobra.Command, *bytes.Buffer) {
+func program(example string, result error) (*cobra.Command, *bytes.Buffer) {
 	var output bytes.Buffer
-	command := &cobra.Command{Use: "work", Example: example, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return ends }}
+	command := &cobra.Command{Use: "work", Example: example, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return result }}
 	command.Flags().Int("count", 0, "")
 	command.Flags().String("file", "", "")
 	_ = command.MarkFlagRequired("file")
--- a/internal/commandline/examples.go
+++ b/internal/commandline/examples.go
@@ -43,14 +43,14 @@
 // CheckPages returns an error for each command line shown on a page (*.md) under
 // the given paths that the program would not understand, and how many it looked
 // at.
-func CheckPages(root *cobra.Command, files fs.FS, paths ...string) (shown int, problems []error) {
+func CheckPages(root *cobra.Command, files fs.FS, paths ...string) (checked int, problems []error) {
 	for _, path := range paths {
 		err := fs.WalkDir(files, path, func(name string, _ fs.DirEntry, err error) error {
 			if err != nil || filepath.Ext(name) != ".md" {
 				return err
 			}
 			text, err := fs.ReadFile(files, name)
-			shown += len(CommandLines(root.Name(), string(text)))
+			checked += len(CommandLines(root.Name(), string(text)))
 			for _, problem := range CheckText(root, string(text)) {
 				problems = append(problems, errors.Wrap(problem, name))
 			}
@@ -60,7 +60,7 @@
 			problems = append(problems, err)
 		}
 	}
-	return shown, problems
+	return checked, problems
 }
 
 // CommandLines returns the command lines of a program that a text shows,
--- a/internal/commandline/version.go
+++ b/internal/commandline/version.go
@@ -21,8 +21,8 @@
 	Go       string `json:"go"`
 }
 
-// buildOf reads what the Go tool recorded in the running program.
-func buildOf(program string) Build {
+// readBuild reads what the Go tool recorded in the running program.
+func readBuild(program string) Build {
 	build := Build{Program: program, Version: "unknown"}
 	info, recorded := debug.ReadBuildInfo()
 	if !recorded {
@@ -63,7 +63,7 @@
 		Example: fmt.Sprintf("  %[1]s version\n  %[1]s version -o json", program),
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			build := buildOf(program)
+			build := readBuild(program)
 			if output == FormatJSON {
 				return WriteJSON(command.OutOrStdout(), build)
 			}
--- a/internal/engine/application.go
+++ b/internal/engine/application.go
@@ -23,13 +23,13 @@
 	}
 	body, err := httpclient.ReadBody(response, c.options.MaxAnswerBytes)
 	if err != nil {
-		return ApplicationResponse{}, lost(err, "the answer of application %s broke off or is too large", address)
+		return ApplicationResponse{}, backendLost(err, "the answer of application %s broke off or is too large", address)
 	}
 	if refused, found := refusalFault(response, body); found {
 		return ApplicationResponse{}, refused
 	}
 	if response.Header.Get(protocol.HeaderRan) == string(fault.RanNo) {
-		return ApplicationResponse{}, lost(nil, "application %s claims a refusal in a malformed answer", address)
+		return ApplicationResponse{}, backendLost(nil, "application %s claims a refusal in a malformed answer", address)
 	}
 	return ApplicationResponse{
 		Status: response.StatusCode, Header: response.Header, Body: body,
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -86,7 +86,7 @@
 	}
 	response, err := c.exchanges.Do(request)
 	if err != nil {
-		return nil, lost(err, "no answer from back end %s", out.address)
+		return nil, backendLost(err, "no answer from back end %s", out.address)
 	}
 	return response, nil
 }
@@ -114,33 +114,33 @@
 	}
 	body, err := httpclient.ReadBody(response, maxRefusalBytes)
 	if err != nil {
-		return nil, lost(err, "back end %s failed with status %d", out.address, response.StatusCode)
+		return nil, backendLost(err, "back end %s failed with status %d", out.address, response.StatusCode)
 	}
 	if refused, found := refusalFault(response, body); found {
 		return nil, refused
 	}
-	return nil, lost(nil, "back end %s answered with status %d and no valid refusal", out.address, response.StatusCode)
+	return nil, backendLost(nil, "back end %s answered with status %d and no valid refusal", out.address, response.StatusCode)
 }
 
 // decodeJSON reads a whole JSON answer of bounded size.
 func (c *HTTPClient) decodeJSON(response *http.Response, address string, into any) error {
 	body, err := httpclient.ReadBody(response, c.options.MaxAnswerBytes)
 	if err != nil {
-		return lost(err, "the answer of back end %s broke off", address)
+		return backendLost(err, "the answer of back end %s broke off", address)
 	}
 	if err := json.Unmarshal(body, into); err != nil {
-		return lost(err, "the answer of back end %s is malformed", address)
+		return backendLost(err, "the answer of back end %s is malformed", address)
 	}
 	return nil
 }
 
-// lost returns a BackendLost fault. Ran is "no" only if cause says that no byte
+// backendLost returns a BackendLost fault. Ran is "no" only if cause says that no byte
 // of the request left this process.
-func lost(cause error, format string, arguments ...any) *fault.Fault {
-	failed := fault.Wrap(cause, fault.BackendLost, format, arguments...).WithRan(fault.RanUnknown)
-	var unsent *httpclient.Error
-	if errors.As(cause, &unsent) && !unsent.Sent {
-		failed.Ran = fault.RanNo
+func backendLost(cause error, format string, arguments ...any) *fault.Fault {
+	raised := fault.Wrap(cause, fault.BackendLost, format, arguments...).WithRan(fault.RanUnknown)
+	var transportError *httpclient.Error
+	if errors.As(cause, &transportError) && !transportError.Sent {
+		raised.Ran = fault.RanNo
 	}
-	return failed
+	return raised
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -20,8 +20,8 @@
 
 const testLimit = 512
 
-// serve returns the address of a back end that answers every request by handle.
-func serve(t *testing.T, handle http.HandlerFunc) string {
+// startBackend returns the address of a back end that answers every request by handle.
+func startBackend(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handle)
 	t.Cleanup(server.Close)
@@ -32,9 +32,9 @@
 	return engine.NewHTTPClient(engine.Options{MaxEventBytes: testLimit, MaxAnswerBytes: testLimit})
 }
 
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortResponse(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func refuse(status int, header, body string) http.HandlerFunc {
+func respond(status int, header, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if header != "" {
 			w.Header().Set(protocol.HeaderRan, header)
@@ -53,25 +53,25 @@
 		kind   fault.Kind // empty: an answer
 		ran    fault.Ran
 	}{
-		{"answer", refuse(200, "", "ok"), "", ""},
-		{"an application's own failure is an answer", refuse(503, "", "down"), "", ""},
-		{"explicit refusal", refuse(503, "no", fullRefusal), fault.BackendRefused, fault.RanNo},
-		{"stale fence", refuse(409, "no", `{"kind":"stale_fence","ran":"no"}`), fault.StaleFence, fault.RanNo},
-		{"refusal only in the header", refuse(503, "no", "{"), fault.BackendLost, fault.RanUnknown},
-		{"refusal whose body says otherwise", refuse(429, "no", `{"kind":"full","ran":"yes"}`), fault.BackendLost, fault.RanUnknown},
-		{"refusal under a status of success", refuse(200, "no", fullRefusal), fault.BackendLost, fault.RanUnknown},
-		{"cut without an answer", cut, fault.BackendLost, fault.RanUnknown},
+		{"answer", respond(200, "", "ok"), "", ""},
+		{"an application's own failure is an answer", respond(503, "", "down"), "", ""},
+		{"explicit refusal", respond(503, "no", fullRefusal), fault.BackendRefused, fault.RanNo},
+		{"stale fence", respond(409, "no", `{"kind":"stale_fence","ran":"no"}`), fault.StaleFence, fault.RanNo},
+		{"refusal only in the header", respond(503, "no", "{"), fault.BackendLost, fault.RanUnknown},
+		{"refusal whose body says otherwise", respond(429, "no", `{"kind":"full","ran":"yes"}`), fault.BackendLost, fault.RanUnknown},
+		{"refusal under a status of success", respond(200, "no", fullRefusal), fault.BackendLost, fault.RanUnknown},
+		{"cut without an answer", abortResponse, fault.BackendLost, fault.RanUnknown},
 		{"cut inside the answer", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = io.WriteString(w, "half")
 		}, fault.BackendLost, fault.RanUnknown},
-		{"oversize answer", refuse(200, "", strings.Repeat("x", testLimit+1)), fault.BackendLost, fault.RanUnknown},
+		{"oversize answer", respond(200, "", strings.Repeat("x", testLimit+1)), fault.BackendLost, fault.RanUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			request := engine.ApplicationRequest{Method: "POST", Service: "booking", Path: "/a b", IdempotencyKey: "k", Body: []byte("x")}
-			_, err := newClient().Call(t.Context(), serve(t, c.handle), request)
+			_, err := newClient().Call(t.Context(), startBackend(t, c.handle), request)
 			if c.kind == "" {
 				is.NoErr(err)
 				return
@@ -82,9 +82,9 @@
 	}
 }
 
-func TestCallCarriesTheRequest(t *testing.T) {
+func TestCallSendsTheWholeRequest(t *testing.T) {
 	is := is.New(t)
-	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	address := startBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set(protocol.HeaderIncarnation, "life-1")
 		_, _ = fmt.Fprint(w, r.Method, r.URL.Path, r.URL.RawQuery, r.Header.Get(protocol.HeaderTenant),
@@ -98,9 +98,9 @@
 	is.Equal(string(response.Incarnation), "life-1")
 }
 
-func TestRefusalKeepsItsCauseAndHint(t *testing.T) {
+func TestRefusalKeepsCauseAndRetryAfter(t *testing.T) {
 	is := is.New(t)
-	_, err := newClient().Generate(t.Context(), serve(t, refuse(429, "no", fullRefusal)), protocol.GenerateRequest{})
+	_, err := newClient().Generate(t.Context(), startBackend(t, respond(429, "no", fullRefusal)), protocol.GenerateRequest{})
 	var refused *engine.RefusedError
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Refusal.Kind, protocol.RefusalFull)
@@ -131,7 +131,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			address := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, c.stream) })
+			address := startBackend(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, c.stream) })
 			stream, err := newClient().Generate(t.Context(), address, protocol.GenerateRequest{})
 			events := 0
 			for err == nil {
@@ -150,9 +150,9 @@
 	}
 }
 
-func TestUnreachableOrGivenUpIsNotRun(t *testing.T) {
+func TestUnreachableOrCancelledIsNotRun(t *testing.T) {
 	is := is.New(t)
-	server := httptest.NewServer(http.HandlerFunc(cut))
+	server := httptest.NewServer(http.HandlerFunc(abortResponse))
 	address := strings.TrimPrefix(server.URL, "http://")
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -167,7 +167,7 @@
 // TestCloseUnblocksNext closes a silent stream from another goroutine.
 func TestCloseUnblocksNext(t *testing.T) {
 	is := is.New(t)
-	address := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	address := startBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, startLine)
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
@@ -183,7 +183,7 @@
 
 func TestCancelOfUnknownStreamIsNoError(t *testing.T) {
 	is := is.New(t)
-	unknown := serve(t, refuse(409, "no", `{"kind":"unknown_stream","ran":"no"}`))
+	unknown := startBackend(t, respond(409, "no", `{"kind":"unknown_stream","ran":"no"}`))
 	is.NoErr(newClient().Cancel(t.Context(), unknown, "s-1"))
-	is.True(newClient().Cancel(t.Context(), serve(t, refuse(500, "", "")), "s-1") != nil)
+	is.True(newClient().Cancel(t.Context(), startBackend(t, respond(500, "", "")), "s-1") != nil)
 }
--- a/internal/engine/generate.go
+++ b/internal/engine/generate.go
@@ -69,7 +69,7 @@
 	}
 	body, err := httpclient.ReadBody(response, maxRefusalBytes)
 	if err != nil {
-		return lost(err, "cancelling at back end %s was cut off", address)
+		return backendLost(err, "cancelling at back end %s was cut off", address)
 	}
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusNoContent, http.StatusNotFound:
@@ -77,9 +77,9 @@
 	}
 	refused, found := refusalFault(response, body)
 	if !found {
-		return lost(nil, "cancelling at back end %s failed with status %d", address, response.StatusCode)
+		return backendLost(nil, "cancelling at back end %s failed with status %d", address, response.StatusCode)
 	}
-	if refusedBecause(refused, protocol.RefusalUnknownStream) {
+	if isRefusal(refused, protocol.RefusalUnknownStream) {
 		return nil
 	}
 	return refused
@@ -163,10 +163,10 @@
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
-		return lost(err, "the stream of back end %s broke off", e.address)
+		return backendLost(err, "the stream of back end %s broke off", e.address)
 	}
 	if err := json.Unmarshal(event.Data, into); err != nil {
-		return lost(err, "the stream of back end %s is malformed", e.address)
+		return backendLost(err, "the stream of back end %s is malformed", e.address)
 	}
 	return nil
 }
--- a/internal/engine/refusal.go
+++ b/internal/engine/refusal.go
@@ -35,8 +35,8 @@
 	return refused.WithRetryAfter(time.Duration(max(refusal.RetryAfterMillis, 0)) * time.Millisecond), true
 }
 
-// refusedBecause reports whether a fault is a refusal of the given kind.
-func refusedBecause(refused *fault.Fault, kind protocol.RefusalKind) bool {
+// isRefusal reports whether a fault is a refusal of the given kind.
+func isRefusal(refused *fault.Fault, kind protocol.RefusalKind) bool {
 	var cause *RefusedError
 	return errors.As(refused, &cause) && cause.Refusal.Kind == kind
 }
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -23,7 +23,7 @@
 	}
 	blocks, err := httpclient.ReadBody(response, c.options.MaxExportBytes)
 	if err != nil {
-		return nil, lost(err, "the export of back end %s broke off", address)
+		return nil, backendLost(err, "the export of back end %s broke off", address)
 	}
 	return blocks, nil
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -22,23 +22,23 @@
 const (
 	// capacity is the number of entries that may wait to be written.
 	capacity = 2048
-	// thinnedAt is the number of waiting entries from which on those of debug
+	// debugCapacity is the number of waiting entries from which on those of debug
 	// level are dropped.
-	thinnedAt = capacity / 2
-	// flushPause is the time between two writes.
-	flushPause = 200 * time.Millisecond
-	// maxWrite bounds the bytes of one write.
-	maxWrite = 64 << 10
+	debugCapacity = capacity / 2
+	// flushInterval is the time between two writes.
+	flushInterval = 200 * time.Millisecond
+	// maxWriteBytes bounds the bytes of one write.
+	maxWriteBytes = 64 << 10
 )
 
 // Log is a handler of apex/log. It is safe for concurrent use.
 type Log struct {
-	writer  io.Writer
-	node    string
-	entries *ring.Ring[*log.Entry]
-	waiting atomic.Int64
-	thinned atomic.Uint64
-	told    uint64
+	writer          io.Writer
+	node            string
+	entries         *ring.Ring[*log.Entry]
+	waiting         atomic.Int64
+	dropped         atomic.Uint64
+	reportedDropped uint64
 }
 
 var _ log.Handler = (*Log)(nil)
@@ -50,24 +50,24 @@
 
 // HandleLog implements log.Handler. It never blocks.
 func (l *Log) HandleLog(entry *log.Entry) error {
-	if entry.Level == log.DebugLevel && l.waiting.Load() >= thinnedAt {
-		l.thinned.Add(1)
+	if entry.Level == log.DebugLevel && l.waiting.Load() >= debugCapacity {
+		l.dropped.Add(1)
 		return nil
 	}
 	l.waiting.Add(1)
 	if !l.entries.Push(entry) {
 		l.waiting.Add(-1)
-		l.thinned.Add(1)
+		l.dropped.Add(1)
 	}
 	return nil
 }
 
 // Dropped returns the number of lines that were not written.
-func (l *Log) Dropped() uint64 { return l.thinned.Load() }
+func (l *Log) Dropped() uint64 { return l.dropped.Load() }
 
 // Run writes entries until ctx ends, and then what still waits.
 func (l *Log) Run(ctx context.Context) {
-	wait.Every(ctx, flushPause, l.flush)
+	wait.Every(ctx, flushInterval, l.flush)
 	l.flush()
 }
 
@@ -77,16 +77,16 @@
 	for entry, found := l.entries.Pop(); found; entry, found = l.entries.Pop() {
 		l.waiting.Add(-1)
 		l.append(&lines, entry)
-		if lines.Len() >= maxWrite {
+		if lines.Len() >= maxWriteBytes {
 			l.write(&lines)
 		}
 	}
-	if dropped := l.thinned.Load(); dropped > l.told {
+	if dropped := l.dropped.Load(); dropped > l.reportedDropped {
 		l.append(&lines, &log.Entry{
 			Level: log.WarnLevel, Timestamp: time.Now(), Message: "log_lines_dropped",
-			Fields: log.Fields{"count": dropped - l.told},
+			Fields: log.Fields{"count": dropped - l.reportedDropped},
 		})
-		l.told = dropped
+		l.reportedDropped = dropped
 	}
 	l.write(&lines)
 }
@@ -100,7 +100,7 @@
 	line["node"] = l.node
 	encoded, err := json.Marshal(line)
 	if err != nil {
-		l.thinned.Add(1)
+		l.dropped.Add(1)
 		return
 	}
 	lines.Write(encoded)
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -32,7 +32,7 @@
 	return &log.Entry{Level: level, Message: message, Fields: log.Fields{"request": "r1"}, Timestamp: time.Unix(0, 0)}
 }
 
-func TestEachEntryIsOneObjectOnALine(t *testing.T) {
+func TestEachEntryIsOneJSONLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var output lockedBuffer
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestAReaderThatStopsHoldsNothingUp(t *testing.T) {
+func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var output lockedBuffer
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestRoutineLinesAreDroppedFirst(t *testing.T) {
+func TestDebugLinesAreDroppedFirst(t *testing.T) {
 	is := is.New(t)
 	events := eventlog.New(&lockedBuffer{}, "node-1")
 	for range 1024 {
--- a/internal/eventlog/timeline.go
+++ b/internal/eventlog/timeline.go
@@ -24,8 +24,8 @@
 	Rollout string
 }
 
-// rolloutEvents begin the names of the events about rollouts.
-const rolloutEvents = "rollout_"
+// rolloutEventPrefix begin the names of the events about rollouts.
+const rolloutEventPrefix = "rollout_"
 
 // configurationEvents are the events about configurations and versions.
 var configurationEvents = map[string]bool{
@@ -34,7 +34,7 @@
 	"dependency_lost": true, "dependency_regained": true,
 }
 
-func (f Filter) keeps(line map[string]any) bool {
+func (f Filter) matches(line map[string]any) bool {
 	switch {
 	case f.Request != "":
 		return line["request"] == f.Request
@@ -42,7 +42,7 @@
 		return line["instance"] == f.Instance && line["request"] == nil
 	case f.Rollout != "":
 		event, _ := line["event"].(string)
-		return strings.HasPrefix(event, rolloutEvents) && line["service"] == f.Rollout
+		return strings.HasPrefix(event, rolloutEventPrefix) && line["service"] == f.Rollout
 	default:
 		event, _ := line["event"].(string)
 		return configurationEvents[event]
@@ -58,13 +58,13 @@
 // NewTimeline returns an empty trail.
 func NewTimeline(filter Filter) *Timeline { return &Timeline{filter: filter} }
 
-// maxLine bounds one line of a log.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log.
+const maxLineBytes = 1 << 20
 
 // Read takes in one log. Lines that hold no JSON object are skipped.
 func (t *Timeline) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		begin := bytes.IndexByte(text, '{')
@@ -72,15 +72,15 @@
 			continue
 		}
 		var line map[string]any
-		if json.Unmarshal(text[begin:], &line) == nil && t.filter.keeps(line) {
+		if json.Unmarshal(text[begin:], &line) == nil && t.filter.matches(line) {
 			t.lines = append(t.lines, line)
 		}
 	}
 	return scanner.Err()
 }
 
-// leading are the fields that stand first, in this order.
-var leading = []string{"at", "node", "event"}
+// leadingFields are the fields that stand first, in this order.
+var leadingFields = []string{"at", "node", "event"}
 
 // Lines returns the lines as text, in order of time. Times of several routers
 // are those of their own clocks.
@@ -90,18 +90,18 @@
 	})
 	texts := make([]string, 0, len(t.lines))
 	for _, line := range t.lines {
-		texts = append(texts, lineText(line))
+		texts = append(texts, formatLine(line))
 	}
 	return texts
 }
 
-func lineText(line map[string]any) string {
+func formatLine(line map[string]any) string {
 	var text strings.Builder
-	for _, name := range leading {
+	for _, name := range leadingFields {
 		fmt.Fprintf(&text, "%v  ", line[name])
 	}
 	for _, name := range slices.Sorted(maps.Keys(line)) {
-		if slices.Contains(leading, name) || name == "level" || name == "request" {
+		if slices.Contains(leadingFields, name) || name == "level" || name == "request" {
 			continue
 		}
 		fmt.Fprintf(&text, "%s=%v ", name, line[name])
--- a/internal/eventlog/timeline_test.go
+++ b/internal/eventlog/timeline_test.go
@@ -22,7 +22,7 @@
 {"at":"2026-01-01T00:00:00.400Z","event":"rollout_decided","node":"n2","service":"t","phase":"observing"}
 {"at":"2026-01-01T00:00:00.450Z","event":"backend_changed","node":"n2","service":"s","change":"gone"}`
 
-func TestATrailIsInOrderOfTimeAcrossRouters(t *testing.T) {
+func TestTimelineIsOrderedByTimeAcrossRouters(t *testing.T) {
 	cases := []struct {
 		name   string
 		filter eventlog.Filter
@@ -47,10 +47,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			trail := eventlog.NewTimeline(c.filter)
-			is.NoErr(trail.Read(strings.NewReader(firstLog)))
-			is.NoErr(trail.Read(strings.NewReader(secondLog)))
-			is.Equal(trail.Lines(), c.lines)
+			timeline := eventlog.NewTimeline(c.filter)
+			is.NoErr(timeline.Read(strings.NewReader(firstLog)))
+			is.NoErr(timeline.Read(strings.NewReader(secondLog)))
+			is.Equal(timeline.Lines(), c.lines)
 		})
 	}
 }
--- a/internal/reference/fleet.go
+++ b/internal/reference/fleet.go
@@ -130,17 +130,17 @@
 		return "entry"
 	}
 	if short, named := strings.CutPrefix(typeName, "ident."); named {
-		return article(spaced(short))
+		return nameForm(splitWords(short))
 	}
 	return "text"
 }
 
-// article names the name of a thing.
-func article(thing string) string {
-	if strings.ContainsRune("aeiou", rune(thing[0])) {
-		return "name of an " + thing
+// nameForm names the name of a thing.
+func nameForm(noun string) string {
+	if strings.ContainsRune("aeiou", rune(noun[0])) {
+		return "name of an " + noun
 	}
-	return "name of a " + thing
+	return "name of a " + noun
 }
 
 // plural turns the form of one value into that of several.
@@ -156,8 +156,8 @@
 	}
 }
 
-// spaced turns "ModelVersion" into "model version".
-func spaced(name string) string {
+// splitWords turns "ModelVersion" into "model version".
+func splitWords(name string) string {
 	var text strings.Builder
 	for index, letter := range name {
 		if unicode.IsUpper(letter) && index > 0 {
--- a/internal/reference/reference_test.go
+++ b/internal/reference/reference_test.go
@@ -16,18 +16,18 @@
 			is := is.New(t)
 			source, err := os.ReadFile(page.Source)
 			is.NoErr(err)
-			wanted, err := page.Generate(source)
+			want, err := page.Generate(source)
 			is.NoErr(err)
-			found, err := os.ReadFile(page.Path)
+			got, err := os.ReadFile(page.Path)
 			is.NoErr(err)
-			is.Equal(string(found), string(wanted)) // run "go generate ./internal/reference"
+			is.Equal(string(got), string(want)) // run "go generate ./internal/reference"
 		})
 	}
 }
 
 // Every row must say everything: a kind without an entry in the table of kinds,
 // or anything without a doc comment, would leave a cell empty or borrowed.
-func TestRowsAreWhole(t *testing.T) {
+func TestRowsAreComplete(t *testing.T) {
 	is := is.New(t)
 	for _, page := range Pages() {
 		text, err := os.ReadFile(page.Path)
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -25,10 +25,10 @@
 	target   netip.AddrPort
 	pipes    sync.WaitGroup
 
-	mu     sync.Mutex
-	open   []*net.TCPConn
-	taken  int
-	closed bool
+	mu       sync.Mutex
+	conns    []*net.TCPConn
+	accepted int
+	closed   bool
 }
 
 // New starts a relay to target that ends with the test.
@@ -51,15 +51,15 @@
 func (r *Relay) Accepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.taken
+	return r.accepted
 }
 
 // Silence makes all open connections silent; those that just ended stay ended.
 func (r *Relay) Silence() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, conn := range r.open {
-		if err := dropAll(conn); err != nil && !errors.Is(err, net.ErrClosed) {
+	for _, conn := range r.conns {
+		if err := dropIncoming(conn); err != nil && !errors.Is(err, net.ErrClosed) {
 			return err
 		}
 	}
@@ -77,16 +77,16 @@
 			_ = client.Close()
 			continue
 		}
-		r.join(client.(*net.TCPConn), server.(*net.TCPConn))
+		r.connect(client.(*net.TCPConn), server.(*net.TCPConn))
 	}
 }
 
-// join passes bytes on in both directions.
-func (r *Relay) join(client, server *net.TCPConn) {
+// connect passes bytes on in both directions.
+func (r *Relay) connect(client, server *net.TCPConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.taken++
-	r.open = append(r.open, client, server)
+	r.accepted++
+	r.conns = append(r.conns, client, server)
 	r.pipes.Go(func() { pipe(client, server) })
 	r.pipes.Go(func() { pipe(server, client) })
 	if r.closed {
@@ -114,7 +114,7 @@
 	_ = r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
-	for _, conn := range r.open {
+	for _, conn := range r.conns {
 		_ = conn.SetLinger(0)
 		_ = conn.Close()
 	}
@@ -122,9 +122,9 @@
 	r.pipes.Wait()
 }
 
-// program is a classic packet filter as the kernel reads it; an instruction is its
+// packetFilter is a classic packet filter as the kernel reads it; an instruction is its
 // code, in two bytes, two jumps and an operand.
-type program struct {
+type packetFilter struct {
 	length uint16
 	first  *[8]byte
 }
@@ -133,15 +133,15 @@
 // bytes kept of the packet.
 const returnConstant = 0x06
 
-// dropAll lets the kernel drop every packet that arrives for a connection.
-func dropAll(conn *net.TCPConn) error {
+// dropIncoming lets the kernel drop every packet that arrives for a connection.
+func dropIncoming(conn *net.TCPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var keepNothing [8]byte
 	binary.NativeEndian.PutUint16(keepNothing[:], returnConstant)
-	filter := program{length: 1, first: &keepNothing}
+	filter := packetFilter{length: 1, first: &keepNothing}
 	var errno syscall.Errno
 	err = raw.Control(func(descriptor uintptr) {
 		_, _, errno = syscall.Syscall6(
--- a/internal/relaytest/relay_test.go
+++ b/internal/relaytest/relay_test.go
@@ -18,12 +18,12 @@
 // answerBytes is more than all buffers between two ends take in.
 const answerBytes = 64 << 20
 
-func TestAWriterSeesThatItsReaderIsGone(t *testing.T) {
+func TestWriterFailsWhenReaderIsGone(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
-	asked, ended := make(chan struct{}), make(chan error, 1)
+	requestEnded, ended := make(chan struct{}), make(chan error, 1)
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -32,7 +32,7 @@
 		}
 		go func() {
 			_, _ = io.Copy(io.Discard, conn)
-			close(asked)
+			close(requestEnded)
 		}()
 		_, err = conn.Write(make([]byte, answerBytes))
 		ended <- err
@@ -43,7 +43,7 @@
 	_, err = reader.Read(make([]byte, 1))
 	is.NoErr(err)
 	is.NoErr(reader.(*net.TCPConn).CloseWrite())
-	<-asked
+	<-requestEnded
 	is.NoErr(reader.Close()) // with bytes unread: a reset, where only the answer is still passed on
 	select {
 	case err := <-ended:
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -56,9 +56,9 @@
 // the new one under RefuseNew, the oldest one under DropOldest.
 func (r *Ring[T]) Push(item T) bool {
 	r.mutex.Lock()
-	kept := true
+	noneLost := true
 	if r.length == len(r.items) {
-		kept = false
+		noneLost = false
 		r.dropped.Add(1)
 		if r.policy == RefuseNew {
 			r.mutex.Unlock()
@@ -71,7 +71,7 @@
 	r.pushed.Add(1)
 	r.mutex.Unlock()
 	r.signal()
-	return kept
+	return noneLost
 }
 
 // Pop removes the oldest item without blocking; ok is false when there is none.
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -58,7 +58,7 @@
 	problems []string
 }
 
-func (r *reader) problem(origin, path, format string, arguments ...any) {
+func (r *reader) addProblem(origin, path, format string, arguments ...any) {
 	r.problems = append(r.problems, origin+": "+path+": "+fmt.Sprintf(format, arguments...))
 }
 
@@ -67,31 +67,31 @@
 	var document yaml.Node
 	if err := decoder.Decode(&document); err != nil {
 		if !errors.Is(err, io.EOF) {
-			r.problem("file", "YAML", "%v", err)
+			r.addProblem("file", "YAML", "%v", err)
 		}
 		return
 	}
 	if err := decoder.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
-		r.problem("file", "YAML", "holds more than one document")
+		r.addProblem("file", "YAML", "holds more than one document")
 	}
 	r.readMapping("", document.Content[0], reflect.ValueOf(settings).Elem())
 }
 
 func (r *reader) readMapping(path string, node *yaml.Node, target reflect.Value) {
 	if node.Kind != yaml.MappingNode {
-		r.problem(lineOf(node), orWhole(path), "must be a mapping of settings")
+		r.addProblem(lineOf(node), pathOrFile(path), "must be a mapping of settings")
 		return
 	}
 	seen := map[string]bool{}
 	for index := 0; index+1 < len(node.Content); index += 2 {
 		name, value := node.Content[index], node.Content[index+1]
 		child := joinPath(path, name.Value)
-		field, known := fieldNamed(target, name.Value)
+		field, known := fieldByName(target, name.Value)
 		switch {
 		case !known:
-			r.problem(lineOf(name), child, "unknown setting")
+			r.addProblem(lineOf(name), child, "unknown setting")
 		case seen[name.Value]:
-			r.problem(lineOf(name), child, "stands twice")
+			r.addProblem(lineOf(name), child, "stands twice")
 		case field.Kind() == reflect.Struct:
 			r.readMapping(child, value, field)
 		default:
@@ -104,11 +104,11 @@
 func (r *reader) readLeaf(path, origin string, node *yaml.Node, target reflect.Value) {
 	r.origins[path] = origin
 	if node.Tag == "!!null" {
-		r.problem(origin, path, "has no value")
+		r.addProblem(origin, path, "has no value")
 		return
 	}
 	if err := node.Decode(target.Addr().Interface()); err != nil {
-		r.problem(origin, path, "%q is not a %s", node.Value, typeName(target))
+		r.addProblem(origin, path, "%q is not a %s", node.Value, typeName(target))
 	}
 }
 
@@ -121,7 +121,7 @@
 	return path + "." + name
 }
 
-func orWhole(path string) string {
+func pathOrFile(path string) string {
 	if path == "" {
 		return "the file"
 	}
@@ -130,7 +130,7 @@
 
 func lineOf(node *yaml.Node) string { return fmt.Sprintf("line %d", node.Line) }
 
-func fieldNamed(target reflect.Value, name string) (reflect.Value, bool) {
+func fieldByName(target reflect.Value, name string) (reflect.Value, bool) {
 	for index := range target.NumField() {
 		if tag := target.Type().Field(index).Tag.Get("yaml"); tag != "" && tag == name {
 			return target.Field(index), true
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -14,8 +14,8 @@
 
 // NewSecret returns a Secret with a copy of value.
 func NewSecret(value []byte) Secret {
-	kept := append([]byte(nil), value...)
-	return Secret{reveal: func() []byte { return append([]byte(nil), kept...) }}
+	copied := append([]byte(nil), value...)
+	return Secret{reveal: func() []byte { return append([]byte(nil), copied...) }}
 }
 
 // Reveal returns a copy of the value; it is empty for the zero Secret. Use it
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -20,25 +20,25 @@
 // validate checks every setting and reads the cluster key. It goes on after a
 // problem, so that one run names them all.
 func (r *reader) validate(s *Settings) {
-	r.required("node", s.Node)
-	r.required("zone", s.Zone)
-	if r.required("listen", s.Listen) {
-		r.address("listen", s.Listen, false)
+	r.require("node", s.Node)
+	r.require("zone", s.Zone)
+	if r.require("listen", s.Listen) {
+		r.checkAddress("listen", s.Listen, false)
 	}
-	if r.required("gossipListen", s.GossipListen) {
-		r.address("gossipListen", s.GossipListen, false)
+	if r.require("gossipListen", s.GossipListen) {
+		r.checkAddress("gossipListen", s.GossipListen, false)
 	}
-	r.advertised("advertise", s.Advertise)
-	r.advertised("gossipAdvertise", s.GossipAdvertise)
-	if r.required("platform", s.Platform) {
-		r.platformURL(s.Platform)
+	r.checkAdvertised("advertise", s.Advertise)
+	r.checkAdvertised("gossipAdvertise", s.GossipAdvertise)
+	if r.require("platform", s.Platform) {
+		r.checkPlatformURL(s.Platform)
 	}
 	for _, seed := range s.Seeds {
-		r.address("seeds", seed, true)
+		r.checkAddress("seeds", seed, true)
 	}
 	r.readClusterKey(s)
 	if !slices.Contains(logLevels, s.LogLevel) {
-		r.at("logLevel", "%q is none of %v", s.LogLevel, logLevels)
+		r.problemAt("logLevel", "%q is none of %v", s.LogLevel, logLevels)
 	}
 	r.validateNumbers(s)
 }
@@ -47,71 +47,71 @@
 const maxClaimRetention = 366 * 24 * time.Hour
 
 func (r *reader) validateNumbers(s *Settings) {
-	r.between("limits.maxBodyBytes", float64(s.Limits.MaxBodyBytes), 1<<10, 1<<30)
-	r.between("limits.maxHeaderBytes", float64(s.Limits.MaxHeaderBytes), 1<<10, 1<<20)
-	r.between("limits.maxOpenRequests", float64(s.Limits.MaxOpenRequests), 1, 1<<20)
-	r.between("table.requestsPerSecond", s.Table.RequestsPerSecond, 0.1, 1e6)
-	r.between("control.loadsPerSecond", s.Control.LoadsPerSecond, 0.001, 1000)
-	r.between("control.maxLoadsPerZone", float64(s.Control.MaxLoadsPerZone), 1, 1000)
-	r.lasting("stopGrace", s.StopGrace, time.Second, 24*time.Hour)
-	r.lasting("table.timeout", s.Table.Timeout, time.Millisecond, time.Minute)
-	r.lasting("table.claimTimeout", s.Table.ClaimTimeout, time.Millisecond, time.Minute)
-	r.lasting("table.claimRetention", s.Table.ClaimRetention, time.Hour, maxClaimRetention)
-	r.lasting("intervals.loadPoll", s.Intervals.LoadPoll, 10*time.Millisecond, time.Minute)
-	r.lasting("intervals.machinePoll", s.Intervals.MachinePoll, 10*time.Millisecond, time.Minute)
-	r.lasting("intervals.gossipProbe", s.Intervals.GossipProbe, 10*time.Millisecond, time.Minute)
+	r.checkRange("limits.maxBodyBytes", float64(s.Limits.MaxBodyBytes), 1<<10, 1<<30)
+	r.checkRange("limits.maxHeaderBytes", float64(s.Limits.MaxHeaderBytes), 1<<10, 1<<20)
+	r.checkRange("limits.maxOpenRequests", float64(s.Limits.MaxOpenRequests), 1, 1<<20)
+	r.checkRange("table.requestsPerSecond", s.Table.RequestsPerSecond, 0.1, 1e6)
+	r.checkRange("control.loadsPerSecond", s.Control.LoadsPerSecond, 0.001, 1000)
+	r.checkRange("control.maxLoadsPerZone", float64(s.Control.MaxLoadsPerZone), 1, 1000)
+	r.checkDuration("stopGrace", s.StopGrace, time.Second, 24*time.Hour)
+	r.checkDuration("table.timeout", s.Table.Timeout, time.Millisecond, time.Minute)
+	r.checkDuration("table.claimTimeout", s.Table.ClaimTimeout, time.Millisecond, time.Minute)
+	r.checkDuration("table.claimRetention", s.Table.ClaimRetention, time.Hour, maxClaimRetention)
+	r.checkDuration("intervals.loadPoll", s.Intervals.LoadPoll, 10*time.Millisecond, time.Minute)
+	r.checkDuration("intervals.machinePoll", s.Intervals.MachinePoll, 10*time.Millisecond, time.Minute)
+	r.checkDuration("intervals.gossipProbe", s.Intervals.GossipProbe, 10*time.Millisecond, time.Minute)
 }
 
-// at notes a problem under the origin of the setting.
-func (r *reader) at(path, format string, arguments ...any) {
+// problemAt notes a problem under the origin of the setting.
+func (r *reader) problemAt(path, format string, arguments ...any) {
 	origin, set := r.origins[path]
 	if !set {
 		origin = "not set"
 	}
-	r.problem(origin, path, format, arguments...)
+	r.addProblem(origin, path, format, arguments...)
 }
 
-func (r *reader) required(path, value string) bool {
+func (r *reader) require(path, value string) bool {
 	if value == "" {
-		r.at(path, "is required")
+		r.problemAt(path, "is required")
 	}
 	return value != ""
 }
 
-func (r *reader) address(path, value string, reachable bool) {
+func (r *reader) checkAddress(path, value string, reachable bool) {
 	address, err := netip.ParseAddrPort(value)
 	switch {
 	case err != nil:
-		r.at(path, "%q is not host:port with an IP number as host", value)
+		r.problemAt(path, "%q is not host:port with an IP number as host", value)
 	case reachable && (address.Addr().IsUnspecified() || address.Port() == 0):
-		r.at(path, "%q cannot be reached by others: give a definite IP number and port", value)
+		r.problemAt(path, "%q cannot be reached by others: give a definite IP number and port", value)
 	}
 }
 
-func (r *reader) advertised(path, value string) {
+func (r *reader) checkAdvertised(path, value string) {
 	if value != "" {
-		r.address(path, value, true)
+		r.checkAddress(path, value, true)
 	}
 }
 
-func (r *reader) platformURL(value string) {
+func (r *reader) checkPlatformURL(value string) {
 	parsed, err := url.Parse(value)
 	if err != nil || (parsed.Scheme != "http" && parsed.Scheme != "https") {
-		r.at("platform", "is not an http:// or https:// URL")
+		r.problemAt("platform", "is not an http:// or https:// URL")
 		return
 	}
 	if parsed.User != nil {
-		r.at("platform", "must not hold a user name or password")
+		r.problemAt("platform", "must not hold a user name or password")
 	}
 	if _, err := netip.ParseAddr(parsed.Hostname()); err != nil {
-		r.at("platform", "the host %q is not an IP number", parsed.Hostname())
+		r.problemAt("platform", "the host %q is not an IP number", parsed.Hostname())
 	}
 }
 
 func (r *reader) readClusterKey(s *Settings) {
 	source := s.ClusterKey
 	if (source.File == "") == (source.Environment == "") {
-		r.at("clusterKey", "set exactly one of file and environment")
+		r.problemAt("clusterKey", "set exactly one of file and environment")
 		return
 	}
 	path := "clusterKey.environment"
@@ -120,14 +120,14 @@
 		path = "clusterKey.file"
 		content, err := os.ReadFile(source.File)
 		if err != nil {
-			r.at(path, "names a file that cannot be read: %v", withoutPath(err))
+			r.problemAt(path, "names a file that cannot be read: %v", withoutPath(err))
 			return
 		}
 		key = content
 	}
 	key = bytes.TrimRight(key, "\r\n")
 	if len(key) < MinClusterKeyBytes {
-		r.at(path, "names a key of %d bytes; at least %d are needed", len(key), MinClusterKeyBytes)
+		r.problemAt(path, "names a key of %d bytes; at least %d are needed", len(key), MinClusterKeyBytes)
 		return
 	}
 	s.clusterKey = NewSecret(key)
@@ -143,14 +143,14 @@
 	return err
 }
 
-func (r *reader) between(path string, value, least, most float64) {
+func (r *reader) checkRange(path string, value, least, most float64) {
 	if !(value >= least && value <= most) {
-		r.at(path, "%g is not between %g and %g", value, least, most)
+		r.problemAt(path, "%g is not between %g and %g", value, least, most)
 	}
 }
 
-func (r *reader) lasting(path string, value, least, most time.Duration) {
+func (r *reader) checkDuration(path string, value, least, most time.Duration) {
 	if value < least || value > most {
-		r.at(path, "%s is not between %s and %s", value, least, most)
+		r.problemAt(path, "%s is not between %s and %s", value, least, most)
 	}
 }
--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -46,14 +46,14 @@
 	var assembled eventAssembly
 	for {
 		line, err := r.readLine()
-		if err == io.EOF && (assembled.begun || len(line) > 0) {
+		if err == io.EOF && (assembled.started || len(line) > 0) {
 			return Event{}, io.ErrUnexpectedEOF
 		}
 		if err != nil {
 			return Event{}, err
 		}
 		if len(line) == 0 {
-			if assembled.begun {
+			if assembled.started {
 				return assembled.event, nil
 			}
 			continue
@@ -89,7 +89,7 @@
 // eventAssembly collects the fields of one event.
 type eventAssembly struct {
 	event   Event
-	begun   bool
+	started bool
 	hasData bool
 	// size counts the bytes of the fields taken so far.
 	size int
@@ -113,6 +113,6 @@
 	default:
 		return
 	}
-	a.begun = true
+	a.started = true
 	a.size += len(line)
 }
--- a/internal/statechart/chart_test.go
+++ b/internal/statechart/chart_test.go
@@ -75,7 +75,7 @@
 	if repeatable {
 		instance = chart.New(Allow(RequestGuardRepeatable))
 	}
-	sent, unclear, terminals := 0, false, 0
+	sent, uncertain, terminals := 0, false, 0
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
 		event := drawEvent(t, chart, instance.State())
 		before, ended := instance.State(), instance.Terminal()
@@ -94,13 +94,13 @@
 			terminals++
 		}
 		if event == RequestEventAttemptSent {
-			if unclear && !repeatable {
+			if uncertain && !repeatable {
 				t.Fatalf("second attempt after an unclear one")
 			}
 			sent++
 		}
-		unclear = unclear || event == RequestEventAttemptLost || event == RequestEventStreamStarted
-		if after == RequestStateRefusedNotRun && (unclear || before == RequestStateDispatched) {
+		uncertain = uncertain || event == RequestEventAttemptLost || event == RequestEventStreamStarted
+		if after == RequestStateRefusedNotRun && (uncertain || before == RequestStateDispatched) {
 			t.Fatalf("%d attempts, one unclear, called not run", sent)
 		}
 	}
@@ -112,17 +112,17 @@
 // drawEvent prefers events that lead on, so that deep states are reached, and
 // still fires any other event now and then.
 func drawEvent(t *rapid.T, chart *Chart, state State) Event {
-	var all, leadingOn []Event
+	var all, nonTerminal []Event
 	for _, event := range chart.definition.Events {
 		all = append(all, event.Name)
 		for _, transition := range chart.transitions[key{state, event.Name}] {
 			if !chart.Terminal(transition.To) {
-				leadingOn = append(leadingOn, event.Name)
+				nonTerminal = append(nonTerminal, event.Name)
 			}
 		}
 	}
-	if len(leadingOn) > 0 && rapid.IntRange(0, 9).Draw(t, "kind") > 2 {
-		return rapid.SampledFrom(leadingOn).Draw(t, "event leading on")
+	if len(nonTerminal) > 0 && rapid.IntRange(0, 9).Draw(t, "kind") > 2 {
+		return rapid.SampledFrom(nonTerminal).Draw(t, "event leading on")
 	}
 	return rapid.SampledFrom(all).Draw(t, "any event")
 }
@@ -137,11 +137,11 @@
 	os.Exit(m.Run())
 }
 
-type countingObserver struct{ taken, ignored, refused int }
+type countingObserver struct{ transitions, ignored, rejected int }
 
-func (o *countingObserver) Transition(string, State, Event, State) { o.taken++ }
+func (o *countingObserver) Transition(string, State, Event, State) { o.transitions++ }
 func (o *countingObserver) Ignored(string, State, Event)           { o.ignored++ }
-func (o *countingObserver) Rejected(string, State, Event, Reason)  { o.refused++ }
+func (o *countingObserver) Rejected(string, State, Event, Reason)  { o.rejected++ }
 
 func TestClaimedRequestRunsOnce(t *testing.T) {
 	is := is.New(t)
@@ -164,7 +164,7 @@
 	is.True(fire(RequestEventAttemptSent) != nil) // fate unknown: never again
 	is.NoErr(fire(RequestEventGaveUp))
 	is.Equal(instance.State(), RequestStateOutcomeUnknown)
-	is.Equal(*observer, countingObserver{taken: 6, ignored: 1, refused: 2})
+	is.Equal(*observer, countingObserver{transitions: 6, ignored: 1, rejected: 2})
 	is.Equal(instance.Rejections(), uint64(2))
 	is.True(slices.Contains(Names(), RouterChart))
 }
--- a/internal/statechart/definition.go
+++ b/internal/statechart/definition.go
@@ -83,7 +83,7 @@
 	problems []string
 }
 
-func (c *checker) problem(format string, arguments ...any) {
+func (c *checker) addProblem(format string, arguments ...any) {
 	c.problems = append(c.problems, fmt.Sprintf(format, arguments...))
 }
 
@@ -103,22 +103,22 @@
 func (c *checker) indexStates() {
 	definition := c.chart.definition
 	for _, state := range definition.States {
-		if _, twice := c.chart.states[state.Name]; twice {
-			c.problem("state %q stands twice", state.Name)
+		if _, duplicate := c.chart.states[state.Name]; duplicate {
+			c.addProblem("state %q stands twice", state.Name)
 		}
 		c.chart.states[state.Name] = state
 		c.indexList(state, state.Ignore, c.chart.ignored)
 		c.indexList(state, state.Forbid, c.chart.forbidden)
 	}
 	if _, known := c.chart.states[definition.Initial]; !known {
-		c.problem("unknown initial state %q", definition.Initial)
+		c.addProblem("unknown initial state %q", definition.Initial)
 	}
 }
 
 func (c *checker) indexList(state StateDefinition, events []Event, index map[key]bool) {
 	for _, event := range events {
 		if !c.hasEvent(event) {
-			c.problem("state %q lists unknown event %q", state.Name, event)
+			c.addProblem("state %q lists unknown event %q", state.Name, event)
 		}
 		index[key{state.Name, event}] = true
 	}
@@ -127,13 +127,13 @@
 func (c *checker) indexTransitions() {
 	for _, transition := range c.chart.definition.Transitions {
 		if !c.hasEvent(transition.Event) {
-			c.problem("transition on unknown event %q", transition.Event)
+			c.addProblem("transition on unknown event %q", transition.Event)
 		}
 		if _, known := c.chart.states[transition.To]; !known {
-			c.problem("transition on %q to unknown state %q", transition.Event, transition.To)
+			c.addProblem("transition on %q to unknown state %q", transition.Event, transition.To)
 		}
 		if transition.Guard != "" && !slices.Contains(c.chart.definition.Guards, transition.Guard) {
-			c.problem("transition on %q has unknown guard %q", transition.Event, transition.Guard)
+			c.addProblem("transition on %q has unknown guard %q", transition.Event, transition.Guard)
 		}
 		for _, from := range transition.From {
 			c.indexTransition(from, transition)
@@ -144,15 +144,15 @@
 func (c *checker) indexTransition(from State, transition Transition) {
 	state, known := c.chart.states[from]
 	if !known {
-		c.problem("transition on %q from unknown state %q", transition.Event, from)
+		c.addProblem("transition on %q from unknown state %q", transition.Event, from)
 	}
 	if state.Terminal {
-		c.problem("terminal state %q has an exit on %q", from, transition.Event)
+		c.addProblem("terminal state %q has an exit on %q", from, transition.Event)
 	}
 	at := key{from, transition.Event}
 	for _, earlier := range c.chart.transitions[at] {
 		if earlier.Guard == "" || earlier.Guard == transition.Guard {
-			c.problem("transition from %q on %q can never be taken", from, transition.Event)
+			c.addProblem("transition from %q on %q can never be taken", from, transition.Event)
 		}
 	}
 	c.chart.transitions[at] = append(c.chart.transitions[at], transition)
@@ -163,42 +163,42 @@
 func (c *checker) checkComplete(state StateDefinition) {
 	if state.Terminal {
 		if len(state.Ignore)+len(state.Forbid) > 0 {
-			c.problem("terminal state %q lists events", state.Name)
+			c.addProblem("terminal state %q lists events", state.Name)
 		}
 		return
 	}
 	for _, event := range c.chart.definition.Events {
 		at := key{state.Name, event.Name}
-		ways := 0
-		for _, stated := range []bool{len(c.chart.transitions[at]) > 0, c.chart.ignored[at], c.chart.forbidden[at]} {
-			if stated {
-				ways++
+		declarations := 0
+		for _, declared := range []bool{len(c.chart.transitions[at]) > 0, c.chart.ignored[at], c.chart.forbidden[at]} {
+			if declared {
+				declarations++
 			}
 		}
-		if ways == 0 {
-			c.problem("state %q does not handle event %q", state.Name, event.Name)
+		if declarations == 0 {
+			c.addProblem("state %q does not handle event %q", state.Name, event.Name)
 		}
-		if ways > 1 {
-			c.problem("state %q handles event %q in more than one way", state.Name, event.Name)
+		if declarations > 1 {
+			c.addProblem("state %q handles event %q in more than one way", state.Name, event.Name)
 		}
 	}
 }
 
 func (c *checker) checkReachable() {
 	reached := map[State]bool{c.chart.definition.Initial: true}
-	for grown := true; grown; {
-		grown = false
+	for changed := true; changed; {
+		changed = false
 		for _, transition := range c.chart.definition.Transitions {
 			from := slices.ContainsFunc(transition.From, func(state State) bool { return reached[state] })
 			if from && !reached[transition.To] {
 				reached[transition.To] = true
-				grown = true
+				changed = true
 			}
 		}
 	}
 	for _, state := range c.chart.definition.States {
 		if !reached[state.Name] {
-			c.problem("state %q cannot be reached", state.Name)
+			c.addProblem("state %q cannot be reached", state.Name)
 		}
 	}
 }
--- a/internal/statechart/instance.go
+++ b/internal/statechart/instance.go
@@ -60,12 +60,12 @@
 
 // Instance is one life of a chart, safe for concurrent use.
 type Instance struct {
-	chart    *Chart
-	allowed  []Guard
-	observer Observer
-	mutex    sync.Mutex
-	state    State
-	notTaken uint64
+	chart      *Chart
+	allowed    []Guard
+	observer   Observer
+	mutex      sync.Mutex
+	state      State
+	rejections uint64
 }
 
 // State returns the present state.
@@ -82,7 +82,7 @@
 func (i *Instance) Rejections() uint64 {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.notTaken
+	return i.rejections
 }
 
 // Fire applies the event and returns the state after it. The error is an
@@ -99,7 +99,7 @@
 		return from, nil
 	}
 	for _, transition := range i.chart.transitions[at] {
-		if i.fulfils(transition.Guard) {
+		if i.guardAllowed(transition.Guard) {
 			i.state = transition.To
 			if i.observer != nil {
 				i.observer.Transition(i.chart.definition.Name, from, event, i.state)
@@ -107,10 +107,10 @@
 			return i.state, nil
 		}
 	}
-	return from, i.refuse(at)
+	return from, i.reject(at)
 }
 
-func (i *Instance) refuse(at key) error {
+func (i *Instance) reject(at key) error {
 	reason := ReasonUnknown
 	switch {
 	case i.chart.states[at.state].Terminal:
@@ -120,14 +120,14 @@
 	case len(i.chart.transitions[at]) > 0:
 		reason = ReasonGuard
 	}
-	i.notTaken++
+	i.rejections++
 	if i.observer != nil {
 		i.observer.Rejected(i.chart.definition.Name, at.state, at.event, reason)
 	}
 	return &EventError{Chart: i.chart.definition.Name, State: at.state, Event: at.event, Reason: reason}
 }
 
-func (i *Instance) fulfils(guard Guard) bool {
+func (i *Instance) guardAllowed(guard Guard) bool {
 	if guard == "" {
 		return true
 	}
--- a/internal/telemetry/charts.go
+++ b/internal/telemetry/charts.go
@@ -8,7 +8,7 @@
 
 // chartObserver counts the events of state charts.
 type chartObserver struct {
-	transitions, ignored, notTaken *prometheus.CounterVec
+	transitions, ignored, rejected *prometheus.CounterVec
 }
 
 // ChartObserver returns the observer to give to every chart instance.
@@ -26,5 +26,5 @@
 
 // Rejected implements statechart.Observer.
 func (o *chartObserver) Rejected(chart string, state statechart.State, event statechart.Event, reason statechart.Reason) {
-	o.notTaken.WithLabelValues(chart, string(state), string(event), string(reason)).Inc()
+	o.rejected.WithLabelValues(chart, string(state), string(event), string(reason)).Inc()
 }
--- a/internal/telemetry/group.go
+++ b/internal/telemetry/group.go
@@ -48,7 +48,7 @@
 	if kind == KindCounter {
 		valueType = prometheus.CounterValue
 	}
-	g.registry.described(kind, name, help, labels...)
+	g.registry.addMetric(kind, name, help, labels...)
 	g.members = append(g.members, groupMember[Reading]{
 		description: prometheus.NewDesc(prometheus.BuildFQName(Namespace, "", name), help, labels, nil),
 		valueType:   valueType,
--- a/internal/telemetry/metric.go
+++ b/internal/telemetry/metric.go
@@ -32,8 +32,8 @@
 	Labels []string
 }
 
-// described notes a metric for Metrics.
-func (r *Registry) described(kind Kind, name, help string, labels ...string) {
+// addMetric notes a metric for Metrics.
+func (r *Registry) addMetric(kind Kind, name, help string, labels ...string) {
 	r.metrics = append(r.metrics, Metric{
 		Name: prometheus.BuildFQName(Namespace, "", name), Kind: kind, Help: help, Labels: labels,
 	})
--- a/internal/telemetry/rings.go
+++ b/internal/telemetry/rings.go
@@ -30,10 +30,10 @@
 
 // describe notes the collector's metrics in the registry.
 func (c *ringCollector) describe(registry *Registry) {
-	registry.described(KindGauge, "ring_depth", ringDepthHelp, ringLabel)
-	registry.described(KindGauge, "ring_capacity", ringCapacityHelp, ringLabel)
-	registry.described(KindCounter, "ring_pushed_total", ringPushedHelp, ringLabel)
-	registry.described(KindCounter, "ring_dropped_total", ringDroppedHelp, ringLabel)
+	registry.addMetric(KindGauge, "ring_depth", ringDepthHelp, ringLabel)
+	registry.addMetric(KindGauge, "ring_capacity", ringCapacityHelp, ringLabel)
+	registry.addMetric(KindCounter, "ring_pushed_total", ringPushedHelp, ringLabel)
+	registry.addMetric(KindCounter, "ring_dropped_total", ringDroppedHelp, ringLabel)
 }
 
 // ringCollector reads the rings' counters when the counters are asked for.
@@ -72,27 +72,27 @@
 	}
 	delete(c.rings, number)
 	last := read()
-	sum := c.removed[last.Name]
-	sum.Pushed += last.Pushed
-	sum.Dropped += last.Dropped
-	c.removed[last.Name] = sum
+	total := c.removed[last.Name]
+	total.Pushed += last.Pushed
+	total.Dropped += last.Dropped
+	c.removed[last.Name] = total
 }
 
-// sums returns the counters of all rings, added up by name.
-func (c *ringCollector) sums() map[string]ring.Counters {
+// totals returns the counters of all rings, added up by name.
+func (c *ringCollector) totals() map[string]ring.Counters {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	sums := maps.Clone(c.removed)
+	totals := maps.Clone(c.removed)
 	for _, read := range c.rings {
 		counters := read()
-		sum := sums[counters.Name]
-		sum.Depth += counters.Depth
-		sum.Capacity += counters.Capacity
-		sum.Pushed += counters.Pushed
-		sum.Dropped += counters.Dropped
-		sums[counters.Name] = sum
+		total := totals[counters.Name]
+		total.Depth += counters.Depth
+		total.Capacity += counters.Capacity
+		total.Pushed += counters.Pushed
+		total.Dropped += counters.Dropped
+		totals[counters.Name] = total
 	}
-	return sums
+	return totals
 }
 
 // Describe implements prometheus.Collector.
@@ -104,10 +104,10 @@
 
 // Collect implements prometheus.Collector.
 func (c *ringCollector) Collect(metrics chan<- prometheus.Metric) {
-	for name, sum := range c.sums() {
-		metrics <- prometheus.MustNewConstMetric(ringDepth, prometheus.GaugeValue, float64(sum.Depth), name)
-		metrics <- prometheus.MustNewConstMetric(ringCapacity, prometheus.GaugeValue, float64(sum.Capacity), name)
-		metrics <- prometheus.MustNewConstMetric(ringPushed, prometheus.CounterValue, float64(sum.Pushed), name)
-		metrics <- prometheus.MustNewConstMetric(ringDropped, prometheus.CounterValue, float64(sum.Dropped), name)
+	for name, total := range c.totals() {
+		metrics <- prometheus.MustNewConstMetric(ringDepth, prometheus.GaugeValue, float64(total.Depth), name)
+		metrics <- prometheus.MustNewConstMetric(ringCapacity, prometheus.GaugeValue, float64(total.Capacity), name)
+		metrics <- prometheus.MustNewConstMetric(ringPushed, prometheus.CounterValue, float64(total.Pushed), name)
+		metrics <- prometheus.MustNewConstMetric(ringDropped, prometheus.CounterValue, float64(total.Dropped), name)
 	}
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -60,7 +60,7 @@
 	r.charts = &chartObserver{
 		transitions: r.Counter("chart_transitions_total", "Events taken by state charts.", "chart", "from", "event", "to"),
 		ignored:     r.Counter("chart_ignored_total", "Events that the state of a chart ignores.", "chart", "state", "event"),
-		notTaken:    r.Counter("chart_not_taken_total", "Events refused by state charts; any is a fault of the program.", "chart", "state", "event", "reason"),
+		rejected:    r.Counter("chart_not_taken_total", "Events refused by state charts; any is a fault of the program.", "chart", "state", "event", "reason"),
 	}
 	r.refusals = r.Counter("refusals_total", "Requests answered with a fault, by kind and by what ran.", "kind", "ran")
 	return r
@@ -73,7 +73,7 @@
 // Counter registers and returns a counter; its name gets the namespace. A
 // name that is registered twice is a fault of the program and panics.
 func (r *Registry) Counter(name, help string, labels ...string) *prometheus.CounterVec {
-	r.described(KindCounter, name, help, labels...)
+	r.addMetric(KindCounter, name, help, labels...)
 	vector := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: Namespace, Name: name, Help: help}, labels)
 	r.registry.MustRegister(vector)
 	return vector
@@ -81,7 +81,7 @@
 
 // Gauge registers and returns a gauge, as Counter does.
 func (r *Registry) Gauge(name, help string, labels ...string) *prometheus.GaugeVec {
-	r.described(KindGauge, name, help, labels...)
+	r.addMetric(KindGauge, name, help, labels...)
 	vector := prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: Namespace, Name: name, Help: help}, labels)
 	r.registry.MustRegister(vector)
 	return vector
@@ -89,7 +89,7 @@
 
 // Histogram registers and returns a histogram, as Counter does.
 func (r *Registry) Histogram(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
-	r.described(KindHistogram, name, help, labels...)
+	r.addMetric(KindHistogram, name, help, labels...)
 	options := prometheus.HistogramOpts{Namespace: Namespace, Name: name, Help: help, Buckets: buckets}
 	vector := prometheus.NewHistogramVec(options, labels)
 	r.registry.MustRegister(vector)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -18,12 +18,12 @@
 func TestHandlerServesCounters(t *testing.T) {
 	is := is.New(t)
 	registry := New()
-	for _, ended := range []bool{false, true, false} {
+	for _, removed := range []bool{false, true, false} {
 		queue := ring.New[int]("events", 1, ring.RefuseNew)
 		remove := registry.RegisterRing(queue.Counters)
 		queue.Push(1)
 		queue.Push(2)
-		if ended {
+		if removed {
 			remove()
 			remove()
 		}
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestLogKeepsSecrets(t *testing.T) {
+func TestLogRedactsSecrets(t *testing.T) {
 	is := is.New(t)
 	is.True(SetUpLogging(&bytes.Buffer{}, "loud") != nil)
 	var lines bytes.Buffer
