--- a/internal/addrtest/addr.go
+++ b/internal/addrtest/addr.go
@@ -1,5 +1,5 @@
-// Package addrtest hands out loopback addresses for tests that start servers themselves, as
-// processes or more than once at the same place.
+// Package addrtest allocates loopback addresses for tests that start servers as processes, or
+// repeatedly at the same address.
 package addrtest
 
 import (
@@ -10,10 +10,8 @@
 	"testing"
 )
 
-// Ports are below those that Linux gives to outgoing connections and to listeners without a
-// port (32768 and above), which would take an address between its choice and its use: of some
-// 340 tests that started four routers each, 7 failed with "address already in use" while the
-// system chose the ports (four processes at once, twelve tests at a time in each).
+// Ports are below the ephemeral range of Linux (32768 and above): otherwise another connection
+// or listener could get a port between its allocation and its use.
 const (
 	firstPort = 20000
 	portCount = 12000
@@ -21,12 +19,12 @@
 	firstOctet = 64
 )
 
-// allocated counts the addresses that this process handed out.
+// allocated counts the addresses allocated by this process.
 var allocated atomic.Uint32
 
-// Free returns an address that nothing listens on and that is handed out to nobody else: each
-// process has an IP of its own in 127.64.0.0/10, so that tests of several packages can run at
-// the same time, and each call a port.
+// Free returns an unused address that no other call returns: each process has its own IP in
+// 127.64.0.0/10, so that tests of several packages can run in parallel, and each call its own
+// port.
 func Free(t testing.TB) netip.AddrPort {
 	t.Helper()
 	for range portCount {
@@ -42,7 +40,7 @@
 	return netip.AddrPort{}
 }
 
-// ownIP returns the IP of a process: Linux numbers them with 22 bits at most.
+// ownIP returns the IP of a process; Linux process ids have at most 22 bits.
 func ownIP(pid int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, firstOctet + byte(pid>>16)&0x3f, byte(pid >> 8), byte(pid)})
 }
--- a/internal/addrtest/addr_test.go
+++ b/internal/addrtest/addr_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Many tests of one process ask at once.
+// Guards against duplicates when tests of one process call Free concurrently.
 func TestFreeNeverReturnsAnAddressTwice(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -1,6 +1,5 @@
-// Package commandline holds what the command lines of both programs share:
-// exit codes, the output formats, the version, and the check of the examples
-// that their help shows.
+// Package commandline holds what both programs share: exit codes, output formats,
+// the version command, and a check of the command lines in help and pages.
 package commandline
 
 import (
@@ -18,8 +17,8 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Run executes a program and returns its exit code. A fault goes to the error
-// output in one line with its remedy.
+// Run executes a program and returns its exit code. It prints a fault with its
+// remedy in one line to the error output.
 func Run(root *cobra.Command) int {
 	err := root.Execute()
 	if err == nil {
@@ -30,8 +29,8 @@
 	return raised.Kind.ExitCode()
 }
 
-// asFault returns the fault in err. Errors that are none, such as an unknown
-// flag, are those that cobra raises about the command line itself.
+// asFault returns the fault in err. Other errors, such as an unknown flag, come
+// from cobra and concern the command line.
 func asFault(root *cobra.Command, err error) *fault.Fault {
 	var raised *fault.Fault
 	if errors.As(err, &raised) {
@@ -40,14 +39,13 @@
 	return fault.New(fault.BadRequest, "%s", err.Error()).WithRemedy("'%s COMMAND --help' shows flags and examples", root.Name())
 }
 
-// SignalContext returns a context that ends when the process is told to stop, by
-// SIGTERM or Ctrl-C, for a command that then ends in its planned way. Commands
-// without one end at once.
+// SignalContext returns a context that ends on SIGTERM or Ctrl-C, for commands
+// that stop gracefully. The signals end other commands at once.
 func SignalContext(command *cobra.Command) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(command.Context(), syscall.SIGTERM, os.Interrupt)
 }
 
-// NewRoot returns the root command of a program with its subcommands, its
+// NewRoot returns the root command of a program with its subcommands and a
 // version command; cobra adds help and shell completion.
 func NewRoot(name, short, long, example string, subcommands ...*cobra.Command) *cobra.Command {
 	root := &cobra.Command{
@@ -73,7 +71,7 @@
 	FormatJSON Format = "json"
 )
 
-// AddOutputFlag adds the flag --output to a command.
+// AddOutputFlag adds the flag --output.
 func AddOutputFlag(command *cobra.Command, format *Format) {
 	*format = FormatTable
 	command.Flags().VarP(format, "output", "o", "table for people, json for scripts")
--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -12,7 +12,8 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// program returns a program with one command that ends with an error.
+// program returns a program with one command, which returns result, and the
+// buffer of its output.
 func program(example string, result error) (*cobra.Command, *bytes.Buffer) {
 	var output bytes.Buffer
 	command := &cobra.Command{Use: "work", Example: example, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error { return result }}
@@ -27,9 +28,9 @@
 
 func TestRunMapsErrorsToExitCodes(t *testing.T) {
 	cases := []struct {
-		name, arguments, said string
-		ends                  error
-		code                  int
+		name, arguments, output string
+		err                     error
+		code                    int
 	}{
 		{"done", "work --file x", "", nil, 0},
 		{"fault", "work --file x", "; remedy: ", fault.New(fault.Conflict, "lost"), 4},
@@ -47,10 +48,10 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			root, output := program("", test.ends)
+			root, output := program("", test.err)
 			root.SetArgs(strings.Fields(test.arguments))
 			is.Equal(Run(root), test.code)
-			is.True(strings.Contains(output.String(), test.said))
+			is.True(strings.Contains(output.String(), test.output))
 		})
 	}
 }
@@ -58,7 +59,7 @@
 func TestCheckHelpFindsBadExamples(t *testing.T) {
 	cases := []struct {
 		example string
-		sound   bool
+		valid   bool
 	}{
 		{"", false},
 		{"  other work", false},
@@ -73,6 +74,6 @@
 	for _, test := range cases {
 		is := is.NewRelaxed(t)
 		root, _ := program(test.example, nil)
-		is.Equal(len(CheckHelp(root)) == 0, test.sound)
+		is.Equal(len(CheckHelp(root)) == 0, test.valid)
 	}
 }
--- a/internal/commandline/examples.go
+++ b/internal/commandline/examples.go
@@ -12,8 +12,8 @@
 // indent starts every line of an example.
 const indent = "  "
 
-// CheckHelp returns an error for each command of a program whose help has no
-// example, or has one that the program would not understand.
+// CheckHelp returns an error for each command without an example in its help,
+// and for each invalid example.
 func CheckHelp(root *cobra.Command) []error {
 	var problems []error
 	for _, command := range root.Commands() {
@@ -28,8 +28,7 @@
 	return problems
 }
 
-// CheckText returns an error for each command line shown in a text that the
-// program would not understand.
+// CheckText returns an error for each invalid command line in a text.
 func CheckText(root *cobra.Command, text string) []error {
 	var problems []error
 	for _, line := range CommandLines(root.Name(), text) {
@@ -40,9 +39,8 @@
 	return problems
 }
 
-// CheckPages returns an error for each command line shown on a page (*.md) under
-// the given paths that the program would not understand, and how many it looked
-// at.
+// CheckPages returns an error for each invalid command line on the pages (*.md)
+// under the given paths, and the number of command lines checked.
 func CheckPages(root *cobra.Command, files fs.FS, paths ...string) (checked int, problems []error) {
 	for _, path := range paths {
 		err := fs.WalkDir(files, path, func(name string, _ fs.DirEntry, err error) error {
@@ -63,10 +61,9 @@
 	return checked, problems
 }
 
-// CommandLines returns the command lines of a program that a text shows,
-// with lines joined that end with a backslash. A command line is indented and
-// starts with the program's name, perhaps after settings of the environment
-// and bin/.
+// CommandLines returns the command lines of a program in a text. A command line
+// is indented and starts with the program's name, optionally after environment
+// variables and bin/. Lines that end with a backslash are joined with the next.
 func CommandLines(program, text string) []string {
 	var lines []string
 	for line := range strings.Lines(strings.ReplaceAll(text, "\\\n", " ")) {
@@ -84,15 +81,14 @@
 	return lines
 }
 
-// isAssignment reports whether a word sets an environment variable.
+// isAssignment returns whether a word sets an environment variable.
 func isAssignment(word string) bool {
 	name, _, found := strings.Cut(word, "=")
 	return found && name != "" && name == strings.ToUpper(name)
 }
 
-// CheckLine says why a program would not understand a command line. Flags are
-// read, arguments and required flags checked; nothing is run. The part from a
-// shell operator on is not looked at.
+// CheckLine checks command, flags and arguments of a command line without running
+// it. It ignores everything after a shell operator.
 func CheckLine(root *cobra.Command, line string) error {
 	words := strings.Fields(line)[1:]
 	for index, word := range words {
@@ -106,7 +102,7 @@
 		return errors.Wrapf(err, "%q", line)
 	}
 	if command == root && len(arguments) > 0 && !strings.HasPrefix(arguments[0], "-") {
-		return errors.Errorf("%q: there is no such command", line)
+		return errors.Errorf("%q: unknown command", line)
 	}
 	command.InitDefaultHelpFlag()
 	if err := command.ParseFlags(arguments); err != nil {
--- a/internal/commandline/version.go
+++ b/internal/commandline/version.go
@@ -7,21 +7,21 @@
 	"github.com/spf13/cobra"
 )
 
-// Build says which source a program was built from.
+// Build identifies the source that a program was built from.
 type Build struct {
 	Program string `json:"program"`
-	// Version is the module's version; "(devel)" for a build from a work tree.
+	// Version is the module version; "(devel)" for a build from a work tree.
 	Version string `json:"version"`
 	// Revision is the commit, empty if the build did not record it.
 	Revision string `json:"revision,omitempty"`
 	// Time is the time of that commit.
 	Time string `json:"time,omitempty"`
-	// Modified is true if the work tree had changes beyond the commit.
+	// Modified is whether the work tree had uncommitted changes.
 	Modified bool   `json:"modified"`
 	Go       string `json:"go"`
 }
 
-// readBuild reads what the Go tool recorded in the running program.
+// readBuild reads the build information of the running program.
 func readBuild(program string) Build {
 	build := Build{Program: program, Version: "unknown"}
 	info, recorded := debug.ReadBuildInfo()
@@ -48,7 +48,7 @@
 		text += fmt.Sprintf(", commit %s of %s", b.Revision, b.Time)
 	}
 	if b.Modified {
-		text += ", with changes beyond it"
+		text += ", with uncommitted changes"
 	}
 	return text
 }
@@ -57,9 +57,9 @@
 	var output Format
 	command := &cobra.Command{
 		Use:   "version",
-		Short: "Say which source this program was built from",
+		Short: "Show which source this program was built from",
 		Long: `Version prints what the Go tool recorded when it built this program: the
-module's version, the commit, and whether the work tree had changes beyond it.`,
+module's version, the commit, and whether the work tree had uncommitted changes.`,
 		Example: fmt.Sprintf("  %[1]s version\n  %[1]s version -o json", program),
 		Args:    cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
--- a/internal/doccomment/doccomment.go
+++ b/internal/doccomment/doccomment.go
@@ -1,5 +1,5 @@
-// Package doccomment reads doc comments from Go source, for the reference
-// pages and the flags' help that are generated from them.
+// Package doccomment extracts doc comments from Go source, for generated reference
+// pages and flag usages.
 package doccomment
 
 import (
@@ -16,10 +16,10 @@
 // Field is one field of a struct.
 type Field struct {
 	Name string
-	// Type is the type as the source writes it, such as "[]ident.Zone".
+	// Type is the type as written in the source, such as "[]ident.Zone".
 	Type string
 	Tag  reflect.StructTag
-	// Doc is the doc comment in one line, as Meaning gives it.
+	// Doc is the doc comment in the form returned by Meaning.
 	Doc string
 }
 
@@ -30,7 +30,7 @@
 	Fields []Field
 }
 
-// Constant is one constant with a type and a string for its value.
+// Constant is one typed string constant.
 type Constant struct {
 	Name  string
 	Type  string
@@ -38,7 +38,7 @@
 	Doc   string
 }
 
-// Source holds what one file declares, in the order of the file.
+// Source holds the declarations of one file in their order.
 type Source struct {
 	Structs   []Struct
 	Constants []Constant
@@ -108,7 +108,7 @@
 	return fields
 }
 
-// typeText writes out the types that schemas use; others are "".
+// typeText returns the source text of the types that schemas use, "" for others.
 func typeText(expression ast.Expr) string {
 	switch written := expression.(type) {
 	case *ast.Ident:
@@ -132,8 +132,8 @@
 	return Struct{}, false
 }
 
-// Meaning turns "Zone is the zone ..." into "The zone ..." on one line, so that
-// a page need not repeat Go's names.
+// Meaning removes the Go name from a doc comment and joins its lines: "Zone is the
+// zone ..." becomes "The zone ...".
 func Meaning(name, comment string) string {
 	text := strings.Join(strings.Fields(comment), " ")
 	text = strings.TrimPrefix(text, name+" ")
--- a/internal/engine/application.go
+++ b/internal/engine/application.go
@@ -14,8 +14,8 @@
 
 const pathServices = "/v1/services/"
 
-// Call implements ApplicationCaller. Any whole answer that does not claim to be
-// a refusal is returned as it is, whatever its status.
+// Call implements ApplicationCaller. A complete answer of any status that is not
+// marked as a refusal is returned unchanged.
 func (c *HTTPClient) Call(ctx context.Context, address string, request ApplicationRequest) (ApplicationResponse, error) {
 	response, err := c.send(ctx, applicationExchange(address, request))
 	if err != nil {
@@ -23,13 +23,13 @@
 	}
 	body, err := httpclient.ReadBody(response, c.options.MaxAnswerBytes)
 	if err != nil {
-		return ApplicationResponse{}, backendLost(err, "the answer of application %s broke off or is too large", address)
+		return ApplicationResponse{}, backendLost(err, "the answer of application %s is incomplete or too large", address)
 	}
 	if refused, found := refusalFault(response, body); found {
 		return ApplicationResponse{}, refused
 	}
 	if response.Header.Get(protocol.HeaderRan) == string(fault.RanNo) {
-		return ApplicationResponse{}, backendLost(nil, "application %s claims a refusal in a malformed answer", address)
+		return ApplicationResponse{}, backendLost(nil, "application %s sent a malformed refusal", address)
 	}
 	return ApplicationResponse{
 		Status: response.StatusCode, Header: response.Header, Body: body,
@@ -55,7 +55,7 @@
 	}
 }
 
-// escapePath escapes a decoded path, its slashes kept.
+// escapePath escapes a decoded path, except its slashes.
 func escapePath(path string) string {
 	return (&url.URL{Path: path}).EscapedPath()
 }
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -48,7 +48,7 @@
 	return count, err
 }
 
-// serveCounted answers every request with body.
+// serveCounted starts a server that answers every request with body.
 func serveCounted(b *testing.B, contentType string, body []byte) *countingListener {
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(b).NoErr(err)
@@ -62,8 +62,8 @@
 	return listener
 }
 
-// BenchmarkLoadBytes reports the bytes of one read of a load report on an open
-// connection, without those of TCP/IP, and the time of both sides together.
+// BenchmarkLoadBytes reports the bytes above TCP of one load report on an open
+// connection, and the time of client and server together.
 func BenchmarkLoadBytes(b *testing.B) {
 	is := is.New(b)
 	body, err := json.Marshal(protocol.LoadReport{
@@ -87,8 +87,8 @@
 	b.ReportMetric(float64(len(body)), "report-B")
 }
 
-// BenchmarkReadCacheEvents reports the time and bytes to read one block stored
-// or removed from an event stream, 30 to a batch, the server's side included.
+// BenchmarkReadCacheEvents reports time, including the server's, and bytes per
+// block stored or removed in an event stream.
 func BenchmarkReadCacheEvents(b *testing.B) {
 	const blocks, batches = 30, 2000
 	is := is.New(b)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -14,14 +14,14 @@
 	"github.com/fieldpond/fieldpond/internal/httpclient"
 )
 
-// Options bounds an HTTPClient. Zero values take the defaults.
+// Options bounds an HTTPClient. Zero values mean the defaults.
 type Options struct {
 	// ConnectTimeout bounds opening a connection to a back end. Default: 1s.
 	ConnectTimeout time.Duration
 	// MaxEventBytes bounds one server-sent event. Default: 1 MiB.
 	MaxEventBytes int
-	// MaxAnswerBytes bounds an application's answer and a JSON answer of an
-	// engine, cache snapshots included. Default: 16 MiB.
+	// MaxAnswerBytes bounds an application's answer and an engine's JSON answer,
+	// such as a cache snapshot. Default: 16 MiB.
 	MaxAnswerBytes int64
 	// MaxExportBytes bounds one export of cached blocks. Default: 256 MiB.
 	MaxExportBytes int64
@@ -34,7 +34,7 @@
 	defaultMaxExportBytes = 256 << 20
 )
 
-// maxRefusalBytes bounds the body of a refusal or another failed answer.
+// maxRefusalBytes bounds the body of an answer with an error status.
 const maxRefusalBytes = 64 << 10
 
 const (
@@ -42,8 +42,8 @@
 	contentTypeBlocks = "application/octet-stream"
 )
 
-// HTTPClient implements Client over the published protocol. No request is ever
-// sent twice by it. It is safe for concurrent use.
+// HTTPClient implements Client over HTTP. It never retries a request and is safe
+// for concurrent use.
 type HTTPClient struct {
 	exchanges *httpclient.Client
 	options   Options
@@ -61,7 +61,7 @@
 	return &HTTPClient{exchanges: exchanges, options: options}
 }
 
-// CloseIdle closes the connections not in use.
+// CloseIdle closes idle connections.
 func (c *HTTPClient) CloseIdle() { c.exchanges.CloseIdle() }
 
 // exchange is one request to a back end.
@@ -72,11 +72,11 @@
 	body                  []byte
 }
 
-// send sends the exchange once. A response of any status is no error.
+// send sends the exchange once. A response of any status is not an error.
 func (c *HTTPClient) send(ctx context.Context, out exchange) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, out.method, "http://"+out.address+out.path, bytes.NewReader(out.body))
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadRequest, "the request to back end %q cannot be formed", out.address)
+		return nil, fault.Wrap(err, fault.BadRequest, "the request to back end %q cannot be created", out.address)
 	}
 	for name, values := range out.header {
 		request.Header[name] = values
@@ -91,7 +91,7 @@
 	return response, nil
 }
 
-// sendJSON sends a JSON body and requires the status 200 or a refusal.
+// sendJSON sends a JSON body through sendChecked.
 func (c *HTTPClient) sendJSON(ctx context.Context, address, path string, body any) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -102,8 +102,8 @@
 	})
 }
 
-// sendChecked sends the exchange and turns every status but 200 and 204 into a
-// fault.
+// sendChecked sends the exchange and returns a fault for every status except 200
+// and 204.
 func (c *HTTPClient) sendChecked(ctx context.Context, out exchange) (*http.Response, error) {
 	response, err := c.send(ctx, out)
 	if err != nil {
@@ -119,14 +119,14 @@
 	if refused, found := refusalFault(response, body); found {
 		return nil, refused
 	}
-	return nil, backendLost(nil, "back end %s answered with status %d and no valid refusal", out.address, response.StatusCode)
+	return nil, backendLost(nil, "back end %s answered with status %d without a valid refusal", out.address, response.StatusCode)
 }
 
-// decodeJSON reads a whole JSON answer of bounded size.
+// decodeJSON reads a JSON answer of at most MaxAnswerBytes.
 func (c *HTTPClient) decodeJSON(response *http.Response, address string, into any) error {
 	body, err := httpclient.ReadBody(response, c.options.MaxAnswerBytes)
 	if err != nil {
-		return backendLost(err, "the answer of back end %s broke off", address)
+		return backendLost(err, "the answer of back end %s is incomplete or too large", address)
 	}
 	if err := json.Unmarshal(body, into); err != nil {
 		return backendLost(err, "the answer of back end %s is malformed", address)
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// backendLost returns a BackendLost fault. Ran is "no" only if cause says that no byte
-// of the request left this process.
+// backendLost returns a BackendLost fault. Ran is "no" only if cause proves that
+// no byte of the request was sent.
 func backendLost(cause error, format string, arguments ...any) *fault.Fault {
 	raised := fault.Wrap(cause, fault.BackendLost, format, arguments...).WithRan(fault.RanUnknown)
 	var transportError *httpclient.Error
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -20,7 +20,7 @@
 
 const testLimit = 512
 
-// startBackend returns the address of a back end that answers every request by handle.
+// startBackend returns the address of a server with the given handler.
 func startBackend(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handle)
@@ -54,12 +54,12 @@
 		ran    fault.Ran
 	}{
 		{"answer", respond(200, "", "ok"), "", ""},
-		{"an application's own failure is an answer", respond(503, "", "down"), "", ""},
+		{"error status without refusal is an answer", respond(503, "", "down"), "", ""},
 		{"explicit refusal", respond(503, "no", fullRefusal), fault.BackendRefused, fault.RanNo},
 		{"stale fence", respond(409, "no", `{"kind":"stale_fence","ran":"no"}`), fault.StaleFence, fault.RanNo},
 		{"refusal only in the header", respond(503, "no", "{"), fault.BackendLost, fault.RanUnknown},
-		{"refusal whose body says otherwise", respond(429, "no", `{"kind":"full","ran":"yes"}`), fault.BackendLost, fault.RanUnknown},
-		{"refusal under a status of success", respond(200, "no", fullRefusal), fault.BackendLost, fault.RanUnknown},
+		{"refusal contradicted by its body", respond(429, "no", `{"kind":"full","ran":"yes"}`), fault.BackendLost, fault.RanUnknown},
+		{"refusal with a success status", respond(200, "no", fullRefusal), fault.BackendLost, fault.RanUnknown},
 		{"cut without an answer", abortResponse, fault.BackendLost, fault.RanUnknown},
 		{"cut inside the answer", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
@@ -86,7 +86,7 @@
 	is := is.New(t)
 	address := startBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		w.Header().Set(protocol.HeaderIncarnation, "life-1")
+		w.Header().Set(protocol.HeaderIncarnation, "incarnation-1")
 		_, _ = fmt.Fprint(w, r.Method, r.URL.Path, r.URL.RawQuery, r.Header.Get(protocol.HeaderTenant),
 			r.Header.Get(protocol.HeaderIdempotencyKey), r.Header.Get(protocol.HeaderAttempt), string(body))
 	})
@@ -95,7 +95,7 @@
 	})
 	is.NoErr(err)
 	is.Equal(string(response.Body), "DELETE/v1/services/booking/a b/cq=1haulk-12")
-	is.Equal(string(response.Incarnation), "life-1")
+	is.Equal(string(response.Incarnation), "incarnation-1")
 }
 
 func TestRefusalKeepsCauseAndRetryAfter(t *testing.T) {
@@ -164,7 +164,7 @@
 	is.True(fault.Is(err, fault.BackendLost))
 }
 
-// TestCloseUnblocksNext closes a silent stream from another goroutine.
+// Guards against Next blocking after another goroutine closed the stream.
 func TestCloseUnblocksNext(t *testing.T) {
 	is := is.New(t)
 	address := startBackend(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
 // Package engine is the client of back ends: model engines and applications.
-// The interfaces here are what the rest of fieldpond depends on; the HTTP
-// implementation speaks the published protocol of package protocol.
+// Other packages depend on its interfaces; HTTPClient implements them over the
+// protocol of package protocol.
 package engine
 
 import (
@@ -13,38 +13,38 @@
 
 // Generator starts, resumes and cancels generations.
 //
-// Errors are *fault.Fault. Ran is "no" only if no byte of the request left
-// this process, or the engine refused explicitly before execution (then the
-// cause is a *RefusedError). Every other error has Ran "unknown".
+// Errors are *fault.Fault. Ran is "no" only if no byte of the request was sent,
+// or if the engine refused explicitly before execution (the cause is then a
+// *RefusedError). Otherwise Ran is "unknown".
 type Generator interface {
-	// Generate starts a generation. It returns once the start event arrived.
+	// Generate starts a generation. It returns after the start event.
 	Generate(ctx context.Context, address string, request protocol.GenerateRequest) (EventStream, error)
-	// Resume continues a stream of an incarnation from sequence number from.
+	// Resume continues the stream of an incarnation at target.From.
 	Resume(ctx context.Context, address string, target ResumeTarget) (EventStream, error)
 	// Cancel stops a generation; cancelling an unknown stream is no error.
 	Cancel(ctx context.Context, address string, stream ident.Stream) error
 }
 
-// ResumeTarget names a place in a stream.
+// ResumeTarget is a position in a stream.
 type ResumeTarget struct {
 	Incarnation ident.Incarnation
 	Stream      ident.Stream
-	// From is the sequence number of the next event wanted.
+	// From is the sequence number of the next event to receive.
 	From uint64
 }
 
 // EventStream is one open generation. It is used by one goroutine, except that
 // Close may be called by any.
 type EventStream interface {
-	// Next returns the next event as received, unchecked. After the end event
-	// it returns io.EOF; a stream that breaks before returns a *fault.Fault of
-	// kind BackendLost with Ran "unknown" or "yes".
+	// Next returns the next event as received, unvalidated. After the end event
+	// it returns io.EOF; if the stream breaks earlier, a *fault.Fault of kind
+	// BackendLost with Ran "unknown" or "yes".
 	Next() (protocol.StreamEvent, error)
 	// Close releases the connection without cancelling the generation.
 	Close()
 }
 
-// Observer reads what engines and applications say of themselves.
+// Observer reads load reports and cache contents of back ends.
 type Observer interface {
 	// Load returns the back end's load report.
 	Load(ctx context.Context, address string) (protocol.LoadReport, error)
@@ -56,7 +56,7 @@
 
 // BatchStream is one open cache event stream.
 type BatchStream interface {
-	// Next returns the next batch, or an error once the stream broke.
+	// Next returns the next batch, or an error after the stream broke.
 	Next() (protocol.CacheEventBatch, error)
 	// Close releases the connection.
 	Close()
@@ -96,7 +96,7 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// Incarnation is the life of the process that answered.
+	// Incarnation identifies the process that answered.
 	Incarnation ident.Incarnation
 }
 
@@ -106,7 +106,7 @@
 	Call(ctx context.Context, address string, request ApplicationRequest) (ApplicationResponse, error)
 }
 
-// Client joins everything a router asks of back ends.
+// Client combines all operations on back ends.
 type Client interface {
 	Generator
 	Observer
@@ -115,7 +115,7 @@
 	ApplicationCaller
 }
 
-// RefusedError is the cause of a fault raised by an explicit refusal.
+// RefusedError is the cause of a fault after an explicit refusal.
 type RefusedError struct {
 	Refusal protocol.Refusal
 }
--- a/internal/engine/generate.go
+++ b/internal/engine/generate.go
@@ -20,8 +20,8 @@
 	pathStreams  = "/v1/streams/"
 )
 
-// Generate implements Generator. It returns once the first event arrived,
-// which a sound engine makes the start event; Next returns that event first.
+// Generate implements Generator. It waits for the first event, which should be
+// the start event; Next returns it first.
 func (c *HTTPClient) Generate(ctx context.Context, address string, request protocol.GenerateRequest) (EventStream, error) {
 	encoded, err := json.Marshal(request)
 	if err != nil {
@@ -44,7 +44,7 @@
 }
 
 // Resume implements Generator. The engine checks the incarnation by the stream
-// name; the reader checks it in every event.
+// name; the caller checks it in every event.
 func (c *HTTPClient) Resume(ctx context.Context, address string, target ResumeTarget) (EventStream, error) {
 	header := http.Header{}
 	header.Set(protocol.HeaderIncarnation, string(target.Incarnation))
@@ -69,7 +69,7 @@
 	}
 	body, err := httpclient.ReadBody(response, maxRefusalBytes)
 	if err != nil {
-		return backendLost(err, "cancelling at back end %s was cut off", address)
+		return backendLost(err, "the answer of back end %s to a cancellation is incomplete", address)
 	}
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusNoContent, http.StatusNotFound:
@@ -77,7 +77,7 @@
 	}
 	refused, found := refusalFault(response, body)
 	if !found {
-		return backendLost(nil, "cancelling at back end %s failed with status %d", address, response.StatusCode)
+		return backendLost(nil, "cancellation at back end %s failed with status %d", address, response.StatusCode)
 	}
 	if isRefusal(refused, protocol.RefusalUnknownStream) {
 		return nil
@@ -85,7 +85,7 @@
 	return refused
 }
 
-// openStream sends the exchange and requires an event stream as its answer.
+// openStream sends the exchange and returns its answer as an event stream.
 func (c *HTTPClient) openStream(ctx context.Context, out exchange) (*eventStream, error) {
 	connection, err := c.openEvents(ctx, out)
 	if err != nil {
@@ -100,12 +100,12 @@
 	first      protocol.StreamEvent
 	peeked     bool
 	ended      bool
-	// ran turns to "yes" with the first chunk.
+	// ran becomes "yes" with the first chunk.
 	ran fault.Ran
 }
 
-// Next implements EventStream. The error event is returned as an event; what
-// follows it is a break.
+// Next implements EventStream. It returns an error event like any other; the
+// stream counts as broken after it.
 func (s *eventStream) Next() (protocol.StreamEvent, error) {
 	if s.peeked {
 		s.peeked = false
@@ -155,15 +155,15 @@
 	}, nil
 }
 
-// next decodes the data of the next event. It never returns io.EOF: the end of
-// the bytes is no proof of the end of a stream.
+// next decodes the data of the next event. It never returns io.EOF: only an end
+// event proves that a stream is complete.
 func (e *eventConnection) next(into any) *fault.Fault {
 	event, err := e.reader.Next()
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
-		return backendLost(err, "the stream of back end %s broke off", e.address)
+		return backendLost(err, "the stream of back end %s was interrupted", e.address)
 	}
 	if err := json.Unmarshal(event.Data, into); err != nil {
 		return backendLost(err, "the stream of back end %s is malformed", e.address)
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// close may be called by any goroutine, also while another reads.
+// close may be called concurrently with next.
 func (e *eventConnection) close() {
 	e.cancel()
 	_ = e.body.Close()
--- a/internal/engine/leak_test.go
+++ b/internal/engine/leak_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No test of this package may leave a goroutine of a duty behind.
+// TestMain fails if a test leaks a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/engine/protocol/protocol.go
+++ b/internal/engine/protocol/protocol.go
@@ -1,7 +1,7 @@
-// Package protocol declares the published HTTP protocol of model engines and
-// applications: the JSON bodies, paths, headers and stream events that a
-// router and a back end exchange. It holds no behaviour, so that the client
-// (internal/engine) and the stand-ins (standin/...) meet only here.
+// Package protocol declares the HTTP protocol of model engines and applications:
+// the JSON bodies, paths, headers and stream events that a router and a back end
+// exchange. It holds only types and constants, shared by the client
+// (internal/engine) and the stand-ins (standin/...).
 //
 // Model engines:
 //
@@ -22,8 +22,8 @@
 //	GET    /v1/load                     LoadReport
 //
 // A back end that refuses before executing anything answers with status 409,
-// 429 or 503 and a Refusal whose Ran is "no" (also in HeaderRan). Any other
-// end of an exchange leaves the fate of the attempt to be judged by the reader.
+// 429 or 503 and a Refusal whose Ran is "no" (also in HeaderRan). After any other
+// failure the attempt may have been executed.
 package protocol
 
 import (
@@ -45,9 +45,9 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// GenerateRequest asks an engine for one generation. The engine refuses with
-// RefusalMismatch, before running, unless incarnation, model, version, adapter
-// and salt are what it holds.
+// GenerateRequest requests one generation. The engine refuses with
+// RefusalMismatch before execution unless incarnation, model, version, adapter
+// and salt match its own.
 type GenerateRequest struct {
 	RequestID           ident.Request      `json:"request_id"`
 	Attempt             ident.Attempt      `json:"attempt"`
@@ -58,26 +58,26 @@
 	Adapter             ident.Adapter      `json:"adapter,omitempty"`
 	// Salt is the cache namespace; see prefix.Namespace.
 	Salt prefix.Salt `json:"salt"`
-	// Priority orders waiting work on the engine; smaller is more urgent.
+	// Priority orders waiting requests on the engine; smaller is more urgent.
 	Priority int `json:"priority"`
 	// Prompt is the whole rendered prompt text.
 	Prompt string `json:"prompt"`
-	// Continued is text already given to the caller by an earlier attempt; the
-	// engine treats it as part of the prompt and continues after it.
+	// Continued is text that an earlier attempt already delivered; the engine
+	// treats it as part of the prompt and continues after it.
 	Continued string `json:"continued,omitempty"`
-	// MaxTokens bounds the tokens to generate, Continued not included.
+	// MaxTokens bounds the tokens to generate, excluding Continued.
 	MaxTokens int `json:"max_tokens"`
 }
 
-// StreamEventKind names the kind of one server-sent event of a generation.
+// StreamEventKind is the kind of one server-sent event of a generation.
 type StreamEventKind string
 
 const (
-	// EventStart opens a stream: the request was accepted and will run.
+	// EventStart is the first event: the request was accepted and will run.
 	EventStart StreamEventKind = "start"
 	// EventChunk carries generated text.
 	EventChunk StreamEventKind = "chunk"
-	// EventEnd is the only proof that a stream is whole.
+	// EventEnd is the only proof that a stream is complete.
 	EventEnd StreamEventKind = "end"
 	// EventError ends a stream that the engine cannot finish.
 	EventError StreamEventKind = "error"
@@ -111,21 +111,21 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// RefusalKind names why a back end refused before executing anything.
+// RefusalKind is the reason for a refusal before execution.
 type RefusalKind string
 
 const (
-	// RefusalMismatch means: another incarnation, version, adapter or salt is in force.
+	// RefusalMismatch means that incarnation, model, version, adapter or salt differ.
 	RefusalMismatch RefusalKind = "mismatch"
-	// RefusalFull means: the waiting queue is full.
+	// RefusalFull means that the waiting queue is full.
 	RefusalFull RefusalKind = "full"
-	// RefusalDraining means: the back end is stopping and takes no new work.
+	// RefusalDraining means that the back end is stopping and accepts no new requests.
 	RefusalDraining RefusalKind = "leaving"
-	// RefusalUnknownStream means: no such stream in this incarnation (resume, cancel).
+	// RefusalUnknownStream means that this incarnation has no such stream (resume, cancel).
 	RefusalUnknownStream RefusalKind = "unknown_stream"
-	// RefusalStaleFence means: an order with an older fence than one already taken.
+	// RefusalStaleFence means that an order with a newer fence was already accepted.
 	RefusalStaleFence RefusalKind = "stale_fence"
-	// RefusalBadRequest means: the request could not be understood.
+	// RefusalBadRequest means that the request is malformed.
 	RefusalBadRequest RefusalKind = "bad_request"
 )
 
@@ -139,22 +139,22 @@
 	RetryAfterMillis int64 `json:"retry_after_millis,omitempty"`
 }
 
-// LoadReport is what a back end says of itself; it lags behind the truth.
+// LoadReport is the load that a back end reports; it may be outdated.
 type LoadReport struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
-	// MeasuredAt is when the figures were true, on the back end's clock.
+	// MeasuredAt is the time of measurement on the back end's clock.
 	MeasuredAt time.Time `json:"measured_at"`
-	// AgeMillis is how old the figures were when the report was sent.
+	// AgeMillis is the age of the measurement when the report was sent.
 	AgeMillis int64 `json:"age_millis"`
 	Draining  bool  `json:"leaving"`
 	// Running and Waiting count requests.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// MaxRunning is the batch limit; zero means not told.
+	// MaxRunning is the batch limit; zero means not reported.
 	MaxRunning int `json:"max_running"`
 	// QueuedPrefillTokens counts prompt tokens not yet prefilled, over all requests.
 	QueuedPrefillTokens int `json:"queued_prefill_tokens"`
-	// PrefillMicrosPerToken is the measured prefill slope; zero means not told.
+	// PrefillMicrosPerToken is the measured prefill time per token; zero means not reported.
 	PrefillMicrosPerToken float64 `json:"prefill_micros_per_token"`
 	// CacheBlocks and CacheCapacityBlocks describe the block cache.
 	CacheBlocks         int `json:"cache_blocks"`
@@ -163,9 +163,9 @@
 	BlockTokens int `json:"block_tokens"`
 	// Role is "mixed", "prefill" or "decode".
 	Role string `json:"role"`
-	// Fence is the highest fence this incarnation has taken an order with.
+	// Fence is the highest fence of the orders that this incarnation accepted.
 	Fence uint64 `json:"fence"`
-	// Loaded lists what the engine can serve now.
+	// Loaded lists the model versions ready to serve.
 	Loaded []LoadedModel `json:"loaded"`
 }
 
@@ -176,22 +176,21 @@
 	Adapters []ident.Adapter    `json:"adapters,omitempty"`
 }
 
-// CacheEventKind names one change of an engine's block cache.
+// CacheEventKind is the kind of one change of an engine's block cache.
 type CacheEventKind string
 
 const (
-	// CacheStored means: the blocks are now held.
+	// CacheStored means that the blocks were added.
 	CacheStored CacheEventKind = "stored"
-	// CacheRemoved means: the blocks were evicted.
+	// CacheRemoved means that the blocks were evicted.
 	CacheRemoved CacheEventKind = "removed"
-	// CacheCleared means: every block was dropped.
+	// CacheCleared means that all blocks were dropped.
 	CacheCleared CacheEventKind = "cleared"
 )
 
 // CacheEvent is one change of an engine's block cache.
 type CacheEvent struct {
-	// Sequence counts the events of an incarnation, starting at 1. A gap means
-	// that events were lost.
+	// Sequence counts the events of an incarnation from 1; a gap means lost events.
 	Sequence uint64         `json:"sequence"`
 	Kind     CacheEventKind `json:"kind"`
 	Salt     prefix.Salt    `json:"salt,omitempty"`
@@ -204,27 +203,27 @@
 	Events      []CacheEvent      `json:"events"`
 }
 
-// CacheSnapshot lists every block an engine holds, as of Sequence.
+// CacheSnapshot lists all cached blocks of an engine as of Sequence.
 type CacheSnapshot struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Sequence    uint64            `json:"sequence"`
 	Hashes      prefix.Chain      `json:"hashes"`
 }
 
-// TransferRequest names cached blocks to export.
+// TransferRequest selects cached blocks to export.
 type TransferRequest struct {
 	ExpectedIncarnation ident.Incarnation `json:"expected_incarnation"`
 	Salt                prefix.Salt       `json:"salt"`
 	Hashes              prefix.Chain      `json:"hashes"`
 }
 
-// TransferResult says how many blocks an import took.
+// TransferResult is the number of blocks imported.
 type TransferResult struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Imported    int               `json:"imported"`
 }
 
-// OrderKind names what a fenced order does.
+// OrderKind is the action of a fenced order.
 type OrderKind string
 
 const (
@@ -232,12 +231,12 @@
 	OrderLoad OrderKind = "load"
 	// OrderUnload drops a model version and every block cached under it.
 	OrderUnload OrderKind = "unload"
-	// OrderRole changes the role.
+	// OrderRole changes the engine's role.
 	OrderRole OrderKind = "role"
 )
 
-// Order is a fenced command to one engine. An engine takes an order only if
-// its fence is at least the highest one seen; repeats of OrderID take effect once.
+// Order is a fenced command to one engine. An engine accepts an order only if
+// its fence is at least the highest one accepted; a retried OrderID is applied once.
 type Order struct {
 	OrderID             string             `json:"order_id"`
 	Fence               uint64             `json:"fence"`
@@ -249,8 +248,8 @@
 	Role                string             `json:"role,omitempty"`
 }
 
-// OrderResult confirms that an order was taken; loading goes on in the
-// background and shows in LoadReport.Loaded.
+// OrderResult confirms that an order was accepted; loading continues in the
+// background and appears in LoadReport.Loaded.
 type OrderResult struct {
 	OrderID string `json:"order_id"`
 	Fence   uint64 `json:"fence"`
--- a/internal/engine/refusal.go
+++ b/internal/engine/refusal.go
@@ -11,9 +11,9 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// refusalFault reports whether a response is an explicit refusal before
-// execution, and returns its fault. Status, header and body must all say so:
-// a proxy's or a half-broken back end's 503 never counts as "not run".
+// refusalFault returns the fault of an explicit refusal before execution, and
+// whether the response is one. Status, header and body must agree, so that a 503
+// from a proxy or a faulty back end never counts as "not run".
 func refusalFault(response *http.Response, body []byte) (*fault.Fault, bool) {
 	switch response.StatusCode {
 	case http.StatusConflict, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -35,7 +35,7 @@
 	return refused.WithRetryAfter(time.Duration(max(refusal.RetryAfterMillis, 0)) * time.Millisecond), true
 }
 
-// isRefusal reports whether a fault is a refusal of the given kind.
+// isRefusal returns whether a fault is a refusal of the given kind.
 func isRefusal(refused *fault.Fault, kind protocol.RefusalKind) bool {
 	var cause *RefusedError
 	return errors.As(refused, &cause) && cause.Refusal.Kind == kind
--- a/internal/engine/transfer.go
+++ b/internal/engine/transfer.go
@@ -23,13 +23,13 @@
 	}
 	blocks, err := httpclient.ReadBody(response, c.options.MaxExportBytes)
 	if err != nil {
-		return nil, backendLost(err, "the export of back end %s broke off", address)
+		return nil, backendLost(err, "the export of back end %s is incomplete or too large", address)
 	}
 	return blocks, nil
 }
 
-// Import implements Transferer. The salt goes along in decimal, the expected
-// incarnation in its header.
+// Import implements Transferer. Headers carry the salt, in decimal, and the
+// expected incarnation.
 func (c *HTTPClient) Import(
 	ctx context.Context, address string, request protocol.TransferRequest, blocks []byte,
 ) (protocol.TransferResult, error) {
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,7 +1,6 @@
-// Package eventlog writes log entries as one JSON object a line, without ever
-// holding up whoever logs. Entries go through a bounded ring to one writer;
-// when the ring is filling, lines of debug level are dropped first, and the
-// number of lines dropped is told in a line of its own.
+// Package eventlog writes log entries as JSON lines without blocking the caller.
+// Entries pass through a bounded ring to one writer; as the ring fills up, debug
+// lines are dropped first. The number of dropped lines is itself logged.
 package eventlog
 
 import (
@@ -20,10 +19,10 @@
 )
 
 const (
-	// capacity is the number of entries that may wait to be written.
+	// capacity is the maximum number of waiting entries.
 	capacity = 2048
-	// debugCapacity is the number of waiting entries from which on those of debug
-	// level are dropped.
+	// debugCapacity is the number of waiting entries at which debug entries are
+	// dropped.
 	debugCapacity = capacity / 2
 	// flushInterval is the time between two writes.
 	flushInterval = 200 * time.Millisecond
@@ -31,7 +30,7 @@
 	maxWriteBytes = 64 << 10
 )
 
-// Log is a handler of apex/log. It is safe for concurrent use.
+// Log is an apex/log handler, safe for concurrent use.
 type Log struct {
 	writer          io.Writer
 	node            string
@@ -43,7 +42,7 @@
 
 var _ log.Handler = (*Log)(nil)
 
-// New returns a log of a node; Run writes it.
+// New returns a log for a node; Run writes its entries.
 func New(writer io.Writer, node string) *Log {
 	return &Log{writer: writer, node: node, entries: ring.New[*log.Entry]("log", capacity, ring.RefuseNew)}
 }
@@ -62,16 +61,16 @@
 	return nil
 }
 
-// Dropped returns the number of lines that were not written.
+// Dropped returns the number of dropped lines.
 func (l *Log) Dropped() uint64 { return l.dropped.Load() }
 
-// Run writes entries until ctx ends, and then what still waits.
+// Run writes entries until ctx ends, and then the remaining ones.
 func (l *Log) Run(ctx context.Context) {
 	wait.Every(ctx, flushInterval, l.flush)
 	l.flush()
 }
 
-// flush writes all entries that wait.
+// flush writes all waiting entries.
 func (l *Log) flush() {
 	var lines bytes.Buffer
 	for entry, found := l.entries.Pop(); found; entry, found = l.entries.Pop() {
@@ -81,12 +80,12 @@
 			l.write(&lines)
 		}
 	}
-	if dropped := l.dropped.Load(); dropped > l.reportedDropped {
+	if total := l.dropped.Load(); total > l.reportedDropped {
 		l.append(&lines, &log.Entry{
 			Level: log.WarnLevel, Timestamp: time.Now(), Message: "log_lines_dropped",
-			Fields: log.Fields{"count": dropped - l.reportedDropped},
+			Fields: log.Fields{"count": total - l.reportedDropped},
 		})
-		l.reportedDropped = dropped
+		l.reportedDropped = total
 	}
 	l.write(&lines)
 }
@@ -107,7 +106,7 @@
 	lines.WriteByte('\n')
 }
 
-// write hands the lines over. A reader that is gone costs only the lines.
+// write writes and clears lines. On a write error the lines are lost.
 func (l *Log) write(lines *bytes.Buffer) {
 	if lines.Len() > 0 {
 		_, _ = l.writer.Write(lines.Bytes())
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -15,7 +15,7 @@
 	"github.com/fieldpond/fieldpond/internal/eventlog"
 )
 
-// lockedBuffer is a writer that can be held up.
+// lockedBuffer is a writer that blocks while its mutex is held.
 type lockedBuffer struct {
 	mutex sync.Mutex
 	bytes.Buffer
--- a/internal/eventlog/timeline.go
+++ b/internal/eventlog/timeline.go
@@ -11,23 +11,22 @@
 	"strings"
 )
 
-// Filter says which lines a Trail keeps. One of the fields is set.
+// Filter selects the lines of a Timeline. Exactly one field is set.
 type Filter struct {
-	// Request keeps the lines about one request.
+	// Request selects the lines about one request.
 	Request string
-	// Instance keeps the lines about one back end, but not those about requests
-	// sent to it.
+	// Instance selects the lines about one back end, except those about requests.
 	Instance string
-	// Configuration keeps the lines about configurations and versions.
+	// Configuration selects the lines about configurations and versions.
 	Configuration bool
-	// Rollout keeps the lines about moving this service to another release.
+	// Rollout selects the lines about rollouts of this service.
 	Rollout string
 }
 
-// rolloutEventPrefix begin the names of the events about rollouts.
+// rolloutEventPrefix is the prefix of the names of rollout events.
 const rolloutEventPrefix = "rollout_"
 
-// configurationEvents are the events about configurations and versions.
+// configurationEvents are the names of events about configurations and versions.
 var configurationEvents = map[string]bool{
 	"configuration_adopted": true, "configuration_row_outdated": true, "version_named": true, "version_recalled": true,
 	"version_row_outdated": true, "naming_not_kept": true, "namings_not_found": true,
@@ -49,19 +48,20 @@
 	}
 }
 
-// Timeline collects the lines of many logs that are about one thing.
+// Timeline merges the matching lines of several logs in order of time.
 type Timeline struct {
 	filter Filter
 	lines  []map[string]any
 }
 
-// NewTimeline returns an empty trail.
+// NewTimeline returns an empty timeline.
 func NewTimeline(filter Filter) *Timeline { return &Timeline{filter: filter} }
 
 // maxLineBytes bounds one line of a log.
 const maxLineBytes = 1 << 20
 
-// Read takes in one log. Lines that hold no JSON object are skipped.
+// Read adds the matching lines of one log. Lines without a JSON object are
+// skipped.
 func (t *Timeline) Read(log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
@@ -79,11 +79,11 @@
 	return scanner.Err()
 }
 
-// leadingFields are the fields that stand first, in this order.
+// leadingFields are the fields printed first, in this order.
 var leadingFields = []string{"at", "node", "event"}
 
-// Lines returns the lines as text, in order of time. Times of several routers
-// are those of their own clocks.
+// Lines returns the lines as text in order of time. Each router's times come
+// from its own clock.
 func (t *Timeline) Lines() []string {
 	slices.SortStableFunc(t.lines, func(a, b map[string]any) int {
 		return strings.Compare(fmt.Sprint(a["at"]), fmt.Sprint(b["at"]))
--- a/internal/reference/errors.go
+++ b/internal/reference/errors.go
@@ -1,6 +1,5 @@
-// Package reference generates pages of docs/reference from the code: the error
-// kinds and the fleet file. The settings and the metrics have generators of
-// their own, beside what they describe.
+// Package reference generates the pages of docs/reference about error kinds and
+// the fleet file. Settings and metrics have generators in their own packages.
 package reference
 
 //go:generate go run ./gen
@@ -18,29 +17,28 @@
 Generated from internal/fault by "go generate ./internal/reference".
 
 Callers get an error as JSON with the HTTP status of its kind; docs/reference/api.md
-shows the form. The command lines print kind, message and remedy in one line and
-end with the exit code. A message may name a remedy that fits better than the
-usual one below.
+shows the format. The programs print kind, message and remedy in one line and end
+with the exit code. A message may name a more specific remedy than the one below.
 
-What ran is stated in every error as "ran":
+Every error states in "ran" whether the request was executed:
 
 - "no": no back end executed any part of the request. It may be sent again.
-- "yes": a back end executed it, wholly or in part.
+- "yes": a back end executed it, completely or partly.
 - "unknown": it may or may not have been executed. A repeatable request may be
   sent again; any other only with the same Idempotency-Key.
 
-"ran" speaks of the whole request: a refusal of a second attempt does not say
-"no" if the first attempt was lost.
+"ran" applies to the whole request: if the first attempt was lost, a refusal of
+the second does not make it "no".
 
 | Exit code | Meaning |
 |---|---|
 | 0 | done |
-| 1 | a fault of fieldpond itself |
+| 1 | an internal error of fieldpond |
 | 2 | the command line or the request is wrong |
 | 3 | a file is invalid |
-| 4 | another was faster: conflict, claim or fence |
-| 5 | a service did not answer, refused, or is not there |
-| 6 | a wait ran out |
+| 4 | a concurrent change came first: conflict, claim or fence |
+| 5 | a service did not answer, refused, or does not exist |
+| 6 | a wait timed out |
 | 7 | access denied |
 
 | Kind | Meaning | HTTP status | Exit code | Remedy |
--- a/internal/reference/fleet.go
+++ b/internal/reference/fleet.go
@@ -15,22 +15,21 @@
 
 Generated from internal/fleet/schema.go by "go generate ./internal/reference".
 
-One YAML file states what a deployment shall be: where data may live, the models,
-services, engines, applications and tenants. It is checked, compared and applied
-as a whole:
+One YAML file describes a deployment: data residency, models, services, engines,
+applications and tenants. It is checked, compared and applied as a whole:
 
     fieldpond check -f fleet.yaml
     fieldpond diff -f fleet.yaml --platform http://127.0.0.1:7000
     fieldpond apply -f fleet.yaml --platform http://127.0.0.1:7000
 
-Unknown keys are refused. Durations are written as 250ms, 2s or 5m. Addresses are
-IP numbers, so that routing needs no name service. Whole files to begin with
-stand in examples/. Beyond what the tables say, "fieldpond check" finds names
-that are not declared, names declared twice, and tenants that no engine of their
-places can serve.
+Unknown keys are errors. Durations are written as 250ms, 2s or 5m. Addresses are
+IP numbers, so that routing needs no name service. Complete files are in
+examples/. Beyond the rules in the tables, "fieldpond check" reports names that
+are not declared, names declared twice, and tenants that no engine of their places
+can serve.
 `
 
-// FleetFile returns the page of the fleet file's schema from source, the text
+// FleetFile returns the page of the fleet file's schema; source is the text
 // of internal/fleet/schema.go.
 func FleetFile(source []byte) ([]byte, error) {
 	parsed, err := doccomment.Parse(source)
@@ -45,7 +44,7 @@
 	return page.Bytes(), nil
 }
 
-// writeSection writes the table of one struct and then those of its fields.
+// writeSection writes the table of one struct, then those of its struct fields.
 func writeSection(page *bytes.Buffer, source *doccomment.Source, name, path string) error {
 	structure, found := source.Struct(name)
 	if !found {
@@ -87,13 +86,13 @@
 	return "no"
 }
 
-// rulesOf returns the validation rules of a field itself, not of its elements.
+// rulesOf returns the validation rules of a field, without those of its elements.
 func rulesOf(field doccomment.Field) []string {
 	own, _, _ := strings.Cut(field.Tag.Get("validate"), ",dive")
 	return strings.Split(own, ",")
 }
 
-// valueText describes the form of a value, with its limits.
+// valueText describes the type of a value and its limits.
 func valueText(source *doccomment.Source, field doccomment.Field) string {
 	text := formText(source, field.Type)
 	if element, isList := strings.CutPrefix(field.Type, "[]"); isList {
@@ -135,7 +134,7 @@
 	return "text"
 }
 
-// nameForm names the name of a thing.
+// nameForm returns "name of a NOUN" or "name of an NOUN".
 func nameForm(noun string) string {
 	if strings.ContainsRune("aeiou", rune(noun[0])) {
 		return "name of an " + noun
@@ -143,7 +142,7 @@
 	return "name of a " + noun
 }
 
-// plural turns the form of one value into that of several.
+// plural returns the plural of a result of formText.
 func plural(form string) string {
 	switch {
 	case form == "entry":
@@ -156,7 +155,7 @@
 	}
 }
 
-// splitWords turns "ModelVersion" into "model version".
+// splitWords converts "ModelVersion" to "model version".
 func splitWords(name string) string {
 	var text strings.Builder
 	for index, letter := range name {
--- a/internal/reference/pages.go
+++ b/internal/reference/pages.go
@@ -2,9 +2,9 @@
 
 // Page is one generated page. Its paths are relative to this package.
 type Page struct {
-	// Source is the Go file that the page is made from, Path the page.
+	// Source is the Go file that the page is generated from, Path the page.
 	Source, Path string
-	// Generate returns the page from the text of the source.
+	// Generate returns the page for the text of Source.
 	Generate func(source []byte) ([]byte, error)
 }
 
--- a/internal/reference/reference_test.go
+++ b/internal/reference/reference_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Every row must say everything: a kind without an entry in the table of kinds,
-// or anything without a doc comment, would leave a cell empty or borrowed.
+// Guards against items without a doc comment and kinds missing from the table of
+// kinds, which would get the remedy of Internal.
 func TestRowsAreComplete(t *testing.T) {
 	is := is.New(t)
 	for _, page := range Pages() {
@@ -37,7 +37,7 @@
 				t.Errorf("%s: an empty cell in %s", page.Path, row)
 			}
 			if strings.Contains(row, fault.Internal.Remedy()) && !strings.Contains(row, string(fault.Internal)) {
-				t.Errorf("%s: a kind without status, exit code and remedy of its own: %s", page.Path, row)
+				t.Errorf("%s: a kind missing from the table of kinds: %s", page.Path, row)
 			}
 		}
 	}
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -1,6 +1,6 @@
-// Package relaytest has a loopback relay for tests whose open connections can
-// be made silent: nothing that either side sends is acknowledged any more and no
-// reset follows, while new connections work.
+// Package relaytest provides a loopback relay for tests that can silence its open
+// connections: packets are dropped without acknowledgement or reset, while new
+// connections work.
 package relaytest
 
 import (
@@ -19,7 +19,7 @@
 // soAttachFilter is the socket option SO_ATTACH_FILTER of Linux.
 const soAttachFilter = 26
 
-// Relay passes connections on to one address.
+// Relay forwards connections to one address.
 type Relay struct {
 	listener net.Listener
 	target   netip.AddrPort
@@ -31,7 +31,7 @@
 	closed   bool
 }
 
-// New starts a relay to target that ends with the test.
+// New starts a relay to target and closes it at the end of the test.
 func New(t *testing.T, target netip.AddrPort) *Relay {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -44,17 +44,18 @@
 	return relay
 }
 
-// Addr returns where the relay listens.
+// Addr returns the listen address.
 func (r *Relay) Addr() netip.AddrPort { return netip.MustParseAddrPort(r.listener.Addr().String()) }
 
-// Accepted returns how many connections the relay has taken.
+// Accepted returns the number of connections forwarded so far.
 func (r *Relay) Accepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted
 }
 
-// Silence makes all open connections silent; those that just ended stay ended.
+// Silence drops all further packets of the open connections; closed ones are
+// skipped.
 func (r *Relay) Silence() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +82,7 @@
 	}
 }
 
-// connect passes bytes on in both directions.
+// connect forwards bytes in both directions.
 func (r *Relay) connect(client, server *net.TCPConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,11 +96,10 @@
 	}
 }
 
-// pipe passes the bytes of one direction on, and its end.
+// pipe forwards the bytes and the end of one direction.
 func pipe(from, to *net.TCPConn) {
 	if _, err := io.Copy(to, from); err != nil {
-		// Both sides see the end as a reset: one that writes would wait for ever for a reader
-		// that is gone.
+		// Reset both sides, or a writer would block for ever after its reader closed.
 		for _, conn := range []*net.TCPConn{to, from} {
 			_ = conn.SetLinger(0)
 			_ = conn.Close()
@@ -109,7 +109,7 @@
 	_ = to.CloseWrite()
 }
 
-// Close resets all connections and takes no new ones.
+// Close resets all connections and stops listening.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
@@ -122,18 +122,17 @@
 	r.pipes.Wait()
 }
 
-// packetFilter is a classic packet filter as the kernel reads it; an instruction is its
-// code, in two bytes, two jumps and an operand.
+// packetFilter is the kernel's struct sock_fprog of a classic BPF program. An instruction
+// is a two-byte code, two jumps and an operand.
 type packetFilter struct {
 	length uint16
 	first  *[8]byte
 }
 
-// returnConstant is the code that ends a packet filter; its operand is the number of
-// bytes kept of the packet.
+// returnConstant is BPF_RET|BPF_K; its operand is the number of bytes kept of the packet.
 const returnConstant = 0x06
 
-// dropIncoming lets the kernel drop every packet that arrives for a connection.
+// dropIncoming makes the kernel drop every packet received for a connection.
 func dropIncoming(conn *net.TCPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/relaytest/relay_test.go
+++ b/internal/relaytest/relay_test.go
@@ -1,10 +1,5 @@
 package relaytest
 
-// A test of routers hung for nine minutes. The dump of its goroutines: a stand-in of the store was
-// writing an answer of 6 MB, of which a router takes 4 MB at most, into a connection of the relay;
-// all others waited for the lock that the writer held. A relay whose reader was gone took no more of
-// the answer, and did not end the connection that it came from.
-
 import (
 	"io"
 	"net"
@@ -15,9 +10,11 @@
 	"github.com/matryer/is"
 )
 
-// answerBytes is more than all buffers between two ends take in.
+// answerBytes is more than all buffers between both ends hold.
 const answerBytes = 64 << 20
 
+// Guards against a writer that blocks for ever because the relay keeps its connection open after
+// the reader closed.
 func TestWriterFailsWhenReaderIsGone(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -44,11 +41,11 @@
 	is.NoErr(err)
 	is.NoErr(reader.(*net.TCPConn).CloseWrite())
 	<-requestEnded
-	is.NoErr(reader.Close()) // with bytes unread: a reset, where only the answer is still passed on
+	is.NoErr(reader.Close()) // unread bytes cause a reset while only the answer is being forwarded
 	select {
 	case err := <-ended:
 		is.True(err != nil)
 	case <-time.After(10 * time.Second):
-		t.Error("the writer waits for a reader that is gone")
+		t.Error("the writer still blocks after its reader closed")
 	}
 }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring joins the duties (goroutines) of a process by bounded queues
-// with a stated overflow policy and counters.
+// Package ring provides bounded queues between goroutines with an overflow policy
+// and counters.
 package ring
 
 import (
@@ -7,14 +7,14 @@
 	"sync/atomic"
 )
 
-// Policy says what a full ring does with one more item.
+// Policy is what a full ring does on Push.
 type Policy int
 
 const (
-	// RefuseNew leaves the ring as it is and reports the new item as refused.
+	// RefuseNew refuses the new item.
 	RefuseNew Policy = iota
-	// DropOldest drops the oldest item to make room; use it only for
-	// information that a later item replaces.
+	// DropOldest drops the oldest item; use it only where a later item replaces
+	// an earlier one.
 	DropOldest
 )
 
@@ -36,7 +36,7 @@
 type Counters struct {
 	// Name is the name given to New.
 	Name string
-	// Depth is the number of items waiting, Capacity the most there can be.
+	// Depth is the number of waiting items, Capacity its maximum.
 	Depth, Capacity int
 	// Pushed counts accepted items; Dropped counts refused or dropped ones.
 	Pushed, Dropped uint64
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// FlagName returns the flag of a setting: "limits.maxBodyBytes" has the flag
-// "limits-max-body-bytes".
+// FlagName returns the flag name of a setting, such as "limits-max-body-bytes"
+// for "limits.maxBodyBytes".
 func FlagName(path string) string {
 	var name strings.Builder
 	for _, letter := range path {
@@ -67,8 +67,7 @@
 	return sequence
 }
 
-// eachLeaf calls visit for every setting below target, in the order of the
-// struct's fields.
+// eachLeaf calls visit for every setting below target, in field order.
 func eachLeaf(path string, target reflect.Value, visit func(path string, leaf reflect.Value)) {
 	for index := range target.NumField() {
 		tag := target.Type().Field(index).Tag.Get("yaml")
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -15,9 +15,9 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Load reads the settings file at path, lays the flags over it and checks the
-// result. An empty path means flags only; flags may be nil. The error is a
-// fault of kind InvalidSettings that names every problem with its origin: the
+// Load reads the settings file at path, overrides it with the flags and checks
+// the result. An empty path means flags only; flags may be nil. The error is a
+// fault of kind InvalidSettings that lists every problem with its origin: the
 // line of the file, the flag, or "not set".
 func Load(path string, flags *pflag.FlagSet) (*Settings, error) {
 	settings := Default()
@@ -41,7 +41,7 @@
 	return &settings, nil
 }
 
-// fillAddresses sets the advertised addresses that follow from others.
+// fillAddresses defaults the advertised addresses to the listen addresses.
 func (s *Settings) fillAddresses() {
 	if s.Advertise == "" {
 		s.Advertise = s.Listen
@@ -51,9 +51,9 @@
 	}
 }
 
-// reader collects values with their origins, and every problem.
+// reader collects the origins of values and all problems.
 type reader struct {
-	// origins holds "line 3" or "flag --zone" by the path of a setting.
+	// origins holds "line 3" or "flag --zone" by setting path.
 	origins  map[string]string
 	problems []string
 }
@@ -72,7 +72,7 @@
 		return
 	}
 	if err := decoder.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
-		r.addProblem("file", "YAML", "holds more than one document")
+		r.addProblem("file", "YAML", "contains more than one document")
 	}
 	r.readMapping("", document.Content[0], reflect.ValueOf(settings).Elem())
 }
@@ -82,7 +82,7 @@
 		r.addProblem(lineOf(node), pathOrFile(path), "must be a mapping of settings")
 		return
 	}
-	seen := map[string]bool{}
+	present := map[string]bool{}
 	for index := 0; index+1 < len(node.Content); index += 2 {
 		name, value := node.Content[index], node.Content[index+1]
 		child := joinPath(path, name.Value)
@@ -90,14 +90,14 @@
 		switch {
 		case !known:
 			r.addProblem(lineOf(name), child, "unknown setting")
-		case seen[name.Value]:
-			r.addProblem(lineOf(name), child, "stands twice")
+		case present[name.Value]:
+			r.addProblem(lineOf(name), child, "is set twice")
 		case field.Kind() == reflect.Struct:
 			r.readMapping(child, value, field)
 		default:
 			r.readLeaf(child, lineOf(value), value, field)
 		}
-		seen[name.Value] = true
+		present[name.Value] = true
 	}
 }
 
@@ -139,7 +139,7 @@
 	return reflect.Value{}, false
 }
 
-// typeName names the type of a leaf for people.
+// typeName returns the type of a leaf for error messages.
 func typeName(target reflect.Value) string {
 	switch target.Interface().(type) {
 	case []string:
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -4,10 +4,9 @@
 
 const redacted = "[redacted]"
 
-// Secret is a value that never shows in logs, errors or encoded documents. It
-// prints as "[redacted]" in every fmt verb, JSON, YAML and text encoding. The
-// value stands behind a function, so that even fmt's reflection over
-// unexported fields cannot reach it.
+// Secret is a value that prints as "[redacted]" under every fmt verb and in
+// JSON, YAML, text and binary encodings. The value is kept in a closure, so
+// that fmt's reflection over unexported fields cannot reach it.
 type Secret struct {
 	reveal func() []byte
 }
@@ -18,8 +17,8 @@
 	return Secret{reveal: func() []byte { return append([]byte(nil), copied...) }}
 }
 
-// Reveal returns a copy of the value; it is empty for the zero Secret. Use it
-// only where the value is used, never to print or store it.
+// Reveal returns a copy of the value, or nil for the zero Secret. The result
+// must not be printed or stored.
 func (s Secret) Reveal() []byte {
 	if s.reveal == nil {
 		return nil
@@ -33,7 +32,7 @@
 // String implements fmt.Stringer.
 func (s Secret) String() string { return redacted }
 
-// MarshalText implements encoding.TextMarshaler, which JSON and others use.
+// MarshalText implements encoding.TextMarshaler, which JSON uses.
 func (s Secret) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
 // MarshalYAML implements yaml.Marshaler.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads what one router process must know before it can join
-// the others: its names, its addresses and its limits. Everything about
-// tenants, engines and models stands in the fleet file instead.
+// Package settings reads the settings of one router process: names, addresses
+// and limits. Tenants, engines and models are configured in the fleet file.
 package settings
 
 //go:generate go run ./gen
@@ -11,53 +10,53 @@
 type Settings struct {
 	// Node is the name of this router, unique among all routers. Required.
 	Node string `yaml:"node"`
-	// Zone is the zone this router stands in, as the fleet file names it. Required.
+	// Zone is the zone of this router, as named in the fleet file. Required.
 	Zone string `yaml:"zone"`
 	// Listen is the address for callers and operators over HTTP: host:port, the host an IP number. Required.
 	Listen string `yaml:"listen"`
-	// Advertise is the HTTP address that the other routers are told: host:port, the host an IP number that they can reach. Not set means the listen address.
+	// Advertise is the HTTP address by which other routers reach this one: host:port, the host an IP number. Not set means the listen address.
 	Advertise string `yaml:"advertise"`
 	// GossipListen is the UDP address for gossip between routers: host:port, the host an IP number. Required.
 	GossipListen string `yaml:"gossipListen"`
-	// GossipAdvertise is the UDP address that the other routers are told. Not set means the gossip listen address.
+	// GossipAdvertise is the UDP address by which other routers reach this one. Not set means the gossip listen address.
 	GossipAdvertise string `yaml:"gossipAdvertise"`
 	// Platform is the URL of the platform's services, "http://" or "https://" and a host that is an IP number. Required.
 	Platform string `yaml:"platform"`
-	// Seeds lists gossip addresses of other routers to join by, beside the platform's machine list. Empty means the machine list only.
+	// Seeds lists gossip addresses of other routers to join, in addition to the platform's machine list. Empty means the machine list only.
 	Seeds []string `yaml:"seeds"`
-	// ClusterKey says where the key stands that all routers of a deployment share; it authenticates gossip and seals resume tokens. Set exactly one of its fields.
+	// ClusterKey is the source of the key that all routers of a deployment share; it authenticates gossip and seals resume tokens. Set exactly one of its fields.
 	ClusterKey ClusterKeySource `yaml:"clusterKey"`
 	// LogLevel is the least severe level that is logged: "debug", "info", "warn" or "error".
 	LogLevel string `yaml:"logLevel"`
-	// StopGrace is the longest a planned stop waits for open requests to finish. A stop that runs into it is logged as a fault.
+	// StopGrace is the longest that a planned stop waits for open requests to finish. Exceeding it is logged as a fault.
 	StopGrace time.Duration `yaml:"stopGrace"`
-	// Limits bounds what callers may send.
+	// Limits bounds the requests of callers.
 	Limits Limits `yaml:"limits"`
 	// Table bounds the use of the platform's table service.
 	Table Table `yaml:"table"`
-	// Intervals says how often the router looks at what others say.
+	// Intervals sets how often the router polls and probes.
 	Intervals Intervals `yaml:"intervals"`
-	// Control paces the orders to engines while this router is in charge of them.
+	// Control limits the weight loads that this router orders from engines.
 	Control Control `yaml:"control"`
 
 	clusterKey Secret
 }
 
-// ClusterKeySource says where the cluster key stands; never the key itself.
+// ClusterKeySource names the source of the cluster key, never the key itself.
 type ClusterKeySource struct {
-	// File is the path of a file that holds the key, at least 32 bytes; a line end after it is not part of the key.
+	// File is the path of a file with the key, at least 32 bytes; a trailing line end is not part of the key.
 	File string `yaml:"file"`
-	// Environment is the name of an environment variable that holds the key, at least 32 bytes.
+	// Environment is the name of an environment variable with the key, at least 32 bytes.
 	Environment string `yaml:"environment"`
 }
 
-// Limits bounds what callers may send.
+// Limits bounds the requests of callers.
 type Limits struct {
 	// MaxBodyBytes is the largest request body, in bytes.
 	MaxBodyBytes int64 `yaml:"maxBodyBytes"`
 	// MaxHeaderBytes is the largest request header, in bytes.
 	MaxHeaderBytes int `yaml:"maxHeaderBytes"`
-	// MaxOpenRequests is the most requests open at one time; more are refused, not run.
+	// MaxOpenRequests is the most requests open at one time; further ones are refused before execution.
 	MaxOpenRequests int `yaml:"maxOpenRequests"`
 }
 
@@ -67,13 +66,13 @@
 	RequestsPerSecond float64 `yaml:"requestsPerSecond"`
 	// Timeout is the longest wait for one answer of the table service.
 	Timeout time.Duration `yaml:"timeout"`
-	// ClaimTimeout is the longest a request that may not be repeated waits for its claim before it is refused, not run.
+	// ClaimTimeout is the longest that a non-repeatable request waits for its claim before it is refused without execution.
 	ClaimTimeout time.Duration `yaml:"claimTimeout"`
-	// ClaimRetention is how long an idempotency key is remembered after its request came; at least 1h. A key that comes back later counts as new. Set it alike on all routers.
+	// ClaimRetention is how long an idempotency key is kept after its request arrived; at least 1h. After that the key counts as new. Set the same value on all routers.
 	ClaimRetention time.Duration `yaml:"claimRetention"`
 }
 
-// Intervals says how often the router looks at what others say.
+// Intervals sets how often the router polls and probes.
 type Intervals struct {
 	// LoadPoll is the time between two reads of a back end's load report.
 	LoadPoll time.Duration `yaml:"loadPoll"`
@@ -83,16 +82,15 @@
 	GossipProbe time.Duration `yaml:"gossipProbe"`
 }
 
-// Control paces the orders to engines while this router is in charge of them.
+// Control limits the weight loads that this router orders from engines.
 type Control struct {
-	// LoadsPerSecond is how many loads of model weights are ordered a second for each group of engines; keep it below the weight store's limit.
+	// LoadsPerSecond is the rate of weight loads ordered for each group of engines, in loads a second; keep it below the weight store's limit.
 	LoadsPerSecond float64 `yaml:"loadsPerSecond"`
-	// MaxLoadsPerZone is the most engines of a zone that load weights at one time.
+	// MaxLoadsPerZone is the most engines of a zone that load weights at the same time.
 	MaxLoadsPerZone int `yaml:"maxLoadsPerZone"`
 }
 
-// Default returns the settings that hold where nothing else is set. It lacks
-// the required ones.
+// Default returns the default settings; the required ones are left empty.
 func Default() Settings {
 	return Settings{
 		LogLevel:  "info",
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -44,13 +44,13 @@
 			[]string{"line 2: zones: unknown setting", "line 3: limits.maxBodyBytes: \"many\" is not a whole number", "line 3: limits.most: unknown setting", "not set: zone: is required"}},
 		{"host names", "listen: 127.0.0.1:8080", "listen: localhost:80\nseeds: [\"10.0.0.1:1\", \"seed:1\"]",
 			[]string{`line 3: listen: "localhost:80"`, `line 4: seeds: "seed:1"`}},
-		{"platform by name", "http://127.0.0.1:9000", "http://user:pw@platform", []string{"must not hold a user name", `host "platform" is not an IP number`}},
+		{"platform by name", "http://127.0.0.1:9000", "http://user:pw@platform", []string{"must not contain a user name", `host "platform" is not an IP number`}},
 		{"unreachable advertise", "listen: 127.0.0.1:8080", "listen: 0.0.0.0:8080", []string{`not set: advertise: "0.0.0.0:8080" cannot be reached`}},
 		{"inline key", "clusterKey: {environment: FIELDPOND_TEST_KEY}", "clusterKey: " + testKey, []string{"line 6: clusterKey: must be a mapping"}},
 		{"key as path", "environment: FIELDPOND_TEST_KEY", "file: " + testKey, []string{"line 6: clusterKey.file: names a file that cannot be read"}},
 		{"short key", "FIELDPOND_TEST_KEY", "FIELDPOND_SHORT_KEY", []string{"line 6: clusterKey.environment: names a key of 17 bytes"}},
 		{"two keys", "{environment: FIELDPOND_TEST_KEY}", "{environment: A, file: b}", []string{"clusterKey: set exactly one"}},
-		{"twice", "node: router-1", "node: router-1\nnode: router-2", []string{"line 2: node: stands twice"}},
+		{"twice", "node: router-1", "node: router-1\nnode: router-2", []string{"line 2: node: is set twice"}},
 		{"ranges", "node: router-1", "node: router-1\nstopGrace: -1s\nlogLevel: loud\ntable: {requestsPerSecond: .nan, timeout: 5, claimRetention: 59m}",
 			[]string{"line 2: stopGrace: -1s is not", `line 3: logLevel: "loud"`, "line 4: table.requestsPerSecond: NaN", "line 4: table.timeout:", "line 4: table.claimRetention: 59m0s is not"}},
 		{"no mapping", minimalFile, "- 1", []string{"line 1: the file: must be a mapping"}},
@@ -112,9 +112,8 @@
 	is.Equal(fmt.Sprintf("%d %x %#v", secret, secret, secret), "[redacted] [redacted] [redacted]")
 }
 
-// A setting that nothing reads would be a promise without effect. The router and
-// its command read the settings; this package itself reads where the cluster key
-// stands, as the other tests show.
+// Guards against a setting without effect. The source of the cluster key is
+// read by this package and covered by other tests.
 func TestEverySettingIsRead(t *testing.T) {
 	is := is.New(t)
 	var readers []string
--- a/internal/settings/usages_generated.go
+++ b/internal/settings/usages_generated.go
@@ -2,30 +2,30 @@
 
 package settings
 
-// fieldUsages holds the doc comment of every setting by its path.
+// fieldUsages holds the doc comment of every setting by path.
 var fieldUsages = map[string]string{
 	"node":                    "The name of this router, unique among all routers. Required.",
-	"zone":                    "The zone this router stands in, as the fleet file names it. Required.",
+	"zone":                    "The zone of this router, as named in the fleet file. Required.",
 	"listen":                  "The address for callers and operators over HTTP: host:port, the host an IP number. Required.",
-	"advertise":               "The HTTP address that the other routers are told: host:port, the host an IP number that they can reach. Not set means the listen address.",
+	"advertise":               "The HTTP address by which other routers reach this one: host:port, the host an IP number. Not set means the listen address.",
 	"gossipListen":            "The UDP address for gossip between routers: host:port, the host an IP number. Required.",
-	"gossipAdvertise":         "The UDP address that the other routers are told. Not set means the gossip listen address.",
+	"gossipAdvertise":         "The UDP address by which other routers reach this one. Not set means the gossip listen address.",
 	"platform":                "The URL of the platform's services, \"http://\" or \"https://\" and a host that is an IP number. Required.",
-	"seeds":                   "Lists gossip addresses of other routers to join by, beside the platform's machine list. Empty means the machine list only.",
-	"clusterKey.file":         "The path of a file that holds the key, at least 32 bytes; a line end after it is not part of the key.",
-	"clusterKey.environment":  "The name of an environment variable that holds the key, at least 32 bytes.",
+	"seeds":                   "Lists gossip addresses of other routers to join, in addition to the platform's machine list. Empty means the machine list only.",
+	"clusterKey.file":         "The path of a file with the key, at least 32 bytes; a trailing line end is not part of the key.",
+	"clusterKey.environment":  "The name of an environment variable with the key, at least 32 bytes.",
 	"logLevel":                "The least severe level that is logged: \"debug\", \"info\", \"warn\" or \"error\".",
-	"stopGrace":               "The longest a planned stop waits for open requests to finish. A stop that runs into it is logged as a fault.",
+	"stopGrace":               "The longest that a planned stop waits for open requests to finish. Exceeding it is logged as a fault.",
 	"limits.maxBodyBytes":     "The largest request body, in bytes.",
 	"limits.maxHeaderBytes":   "The largest request header, in bytes.",
-	"limits.maxOpenRequests":  "The most requests open at one time; more are refused, not run.",
+	"limits.maxOpenRequests":  "The most requests open at one time; further ones are refused before execution.",
 	"table.requestsPerSecond": "This router's share of the table service's rate limit, in requests a second.",
 	"table.timeout":           "The longest wait for one answer of the table service.",
-	"table.claimTimeout":      "The longest a request that may not be repeated waits for its claim before it is refused, not run.",
-	"table.claimRetention":    "How long an idempotency key is remembered after its request came; at least 1h. A key that comes back later counts as new. Set it alike on all routers.",
+	"table.claimTimeout":      "The longest that a non-repeatable request waits for its claim before it is refused without execution.",
+	"table.claimRetention":    "How long an idempotency key is kept after its request arrived; at least 1h. After that the key counts as new. Set the same value on all routers.",
 	"intervals.loadPoll":      "The time between two reads of a back end's load report.",
 	"intervals.machinePoll":   "The time between two reads of the platform's machine list.",
 	"intervals.gossipProbe":   "The time between two gossip probes.",
-	"control.loadsPerSecond":  "How many loads of model weights are ordered a second for each group of engines; keep it below the weight store's limit.",
-	"control.maxLoadsPerZone": "The most engines of a zone that load weights at one time.",
+	"control.loadsPerSecond":  "The rate of weight loads ordered for each group of engines, in loads a second; keep it below the weight store's limit.",
+	"control.maxLoadsPerZone": "The most engines of a zone that load weights at the same time.",
 }
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -12,13 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// MinClusterKeyBytes is the least length of the cluster key, in bytes.
+// MinClusterKeyBytes is the minimum length of the cluster key.
 const MinClusterKeyBytes = 32
 
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// validate checks every setting and reads the cluster key. It goes on after a
-// problem, so that one run names them all.
+// validate checks every setting and reads the cluster key. It continues after
+// a problem, so that one run reports all of them.
 func (r *reader) validate(s *Settings) {
 	r.require("node", s.Node)
 	r.require("zone", s.Zone)
@@ -38,12 +38,12 @@
 	}
 	r.readClusterKey(s)
 	if !slices.Contains(logLevels, s.LogLevel) {
-		r.problemAt("logLevel", "%q is none of %v", s.LogLevel, logLevels)
+		r.problemAt("logLevel", "%q is not one of %v", s.LogLevel, logLevels)
 	}
 	r.validateNumbers(s)
 }
 
-// maxClaimRetention bounds the retention of claims to a year.
+// maxClaimRetention is the upper bound of table.claimRetention.
 const maxClaimRetention = 366 * 24 * time.Hour
 
 func (r *reader) validateNumbers(s *Settings) {
@@ -62,7 +62,7 @@
 	r.checkDuration("intervals.gossipProbe", s.Intervals.GossipProbe, 10*time.Millisecond, time.Minute)
 }
 
-// problemAt notes a problem under the origin of the setting.
+// problemAt adds a problem with the origin of the setting.
 func (r *reader) problemAt(path, format string, arguments ...any) {
 	origin, set := r.origins[path]
 	if !set {
@@ -101,7 +101,7 @@
 		return
 	}
 	if parsed.User != nil {
-		r.problemAt("platform", "must not hold a user name or password")
+		r.problemAt("platform", "must not contain a user name or password")
 	}
 	if _, err := netip.ParseAddr(parsed.Hostname()); err != nil {
 		r.problemAt("platform", "the host %q is not an IP number", parsed.Hostname())
@@ -133,8 +133,8 @@
 	s.clusterKey = NewSecret(key)
 }
 
-// withoutPath drops the path from a file error: it might be the key itself,
-// written in the wrong place.
+// withoutPath drops the path from a file error: it may be the key itself, given
+// by mistake.
 func withoutPath(err error) error {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
@@ -143,14 +143,14 @@
 	return err
 }
 
-func (r *reader) checkRange(path string, value, least, most float64) {
-	if !(value >= least && value <= most) {
-		r.problemAt(path, "%g is not between %g and %g", value, least, most)
+func (r *reader) checkRange(path string, value, lower, upper float64) {
+	if !(value >= lower && value <= upper) {
+		r.problemAt(path, "%g is not between %g and %g", value, lower, upper)
 	}
 }
 
-func (r *reader) checkDuration(path string, value, least, most time.Duration) {
-	if value < least || value > most {
-		r.problemAt(path, "%s is not between %s and %s", value, least, most)
+func (r *reader) checkDuration(path string, value, lower, upper time.Duration) {
+	if value < lower || value > upper {
+		r.problemAt(path, "%s is not between %s and %s", value, lower, upper)
 	}
 }
--- a/internal/sse/event.go
+++ b/internal/sse/event.go
@@ -4,7 +4,7 @@
 
 // Event is one server-sent event.
 type Event struct {
-	// ID is the "id" field; a caller that reconnects sends the last one back.
+	// ID is the "id" field; a client sends the last one when it reconnects.
 	ID string
 	// Name is the "event" field; empty means "message".
 	Name string
--- a/internal/sse/reader.go
+++ b/internal/sse/reader.go
@@ -8,11 +8,12 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTooLarge is returned for a line or an event above the reader's bound.
-// The stream cannot be read any further.
+// ErrTooLarge is returned for a line or an event above the reader's limit. The
+// stream cannot be read further.
 var ErrTooLarge = errors.New("server-sent event above its size limit")
 
-// readBufferBytes is the initial buffer of a reader; it grows up to the bound.
+// readBufferBytes is the size of the read buffer; longer lines are joined in
+// Reader.line.
 const readBufferBytes = 4096
 
 // Reader reads events from a stream. It is used by one goroutine.
@@ -32,7 +33,8 @@
 
 // Next returns the next event that carries data, an id or a name. At the end
 // of the stream it returns io.EOF after a whole event, and io.ErrUnexpectedEOF
-// inside one; the incomplete event is dropped. Errors last.
+// inside one; the incomplete event is dropped. After an error every call returns
+// that error.
 func (r *Reader) Next() (Event, error) {
 	if r.failed != nil {
 		return Event{}, r.failed
@@ -66,7 +68,7 @@
 }
 
 // readLine returns the next line without its end. The bytes are valid until
-// the next call. With io.EOF it returns what stood before the end.
+// the next call. With io.EOF it returns the incomplete last line.
 func (r *Reader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	for {
@@ -91,11 +93,11 @@
 	event   Event
 	started bool
 	hasData bool
-	// size counts the bytes of the fields taken so far.
+	// size counts the bytes of the fields added so far.
 	size int
 }
 
-// add takes one non-empty line. Comments and unknown fields are ignored.
+// add adds one non-empty line. Comments and unknown fields are ignored.
 func (a *eventAssembly) add(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -28,7 +28,7 @@
 		{"cut inside a line", "data: a\n\ndat", 1, "a", io.ErrUnexpectedEOF},
 		{"line too long", "data: " + strings.Repeat("x", testLimit) + "\n\n", 0, "", sse.ErrTooLarge},
 		{"event too long", strings.Repeat("data: 12345678\n", testLimit/8) + "\n", 0, "", sse.ErrTooLarge},
-		{"comments do not add up", strings.Repeat(": a comment of some length\n\n", testLimit) + "data: y\n\n", 1, "y", io.EOF},
+		{"comments do not count towards the limit", strings.Repeat(": a comment of some length\n\n", testLimit) + "data: y\n\n", 1, "y", io.EOF},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 			is.Equal(last, c.last)
 			is.Equal(err, c.end)
 			_, again := reader.Next()
-			is.Equal(again, c.end) // errors last
+			is.Equal(again, c.end) // the error is permanent
 		})
 	}
 }
@@ -56,8 +56,8 @@
 	is.Equal(writer.Write(sse.Event{Data: []byte("a\rdata: forged")}), sse.ErrUnwritable)
 }
 
-// FuzzReader checks that no input panics or exceeds the bound, and that what
-// was read is read back the same after being written.
+// FuzzReader checks that no input panics or exceeds the limit, and that events
+// survive a round trip through Writer and Reader.
 func FuzzReader(f *testing.F) {
 	for _, seed := range []string{
 		"id: 7\nevent: end\ndata: {\"kind\":\"end\"}\n\n", "data\n\n", ":\n\n", "data: a\r\ndata: b\r\n\r\n", "event: x\n\n", "data: a\x00\rb\n\n",
@@ -72,7 +72,7 @@
 				return
 			}
 			if len(event.ID)+len(event.Name)+len(event.Data) > testLimit {
-				t.Fatalf("event of %d bytes passed the limit", len(event.Data))
+				t.Fatalf("event with %d data bytes exceeds the limit", len(event.Data))
 			}
 			recorder := httptest.NewRecorder()
 			if sse.NewWriter(recorder).Write(event) != nil {
--- a/internal/statechart/chart.go
+++ b/internal/statechart/chart.go
@@ -1,10 +1,9 @@
 // Package statechart interprets the state charts of fieldpond.
 //
-// The charts stand in charts/*.yaml and are embedded. A chart is checked when
-// it is loaded: for every state that is not terminal, each event of the chart
-// either has a transition, or stands in the state's "ignore" list (the event
-// may come late and changes nothing) or "forbid" list (firing it is a fault of
-// the caller). Nothing is left unsaid, and no state follows a terminal one.
+// The charts are embedded from charts/*.yaml and checked when loaded: in every
+// non-terminal state, each event either has a transition, or is in the state's
+// "ignore" list (it may arrive late and has no effect) or "forbid" list (firing it
+// is an error of the caller). Terminal states have no transitions.
 package statechart
 
 import (
@@ -25,7 +24,7 @@
 // Event names an event of a chart.
 type Event string
 
-// Guard names a condition that an instance may or may not fulfil.
+// Guard names a condition of a transition; see Allow.
 type Guard string
 
 // Chart is one checked state chart. It is immutable and safe to share.
@@ -79,7 +78,7 @@
 	return names
 }
 
-// Definition returns the chart as written in its file. Do not change it.
+// Definition returns the chart as written in its file. Callers must not modify it.
 func (c *Chart) Definition() Definition { return c.definition }
 
 // New returns an instance in the chart's initial state.
@@ -91,5 +90,5 @@
 	return instance
 }
 
-// Terminal reports whether the state is a terminal one of this chart.
+// Terminal returns whether the state is a terminal one of this chart.
 func (c *Chart) Terminal(state State) bool { return c.states[state].Terminal }
--- a/internal/statechart/chart_test.go
+++ b/internal/statechart/chart_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestExploration fires random events at every chart and judges the promises
-// of the charts: each event is stated, and nothing follows a terminal state.
+// Fires random events at every chart. Guards against undeclared events, events
+// accepted after a terminal state and an executed request reported as not run.
 func TestExploration(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
@@ -88,20 +88,20 @@
 			continue
 		}
 		if ended {
-			t.Fatalf("event %s taken after the end in %s", event, before)
+			t.Fatalf("event %s accepted in terminal state %s", event, before)
 		}
 		if instance.Terminal() {
 			terminals++
 		}
 		if event == RequestEventAttemptSent {
 			if uncertain && !repeatable {
-				t.Fatalf("second attempt after an unclear one")
+				t.Fatalf("second attempt after one with unknown outcome")
 			}
 			sent++
 		}
 		uncertain = uncertain || event == RequestEventAttemptLost || event == RequestEventStreamStarted
 		if after == RequestStateRefusedNotRun && (uncertain || before == RequestStateDispatched) {
-			t.Fatalf("%d attempts, one unclear, called not run", sent)
+			t.Fatalf("%d attempts, one with unknown outcome, reported as not run", sent)
 		}
 	}
 	if terminals > 1 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// drawEvent prefers events that lead on, so that deep states are reached, and
-// still fires any other event now and then.
+// drawEvent prefers events that lead to non-terminal states, so that deep states
+// are reached, and sometimes draws any event.
 func drawEvent(t *rapid.T, chart *Chart, state State) Event {
 	var all, nonTerminal []Event
 	for _, event := range chart.definition.Events {
@@ -122,12 +122,12 @@
 		}
 	}
 	if len(nonTerminal) > 0 && rapid.IntRange(0, 9).Draw(t, "kind") > 2 {
-		return rapid.SampledFrom(nonTerminal).Draw(t, "event leading on")
+		return rapid.SampledFrom(nonTerminal).Draw(t, "non-terminal event")
 	}
 	return rapid.SampledFrom(all).Draw(t, "any event")
 }
 
-// TestMain fixes the seed, so that every run explores the same ways.
+// TestMain fixes the seed, so that every run draws the same events.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.checks": "2000", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -161,7 +161,7 @@
 	is.True(errors.As(fire(RequestEventAttemptSent), &refused)) // no claim yet
 	is.Equal(refused.Reason, ReasonGuard)
 	is.NoErr(fire(RequestEventClaimWon, RequestEventAttemptSent, RequestEventAttemptLost, RequestEventAttemptRefused))
-	is.True(fire(RequestEventAttemptSent) != nil) // fate unknown: never again
+	is.True(fire(RequestEventAttemptSent) != nil) // outcome unknown: must not be sent again
 	is.NoErr(fire(RequestEventGaveUp))
 	is.Equal(instance.State(), RequestStateOutcomeUnknown)
 	is.Equal(*observer, countingObserver{transitions: 6, ignored: 1, rejected: 2})
--- a/internal/statechart/definition.go
+++ b/internal/statechart/definition.go
@@ -14,18 +14,16 @@
 type Definition struct {
 	// Name of the chart; the file is charts/<name>.yaml.
 	Name string `yaml:"name"`
-	// Doc says what the chart describes.
+	// Doc describes the chart.
 	Doc string `yaml:"doc"`
 	// Initial is the state of a new instance.
 	Initial State `yaml:"initial"`
-	// Guards lists every guard a transition may name.
-	Guards []Guard `yaml:"guards"`
-	// Events lists every event.
+	// Guards lists the guards that transitions may use.
+	Guards []Guard           `yaml:"guards"`
 	Events []EventDefinition `yaml:"events"`
-	// States lists every state.
 	States []StateDefinition `yaml:"states"`
-	// Transitions lists every change of state; of several with the same from
-	// and event, the first whose guard is fulfilled is taken.
+	// Transitions lists the transitions; of several with the same from and
+	// event, the first with an allowed guard is taken.
 	Transitions []Transition `yaml:"transitions"`
 }
 
@@ -40,22 +38,22 @@
 	Name     State  `yaml:"name"`
 	Doc      string `yaml:"doc"`
 	Terminal bool   `yaml:"terminal"`
-	// Ignore lists events that change nothing in this state.
+	// Ignore lists events without effect in this state.
 	Ignore []Event `yaml:"ignore"`
 	// Forbid lists events that must not be fired in this state.
 	Forbid []Event `yaml:"forbid"`
 }
 
-// Transition is one change of state.
+// Transition is one transition of a chart.
 type Transition struct {
 	From  []State `yaml:"from"`
 	Event Event   `yaml:"event"`
 	To    State   `yaml:"to"`
-	// Guard must be fulfilled for the transition; empty means always.
+	// Guard must be allowed for the transition; empty means always.
 	Guard Guard `yaml:"guard"`
 }
 
-// Parse reads and checks a chart. The error lists every problem found.
+// Parse decodes and checks a chart. The error lists all problems.
 func Parse(source []byte) (*Chart, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(source))
 	decoder.KnownFields(true)
@@ -104,7 +102,7 @@
 	definition := c.chart.definition
 	for _, state := range definition.States {
 		if _, duplicate := c.chart.states[state.Name]; duplicate {
-			c.addProblem("state %q stands twice", state.Name)
+			c.addProblem("state %q is declared twice", state.Name)
 		}
 		c.chart.states[state.Name] = state
 		c.indexList(state, state.Ignore, c.chart.ignored)
@@ -158,8 +156,7 @@
 	c.chart.transitions[at] = append(c.chart.transitions[at], transition)
 }
 
-// checkComplete sees to it that each event is named exactly once for a state
-// that is not terminal.
+// checkComplete checks that a non-terminal state declares each event exactly once.
 func (c *checker) checkComplete(state StateDefinition) {
 	if state.Terminal {
 		if len(state.Ignore)+len(state.Forbid) > 0 {
--- a/internal/statechart/instance.go
+++ b/internal/statechart/instance.go
@@ -5,22 +5,21 @@
 	"sync"
 )
 
-// Reason says why an event was not taken.
+// Reason is why an event was rejected.
 type Reason string
 
 const (
-	// ReasonTerminal means: the instance had already ended.
+	// ReasonTerminal means that the instance is in a terminal state.
 	ReasonTerminal Reason = "terminal"
-	// ReasonForbidden means: the state's forbid list names the event.
+	// ReasonForbidden means that the state's forbid list contains the event.
 	ReasonForbidden Reason = "forbidden"
-	// ReasonGuard means: no guard of the event's transitions is fulfilled.
+	// ReasonGuard means that no guard of the event's transitions is allowed.
 	ReasonGuard Reason = "guard"
-	// ReasonUnknown means: the chart has no such event.
+	// ReasonUnknown means that the chart has no such event.
 	ReasonUnknown Reason = "unknown"
 )
 
-// EventError is the error of an event that was not taken. The state is
-// unchanged.
+// EventError is the error of a rejected event. The state is unchanged.
 type EventError struct {
 	Chart  string
 	State  State
@@ -30,25 +29,25 @@
 
 // Error implements error.
 func (e *EventError) Error() string {
-	return fmt.Sprintf("state chart %s: event %s not taken in state %s (%s)", e.Chart, e.Event, e.State, e.Reason)
+	return fmt.Sprintf("state chart %s: event %s rejected in state %s (%s)", e.Chart, e.Event, e.State, e.Reason)
 }
 
-// Observer is told of every event fired. Its methods must not call the
-// instance and must return quickly.
+// Observer is notified of every event fired. Its methods run under the lock of
+// the instance: they must not call it and must return quickly.
 type Observer interface {
-	// Transition is told of an event taken; from and to may be equal.
+	// Transition reports a transition; from and to may be equal.
 	Transition(chart string, from State, event Event, to State)
-	// Ignored is told of an event that the state ignores.
+	// Ignored reports an event that the state ignores.
 	Ignored(chart string, state State, event Event)
-	// Rejected is told of an event that was refused with an EventError.
+	// Rejected reports an event that was rejected with an EventError.
 	Rejected(chart string, state State, event Event, reason Reason)
 }
 
 // Option configures an instance.
 type Option func(*Instance)
 
-// Allow marks a guard as fulfilled for the life of the instance. Guards that
-// are not allowed are not fulfilled.
+// Allow allows transitions with the guard for the lifetime of the instance. By
+// default they are not taken.
 func Allow(guard Guard) Option {
 	return func(i *Instance) { i.allowed = append(i.allowed, guard) }
 }
@@ -58,7 +57,7 @@
 	return func(i *Instance) { i.observer = observer }
 }
 
-// Instance is one life of a chart, safe for concurrent use.
+// Instance is one run of a chart, safe for concurrent use.
 type Instance struct {
 	chart      *Chart
 	allowed    []Guard
@@ -68,17 +67,17 @@
 	rejections uint64
 }
 
-// State returns the present state.
+// State returns the current state.
 func (i *Instance) State() State {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.state
 }
 
-// Terminal reports whether the instance has ended.
+// Terminal returns whether the instance is in a terminal state.
 func (i *Instance) Terminal() bool { return i.chart.Terminal(i.State()) }
 
-// Rejections returns how many events were refused with an EventError.
+// Rejections returns the number of rejected events.
 func (i *Instance) Rejections() uint64 {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -86,7 +85,7 @@
 }
 
 // Fire applies the event and returns the state after it. The error is an
-// *EventError, and the state is then unchanged.
+// *EventError; the state is then unchanged.
 func (i *Instance) Fire(event Event) (State, error) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/statechart/names_generated.go
+++ b/internal/statechart/names_generated.go
@@ -9,69 +9,69 @@
 const (
 	// RequestStateReceived: read from the caller, unchecked.
 	RequestStateReceived State = "received"
-	// RequestStateChecked: in order, waiting for admission.
+	// RequestStateChecked: valid, waiting for admission.
 	RequestStateChecked State = "checked"
-	// RequestStateAdmitted: let through by admission.
+	// RequestStateAdmitted: accepted by admission.
 	RequestStateAdmitted State = "admitted"
 	// RequestStateClaimed: this request holds the claim under its key.
 	RequestStateClaimed State = "claimed"
 	// RequestStateAttached: waiting for the outcome of the earlier request with the same key.
 	RequestStateAttached State = "attached"
-	// RequestStateDispatched: one attempt is out, and every one before it was refused.
+	// RequestStateDispatched: one attempt is pending, and every earlier one was refused.
 	RequestStateDispatched State = "dispatched"
-	// RequestStateRetrying: no attempt is out, and every one that left was refused.
+	// RequestStateRetrying: no attempt is pending, and every one sent was refused.
 	RequestStateRetrying State = "retrying"
-	// RequestStateUncertain: no attempt is out, and the fate of an earlier one is not known.
+	// RequestStateUncertain: no attempt is pending, and the outcome of an earlier one is unknown.
 	RequestStateUncertain State = "uncertain"
-	// RequestStateRedispatched: one attempt is out, and the fate of an earlier one is not known.
+	// RequestStateRedispatched: one attempt is pending, and the outcome of an earlier one is unknown.
 	RequestStateRedispatched State = "redispatched"
-	// RequestStateStreaming: the answer is on its way to the caller.
+	// RequestStateStreaming: the answer is being sent to the caller.
 	RequestStateStreaming State = "streaming"
-	// RequestStateBroken: the answer began, and its continuation is being looked for.
+	// RequestStateBroken: the answer began and was interrupted; a continuation is being sought.
 	RequestStateBroken State = "broken"
-	// RequestStateAnswered: the caller was given the whole answer.
+	// RequestStateAnswered: the caller received the whole answer.
 	RequestStateAnswered State = "answered"
-	// RequestStateRefusedNotRun: the caller was told that nothing was executed.
+	// RequestStateRefusedNotRun: the caller received an error stating that nothing was executed.
 	RequestStateRefusedNotRun State = "refused_not_run"
-	// RequestStateFailedAfterStart: the caller was told that the work began, and that its answer is incomplete.
+	// RequestStateFailedAfterStart: the caller received an error stating that execution began and the answer is incomplete.
 	RequestStateFailedAfterStart State = "failed_after_start"
-	// RequestStateOutcomeUnknown: the caller was told that the work may or may not have run.
+	// RequestStateOutcomeUnknown: the caller received an error stating that the request may have been executed.
 	RequestStateOutcomeUnknown State = "outcome_unknown"
 )
 
 // The events of the chart "request".
 const (
-	// RequestEventCheckPassed: tenant, service, class and body are in order.
+	// RequestEventCheckPassed: tenant, service, class and body are valid.
 	RequestEventCheckPassed Event = "check_passed"
 	// RequestEventRejected: a check or admission refused the request.
 	RequestEventRejected Event = "rejected"
-	// RequestEventAdmitted: admission let the request through.
+	// RequestEventAdmitted: admission accepted the request.
 	RequestEventAdmitted Event = "admitted"
 	// RequestEventClaimWon: the claim of a non-repeatable request was inserted.
 	RequestEventClaimWon Event = "claim_won"
 	// RequestEventClaimLost: an earlier claim with the same key exists.
 	RequestEventClaimLost Event = "claim_lost"
-	// RequestEventClaimFailed: it could not be learnt whether the claim was won.
+	// RequestEventClaimFailed: it is unknown whether the claim was won.
 	RequestEventClaimFailed Event = "claim_failed"
-	// RequestEventAttemptSent: the first byte of an attempt is about to leave.
+	// RequestEventAttemptSent: the first byte of an attempt is about to be sent.
 	RequestEventAttemptSent Event = "attempt_sent"
 	// RequestEventAttemptRefused: the back end refused the attempt explicitly before execution.
 	RequestEventAttemptRefused Event = "attempt_refused"
-	// RequestEventAttemptLost: the attempt broke before its answer began and its fate is not known.
+	// RequestEventAttemptLost: the attempt failed before its answer began and its outcome is unknown.
 	RequestEventAttemptLost Event = "attempt_lost"
 	// RequestEventStreamStarted: the first event of the answer arrived.
 	RequestEventStreamStarted Event = "stream_started"
 	// RequestEventStreamBroken: the stream broke before its end marker.
 	RequestEventStreamBroken Event = "stream_broken"
-	// RequestEventStreamResumed: the stream goes on at the next sequence number.
+	// RequestEventStreamResumed: the stream continues at the next sequence number.
 	RequestEventStreamResumed Event = "stream_resumed"
 	// RequestEventCompleted: the whole answer is known.
 	RequestEventCompleted Event = "completed"
-	// RequestEventRunFailed: the back end said that the work began and failed.
+	// RequestEventRunFailed: the back end reported that execution began and failed.
 	RequestEventRunFailed Event = "run_failed"
-	// RequestEventGaveUp: no way is left, or the deadline passed.
+	// RequestEventGaveUp: no option is left, or the deadline passed.
 	RequestEventGaveUp Event = "gave_up"
-	// RequestEventCallerGone: the caller closed its connection and nothing is left to settle.
+	// RequestEventCallerGone: the caller closed its connection and nothing is pending.
 	RequestEventCallerGone Event = "caller_gone"
 )
 
@@ -83,26 +83,26 @@
 
 // The states of the chart "router".
 const (
-	// RouterStateStarting: joining the other routers and looking for a fleet file.
+	// RouterStateStarting: joining the other routers and waiting for a fleet file.
 	RouterStateStarting State = "starting"
-	// RouterStateServing: taking requests.
+	// RouterStateServing: accepting requests.
 	RouterStateServing State = "serving"
-	// RouterStateLeaving: taking no new request, finishing the open ones.
+	// RouterStateLeaving: shutting down, accepting no new requests and finishing the open ones.
 	RouterStateLeaving State = "leaving"
-	// RouterStateStopped: every duty has ended.
+	// RouterStateStopped: all goroutines have ended.
 	RouterStateStopped State = "stopped"
 )
 
 // The events of the chart "router".
 const (
-	// RouterEventReady: a fleet file is in force and the listeners are open.
+	// RouterEventReady: a fleet file is active and the listeners are open.
 	RouterEventReady Event = "ready"
-	// RouterEventStopRequested: a planned stop was asked for.
+	// RouterEventStopRequested: a planned stop was requested.
 	RouterEventStopRequested Event = "stop_requested"
 	// RouterEventDrained: every open request has its final answer.
 	RouterEventDrained Event = "drained"
-	// RouterEventGraceOver: the grace period of a planned stop ran out.
+	// RouterEventGraceOver: the grace period of a planned stop expired.
 	RouterEventGraceOver Event = "grace_over"
-	// RouterEventFailed: a duty that the router cannot do without ended.
+	// RouterEventFailed: a goroutine that the router requires ended.
 	RouterEventFailed Event = "failed"
 )
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,10 +1,9 @@
-// Package status declares what a router tells operators on /status.json. It
-// is read only: there is no command to a single machine.
+// Package status declares the read-only JSON document of /status.json.
 package status
 
 import "github.com/fieldpond/fieldpond/internal/ident"
 
-// Path is where a router serves its state.
+// Path is the HTTP path of a router's status.
 const Path = "/status.json"
 
 // Router is the state of one router and its view of the others.
@@ -23,19 +22,19 @@
 	Decisions    Decisions     `json:"decisions"`
 	Claims       Claims        `json:"claims"`
 	Gossip       Gossip        `json:"gossip"`
-	// Control tells of each group of engines that is ordered under one lease.
+	// Control lists the groups of engines that are controlled under one lease each.
 	Control []ControlGroup `json:"control"`
-	// Rings are the bounded queues between the duties of the process.
+	// Rings are the bounded queues between goroutines.
 	Rings []Ring `json:"rings"`
 }
 
-// The states of a member, as membership names them.
+// States of a member, as defined by membership.
 const (
 	MemberAlive   = "alive"
 	MemberSuspect = "suspect"
 )
 
-// Member is a router as the answering one sees it; itself is among them.
+// Member is a router as observed by the answering one, which is listed too.
 type Member struct {
 	Node    ident.Node `json:"node"`
 	Zone    ident.Zone `json:"zone"`
@@ -45,31 +44,31 @@
 	FleetVersion uint64 `json:"fleet_version"`
 }
 
-// Engine is an engine as this router sees it.
+// Engine is an engine as observed by this router.
 type Engine struct {
 	Engine      ident.Engine      `json:"engine"`
 	Zone        ident.Zone        `json:"zone"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Alive       bool              `json:"alive"`
 	Draining    bool              `json:"leaving"`
-	// Running and Waiting count requests on the engine.
+	// Running and Waiting count the engine's requests.
 	Running             int `json:"running"`
 	Waiting             int `json:"waiting"`
 	QueuedPrefillTokens int `json:"queued_prefill_tokens"`
-	// OwnInFlight counts this router's attempts, ConcurrencyLimit bounds them.
+	// OwnInFlight counts this router's attempts, bounded by ConcurrencyLimit.
 	OwnInFlight      int      `json:"own_in_flight"`
 	ConcurrencyLimit int      `json:"concurrency_limit"`
 	Loaded           []Loaded `json:"loaded"`
 }
 
-// Application is an application back end as this router sees it.
+// Application is an application back end as observed by this router.
 type Application struct {
 	Application ident.Application `json:"application"`
 	Zone        ident.Zone        `json:"zone"`
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Alive       bool              `json:"alive"`
 	Draining    bool              `json:"leaving"`
-	// Running counts requests on the application, OwnInFlight this router's.
+	// Running counts all requests on the application, OwnInFlight this router's.
 	Running     int `json:"running"`
 	OwnInFlight int `json:"own_in_flight"`
 }
@@ -82,11 +81,10 @@
 
 // Queue counts requests in the router.
 type Queue struct {
-	// Waiting requests have no place yet; InFlight ones are on an engine.
+	// Waiting counts requests not yet placed, InFlight those on an engine.
 	Waiting  int `json:"waiting"`
 	InFlight int `json:"in_flight"`
-	// ByPriority splits Waiting, the most urgent priority first. Priorities
-	// without a waiting request are left out.
+	// ByPriority splits Waiting, most urgent first, without empty priorities.
 	ByPriority []PriorityDepth `json:"by_priority"`
 }
 
@@ -98,12 +96,13 @@
 
 // Claims counts the claims of non-repeatable requests since the start.
 type Claims struct {
-	// Granted were won by this router, Shown were another's or an earlier
-	// sending's, Refused ended without an answer of the table.
+	// Granted counts claims won by this router, AlreadyClaimed those held by
+	// another router or an earlier request, Refused those without an answer from
+	// the table service.
 	Granted        uint64 `json:"granted"`
 	AlreadyClaimed uint64 `json:"shown"`
 	Refused        uint64 `json:"refused"`
-	// Waiting claims have no answer of the table yet.
+	// Waiting counts claims whose answer is pending.
 	Waiting int `json:"waiting"`
 }
 
@@ -111,41 +110,41 @@
 type Gossip struct {
 	BytesSent     uint64 `json:"bytes_sent"`
 	BytesReceived uint64 `json:"bytes_received"`
-	// Refused datagrams were not authentic or malformed; Unsent ones could not
-	// be sent.
+	// Refused counts datagrams that were not authentic or malformed, Unsent those
+	// that could not be sent.
 	Refused uint64 `json:"refused"`
 	Unsent  uint64 `json:"unsent"`
 }
 
-// ControlGroup is a group of engines whose versions, adapters and roles one
-// router at a time, the holder of the lease, brings into line with the file.
+// ControlGroup is a group of engines whose versions, adapters and roles are
+// reconciled with the fleet file by the router that holds the lease.
 type ControlGroup struct {
 	Lease string `json:"lease"`
-	// Held says whether this router is the holder; Fence is its fence then.
+	// Held is whether this router holds the lease; Fence is then its fence.
 	Held  bool   `json:"held"`
 	Fence uint64 `json:"fence"`
-	// Holder is the holder as this router last saw it, some seconds late at
-	// most; empty if nobody holds the lease or this router is no contender.
+	// Holder is the last observed holder, outdated by a few seconds at most; empty
+	// if nobody holds the lease or this router is not a contender.
 	Holder     ident.Node   `json:"holder"`
 	Contenders []ident.Node `json:"contenders"`
-	// Engines is the size of the group. Settled counts its engines that have
-	// loaded what the file says and nothing that is to go, Loading the loads of
-	// weights under way; both are known to the holder only.
+	// Engines is the size of the group. Settled counts engines that have loaded
+	// exactly what the file requires, Loading the weight loads in progress; both
+	// are 0 unless this router holds the lease.
 	Engines int `json:"engines"`
 	Settled int `json:"settled"`
 	Loading int `json:"loading"`
-	// Orders were issued by this router, Repeated are those issued again after a
-	// lost answer, Refused those that an engine refused.
+	// Orders counts orders issued by this router, Retried those sent again after
+	// a lost answer, Refused those that an engine refused.
 	Orders  uint64 `json:"orders"`
 	Retried uint64 `json:"repeated"`
 	Refused uint64 `json:"refused"`
-	// PostponedUnloads counts looks at unloads that would have taken the last warm engine
-	// away, StaleFences times a newer fence than this router's was met.
+	// PostponedUnloads counts checks that postponed an unload of the last warm
+	// engine, StaleFences the times that a newer fence was encountered.
 	PostponedUnloads uint64 `json:"put_off"`
 	StaleFences      uint64 `json:"stale_fences"`
 }
 
-// Ring is one bounded queue between two duties.
+// Ring is one bounded queue between goroutines.
 type Ring struct {
 	Name     string `json:"name"`
 	Depth    int    `json:"depth"`
@@ -154,19 +153,19 @@
 	Dropped uint64 `json:"dropped"`
 }
 
-// Decisions counts what the router decided since it started.
+// Decisions counts the router's decisions since its start.
 type Decisions struct {
 	Placed  uint64 `json:"placed"`
 	Refused uint64 `json:"refused"`
 	Held    uint64 `json:"held"`
 	// Parked counts requests that waited for the prefix directory.
 	Parked uint64 `json:"parked"`
-	// PromptTokens and CachedTokens add up what engines answered with,
-	// CreditedTokens what was believed.
+	// PromptTokens and CachedTokens sum what engines reported, CreditedTokens
+	// sums the cached tokens expected at placement.
 	PromptTokens   uint64 `json:"prompt_tokens"`
 	CreditedTokens uint64 `json:"credited_tokens"`
 	CachedTokens   uint64 `json:"cached_tokens"`
-	// BeliefHigh counts answers with fewer cached tokens than believed,
+	// BeliefHigh counts answers with fewer cached tokens than expected,
 	// BeliefLow those with more, BeliefRight the others.
 	BeliefHigh  uint64 `json:"belief_high"`
 	BeliefLow   uint64 `json:"belief_low"`
--- a/internal/telemetry/group.go
+++ b/internal/telemetry/group.go
@@ -2,9 +2,9 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Group exports metrics of a part that counts for itself. Each time the
-// metrics are asked for, the part's state is read once, and every metric of
-// the group is taken from that reading. Add the metrics, then call Register.
+// Group exports metrics of a component that keeps its own counters. Each scrape
+// reads the component once and derives every metric of the group from that
+// reading. Add the metrics, then call Register.
 type Group[Reading any] struct {
 	registry *Registry
 	read     func() (Reading, bool)
@@ -18,8 +18,8 @@
 	labelled    bool
 }
 
-// NewGroup returns an empty group. read returns false when the part cannot be
-// read now; the group's metrics are then left out.
+// NewGroup returns an empty group. If read returns false, the scrape omits the
+// group's metrics.
 func NewGroup[Reading any](registry *Registry, read func() (Reading, bool)) *Group[Reading] {
 	return &Group[Reading]{registry: registry, read: read}
 }
@@ -38,7 +38,7 @@
 	})
 }
 
-// Labelled adds a metric with one label; values returns its value by label value.
+// Labelled adds a metric with one label; values maps label values to samples.
 func (g *Group[Reading]) Labelled(kind Kind, name, help, label string, values func(Reading) map[string]float64) {
 	g.add(kind, name, help, []string{label}, values)
 }
@@ -57,8 +57,7 @@
 	})
 }
 
-// Register starts the export. A name that is registered twice is a fault of
-// the program and panics.
+// Register starts the export. It panics if a name is already registered.
 func (g *Group[Reading]) Register() { g.registry.registry.MustRegister(g) }
 
 // Describe implements prometheus.Collector.
--- a/internal/telemetry/rings.go
+++ b/internal/telemetry/rings.go
@@ -28,7 +28,7 @@
 	return prometheus.NewDesc(prometheus.BuildFQName(Namespace, "", name), help, []string{ringLabel}, nil)
 }
 
-// describe notes the collector's metrics in the registry.
+// describe records the collector's metrics in the registry.
 func (c *ringCollector) describe(registry *Registry) {
 	registry.addMetric(KindGauge, "ring_depth", ringDepthHelp, ringLabel)
 	registry.addMetric(KindGauge, "ring_capacity", ringCapacityHelp, ringLabel)
@@ -36,13 +36,13 @@
 	registry.addMetric(KindCounter, "ring_dropped_total", ringDroppedHelp, ringLabel)
 }
 
-// ringCollector reads the rings' counters when the counters are asked for.
+// ringCollector reads the rings' counters on each scrape.
 type ringCollector struct {
 	mutex sync.Mutex
 	rings map[int]func() ring.Counters
 	next  int
-	// removed holds the totals of removed rings by name, since counters must
-	// not go down.
+	// removed holds the totals of removed rings by name, because counters must
+	// not decrease.
 	removed map[string]ring.Counters
 }
 
@@ -50,9 +50,9 @@
 	return &ringCollector{rings: map[int]func() ring.Counters{}, removed: map[string]ring.Counters{}}
 }
 
-// RegisterRing adds a ring by its Counters method. Rings of the same name,
-// such as those of one duty for each engine, are added up. The duty calls
-// remove when it ends; what it counted stays in the totals.
+// RegisterRing adds a ring by its Counters method. Rings of the same name, such
+// as one per engine, are summed. The owner calls remove when it ends; its counts
+// stay in the totals.
 func (r *Registry) RegisterRing(counters func() ring.Counters) (remove func()) {
 	c := r.rings
 	c.mutex.Lock()
@@ -78,7 +78,7 @@
 	c.removed[last.Name] = total
 }
 
-// totals returns the counters of all rings, added up by name.
+// totals returns the counters of all rings, summed by name.
 func (c *ringCollector) totals() map[string]ring.Counters {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,9 +1,9 @@
-// Package telemetry holds the counters and the log of a process.
+// Package telemetry provides the metrics and the log of a process.
 //
-// Counters come first: whatever happens for each request is counted, and a log
-// line is written only for a change of state. Names start with "fieldpond_";
-// labels hold names of the fleet file and fixed words only, never text of a
-// prompt or an answer, a key or a request identifier, so their number is bounded.
+// Events of each request are counted; log lines are written only for changes of
+// state. Metric names start with "fieldpond_". Label values are names from the
+// fleet file and fixed strings, never text of a prompt or an answer, a key or a
+// request identifier, so that cardinality is bounded.
 package telemetry
 
 import (
@@ -20,11 +20,11 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Namespace starts the name of every counter.
+// Namespace is the prefix of every metric name.
 const Namespace = "fieldpond"
 
-// SetUpLogging sends the process's log lines to writer, one JSON object a
-// line, from the given level on ("debug", "info", "warn" or "error").
+// SetUpLogging writes the process's log to writer as JSON lines, from the given
+// level up ("debug", "info", "warn" or "error").
 func SetUpLogging(writer io.Writer, level string) error {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Registry holds the counters of one process.
+// Registry holds the metrics of one process.
 type Registry struct {
 	registry *prometheus.Registry
 	metrics  []Metric
@@ -44,8 +44,8 @@
 	refusals *prometheus.CounterVec
 }
 
-// New returns a registry with the counters every process has: CPU and memory
-// of the process, the Go runtime, rings, state charts and refusals.
+// New returns a registry with the standard metrics: process, Go runtime, rings,
+// state charts and refusals.
 func New() *Registry {
 	r := &Registry{
 		registry: prometheus.NewRegistry(),
@@ -58,20 +58,20 @@
 	)
 	r.rings.describe(r)
 	r.charts = &chartObserver{
-		transitions: r.Counter("chart_transitions_total", "Events taken by state charts.", "chart", "from", "event", "to"),
+		transitions: r.Counter("chart_transitions_total", "Transitions of state charts.", "chart", "from", "event", "to"),
 		ignored:     r.Counter("chart_ignored_total", "Events that the state of a chart ignores.", "chart", "state", "event"),
-		rejected:    r.Counter("chart_not_taken_total", "Events refused by state charts; any is a fault of the program.", "chart", "state", "event", "reason"),
+		rejected:    r.Counter("chart_not_taken_total", "Events rejected by state charts; any is a bug.", "chart", "state", "event", "reason"),
 	}
 	r.refusals = r.Counter("refusals_total", "Requests answered with a fault, by kind and by what ran.", "kind", "ran")
 	return r
 }
 
-// NewEmpty returns a registry that holds nothing of its own, for processes whose
-// memory is dear.
+// NewEmpty returns a registry without the standard metrics, for processes with
+// little memory.
 func NewEmpty() *Registry { return &Registry{registry: prometheus.NewRegistry()} }
 
-// Counter registers and returns a counter; its name gets the namespace. A
-// name that is registered twice is a fault of the program and panics.
+// Counter registers and returns a counter; the namespace is prepended to its
+// name. It panics if the name is already registered.
 func (r *Registry) Counter(name, help string, labels ...string) *prometheus.CounterVec {
 	r.addMetric(KindCounter, name, help, labels...)
 	vector := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: Namespace, Name: name, Help: help}, labels)
@@ -101,7 +101,7 @@
 	r.refusals.WithLabelValues(string(refusal.Kind), string(refusal.Ran)).Inc()
 }
 
-// Handler serves the counters in the Prometheus text form.
+// Handler serves the metrics in the Prometheus text format.
 func (r *Registry) Handler() http.Handler {
 	return promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{})
 }
