--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -28,9 +28,9 @@
 
 func TestRunMapsErrorsToExitCodes(t *testing.T) {
 	cases := []struct {
-		name, arguments, output string
-		err                     error
-		code                    int
+		name, arguments, wantOutput string
+		err                         error
+		code                        int
 	}{
 		{"done", "work --file x", "", nil, 0},
 		{"fault", "work --file x", "; remedy: ", fault.New(fault.Conflict, "lost"), 4},
@@ -51,7 +51,7 @@
 			root, output := program("", test.err)
 			root.SetArgs(strings.Fields(test.arguments))
 			is.Equal(Run(root), test.code)
-			is.True(strings.Contains(output.String(), test.output))
+			is.True(strings.Contains(output.String(), test.wantOutput))
 		})
 	}
 }
