--- a/cmd/fieldpond/edge.go
+++ b/cmd/fieldpond/edge.go
@@ -37,7 +37,7 @@
 			if options.Disabled, err = mechanism.ParseDisabled(without); err != nil {
 				return err
 			}
-			ctx, stop := commandline.UntilStopped(command)
+			ctx, stop := commandline.SignalContext(command)
 			defer stop()
 			checkSettingsOnHangup()
 			return platform.Run(ctx, settings, options, command.OutOrStdout())
--- a/cmd/rehearse/application.go
+++ b/cmd/rehearse/application.go
@@ -44,7 +44,7 @@
 				options.TruthWriter = file
 			}
 			server := application.NewServer(options)
-			ctx, stop := commandline.UntilStopped(command)
+			ctx, stop := commandline.SignalContext(command)
 			defer stop()
 			return serve.Run(ctx, server, serve.Options{
 				Name: "application stand-in", Listen: listen, Grace: grace,
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,7 +1,6 @@
-// Package eventlog writes log entries as one JSON object a line, without ever
-// holding up whoever logs. Entries go through a bounded ring to one writer;
-// when the ring is filling, lines of debug level are dropped first, and the
-// number of lines dropped is told in a line of its own.
+// Package eventlog writes log entries as JSON lines without blocking the caller.
+// Entries pass through a bounded ring to one writer; as the ring fills up, debug
+// lines are dropped first. The number of dropped lines is itself logged.
 package eventlog
 
 import (
@@ -20,73 +19,73 @@
 )
 
 const (
-	// capacity is the number of entries that may wait to be written.
+	// capacity is the maximum number of waiting entries.
 	capacity = 2048
-	// thinnedAt is the number of waiting entries from which on those of debug
-	// level are dropped.
-	thinnedAt = capacity / 2
-	// flushPause is the time between two writes.
-	flushPause = 200 * time.Millisecond
-	// maxWrite bounds the bytes of one write.
-	maxWrite = 64 << 10
+	// debugCapacity is the number of waiting entries at which debug entries are
+	// dropped.
+	debugCapacity = capacity / 2
+	// flushInterval is the time between two writes.
+	flushInterval = 200 * time.Millisecond
+	// maxWriteBytes bounds the bytes of one write.
+	maxWriteBytes = 64 << 10
 )
 
-// Log is a handler of apex/log. It is safe for concurrent use.
+// Log is an apex/log handler, safe for concurrent use.
 type Log struct {
-	writer  io.Writer
-	node    string
-	entries *ring.Ring[*log.Entry]
-	waiting atomic.Int64
-	thinned atomic.Uint64
-	told    uint64
+	writer          io.Writer
+	node            string
+	entries         *ring.Ring[*log.Entry]
+	waiting         atomic.Int64
+	dropped         atomic.Uint64
+	reportedDropped uint64
 }
 
 var _ log.Handler = (*Log)(nil)
 
-// New returns a log of a node; Run writes it.
+// New returns a log for a node; Run writes its entries.
 func New(writer io.Writer, node string) *Log {
 	return &Log{writer: writer, node: node, entries: ring.New[*log.Entry]("log", capacity, ring.RefuseNew)}
 }
 
 // HandleLog implements log.Handler. It never blocks.
 func (l *Log) HandleLog(entry *log.Entry) error {
-	if entry.Level == log.DebugLevel && l.waiting.Load() >= thinnedAt {
-		l.thinned.Add(1)
+	if entry.Level == log.DebugLevel && l.waiting.Load() >= debugCapacity {
+		l.dropped.Add(1)
 		return nil
 	}
 	l.waiting.Add(1)
 	if !l.entries.Push(entry) {
 		l.waiting.Add(-1)
-		l.thinned.Add(1)
+		l.dropped.Add(1)
 	}
 	return nil
 }
 
-// Dropped returns the number of lines that were not written.
-func (l *Log) Dropped() uint64 { return l.thinned.Load() }
+// Dropped returns the number of dropped lines.
+func (l *Log) Dropped() uint64 { return l.dropped.Load() }
 
-// Run writes entries until ctx ends, and then what still waits.
+// Run writes entries until ctx ends, and then the remaining ones.
 func (l *Log) Run(ctx context.Context) {
-	wait.Every(ctx, flushPause, l.flush)
+	wait.Every(ctx, flushInterval, l.flush)
 	l.flush()
 }
 
-// flush writes all entries that wait.
+// flush writes all waiting entries.
 func (l *Log) flush() {
 	var lines bytes.Buffer
 	for entry, found := l.entries.Pop(); found; entry, found = l.entries.Pop() {
 		l.waiting.Add(-1)
 		l.append(&lines, entry)
-		if lines.Len() >= maxWrite {
+		if lines.Len() >= maxWriteBytes {
 			l.write(&lines)
 		}
 	}
-	if dropped := l.thinned.Load(); dropped > l.told {
+	if total := l.dropped.Load(); total > l.reportedDropped {
 		l.append(&lines, &log.Entry{
 			Level: log.WarnLevel, Timestamp: time.Now(), Message: "log_lines_dropped",
-			Fields: log.Fields{"count": dropped - l.told},
+			Fields: log.Fields{"count": total - l.reportedDropped},
 		})
-		l.told = dropped
+		l.reportedDropped = total
 	}
 	l.write(&lines)
 }
@@ -100,14 +99,14 @@
 	line["node"] = l.node
 	encoded, err := json.Marshal(line)
 	if err != nil {
-		l.thinned.Add(1)
+		l.dropped.Add(1)
 		return
 	}
 	lines.Write(encoded)
 	lines.WriteByte('\n')
 }
 
-// write hands the lines over. A reader that is gone costs only the lines.
+// write writes and clears lines. On a write error the lines are lost.
 func (l *Log) write(lines *bytes.Buffer) {
 	if lines.Len() > 0 {
 		_, _ = l.writer.Write(lines.Bytes())
--- a/internal/placement/core_test.go
+++ b/internal/placement/core_test.go
@@ -118,7 +118,7 @@
 	}{
 		{"answered", Result{Incarnation: "a1", TimeToFirstToken: time.Millisecond}, nil},
 		{"unreachable", Result{Unreachable: true}, []endpoint.ChangeKind{endpoint.ChangeDead}},
-		{"draining", Result{Incarnation: "a1", Refusal: protocol.RefusalLeaving}, []endpoint.ChangeKind{endpoint.ChangeDraining}},
+		{"draining", Result{Incarnation: "a1", Refusal: protocol.RefusalDraining}, []endpoint.ChangeKind{endpoint.ChangeDraining}},
 		{"new incarnation", Result{Incarnation: "a2", Refusal: protocol.RefusalMismatch}, []endpoint.ChangeKind{endpoint.ChangeIncarnation}},
 	}
 	for _, test := range cases {
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -181,7 +181,7 @@
 	switch {
 	case result.Unreachable:
 		c.applyChanges(c.registry.ObserveUnreachable(flight.engine))
-	case result.Refusal == protocol.RefusalLeaving:
+	case result.Refusal == protocol.RefusalDraining:
 		c.applyChanges(c.registry.ObserveDraining(now, flight.engine, result.Incarnation))
 	}
 	return c.dispatchWaiting(now)
--- a/internal/reference/reference_test.go
+++ b/internal/reference/reference_test.go
@@ -16,18 +16,18 @@
 			is := is.New(t)
 			source, err := os.ReadFile(page.Source)
 			is.NoErr(err)
-			wanted, err := page.Generate(source)
+			want, err := page.Generate(source)
 			is.NoErr(err)
-			found, err := os.ReadFile(page.Path)
+			got, err := os.ReadFile(page.Path)
 			is.NoErr(err)
-			is.Equal(string(found), string(wanted)) // run "go generate ./internal/reference"
+			is.Equal(string(got), string(want)) // run "go generate ./internal/reference"
 		})
 	}
 }
 
-// Every row must say everything: a kind without an entry in the table of kinds,
-// or anything without a doc comment, would leave a cell empty or borrowed.
-func TestRowsAreWhole(t *testing.T) {
+// Guards against items without a doc comment and kinds missing from the table of
+// kinds, which would get the remedy of Internal.
+func TestRowsAreComplete(t *testing.T) {
 	is := is.New(t)
 	for _, page := range Pages() {
 		text, err := os.ReadFile(page.Path)
@@ -37,7 +37,7 @@
 				t.Errorf("%s: an empty cell in %s", page.Path, row)
 			}
 			if strings.Contains(row, fault.Internal.Remedy()) && !strings.Contains(row, string(fault.Internal)) {
-				t.Errorf("%s: a kind without status, exit code and remedy of its own: %s", page.Path, row)
+				t.Errorf("%s: a kind missing from the table of kinds: %s", page.Path, row)
 			}
 		}
 	}
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -1,6 +1,6 @@
-// Package relaytest has a loopback relay for tests whose open connections can
-// be made silent: nothing that either side sends is acknowledged any more and no
-// reset follows, while new connections work.
+// Package relaytest provides a loopback relay for tests that can silence its open
+// connections: packets are dropped without acknowledgement or reset, while new
+// connections work.
 package relaytest
 
 import (
@@ -19,19 +19,19 @@
 // soAttachFilter is the socket option SO_ATTACH_FILTER of Linux.
 const soAttachFilter = 26
 
-// Relay passes connections on to one address.
+// Relay forwards connections to one address.
 type Relay struct {
 	listener net.Listener
 	target   netip.AddrPort
 	pipes    sync.WaitGroup
 
-	mu     sync.Mutex
-	open   []*net.TCPConn
-	taken  int
-	closed bool
+	mu       sync.Mutex
+	conns    []*net.TCPConn
+	accepted int
+	closed   bool
 }
 
-// New starts a relay to target that ends with the test.
+// New starts a relay to target and closes it at the end of the test.
 func New(t *testing.T, target netip.AddrPort) *Relay {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -44,22 +44,23 @@
 	return relay
 }
 
-// Addr returns where the relay listens.
+// Addr returns the listen address.
 func (r *Relay) Addr() netip.AddrPort { return netip.MustParseAddrPort(r.listener.Addr().String()) }
 
-// Taken returns how many connections the relay has taken.
-func (r *Relay) Taken() int {
+// Accepted returns the number of connections forwarded so far.
+func (r *Relay) Accepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.taken
+	return r.accepted
 }
 
-// Silence makes all open connections silent; those that just ended stay ended.
+// Silence drops all further packets of the open connections; closed ones are
+// skipped.
 func (r *Relay) Silence() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, conn := range r.open {
-		if err := dropAll(conn); err != nil && !errors.Is(err, net.ErrClosed) {
+	for _, conn := range r.conns {
+		if err := dropIncoming(conn); err != nil && !errors.Is(err, net.ErrClosed) {
 			return err
 		}
 	}
@@ -77,16 +78,16 @@
 			_ = client.Close()
 			continue
 		}
-		r.join(client.(*net.TCPConn), server.(*net.TCPConn))
+		r.connect(client.(*net.TCPConn), server.(*net.TCPConn))
 	}
 }
 
-// join passes bytes on in both directions.
-func (r *Relay) join(client, server *net.TCPConn) {
+// connect forwards bytes in both directions.
+func (r *Relay) connect(client, server *net.TCPConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.taken++
-	r.open = append(r.open, client, server)
+	r.accepted++
+	r.conns = append(r.conns, client, server)
 	r.pipes.Go(func() { pipe(client, server) })
 	r.pipes.Go(func() { pipe(server, client) })
 	if r.closed {
@@ -95,11 +96,10 @@
 	}
 }
 
-// pipe passes the bytes of one direction on, and its end.
+// pipe forwards the bytes and the end of one direction.
 func pipe(from, to *net.TCPConn) {
 	if _, err := io.Copy(to, from); err != nil {
-		// Both sides see the end as a reset: one that writes would wait for ever for a reader
-		// that is gone.
+		// Reset both sides, or a writer would block for ever after its reader closed.
 		for _, conn := range []*net.TCPConn{to, from} {
 			_ = conn.SetLinger(0)
 			_ = conn.Close()
@@ -109,12 +109,12 @@
 	_ = to.CloseWrite()
 }
 
-// Close resets all connections and takes no new ones.
+// Close resets all connections and stops listening.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
-	for _, conn := range r.open {
+	for _, conn := range r.conns {
 		_ = conn.SetLinger(0)
 		_ = conn.Close()
 	}
@@ -122,26 +122,25 @@
 	r.pipes.Wait()
 }
 
-// program is a classic packet filter as the kernel reads it; an instruction is its
-// code, in two bytes, two jumps and an operand.
-type program struct {
+// packetFilter is the kernel's struct sock_fprog of a classic BPF program. An instruction
+// is a two-byte code, two jumps and an operand.
+type packetFilter struct {
 	length uint16
 	first  *[8]byte
 }
 
-// returnConstant is the code that ends a packet filter; its operand is the number of
-// bytes kept of the packet.
+// returnConstant is BPF_RET|BPF_K; its operand is the number of bytes kept of the packet.
 const returnConstant = 0x06
 
-// dropAll lets the kernel drop every packet that arrives for a connection.
-func dropAll(conn *net.TCPConn) error {
+// dropIncoming makes the kernel drop every packet received for a connection.
+func dropIncoming(conn *net.TCPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var keepNothing [8]byte
 	binary.NativeEndian.PutUint16(keepNothing[:], returnConstant)
-	filter := program{length: 1, first: &keepNothing}
+	filter := packetFilter{length: 1, first: &keepNothing}
 	var errno syscall.Errno
 	err = raw.Control(func(descriptor uintptr) {
 		_, _, errno = syscall.Syscall6(
--- a/internal/relaytest/relay_test.go
+++ b/internal/relaytest/relay_test.go
@@ -1,10 +1,5 @@
 package relaytest
 
-// A test of routers hung for nine minutes. The dump of its goroutines: a stand-in of the store was
-// writing an answer of 6 MB, of which a router takes 4 MB at most, into a connection of the relay;
-// all others waited for the lock that the writer held. A relay whose reader was gone took no more of
-// the answer, and did not end the connection that it came from.
-
 import (
 	"io"
 	"net"
@@ -15,15 +10,17 @@
 	"github.com/matryer/is"
 )
 
-// answerBytes is more than all buffers between two ends take in.
+// answerBytes is more than all buffers between both ends hold.
 const answerBytes = 64 << 20
 
-func TestAWriterSeesThatItsReaderIsGone(t *testing.T) {
+// Guards against a writer that blocks for ever because the relay keeps its connection open after
+// the reader closed.
+func TestWriterFailsWhenReaderIsGone(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
-	asked, ended := make(chan struct{}), make(chan error, 1)
+	requestEnded, ended := make(chan struct{}), make(chan error, 1)
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -32,7 +29,7 @@
 		}
 		go func() {
 			_, _ = io.Copy(io.Discard, conn)
-			close(asked)
+			close(requestEnded)
 		}()
 		_, err = conn.Write(make([]byte, answerBytes))
 		ended <- err
@@ -43,12 +40,12 @@
 	_, err = reader.Read(make([]byte, 1))
 	is.NoErr(err)
 	is.NoErr(reader.(*net.TCPConn).CloseWrite())
-	<-asked
-	is.NoErr(reader.Close()) // with bytes unread: a reset, where only the answer is still passed on
+	<-requestEnded
+	is.NoErr(reader.Close()) // unread bytes cause a reset while only the answer is being forwarded
 	select {
 	case err := <-ended:
 		is.True(err != nil)
 	case <-time.After(10 * time.Second):
-		t.Error("the writer waits for a reader that is gone")
+		t.Error("the writer still blocks after its reader closed")
 	}
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -15,9 +15,9 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Load reads the settings file at path, lays the flags over it and checks the
-// result. An empty path means flags only; flags may be nil. The error is a
-// fault of kind InvalidSettings that names every problem with its origin: the
+// Load reads the settings file at path, overrides it with the flags and checks
+// the result. An empty path means flags only; flags may be nil. The error is a
+// fault of kind InvalidSettings that lists every problem with its origin: the
 // line of the file, the flag, or "not set".
 func Load(path string, flags *pflag.FlagSet) (*Settings, error) {
 	settings := Default()
@@ -41,7 +41,7 @@
 	return &settings, nil
 }
 
-// fillAddresses sets the advertised addresses that follow from others.
+// fillAddresses defaults the advertised addresses to the listen addresses.
 func (s *Settings) fillAddresses() {
 	if s.Advertise == "" {
 		s.Advertise = s.Listen
@@ -51,14 +51,14 @@
 	}
 }
 
-// reader collects values with their origins, and every problem.
+// reader collects the origins of values and all problems.
 type reader struct {
-	// origins holds "line 3" or "flag --zone" by the path of a setting.
+	// origins holds "line 3" or "flag --zone" by setting path.
 	origins  map[string]string
 	problems []string
 }
 
-func (r *reader) problem(origin, path, format string, arguments ...any) {
+func (r *reader) addProblem(origin, path, format string, arguments ...any) {
 	r.problems = append(r.problems, origin+": "+path+": "+fmt.Sprintf(format, arguments...))
 }
 
@@ -67,48 +67,48 @@
 	var document yaml.Node
 	if err := decoder.Decode(&document); err != nil {
 		if !errors.Is(err, io.EOF) {
-			r.problem("file", "YAML", "%v", err)
+			r.addProblem("file", "YAML", "%v", err)
 		}
 		return
 	}
 	if err := decoder.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
-		r.problem("file", "YAML", "holds more than one document")
+		r.addProblem("file", "YAML", "contains more than one document")
 	}
 	r.readMapping("", document.Content[0], reflect.ValueOf(settings).Elem())
 }
 
 func (r *reader) readMapping(path string, node *yaml.Node, target reflect.Value) {
 	if node.Kind != yaml.MappingNode {
-		r.problem(lineOf(node), orWhole(path), "must be a mapping of settings")
+		r.addProblem(lineOf(node), pathOrFile(path), "must be a mapping of settings")
 		return
 	}
-	seen := map[string]bool{}
+	present := map[string]bool{}
 	for index := 0; index+1 < len(node.Content); index += 2 {
 		name, value := node.Content[index], node.Content[index+1]
 		child := joinPath(path, name.Value)
-		field, known := fieldNamed(target, name.Value)
+		field, known := fieldByName(target, name.Value)
 		switch {
 		case !known:
-			r.problem(lineOf(name), child, "unknown setting")
-		case seen[name.Value]:
-			r.problem(lineOf(name), child, "stands twice")
+			r.addProblem(lineOf(name), child, "unknown setting")
+		case present[name.Value]:
+			r.addProblem(lineOf(name), child, "is set twice")
 		case field.Kind() == reflect.Struct:
 			r.readMapping(child, value, field)
 		default:
 			r.readLeaf(child, lineOf(value), value, field)
 		}
-		seen[name.Value] = true
+		present[name.Value] = true
 	}
 }
 
 func (r *reader) readLeaf(path, origin string, node *yaml.Node, target reflect.Value) {
 	r.origins[path] = origin
 	if node.Tag == "!!null" {
-		r.problem(origin, path, "has no value")
+		r.addProblem(origin, path, "has no value")
 		return
 	}
 	if err := node.Decode(target.Addr().Interface()); err != nil {
-		r.problem(origin, path, "%q is not a %s", node.Value, typeName(target))
+		r.addProblem(origin, path, "%q is not a %s", node.Value, typeName(target))
 	}
 }
 
@@ -121,7 +121,7 @@
 	return path + "." + name
 }
 
-func orWhole(path string) string {
+func pathOrFile(path string) string {
 	if path == "" {
 		return "the file"
 	}
@@ -130,7 +130,7 @@
 
 func lineOf(node *yaml.Node) string { return fmt.Sprintf("line %d", node.Line) }
 
-func fieldNamed(target reflect.Value, name string) (reflect.Value, bool) {
+func fieldByName(target reflect.Value, name string) (reflect.Value, bool) {
 	for index := range target.NumField() {
 		if tag := target.Type().Field(index).Tag.Get("yaml"); tag != "" && tag == name {
 			return target.Field(index), true
@@ -139,7 +139,7 @@
 	return reflect.Value{}, false
 }
 
-// typeName names the type of a leaf for people.
+// typeName returns the type of a leaf for error messages.
 func typeName(target reflect.Value) string {
 	switch target.Interface().(type) {
 	case []string:
--- a/internal/statechart/chart_test.go
+++ b/internal/statechart/chart_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestExploration fires random events at every chart and judges the promises
-// of the charts: each event is stated, and nothing follows a terminal state.
+// Fires random events at every chart. Guards against undeclared events, events
+// accepted after a terminal state and an executed request reported as not run.
 func TestExploration(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 	if repeatable {
 		instance = chart.New(Allow(RequestGuardRepeatable))
 	}
-	sent, unclear, terminals := 0, false, 0
+	sent, uncertain, terminals := 0, false, 0
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
 		event := drawEvent(t, chart, instance.State())
 		before, ended := instance.State(), instance.Terminal()
@@ -88,20 +88,20 @@
 			continue
 		}
 		if ended {
-			t.Fatalf("event %s taken after the end in %s", event, before)
+			t.Fatalf("event %s accepted in terminal state %s", event, before)
 		}
 		if instance.Terminal() {
 			terminals++
 		}
 		if event == RequestEventAttemptSent {
-			if unclear && !repeatable {
-				t.Fatalf("second attempt after an unclear one")
+			if uncertain && !repeatable {
+				t.Fatalf("second attempt after one with unknown outcome")
 			}
 			sent++
 		}
-		unclear = unclear || event == RequestEventAttemptLost || event == RequestEventStreamStarted
-		if after == RequestStateRefusedNotRun && (unclear || before == RequestStateDispatched) {
-			t.Fatalf("%d attempts, one unclear, called not run", sent)
+		uncertain = uncertain || event == RequestEventAttemptLost || event == RequestEventStreamStarted
+		if after == RequestStateRefusedNotRun && (uncertain || before == RequestStateDispatched) {
+			t.Fatalf("%d attempts, one with unknown outcome, reported as not run", sent)
 		}
 	}
 	if terminals > 1 {
@@ -109,25 +109,25 @@
 	}
 }
 
-// drawEvent prefers events that lead on, so that deep states are reached, and
-// still fires any other event now and then.
+// drawEvent prefers events that lead to non-terminal states, so that deep states
+// are reached, and sometimes draws any event.
 func drawEvent(t *rapid.T, chart *Chart, state State) Event {
-	var all, leadingOn []Event
+	var all, nonTerminal []Event
 	for _, event := range chart.definition.Events {
 		all = append(all, event.Name)
 		for _, transition := range chart.transitions[key{state, event.Name}] {
 			if !chart.Terminal(transition.To) {
-				leadingOn = append(leadingOn, event.Name)
+				nonTerminal = append(nonTerminal, event.Name)
 			}
 		}
 	}
-	if len(leadingOn) > 0 && rapid.IntRange(0, 9).Draw(t, "kind") > 2 {
-		return rapid.SampledFrom(leadingOn).Draw(t, "event leading on")
+	if len(nonTerminal) > 0 && rapid.IntRange(0, 9).Draw(t, "kind") > 2 {
+		return rapid.SampledFrom(nonTerminal).Draw(t, "non-terminal event")
 	}
 	return rapid.SampledFrom(all).Draw(t, "any event")
 }
 
-// TestMain fixes the seed, so that every run explores the same ways.
+// TestMain fixes the seed, so that every run draws the same events.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.checks": "2000", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -137,11 +137,11 @@
 	os.Exit(m.Run())
 }
 
-type countingObserver struct{ taken, ignored, refused int }
+type countingObserver struct{ transitions, ignored, rejected int }
 
-func (o *countingObserver) Transition(string, State, Event, State) { o.taken++ }
+func (o *countingObserver) Transition(string, State, Event, State) { o.transitions++ }
 func (o *countingObserver) Ignored(string, State, Event)           { o.ignored++ }
-func (o *countingObserver) NotTaken(string, State, Event, Reason)  { o.refused++ }
+func (o *countingObserver) Rejected(string, State, Event, Reason)  { o.rejected++ }
 
 func TestClaimedRequestRunsOnce(t *testing.T) {
 	is := is.New(t)
@@ -161,10 +161,10 @@
 	is.True(errors.As(fire(RequestEventAttemptSent), &refused)) // no claim yet
 	is.Equal(refused.Reason, ReasonGuard)
 	is.NoErr(fire(RequestEventClaimWon, RequestEventAttemptSent, RequestEventAttemptLost, RequestEventAttemptRefused))
-	is.True(fire(RequestEventAttemptSent) != nil) // fate unknown: never again
+	is.True(fire(RequestEventAttemptSent) != nil) // outcome unknown: must not be sent again
 	is.NoErr(fire(RequestEventGaveUp))
 	is.Equal(instance.State(), RequestStateOutcomeUnknown)
-	is.Equal(*observer, countingObserver{taken: 6, ignored: 1, refused: 2})
-	is.Equal(instance.NotTaken(), uint64(2))
+	is.Equal(*observer, countingObserver{transitions: 6, ignored: 1, rejected: 2})
+	is.Equal(instance.Rejections(), uint64(2))
 	is.True(slices.Contains(Names(), RouterChart))
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -18,12 +18,12 @@
 func TestHandlerServesCounters(t *testing.T) {
 	is := is.New(t)
 	registry := New()
-	for _, ended := range []bool{false, true, false} {
+	for _, removed := range []bool{false, true, false} {
 		queue := ring.New[int]("events", 1, ring.RefuseNew)
 		remove := registry.RegisterRing(queue.Counters)
 		queue.Push(1)
 		queue.Push(2)
-		if ended {
+		if removed {
 			remove()
 			remove()
 		}
@@ -35,7 +35,7 @@
 	is.NoErr(err)
 	_, err = instance.Fire(statechart.RouterEventDrained)
 	is.True(err != nil)
-	registry.Refused(fault.New(fault.Overloaded, "queue full"))
+	registry.CountRefusal(fault.New(fault.Overloaded, "queue full"))
 
 	answer := httptest.NewRecorder()
 	registry.Handler().ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestLogKeepsSecrets(t *testing.T) {
+func TestLogRedactsSecrets(t *testing.T) {
 	is := is.New(t)
 	is.True(SetUpLogging(&bytes.Buffer{}, "loud") != nil)
 	var lines bytes.Buffer
