--- a/standin/application/execute.go
+++ b/standin/application/execute.go
@@ -32,11 +32,11 @@
 		s.refuse(w, protocol.RefusalFull)
 		return
 	}
-	if refused := s.enter(); refused != "" {
+	if refused := s.startExecution(); refused != "" {
 		s.refuse(w, refused)
 		return
 	}
-	defer s.exit()
+	defer s.endExecution()
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "the body broke off or is too large", http.StatusRequestEntityTooLarge)
@@ -78,9 +78,9 @@
 		Attempt:        r.Header.Get(protocol.HeaderAttempt),
 		IdempotencyKey: r.Header.Get(protocol.HeaderIdempotencyKey),
 		Tenant:         ident.Tenant(r.Header.Get(protocol.HeaderTenant)),
-		Service:        ident.Service(variable(r, "service")),
+		Service:        ident.Service(pathVariable(r, "service")),
 		Method:         r.Method,
-		Path:           variable(r, "path"),
+		Path:           pathVariable(r, "path"),
 		Query:          r.URL.RawQuery,
 		BodyDigest:     bodyDigest(body),
 	})
@@ -94,8 +94,8 @@
 	}
 }
 
-// variable returns a path variable without its escapes.
-func variable(r *http.Request, name string) string {
+// pathVariable returns a path variable without its escapes.
+func pathVariable(r *http.Request, name string) string {
 	escaped := mux.Vars(r)[name]
 	plain, err := url.PathUnescape(escaped)
 	if err != nil {
--- a/standin/application/server.go
+++ b/standin/application/server.go
@@ -73,9 +73,9 @@
 	router  *mux.Router
 	truth   truthLog
 
-	mutex   sync.Mutex
-	running int
-	leaving bool
+	mutex    sync.Mutex
+	running  int
+	draining bool
 }
 
 // NewServer returns a stand-in that has executed nothing.
@@ -89,7 +89,7 @@
 			[]string{FaultRefuseFull, FaultRunThenCut, FaultCutBefore, FaultStall, FaultSlow},
 			[]string{ServiceApplication}),
 		router: mux.NewRouter().UseEncodedPath().SkipClean(true),
-		truth:  truthLog{timesRun: map[scope]int{}, writer: options.TruthWriter},
+		truth:  truthLog{executionCounts: map[idempotencyScope]int{}, writer: options.TruthWriter},
 	}
 	server.router.HandleFunc("/v1/services/{service}{path:.*}", server.serveRequest)
 	server.router.HandleFunc("/v1/load", server.serveLoad).Methods(http.MethodGet)
@@ -108,17 +108,17 @@
 func (s *Server) Leave() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.leaving = true
+	s.draining = true
 }
 
 // Executions returns the truth log.
 func (s *Server) Executions() []Execution { return s.truth.all() }
 
-// enter takes a place for one execution, or returns why it is refused.
-func (s *Server) enter() (refused protocol.RefusalKind) {
+// startExecution takes a place for one execution, or returns why it is refused.
+func (s *Server) startExecution() (refused protocol.RefusalKind) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.leaving {
+	if s.draining {
 		return protocol.RefusalLeaving
 	}
 	if s.options.MaxRunning > 0 && s.running >= s.options.MaxRunning {
@@ -128,7 +128,7 @@
 	return ""
 }
 
-func (s *Server) exit() {
+func (s *Server) endExecution() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.running--
@@ -150,7 +150,7 @@
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
 	report := protocol.LoadReport{
-		Incarnation: s.options.Incarnation, MeasuredAt: time.Now(), Leaving: s.leaving,
+		Incarnation: s.options.Incarnation, MeasuredAt: time.Now(), Leaving: s.draining,
 		Running: s.running, MaxRunning: s.options.MaxRunning,
 	}
 	s.mutex.Unlock()
--- a/standin/application/truth.go
+++ b/standin/application/truth.go
@@ -36,8 +36,8 @@
 	BodyDigest string `json:"body_digest"`
 }
 
-// scope names the work that must not run twice.
-type scope struct {
+// idempotencyScope names the work that must not run twice.
+type idempotencyScope struct {
 	tenant  ident.Tenant
 	service ident.Service
 	key     string
@@ -45,9 +45,9 @@
 
 // truthLog keeps every execution. It is safe for concurrent use.
 type truthLog struct {
-	mutex      sync.Mutex
-	executions []Execution
-	timesRun   map[scope]int
+	mutex           sync.Mutex
+	executions      []Execution
+	executionCounts map[idempotencyScope]int
 	// writer receives a JSON line before each execution; nil means none.
 	writer io.Writer
 }
@@ -62,9 +62,9 @@
 	if l.writer != nil {
 		_ = json.NewEncoder(l.writer).Encode(execution)
 	}
-	name := scope{tenant: execution.Tenant, service: execution.Service, key: execution.IdempotencyKey}
-	l.timesRun[name]++
-	return execution, l.timesRun[name]
+	name := idempotencyScope{tenant: execution.Tenant, service: execution.Service, key: execution.IdempotencyKey}
+	l.executionCounts[name]++
+	return execution, l.executionCounts[name]
 }
 
 func (l *truthLog) all() []Execution {
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -103,10 +103,10 @@
 
 // planner builds one plan.
 type planner struct {
-	document *fleet.Document
-	options  Options
-	plan     *Plan
-	list     []protocol.Machine
+	document    *fleet.Document
+	options     Options
+	plan        *Plan
+	machineList []protocol.Machine
 }
 
 func (p *planner) address(offset int) string {
@@ -147,7 +147,7 @@
 			args = append(args, "--model", versions[model])
 		}
 		p.plan.Engines = append(p.plan.Engines, Process{string(engine.Name), ProgramStandIn, args, engine.Address})
-		p.list = append(p.list, protocol.Machine{
+		p.machineList = append(p.machineList, protocol.Machine{
 			Name: string(engine.Name), Kind: protocol.MachineEngine, Zone: engine.Zone,
 			State: protocol.MachineLive, Address: engine.Address,
 		})
@@ -167,7 +167,7 @@
 		args := []string{"application", "--listen", application.Address, "--seed", p.seed()}
 		p.plan.Applications = append(p.plan.Applications,
 			Process{string(application.Name), ProgramStandIn, args, application.Address})
-		p.list = append(p.list, protocol.Machine{
+		p.machineList = append(p.machineList, protocol.Machine{
 			Name: string(application.Name), Kind: protocol.MachineApplication, Zone: application.Zone,
 			State: protocol.MachineLive, Address: application.Address,
 		})
@@ -191,7 +191,7 @@
 		p.plan.Files = append(p.plan.Files, File{settings, p.routerSettings(name, zone, address, gossip)})
 		p.plan.Routers = append(p.plan.Routers,
 			Process{name, ProgramRouter, []string{"router", "--settings", settings}, address})
-		p.list = append(p.list, protocol.Machine{
+		p.machineList = append(p.machineList, protocol.Machine{
 			Name: name, Kind: protocol.MachineRouter, Zone: zone,
 			State: protocol.MachineLive, Address: address, GossipAddress: gossip,
 		})
@@ -223,8 +223,8 @@
 		Address       string `yaml:"address"`
 		GossipAddress string `yaml:"gossip_address,omitempty"`
 	}
-	rows := make([]row, 0, len(p.list))
-	for _, machine := range p.list {
+	rows := make([]row, 0, len(p.machineList))
+	for _, machine := range p.machineList {
 		rows = append(rows, row{
 			machine.Name, string(machine.Kind), string(machine.Zone),
 			string(machine.State), machine.Address, machine.GossipAddress,
--- a/standin/faultboard/board_test.go
+++ b/standin/faultboard/board_test.go
@@ -64,7 +64,7 @@
 	is.True(count > 200 && count < 300) // seeded, so the same every run
 }
 
-func TestInjectRefusesBadFaults(t *testing.T) {
+func TestInjectRejectsInvalidFaults(t *testing.T) {
 	for _, bad := range []faultboard.Fault{
 		{Kind: "unknown", DurationMillis: 1}, {Kind: "slow"}, {Kind: "slow", DurationMillis: 1, Service: "unknown"},
 		{Kind: "slow", DurationMillis: 1, Probability: 1.5}, {Kind: "slow", DurationMillis: 1, DelayMillis: -1},
--- a/standin/faultplan/faultplan.go
+++ b/standin/faultplan/faultplan.go
@@ -175,7 +175,7 @@
 	var found Fault
 	active := false
 	for _, entry := range p.Faults {
-		if entry.Kind != kind || !entry.covers(elapsed) || !entry.hits(target) {
+		if entry.Kind != kind || !entry.activeAt(elapsed) || !entry.matches(target) {
 			continue
 		}
 		if !active || entry.At >= found.At {
@@ -190,7 +190,7 @@
 func (p *Plan) Edges(target string) []time.Duration {
 	var edges []time.Duration
 	for _, entry := range p.Faults {
-		if !entry.hits(target) {
+		if !entry.matches(target) {
 			continue
 		}
 		edges = append(edges, time.Duration(entry.At))
@@ -204,11 +204,11 @@
 
 func (f Fault) end() time.Duration { return time.Duration(f.At + f.Duration) }
 
-func (f Fault) covers(elapsed time.Duration) bool {
+func (f Fault) activeAt(elapsed time.Duration) bool {
 	return elapsed >= time.Duration(f.At) && (f.Duration == 0 || elapsed < f.end())
 }
 
-func (f Fault) hits(target string) bool {
+func (f Fault) matches(target string) bool {
 	matched, err := path.Match(f.Target, target)
 	return err == nil && matched
 }
--- a/standin/faultplan/faultplan_test.go
+++ b/standin/faultplan/faultplan_test.go
@@ -50,7 +50,7 @@
 	is.Equal(len(plan.Faults), 2)
 }
 
-func TestInvalidPlansAreFaults(t *testing.T) {
+func TestParseRejectsInvalidPlans(t *testing.T) {
 	cases := map[string]string{
 		"unknown field":      "faults: [{at: 1s, target: a, kind: crash, colour: red}]",
 		"unknown parameter":  "faults: [{at: 1s, target: a, kind: crash, parameters: {p: 1}}]",
--- a/standin/load/application.go
+++ b/standin/load/application.go
@@ -19,23 +19,23 @@
 		if attempt > 0 {
 			result.Retries++
 		}
-		stated, err := c.sendApplication(ctx, attempt, result)
+		refused, err := c.sendApplication(ctx, attempt, result)
 		switch {
 		case err != nil:
 			// No final word: whatever an earlier attempt was told is open again.
 			result.Outcome, result.Detail = OutcomeLost, "the connection broke"
-			if !c.broke(ctx, result) {
+			if !c.recordBreak(ctx, result) {
 				return
 			}
-		case stated == nil:
+		case refused == nil:
 			result.Outcome, result.Detail = OutcomeAnswered, ""
 			result.FirstToken = time.Since(planned)
 			return
-		case stated.Kind == fault.AlreadyClaimed && stated.RetryAfterMillis > 0:
-			stated.status = http.StatusServiceUnavailable
+		case refused.Kind == fault.AlreadyClaimed && refused.RetryAfterMillis > 0:
+			refused.status = http.StatusServiceUnavailable
 			fallthrough
 		default:
-			if !c.refused(ctx, *stated, result) {
+			if !c.recordRefusal(ctx, *refused, result) {
 				return
 			}
 		}
@@ -61,8 +61,8 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusBadRequest {
-		stated := refusalOf(response)
-		return &stated, nil
+		refused := readRefusal(response)
+		return &refused, nil
 	}
 	_, err = io.Copy(io.Discard, response.Body)
 	return nil, errors.Wrap(err, "reading an application answer")
--- a/standin/load/caller.go
+++ b/standin/load/caller.go
@@ -51,15 +51,15 @@
 
 // refused notes a refusal as the last word so far and waits as long as it
 // asks for. It reports whether another attempt makes sense.
-func (c *caller) refused(ctx context.Context, stated refusal, result *Result) bool {
-	result.Refusals = append(result.Refusals, stated.Kind)
-	result.Outcome = stated.outcome()
-	return stated.worthRepeating() && pause(ctx, max(stated.wait(c.config.MaxWait), c.config.MinWait))
+func (c *caller) recordRefusal(ctx context.Context, refused refusal, result *Result) bool {
+	result.Refusals = append(result.Refusals, refused.Kind)
+	result.Outcome = refused.outcome()
+	return refused.retryable() && pause(ctx, max(refused.retryDelay(c.config.MaxWait), c.config.MinWait))
 }
 
-// broke notes a connection that could not be opened or broke off, and waits
+// recordBreak notes a connection that could not be opened or broke off, and waits
 // twice as long each time, so that callers outlast a restart of the routers.
-func (c *caller) broke(ctx context.Context, result *Result) bool {
+func (c *caller) recordBreak(ctx context.Context, result *Result) bool {
 	wait := c.config.MinWait << min(result.Breaks, maxDoublings)
 	result.Breaks++
 	return pause(ctx, min(wait, c.config.MaxWait))
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -22,18 +22,18 @@
 type step string
 
 const (
-	answer       step = "answer"
-	breakEarly   step = "break before the answer"
-	breakMiddle  step = "break in the middle"
-	breakAtEnd   step = "break before the end marker"
-	noFinish     step = "end marker without a finish reason"
-	wrongText    step = "wrong text"
-	errorEvent   step = "error event"
-	leaving      step = "503 leaving"
-	overloaded   step = "429 overloaded"
-	badRequest   step = "400"
-	unknownFate  step = "502 fate unknown"
-	invalidToken step = "400 on resume"
+	answer         step = "answer"
+	breakEarly     step = "break before the answer"
+	breakMiddle    step = "break in the middle"
+	breakAtEnd     step = "break before the end marker"
+	noFinish       step = "end marker without a finish reason"
+	wrongText      step = "wrong text"
+	errorEvent     step = "error event"
+	shuttingDown   step = "503 leaving"
+	overloaded     step = "429 overloaded"
+	badRequest     step = "400"
+	unknownOutcome step = "502 fate unknown"
+	invalidToken   step = "400 on resume"
 )
 
 var words = []string{"one ", "two ", "three ", "four"}
@@ -54,13 +54,13 @@
 	f.keys = append(f.keys, request.Header.Get("Idempotency-Key"))
 	f.mutex.Unlock()
 	switch next {
-	case leaving:
+	case shuttingDown:
 		refuse(writer, 503, "leaving", "no", 60000)
 	case overloaded:
 		refuse(writer, 429, "overloaded", "no", 1)
 	case badRequest, invalidToken:
 		refuse(writer, 400, "bad_request", "no", 0)
-	case unknownFate:
+	case unknownOutcome:
 		refuse(writer, 502, "outcome_unknown", "unknown", 1)
 	case breakEarly:
 		panic(http.ErrAbortHandler)
@@ -79,32 +79,32 @@
 }
 
 // writeStream writes the words from the one after Last-Event-ID on.
-func writeStream(writer http.ResponseWriter, request *http.Request, how step) {
+func writeStream(writer http.ResponseWriter, request *http.Request, mode step) {
 	from := 0
 	if token := request.Header.Get("Last-Event-ID"); token != "" {
 		from, _ = strconv.Atoi(token)
 	}
 	for index := from; index < len(words); index++ {
-		if index == 2 && how == breakMiddle {
+		if index == 2 && mode == breakMiddle {
 			// Half an event must not count.
 			fmt.Fprintf(writer, "id: 9\ndata: {\"choices\":[{\"delta\":{\"content\":\"half")
 			abort(writer)
 		}
-		if index == 2 && how == errorEvent {
+		if index == 2 && mode == errorEvent {
 			fmt.Fprint(writer, "event: error\ndata: {\"error\":{\"kind\":\"stream_broken\",\"ran\":\"yes\"}}\n\n")
 			return
 		}
 		text := words[index]
-		if how == wrongText {
+		if mode == wrongText {
 			text = "other "
 		}
 		fmt.Fprintf(writer, "id: %d\ndata: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", index+1, text)
 	}
-	if how != noFinish {
+	if mode != noFinish {
 		fmt.Fprintf(writer, "id: %d\ndata: {\"choices\":[{\"delta\":{},\"finish_reason\":\"stop\"}],"+
 			"\"usage\":{\"prompt_tokens\":10,\"completion_tokens\":4,\"prompt_tokens_details\":{\"cached_tokens\":6}}}\n\n", len(words))
 	}
-	if how == breakAtEnd {
+	if mode == breakAtEnd {
 		abort(writer)
 	}
 	fmt.Fprint(writer, "data: [DONE]\n\n")
@@ -126,7 +126,7 @@
 	return config
 }
 
-func TestCallerIsAProperClient(t *testing.T) {
+func TestCallerRetriesAndResumes(t *testing.T) {
 	model := workload.Arrival{Tenant: "t", Service: "s", Messages: []workload.Message{{Role: "user", Content: "c"}}}
 	booking := workload.Arrival{Tenant: "t", Service: "a", Application: true, Method: "POST", Path: "/bookings", Body: "{}", IdempotencyKey: "k"}
 	cases := []struct {
@@ -136,21 +136,21 @@
 		want    Result
 	}{
 		{"whole", model, nil, Result{Outcome: OutcomeAnswered}},
-		{"leaving router passed by", model, []step{leaving}, Result{Outcome: OutcomeAnswered, Retries: 1}},
+		{"leaving router passed by", model, []step{shuttingDown}, Result{Outcome: OutcomeAnswered, Retries: 1}},
 		{"overloaded, later answered", model, []step{overloaded, overloaded}, Result{Outcome: OutcomeAnswered, Retries: 2}},
 		{"never admitted", model, []step{overloaded, overloaded, overloaded, overloaded}, Result{Outcome: OutcomeRefused, Retries: 3}},
 		{"not repeated", model, []step{badRequest}, Result{Outcome: OutcomeRefused}},
 		{"connection broke", model, []step{breakEarly}, Result{Outcome: OutcomeAnswered, Retries: 1, Breaks: 1}},
 		{"resumed", model, []step{breakMiddle}, Result{Outcome: OutcomeAnswered, Resumes: 1, Breaks: 1}},
-		{"resumed past a leaving router", model, []step{breakMiddle, leaving}, Result{Outcome: OutcomeAnswered, Resumes: 2, Breaks: 1}},
+		{"resumed past a leaving router", model, []step{breakMiddle, shuttingDown}, Result{Outcome: OutcomeAnswered, Resumes: 2, Breaks: 1}},
 		{"end marker resumed", model, []step{breakAtEnd}, Result{Outcome: OutcomeAnswered, Resumes: 1, Breaks: 1}},
 		{"resume refused, begun anew", model, []step{breakMiddle, invalidToken}, Result{Outcome: OutcomeAnswered, Resumes: 1, Retries: 1, Restarts: 1, Breaks: 1}},
 		{"error event, begun anew", model, []step{errorEvent}, Result{Outcome: OutcomeAnswered, Retries: 1, Restarts: 1}},
 		{"never whole", model, []step{errorEvent, errorEvent, errorEvent, errorEvent}, Result{Outcome: OutcomeLost, Retries: 3, Restarts: 4}},
 		{"no finish reason", model, []step{noFinish}, Result{Outcome: OutcomeCorrupt}},
 		{"wrong text", model, []step{wrongText}, Result{Outcome: OutcomeCorrupt}},
-		{"booking repeated with its key", booking, []step{breakEarly, unknownFate}, Result{Outcome: OutcomeAnswered, Retries: 2, Breaks: 1}},
-		{"booking of unknown fate", booking, []step{unknownFate, unknownFate, unknownFate, unknownFate}, Result{Outcome: OutcomeUnknown, Retries: 3}},
+		{"booking repeated with its key", booking, []step{breakEarly, unknownOutcome}, Result{Outcome: OutcomeAnswered, Retries: 2, Breaks: 1}},
+		{"booking of unknown fate", booking, []step{unknownOutcome, unknownOutcome, unknownOutcome, unknownOutcome}, Result{Outcome: OutcomeUnknown, Retries: 3}},
 		{"booking lost", booking, []step{overloaded, breakEarly, breakEarly, breakEarly}, Result{Outcome: OutcomeLost, Retries: 3, Breaks: 3}},
 	}
 	for _, test := range cases {
--- a/standin/load/model.go
+++ b/standin/load/model.go
@@ -26,14 +26,14 @@
 // restart forgets the answer so far, but not when its first text came.
 func (s *stream) restart() { *s = stream{firstText: s.firstText} }
 
-// ending is how one exchange of a model request ended: stated is a refusal or
+// exchangeResult is how one exchange of a model request ended: stated is a refusal or
 // an error event, broken a connection that broke; neither is a whole stream.
-type ending struct {
-	stated *refusal
+type exchangeResult struct {
+	refused *refusal
 	// inStream says that stated came as an event of the stream.
-	inStream bool
-	broken   bool
-	corrupt  string
+	inStream     bool
+	disconnected bool
+	corrupt      string
 }
 
 // callModel sends one model request and reads its stream to the end, resuming
@@ -45,16 +45,16 @@
 		if attempt > 0 {
 			countAttempt(result, resuming)
 		}
-		end := c.exchange(ctx, attempt, result.Arrival, answer)
-		if end.corrupt != "" {
-			result.Outcome, result.Detail = OutcomeCorrupt, end.corrupt
+		ended := c.exchange(ctx, attempt, result.Arrival, answer)
+		if ended.corrupt != "" {
+			result.Outcome, result.Detail = OutcomeCorrupt, ended.corrupt
 			return
 		}
-		if end.stated == nil && !end.broken {
-			c.judge(answer, planned, result)
+		if ended.refused == nil && !ended.disconnected {
+			c.checkStream(answer, planned, result)
 			return
 		}
-		if !c.goOn(ctx, end, resuming, answer, result) {
+		if !c.recordFailedExchange(ctx, ended, resuming, answer, result) {
 			return
 		}
 	}
@@ -68,65 +68,65 @@
 	result.Retries++
 }
 
-// goOn notes an ending that is not whole and reports whether to try again.
-func (c *caller) goOn(ctx context.Context, end ending, resuming bool, answer *stream, result *Result) bool {
-	if end.broken {
+// recordFailedExchange notes an ending that is not whole and reports whether to try again.
+func (c *caller) recordFailedExchange(ctx context.Context, ended exchangeResult, resuming bool, answer *stream, result *Result) bool {
+	if ended.disconnected {
 		result.Outcome, result.Detail = OutcomeLost, "the stream broke"
 		if answer.lastID == "" && answer.text.Len() > 0 {
 			answer.restart()
 			result.Restarts++
 		}
-		return c.broke(ctx, result)
+		return c.recordBreak(ctx, result)
 	}
-	stated := *end.stated
-	if end.inStream || (resuming && !resumableLater(stated)) {
+	refused := *ended.refused
+	if ended.inStream || (resuming && !resumeRetryable(refused)) {
 		// The stream cannot be continued; a model request may be sent again.
 		answer.restart()
 		result.Restarts++
-		stated.status = http.StatusServiceUnavailable
+		refused.status = http.StatusServiceUnavailable
 	}
-	again := c.refused(ctx, stated, result)
-	if end.inStream || resuming {
-		result.Outcome, result.Detail = OutcomeLost, "the stream ended with "+string(stated.Kind)
+	retry := c.recordRefusal(ctx, refused, result)
+	if ended.inStream || resuming {
+		result.Outcome, result.Detail = OutcomeLost, "the stream ended with "+string(refused.Kind)
 	}
-	return again
+	return retry
 }
 
-// resumableLater reports whether the same resume may succeed elsewhere.
-func resumableLater(stated refusal) bool {
-	return stated.status == http.StatusServiceUnavailable || stated.status == http.StatusTooManyRequests
+// resumeRetryable reports whether the same resume may succeed elsewhere.
+func resumeRetryable(refused refusal) bool {
+	return refused.status == http.StatusServiceUnavailable || refused.status == http.StatusTooManyRequests
 }
 
 // exchange opens or resumes the stream and reads it as far as it goes.
-func (c *caller) exchange(ctx context.Context, attempt int, arrival workload.Arrival, answer *stream) ending {
+func (c *caller) exchange(ctx context.Context, attempt int, arrival workload.Arrival, answer *stream) exchangeResult {
 	request, err := c.modelRequest(ctx, c.target(arrival, attempt), arrival, answer.lastID)
 	if err != nil {
-		return ending{corrupt: err.Error()}
+		return exchangeResult{corrupt: err.Error()}
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return ending{broken: true}
+		return exchangeResult{disconnected: true}
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		stated := refusalOf(response)
-		return ending{stated: &stated}
+		refused := readRefusal(response)
+		return exchangeResult{refused: &refused}
 	}
 	events := newEventReader(response.Body)
 	for !answer.done {
 		next, err := events.next()
 		if err != nil {
-			return ending{broken: true}
+			return exchangeResult{disconnected: true}
 		}
 		if next.name == "error" {
-			stated := parseRefusal([]byte(next.data))
-			return ending{stated: &stated, inStream: true}
+			refused := parseRefusal([]byte(next.data))
+			return exchangeResult{refused: &refused, inStream: true}
 		}
-		if err := answer.take(next); err != nil {
-			return ending{corrupt: err.Error()}
+		if err := answer.apply(next); err != nil {
+			return exchangeResult{corrupt: err.Error()}
 		}
 	}
-	return ending{}
+	return exchangeResult{}
 }
 
 func (c *caller) modelRequest(ctx context.Context, target string, arrival workload.Arrival, lastID string) (*http.Request, error) {
@@ -156,8 +156,8 @@
 	return request, nil
 }
 
-// take adds one event to the answer.
-func (s *stream) take(next event) error {
+// apply adds one event to the answer.
+func (s *stream) apply(next event) error {
 	if next.data == doneData {
 		s.done = true
 		return nil
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// judge decides whether a closed stream is whole and right.
-func (c *caller) judge(answer *stream, planned time.Time, result *Result) {
+// checkStream decides whether a closed stream is whole and right.
+func (c *caller) checkStream(answer *stream, planned time.Time, result *Result) {
 	result.Outcome = OutcomeCorrupt
 	switch {
 	case answer.finishReason == "":
--- a/standin/load/protocol.go
+++ b/standin/load/protocol.go
@@ -58,19 +58,19 @@
 	Error refusal `json:"error"`
 }
 
-// refusalOf reads the error answer of a router. An answer that states no kind
+// readRefusal reads the error answer of a router. An answer that states no kind
 // has the kind "http_<status>" and an unknown fate.
-func refusalOf(response *http.Response) refusal {
+func readRefusal(response *http.Response) refusal {
 	content, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
-	stated := parseRefusal(content)
-	stated.status = response.StatusCode
-	if stated.Kind == "" {
-		stated.Kind = fault.Kind("http_" + strconv.Itoa(response.StatusCode))
+	refused := parseRefusal(content)
+	refused.status = response.StatusCode
+	if refused.Kind == "" {
+		refused.Kind = fault.Kind("http_" + strconv.Itoa(response.StatusCode))
 	}
-	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil && stated.RetryAfterMillis == 0 {
-		stated.RetryAfterMillis = int64(seconds) * int64(time.Second/time.Millisecond)
+	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil && refused.RetryAfterMillis == 0 {
+		refused.RetryAfterMillis = int64(seconds) * int64(time.Second/time.Millisecond)
 	}
-	return stated
+	return refused
 }
 
 func parseRefusal(content []byte) refusal {
@@ -84,8 +84,8 @@
 	return body.Error
 }
 
-// worthRepeating reports whether a proper client tries the request again.
-func (r refusal) worthRepeating() bool {
+// retryable reports whether a proper client tries the request again.
+func (r refusal) retryable() bool {
 	return r.status >= http.StatusInternalServerError || r.status == http.StatusTooManyRequests
 }
 
@@ -101,9 +101,9 @@
 	}
 }
 
-// wait returns how long to wait before the next attempt. A router that is
+// retryDelay returns how long to wait before the next attempt. A router that is
 // leaving is passed by at once.
-func (r refusal) wait(longest time.Duration) time.Duration {
+func (r refusal) retryDelay(longest time.Duration) time.Duration {
 	if r.Kind == fault.Leaving {
 		return 0
 	}
--- a/standin/load/recorder.go
+++ b/standin/load/recorder.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func (r *recorder) notSent() {
+func (r *recorder) recordUnsent() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.unsent++
--- a/standin/load/runner.go
+++ b/standin/load/runner.go
@@ -112,7 +112,7 @@
 				<-r.slots
 			})
 		default:
-			r.recorder.notSent()
+			r.recorder.recordUnsent()
 		}
 	}
 }
--- a/standin/load/waste.go
+++ b/standin/load/waste.go
@@ -23,13 +23,13 @@
 
 // Kinds of truth records that the waste is read from.
 const (
-	truthStarted      = "started"
-	truthCancelled    = "cancelled"
-	truthLost         = "lost"
-	truthCacheStored  = "cache_stored"
-	truthCacheRemoved = "cache_removed"
-	truthLife         = "life"
-	truthCrashed      = "crashed"
+	truthStarted            = "started"
+	truthCancelled          = "cancelled"
+	truthLost               = "lost"
+	truthCacheStored        = "cache_stored"
+	truthCacheRemoved       = "cache_removed"
+	truthIncarnationStarted = "life"
+	truthCrashed            = "crashed"
 )
 
 // truthRecord is the part of a truth record that the waste is read from.
@@ -101,7 +101,7 @@
 func wasteOf(records []truthRecord, blockTokens int) (Waste, error) {
 	ordered := slices.Clone(records)
 	slices.SortStableFunc(ordered, func(a, b truthRecord) int { return a.Time.Compare(b.Time) })
-	replay := &cacheReplay{blockTokens: blockTokens, held: map[ident.Incarnation]map[prefix.Hash]bool{}, lives: map[ident.Engine]ident.Incarnation{}}
+	replay := &cacheReplay{blockTokens: blockTokens, held: map[ident.Incarnation]map[prefix.Hash]bool{}, incarnations: map[ident.Engine]ident.Incarnation{}}
 	var waste Waste
 	chains := 0
 	for _, record := range ordered {
@@ -124,16 +124,16 @@
 
 // cacheReplay is what every engine truly held.
 type cacheReplay struct {
-	blockTokens int
-	held        map[ident.Incarnation]map[prefix.Hash]bool
-	lives       map[ident.Engine]ident.Incarnation
+	blockTokens  int
+	held         map[ident.Incarnation]map[prefix.Hash]bool
+	incarnations map[ident.Engine]ident.Incarnation
 }
 
 func (r *cacheReplay) apply(record truthRecord) {
 	switch record.Kind {
-	case truthLife:
-		delete(r.held, r.lives[record.Engine])
-		r.lives[record.Engine] = record.Incarnation
+	case truthIncarnationStarted:
+		delete(r.held, r.incarnations[record.Engine])
+		r.incarnations[record.Engine] = record.Incarnation
 	case truthCrashed:
 		delete(r.held, record.Incarnation)
 	case truthCacheStored:
--- a/standin/overhead/overhead.go
+++ b/standin/overhead/overhead.go
@@ -61,7 +61,7 @@
 
 // Run measures until every request is answered or ctx ends.
 func Run(ctx context.Context, config Config) (*Report, error) {
-	probe := &probe{config: config, client: &http.Client{}}
+	probe := &prober{config: config, client: &http.Client{}}
 	incarnation, err := probe.incarnation(ctx)
 	if err != nil {
 		return nil, err
@@ -86,13 +86,13 @@
 	return Times{P50: times.ValueAtQuantile(half), P99: times.ValueAtQuantile(almostAll)}
 }
 
-// probe sends single requests.
-type probe struct {
+// prober sends single requests.
+type prober struct {
 	config Config
 	client *http.Client
 }
 
-func (p *probe) incarnation(ctx context.Context) (ident.Incarnation, error) {
+func (p *prober) incarnation(ctx context.Context) (ident.Incarnation, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.config.Engine+"/v1/load", nil)
 	if err != nil {
 		return "", fault.Wrap(err, fault.BadRequest, "the engine's URL %q", p.config.Engine)
@@ -110,12 +110,12 @@
 }
 
 // prompt returns a prompt whose first block is unique to the way and number.
-func (p *probe) prompt(way string, number int) string {
+func (p *prober) prompt(way string, number int) string {
 	start := fmt.Sprintf("%s request %08d ", way, number)
 	return start + strings.Repeat("x", max(0, p.config.PromptBytes-len(start)))
 }
 
-func (p *probe) direct(ctx context.Context, incarnation ident.Incarnation, number int) (*http.Request, error) {
+func (p *prober) direct(ctx context.Context, incarnation ident.Incarnation, number int) (*http.Request, error) {
 	namespace := prefix.Namespace{Tenant: p.config.Tenant, Model: p.config.Model, Version: p.config.Version}
 	return post(ctx, p.config.Engine+"/v1/generate", protocol.GenerateRequest{
 		RequestID: ident.NewRequest(), Attempt: 1, ExpectedIncarnation: incarnation,
@@ -132,7 +132,7 @@
 	MaxTokens int           `json:"max_tokens"`
 }
 
-func (p *probe) routed(ctx context.Context, number int) (*http.Request, error) {
+func (p *prober) routed(ctx context.Context, number int) (*http.Request, error) {
 	request, err := post(ctx, p.config.Router+"/v1/completions",
 		completion{p.config.Service, p.prompt("routed", number), true, 1})
 	if err == nil {
@@ -156,12 +156,12 @@
 
 // measure sends one request, records the time until its first text and reads
 // the answer to its end.
-func (p *probe) measure(times *hdrhistogram.Histogram, build func() (*http.Request, error)) error {
+func (p *prober) measure(times *hdrhistogram.Histogram, build func() (*http.Request, error)) error {
 	request, err := build()
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
+	started := time.Now()
 	response, err := p.client.Do(request)
 	if err != nil {
 		return fault.Wrap(err, fault.BackendLost, "sending a request")
@@ -170,7 +170,7 @@
 	if response.StatusCode != http.StatusOK {
 		return fault.New(fault.BackendRefused, "%s answered with status %d", request.URL.Host, response.StatusCode)
 	}
-	taken, found, err := firstText(response, begun)
+	taken, found, err := firstText(response, started)
 	if err != nil || !found {
 		return fault.Wrap(err, fault.StreamBroken, "no text came from %s", request.URL.Host)
 	}
@@ -179,13 +179,13 @@
 
 // firstText reads a whole stream and returns when its first text came. Both
 // protocols carry it in a non-empty JSON field "text".
-func firstText(response *http.Response, begun time.Time) (taken time.Duration, found bool, err error) {
+func firstText(response *http.Response, started time.Time) (elapsed time.Duration, found bool, err error) {
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		line := lines.Text()
 		if !found && strings.Contains(line, `"text":"`) && !strings.Contains(line, `"text":""`) {
-			taken, found = time.Since(begun), true
+			elapsed, found = time.Since(started), true
 		}
 	}
-	return taken, found, lines.Err()
+	return elapsed, found, lines.Err()
 }
--- a/standin/platform/handlers.go
+++ b/standin/platform/handlers.go
@@ -35,8 +35,8 @@
 	return reply{status: status, contentType: "text/plain", body: []byte(text)}
 }
 
-// variable returns a path variable without its escapes.
-func variable(r *http.Request, name string) string {
+// pathVariable returns a path variable without its escapes.
+func pathVariable(r *http.Request, name string) string {
 	escaped := mux.Vars(r)[name]
 	plain, err := url.PathUnescape(escaped)
 	if err != nil {
@@ -65,7 +65,7 @@
 func (s *Server) readRow(r *http.Request, _ []byte) reply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	row, exists := s.table.Read(variable(r, "key"))
+	row, exists := s.table.Read(pathVariable(r, "key"))
 	if !exists {
 		return textReply(http.StatusNotFound, "no such row")
 	}
@@ -86,14 +86,14 @@
 func (s *Server) putObject(r *http.Request, body []byte) reply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.objects[objectName{zone: variable(r, "zone"), key: variable(r, "key")}] = body
+	s.objects[objectName{zone: pathVariable(r, "zone"), key: pathVariable(r, "key")}] = body
 	return reply{status: http.StatusNoContent}
 }
 
 func (s *Server) getObject(r *http.Request, _ []byte) reply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	data, exists := s.objects[objectName{zone: variable(r, "zone"), key: variable(r, "key")}]
+	data, exists := s.objects[objectName{zone: pathVariable(r, "zone"), key: pathVariable(r, "key")}]
 	if !exists {
 		return textReply(http.StatusNotFound, "no such object")
 	}
@@ -111,7 +111,7 @@
 			return textReply(http.StatusServiceUnavailable, "given up")
 		}
 	}
-	name := "weights of " + variable(r, "model") + " " + variable(r, "version")
+	name := "weights of " + pathVariable(r, "model") + " " + pathVariable(r, "version")
 	return reply{status: http.StatusOK, contentType: contentTypeBytes, body: []byte(name)}
 }
 
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -42,8 +42,8 @@
 // retryAfterSeconds is told with every refusal for rate.
 const retryAfterSeconds = 1
 
-// burstShare is the share of a second's requests that may come at once.
-const burstShare = 0.1
+// burstSeconds is the share of a second's requests that may come at once.
+const burstSeconds = 0.1
 
 // Options configures a Server. Rates are requests per second; 0 is no limit.
 type Options struct {
@@ -103,10 +103,10 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
 func (s *Server) routes() {
-	table := s.guard(ServiceTable, s.options.TableRate)
-	objects := s.guard(ServiceObjects, s.options.ObjectRate)
-	weights := s.guard(ServiceWeights, s.options.WeightRate)
-	machines := s.guard(ServiceMachines, s.options.MachineRate)
+	table := s.withFaults(ServiceTable, s.options.TableRate)
+	objects := s.withFaults(ServiceObjects, s.options.ObjectRate)
+	weights := s.withFaults(ServiceWeights, s.options.WeightRate)
+	machines := s.withFaults(ServiceMachines, s.options.MachineRate)
 	s.router.HandleFunc("/table/v1/transactions", table(s.commit)).Methods(http.MethodPost)
 	s.router.HandleFunc("/table/v1/rows", table(s.listRows)).Methods(http.MethodGet)
 	s.router.HandleFunc("/table/v1/rows/{key}", table(s.readRow)).Methods(http.MethodGet)
@@ -119,8 +119,8 @@
 	s.board.Register(s.router)
 }
 
-// action does the work of one request whose body was read whole.
-type action func(r *http.Request, body []byte) reply
+// operation does the work of one request whose body was read whole.
+type operation func(r *http.Request, body []byte) reply
 
 // reply is a whole answer.
 type reply struct {
@@ -129,18 +129,18 @@
 	body        []byte
 }
 
-// guard returns a wrapper that puts the service's rate limit and faults around
+// withFaults returns a wrapper that puts the service's rate limit and faults around
 // an action.
-func (s *Server) guard(service string, perSecond float64) func(action) http.HandlerFunc {
+func (s *Server) withFaults(service string, perSecond float64) func(operation) http.HandlerFunc {
 	limiter := newLimiter(perSecond)
-	return func(act action) http.HandlerFunc {
+	return func(act operation) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			drawn := s.board.Draw(service, r.Method != http.MethodGet, time.Now())
 			if drawn.Has(FaultOutage) {
 				panic(http.ErrAbortHandler)
 			}
 			if drawn.Has(FaultRate) || !limiter.Allow() {
-				refuseForRate(w)
+				rejectRateLimited(w)
 				return
 			}
 			body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -151,11 +151,11 @@
 			// A client that gives up does not stop the action: it may still
 			// take effect after its time.
 			time.Sleep(drawn.Delay(FaultSlow))
-			answered := act(r, body)
+			response := act(r, body)
 			if drawn.Has(FaultLoseAnswer) {
 				panic(http.ErrAbortHandler)
 			}
-			answered.send(w)
+			response.send(w)
 		}
 	}
 }
@@ -164,10 +164,10 @@
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 1)
 	}
-	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(math.Ceil(perSecond*burstShare))))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(math.Ceil(perSecond*burstSeconds))))
 }
 
-func refuseForRate(w http.ResponseWriter) {
+func rejectRateLimited(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds))
 	http.Error(w, "over the rate limit; nothing was done", http.StatusTooManyRequests)
 }
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -34,7 +34,7 @@
 	if err := checkTransaction(transaction); err != nil {
 		return protocol.TransactionResult{}, err
 	}
-	if !t.holds(transaction.Conditions) {
+	if !t.conditionsHold(transaction.Conditions) {
 		return protocol.TransactionResult{Rows: t.conditionRows(transaction.Conditions)}, nil
 	}
 	rows := make([]protocol.Row, 0, len(transaction.Writes))
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (t *Table) holds(conditions []protocol.Condition) bool {
+func (t *Table) conditionsHold(conditions []protocol.Condition) bool {
 	return !slices.ContainsFunc(conditions, func(c protocol.Condition) bool {
 		return t.rows[c.Key].Version != c.Version
 	})
--- a/standin/workload/generator.go
+++ b/standin/workload/generator.go
@@ -53,23 +53,23 @@
 // Generator yields the arrivals of a load in order. It is not safe for
 // concurrent use.
 type Generator struct {
-	spec    *Spec
-	seed    uint64
-	random  *rand.Rand
-	library *library
-	now     time.Duration
-	number  uint64
-	last    map[string]Arrival
+	spec   *Spec
+	seed   uint64
+	random *rand.Rand
+	texts  *layerTexts
+	now    time.Duration
+	number uint64
+	last   map[string]Arrival
 }
 
 // NewGenerator returns the generator of a checked spec.
 func NewGenerator(spec *Spec, seed uint64) *Generator {
 	return &Generator{
-		spec:    spec,
-		seed:    seed,
-		random:  newRandom(seed, "arrivals", spec.Name),
-		library: &library{spec: spec, seed: seed, books: map[string]*book{}},
-		last:    map[string]Arrival{},
+		spec:   spec,
+		seed:   seed,
+		random: newRandom(seed, "arrivals", spec.Name),
+		texts:  &layerTexts{spec: spec, seed: seed, texts: map[string]*layerText{}},
+		last:   map[string]Arrival{},
 	}
 }
 
@@ -78,8 +78,8 @@
 func (g *Generator) Next() Arrival {
 	g.advance()
 	g.number++
-	tenant := g.spec.Tenants[pick(g.random, g.tenantWeights())].Name
-	source := pick(g.random, g.sourceWeights(g.now))
+	tenant := g.spec.Tenants[pickWeighted(g.random, g.tenantWeights())].Name
+	source := pickWeighted(g.random, g.sourceWeights(g.now))
 	arrival := Arrival{Number: g.number, At: g.now, Tenant: tenant}
 	if source < len(g.spec.Classes) {
 		return g.modelRequest(arrival, g.spec.Classes[source])
@@ -146,7 +146,7 @@
 func (g *Generator) modelRequest(arrival Arrival, class Class) Arrival {
 	arrival.Service, arrival.Class = class.Service, class.Name
 	arrival.MaxTokens = class.MinTokens + g.random.IntN(class.MaxTokens-class.MinTokens+1)
-	texts := g.library.prompts(arrival.Tenant, class, g.random, arrival.At)
+	texts := g.texts.prompts(arrival.Tenant, class, g.random, arrival.At)
 	tail := fmt.Sprintf("%s %d: %s", class.Name, arrival.Number, writeText(g.random, vocabularies[g.spec.Vocabulary], class.TailTokens))
 	if class.Plain {
 		arrival.Prompt = strings.Join(append(texts, tail), "\n")
@@ -171,8 +171,8 @@
 		return arrival
 	}
 	kind := string(arrival.Tenant) + " " + call.Method + " " + call.Path
-	repeat := g.random.Float64() < call.RepeatShare
-	if earlier, known := g.last[kind]; known && repeat {
+	retry := g.random.Float64() < call.RepeatShare
+	if earlier, known := g.last[kind]; known && retry {
 		arrival.Body, arrival.IdempotencyKey, arrival.Repeat = earlier.Body, earlier.IdempotencyKey, true
 		return arrival
 	}
--- a/standin/workload/layers.go
+++ b/standin/workload/layers.go
@@ -9,11 +9,11 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// trimShare is the share of the oldest entries that a full book drops.
-const trimShare = 4
+// trimDivisor is the share of the oldest entries that a full book drops.
+const trimDivisor = 4
 
-// book is the text of one layer for one tenant and one variant.
-type book struct {
+// layerText is the text of one layer for one tenant and one variant.
+type layerText struct {
 	layer      Layer
 	vocabulary []string
 	random     *rand.Rand
@@ -22,75 +22,75 @@
 	text       string
 }
 
-func newBook(layer Layer, vocabulary []string, random *rand.Rand) *book {
-	b := &book{layer: layer, vocabulary: vocabulary, random: random}
+func newLayerText(layer Layer, vocabulary []string, random *rand.Rand) *layerText {
+	b := &layerText{layer: layer, vocabulary: vocabulary, random: random}
 	if layer.ChangeEvery == 0 {
 		b.text = writeText(random, vocabulary, layer.Tokens)
 		return b
 	}
 	// A book starts between half full and full.
-	most := b.mostEntries()
-	for range most/2 + random.IntN(most-most/2) {
+	limit := b.maxEntries()
+	for range limit/2 + random.IntN(limit-limit/2) {
 		b.entries = append(b.entries, b.newEntry())
 	}
-	b.nextChange = b.pause()
+	b.nextChange = b.nextInterval()
 	b.text = strings.Join(b.entries, "")
 	return b
 }
 
-func (b *book) mostEntries() int { return max(b.layer.Tokens/b.layer.EntryTokens, 2) }
+func (b *layerText) maxEntries() int { return max(b.layer.Tokens/b.layer.EntryTokens, 2) }
 
-func (b *book) newEntry() string { return writeText(b.random, b.vocabulary, b.layer.EntryTokens) }
+func (b *layerText) newEntry() string { return writeText(b.random, b.vocabulary, b.layer.EntryTokens) }
 
-func (b *book) pause() time.Duration {
+func (b *layerText) nextInterval() time.Duration {
 	return time.Duration(b.random.ExpFloat64() * float64(b.layer.ChangeEvery))
 }
 
 // textAt returns the text at a time, which must not go backwards.
-func (b *book) textAt(at time.Duration) string {
+func (b *layerText) textAt(at time.Duration) string {
 	if b.layer.ChangeEvery == 0 || at < b.nextChange {
 		return b.text
 	}
 	for at >= b.nextChange {
 		b.change()
-		b.nextChange += b.pause() + time.Nanosecond
+		b.nextChange += b.nextInterval() + time.Nanosecond
 	}
 	b.text = strings.Join(b.entries, "")
 	return b.text
 }
 
-func (b *book) change() {
+func (b *layerText) change() {
 	if b.random.Float64() >= b.layer.AppendShare {
 		b.entries[b.random.IntN(len(b.entries))] = b.newEntry()
 		return
 	}
-	if most := b.mostEntries(); len(b.entries) >= most {
-		b.entries = append([]string(nil), b.entries[max(most/trimShare, 1):]...)
+	if limit := b.maxEntries(); len(b.entries) >= limit {
+		b.entries = append([]string(nil), b.entries[max(limit/trimDivisor, 1):]...)
 	}
 	b.entries = append(b.entries, b.newEntry())
 }
 
-// library holds the books of every tenant, written when first read.
-type library struct {
+// layerTexts holds the books of every tenant, written when first read.
+type layerTexts struct {
 	spec  *Spec
 	seed  uint64
-	books map[string]*book
+	texts map[string]*layerText
 }
 
 // text returns the text of a layer. The path names tenant, variants and
 // revisions down to the layer, so that texts nest.
-func (l *library) text(layer Layer, path string, at time.Duration) string {
+func (l *layerTexts) text(layer Layer, path string, at time.Duration) string {
 	key := path + "/" + layer.Name
-	found, known := l.books[key]
+	existing, known := l.texts[key]
 	if !known {
-		found = newBook(layer, vocabularies[l.spec.Vocabulary], newRandom(l.seed, "layer", key))
-		l.books[key] = found
+		existing = newLayerText(layer, vocabularies[l.spec.Vocabulary], newRandom(l.seed, "layer", key))
+		l.texts[key] = existing
 	}
-	return found.textAt(at)
+	return existing.textAt(at)
 }
 
 // prompts returns the texts of a class's layers, outermost first.
-func (l *library) prompts(tenant ident.Tenant, class Class, random *rand.Rand, at time.Duration) []string {
+func (l *layerTexts) prompts(tenant ident.Tenant, class Class, random *rand.Rand, at time.Duration) []string {
 	path := string(tenant)
 	texts := make([]string, 0, len(class.Layers)+1)
 	for _, name := range class.Layers {
@@ -104,7 +104,7 @@
 	return texts
 }
 
-func (l *library) pickVariant(layer Layer, random *rand.Rand, at time.Duration) string {
+func (l *layerTexts) pickVariant(layer Layer, random *rand.Rand, at time.Duration) string {
 	weights := make([]float64, len(layer.Variants))
 	for index, variant := range layer.Variants {
 		weights[index] = variant.Weight
@@ -114,11 +114,11 @@
 			}
 		}
 	}
-	return layer.Variants[pick(random, weights)].Name
+	return layer.Variants[pickWeighted(random, weights)].Name
 }
 
 // revision counts the shifts of a variant so far; each one replaces its texts.
-func (l *library) revision(layer Layer, variant string, at time.Duration) int {
+func (l *layerTexts) revision(layer Layer, variant string, at time.Duration) int {
 	revision := 0
 	for _, event := range l.spec.Events {
 		if event.Kind == EventShift && event.Layer == layer.Name && event.Variant == variant && at >= event.At {
@@ -128,15 +128,15 @@
 	return revision
 }
 
-// pick returns an index with a probability proportional to its weight.
-func pick(random *rand.Rand, weights []float64) int {
+// pickWeighted returns an index with a probability proportional to its weight.
+func pickWeighted(random *rand.Rand, weights []float64) int {
 	total := 0.0
 	for _, weight := range weights {
 		total += weight
 	}
-	rest := random.Float64() * total
+	remaining := random.Float64() * total
 	for index, weight := range weights {
-		if rest -= weight; rest < 0 {
+		if remaining -= weight; remaining < 0 {
 			return index
 		}
 	}
--- a/standin/workload/workload_test.go
+++ b/standin/workload/workload_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestSameSeedSameLoad(t *testing.T) {
+func TestSameSeedGivesSameArrivals(t *testing.T) {
 	for _, path := range examples {
 		is := is.New(t)
 		first, again, other := arrivals(t, path, 1), arrivals(t, path, 1), arrivals(t, path, 2)
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestPromptsNest judges that requests of one tenant share most of their
+// TestPromptsShareTenantPrefixes judges that requests of one tenant share most of their
 // prompt with an earlier one, and that tenants share nothing.
-func TestPromptsNest(t *testing.T) {
+func TestPromptsShareTenantPrefixes(t *testing.T) {
 	for _, path := range examples {
 		seen := map[ident.Tenant][]string{}
 		shared, total := 0, 0
@@ -79,7 +79,7 @@
 	return length
 }
 
-func TestEventsChangeTheLoad(t *testing.T) {
+func TestFloodsAndRetries(t *testing.T) {
 	is := is.New(t)
 	countFlood := func(all []Arrival, from, to time.Duration) (count int) {
 		for _, arrival := range all {
@@ -108,7 +108,7 @@
 	is.True(repeats > 0)
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidSpecs(t *testing.T) {
 	const valid = "{name: w, rate: 1, arrivals: uniform, duration: 1s, vocabulary: parking, tenants: [{name: a, weight: 1}], " +
 		"classes: [{name: c, service: s, weight: 1, tailTokens: 1, minTokens: 1, maxTokens: 1}]}"
 	is := is.New(t)
