--- a/standin/application/application_test.go
+++ b/standin/application/application_test.go
@@ -21,7 +21,7 @@
 
 func start(t *testing.T) (server *application.Server, address string) {
 	t.Helper()
-	server = application.NewServer(application.Options{Incarnation: "life-1"})
+	server = application.NewServer(application.Options{Incarnation: "incarnation-1"})
 	listener := httptest.NewServer(server)
 	t.Cleanup(listener.Close)
 	return server, strings.TrimPrefix(listener.URL, "http://")
@@ -46,23 +46,23 @@
 	}
 }
 
-// TestFaults holds what the client says against the truth log. Each exchange
-// reuses a connection, so a transparent repeat would show as an execution.
-func TestFaults(t *testing.T) {
+// TestFaultOutcomes compares the client's outcome with the truth log. Each
+// exchange reuses a connection, so an automatic retry would be recorded.
+func TestFaultOutcomes(t *testing.T) {
 	cases := []struct {
 		name, inject string
 		timeout      time.Duration
-		ran          fault.Ran // empty: an answer
+		ran          fault.Ran // empty: success
 		executions   int
 	}{
 		{"no fault", "", time.Minute, "", 1},
 		{"refused as full", `{"kind":"refuse_full","duration_millis":60000}`, time.Minute, fault.RanNo, 0},
-		{"runs, then cuts", `{"kind":"run_then_cut","duration_millis":60000}`, time.Minute, fault.RanUnknown, 1},
-		{"cuts before running", `{"kind":"cut_before","duration_millis":60000}`, time.Minute, fault.RanUnknown, 0},
+		{"executes, then closes the connection", `{"kind":"run_then_cut","duration_millis":60000}`, time.Minute, fault.RanUnknown, 1},
+		{"closes the connection before executing", `{"kind":"cut_before","duration_millis":60000}`, time.Minute, fault.RanUnknown, 0},
 		{"stalls", `{"kind":"stall","duration_millis":60000,"delay_millis":1}`, time.Minute, fault.RanUnknown, 0},
 		{"slow", `{"kind":"slow","duration_millis":60000,"delay_millis":1}`, time.Minute, "", 1},
-		{"spares reads, not writes", `{"kind":"cut_before","duration_millis":60000,"only_writes":true}`, time.Minute, fault.RanUnknown, 0},
-		{"given up before it left", "", -time.Second, fault.RanNo, 0},
+		{"excludes reads, not writes", `{"kind":"cut_before","duration_millis":60000,"only_writes":true}`, time.Minute, fault.RanUnknown, 0},
+		{"context expired before sending", "", -time.Second, fault.RanNo, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,15 +87,15 @@
 	}
 }
 
-func TestAnswersAreTheCallersOwn(t *testing.T) {
+func TestDuplicateRequestsAreExecutedTwice(t *testing.T) {
 	is := is.New(t)
 	server, address := start(t)
 	client := engine.NewHTTPClient(engine.Options{})
 	var answers [2]application.Answer
-	for index := range answers { // a double run is let through, and shows
+	for index := range answers { // both executions are recorded
 		response, err := client.Call(t.Context(), address, booking("k"))
 		is.NoErr(err)
-		is.Equal(string(response.Incarnation), "life-1")
+		is.Equal(string(response.Incarnation), "incarnation-1")
 		is.NoErr(json.Unmarshal(response.Body, &answers[index]))
 		is.Equal(answers[index].Digest, application.Digest("haul", "k", []byte("skip")))
 		is.Equal(answers[index].Executed, index+1)
@@ -108,7 +108,7 @@
 	is.True(application.Digest("a", "bc", nil) != application.Digest("ab", "c", nil))
 }
 
-func TestLeavingRefusesNewWork(t *testing.T) {
+func TestDrainingRefusesNewRequests(t *testing.T) {
 	is := is.New(t)
 	server, address := start(t)
 	server.Leave()
--- a/standin/application/execute.go
+++ b/standin/application/execute.go
@@ -14,9 +14,9 @@
 	"github.com/fieldpond/fieldpond/standin/faultboard"
 )
 
-// Answer is the body of the answer to an executed request.
+// Answer is the response body of an executed request.
 type Answer struct {
-	// Booking names what this execution brought about; no two are the same.
+	// Booking is a unique identifier of this execution's effect.
 	Booking string `json:"booking"`
 	// Executed counts the executions of the tenant's idempotency key so far.
 	Executed int `json:"executed"`
@@ -39,7 +39,7 @@
 	defer s.endExecution()
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		http.Error(w, "the body broke off or is too large", http.StatusRequestEntityTooLarge)
+		http.Error(w, "the body is incomplete or too large", http.StatusRequestEntityTooLarge)
 		return
 	}
 	if drawn.Has(FaultCutBefore) {
@@ -55,7 +55,7 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// stall waits without executing and cuts the connection.
+// stall waits without executing, then closes the connection.
 func stall(r *http.Request, delay time.Duration) {
 	var over <-chan time.Time
 	if delay > 0 {
@@ -68,8 +68,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// execute records the execution as it begins and takes its time. A client that
-// leaves does not stop it.
+// execute records the execution at its start and waits for the execution time.
+// It continues if the client disconnects.
 func (s *Server) execute(r *http.Request, body []byte, drawn faultboard.Drawn) Answer {
 	execution, executed := s.truth.add(Execution{
 		Time:           time.Now(),
@@ -94,7 +94,7 @@
 	}
 }
 
-// pathVariable returns a path variable without its escapes.
+// pathVariable returns an unescaped path variable.
 func pathVariable(r *http.Request, name string) string {
 	escaped := mux.Vars(r)[name]
 	plain, err := url.PathUnescape(escaped)
--- a/standin/application/server.go
+++ b/standin/application/server.go
@@ -15,49 +15,50 @@
 	"github.com/fieldpond/fieldpond/standin/faultboard"
 )
 
-// Kinds of faults. The service of all is ServiceApplication.
+// Kinds of faults, all for ServiceApplication.
 const (
 	// FaultRefuseFull refuses before execution.
 	FaultRefuseFull = "refuse_full"
-	// FaultRunThenCut executes, then cuts the connection without an answer.
+	// FaultRunThenCut executes, then closes the connection without a response.
 	FaultRunThenCut = "run_then_cut"
-	// FaultCutBefore reads the body, then cuts without executing.
+	// FaultCutBefore reads the body, then closes the connection without
+	// executing.
 	FaultCutBefore = "cut_before"
-	// FaultStall holds the request without executing, for delay_millis or, if
-	// that is 0, until the client leaves; then it cuts the connection.
+	// FaultStall waits without executing for delay_millis or, if that is 0,
+	// until the client disconnects; then it closes the connection.
 	FaultStall = "stall"
 	// FaultSlow adds delay_millis to the execution time.
 	FaultSlow = "slow"
 )
 
-// ServiceApplication is the only service that faults may name.
+// ServiceApplication is the only service that faults may target.
 const ServiceApplication = "application"
 
 // TruthPath serves the truth log as JSON lines.
 const TruthPath = "/rehearsal/truth"
 
-// maxBodyBytes bounds the body of a request.
+// maxBodyBytes limits a request body.
 const maxBodyBytes = 16 << 20
 
-// retryAfterMillis is told with a refusal.
+// retryAfterMillis is the retry delay in every refusal.
 const retryAfterMillis = 200
 
 // Options configures a Server.
 type Options struct {
-	// Incarnation of this life; empty takes a fresh one.
+	// Incarnation identifies this process lifetime; empty means a new one.
 	Incarnation ident.Incarnation
-	// ExecutionTime is how long one execution takes.
+	// ExecutionTime is the duration of one execution.
 	ExecutionTime time.Duration
-	// MaxRunning refuses requests above it; 0 is no limit.
+	// MaxRunning limits concurrent executions; 0 is no limit.
 	MaxRunning int
-	// Seed seeds the draws of faults.
+	// Seed seeds the fault probabilities.
 	Seed uint64
-	// TruthWriter also receives the executions as JSON lines, each before it
-	// begins, so that they outlast the process; nil means none.
+	// TruthWriter receives a JSON line before each execution, so that records
+	// outlast the process; nil means none.
 	TruthWriter io.Writer
 }
 
-// Validate checks the ranges of the options.
+// Validate checks that no option is negative.
 func (o Options) Validate() error {
 	if o.ExecutionTime < 0 || o.MaxRunning < 0 {
 		return fault.New(fault.InvalidSettings, "the execution time or the limit of the application stand-in is negative").
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// Server is the stand-in. It is safe for concurrent use.
+// Server is the application stand-in. It is safe for concurrent use.
 type Server struct {
 	options Options
 	board   *faultboard.Board
@@ -78,7 +79,7 @@
 	draining bool
 }
 
-// NewServer returns a stand-in that has executed nothing.
+// NewServer returns a stand-in with an empty truth log.
 func NewServer(options Options) *Server {
 	if options.Incarnation == "" {
 		options.Incarnation = ident.Incarnation(ident.NewUnique())
@@ -104,7 +105,7 @@
 	s.router.ServeHTTP(w, r)
 }
 
-// Leave makes the stand-in refuse all new work from now on.
+// Leave makes the stand-in refuse all new requests.
 func (s *Server) Leave() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -114,7 +115,8 @@
 // Executions returns the truth log.
 func (s *Server) Executions() []Execution { return s.truth.all() }
 
-// startExecution takes a place for one execution, or returns why it is refused.
+// startExecution reserves capacity for one execution, or returns the reason of
+// the refusal.
 func (s *Server) startExecution() (refused protocol.RefusalKind) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -134,7 +136,7 @@
 	s.running--
 }
 
-// refuse answers that nothing was executed.
+// refuse responds with a refusal without execution.
 func (s *Server) refuse(w http.ResponseWriter, kind protocol.RefusalKind) {
 	status := http.StatusTooManyRequests
 	if kind == protocol.RefusalLeaving {
--- a/standin/application/truth.go
+++ b/standin/application/truth.go
@@ -1,9 +1,9 @@
-// Package application is the stand-in for an application back end: it executes
-// what it is asked, keeps a truth log of every execution, and can be made to
-// refuse, stall, slow down or cut connections before or after executing.
+// Package application simulates an application back end. It executes every
+// request, records it in a truth log, and can be made to refuse, stall, delay or
+// close connections before or after executing.
 //
-// It never deduplicates by idempotency key, so that a request which was let
-// through twice shows as two executions.
+// It never deduplicates by idempotency key, so that a request forwarded twice
+// appears as two executions.
 package application
 
 import (
@@ -18,9 +18,9 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Execution is one execution that truly took place.
+// Execution is a record of one execution.
 type Execution struct {
-	// Order counts the executions of this process, starting at 1.
+	// Order numbers the executions of this process, starting at 1.
 	Order          uint64            `json:"order"`
 	Time           time.Time         `json:"time"`
 	Incarnation    ident.Incarnation `json:"incarnation"`
@@ -36,7 +36,7 @@
 	BodyDigest string `json:"body_digest"`
 }
 
-// idempotencyScope names the work that must not run twice.
+// idempotencyScope identifies a request that must be executed at most once.
 type idempotencyScope struct {
 	tenant  ident.Tenant
 	service ident.Service
@@ -52,8 +52,8 @@
 	writer io.Writer
 }
 
-// add records an execution and returns it with its order number, and how often
-// its key has run by now.
+// add records an execution and returns it with its order number and the number
+// of executions with its key.
 func (l *truthLog) add(execution Execution) (Execution, int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -73,8 +73,8 @@
 	return l.executions[:len(l.executions):len(l.executions)]
 }
 
-// Digest is what an answer echoes of its request: the SHA-256, in hex, of
-// tenant, idempotency key and body, each with its length before it.
+// Digest returns the digest of a request in its answer: the SHA-256, in hex, of
+// the length-prefixed tenant, idempotency key and body.
 func Digest(tenant ident.Tenant, idempotencyKey string, body []byte) string {
 	hash := sha256.New()
 	for _, field := range [][]byte{[]byte(tenant), []byte(idempotencyKey), body} {
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -1,7 +1,6 @@
-// Package deployment works out which processes a rehearsal of a fleet file
-// needs on one machine: the platform, every engine and application of the
-// file, and some routers, each with its arguments and files. It starts
-// nothing; a script or a test does.
+// Package deployment plans the processes of a rehearsal of a fleet file on one
+// machine: the platform, every engine and application of the file, and the
+// routers, each with its arguments and files. It does not start them.
 package deployment
 
 import (
@@ -17,27 +16,27 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// Options sets what the fleet file does not say.
+// Options configures what the fleet file does not contain.
 type Options struct {
-	// Directory is where the files of the plan will be.
+	// Directory is the directory of the plan's files.
 	Directory string
-	// Routers is the number of routers; they go over the zones in turn.
+	// Routers is the number of routers, assigned to the zones round robin.
 	Routers int
-	// Host is the IP number everything listens on; a loopback address.
+	// Host is the loopback address that all processes listen on.
 	Host string
-	// FirstPort is the platform's port. Routers take the ports after it, two
-	// each: HTTP (TCP) and gossip (UDP).
+	// FirstPort is the platform's port. Each router uses the next two: HTTP
+	// (TCP) and gossip (UDP).
 	FirstPort int
 	// Seed seeds the stand-ins.
 	Seed uint64
-	// CacheBlocks is the capacity of each engine's block cache; zero leaves
-	// the stand-in's default.
+	// CacheBlocks is the capacity of each engine's block cache; zero means the
+	// stand-in's default.
 	CacheBlocks int
-	// ClusterKey is the key the routers share.
+	// ClusterKey is the routers' shared key.
 	ClusterKey string
 }
 
-// Program names one of the two programs.
+// Program is the name of an executable.
 type Program string
 
 const (
@@ -62,7 +61,7 @@
 	Data []byte
 }
 
-// Plan is everything needed to start a rehearsal, in order of starting.
+// Plan lists the processes of a rehearsal in starting order, and their files.
 type Plan struct {
 	Platform     Process
 	Engines      []Process
@@ -71,7 +70,7 @@
 	Files        []File
 }
 
-// All returns every process in the order of starting.
+// All returns all processes in starting order.
 func (p *Plan) All() []Process {
 	all := []Process{p.Platform}
 	all = append(all, p.Engines...)
@@ -79,15 +78,16 @@
 	return append(all, p.Routers...)
 }
 
-// portsPerRouter is the number of ports between two routers.
+// portsPerRouter is the number of ports of a router: HTTP and gossip.
 const portsPerRouter = 2
 
-// New works out the plan of a fleet file. It fails for an option out of range.
+// New returns the plan for a fleet file, or an error if an option is out of
+// range.
 func New(document *fleet.Document, options Options) (*Plan, error) {
 	host, err := netip.ParseAddr(options.Host)
 	if err != nil || !host.IsLoopback() {
 		return nil, fault.New(fault.InvalidSettings, "host %q is not a loopback address", options.Host).
-			WithRemedy("rehearse on 127.0.0.1; stand-ins must not be reachable from elsewhere")
+			WithRemedy("use 127.0.0.1; stand-ins must not be reachable from other machines")
 	}
 	if options.Routers < 1 || len(document.Regions) == 0 {
 		return nil, fault.New(fault.InvalidSettings, "a rehearsal needs at least one router and one region")
@@ -154,7 +154,8 @@
 	}
 }
 
-// separator stands before an adapter in "name:version:adapter,adapter".
+// separator returns the separator before an adapter in
+// "name:version:adapter,adapter".
 func separator(index int) string {
 	if index == 0 {
 		return ":"
@@ -198,7 +199,7 @@
 	}
 }
 
-// routerSettings writes the settings file of one router.
+// routerSettings returns the settings file of one router.
 func (p *planner) routerSettings(name string, zone ident.Zone, address, gossip string) []byte {
 	lines := []string{
 		"node: " + name,
@@ -213,7 +214,7 @@
 	return []byte(strings.Join(lines, "\n"))
 }
 
-// machines writes the machine list that the platform shows at once.
+// machines adds the file with the platform's initial machine list.
 func (p *planner) machines() {
 	type row struct {
 		Name          string `yaml:"name"`
@@ -234,7 +235,7 @@
 		Machines []row `yaml:"machines"`
 	}{rows})
 	if err != nil {
-		panic("encoding the machine list: " + err.Error()) // plain strings always encode
+		panic("encoding the machine list: " + err.Error()) // a struct of strings always encodes
 	}
 	p.plan.Files = append(p.plan.Files, File{p.path(machinesFile), data})
 }
--- a/standin/faultboard/board.go
+++ b/standin/faultboard/board.go
@@ -1,5 +1,5 @@
-// Package faultboard holds the faults injected into a stand-in and draws, from
-// a seeded source, which of them strike an exchange.
+// Package faultboard holds the faults injected into a stand-in and draws from a
+// seeded source which of them apply to a request.
 package faultboard
 
 import (
@@ -16,31 +16,30 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// AllServices is the Service of a fault that strikes every service.
+// AllServices is the Service of a fault that applies to every service.
 const AllServices = "all"
 
-// Path is where the board is reached over HTTP: POST injects a Fault, DELETE
-// takes all back.
+// Path is the board's HTTP path: POST injects a Fault, DELETE clears all.
 const Path = "/rehearsal/faults"
 
 const maxFaultBytes = 4 << 10
 
 // Fault is one injected fault.
 type Fault struct {
-	// Service limits the fault; empty means AllServices.
+	// Service is the affected service; empty means AllServices.
 	Service string `json:"service,omitempty"`
 	Kind    string `json:"kind"`
-	// DurationMillis is how long the fault lasts.
+	// DurationMillis is the time until the fault ends.
 	DurationMillis int64 `json:"duration_millis"`
-	// DelayMillis is the delay of kinds that delay.
+	// DelayMillis is the delay, for kinds that delay.
 	DelayMillis int64 `json:"delay_millis,omitempty"`
-	// Probability is the chance that one exchange is struck. Default: 1.
+	// Probability is the chance that a request is affected. Default: 1.
 	Probability float64 `json:"probability,omitempty"`
-	// OnlyWrites spares reads.
+	// OnlyWrites excludes reads.
 	OnlyWrites bool `json:"only_writes,omitempty"`
 }
 
-// Board holds the faults in force. It is safe for concurrent use.
+// Board holds the active faults. It is safe for concurrent use.
 type Board struct {
 	mutex    sync.Mutex
 	kinds    []string
@@ -54,12 +53,12 @@
 	until time.Time
 }
 
-// New returns an empty board that knows the given kinds and services.
+// New returns an empty board that accepts the given kinds and services.
 func New(seed uint64, kinds, services []string) *Board {
 	return &Board{kinds: kinds, services: services, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// Inject puts a fault in force from now on.
+// Inject activates a fault at now, or returns an error if it is invalid.
 func (b *Board) Inject(injected Fault, now time.Time) error {
 	if injected.Service == "" {
 		injected.Service = AllServices
@@ -82,17 +81,17 @@
 	return nil
 }
 
-// Clear takes every fault back.
+// Clear removes all faults.
 func (b *Board) Clear() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.faults = nil
 }
 
-// Drawn holds the faults that strike one exchange.
+// Drawn holds the faults that apply to one request.
 type Drawn struct{ faults []Fault }
 
-// Draw draws the faults that strike an exchange with a service at a time.
+// Draw returns the faults that apply to a request to service at now.
 func (b *Board) Draw(service string, write bool, now time.Time) Drawn {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -112,12 +111,12 @@
 	return drawn
 }
 
-// Has reports whether a fault of the kind strikes.
+// Has reports whether a fault of the kind applies.
 func (d Drawn) Has(kind string) bool {
 	return slices.ContainsFunc(d.faults, func(f Fault) bool { return f.Kind == kind })
 }
 
-// Delay returns the longest delay of the kind; zero means none.
+// Delay returns the longest delay of the kind, or zero.
 func (d Drawn) Delay(kind string) time.Duration {
 	var longest time.Duration
 	for _, drawn := range d.faults {
--- a/standin/faultboard/board_test.go
+++ b/standin/faultboard/board_test.go
@@ -24,11 +24,11 @@
 		after   time.Duration
 		delay   time.Duration
 	}{
-		{"strikes", "table", true, 0, 30 * time.Millisecond},
-		{"spares reads", "table", false, 0, 0},
-		{"spares other services", "objects", true, 0, 0},
-		{"lasts until its end", "table", true, 999 * time.Millisecond, 30 * time.Millisecond},
-		{"is over at its end", "table", true, time.Second, 0},
+		{"applies to writes", "table", true, 0, 30 * time.Millisecond},
+		{"excludes reads", "table", false, 0, 0},
+		{"excludes other services", "objects", true, 0, 0},
+		{"active until its end", "table", true, 999 * time.Millisecond, 30 * time.Millisecond},
+		{"inactive at its end", "table", true, time.Second, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 	first, count := pattern()
 	second, _ := pattern()
 	is.Equal(first, second)
-	is.True(count > 200 && count < 300) // seeded, so the same every run
+	is.True(count > 200 && count < 300) // the seed makes the count the same in every run
 }
 
 func TestInjectRejectsInvalidFaults(t *testing.T) {
--- a/standin/faultplan/faultplan.go
+++ b/standin/faultplan/faultplan.go
@@ -1,5 +1,5 @@
-// Package faultplan declares the schedule of faults that drives the stand-ins:
-// a YAML file with a seed and a list of faults, each with a time, a duration, a
+// Package faultplan declares the schedule of faults of the stand-ins: a YAML
+// file with a seed and a list of faults, each with a start time, a duration, a
 // target, a kind and typed parameters.
 //
 //	seed: 7
@@ -7,7 +7,7 @@
 //	  - {at: 10s, duration: 5s, target: engine-1, kind: crash}
 //	  - {at: 20s, duration: 30s, target: "engine-*", kind: event_loss, parameters: {probability: 0.2}}
 //
-// Kinds are open: each stand-in acts on those it knows and ignores the rest.
+// Each stand-in ignores the kinds that it doesn't implement.
 package faultplan
 
 import (
@@ -29,67 +29,68 @@
 
 // Kinds of faults of engines and applications.
 const (
-	// Crash ends the process; it returns empty, as a new incarnation at the
-	// same address, after the duration.
+	// Crash ends the incarnation; after the duration a new one with an empty
+	// cache starts at the same address.
 	Crash Kind = "crash"
 	// Stall stops all progress; connections stay open.
 	Stall Kind = "stall"
-	// Cut breaks the open stream connections when it begins and, if Events is
+	// Cut closes the open stream connections at its start and, if Events is
 	// set, each later one after that many events.
 	Cut Kind = "cut"
-	// EventLoss loses cache events with Probability.
+	// EventLoss drops cache events with Probability.
 	EventLoss Kind = "event_loss"
 	// EventDelay publishes cache events after Delay.
 	EventDelay Kind = "event_delay"
-	// LoadLag makes load reports Delay old.
+	// LoadLag delays the contents of load reports by Delay.
 	LoadLag Kind = "load_lag"
 	// DuplicateChunks sends every chunk twice.
 	DuplicateChunks Kind = "duplicate_chunks"
 	// SwapChunks sends chunks in swapped pairs.
 	SwapChunks Kind = "swap_chunks"
-	// LoseEnd closes the stream in place of its end event.
+	// LoseEnd closes the stream instead of sending its end event.
 	LoseEnd Kind = "lose_end"
-	// Slow multiplies all durations by Factor, or adds Delay to each answer.
+	// Slow multiplies all durations by Factor, or adds Delay to each response.
 	Slow Kind = "slow"
-	// RefuseFull refuses all new work as if the queue were full.
+	// RefuseFull refuses all new requests as if the queue were full.
 	RefuseFull Kind = "refuse_full"
-	// Leave makes the back end say that it is leaving.
+	// Leave makes the back end advertise that it is draining.
 	Leave Kind = "leave"
 )
 
-// Kinds of faults of the platform; Slow counts for it too.
+// Kinds of faults of the platform, in addition to Slow.
 const (
-	// Outage answers nothing.
+	// Outage sends no responses.
 	Outage Kind = "outage"
-	// LoseAnswer breaks the connection after the action has taken effect, with
-	// Probability (1 when not set).
+	// LoseAnswer closes the connection after the operation took effect, with
+	// Probability (default 1).
 	LoseAnswer Kind = "lose_answer"
 	// Rate changes the rate limit to Rate a second.
 	Rate Kind = "rate"
 )
 
-// AnyTarget is the target of a fault that hits every stand-in.
+// AnyTarget is the target of a fault that affects every stand-in.
 const AnyTarget = "*"
 
-// Parameters are the typed parameters of a fault; each kind says which it uses.
+// Parameters are the parameters of a fault; the comment of each kind names
+// those it uses.
 type Parameters struct {
-	// Probability is a share from 0 to 1.
+	// Probability is from 0 to 1.
 	Probability float64 `yaml:"probability" json:"probability,omitempty"`
 	// Delay is a duration, such as "250ms".
 	Delay Duration `yaml:"delay" json:"delay,omitempty"`
 	// Factor multiplies durations; at least 1.
 	Factor float64 `yaml:"factor" json:"factor,omitempty"`
-	// Rate is a number of operations a second.
+	// Rate is in operations per second.
 	Rate float64 `yaml:"rate" json:"rate,omitempty"`
-	// Events counts stream events.
+	// Events is a number of stream events.
 	Events int `yaml:"events" json:"events,omitempty"`
 }
 
 // Fault is one entry of the schedule.
 type Fault struct {
-	// At is when the fault begins, counted from the start of the stand-in.
+	// At is the time from the start of the stand-in to that of the fault.
 	At Duration `yaml:"at" json:"at"`
-	// Duration is how long it lasts; zero means until the end of the run.
+	// Duration is the fault's length; zero means until the end of the run.
 	Duration Duration `yaml:"duration" json:"duration"`
 	// Target is a stand-in's name or a pattern such as "engine-*".
 	Target     string     `yaml:"target" json:"target"`
@@ -97,14 +98,14 @@
 	Parameters Parameters `yaml:"parameters" json:"parameters"`
 }
 
-// Plan is a whole schedule. It is not safe for concurrent changes.
+// Plan is a fault schedule. It is not safe for concurrent changes.
 type Plan struct {
-	// Seed feeds every random choice of the stand-ins; zero leaves it to flags.
+	// Seed seeds all random choices of the stand-ins; zero means the flag's seed.
 	Seed   int64   `yaml:"seed" json:"seed"`
 	Faults []Fault `yaml:"faults" json:"faults"`
 }
 
-// Load reads and checks a plan file.
+// Load reads and validates a plan file.
 func Load(file string) (*Plan, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -114,13 +115,13 @@
 	return Parse(content)
 }
 
-// Parse reads and checks a plan. Unknown fields are faults.
+// Parse decodes and validates a plan. Unknown fields are errors.
 func Parse(content []byte) (*Plan, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
 	decoder.KnownFields(true)
 	plan := &Plan{}
 	if err := decoder.Decode(plan); err != nil && !errors.Is(err, io.EOF) {
-		return nil, invalid(err, "fault plan is no valid YAML of the schema")
+		return nil, invalid(err, "the fault plan is not valid YAML or does not match the schema")
 	}
 	for index := range plan.Faults {
 		if err := plan.Faults[index].Validate(); err != nil {
@@ -132,10 +133,10 @@
 
 func invalid(cause error, format string, arguments ...any) error {
 	return fault.Wrap(cause, fault.InvalidSettings, format, arguments...).
-		WithRemedy("correct the fault plan as the cause says; the schema stands in package faultplan")
+		WithRemedy("correct the fault plan as described by the cause; package faultplan documents the schema")
 }
 
-// Validate checks the entry's ranges.
+// Validate checks that the required fields are set and all values in range.
 func (f Fault) Validate() error {
 	switch {
 	case f.Kind == "":
@@ -155,10 +156,10 @@
 	return errors.Wrap(err, "target pattern")
 }
 
-// Add adds a fault, for example one injected at run time.
+// Add adds a fault, such as one injected at run time.
 func (p *Plan) Add(added Fault) { p.Faults = append(p.Faults, added) }
 
-// Prune forgets the faults that ended before elapsed.
+// Prune removes the faults that have ended at elapsed.
 func (p *Plan) Prune(elapsed time.Duration) {
 	kept := p.Faults[:0]
 	for _, entry := range p.Faults {
@@ -169,8 +170,8 @@
 	p.Faults = kept
 }
 
-// Active returns the fault of the kind that is in force for the target at
-// elapsed; of several, the one that began last.
+// Active returns the active fault of the kind for the target at elapsed; of
+// several, the one that started last.
 func (p *Plan) Active(target string, kind Kind, elapsed time.Duration) (Fault, bool) {
 	var found Fault
 	active := false
@@ -185,8 +186,8 @@
 	return found, active
 }
 
-// Edges returns, in order, the times at which a fault of the target begins or
-// ends, so that a virtual-time driver knows when to look.
+// Edges returns the sorted start and end times of the target's faults, at which
+// a virtual-time driver must wake.
 func (p *Plan) Edges(target string) []time.Duration {
 	var edges []time.Duration
 	for _, entry := range p.Faults {
--- a/standin/faultplan/faultplan_test.go
+++ b/standin/faultplan/faultplan_test.go
@@ -30,9 +30,9 @@
 		{"engine-1", Crash, 10 * time.Second, true, 10 * time.Second},
 		{"engine-1", Crash, 15 * time.Second, false, 0},
 		{"engine-2", Crash, 11 * time.Second, false, 0},
-		{"engine-2", EventLoss, 21 * time.Second, true, 20 * time.Second}, // the later one goes first
+		{"engine-2", EventLoss, 21 * time.Second, true, 20 * time.Second}, // the later start takes precedence
 		{"engine-2", EventLoss, 23 * time.Second, true, 12 * time.Second},
-		{"table", Rate, 900 * time.Hour, true, 30 * time.Second}, // no duration: until the end
+		{"table", Rate, 900 * time.Hour, true, 30 * time.Second}, // no duration: until the end of the run
 	}
 	plan, err := Parse([]byte(example))
 	is.New(t).NoErr(err)
--- a/standin/load/application.go
+++ b/standin/load/application.go
@@ -12,8 +12,8 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// callApplication sends one application request, again with the same key as
-// long as its fate is open.
+// callApplication sends one application request and retries it with the same
+// key while its outcome is unknown.
 func (c *caller) callApplication(ctx context.Context, planned time.Time, result *Result) {
 	for attempt := range c.config.MaxAttempts {
 		if attempt > 0 {
@@ -22,8 +22,8 @@
 		refused, err := c.sendApplication(ctx, attempt, result)
 		switch {
 		case err != nil:
-			// No final word: whatever an earlier attempt was told is open again.
-			result.Outcome, result.Detail = OutcomeLost, "the connection broke"
+			// This attempt may have run, so an earlier refusal no longer decides.
+			result.Outcome, result.Detail = OutcomeLost, "the connection failed"
 			if !c.recordBreak(ctx, result) {
 				return
 			}
@@ -42,8 +42,8 @@
 	}
 }
 
-// sendApplication makes one attempt. It returns a refusal that the router
-// stated, an error if no whole answer came, or neither for an answer.
+// sendApplication makes one attempt. It returns a router's refusal, an error
+// if the response is incomplete, or neither on success.
 func (c *caller) sendApplication(ctx context.Context, attempt int, result *Result) (*refusal, error) {
 	arrival := result.Arrival
 	url := c.target(arrival, attempt) + "/v1/services/" + string(arrival.Service) + arrival.Path
@@ -52,8 +52,8 @@
 		return nil, errors.Wrap(err, "building an application request")
 	}
 	c.setHeaders(request, arrival)
-	// Without this net/http sends a request with an Idempotency-Key again by
-	// itself when a reused connection breaks, and that attempt is not counted.
+	// Otherwise net/http itself retries a request with an Idempotency-Key when
+	// a reused connection fails, and that attempt is not counted.
 	request.GetBody = nil
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -65,5 +65,5 @@
 		return &refused, nil
 	}
 	_, err = io.Copy(io.Discard, response.Body)
-	return nil, errors.Wrap(err, "reading an application answer")
+	return nil, errors.Wrap(err, "reading an application response")
 }
--- a/standin/load/caller.go
+++ b/standin/load/caller.go
@@ -8,18 +8,18 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// maxDoublings bounds the growth of the pause after a broken connection.
+// maxDoublings bounds the exponential back-off after failed connections.
 const maxDoublings = 6
 
-// caller acts as a proper client of the routers: it tries another one when a
-// connection breaks or a router refuses, and waits as long as it is told to.
+// caller is a well-behaved client: it retries at another router when a
+// connection fails or a router refuses, and honours Retry-After.
 type caller struct {
 	config *Config
 	client *http.Client
 }
 
-// call runs one arrival to its end. The planned time is the start of every
-// measured wait, so that a slow system cannot hide behind late requests.
+// call runs one arrival to its end. Latencies count from the planned time, so
+// that a delayed send does not hide a slow system (coordinated omission).
 func (c *caller) call(ctx context.Context, arrival workload.Arrival, planned time.Time) Result {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
 	defer cancel()
@@ -33,7 +33,7 @@
 }
 
 // target returns the router of an attempt: round robin over the arrivals, and
-// the next one for each further attempt.
+// the next one for each retry.
 func (c *caller) target(arrival workload.Arrival, attempt int) string {
 	return c.config.Targets[(arrival.Number+uint64(attempt))%uint64(len(c.config.Targets))]
 }
@@ -49,23 +49,23 @@
 	}
 }
 
-// refused notes a refusal as the last word so far and waits as long as it
-// asks for. It reports whether another attempt makes sense.
+// recordRefusal records a refusal as the outcome so far and waits for its retry
+// delay. It reports whether to retry.
 func (c *caller) recordRefusal(ctx context.Context, refused refusal, result *Result) bool {
 	result.Refusals = append(result.Refusals, refused.Kind)
 	result.Outcome = refused.outcome()
 	return refused.retryable() && pause(ctx, max(refused.retryDelay(c.config.MaxWait), c.config.MinWait))
 }
 
-// recordBreak notes a connection that could not be opened or broke off, and waits
-// twice as long each time, so that callers outlast a restart of the routers.
+// recordBreak records a failed connection and waits with exponential back-off,
+// so that callers outlast a restart of the routers. It reports whether to retry.
 func (c *caller) recordBreak(ctx context.Context, result *Result) bool {
 	wait := c.config.MinWait << min(result.Breaks, maxDoublings)
 	result.Breaks++
 	return pause(ctx, min(wait, c.config.MaxWait))
 }
 
-// pause waits and reports whether the context is still alive.
+// pause waits and reports whether the context is still active.
 func pause(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -18,27 +18,27 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// step is what the fake router does with one exchange.
+// step is the fake router's behaviour in one exchange.
 type step string
 
 const (
 	answer         step = "answer"
-	breakEarly     step = "break before the answer"
+	breakEarly     step = "break before the response"
 	breakMiddle    step = "break in the middle"
 	breakAtEnd     step = "break before the end marker"
 	noFinish       step = "end marker without a finish reason"
 	wrongText      step = "wrong text"
 	errorEvent     step = "error event"
-	shuttingDown   step = "503 leaving"
+	shuttingDown   step = "503 shutting down"
 	overloaded     step = "429 overloaded"
 	badRequest     step = "400"
-	unknownOutcome step = "502 fate unknown"
+	unknownOutcome step = "502 outcome unknown"
 	invalidToken   step = "400 on resume"
 )
 
 var words = []string{"one ", "two ", "three ", "four"}
 
-// fakeRouter plays its script, then answers.
+// fakeRouter follows its script, then answers every request.
 type fakeRouter struct {
 	mutex  sync.Mutex
 	script []step
@@ -78,7 +78,7 @@
 	fmt.Fprintf(writer, `{"error":{"kind":%q,"message":"m","remedy":"r","ran":%q,"retry_after_millis":%d}}`, kind, ran, after)
 }
 
-// writeStream writes the words from the one after Last-Event-ID on.
+// writeStream writes the words after Last-Event-ID.
 func writeStream(writer http.ResponseWriter, request *http.Request, mode step) {
 	from := 0
 	if token := request.Header.Get("Last-Event-ID"); token != "" {
@@ -86,7 +86,7 @@
 	}
 	for index := from; index < len(words); index++ {
 		if index == 2 && mode == breakMiddle {
-			// Half an event must not count.
+			// An incomplete event must be discarded.
 			fmt.Fprintf(writer, "id: 9\ndata: {\"choices\":[{\"delta\":{\"content\":\"half")
 			abort(writer)
 		}
@@ -135,22 +135,22 @@
 		script  []step
 		want    Result
 	}{
-		{"whole", model, nil, Result{Outcome: OutcomeAnswered}},
-		{"leaving router passed by", model, []step{shuttingDown}, Result{Outcome: OutcomeAnswered, Retries: 1}},
+		{"complete", model, nil, Result{Outcome: OutcomeAnswered}},
+		{"shutting-down router skipped", model, []step{shuttingDown}, Result{Outcome: OutcomeAnswered, Retries: 1}},
 		{"overloaded, later answered", model, []step{overloaded, overloaded}, Result{Outcome: OutcomeAnswered, Retries: 2}},
 		{"never admitted", model, []step{overloaded, overloaded, overloaded, overloaded}, Result{Outcome: OutcomeRefused, Retries: 3}},
-		{"not repeated", model, []step{badRequest}, Result{Outcome: OutcomeRefused}},
-		{"connection broke", model, []step{breakEarly}, Result{Outcome: OutcomeAnswered, Retries: 1, Breaks: 1}},
+		{"not retried", model, []step{badRequest}, Result{Outcome: OutcomeRefused}},
+		{"connection failed", model, []step{breakEarly}, Result{Outcome: OutcomeAnswered, Retries: 1, Breaks: 1}},
 		{"resumed", model, []step{breakMiddle}, Result{Outcome: OutcomeAnswered, Resumes: 1, Breaks: 1}},
-		{"resumed past a leaving router", model, []step{breakMiddle, shuttingDown}, Result{Outcome: OutcomeAnswered, Resumes: 2, Breaks: 1}},
+		{"resumed after a shutting-down router", model, []step{breakMiddle, shuttingDown}, Result{Outcome: OutcomeAnswered, Resumes: 2, Breaks: 1}},
 		{"end marker resumed", model, []step{breakAtEnd}, Result{Outcome: OutcomeAnswered, Resumes: 1, Breaks: 1}},
-		{"resume refused, begun anew", model, []step{breakMiddle, invalidToken}, Result{Outcome: OutcomeAnswered, Resumes: 1, Retries: 1, Restarts: 1, Breaks: 1}},
-		{"error event, begun anew", model, []step{errorEvent}, Result{Outcome: OutcomeAnswered, Retries: 1, Restarts: 1}},
-		{"never whole", model, []step{errorEvent, errorEvent, errorEvent, errorEvent}, Result{Outcome: OutcomeLost, Retries: 3, Restarts: 4}},
+		{"resume refused, restarted", model, []step{breakMiddle, invalidToken}, Result{Outcome: OutcomeAnswered, Resumes: 1, Retries: 1, Restarts: 1, Breaks: 1}},
+		{"error event, restarted", model, []step{errorEvent}, Result{Outcome: OutcomeAnswered, Retries: 1, Restarts: 1}},
+		{"never complete", model, []step{errorEvent, errorEvent, errorEvent, errorEvent}, Result{Outcome: OutcomeLost, Retries: 3, Restarts: 4}},
 		{"no finish reason", model, []step{noFinish}, Result{Outcome: OutcomeCorrupt}},
 		{"wrong text", model, []step{wrongText}, Result{Outcome: OutcomeCorrupt}},
-		{"booking repeated with its key", booking, []step{breakEarly, unknownOutcome}, Result{Outcome: OutcomeAnswered, Retries: 2, Breaks: 1}},
-		{"booking of unknown fate", booking, []step{unknownOutcome, unknownOutcome, unknownOutcome, unknownOutcome}, Result{Outcome: OutcomeUnknown, Retries: 3}},
+		{"booking retried with its key", booking, []step{breakEarly, unknownOutcome}, Result{Outcome: OutcomeAnswered, Retries: 2, Breaks: 1}},
+		{"booking with unknown outcome", booking, []step{unknownOutcome, unknownOutcome, unknownOutcome, unknownOutcome}, Result{Outcome: OutcomeUnknown, Retries: 3}},
 		{"booking lost", booking, []step{overloaded, breakEarly, breakEarly, breakEarly}, Result{Outcome: OutcomeLost, Retries: 3, Breaks: 3}},
 	}
 	for _, test := range cases {
--- a/standin/load/model.go
+++ b/standin/load/model.go
@@ -13,7 +13,7 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// stream is what a caller holds of one answer.
+// stream is the received part of one answer.
 type stream struct {
 	text         strings.Builder
 	lastID       string
@@ -23,21 +23,22 @@
 	firstText    time.Time
 }
 
-// restart forgets the answer so far, but not when its first text came.
+// restart discards the answer so far, except the time of its first text.
 func (s *stream) restart() { *s = stream{firstText: s.firstText} }
 
-// exchangeResult is how one exchange of a model request ended: stated is a refusal or
-// an error event, broken a connection that broke; neither is a whole stream.
+// exchangeResult is the end of one exchange of a model request: refused is a
+// refusal or an error event, disconnected a failed connection; neither means a
+// complete stream.
 type exchangeResult struct {
 	refused *refusal
-	// inStream says that stated came as an event of the stream.
+	// inStream is whether refused was received as an event of the stream.
 	inStream     bool
 	disconnected bool
 	corrupt      string
 }
 
 // callModel sends one model request and reads its stream to the end, resuming
-// it at another router when a connection breaks.
+// it at another router when a connection fails.
 func (c *caller) callModel(ctx context.Context, planned time.Time, result *Result) {
 	answer := &stream{}
 	for attempt := range c.config.MaxAttempts {
@@ -68,10 +69,11 @@
 	result.Retries++
 }
 
-// recordFailedExchange notes an ending that is not whole and reports whether to try again.
+// recordFailedExchange records an incomplete exchange, waits, and reports
+// whether to try again.
 func (c *caller) recordFailedExchange(ctx context.Context, ended exchangeResult, resuming bool, answer *stream, result *Result) bool {
 	if ended.disconnected {
-		result.Outcome, result.Detail = OutcomeLost, "the stream broke"
+		result.Outcome, result.Detail = OutcomeLost, "the stream was interrupted"
 		if answer.lastID == "" && answer.text.Len() > 0 {
 			answer.restart()
 			result.Restarts++
@@ -80,24 +82,24 @@
 	}
 	refused := *ended.refused
 	if ended.inStream || (resuming && !resumeRetryable(refused)) {
-		// The stream cannot be continued; a model request may be sent again.
+		// The stream cannot be resumed, but a model request is safe to retry.
 		answer.restart()
 		result.Restarts++
 		refused.status = http.StatusServiceUnavailable
 	}
 	retry := c.recordRefusal(ctx, refused, result)
 	if ended.inStream || resuming {
-		result.Outcome, result.Detail = OutcomeLost, "the stream ended with "+string(refused.Kind)
+		result.Outcome, result.Detail = OutcomeLost, "the stream ended with error "+string(refused.Kind)
 	}
 	return retry
 }
 
-// resumeRetryable reports whether the same resume may succeed elsewhere.
+// resumeRetryable reports whether the same resume may succeed at another router.
 func resumeRetryable(refused refusal) bool {
 	return refused.status == http.StatusServiceUnavailable || refused.status == http.StatusTooManyRequests
 }
 
-// exchange opens or resumes the stream and reads it as far as it goes.
+// exchange opens or resumes the stream and reads it until it ends or fails.
 func (c *caller) exchange(ctx context.Context, attempt int, arrival workload.Arrival, answer *stream) exchangeResult {
 	request, err := c.modelRequest(ctx, c.target(arrival, attempt), arrival, answer.lastID)
 	if err != nil {
@@ -156,7 +158,7 @@
 	return request, nil
 }
 
-// apply adds one event to the answer.
+// apply adds an event to the answer.
 func (s *stream) apply(next event) error {
 	if next.data == doneData {
 		s.done = true
@@ -191,19 +193,19 @@
 	return nil
 }
 
-// checkStream decides whether a closed stream is whole and right.
+// checkStream sets the result of a closed stream: answered or corrupt.
 func (c *caller) checkStream(answer *stream, planned time.Time, result *Result) {
 	result.Outcome = OutcomeCorrupt
 	switch {
 	case answer.finishReason == "":
-		result.Detail = "closed without a finish reason"
+		result.Detail = "stream closed without a finish reason"
 		return
 	case answer.usage == nil:
-		result.Detail = "closed without usage"
+		result.Detail = "stream closed without usage"
 		return
 	case c.config.ExpectedText != nil:
 		if answer.text.String() != c.config.ExpectedText(result.Arrival.Prompt, result.Arrival.MaxTokens) {
-			result.Detail = "the text is not the answer to this prompt"
+			result.Detail = "the text differs from the expected answer to this prompt"
 			return
 		}
 	}
--- a/standin/load/protocol.go
+++ b/standin/load/protocol.go
@@ -11,10 +11,10 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// doneData closes a whole stream.
+// doneData marks the end of a complete stream.
 const doneData = "[DONE]"
 
-// maxErrorBody bounds what is read of an error answer, in bytes.
+// maxErrorBody limits an error response, in bytes.
 const maxErrorBody = 64 << 10
 
 type generateBody struct {
@@ -45,7 +45,7 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// refusal is an error that a router stated, in an answer or in a stream.
+// refusal is an error that a router sent in a response or a stream.
 type refusal struct {
 	status           int
 	Kind             fault.Kind `json:"kind"`
@@ -58,8 +58,8 @@
 	Error refusal `json:"error"`
 }
 
-// readRefusal reads the error answer of a router. An answer that states no kind
-// has the kind "http_<status>" and an unknown fate.
+// readRefusal reads a router's error response. Without an error kind in its
+// body, the kind is "http_<status>" and execution is unknown.
 func readRefusal(response *http.Response) refusal {
 	content, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBody))
 	refused := parseRefusal(content)
@@ -84,12 +84,12 @@
 	return body.Error
 }
 
-// retryable reports whether a proper client tries the request again.
+// retryable returns whether a client should retry the request.
 func (r refusal) retryable() bool {
 	return r.status >= http.StatusInternalServerError || r.status == http.StatusTooManyRequests
 }
 
-// outcome returns what the refusal, as the last word, means for the request.
+// outcome returns the request's outcome if the refusal is its last response.
 func (r refusal) outcome() Outcome {
 	switch r.Ran {
 	case fault.RanNo:
@@ -101,8 +101,8 @@
 	}
 }
 
-// retryDelay returns how long to wait before the next attempt. A router that is
-// leaving is passed by at once.
+// retryDelay returns the wait before the next attempt: none after a router that
+// is shutting down.
 func (r refusal) retryDelay(longest time.Duration) time.Duration {
 	if r.Kind == fault.Leaving {
 		return 0
--- a/standin/load/recorder.go
+++ b/standin/load/recorder.go
@@ -13,14 +13,14 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// The range and precision of measured waits.
+// The range and precision of the latency histograms.
 const (
 	longestMicros     = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 	maxFailures       = 20
 )
 
-// recorder adds up results; it is safe for concurrent use.
+// recorder aggregates results. It is safe for concurrent use.
 type recorder struct {
 	mutex    sync.Mutex
 	unsent   int
@@ -94,7 +94,7 @@
 	}
 }
 
-// kindOf names the row of a request in the report.
+// kindOf returns the name of a request's row in the report.
 func kindOf(arrival workload.Arrival) string {
 	if arrival.Application {
 		return strings.Join([]string{string(arrival.Service), arrival.Method, arrival.Path}, " ")
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -14,47 +14,45 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Report is what a load run measured, as its callers saw it.
+// Report holds the measurements of a load run from the callers' side.
 type Report struct {
 	Workload        string  `json:"workload"`
 	Seed            uint64  `json:"seed"`
 	RatePerSecond   float64 `json:"rate_per_second"`
 	DurationSeconds float64 `json:"duration_seconds"`
-	// TextChecked says whether the answers' texts were compared with the
-	// right ones.
+	// TextChecked is whether the texts were compared with the expected ones.
 	TextChecked bool `json:"text_checked"`
-	// Sent counts the arrivals sent; NotSent those dropped because too many
-	// were open.
+	// Sent counts the arrivals sent; NotSent those dropped at MaxInFlight.
 	Sent    int `json:"sent"`
 	NotSent int `json:"not_sent"`
-	// Outcomes counts the arrivals sent by how they ended.
+	// Outcomes counts the arrivals sent by outcome.
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Refusals counts every refusal met, retried ones included.
+	// Refusals counts all refusals, including retried ones.
 	Refusals map[fault.Kind]int `json:"refusals"`
-	// Breaks counts broken connections and incomplete streams, Resumes streams
-	// continued, Restarts streams begun anew, Retries requests sent again.
+	// Breaks counts failed connections and incomplete streams, Resumes streams
+	// continued, Restarts streams started again, Retries requests sent again.
 	Breaks   int `json:"breaks"`
 	Resumes  int `json:"resumes"`
 	Restarts int `json:"restarts"`
 	Retries  int `json:"retries"`
-	// The tokens of answered requests, from their usage. HitRate is cached
+	// Token counts from the usage of answered requests; HitRate is cached
 	// over prompt tokens.
 	PromptTokens     int64   `json:"prompt_tokens"`
 	CachedTokens     int64   `json:"cached_tokens"`
 	CompletionTokens int64   `json:"completion_tokens"`
 	HitRate          float64 `json:"hit_rate"`
-	// Unmeasured counts waits that the histogram could not take.
+	// Unmeasured counts latencies that the histogram rejected.
 	Unmeasured int `json:"unmeasured"`
 	// Kinds has a row for each class and each application route.
 	Kinds []KindReport `json:"kinds"`
-	// Waste is left out unless truth logs were read.
+	// Waste is nil unless truth logs were read.
 	Waste *Waste `json:"waste,omitempty"`
 	// Failures lists the first failures.
 	Failures []Failure `json:"failures,omitempty"`
 }
 
 // KindReport is the row of a class or an application route. The percentiles
-// are of the time to the first token, for applications to the whole answer.
+// are of the time to the first token, or to an application's whole response.
 type KindReport struct {
 	Name         string  `json:"name"`
 	Application  bool    `json:"application"`
@@ -68,7 +66,7 @@
 	P99Millis    float64 `json:"p99_millis"`
 }
 
-// Failure is one request that was not answered rightly.
+// Failure is one request without a correct answer.
 type Failure struct {
 	Arrival uint64  `json:"arrival"`
 	Kind    string  `json:"kind"`
@@ -76,15 +74,15 @@
 	Detail  string  `json:"detail"`
 }
 
-// Waste is the wasted recomputation by the engines' truth logs.
+// Waste is the wasted computation according to the engines' truth logs.
 type Waste struct {
 	// PromptTokens counts the prompt tokens of all attempts that ran.
 	PromptTokens int64 `json:"prompt_tokens"`
-	// RecomputedTokens counts tokens prefilled although a permitted engine
-	// held them when the request was dispatched.
+	// RecomputedTokens counts tokens prefilled although another permitted engine
+	// had them cached when the generation started.
 	RecomputedTokens int64 `json:"recomputed_tokens"`
-	// DiscardedTokens counts tokens computed for attempts whose result was
-	// thrown away.
+	// DiscardedTokens counts tokens computed for attempts that were cancelled
+	// or lost with their engine.
 	DiscardedTokens int64 `json:"discarded_tokens"`
 	// Share is recomputed and discarded over prompt tokens.
 	Share float64 `json:"share"`
@@ -92,7 +90,7 @@
 
 func (w *Waste) fillShare() { w.Share = share(w.RecomputedTokens+w.DiscardedTokens, w.PromptTokens) }
 
-// Verdict returns an error if any stream was corrupt, or if more requests than
+// Verdict returns an error if a stream was corrupt or more requests than
 // allowed were lost.
 func (r *Report) Verdict(allowedLost int) error {
 	corrupt, lost := r.Outcomes[OutcomeCorrupt], r.Outcomes[OutcomeLost]
@@ -109,7 +107,7 @@
 	return errors.Wrap(encoder.Encode(r), "writing the report")
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as a readable table.
 func (r *Report) WriteTable(writer io.Writer) error {
 	table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(table, "workload %s, seed %d, %g requests/s for %gs\n", r.Workload, r.Seed, r.RatePerSecond, r.DurationSeconds)
--- a/standin/load/result.go
+++ b/standin/load/result.go
@@ -7,39 +7,40 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// Outcome is how a request ended for its caller.
+// Outcome is the final result of a request as its caller observed it.
 type Outcome string
 
 const (
-	// OutcomeAnswered is a whole and right answer.
+	// OutcomeAnswered is a complete and correct answer.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeRefused is a refusal that says "not run".
+	// OutcomeRefused is a refusal without execution.
 	OutcomeRefused Outcome = "refused_not_run"
-	// OutcomeFailed is a statement that the work began and failed.
+	// OutcomeFailed is an error after execution started.
 	OutcomeFailed Outcome = "failed_after_start"
-	// OutcomeUnknown is a statement that the work may or may not have run.
+	// OutcomeUnknown is an error that leaves open whether the request ran.
 	OutcomeUnknown Outcome = "outcome_unknown"
-	// OutcomeLost is a request that got no final word, or a model request
-	// whose stream began and never became whole, after every attempt.
+	// OutcomeLost is a request without a final response, or with an incomplete
+	// stream, after all attempts.
 	OutcomeLost Outcome = "lost"
-	// OutcomeCorrupt is a stream that claims to be whole and is not right.
+	// OutcomeCorrupt is a closed stream with invalid content.
 	OutcomeCorrupt Outcome = "corrupt"
 )
 
-// Result is what became of one arrival.
+// Result is the result of one arrival.
 type Result struct {
 	Arrival workload.Arrival
 	Outcome Outcome
-	// Refusals lists every refusal met on the way, the last word included.
+	// Refusals lists all refusals in order, the final one included.
 	Refusals []fault.Kind
-	// FirstToken is the time from the planned arrival to the first text; for
-	// an application request, to the whole answer.
+	// FirstToken is the time from the planned arrival to the first text, or to
+	// an application's whole response.
 	FirstToken time.Duration
-	// Usage of an answered model request.
+	// Token usage of an answered model request.
 	PromptTokens, CachedTokens, CompletionTokens int
-	// Retries counts requests sent again, Resumes streams continued from
-	// their last event, Restarts streams begun anew, Breaks broken connections.
+	// Retries counts requests sent again, Resumes streams continued from their
+	// last event, Restarts streams started again, Breaks failed connections.
 	Retries, Resumes, Restarts, Breaks int
-	// Detail says why a stream is corrupt or lost, without any of its text.
+	// Detail is the reason of a corrupt or lost result, without any text of the
+	// answer.
 	Detail string
 }
--- a/standin/load/runner.go
+++ b/standin/load/runner.go
@@ -1,8 +1,7 @@
-// Package load sends a workload to routers as their callers would, and judges
-// every answer.
+// Package load sends a workload to routers and checks every answer.
 //
-// The loop is open: arrivals come at their planned times whether or not
-// earlier ones were answered. Waits are measured from the planned time.
+// The load is open-loop: arrivals are sent at their planned times whether or
+// not earlier ones were answered, and latencies count from the planned time.
 package load
 
 import (
@@ -18,30 +17,30 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// Config says what to send, where to, and how patient callers are.
+// Config configures the workload, the targets, and the callers' time limits.
 type Config struct {
 	// Targets are the base URLs of the routers, for example http://127.0.0.1:8080.
 	Targets []string
-	// Spec and Seed determine the arrivals; the spec's rate and duration hold.
+	// Spec and Seed determine the arrivals.
 	Spec *workload.Spec
 	Seed uint64
-	// Key returns a tenant's API key. Default: "key-" and the tenant's name.
+	// Key returns a tenant's API key. Default: "key-" plus the tenant's name.
 	Key func(ident.Tenant) string
-	// MaxInFlight bounds the open requests; arrivals beyond are counted as not
+	// MaxInFlight limits the open requests; arrivals above it are counted as not
 	// sent. Default: 2048.
 	MaxInFlight int
-	// MaxAttempts bounds the exchanges of one request. Default: 12.
+	// MaxAttempts limits the attempts of one request. Default: 12.
 	MaxAttempts int
-	// Patience bounds the time of one request. Default: 2m.
+	// Patience limits the time of one request with its retries. Default: 2m.
 	Patience time.Duration
-	// MaxWait bounds how long a Retry-After is honoured; MinWait is the
-	// pause before any further attempt. Defaults: 5s and 20ms.
+	// MaxWait caps a Retry-After; MinWait is the minimum delay before a retry.
+	// Defaults: 5s and 20ms.
 	MaxWait, MinWait time.Duration
-	// ExpectedText returns the right answer to a prompt; nil switches this
-	// check off, and the report says so.
+	// ExpectedText returns the expected answer to a prompt; nil disables this
+	// check.
 	ExpectedText func(prompt string, maxTokens int) string
-	// ReadWaste reads the recomputation waste from the stand-ins' truth logs
-	// at the end; nil leaves it out of the report.
+	// ReadWaste reads the waste from the stand-ins' truth logs after the run;
+	// nil omits it from the report.
 	ReadWaste func(ctx context.Context) (Waste, error)
 }
 
@@ -56,8 +55,8 @@
 	c.MinWait = cmp.Or(c.MinWait, 20*time.Millisecond)
 }
 
-// Run sends the load and returns its report once every request has ended. A
-// context that ends stops new arrivals and breaks off the open ones.
+// Run sends the load and returns its report once every request has ended. When
+// ctx ends, it sends no more arrivals and cancels the open ones.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	if len(config.Targets) == 0 {
 		return nil, errors.New("at least one target is needed")
--- a/standin/load/sse.go
+++ b/standin/load/sse.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// maxEventLine is the longest line of a server-sent event, in bytes.
+// maxEventLine limits a line of a server-sent event, in bytes.
 const maxEventLine = 1 << 20
 
 // event is one server-sent event.
@@ -16,8 +16,8 @@
 	id, name, data string
 }
 
-// eventReader reads server-sent events. Only events closed by an empty line
-// count; what a broken connection leaves half said is dropped.
+// eventReader reads server-sent events. An event without its closing empty
+// line, as after an interrupted connection, is discarded.
 type eventReader struct {
 	scanner *bufio.Scanner
 }
@@ -28,8 +28,8 @@
 	return &eventReader{scanner: scanner}
 }
 
-// next returns the next event. A connection that ends gives io.EOF, whether
-// or not the stream was whole.
+// next returns the next event, or io.EOF at the end of the connection, whether
+// or not the stream was complete.
 func (r *eventReader) next() (event, error) {
 	var found event
 	for r.scanner.Scan() {
--- a/standin/load/waste_test.go
+++ b/standin/load/waste_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// line writes a truth record of engine a or b at a second.
+// line returns a truth record of an engine, at a second of a fixed minute.
 func line(second int, engine, kind, rest string) string {
 	return fmt.Sprintf(`{"time":"2026-01-01T00:00:%02dZ","kind":%q,"engine":%q,"incarnation":%q%s}`+"\n", second, kind, engine, engine+"1", rest)
 }
@@ -21,12 +21,12 @@
 		name, a, b                     string
 		prompts, recomputed, discarded int64
 	}{
-		{"held elsewhere", line(1, "a", "cache_stored", `,"hashes":[1,2,3]`), line(2, "b", "started", prompt+"16"), 70, 32, 0},
-		{"held by itself", line(1, "a", "cache_stored", `,"hashes":[1,2,3]`) + line(2, "a", "started", prompt+"48"), "", 70, 0, 0},
+		{"cached by another engine", line(1, "a", "cache_stored", `,"hashes":[1,2,3]`), line(2, "b", "started", prompt+"16"), 70, 32, 0},
+		{"cached by its own engine", line(1, "a", "cache_stored", `,"hashes":[1,2,3]`) + line(2, "a", "started", prompt+"48"), "", 70, 0, 0},
 		{"stored later", line(3, "a", "cache_stored", `,"hashes":[1,2,3]`), line(2, "b", "started", prompt+"0"), 70, 0, 0},
 		{"evicted in the middle", line(1, "a", "cache_stored", `,"hashes":[1,2,3]`) + line(1, "a", "cache_removed", `,"hashes":[2]`), line(2, "b", "started", prompt+"0"), 70, 16, 0},
 		{"crashed", line(1, "a", "cache_stored", `,"hashes":[1]`) + line(1, "a", "crashed", ""), line(2, "b", "started", prompt+"0"), 70, 0, 0},
-		{"thrown away", line(1, "a", "started", prompt+"0") + line(2, "a", "lost", `,"prefilled_tokens":70,"generated_tokens":5`), line(3, "b", "cancelled", `,"prefilled_tokens":10`), 70, 0, 85},
+		{"discarded", line(1, "a", "started", prompt+"0") + line(2, "a", "lost", `,"prefilled_tokens":70,"generated_tokens":5`), line(3, "b", "cancelled", `,"prefilled_tokens":10`), 70, 0, 85},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -43,5 +43,5 @@
 		})
 	}
 	_, err := wasteOf([]truthRecord{{Kind: truthStarted, PromptTokens: 5}}, 16)
-	is.New(t).True(err != nil) // a log without blocks cannot tell
+	is.New(t).True(err != nil) // without block hashes the waste is unknown
 }
--- a/standin/overhead/overhead.go
+++ b/standin/overhead/overhead.go
@@ -1,6 +1,6 @@
-// Package overhead measures what a router adds to a model request: the same
-// kind of request goes to a router and straight to an engine in turn, one at a
-// time, and the times to the first text are compared.
+// Package overhead measures the latency that a router adds to a model request.
+// It sends similar requests alternately to a router and directly to an engine,
+// one at a time, and compares the times to the first text.
 package overhead
 
 import (
@@ -21,19 +21,19 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// Config says what to measure.
+// Config configures a measurement.
 type Config struct {
-	// Router and Engine are base URLs. For a fair comparison the engine should
-	// be the only one that the router may use.
+	// Router and Engine are base URLs. For a fair comparison the engine must be
+	// the only one available to the router.
 	Router, Engine string
-	// Key is the tenant's API key, Service the model service at the router.
+	// Key is the tenant's API key and Service the model service, for the router.
 	Key     string
 	Service ident.Service
-	// Tenant, Model and Version go to the engine.
+	// Tenant, Model and Version are sent to the engine.
 	Tenant  ident.Tenant
 	Model   ident.Model
 	Version ident.ModelVersion
-	// Requests is the number of requests each way.
+	// Requests is the number of requests on each path.
 	Requests int
 	// PromptBytes is the length of each prompt; no two prompts share a block.
 	PromptBytes int
@@ -45,7 +45,7 @@
 	P99 int64 `json:"p99_micros"`
 }
 
-// Report compares both ways.
+// Report compares both paths.
 type Report struct {
 	Requests int   `json:"requests"`
 	Direct   Times `json:"direct"`
@@ -59,7 +59,7 @@
 	precision = 3
 )
 
-// Run measures until every request is answered or ctx ends.
+// Run measures until all requests are answered, one fails, or ctx ends.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	probe := &prober{config: config, client: &http.Client{}}
 	incarnation, err := probe.incarnation(ctx)
@@ -95,7 +95,7 @@
 func (p *prober) incarnation(ctx context.Context) (ident.Incarnation, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.config.Engine+"/v1/load", nil)
 	if err != nil {
-		return "", fault.Wrap(err, fault.BadRequest, "the engine's URL %q", p.config.Engine)
+		return "", fault.Wrap(err, fault.BadRequest, "invalid engine URL %q", p.config.Engine)
 	}
 	response, err := p.client.Do(request)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return report.Incarnation, nil
 }
 
-// prompt returns a prompt whose first block is unique to the way and number.
+// prompt returns a prompt whose first block is unique to the path and number.
 func (p *prober) prompt(way string, number int) string {
 	start := fmt.Sprintf("%s request %08d ", way, number)
 	return start + strings.Repeat("x", max(0, p.config.PromptBytes-len(start)))
@@ -148,14 +148,14 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(data))
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadRequest, "the URL %q", url)
+		return nil, fault.Wrap(err, fault.BadRequest, "invalid URL %q", url)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	return request, nil
 }
 
-// measure sends one request, records the time until its first text and reads
-// the answer to its end.
+// measure sends one request, reads the whole response and records the time to
+// its first text.
 func (p *prober) measure(times *hdrhistogram.Histogram, build func() (*http.Request, error)) error {
 	request, err := build()
 	if err != nil {
@@ -172,13 +172,13 @@
 	}
 	taken, found, err := firstText(response, started)
 	if err != nil || !found {
-		return fault.Wrap(err, fault.StreamBroken, "no text came from %s", request.URL.Host)
+		return fault.Wrap(err, fault.StreamBroken, "no text received from %s", request.URL.Host)
 	}
 	return times.RecordValue(max(lowest, taken.Microseconds()))
 }
 
-// firstText reads a whole stream and returns when its first text came. Both
-// protocols carry it in a non-empty JSON field "text".
+// firstText reads a whole stream and returns the time to its first text. Both
+// protocols have it in a non-empty JSON field "text".
 func firstText(response *http.Response, started time.Time) (elapsed time.Duration, found bool, err error) {
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
--- a/standin/platform/contract_test.go
+++ b/standin/platform/contract_test.go
@@ -18,7 +18,7 @@
 	"github.com/fieldpond/fieldpond/standin/platform"
 )
 
-// start runs a stand-in and returns it with its URL and a client.
+// start serves a stand-in and returns it with its URL and a client.
 func start(t *testing.T, options platform.Options) (*platform.Server, string, *client.HTTPClient) {
 	t.Helper()
 	server := platform.NewServer(options)
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestWriteFaults holds what the client says against the table's truth log.
+// TestWriteFaults compares the client's outcomes with the table's truth log.
 func TestWriteFaults(t *testing.T) {
 	cases := []struct {
 		name, inject string
@@ -57,9 +57,9 @@
 		commits      int
 	}{
 		{"outage", `{"service":"table","kind":"outage","duration_millis":60000}`, time.Minute, fault.StoreUnavailable, fault.RanUnknown, 0},
-		{"lost answer", `{"kind":"lose_answer","duration_millis":60000,"only_writes":true}`, time.Minute, fault.StoreUnavailable, fault.RanUnknown, 1},
+		{"lost response", `{"kind":"lose_answer","duration_millis":60000,"only_writes":true}`, time.Minute, fault.StoreUnavailable, fault.RanUnknown, 1},
 		{"rate limit", `{"kind":"rate","duration_millis":60000}`, time.Minute, fault.RateLimited, fault.RanNo, 0},
-		{"given up before it left", `{"kind":"outage","duration_millis":60000}`, -time.Second, fault.StoreUnavailable, fault.RanNo, 0},
+		{"context expired before sending", `{"kind":"outage","duration_millis":60000}`, -time.Second, fault.StoreUnavailable, fault.RanNo, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,20 +78,20 @@
 	}
 }
 
-// TestEffectAfterTheClientGaveUp lets the client give up once its write has
-// arrived; the write takes effect all the same.
-func TestEffectAfterTheClientGaveUp(t *testing.T) {
+// TestWriteCommitsAfterClientCancels cancels the client's context once its
+// write has arrived; the write must still commit.
+func TestWriteCommitsAfterClientCancels(t *testing.T) {
 	is := is.New(t)
 	server := platform.NewServer(platform.Options{})
-	ctx, giveUp := context.WithCancel(t.Context())
-	gaveUp, acted := make(chan struct{}), make(chan struct{})
+	ctx, cancel := context.WithCancel(t.Context())
+	cancelled, served := make(chan struct{}), make(chan struct{})
 	listener := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost && r.URL.Path != faultboard.Path {
-			defer close(acted)
+			defer close(served)
 			body, _ := io.ReadAll(r.Body)
 			r.Body = io.NopCloser(bytes.NewReader(body))
-			giveUp()
-			<-gaveUp
+			cancel()
+			<-cancelled
 		}
 		server.ServeHTTP(w, r)
 	}))
@@ -100,14 +100,14 @@
 	connected, err := client.NewHTTPClient(listener.URL, client.Options{})
 	is.NoErr(err)
 	_, err = connected.Commit(ctx, insert("a"))
-	close(gaveUp)
+	close(cancelled)
 	is.True(fault.Is(err, fault.StoreUnavailable))
 	is.Equal(fault.From(err).Ran, fault.RanUnknown)
-	<-acted
+	<-served
 	is.Equal(len(server.History()), 1)
 }
 
-func TestClientAndStandinAgree(t *testing.T) {
+func TestClientAgainstStandIn(t *testing.T) {
 	is := is.New(t)
 	server, url, connected := start(t, platform.Options{})
 	const key = "claims/haul/a b%2F?ü"
@@ -142,7 +142,7 @@
 	is.Equal(len(machines.Machines), 1)
 }
 
-func TestRateLimitRefusesWithoutEffect(t *testing.T) {
+func TestRateLimitedWriteIsNotCommitted(t *testing.T) {
 	is := is.New(t)
 	server, _, connected := start(t, platform.Options{TableRate: 0.001})
 	_, err := connected.Commit(t.Context(), insert("a"))
--- a/standin/platform/core_test.go
+++ b/standin/platform/core_test.go
@@ -31,17 +31,17 @@
 		before    []protocol.Transaction
 		last      protocol.Transaction
 		committed bool
-		version   uint64 // of the first row answered
+		version   uint64 // of the first row returned
 	}{
 		{"insert if absent", nil, insert("a"), true, 1},
-		{"insert over a row loses and shows it", []protocol.Transaction{insert("a")}, insert("a"), false, 1},
+		{"insert over a row fails and returns it", []protocol.Transaction{insert("a")}, insert("a"), false, 1},
 		{"compare and swap", []protocol.Transaction{insert("a")}, onVersion(1, put("a")), true, 2},
 		{"stale compare and swap", []protocol.Transaction{insert("a"), blind(put("a"))}, onVersion(1, put("a")), false, 2},
-		{"versions count on across a delete", []protocol.Transaction{insert("a"), blind(remove("a"))}, insert("a"), true, 3},
-		{"a version from before a delete never holds", []protocol.Transaction{insert("a"), blind(remove("a")), insert("a")}, onVersion(1, put("a")), false, 3},
+		{"versions continue after a delete", []protocol.Transaction{insert("a"), blind(remove("a"))}, insert("a"), true, 3},
+		{"a version from before a delete never matches", []protocol.Transaction{insert("a"), blind(remove("a")), insert("a")}, onVersion(1, put("a")), false, 3},
 		{"a deleted row does not exist", []protocol.Transaction{insert("a"), blind(remove("a"))}, onVersion(1, put("a")), false, 0},
-		{"deleting nothing does nothing", []protocol.Transaction{blind(remove("a"))}, insert("a"), true, 1},
-		{"one failed condition stops all writes", []protocol.Transaction{insert("a")}, protocol.Transaction{
+		{"deleting a missing row has no effect", []protocol.Transaction{blind(remove("a"))}, insert("a"), true, 1},
+		{"one failed condition prevents all writes", []protocol.Transaction{insert("a")}, protocol.Transaction{
 			Conditions: []protocol.Condition{{Key: "a", Version: 1}, {Key: "b", Version: 4}}, Writes: []protocol.Write{put("a"), put("b")},
 		}, false, 1},
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestTableRefusesDoubleWrites(t *testing.T) {
+func TestTableRejectsDuplicateWrites(t *testing.T) {
 	is := is.New(t)
 	table := platform.NewTable()
 	_, err := table.Apply(protocol.Transaction{Writes: []protocol.Write{put("a"), remove("a")}})
@@ -84,7 +84,7 @@
 	is.True(!table.List("b/", 3).More)
 }
 
-func TestMachineListLags(t *testing.T) {
+func TestMachineListVisibleAfterLag(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	log := platform.NewMachineLog(5*time.Second, []protocol.Machine{{Name: "first"}})
--- a/standin/platform/handlers.go
+++ b/standin/platform/handlers.go
@@ -35,7 +35,7 @@
 	return reply{status: status, contentType: "text/plain", body: []byte(text)}
 }
 
-// pathVariable returns a path variable without its escapes.
+// pathVariable returns an unescaped path variable.
 func pathVariable(r *http.Request, name string) string {
 	escaped := mux.Vars(r)[name]
 	plain, err := url.PathUnescape(escaped)
@@ -100,15 +100,15 @@
 	return reply{status: http.StatusOK, contentType: contentTypeBytes, body: data}
 }
 
-// fetchWeights answers after the time the simulated size takes, with a small
-// body that names the version.
+// fetchWeights responds after the simulated transfer time with a small body
+// that names the version.
 func (s *Server) fetchWeights(r *http.Request, _ []byte) reply {
 	if s.options.WeightGigabytesPerSecond > 0 {
 		seconds := s.options.WeightGigabytes / s.options.WeightGigabytesPerSecond
 		select {
 		case <-time.After(time.Duration(seconds * float64(time.Second))):
 		case <-r.Context().Done():
-			return textReply(http.StatusServiceUnavailable, "given up")
+			return textReply(http.StatusServiceUnavailable, "the client cancelled the request")
 		}
 	}
 	name := "weights of " + pathVariable(r, "model") + " " + pathVariable(r, "version")
@@ -124,7 +124,7 @@
 func (s *Server) replaceMachines(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		http.Error(w, "the body broke off or is too large", http.StatusRequestEntityTooLarge)
+		http.Error(w, "the body is incomplete or too large", http.StatusRequestEntityTooLarge)
 		return
 	}
 	machines, err := decodeMachines(body)
--- a/standin/platform/history.go
+++ b/standin/platform/history.go
@@ -6,9 +6,9 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// Commit is one transaction that truly committed: the table's truth log.
+// Commit is one entry of the table's truth log: a committed transaction.
 type Commit struct {
-	// Order counts the commits, starting at 1.
+	// Order numbers the commits, starting at 1.
 	Order      uint64               `json:"order"`
 	Time       time.Time            `json:"time"`
 	Conditions []protocol.Condition `json:"conditions,omitempty"`
@@ -23,7 +23,7 @@
 	Version uint64 `json:"version"`
 }
 
-// history is the list of commits. The caller guards it.
+// history is the list of commits. The caller must hold the server's lock.
 type history struct{ commits []Commit }
 
 func (h *history) add(now time.Time, transaction protocol.Transaction, result protocol.TransactionResult) {
--- a/standin/platform/machines.go
+++ b/standin/platform/machines.go
@@ -12,8 +12,8 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// MachineLog is the core of the machine list: a change shows only after the
-// lag. It reads no clock and is used by one goroutine at a time.
+// MachineLog is the machine list, whose changes become visible after a lag. It
+// reads no clock and is not safe for concurrent use.
 type MachineLog struct {
 	lag     time.Duration
 	changes []machineChange
@@ -24,17 +24,17 @@
 	machines []protocol.Machine
 }
 
-// NewMachineLog returns a log whose first list shows at once.
+// NewMachineLog returns a log whose first list is visible at once.
 func NewMachineLog(lag time.Duration, first []protocol.Machine) *MachineLog {
 	return &MachineLog{lag: lag, changes: []machineChange{{machines: first}}}
 }
 
-// Replace makes machines the true list from now on.
+// Replace sets the machine list; it becomes visible after the lag.
 func (m *MachineLog) Replace(machines []protocol.Machine, now time.Time) {
 	m.changes = append(m.changes, machineChange{at: now, machines: machines})
 }
 
-// Visible returns the list as the platform believes it to be now.
+// Visible returns the list that the platform reports at now.
 func (m *MachineLog) Visible(now time.Time) protocol.MachineList {
 	asOf := now.Add(-m.lag)
 	for len(m.changes) > 1 && !m.changes[1].at.After(asOf) {
@@ -47,21 +47,21 @@
 	return list
 }
 
-// ReadMachines reads a YAML file of the form of a protocol.MachineList, with
-// the names of its JSON fields.
+// ReadMachines reads a protocol.MachineList from a YAML file that uses the
+// names of its JSON fields.
 func ReadMachines(path string) ([]protocol.Machine, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.InvalidSettings, "cannot read the machine file").
-			WithRemedy("name a readable YAML file with --machines")
+			WithRemedy("pass a readable YAML file with --machines")
 	}
 	var tree any
 	if err := yaml.Unmarshal(data, &tree); err != nil {
-		return nil, fault.Wrap(err, fault.InvalidSettings, "the machine file is not YAML").WithRemedy("correct the line named")
+		return nil, fault.Wrap(err, fault.InvalidSettings, "the machine file is not valid YAML").WithRemedy("correct the line in the error")
 	}
 	encoded, err := json.Marshal(tree)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.InvalidSettings, "the machine file has keys that are not text").WithRemedy("use text keys")
+		return nil, fault.Wrap(err, fault.InvalidSettings, "the machine file has keys that are not strings").WithRemedy("use string keys")
 	}
 	return decodeMachines(encoded)
 }
@@ -82,7 +82,7 @@
 	return list.Machines, nil
 }
 
-// checkMachine fills in the default state, live, and checks the fields.
+// checkMachine sets the default state, live, and validates the fields.
 func checkMachine(machine *protocol.Machine) error {
 	if machine.State == "" {
 		machine.State = protocol.MachineLive
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -16,7 +16,7 @@
 	"github.com/fieldpond/fieldpond/standin/faultboard"
 )
 
-// Services that faults may name.
+// Services that faults may target.
 const (
 	ServiceTable    = "table"
 	ServiceObjects  = "objects"
@@ -26,40 +26,41 @@
 
 // Kinds of faults.
 const (
-	// FaultOutage cuts the connection without doing anything.
+	// FaultOutage closes the connection without running the operation.
 	FaultOutage = "outage"
-	// FaultSlow waits before the action; it goes on when the client gives up.
+	// FaultSlow delays the operation, which runs even if the client disconnects.
 	FaultSlow = "slow"
-	// FaultLoseAnswer acts, then cuts the connection without an answer.
+	// FaultLoseAnswer runs the operation, then closes the connection without a
+	// response.
 	FaultLoseAnswer = "lose_answer"
-	// FaultRate answers as if the rate limit were used up.
+	// FaultRate responds as if the rate limit were exhausted.
 	FaultRate = "rate"
 )
 
-// maxBodyBytes bounds the body of a request.
+// maxBodyBytes limits a request body.
 const maxBodyBytes = 64 << 20
 
-// retryAfterSeconds is told with every refusal for rate.
+// retryAfterSeconds is the Retry-After of a rate-limited response.
 const retryAfterSeconds = 1
 
-// burstSeconds is the share of a second's requests that may come at once.
+// burstSeconds is the burst size, in seconds of the rate limit.
 const burstSeconds = 0.1
 
 // Options configures a Server. Rates are requests per second; 0 is no limit.
 type Options struct {
 	TableRate, ObjectRate, WeightRate, MachineRate float64
-	// Lag is how late a change of the machine list shows.
+	// Lag is the delay until a change of the machine list is visible.
 	Lag time.Duration
-	// Machines is the list shown at once.
+	// Machines is the initial machine list.
 	Machines []protocol.Machine
 	// WeightGigabytes is the simulated size of one model version, and
-	// WeightGigabytesPerSecond the simulated speed of fetching it; 0 is no delay.
+	// WeightGigabytesPerSecond the transfer speed; 0 is no delay.
 	WeightGigabytes, WeightGigabytesPerSecond float64
-	// Seed seeds the draws of faults.
+	// Seed seeds the fault probabilities.
 	Seed uint64
 }
 
-// Validate checks the ranges of the options.
+// Validate checks that no option is negative.
 func (o Options) Validate() error {
 	if min(o.TableRate, o.ObjectRate, o.WeightRate, o.MachineRate, o.WeightGigabytes, o.WeightGigabytesPerSecond) < 0 || o.Lag < 0 {
 		return fault.New(fault.InvalidSettings, "a rate, size or lag of the platform stand-in is negative").
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// Server is the stand-in. It is safe for concurrent use.
+// Server is the platform stand-in. It is safe for concurrent use.
 type Server struct {
 	options Options
 	board   *faultboard.Board
@@ -119,21 +120,21 @@
 	s.board.Register(s.router)
 }
 
-// operation does the work of one request whose body was read whole.
+// operation executes one request whose body was read completely.
 type operation func(r *http.Request, body []byte) reply
 
-// reply is a whole answer.
+// reply is a complete HTTP response.
 type reply struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-// withFaults returns a wrapper that puts the service's rate limit and faults around
-// an action.
+// withFaults returns a wrapper that applies the service's rate limit and faults
+// to an operation.
 func (s *Server) withFaults(service string, perSecond float64) func(operation) http.HandlerFunc {
 	limiter := newLimiter(perSecond)
-	return func(act operation) http.HandlerFunc {
+	return func(run operation) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			drawn := s.board.Draw(service, r.Method != http.MethodGet, time.Now())
 			if drawn.Has(FaultOutage) {
@@ -145,13 +146,13 @@
 			}
 			body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 			if err != nil {
-				http.Error(w, "the body broke off or is too large", http.StatusRequestEntityTooLarge)
+				http.Error(w, "the body is incomplete or too large", http.StatusRequestEntityTooLarge)
 				return
 			}
-			// A client that gives up does not stop the action: it may still
-			// take effect after its time.
+			// The operation runs even if the client has disconnected, as a
+			// real platform may commit after the client's timeout.
 			time.Sleep(drawn.Delay(FaultSlow))
-			response := act(r, body)
+			response := run(r, body)
 			if drawn.Has(FaultLoseAnswer) {
 				panic(http.ErrAbortHandler)
 			}
@@ -169,7 +170,7 @@
 
 func rejectRateLimited(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds))
-	http.Error(w, "over the rate limit; nothing was done", http.StatusTooManyRequests)
+	http.Error(w, "rate limit exceeded; the operation was not run", http.StatusTooManyRequests)
 }
 
 func (a reply) send(w http.ResponseWriter) {
--- a/standin/platform/table.go
+++ b/standin/platform/table.go
@@ -1,6 +1,6 @@
-// Package platform is the stand-in for the platform's services: transactional
-// table, object store, weight store and machine list, all rate-limited, with
-// outages, slowness and answers lost after the effect.
+// Package platform simulates the platform's services: transactional table,
+// object store, weight store and machine list, all rate-limited, with injected
+// outages, delays and lost responses.
 package platform
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/fieldpond/fieldpond/internal/store/protocol"
 )
 
-// Table is the core of the transactional table. It does no I/O, reads no clock
-// and is used by one goroutine at a time.
+// Table is a transactional table in memory. It reads no clock and is not safe
+// for concurrent use.
 //
 // Invariant: the version of a key only grows, also across deletes, so a
-// condition on a version seen before a delete never holds again.
+// condition on a version from before a delete never holds again.
 type Table struct {
 	rows map[string]protocol.Row
 	// lastVersion holds the last version of every key ever written.
@@ -27,9 +27,8 @@
 	return &Table{rows: map[string]protocol.Row{}, lastVersion: map[string]uint64{}}
 }
 
-// Apply commits all writes if all conditions hold, else none. A delete counts
-// as a write; deleting a row that does not exist does nothing. The row of a
-// deleted key is reported with version 0.
+// Apply commits all writes if all conditions hold, else none. Deleting a row
+// that does not exist has no effect. A deleted row is returned with version 0.
 func (t *Table) Apply(transaction protocol.Transaction) (protocol.TransactionResult, error) {
 	if err := checkTransaction(transaction); err != nil {
 		return protocol.TransactionResult{}, err
@@ -90,13 +89,13 @@
 	return row
 }
 
-// Read returns the row of key, and whether it exists.
+// Read returns the row of key and whether it exists.
 func (t *Table) Read(key string) (protocol.Row, bool) {
 	row, exists := t.rows[key]
 	return row, exists
 }
 
-// List returns at most limit rows whose keys start with prefix, by key.
+// List returns at most limit rows whose keys start with prefix, sorted by key.
 func (t *Table) List(prefix string, limit int) protocol.RowList {
 	var keys []string
 	for key := range t.rows {
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve runs the HTTP listener of a stand-in until it is told to stop.
+// Package serve runs the HTTP server of a stand-in until its context ends.
 package serve
 
 import (
@@ -15,21 +15,20 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// Options tells how to run.
+// Options configures Run and Serve.
 type Options struct {
-	// Name is what the log line calls the stand-in.
+	// Name is the stand-in's name in log lines.
 	Name string
 	// Listen is the address to listen on, for example "127.0.0.1:7000".
 	Listen string
-	// Grace bounds the wait for running exchanges after the stop.
+	// Grace limits the wait for running requests at shutdown.
 	Grace time.Duration
-	// BeforeStop, if set, is called once ctx is done, before the listener
-	// closes.
+	// BeforeStop, if set, is called after ctx ends, before the listener closes.
 	BeforeStop func()
 }
 
-// Run serves handler until ctx is done, lets running exchanges finish and
-// returns. It returns an error if it cannot listen or the grace runs out.
+// Run serves handler until ctx ends, then waits for running requests. It
+// returns an error if it cannot listen or Grace expires.
 func Run(ctx context.Context, handler http.Handler, options Options) error {
 	listener, err := net.Listen("tcp", options.Listen)
 	if err != nil {
@@ -39,7 +38,7 @@
 	return Serve(ctx, listener, handler, options)
 }
 
-// Serve is Run on a listener that is already open, and closes it.
+// Serve is Run with an open listener, which it closes.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler, options Options) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	log.WithField("address", listener.Addr().String()).Info(options.Name + " listening")
@@ -53,16 +52,16 @@
 	if options.BeforeStop != nil {
 		options.BeforeStop()
 	}
-	return stop(server, options)
+	return shutdown(server, options)
 }
 
-func stop(server *http.Server, options Options) error {
+func shutdown(server *http.Server, options Options) error {
 	grace, cancel := context.WithTimeout(context.Background(), options.Grace)
 	defer cancel()
 	if err := server.Shutdown(grace); err != nil {
 		_ = server.Close()
-		return fault.Wrap(errors.Wrap(err, "shut down"), fault.Timeout, "%s cut running exchanges at the end of its grace", options.Name).
-			WithRemedy("raise the grace, or see what kept the exchanges open")
+		return fault.Wrap(errors.Wrap(err, "shut down"), fault.Timeout, "%s aborted running requests at the end of its grace period", options.Name).
+			WithRemedy("raise the grace period, or find out what kept the requests open")
 	}
 	log.Info(options.Name + " stopped")
 	return nil
--- a/standin/serve/serve_test.go
+++ b/standin/serve/serve_test.go
@@ -14,9 +14,9 @@
 	"github.com/fieldpond/fieldpond/standin/serve"
 )
 
-// TestStopLetsRunningExchangesFinish stops while an exchange is running, which
-// ends only after the stop has begun.
-func TestStopLetsRunningExchangesFinish(t *testing.T) {
+// TestShutdownWaitsForRunningRequests starts the shutdown during a request that
+// ends only after BeforeStop was called.
+func TestShutdownWaitsForRunningRequests(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -42,7 +42,7 @@
 	is.NoErr(<-served)
 }
 
-func TestBadAddressIsATypedFault(t *testing.T) {
+func TestInvalidListenAddress(t *testing.T) {
 	err := serve.Run(t.Context(), http.NotFoundHandler(), serve.Options{Listen: "nowhere"})
 	is.New(t).True(fault.Is(err, fault.InvalidSettings))
 }
--- a/standin/truth/log.go
+++ b/standin/truth/log.go
@@ -11,13 +11,13 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// DefaultCapacity is the number of records a log keeps in memory.
+// DefaultCapacity is the default number of records kept in memory.
 const DefaultCapacity = 200_000
 
-// maxLineBytes bounds one JSON line; a long prompt's hashes are the largest.
+// maxLineBytes limits a JSON line, enough for the hashes of a long prompt.
 const maxLineBytes = 16 << 20
 
-// Log keeps the newest records in memory and copies each to an optional
+// Log keeps the newest records in memory and optionally writes each to a
 // writer. It is safe for concurrent use.
 type Log struct {
 	mutex    sync.Mutex
@@ -35,7 +35,7 @@
 	return &Log{capacity: max(capacity, 1), writer: writer}
 }
 
-// Append adds one record. A full log drops its oldest record and counts it.
+// Append adds a record. A full log drops its oldest record and counts it.
 func (l *Log) Append(record Record) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -63,15 +63,15 @@
 	return append(ordered, l.records[:l.oldest]...)
 }
 
-// Dropped counts the records that no longer are in memory. A proof must not
-// rest on a log that dropped any.
+// Dropped returns the number of records dropped from memory. A proof must not
+// rely on a log that dropped any.
 func (l *Log) Dropped() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.dropped
 }
 
-// Err returns the first error of the writer; nothing is written after it.
+// Err returns the first error of the writer, after which nothing is written.
 func (l *Log) Err() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -90,8 +90,8 @@
 	return counter.written, nil
 }
 
-// Read loads records from JSON lines. A line that is no record is a fault
-// that names the line.
+// Read loads records from JSON lines. The error for a malformed line contains
+// its number.
 func Read(reader io.Reader) ([]Record, error) {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLineBytes)
@@ -102,14 +102,14 @@
 		}
 		var record Record
 		if err := json.Unmarshal(scanner.Bytes(), &record); err != nil {
-			return nil, fault.Wrap(err, fault.BadRequest, "truth log line %d is no record", line).
-				WithRemedy("give an unbroken JSON-lines file written by a stand-in's --truth flag")
+			return nil, fault.Wrap(err, fault.BadRequest, "truth log line %d is not a valid record", line).
+				WithRemedy("pass a complete JSON Lines file written by a stand-in's --truth flag")
 		}
 		records = append(records, record)
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, fault.Wrap(err, fault.BadRequest, "truth log cannot be read").
-			WithRemedy("give an unbroken JSON-lines file written by a stand-in's --truth flag")
+			WithRemedy("pass a complete JSON Lines file written by a stand-in's --truth flag")
 	}
 	return records, nil
 }
--- a/standin/truth/truth.go
+++ b/standin/truth/truth.go
@@ -1,8 +1,8 @@
-// Package truth declares the stand-ins' truth log: what truly ran, whatever
-// any router believes. Proofs are judged on these records.
+// Package truth declares the stand-ins' truth log: a record of what actually
+// ran, independent of the routers' state, against which proofs check.
 //
-// A log is kept in memory, bounded, and may also be appended to a writer. On
-// every wire it is JSON lines, one Record a line.
+// A log is kept in bounded memory and may also be written to a writer. Its
+// encoding is JSON Lines, one Record per line.
 package truth
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// Kind names what a Record states.
+// Kind is the kind of event that a Record describes.
 type Kind string
 
 const (
-	// Started is a generation that left the waiting queue and began to run.
+	// Started is a generation that left the queue and started to run.
 	Started Kind = "started"
 	// Finished is a generation that emitted its end event.
 	Finished Kind = "finished"
-	// Cancelled is a generation stopped by its caller.
+	// Cancelled is a generation cancelled by its caller.
 	Cancelled Kind = "cancelled"
-	// Lost is a generation that ended with the life of its engine.
+	// Lost is a generation that ended because its engine's incarnation ended.
 	Lost Kind = "lost"
 	// OrderTaken is a fenced order that took effect.
 	OrderTaken Kind = "order_taken"
@@ -30,9 +30,9 @@
 	Loaded Kind = "loaded"
 	// Executed is one execution of an application request.
 	Executed Kind = "executed"
-	// CacheStored and CacheRemoved are true changes of a block cache.
+	// CacheStored is the addition of blocks to the cache.
 	CacheStored Kind = "cache_stored"
-	// CacheRemoved is a block eviction; see CacheStored.
+	// CacheRemoved is the eviction of blocks from the cache.
 	CacheRemoved Kind = "cache_removed"
 	// Life is the start of an incarnation.
 	Life Kind = "life"
@@ -40,24 +40,24 @@
 	Crashed Kind = "crashed"
 )
 
-// Reuse counts the cached tokens a generation reused out of one namespace.
+// Reuse counts the cached tokens that a generation reused from one namespace.
 type Reuse struct {
 	// Tenant, Model, Version and Adapter are what the blocks were computed for.
 	Tenant  ident.Tenant       `json:"tenant"`
 	Model   ident.Model        `json:"model"`
 	Version ident.ModelVersion `json:"version"`
 	Adapter ident.Adapter      `json:"adapter,omitempty"`
-	// Incarnation is the life of the engine that holds the blocks.
+	// Incarnation is the engine incarnation that holds the blocks.
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Tokens      int               `json:"tokens"`
 }
 
-// Record is one line of a truth log. Fields that do not apply to its Kind are
-// left out.
+// Record is one entry of a truth log. Fields that don't apply to its Kind are
+// omitted.
 type Record struct {
 	Time time.Time `json:"time"`
 	Kind Kind      `json:"kind"`
-	// Engine or Application names the back end that writes the record.
+	// Engine or Application is the back end that writes the record.
 	Engine      ident.Engine      `json:"engine,omitempty"`
 	Application ident.Application `json:"application,omitempty"`
 	Zone        ident.Zone        `json:"zone,omitempty"`
@@ -71,19 +71,19 @@
 	Version   ident.ModelVersion `json:"version,omitempty"`
 	Adapter   ident.Adapter      `json:"adapter,omitempty"`
 
-	// Ran says whether any part of the work was executed.
+	// Ran is whether any part of the work was executed.
 	Ran bool `json:"ran,omitempty"`
-	// PromptTokens counts the prompt, CachedTokens what the cache gave of it,
-	// PrefilledTokens what was computed of it so far.
+	// PromptTokens counts the prompt's tokens, CachedTokens those found in the
+	// cache, PrefilledTokens those computed so far.
 	PromptTokens    int `json:"prompt_tokens,omitempty"`
 	CachedTokens    int `json:"cached_tokens,omitempty"`
 	PrefilledTokens int `json:"prefilled_tokens,omitempty"`
 	// GeneratedTokens counts the tokens emitted by this attempt.
 	GeneratedTokens int `json:"generated_tokens,omitempty"`
-	// Reused lists whose blocks the cached tokens came from.
+	// Reused lists the namespaces of the cached tokens.
 	Reused []Reuse `json:"reused,omitempty"`
-	// Salt and Hashes name blocks: those of the prompt on Started, those
-	// changed on CacheStored and CacheRemoved.
+	// Salt and Hashes identify the prompt's blocks on Started, the changed
+	// blocks on CacheStored and CacheRemoved.
 	Salt   prefix.Salt  `json:"salt,omitempty"`
 	Hashes prefix.Chain `json:"hashes,omitempty"`
 
--- a/standin/truth/truth_test.go
+++ b/standin/truth/truth_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-func TestLogKeepsTheNewestAndReadsBack(t *testing.T) {
+func TestLogKeepsNewestRecords(t *testing.T) {
 	is := is.New(t)
 	var file, served bytes.Buffer
 	log := NewLog(3, &file)
@@ -31,7 +31,7 @@
 	is.Equal(all[2:], kept)
 }
 
-func TestBrokenLinesAreFaults(t *testing.T) {
+func TestReadRejectsMalformedLines(t *testing.T) {
 	is := is.New(t)
 	_, err := Read(strings.NewReader("{\"kind\":\"started\"}\n{\"kind\":"))
 	is.True(fault.Is(err, fault.BadRequest))
--- a/standin/workload/generator.go
+++ b/standin/workload/generator.go
@@ -17,26 +17,26 @@
 
 // Arrival is one request of the load.
 type Arrival struct {
-	// Number counts the arrivals, starting at 1.
+	// Number is the sequence number, starting at 1.
 	Number uint64
 	// At is the time since the start of the load.
 	At      time.Duration
 	Tenant  ident.Tenant
 	Service ident.Service
 	Class   ident.Class
-	// Prompt is the whole rendered prompt of a model request.
+	// Prompt is the rendered prompt of a model request.
 	Prompt string
-	// Messages is the chat that renders to Prompt; empty for a plain completion.
+	// Messages is the chat rendered as Prompt; empty for a plain completion.
 	Messages  []Message
 	MaxTokens int
-	// Application says that this is an application request; Method, Path, Body
-	// and IdempotencyKey belong to it. Repeatable requests have no key.
+	// Application is whether this is an application request, with Method, Path,
+	// Body and IdempotencyKey. Retryable requests have no key.
 	Application    bool
 	Method         string
 	Path           string
 	Body           string
 	IdempotencyKey string
-	// Repeat says that an earlier arrival had the same key and body.
+	// Repeat is whether an earlier arrival had the same key and body.
 	Repeat bool
 }
 
@@ -62,7 +62,7 @@
 	last   map[string]Arrival
 }
 
-// NewGenerator returns the generator of a checked spec.
+// NewGenerator returns a generator for a validated spec.
 func NewGenerator(spec *Spec, seed uint64) *Generator {
 	return &Generator{
 		spec:   spec,
@@ -73,8 +73,8 @@
 	}
 }
 
-// Next returns the next arrival. It has no end; the caller stops at its own
-// duration.
+// Next returns the next arrival. The sequence is infinite; the caller stops at
+// its own duration.
 func (g *Generator) Next() Arrival {
 	g.advance()
 	g.number++
@@ -87,8 +87,8 @@
 	return g.call(arrival, g.spec.Calls[source-len(g.spec.Classes)])
 }
 
-// advance moves to the time of the next arrival. Poisson arrivals are thinned
-// from the highest rate, which is exact for a rate that changes.
+// advance sets now to the time of the next arrival. Poisson arrivals are thinned
+// from the highest rate, which is exact for a varying rate.
 func (g *Generator) advance() {
 	base := sum(g.sourceWeights(-1))
 	if g.spec.Arrivals == "uniform" {
@@ -116,8 +116,8 @@
 	return weights
 }
 
-// sourceWeights returns the weights of the classes, then of the calls, at a
-// time; a negative time is before every event.
+// sourceWeights returns the weights of the classes, then of the calls, at the
+// given time; a negative time is before all events.
 func (g *Generator) sourceWeights(at time.Duration) []float64 {
 	weights := make([]float64, 0, len(g.spec.Classes)+len(g.spec.Calls))
 	for _, class := range g.spec.Classes {
--- a/standin/workload/layers.go
+++ b/standin/workload/layers.go
@@ -9,10 +9,11 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// trimDivisor is the share of the oldest entries that a full book drops.
+// trimDivisor: a full text drops its oldest 1/trimDivisor of the entries.
 const trimDivisor = 4
 
-// layerText is the text of one layer for one tenant and one variant.
+// layerText is the text of one layer for one tenant and one variant, with
+// entries that change over time if the layer's ChangeEvery is set.
 type layerText struct {
 	layer      Layer
 	vocabulary []string
@@ -28,7 +29,7 @@
 		b.text = writeText(random, vocabulary, layer.Tokens)
 		return b
 	}
-	// A book starts between half full and full.
+	// Starts between half full and full.
 	limit := b.maxEntries()
 	for range limit/2 + random.IntN(limit-limit/2) {
 		b.entries = append(b.entries, b.newEntry())
@@ -46,7 +47,7 @@
 	return time.Duration(b.random.ExpFloat64() * float64(b.layer.ChangeEvery))
 }
 
-// textAt returns the text at a time, which must not go backwards.
+// textAt returns the text at the given time, which must not decrease.
 func (b *layerText) textAt(at time.Duration) string {
 	if b.layer.ChangeEvery == 0 || at < b.nextChange {
 		return b.text
@@ -70,15 +71,15 @@
 	b.entries = append(b.entries, b.newEntry())
 }
 
-// layerTexts holds the books of every tenant, written when first read.
+// layerTexts holds the texts of all tenants, generated on first use.
 type layerTexts struct {
 	spec  *Spec
 	seed  uint64
 	texts map[string]*layerText
 }
 
-// text returns the text of a layer. The path names tenant, variants and
-// revisions down to the layer, so that texts nest.
+// text returns the text of a layer. The path contains tenant, variants and
+// revisions down to the layer, so that texts are nested.
 func (l *layerTexts) text(layer Layer, path string, at time.Duration) string {
 	key := path + "/" + layer.Name
 	existing, known := l.texts[key]
@@ -89,7 +90,7 @@
 	return existing.textAt(at)
 }
 
-// prompts returns the texts of a class's layers, outermost first.
+// prompts returns the texts of the class's layers, outermost first.
 func (l *layerTexts) prompts(tenant ident.Tenant, class Class, random *rand.Rand, at time.Duration) []string {
 	path := string(tenant)
 	texts := make([]string, 0, len(class.Layers)+1)
@@ -117,7 +118,8 @@
 	return layer.Variants[pickWeighted(random, weights)].Name
 }
 
-// revision counts the shifts of a variant so far; each one replaces its texts.
+// revision returns the number of shifts of a variant until at; each replaces its
+// texts.
 func (l *layerTexts) revision(layer Layer, variant string, at time.Duration) int {
 	revision := 0
 	for _, event := range l.spec.Events {
--- a/standin/workload/spec.go
+++ b/standin/workload/spec.go
@@ -1,8 +1,8 @@
-// Package workload generates the traffic of a rehearsal: which tenant asks
-// what and when, with the nested prompts and the changes the users describe.
+// Package workload generates synthetic traffic for load tests and simulations:
+// requests of several tenants with nested prompts that change over time.
 //
-// It is pure: a Spec and a seed give the same arrivals on every run, without
-// clock or I/O. The load generator and the virtual-time experiment share it.
+// It is deterministic: a Spec and a seed give the same arrivals on every run.
+// The generator uses no clock and no I/O.
 package workload
 
 import (
@@ -17,19 +17,19 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Spec is a load schedule as written in its file.
+// Spec is a load schedule in the form of its YAML file.
 type Spec struct {
-	// Name of the workload, part of every idempotency key.
+	// Name is the workload's name, part of every idempotency key.
 	Name string `yaml:"name"`
-	// Rate is the mean arrivals a second outside floods.
+	// Rate is the mean arrivals per second outside floods.
 	Rate float64 `yaml:"rate"`
 	// Arrivals is "poisson" or "uniform".
 	Arrivals string `yaml:"arrivals"`
-	// Duration is how long arrivals go on.
+	// Duration is the length of the load.
 	Duration time.Duration `yaml:"duration"`
 	// Vocabulary is the word list of the texts: "dispatch" or "parking".
 	Vocabulary string `yaml:"vocabulary"`
-	// Tenants share the arrivals by their weights.
+	// Tenants share the arrivals in proportion to their weights.
 	Tenants []Tenant `yaml:"tenants"`
 	// Layers are the nested parts of the prompts, outermost first.
 	Layers []Layer `yaml:"layers"`
@@ -37,7 +37,7 @@
 	Classes []Class `yaml:"classes"`
 	// Calls are the kinds of application requests.
 	Calls []Call `yaml:"calls"`
-	// Events change the load while it runs.
+	// Events change the load during the run.
 	Events []LoadEvent `yaml:"events"`
 }
 
@@ -51,14 +51,14 @@
 // it has variants, for each variant of its own and of the layers before it.
 type Layer struct {
 	Name string `yaml:"name"`
-	// Tokens is the size of the text, or the greatest size of a book.
+	// Tokens is the size of the text, or the maximum size of one that changes.
 	Tokens int `yaml:"tokens"`
-	// Variants name parallel texts, such as regions; empty means one.
+	// Variants are parallel texts, such as one per region; empty means one.
 	Variants []Variant `yaml:"variants"`
-	// ChangeEvery is the mean time between two changes of one text; zero
-	// means that it never changes.
+	// ChangeEvery is the mean time between changes of a text; zero means that
+	// it never changes.
 	ChangeEvery time.Duration `yaml:"changeEvery"`
-	// EntryTokens is the size of one entry of a text that changes.
+	// EntryTokens is the size of an entry of a text that changes.
 	EntryTokens int `yaml:"entryTokens"`
 	// AppendShare is the share of changes that append an entry; the others
 	// replace one anywhere in the text.
@@ -80,7 +80,7 @@
 	Layers []string `yaml:"layers"`
 	// TailTokens is the size of the request's own text at the end.
 	TailTokens int `yaml:"tailTokens"`
-	// MinTokens and MaxTokens bound the answers asked for.
+	// MinTokens and MaxTokens are the range of max_tokens in the requests.
 	MinTokens int `yaml:"minTokens"`
 	MaxTokens int `yaml:"maxTokens"`
 	// Plain sends the prompt to /v1/completions instead of as a chat.
@@ -94,10 +94,10 @@
 	Method  string        `yaml:"method"`
 	Path    string        `yaml:"path"`
 	Weight  float64       `yaml:"weight"`
-	// Repeatable calls carry no idempotency key.
+	// Repeatable calls are safe to retry and have no idempotency key.
 	Repeatable bool `yaml:"repeatable"`
-	// RepeatShare is the share of calls that repeat the tenant's last call of
-	// this kind with its key, as an impatient caller does.
+	// RepeatShare is the share of calls that send the tenant's last call of this
+	// kind again with its key, like a client that retries.
 	RepeatShare float64 `yaml:"repeatShare"`
 }
 
@@ -106,7 +106,7 @@
 	// EventFlood multiplies the arrivals of one class.
 	EventFlood = "flood"
 	// EventShift replaces the text of one variant of a layer for every tenant
-	// and draws requests to it.
+	// and multiplies its requests.
 	EventShift = "shift"
 )
 
@@ -118,16 +118,16 @@
 	For  time.Duration `yaml:"for"`
 	// Factor multiplies the weight of the class or the variant.
 	Factor float64 `yaml:"factor"`
-	// Class is what a flood multiplies.
+	// Class is the class of a flood.
 	Class ident.Class `yaml:"class"`
-	// Layer and Variant are what a shift changes.
+	// Layer and Variant identify the text of a shift.
 	Layer   string `yaml:"layer"`
 	Variant string `yaml:"variant"`
 }
 
 func (e LoadEvent) activeAt(at time.Duration) bool { return at >= e.At && at < e.At+e.For }
 
-// Load reads and checks a load schedule.
+// Load reads and validates a load schedule.
 func Load(path string) (*Spec, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return spec, errors.Wrapf(err, "load schedule %s", path)
 }
 
-// Parse decodes and checks a load schedule.
+// Parse decodes and validates a load schedule.
 func Parse(source []byte) (*Spec, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(source))
 	decoder.KnownFields(true)
--- a/standin/workload/text.go
+++ b/standin/workload/text.go
@@ -25,12 +25,12 @@
 		and or for with without from to at by must may shall should is are was were not`),
 }
 
-// newRandom returns a random source that depends on the seed and the parts only.
+// newRandom returns a random source determined by the seed and the parts.
 func newRandom(seed uint64, parts ...string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(strings.Join(parts, "\x00"))))
 }
 
-// writeText returns a text of exactly the given number of tokens, in sentences.
+// writeText returns random sentences of exactly the given number of tokens.
 func writeText(random *rand.Rand, vocabulary []string, tokens int) string {
 	size := tokens * prefix.BytesPerToken
 	var text strings.Builder
--- a/standin/workload/workload_test.go
+++ b/standin/workload/workload_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestPromptsShareTenantPrefixes judges that requests of one tenant share most of their
-// prompt with an earlier one, and that tenants share nothing.
+// TestPromptsShareTenantPrefixes checks that a tenant's requests share most of
+// their prompt with an earlier one, and that tenants share no prefix.
 func TestPromptsShareTenantPrefixes(t *testing.T) {
 	for _, path := range examples {
 		seen := map[ident.Tenant][]string{}
@@ -120,6 +120,6 @@
 		"rate: 1,": "rate: 1, events: [{kind: flood, for: 1s, factor: 2, class: x}],",
 	} {
 		_, err := Parse([]byte(strings.Replace(valid, replace, by, 1)))
-		is.True(err != nil) // by must be refused
+		is.True(err != nil) // by must be rejected
 	}
 }
