--- a/cmd/rehearse/application.go
+++ b/cmd/rehearse/application.go
@@ -49,7 +49,7 @@
 			return serve.Run(ctx, server, serve.Options{
 				Name: "application stand-in", Listen: listen, Grace: grace,
 				BeforeStop: func() {
-					server.Leave()
+					server.Drain()
 					time.Sleep(notice)
 				},
 			})
--- a/cmd/rehearse/load.go
+++ b/cmd/rehearse/load.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	return report.Verdict(options.allowLost)
+	return report.Check(options.allowLost)
 }
 
 func (o *loadOptions) config() (load.Config, error) {
@@ -111,7 +111,7 @@
 	}
 	config := load.Config{
 		Targets: o.targets, Spec: spec, Seed: o.seed, ExpectedText: model.ExpectedText,
-		MaxInFlight: o.maxInFlight, Patience: o.patience,
+		MaxInFlight: o.maxInFlight, RequestTimeout: o.patience,
 	}
 	if len(o.truth) > 0 {
 		config.ReadWaste = func(ctx context.Context) (load.Waste, error) {
--- a/internal/control/rolling_test.go
+++ b/internal/control/rolling_test.go
@@ -96,7 +96,7 @@
 	for _, output := range e.models[address].Advance(time.Now()) {
 		switch record := output.Truth; {
 		case record == nil:
-		case record.Kind == truth.OrderTaken:
+		case record.Kind == truth.OrderApplied:
 			e.executed[record.OrderID]++
 			e.fences = append(e.fences, record.Fence)
 			if record.OrderKind == string(protocol.OrderLoad) {
--- a/proofs/streams_test.go
+++ b/proofs/streams_test.go
@@ -148,7 +148,7 @@
 	open := map[ident.Stream]bool{}
 	for _, record := range records {
 		switch record.Kind {
-		case truth.Life:
+		case truth.IncarnationStarted:
 			clear(open)
 		case truth.Started:
 			open[record.Stream] = true
--- a/proofs/versionchange_test.go
+++ b/proofs/versionchange_test.go
@@ -68,13 +68,13 @@
 	versions := map[ident.ModelVersion]bool{}
 	for _, record := range records {
 		switch {
-		case record.Kind == truth.Life:
+		case record.Kind == truth.IncarnationStarted:
 			versions = map[ident.ModelVersion]bool{harness.ModelVersion: true}
 		case record.Kind == truth.Crashed:
 			clear(versions)
 		case record.Kind == truth.Loaded:
 			versions[record.Version] = true
-		case record.Kind == truth.OrderTaken && record.OrderKind == string(protocol.OrderUnload):
+		case record.Kind == truth.OrderApplied && record.OrderKind == string(protocol.OrderUnload):
 			delete(versions, record.Version)
 		}
 	}
@@ -252,7 +252,7 @@
 	for _, name := range c.Engines {
 		fence, taken, changes := uint64(0), map[string]bool{}, map[string]bool{}
 		for _, record := range c.Truth(name) {
-			if record.Kind != truth.OrderTaken {
+			if record.Kind != truth.OrderApplied {
 				continue
 			}
 			if record.Fence < fence {
@@ -285,7 +285,7 @@
 	loads := 0
 	for _, record := range inOrder(allTruth(c)) {
 		switch {
-		case record.Kind == truth.OrderTaken && record.OrderKind == string(protocol.OrderLoad):
+		case record.Kind == truth.OrderApplied && record.OrderKind == string(protocol.OrderLoad):
 			if other := loading[record.Zone]; other != "" {
 				t.Errorf("%s was told to load while %s of the same zone loaded", record.Engine, other)
 			}
@@ -310,7 +310,7 @@
 	for _, record := range inOrder(records) {
 		so[record.Engine] = append(so[record.Engine], record)
 		began[record.Engine] = true
-		if !slices.Contains([]truth.Kind{truth.Crashed, truth.OrderTaken}, record.Kind) {
+		if !slices.Contains([]truth.Kind{truth.Crashed, truth.OrderApplied}, record.Kind) {
 			continue
 		}
 		able := 0
--- a/standin/application/application_test.go
+++ b/standin/application/application_test.go
@@ -111,7 +111,7 @@
 func TestDrainingRefusesNewRequests(t *testing.T) {
 	is := is.New(t)
 	server, address := start(t)
-	server.Leave()
+	server.Drain()
 	client := engine.NewHTTPClient(engine.Options{})
 	_, err := client.Call(t.Context(), address, booking("k"))
 	var refused *engine.RefusedError
--- a/standin/application/server.go
+++ b/standin/application/server.go
@@ -105,8 +105,8 @@
 	s.router.ServeHTTP(w, r)
 }
 
-// Leave makes the stand-in refuse all new requests.
-func (s *Server) Leave() {
+// Drain makes the stand-in refuse all new requests.
+func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.draining = true
--- a/standin/engine/model/engine.go
+++ b/standin/engine/model/engine.go
@@ -71,7 +71,7 @@
 	e.orders = newOrderBook(e.config)
 	e.reports = reportHistory{}
 	e.changed()
-	e.record(truth.Record{Kind: truth.Life})
+	e.record(truth.Record{Kind: truth.IncarnationStarted})
 }
 
 // Crash ends the life: streams, cache, orders and unpublished events are gone.
--- a/standin/engine/model/orders.go
+++ b/standin/engine/model/orders.go
@@ -85,7 +85,7 @@
 	result := protocol.OrderResult{OrderID: order.OrderID, Fence: order.Fence}
 	e.orders.remember(result)
 	e.record(truth.Record{
-		Kind: truth.OrderTaken, OrderID: order.OrderID, OrderKind: string(order.Kind),
+		Kind: truth.OrderApplied, OrderID: order.OrderID, OrderKind: string(order.Kind),
 		Fence: order.Fence, Model: order.Model, Version: order.Version,
 	})
 	switch order.Kind {
--- a/standin/engine/state.go
+++ b/standin/engine/state.go
@@ -131,7 +131,7 @@
 var engineFaults = []faultplan.Kind{
 	faultplan.Crash, faultplan.Stall, faultplan.Cut, faultplan.EventLoss, faultplan.EventDelay,
 	faultplan.LoadLag, faultplan.DuplicateChunks, faultplan.SwapChunks, faultplan.LoseEnd,
-	faultplan.Slow, faultplan.RefuseFull, faultplan.Leave,
+	faultplan.Slow, faultplan.RefuseFull, faultplan.Drain,
 }
 
 // FaultRequest is the body of POST /rehearsal/faults.
--- a/standin/faultplan/faultplan.go
+++ b/standin/faultplan/faultplan.go
@@ -53,8 +53,8 @@
 	Slow Kind = "slow"
 	// RefuseFull refuses all new requests as if the queue were full.
 	RefuseFull Kind = "refuse_full"
-	// Leave makes the back end advertise that it is draining.
-	Leave Kind = "leave"
+	// Drain makes the back end advertise that it is draining.
+	Drain Kind = "leave"
 )
 
 // Kinds of faults of the platform, in addition to Slow.
@@ -186,9 +186,9 @@
 	return found, active
 }
 
-// Edges returns the sorted start and end times of the target's faults, at which
+// TransitionTimes returns the sorted start and end times of the target's faults, at which
 // a virtual-time driver must wake.
-func (p *Plan) Edges(target string) []time.Duration {
+func (p *Plan) TransitionTimes(target string) []time.Duration {
 	var edges []time.Duration
 	for _, entry := range p.Faults {
 		if !entry.matches(target) {
--- a/standin/faultplan/faultplan_test.go
+++ b/standin/faultplan/faultplan_test.go
@@ -45,7 +45,7 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(plan.Edges("engine-1"), []time.Duration{10 * time.Second, 12 * time.Second, 15 * time.Second, 30 * time.Second, 72 * time.Second})
+	is.Equal(plan.TransitionTimes("engine-1"), []time.Duration{10 * time.Second, 12 * time.Second, 15 * time.Second, 30 * time.Second, 72 * time.Second})
 	plan.Prune(30 * time.Second)
 	is.Equal(len(plan.Faults), 2)
 }
--- a/standin/load/caller.go
+++ b/standin/load/caller.go
@@ -21,7 +21,7 @@
 // call runs one arrival to its end. Latencies count from the planned time, so
 // that a delayed send does not hide a slow system (coordinated omission).
 func (c *caller) call(ctx context.Context, arrival workload.Arrival, planned time.Time) Result {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	result := Result{Arrival: arrival, Outcome: OutcomeLost}
 	if arrival.Application {
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -192,10 +192,10 @@
 	is.Equal(report.Waste.Share, 0.5)
 	is.Equal(report.Breaks, 2)
 	is.Equal(len(report.Kinds), 2)
-	is.NoErr(report.Verdict(0))
+	is.NoErr(report.Check(0))
 	report.Outcomes[OutcomeLost] = 2
-	is.NoErr(report.Verdict(2))
-	is.True(report.Verdict(1) != nil)
+	is.NoErr(report.Check(2))
+	is.True(report.Check(1) != nil)
 	var table, document bytes.Buffer
 	is.NoErr(report.WriteTable(&table))
 	is.True(strings.Contains(table.String(), "hit rate 0.6000"))
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -90,9 +90,9 @@
 
 func (w *Waste) fillShare() { w.Share = share(w.RecomputedTokens+w.DiscardedTokens, w.PromptTokens) }
 
-// Verdict returns an error if a stream was corrupt or more requests than
+// Check returns an error if a stream was corrupt or more requests than
 // allowed were lost.
-func (r *Report) Verdict(allowedLost int) error {
+func (r *Report) Check(allowedLost int) error {
 	corrupt, lost := r.Outcomes[OutcomeCorrupt], r.Outcomes[OutcomeLost]
 	if corrupt > 0 || lost > allowedLost {
 		return errors.Errorf("%d corrupt streams and %d lost requests (%d allowed)", corrupt, lost, allowedLost)
--- a/standin/load/runner.go
+++ b/standin/load/runner.go
@@ -31,8 +31,8 @@
 	MaxInFlight int
 	// MaxAttempts limits the attempts of one request. Default: 12.
 	MaxAttempts int
-	// Patience limits the time of one request with its retries. Default: 2m.
-	Patience time.Duration
+	// RequestTimeout limits the time of one request with its retries. Default: 2m.
+	RequestTimeout time.Duration
 	// MaxWait caps a Retry-After; MinWait is the minimum delay before a retry.
 	// Defaults: 5s and 20ms.
 	MaxWait, MinWait time.Duration
@@ -50,7 +50,7 @@
 	}
 	c.MaxInFlight = cmp.Or(c.MaxInFlight, 2048)
 	c.MaxAttempts = cmp.Or(c.MaxAttempts, 12)
-	c.Patience = cmp.Or(c.Patience, 2*time.Minute)
+	c.RequestTimeout = cmp.Or(c.RequestTimeout, 2*time.Minute)
 	c.MaxWait = cmp.Or(c.MaxWait, 5*time.Second)
 	c.MinWait = cmp.Or(c.MinWait, 20*time.Millisecond)
 }
--- a/standin/truth/truth.go
+++ b/standin/truth/truth.go
@@ -24,8 +24,8 @@
 	Cancelled Kind = "cancelled"
 	// Lost is a generation that ended because its engine's incarnation ended.
 	Lost Kind = "lost"
-	// OrderTaken is a fenced order that took effect.
-	OrderTaken Kind = "order_taken"
+	// OrderApplied is a fenced order that took effect.
+	OrderApplied Kind = "order_taken"
 	// Loaded is a model version that became ready to serve.
 	Loaded Kind = "loaded"
 	// Executed is one execution of an application request.
@@ -34,8 +34,8 @@
 	CacheStored Kind = "cache_stored"
 	// CacheRemoved is the eviction of blocks from the cache.
 	CacheRemoved Kind = "cache_removed"
-	// Life is the start of an incarnation.
-	Life Kind = "life"
+	// IncarnationStarted is the start of an incarnation.
+	IncarnationStarted Kind = "life"
 	// Crashed is the end of an incarnation.
 	Crashed Kind = "crashed"
 )
@@ -87,7 +87,7 @@
 	Salt   prefix.Salt  `json:"salt,omitempty"`
 	Hashes prefix.Chain `json:"hashes,omitempty"`
 
-	// OrderID, OrderKind and Fence are set on OrderTaken.
+	// OrderID, OrderKind and Fence are set on OrderApplied.
 	OrderID   string `json:"order_id,omitempty"`
 	OrderKind string `json:"order_kind,omitempty"`
 	Fence     uint64 `json:"fence,omitempty"`
--- a/standin/workload/generator.go
+++ b/standin/workload/generator.go
@@ -36,8 +36,8 @@
 	Path           string
 	Body           string
 	IdempotencyKey string
-	// Repeat is whether an earlier arrival had the same key and body.
-	Repeat bool
+	// Retry is whether an earlier arrival had the same key and body.
+	Retry bool
 }
 
 // Render returns the prompt text of a chat.
@@ -167,13 +167,13 @@
 	if call.Method != "GET" {
 		arrival.Body = fmt.Sprintf(`{"reference":%d,"amount":%d}`, arrival.Number, 1+g.random.IntN(500))
 	}
-	if call.Repeatable {
+	if call.Retryable {
 		return arrival
 	}
 	kind := string(arrival.Tenant) + " " + call.Method + " " + call.Path
-	retry := g.random.Float64() < call.RepeatShare
+	retry := g.random.Float64() < call.RetryShare
 	if earlier, known := g.last[kind]; known && retry {
-		arrival.Body, arrival.IdempotencyKey, arrival.Repeat = earlier.Body, earlier.IdempotencyKey, true
+		arrival.Body, arrival.IdempotencyKey, arrival.Retry = earlier.Body, earlier.IdempotencyKey, true
 		return arrival
 	}
 	arrival.IdempotencyKey = fmt.Sprintf("%s-%d-%s-%d", g.spec.Name, g.seed, arrival.Tenant, arrival.Number)
--- a/standin/workload/spec.go
+++ b/standin/workload/spec.go
@@ -94,11 +94,11 @@
 	Method  string        `yaml:"method"`
 	Path    string        `yaml:"path"`
 	Weight  float64       `yaml:"weight"`
-	// Repeatable calls are safe to retry and have no idempotency key.
-	Repeatable bool `yaml:"repeatable"`
-	// RepeatShare is the share of calls that send the tenant's last call of this
+	// Retryable calls are safe to retry and have no idempotency key.
+	Retryable bool `yaml:"repeatable"`
+	// RetryShare is the share of calls that send the tenant's last call of this
 	// kind again with its key, like a client that retries.
-	RepeatShare float64 `yaml:"repeatShare"`
+	RetryShare float64 `yaml:"repeatShare"`
 }
 
 // Kinds of LoadEvent.
--- a/standin/workload/workload_test.go
+++ b/standin/workload/workload_test.go
@@ -98,7 +98,7 @@
 			continue
 		}
 		earlier, known := keys[arrival.IdempotencyKey]
-		is.Equal(known, arrival.Repeat)
+		is.Equal(known, arrival.Retry)
 		if known {
 			repeats++
 			is.Equal(earlier, arrival.Body)
