--- a/standin/faultboard/board_test.go
+++ b/standin/faultboard/board_test.go
@@ -46,17 +46,17 @@
 func TestProbabilityIsSeeded(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	pattern := func() (struck []bool, count int) {
+	pattern := func() (affected []bool, count int) {
 		board := newBoard()
 		is.NoErr(board.Inject(faultboard.Fault{Kind: "outage", DurationMillis: 1, Probability: 0.25}, start))
 		for range 1000 {
 			hit := board.Draw("table", true, start).Has("outage")
-			struck = append(struck, hit)
+			affected = append(affected, hit)
 			if hit {
 				count++
 			}
 		}
-		return struck, count
+		return affected, count
 	}
 	first, count := pattern()
 	second, _ := pattern()
--- a/standin/faultplan/faultplan.go
+++ b/standin/faultplan/faultplan.go
@@ -186,8 +186,8 @@
 	return found, active
 }
 
-// TransitionTimes returns the sorted start and end times of the target's faults, at which
-// a virtual-time driver must wake.
+// TransitionTimes returns the sorted start and end times of the target's
+// faults, at which a virtual-time driver must wake.
 func (p *Plan) TransitionTimes(target string) []time.Duration {
 	var edges []time.Duration
 	for _, entry := range p.Faults {
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -90,8 +90,8 @@
 
 func (w *Waste) fillShare() { w.Share = share(w.RecomputedTokens+w.DiscardedTokens, w.PromptTokens) }
 
-// Check returns an error if a stream was corrupt or more requests than
-// allowed were lost.
+// Check returns an error if a stream was corrupt or more requests than allowed
+// were lost.
 func (r *Report) Check(allowedLost int) error {
 	corrupt, lost := r.Outcomes[OutcomeCorrupt], r.Outcomes[OutcomeLost]
 	if corrupt > 0 || lost > allowedLost {
--- a/standin/load/runner.go
+++ b/standin/load/runner.go
@@ -31,7 +31,7 @@
 	MaxInFlight int
 	// MaxAttempts limits the attempts of one request. Default: 12.
 	MaxAttempts int
-	// RequestTimeout limits the time of one request with its retries. Default: 2m.
+	// RequestTimeout limits one request with its retries. Default: 2m.
 	RequestTimeout time.Duration
 	// MaxWait caps a Retry-After; MinWait is the minimum delay before a retry.
 	// Defaults: 5s and 20ms.
--- a/standin/load/waste.go
+++ b/standin/load/waste.go
@@ -101,7 +101,7 @@
 func wasteOf(records []truthRecord, blockTokens int) (Waste, error) {
 	ordered := slices.Clone(records)
 	slices.SortStableFunc(ordered, func(a, b truthRecord) int { return a.Time.Compare(b.Time) })
-	replay := &cacheReplay{blockTokens: blockTokens, held: map[ident.Incarnation]map[prefix.Hash]bool{}, incarnations: map[ident.Engine]ident.Incarnation{}}
+	replay := &cacheReplay{blockTokens: blockTokens, cachedBlocks: map[ident.Incarnation]map[prefix.Hash]bool{}, incarnations: map[ident.Engine]ident.Incarnation{}}
 	var waste Waste
 	chains := 0
 	for _, record := range ordered {
@@ -125,29 +125,29 @@
 // cacheReplay holds the actual cache contents of every incarnation.
 type cacheReplay struct {
 	blockTokens  int
-	held         map[ident.Incarnation]map[prefix.Hash]bool
+	cachedBlocks map[ident.Incarnation]map[prefix.Hash]bool
 	incarnations map[ident.Engine]ident.Incarnation
 }
 
 func (r *cacheReplay) apply(record truthRecord) {
 	switch record.Kind {
 	case truthIncarnationStarted:
-		delete(r.held, r.incarnations[record.Engine])
+		delete(r.cachedBlocks, r.incarnations[record.Engine])
 		r.incarnations[record.Engine] = record.Incarnation
 	case truthCrashed:
-		delete(r.held, record.Incarnation)
+		delete(r.cachedBlocks, record.Incarnation)
 	case truthCacheStored:
-		blocks, known := r.held[record.Incarnation]
+		blocks, known := r.cachedBlocks[record.Incarnation]
 		if !known {
 			blocks = map[prefix.Hash]bool{}
-			r.held[record.Incarnation] = blocks
+			r.cachedBlocks[record.Incarnation] = blocks
 		}
 		for _, hash := range record.Hashes {
 			blocks[hash] = true
 		}
 	case truthCacheRemoved:
 		for _, hash := range record.Hashes {
-			delete(r.held[record.Incarnation], hash)
+			delete(r.cachedBlocks[record.Incarnation], hash)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 // minus those cached by the generation's own engine.
 func (r *cacheReplay) recomputed(started truthRecord) int {
 	best := 0
-	for incarnation, blocks := range r.held {
+	for incarnation, blocks := range r.cachedBlocks {
 		if incarnation == started.Incarnation {
 			continue
 		}
--- a/standin/truth/log.go
+++ b/standin/truth/log.go
@@ -80,7 +80,7 @@
 
 // WriteTo writes the records in memory as JSON lines.
 func (l *Log) WriteTo(writer io.Writer) (int64, error) {
-	counter := &countingWriter{inner: writer}
+	counter := &countingWriter{destination: writer}
 	encoder := json.NewEncoder(counter)
 	for _, record := range l.Records() {
 		if err := encoder.Encode(record); err != nil {
@@ -115,12 +115,12 @@
 }
 
 type countingWriter struct {
-	inner   io.Writer
-	written int64
+	destination io.Writer
+	written     int64
 }
 
 func (w *countingWriter) Write(data []byte) (int, error) {
-	count, err := w.inner.Write(data)
+	count, err := w.destination.Write(data)
 	w.written += int64(count)
 	return count, err
 }
--- a/standin/workload/layers.go
+++ b/standin/workload/layers.go
@@ -9,7 +9,8 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// trimDivisor: a full text drops its oldest 1/trimDivisor of the entries.
+// trimDivisor sets the share of oldest entries, 1/trimDivisor, that a full text
+// drops.
 const trimDivisor = 4
 
 // layerText is the text of one layer for one tenant and one variant, with
@@ -24,51 +25,51 @@
 }
 
 func newLayerText(layer Layer, vocabulary []string, random *rand.Rand) *layerText {
-	b := &layerText{layer: layer, vocabulary: vocabulary, random: random}
+	t := &layerText{layer: layer, vocabulary: vocabulary, random: random}
 	if layer.ChangeEvery == 0 {
-		b.text = writeText(random, vocabulary, layer.Tokens)
-		return b
+		t.text = writeText(random, vocabulary, layer.Tokens)
+		return t
 	}
 	// Starts between half full and full.
-	limit := b.maxEntries()
+	limit := t.maxEntries()
 	for range limit/2 + random.IntN(limit-limit/2) {
-		b.entries = append(b.entries, b.newEntry())
+		t.entries = append(t.entries, t.newEntry())
 	}
-	b.nextChange = b.nextInterval()
-	b.text = strings.Join(b.entries, "")
-	return b
+	t.nextChange = t.nextInterval()
+	t.text = strings.Join(t.entries, "")
+	return t
 }
 
-func (b *layerText) maxEntries() int { return max(b.layer.Tokens/b.layer.EntryTokens, 2) }
+func (t *layerText) maxEntries() int { return max(t.layer.Tokens/t.layer.EntryTokens, 2) }
 
-func (b *layerText) newEntry() string { return writeText(b.random, b.vocabulary, b.layer.EntryTokens) }
+func (t *layerText) newEntry() string { return writeText(t.random, t.vocabulary, t.layer.EntryTokens) }
 
-func (b *layerText) nextInterval() time.Duration {
-	return time.Duration(b.random.ExpFloat64() * float64(b.layer.ChangeEvery))
+func (t *layerText) nextInterval() time.Duration {
+	return time.Duration(t.random.ExpFloat64() * float64(t.layer.ChangeEvery))
 }
 
 // textAt returns the text at the given time, which must not decrease.
-func (b *layerText) textAt(at time.Duration) string {
-	if b.layer.ChangeEvery == 0 || at < b.nextChange {
-		return b.text
+func (t *layerText) textAt(at time.Duration) string {
+	if t.layer.ChangeEvery == 0 || at < t.nextChange {
+		return t.text
 	}
-	for at >= b.nextChange {
-		b.change()
-		b.nextChange += b.nextInterval() + time.Nanosecond
+	for at >= t.nextChange {
+		t.change()
+		t.nextChange += t.nextInterval() + time.Nanosecond
 	}
-	b.text = strings.Join(b.entries, "")
-	return b.text
+	t.text = strings.Join(t.entries, "")
+	return t.text
 }
 
-func (b *layerText) change() {
-	if b.random.Float64() >= b.layer.AppendShare {
-		b.entries[b.random.IntN(len(b.entries))] = b.newEntry()
+func (t *layerText) change() {
+	if t.random.Float64() >= t.layer.AppendShare {
+		t.entries[t.random.IntN(len(t.entries))] = t.newEntry()
 		return
 	}
-	if limit := b.maxEntries(); len(b.entries) >= limit {
-		b.entries = append([]string(nil), b.entries[max(limit/trimDivisor, 1):]...)
+	if limit := t.maxEntries(); len(t.entries) >= limit {
+		t.entries = append([]string(nil), t.entries[max(limit/trimDivisor, 1):]...)
 	}
-	b.entries = append(b.entries, b.newEntry())
+	t.entries = append(t.entries, t.newEntry())
 }
 
 // layerTexts holds the texts of all tenants, generated on first use.
