--- a/standin/application/server.go
+++ b/standin/application/server.go
@@ -15,49 +15,50 @@
 	"github.com/fieldpond/fieldpond/standin/faultboard"
 )
 
-// Kinds of faults. The service of all is ServiceApplication.
+// Kinds of faults, all for ServiceApplication.
 const (
 	// FaultRefuseFull refuses before execution.
 	FaultRefuseFull = "refuse_full"
-	// FaultRunThenCut executes, then cuts the connection without an answer.
+	// FaultRunThenCut executes, then closes the connection without a response.
 	FaultRunThenCut = "run_then_cut"
-	// FaultCutBefore reads the body, then cuts without executing.
+	// FaultCutBefore reads the body, then closes the connection without
+	// executing.
 	FaultCutBefore = "cut_before"
-	// FaultStall holds the request without executing, for delay_millis or, if
-	// that is 0, until the client leaves; then it cuts the connection.
+	// FaultStall waits without executing for delay_millis or, if that is 0,
+	// until the client disconnects; then it closes the connection.
 	FaultStall = "stall"
 	// FaultSlow adds delay_millis to the execution time.
 	FaultSlow = "slow"
 )
 
-// ServiceApplication is the only service that faults may name.
+// ServiceApplication is the only service that faults may target.
 const ServiceApplication = "application"
 
 // TruthPath serves the truth log as JSON lines.
 const TruthPath = "/rehearsal/truth"
 
-// maxBodyBytes bounds the body of a request.
+// maxBodyBytes limits a request body.
 const maxBodyBytes = 16 << 20
 
-// retryAfterMillis is told with a refusal.
+// retryAfterMillis is the retry delay in every refusal.
 const retryAfterMillis = 200
 
 // Options configures a Server.
 type Options struct {
-	// Incarnation of this life; empty takes a fresh one.
+	// Incarnation identifies this process lifetime; empty means a new one.
 	Incarnation ident.Incarnation
-	// ExecutionTime is how long one execution takes.
+	// ExecutionTime is the duration of one execution.
 	ExecutionTime time.Duration
-	// MaxRunning refuses requests above it; 0 is no limit.
+	// MaxRunning limits concurrent executions; 0 is no limit.
 	MaxRunning int
-	// Seed seeds the draws of faults.
+	// Seed seeds the fault probabilities.
 	Seed uint64
-	// TruthWriter also receives the executions as JSON lines, each before it
-	// begins, so that they outlast the process; nil means none.
+	// TruthWriter receives a JSON line before each execution, so that records
+	// outlast the process; nil means none.
 	TruthWriter io.Writer
 }
 
-// Validate checks the ranges of the options.
+// Validate checks that no option is negative.
 func (o Options) Validate() error {
 	if o.ExecutionTime < 0 || o.MaxRunning < 0 {
 		return fault.New(fault.InvalidSettings, "the execution time or the limit of the application stand-in is negative").
@@ -66,19 +67,19 @@
 	return nil
 }
 
-// Server is the stand-in. It is safe for concurrent use.
+// Server is the application stand-in. It is safe for concurrent use.
 type Server struct {
 	options Options
 	board   *faultboard.Board
 	router  *mux.Router
 	truth   truthLog
 
-	mutex   sync.Mutex
-	running int
-	leaving bool
+	mutex    sync.Mutex
+	running  int
+	draining bool
 }
 
-// NewServer returns a stand-in that has executed nothing.
+// NewServer returns a stand-in with an empty truth log.
 func NewServer(options Options) *Server {
 	if options.Incarnation == "" {
 		options.Incarnation = ident.Incarnation(ident.NewUniqueID())
@@ -89,7 +90,7 @@
 			[]string{FaultRefuseFull, FaultRunThenCut, FaultCutBefore, FaultStall, FaultSlow},
 			[]string{ServiceApplication}),
 		router: mux.NewRouter().UseEncodedPath().SkipClean(true),
-		truth:  truthLog{timesRun: map[scope]int{}, writer: options.TruthWriter},
+		truth:  truthLog{executionCounts: map[idempotencyScope]int{}, writer: options.TruthWriter},
 	}
 	server.router.HandleFunc("/v1/services/{service}{path:.*}", server.serveRequest)
 	server.router.HandleFunc("/v1/load", server.serveLoad).Methods(http.MethodGet)
@@ -104,21 +105,22 @@
 	s.router.ServeHTTP(w, r)
 }
 
-// Leave makes the stand-in refuse all new work from now on.
-func (s *Server) Leave() {
+// Drain makes the stand-in refuse all new requests.
+func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.leaving = true
+	s.draining = true
 }
 
 // Executions returns the truth log.
 func (s *Server) Executions() []Execution { return s.truth.all() }
 
-// enter takes a place for one execution, or returns why it is refused.
-func (s *Server) enter() (refused protocol.RefusalKind) {
+// startExecution reserves capacity for one execution, or returns the reason of
+// the refusal.
+func (s *Server) startExecution() (refused protocol.RefusalKind) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.leaving {
+	if s.draining {
 		return protocol.RefusalDraining
 	}
 	if s.options.MaxRunning > 0 && s.running >= s.options.MaxRunning {
@@ -128,13 +130,13 @@
 	return ""
 }
 
-func (s *Server) exit() {
+func (s *Server) endExecution() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.running--
 }
 
-// refuse answers that nothing was executed.
+// refuse responds with a refusal without execution.
 func (s *Server) refuse(w http.ResponseWriter, kind protocol.RefusalKind) {
 	status := http.StatusTooManyRequests
 	if kind == protocol.RefusalDraining {
@@ -150,7 +152,7 @@
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mutex.Lock()
 	report := protocol.LoadReport{
-		Incarnation: s.options.Incarnation, MeasuredAt: time.Now(), Draining: s.leaving,
+		Incarnation: s.options.Incarnation, MeasuredAt: time.Now(), Draining: s.draining,
 		Running: s.running, MaxRunning: s.options.MaxRunning,
 	}
 	s.mutex.Unlock()
--- a/standin/faultboard/board_test.go
+++ b/standin/faultboard/board_test.go
@@ -24,11 +24,11 @@
 		after   time.Duration
 		delay   time.Duration
 	}{
-		{"strikes", "table", true, 0, 30 * time.Millisecond},
-		{"spares reads", "table", false, 0, 0},
-		{"spares other services", "objects", true, 0, 0},
-		{"lasts until its end", "table", true, 999 * time.Millisecond, 30 * time.Millisecond},
-		{"is over at its end", "table", true, time.Second, 0},
+		{"applies to writes", "table", true, 0, 30 * time.Millisecond},
+		{"excludes reads", "table", false, 0, 0},
+		{"excludes other services", "objects", true, 0, 0},
+		{"active until its end", "table", true, 999 * time.Millisecond, 30 * time.Millisecond},
+		{"inactive at its end", "table", true, time.Second, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,25 +46,25 @@
 func TestProbabilityIsSeeded(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
-	pattern := func() (struck []bool, count int) {
+	pattern := func() (affected []bool, count int) {
 		board := newBoard()
 		is.NoErr(board.Inject(faultboard.Fault{Kind: "outage", DurationMillis: 1, Probability: 0.25}, start))
 		for range 1000 {
 			hit := board.Draw("table", true, start).Has("outage")
-			struck = append(struck, hit)
+			affected = append(affected, hit)
 			if hit {
 				count++
 			}
 		}
-		return struck, count
+		return affected, count
 	}
 	first, count := pattern()
 	second, _ := pattern()
 	is.Equal(first, second)
-	is.True(count > 200 && count < 300) // seeded, so the same every run
+	is.True(count > 200 && count < 300) // the seed makes the count the same in every run
 }
 
-func TestInjectRefusesBadFaults(t *testing.T) {
+func TestInjectRejectsInvalidFaults(t *testing.T) {
 	for _, bad := range []faultboard.Fault{
 		{Kind: "unknown", DurationMillis: 1}, {Kind: "slow"}, {Kind: "slow", DurationMillis: 1, Service: "unknown"},
 		{Kind: "slow", DurationMillis: 1, Probability: 1.5}, {Kind: "slow", DurationMillis: 1, DelayMillis: -1},
--- a/standin/faultplan/faultplan_test.go
+++ b/standin/faultplan/faultplan_test.go
@@ -30,9 +30,9 @@
 		{"engine-1", Crash, 10 * time.Second, true, 10 * time.Second},
 		{"engine-1", Crash, 15 * time.Second, false, 0},
 		{"engine-2", Crash, 11 * time.Second, false, 0},
-		{"engine-2", EventLoss, 21 * time.Second, true, 20 * time.Second}, // the later one goes first
+		{"engine-2", EventLoss, 21 * time.Second, true, 20 * time.Second}, // the later start takes precedence
 		{"engine-2", EventLoss, 23 * time.Second, true, 12 * time.Second},
-		{"table", Rate, 900 * time.Hour, true, 30 * time.Second}, // no duration: until the end
+		{"table", Rate, 900 * time.Hour, true, 30 * time.Second}, // no duration: until the end of the run
 	}
 	plan, err := Parse([]byte(example))
 	is.New(t).NoErr(err)
@@ -45,12 +45,12 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(plan.Edges("engine-1"), []time.Duration{10 * time.Second, 12 * time.Second, 15 * time.Second, 30 * time.Second, 72 * time.Second})
+	is.Equal(plan.TransitionTimes("engine-1"), []time.Duration{10 * time.Second, 12 * time.Second, 15 * time.Second, 30 * time.Second, 72 * time.Second})
 	plan.Prune(30 * time.Second)
 	is.Equal(len(plan.Faults), 2)
 }
 
-func TestInvalidPlansAreFaults(t *testing.T) {
+func TestParseRejectsInvalidPlans(t *testing.T) {
 	cases := map[string]string{
 		"unknown field":      "faults: [{at: 1s, target: a, kind: crash, colour: red}]",
 		"unknown parameter":  "faults: [{at: 1s, target: a, kind: crash, parameters: {p: 1}}]",
--- a/standin/load/application.go
+++ b/standin/load/application.go
@@ -12,38 +12,38 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// callApplication sends one application request, again with the same key as
-// long as its fate is open.
+// callApplication sends one application request and retries it with the same
+// key while its outcome is unknown.
 func (c *caller) callApplication(ctx context.Context, planned time.Time, result *Result) {
 	for attempt := range c.config.MaxAttempts {
 		if attempt > 0 {
 			result.Retries++
 		}
-		stated, err := c.sendApplication(ctx, attempt, result)
+		refused, err := c.sendApplication(ctx, attempt, result)
 		switch {
 		case err != nil:
-			// No final word: whatever an earlier attempt was told is open again.
-			result.Outcome, result.Detail = OutcomeLost, "the connection broke"
-			if !c.broke(ctx, result) {
+			// This attempt may have run, so an earlier refusal no longer decides.
+			result.Outcome, result.Detail = OutcomeLost, "the connection failed"
+			if !c.recordBreak(ctx, result) {
 				return
 			}
-		case stated == nil:
+		case refused == nil:
 			result.Outcome, result.Detail = OutcomeAnswered, ""
 			result.FirstToken = time.Since(planned)
 			return
-		case stated.Kind == fault.AlreadyClaimed && stated.RetryAfterMillis > 0:
-			stated.status = http.StatusServiceUnavailable
+		case refused.Kind == fault.AlreadyClaimed && refused.RetryAfterMillis > 0:
+			refused.status = http.StatusServiceUnavailable
 			fallthrough
 		default:
-			if !c.refused(ctx, *stated, result) {
+			if !c.recordRefusal(ctx, *refused, result) {
 				return
 			}
 		}
 	}
 }
 
-// sendApplication makes one attempt. It returns a refusal that the router
-// stated, an error if no whole answer came, or neither for an answer.
+// sendApplication makes one attempt. It returns a router's refusal, an error
+// if the response is incomplete, or neither on success.
 func (c *caller) sendApplication(ctx context.Context, attempt int, result *Result) (*refusal, error) {
 	arrival := result.Arrival
 	url := c.target(arrival, attempt) + "/v1/services/" + string(arrival.Service) + arrival.Path
@@ -52,8 +52,8 @@
 		return nil, errors.Wrap(err, "building an application request")
 	}
 	c.setHeaders(request, arrival)
-	// Without this net/http sends a request with an Idempotency-Key again by
-	// itself when a reused connection breaks, and that attempt is not counted.
+	// Otherwise net/http itself retries a request with an Idempotency-Key when
+	// a reused connection fails, and that attempt is not counted.
 	request.GetBody = nil
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -61,9 +61,9 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusBadRequest {
-		stated := refusalOf(response)
-		return &stated, nil
+		refused := readRefusal(response)
+		return &refused, nil
 	}
 	_, err = io.Copy(io.Discard, response.Body)
-	return nil, errors.Wrap(err, "reading an application answer")
+	return nil, errors.Wrap(err, "reading an application response")
 }
--- a/standin/load/model.go
+++ b/standin/load/model.go
@@ -13,7 +13,7 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// stream is what a caller holds of one answer.
+// stream is the received part of one answer.
 type stream struct {
 	text         strings.Builder
 	lastID       string
@@ -23,21 +23,22 @@
 	firstText    time.Time
 }
 
-// restart forgets the answer so far, but not when its first text came.
+// restart discards the answer so far, except the time of its first text.
 func (s *stream) restart() { *s = stream{firstText: s.firstText} }
 
-// ending is how one exchange of a model request ended: stated is a refusal or
-// an error event, broken a connection that broke; neither is a whole stream.
-type ending struct {
-	stated *refusal
-	// inStream says that stated came as an event of the stream.
-	inStream bool
-	broken   bool
-	corrupt  string
+// exchangeResult is the end of one exchange of a model request: refused is a
+// refusal or an error event, disconnected a failed connection; neither means a
+// complete stream.
+type exchangeResult struct {
+	refused *refusal
+	// inStream is whether refused was received as an event of the stream.
+	inStream     bool
+	disconnected bool
+	corrupt      string
 }
 
 // callModel sends one model request and reads its stream to the end, resuming
-// it at another router when a connection breaks.
+// it at another router when a connection fails.
 func (c *caller) callModel(ctx context.Context, planned time.Time, result *Result) {
 	answer := &stream{}
 	for attempt := range c.config.MaxAttempts {
@@ -45,16 +46,16 @@
 		if attempt > 0 {
 			countAttempt(result, resuming)
 		}
-		end := c.exchange(ctx, attempt, result.Arrival, answer)
-		if end.corrupt != "" {
-			result.Outcome, result.Detail = OutcomeCorrupt, end.corrupt
+		ended := c.exchange(ctx, attempt, result.Arrival, answer)
+		if ended.corrupt != "" {
+			result.Outcome, result.Detail = OutcomeCorrupt, ended.corrupt
 			return
 		}
-		if end.stated == nil && !end.broken {
-			c.judge(answer, planned, result)
+		if ended.refused == nil && !ended.disconnected {
+			c.checkStream(answer, planned, result)
 			return
 		}
-		if !c.goOn(ctx, end, resuming, answer, result) {
+		if !c.recordFailedExchange(ctx, ended, resuming, answer, result) {
 			return
 		}
 	}
@@ -68,65 +69,66 @@
 	result.Retries++
 }
 
-// goOn notes an ending that is not whole and reports whether to try again.
-func (c *caller) goOn(ctx context.Context, end ending, resuming bool, answer *stream, result *Result) bool {
-	if end.broken {
-		result.Outcome, result.Detail = OutcomeLost, "the stream broke"
+// recordFailedExchange records an incomplete exchange, waits, and reports
+// whether to try again.
+func (c *caller) recordFailedExchange(ctx context.Context, ended exchangeResult, resuming bool, answer *stream, result *Result) bool {
+	if ended.disconnected {
+		result.Outcome, result.Detail = OutcomeLost, "the stream was interrupted"
 		if answer.lastID == "" && answer.text.Len() > 0 {
 			answer.restart()
 			result.Restarts++
 		}
-		return c.broke(ctx, result)
+		return c.recordBreak(ctx, result)
 	}
-	stated := *end.stated
-	if end.inStream || (resuming && !resumableLater(stated)) {
-		// The stream cannot be continued; a model request may be sent again.
+	refused := *ended.refused
+	if ended.inStream || (resuming && !resumeRetryable(refused)) {
+		// The stream cannot be resumed, but a model request is safe to retry.
 		answer.restart()
 		result.Restarts++
-		stated.status = http.StatusServiceUnavailable
+		refused.status = http.StatusServiceUnavailable
 	}
-	again := c.refused(ctx, stated, result)
-	if end.inStream || resuming {
-		result.Outcome, result.Detail = OutcomeLost, "the stream ended with "+string(stated.Kind)
+	retry := c.recordRefusal(ctx, refused, result)
+	if ended.inStream || resuming {
+		result.Outcome, result.Detail = OutcomeLost, "the stream ended with error "+string(refused.Kind)
 	}
-	return again
+	return retry
 }
 
-// resumableLater reports whether the same resume may succeed elsewhere.
-func resumableLater(stated refusal) bool {
-	return stated.status == http.StatusServiceUnavailable || stated.status == http.StatusTooManyRequests
+// resumeRetryable reports whether the same resume may succeed at another router.
+func resumeRetryable(refused refusal) bool {
+	return refused.status == http.StatusServiceUnavailable || refused.status == http.StatusTooManyRequests
 }
 
-// exchange opens or resumes the stream and reads it as far as it goes.
-func (c *caller) exchange(ctx context.Context, attempt int, arrival workload.Arrival, answer *stream) ending {
+// exchange opens or resumes the stream and reads it until it ends or fails.
+func (c *caller) exchange(ctx context.Context, attempt int, arrival workload.Arrival, answer *stream) exchangeResult {
 	request, err := c.modelRequest(ctx, c.target(arrival, attempt), arrival, answer.lastID)
 	if err != nil {
-		return ending{corrupt: err.Error()}
+		return exchangeResult{corrupt: err.Error()}
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return ending{broken: true}
+		return exchangeResult{disconnected: true}
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		stated := refusalOf(response)
-		return ending{stated: &stated}
+		refused := readRefusal(response)
+		return exchangeResult{refused: &refused}
 	}
 	events := newEventReader(response.Body)
 	for !answer.done {
 		next, err := events.next()
 		if err != nil {
-			return ending{broken: true}
+			return exchangeResult{disconnected: true}
 		}
 		if next.name == "error" {
-			stated := parseRefusal([]byte(next.data))
-			return ending{stated: &stated, inStream: true}
+			refused := parseRefusal([]byte(next.data))
+			return exchangeResult{refused: &refused, inStream: true}
 		}
-		if err := answer.take(next); err != nil {
-			return ending{corrupt: err.Error()}
+		if err := answer.apply(next); err != nil {
+			return exchangeResult{corrupt: err.Error()}
 		}
 	}
-	return ending{}
+	return exchangeResult{}
 }
 
 func (c *caller) modelRequest(ctx context.Context, target string, arrival workload.Arrival, lastID string) (*http.Request, error) {
@@ -156,8 +158,8 @@
 	return request, nil
 }
 
-// take adds one event to the answer.
-func (s *stream) take(next event) error {
+// apply adds an event to the answer.
+func (s *stream) apply(next event) error {
 	if next.data == doneData {
 		s.done = true
 		return nil
@@ -191,19 +193,19 @@
 	return nil
 }
 
-// judge decides whether a closed stream is whole and right.
-func (c *caller) judge(answer *stream, planned time.Time, result *Result) {
+// checkStream sets the result of a closed stream: answered or corrupt.
+func (c *caller) checkStream(answer *stream, planned time.Time, result *Result) {
 	result.Outcome = OutcomeCorrupt
 	switch {
 	case answer.finishReason == "":
-		result.Detail = "closed without a finish reason"
+		result.Detail = "stream closed without a finish reason"
 		return
 	case answer.usage == nil:
-		result.Detail = "closed without usage"
+		result.Detail = "stream closed without usage"
 		return
 	case c.config.ExpectedText != nil:
 		if answer.text.String() != c.config.ExpectedText(result.Arrival.Prompt, result.Arrival.MaxTokens) {
-			result.Detail = "the text is not the answer to this prompt"
+			result.Detail = "the text differs from the expected answer to this prompt"
 			return
 		}
 	}
--- a/standin/overhead/overhead.go
+++ b/standin/overhead/overhead.go
@@ -1,6 +1,6 @@
-// Package overhead measures what a router adds to a model request: the same
-// kind of request goes to a router and straight to an engine in turn, one at a
-// time, and the times to the first text are compared.
+// Package overhead measures the latency that a router adds to a model request.
+// It sends similar requests alternately to a router and directly to an engine,
+// one at a time, and compares the times to the first text.
 package overhead
 
 import (
@@ -21,19 +21,19 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// Config says what to measure.
+// Config configures a measurement.
 type Config struct {
-	// Router and Engine are base URLs. For a fair comparison the engine should
-	// be the only one that the router may use.
+	// Router and Engine are base URLs. For a fair comparison the engine must be
+	// the only one available to the router.
 	Router, Engine string
-	// Key is the tenant's API key, Service the model service at the router.
+	// Key is the tenant's API key and Service the model service, for the router.
 	Key     string
 	Service ident.Service
-	// Tenant, Model and Version go to the engine.
+	// Tenant, Model and Version are sent to the engine.
 	Tenant  ident.Tenant
 	Model   ident.Model
 	Version ident.ModelVersion
-	// Requests is the number of requests each way.
+	// Requests is the number of requests on each path.
 	Requests int
 	// PromptBytes is the length of each prompt; no two prompts share a block.
 	PromptBytes int
@@ -45,7 +45,7 @@
 	P99 int64 `json:"p99_micros"`
 }
 
-// Report compares both ways.
+// Report compares both paths.
 type Report struct {
 	Requests int   `json:"requests"`
 	Direct   Times `json:"direct"`
@@ -59,9 +59,9 @@
 	precision = 3
 )
 
-// Run measures until every request is answered or ctx ends.
+// Run measures until all requests are answered, one fails, or ctx ends.
 func Run(ctx context.Context, config Config) (*Report, error) {
-	probe := &probe{config: config, client: &http.Client{}}
+	probe := &prober{config: config, client: &http.Client{}}
 	incarnation, err := probe.incarnation(ctx)
 	if err != nil {
 		return nil, err
@@ -86,16 +86,16 @@
 	return Times{P50: times.ValueAtQuantile(half), P99: times.ValueAtQuantile(almostAll)}
 }
 
-// probe sends single requests.
-type probe struct {
+// prober sends single requests.
+type prober struct {
 	config Config
 	client *http.Client
 }
 
-func (p *probe) incarnation(ctx context.Context) (ident.Incarnation, error) {
+func (p *prober) incarnation(ctx context.Context) (ident.Incarnation, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.config.Engine+"/v1/load", nil)
 	if err != nil {
-		return "", fault.Wrap(err, fault.BadRequest, "the engine's URL %q", p.config.Engine)
+		return "", fault.Wrap(err, fault.BadRequest, "invalid engine URL %q", p.config.Engine)
 	}
 	response, err := p.client.Do(request)
 	if err != nil {
@@ -109,13 +109,13 @@
 	return report.Incarnation, nil
 }
 
-// prompt returns a prompt whose first block is unique to the way and number.
-func (p *probe) prompt(way string, number int) string {
+// prompt returns a prompt whose first block is unique to the path and number.
+func (p *prober) prompt(way string, number int) string {
 	start := fmt.Sprintf("%s request %08d ", way, number)
 	return start + strings.Repeat("x", max(0, p.config.PromptBytes-len(start)))
 }
 
-func (p *probe) direct(ctx context.Context, incarnation ident.Incarnation, number int) (*http.Request, error) {
+func (p *prober) direct(ctx context.Context, incarnation ident.Incarnation, number int) (*http.Request, error) {
 	namespace := prefix.Namespace{Tenant: p.config.Tenant, Model: p.config.Model, Version: p.config.Version}
 	return post(ctx, p.config.Engine+"/v1/generate", protocol.GenerateRequest{
 		RequestID: ident.NewRequest(), Attempt: 1, ExpectedIncarnation: incarnation,
@@ -132,7 +132,7 @@
 	MaxTokens int           `json:"max_tokens"`
 }
 
-func (p *probe) routed(ctx context.Context, number int) (*http.Request, error) {
+func (p *prober) routed(ctx context.Context, number int) (*http.Request, error) {
 	request, err := post(ctx, p.config.Router+"/v1/completions",
 		completion{p.config.Service, p.prompt("routed", number), true, 1})
 	if err == nil {
@@ -148,20 +148,20 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(data))
 	if err != nil {
-		return nil, fault.Wrap(err, fault.BadRequest, "the URL %q", url)
+		return nil, fault.Wrap(err, fault.BadRequest, "invalid URL %q", url)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	return request, nil
 }
 
-// measure sends one request, records the time until its first text and reads
-// the answer to its end.
-func (p *probe) measure(times *hdrhistogram.Histogram, build func() (*http.Request, error)) error {
+// measure sends one request, reads the whole response and records the time to
+// its first text.
+func (p *prober) measure(times *hdrhistogram.Histogram, build func() (*http.Request, error)) error {
 	request, err := build()
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
+	started := time.Now()
 	response, err := p.client.Do(request)
 	if err != nil {
 		return fault.Wrap(err, fault.BackendLost, "sending a request")
@@ -170,22 +170,22 @@
 	if response.StatusCode != http.StatusOK {
 		return fault.New(fault.BackendRefused, "%s answered with status %d", request.URL.Host, response.StatusCode)
 	}
-	taken, found, err := firstText(response, begun)
+	taken, found, err := firstText(response, started)
 	if err != nil || !found {
-		return fault.Wrap(err, fault.StreamBroken, "no text came from %s", request.URL.Host)
+		return fault.Wrap(err, fault.StreamBroken, "no text received from %s", request.URL.Host)
 	}
 	return times.RecordValue(max(lowest, taken.Microseconds()))
 }
 
-// firstText reads a whole stream and returns when its first text came. Both
-// protocols carry it in a non-empty JSON field "text".
-func firstText(response *http.Response, begun time.Time) (taken time.Duration, found bool, err error) {
+// firstText reads a whole stream and returns the time to its first text. Both
+// protocols have it in a non-empty JSON field "text".
+func firstText(response *http.Response, started time.Time) (elapsed time.Duration, found bool, err error) {
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		line := lines.Text()
 		if !found && strings.Contains(line, `"text":"`) && !strings.Contains(line, `"text":""`) {
-			taken, found = time.Since(begun), true
+			elapsed, found = time.Since(started), true
 		}
 	}
-	return taken, found, lines.Err()
+	return elapsed, found, lines.Err()
 }
--- a/standin/workload/generator.go
+++ b/standin/workload/generator.go
@@ -17,27 +17,27 @@
 
 // Arrival is one request of the load.
 type Arrival struct {
-	// Number counts the arrivals, starting at 1.
+	// Number is the sequence number, starting at 1.
 	Number uint64
 	// At is the time since the start of the load.
 	At      time.Duration
 	Tenant  ident.Tenant
 	Service ident.Service
 	Class   ident.Class
-	// Prompt is the whole rendered prompt of a model request.
+	// Prompt is the rendered prompt of a model request.
 	Prompt string
-	// Messages is the chat that renders to Prompt; empty for a plain completion.
+	// Messages is the chat rendered as Prompt; empty for a plain completion.
 	Messages  []Message
 	MaxTokens int
-	// Application says that this is an application request; Method, Path, Body
-	// and IdempotencyKey belong to it. Repeatable requests have no key.
+	// Application is whether this is an application request, with Method, Path,
+	// Body and IdempotencyKey. Retryable requests have no key.
 	Application    bool
 	Method         string
 	Path           string
 	Body           string
 	IdempotencyKey string
-	// Repeat says that an earlier arrival had the same key and body.
-	Repeat bool
+	// Retry is whether an earlier arrival had the same key and body.
+	Retry bool
 }
 
 // Render returns the prompt text of a chat.
@@ -53,33 +53,33 @@
 // Generator yields the arrivals of a load in order. It is not safe for
 // concurrent use.
 type Generator struct {
-	spec    *Spec
-	seed    uint64
-	random  *rand.Rand
-	library *library
-	now     time.Duration
-	number  uint64
-	last    map[string]Arrival
+	spec   *Spec
+	seed   uint64
+	random *rand.Rand
+	texts  *layerTexts
+	now    time.Duration
+	number uint64
+	last   map[string]Arrival
 }
 
-// NewGenerator returns the generator of a checked spec.
+// NewGenerator returns a generator for a validated spec.
 func NewGenerator(spec *Spec, seed uint64) *Generator {
 	return &Generator{
-		spec:    spec,
-		seed:    seed,
-		random:  newRandom(seed, "arrivals", spec.Name),
-		library: &library{spec: spec, seed: seed, books: map[string]*book{}},
-		last:    map[string]Arrival{},
+		spec:   spec,
+		seed:   seed,
+		random: newRandom(seed, "arrivals", spec.Name),
+		texts:  &layerTexts{spec: spec, seed: seed, texts: map[string]*layerText{}},
+		last:   map[string]Arrival{},
 	}
 }
 
-// Next returns the next arrival. It has no end; the caller stops at its own
-// duration.
+// Next returns the next arrival. The sequence is infinite; the caller stops at
+// its own duration.
 func (g *Generator) Next() Arrival {
 	g.advance()
 	g.number++
-	tenant := g.spec.Tenants[pick(g.random, g.tenantWeights())].Name
-	source := pick(g.random, g.sourceWeights(g.now))
+	tenant := g.spec.Tenants[pickWeighted(g.random, g.tenantWeights())].Name
+	source := pickWeighted(g.random, g.sourceWeights(g.now))
 	arrival := Arrival{Number: g.number, At: g.now, Tenant: tenant}
 	if source < len(g.spec.Classes) {
 		return g.modelRequest(arrival, g.spec.Classes[source])
@@ -87,8 +87,8 @@
 	return g.call(arrival, g.spec.Calls[source-len(g.spec.Classes)])
 }
 
-// advance moves to the time of the next arrival. Poisson arrivals are thinned
-// from the highest rate, which is exact for a rate that changes.
+// advance sets now to the time of the next arrival. Poisson arrivals are thinned
+// from the highest rate, which is exact for a varying rate.
 func (g *Generator) advance() {
 	base := sum(g.sourceWeights(-1))
 	if g.spec.Arrivals == "uniform" {
@@ -116,8 +116,8 @@
 	return weights
 }
 
-// sourceWeights returns the weights of the classes, then of the calls, at a
-// time; a negative time is before every event.
+// sourceWeights returns the weights of the classes, then of the calls, at the
+// given time; a negative time is before all events.
 func (g *Generator) sourceWeights(at time.Duration) []float64 {
 	weights := make([]float64, 0, len(g.spec.Classes)+len(g.spec.Calls))
 	for _, class := range g.spec.Classes {
@@ -146,7 +146,7 @@
 func (g *Generator) modelRequest(arrival Arrival, class Class) Arrival {
 	arrival.Service, arrival.Class = class.Service, class.Name
 	arrival.MaxTokens = class.MinTokens + g.random.IntN(class.MaxTokens-class.MinTokens+1)
-	texts := g.library.prompts(arrival.Tenant, class, g.random, arrival.At)
+	texts := g.texts.prompts(arrival.Tenant, class, g.random, arrival.At)
 	tail := fmt.Sprintf("%s %d: %s", class.Name, arrival.Number, writeText(g.random, vocabularies[g.spec.Vocabulary], class.TailTokens))
 	if class.Plain {
 		arrival.Prompt = strings.Join(append(texts, tail), "\n")
@@ -167,13 +167,13 @@
 	if call.Method != "GET" {
 		arrival.Body = fmt.Sprintf(`{"reference":%d,"amount":%d}`, arrival.Number, 1+g.random.IntN(500))
 	}
-	if call.Repeatable {
+	if call.Retryable {
 		return arrival
 	}
 	kind := string(arrival.Tenant) + " " + call.Method + " " + call.Path
-	repeat := g.random.Float64() < call.RepeatShare
-	if earlier, known := g.last[kind]; known && repeat {
-		arrival.Body, arrival.IdempotencyKey, arrival.Repeat = earlier.Body, earlier.IdempotencyKey, true
+	retry := g.random.Float64() < call.RetryShare
+	if earlier, known := g.last[kind]; known && retry {
+		arrival.Body, arrival.IdempotencyKey, arrival.Retry = earlier.Body, earlier.IdempotencyKey, true
 		return arrival
 	}
 	arrival.IdempotencyKey = fmt.Sprintf("%s-%d-%s-%d", g.spec.Name, g.seed, arrival.Tenant, arrival.Number)
