--- a/proofs/leaving_test.go
+++ b/proofs/leaving_test.go
@@ -106,11 +106,11 @@
 		{"by the machine list, lost on two of three", func(w *leavingWorld) { w.list(1, true) }},
 		{"by its own report, lost on two of three", func(w *leavingWorld) {
 			w.deafen(w.routers[1:]...)
-			w.leaving.Leave(w.now)
+			w.leaving.Drain(w.now)
 		}},
 		{"by its own refusal only, while the list lags", func(w *leavingWorld) {
 			w.deafen(w.routers...)
-			w.leaving.Leave(w.now)
+			w.leaving.Drain(w.now)
 			for second := range 6 {
 				w.after(time.Duration(second)*time.Second, func() { w.list(3, false) })
 			}
--- a/standin/engine/duty.go
+++ b/standin/engine/duty.go
@@ -151,7 +151,7 @@
 	}
 	_, conditions.Stalled = active(faultplan.Stall)
 	_, conditions.RefuseFull = active(faultplan.RefuseFull)
-	_, conditions.Leaving = active(faultplan.Leave)
+	_, conditions.Draining = active(faultplan.Leave)
 	if slow, on := active(faultplan.Slow); on {
 		conditions.SlowFactor = max(slow.Factor, 1)
 	}
--- a/standin/engine/model/config.go
+++ b/standin/engine/model/config.go
@@ -147,8 +147,8 @@
 	Stalled bool
 	// RefuseFull refuses all new work as if the queue were full.
 	RefuseFull bool
-	// Leaving refuses all new work because the engine is stopping.
-	Leaving bool
+	// Draining refuses all new work because the engine is stopping.
+	Draining bool
 	// SlowFactor multiplies the duration of steps; below 1 counts as 1.
 	SlowFactor float64
 	// EventLoss, EventDelay and LoadLag replace those of the Config.
--- a/standin/engine/model/engine.go
+++ b/standin/engine/model/engine.go
@@ -105,11 +105,13 @@
 // Idle says that no generation is waiting or running.
 func (e *Engine) Idle() bool { return len(e.waiting) == 0 && len(e.running) == 0 }
 
-// Held returns how many leading blocks of a chain the cache truly holds.
-func (e *Engine) Held(salt prefix.Salt, chain prefix.Chain) int { return e.blocks.held(salt, chain) }
+// CachedPrefixBlocks returns how many leading blocks of a chain the cache truly holds.
+func (e *Engine) CachedPrefixBlocks(salt prefix.Salt, chain prefix.Chain) int {
+	return e.blocks.held(salt, chain)
+}
 
-// Leave makes the engine refuse new work for the rest of its life.
-func (e *Engine) Leave(now time.Time) {
+// Drain makes the engine refuse new work for the rest of its life.
+func (e *Engine) Drain(now time.Time) {
 	e.progress(now)
 	e.leaving = true
 	e.changed()
@@ -181,7 +183,7 @@
 		return e.refuse(protocol.RefusalLeaving, "the engine is down")
 	case request.ExpectedIncarnation != e.incarnation:
 		return e.refuse(protocol.RefusalMismatch, "another incarnation is in force")
-	case e.leaving || e.conditions.Leaving:
+	case e.leaving || e.conditions.Draining:
 		return e.refuse(protocol.RefusalLeaving, "the engine is stopping")
 	case request.Prompt == "" || request.MaxTokens <= 0 || request.RequestID == "":
 		return e.refuse(protocol.RefusalBadRequest, "request_id, prompt and max_tokens must be set")
--- a/standin/engine/model/model_test.go
+++ b/standin/engine/model/model_test.go
@@ -199,7 +199,7 @@
 		{"salt of another tenant", func(r *protocol.GenerateRequest, _ *rig) { r.Tenant = "t2" }, protocol.RefusalMismatch},
 		{"no tokens", func(r *protocol.GenerateRequest, _ *rig) { r.MaxTokens = 0 }, protocol.RefusalBadRequest},
 		{"prompt too long", func(r *protocol.GenerateRequest, _ *rig) { r.Prompt = longPrompt("x", 300000) }, protocol.RefusalBadRequest},
-		{"leaving", func(_ *protocol.GenerateRequest, rig *rig) { rig.engine.Leave(rig.now) }, protocol.RefusalLeaving},
+		{"leaving", func(_ *protocol.GenerateRequest, rig *rig) { rig.engine.Drain(rig.now) }, protocol.RefusalLeaving},
 		{"down", func(_ *protocol.GenerateRequest, rig *rig) { rig.engine.Crash(rig.now) }, protocol.RefusalLeaving},
 		{"full", func(_ *protocol.GenerateRequest, rig *rig) {
 			for range 4 {
--- a/standin/engine/model/orders_test.go
+++ b/standin/engine/model/orders_test.go
@@ -81,7 +81,7 @@
 	last := rig.truth[len(rig.truth)-1]
 	is.Equal(last.Kind, truth.Finished) // accepted work is not cut by an unload
 	namespace := prefix.Namespace{Tenant: "t1", Model: "m", Version: "3"}
-	is.Equal(rig.engine.Held(namespace.Salt(), prefix.ChainOf(namespace.Salt(), prompt, 16)), 0)
+	is.Equal(rig.engine.CachedPrefixBlocks(namespace.Salt(), prefix.ChainOf(namespace.Salt(), prompt, 16)), 0)
 	is.Equal(len(rig.engine.Snapshot(rig.now).Hashes), 10) // version 1 keeps its blocks
 	is.Equal(rig.replay(), rig.engine.Snapshot(rig.now).Hashes)
 	_, refusal = rig.engine.Submit(rig.now, request("late", "t1", "3", prompt, 4))
--- a/standin/engine/model/report.go
+++ b/standin/engine/model/report.go
@@ -60,7 +60,7 @@
 	return protocol.LoadReport{
 		Incarnation:           e.incarnation,
 		MeasuredAt:            e.now,
-		Leaving:               e.leaving || e.conditions.Leaving,
+		Leaving:               e.leaving || e.conditions.Draining,
 		Running:               len(e.running),
 		Waiting:               len(e.waiting),
 		MaxRunning:            e.config.MaxRunning,
--- a/standin/engine/model/transfer.go
+++ b/standin/engine/model/transfer.go
@@ -44,7 +44,7 @@
 	if err := json.Unmarshal(content, &imported); err != nil {
 		return result, e.refuse(protocol.RefusalBadRequest, "the body is no export of an engine")
 	}
-	if !e.alive || e.leaving || e.conditions.Leaving {
+	if !e.alive || e.leaving || e.conditions.Draining {
 		return result, e.refuse(protocol.RefusalLeaving, "the engine is stopping")
 	}
 	if len(imported.Hashes) == 0 {
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -61,8 +61,8 @@
 	Grace time.Duration
 	// Retention is how long an ended stream can still be resumed; default 30 s.
 	Retention time.Duration
-	// LeaveTimeout bounds the wait for streams to end on a stop; default 60 s.
-	LeaveTimeout time.Duration
+	// DrainTimeout bounds the wait for streams to end on a stop; default 60 s.
+	DrainTimeout time.Duration
 	// Logger receives changes of state; default the global logger.
 	Logger log.Interface
 }
@@ -83,8 +83,8 @@
 	if o.Retention <= 0 {
 		o.Retention = 30 * time.Second
 	}
-	if o.LeaveTimeout <= 0 {
-		o.LeaveTimeout = 60 * time.Second
+	if o.DrainTimeout <= 0 {
+		o.DrainTimeout = 60 * time.Second
 	}
 	if o.Logger == nil {
 		o.Logger = log.Log
@@ -180,14 +180,14 @@
 
 // leave refuses new work and waits until the model is idle, within the timeout.
 func (s *Server) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), s.options.LeaveTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), s.options.DrainTimeout)
 	defer cancel()
 	s.options.Logger.WithField("engine", s.name).Info("engine is leaving")
 	idle := false
 	for first := true; !idle; first = false {
 		err := s.do(ctx, func(now time.Time) {
 			if first {
-				s.model.Leave(now)
+				s.model.Drain(now)
 			}
 			idle = s.model.Idle()
 		})
--- a/standin/experiment/attempt.go
+++ b/standin/experiment/attempt.go
@@ -38,7 +38,7 @@
 	sent := &attempt{
 		exchange: x, router: router, engine: s.byName[chosen.Endpoint.Engine],
 		incarnation: chosen.Endpoint.Incarnation, key: placed.Job.Key, chain: chain, sentAt: s.clock.now,
-		ownTokens:  s.byName[chosen.Endpoint.Engine].model.Held(x.salt, chain) * prefix.DefaultBlockTokens,
+		ownTokens:  s.byName[chosen.Endpoint.Engine].model.CachedPrefixBlocks(x.salt, chain) * prefix.DefaultBlockTokens,
 		heldTokens: min(x.heldAnywhere(chain)*prefix.DefaultBlockTokens, placed.Job.Request.PromptTokens-1),
 	}
 	deliver := func() {
--- a/standin/experiment/engines.go
+++ b/standin/experiment/engines.go
@@ -185,7 +185,7 @@
 	if node == nil || len(chain) == 0 || node.model.Incarnation() != incarnation || !node.model.Alive() {
 		return 0
 	}
-	held := node.model.Held(prefix.Salt(e.salts[uint64(chain[0])]), chain)
+	held := node.model.CachedPrefixBlocks(prefix.Salt(e.salts[uint64(chain[0])]), chain)
 	for _, coming := range node.order {
 		held = max(held, common(chain, coming.chain))
 	}
--- a/standin/experiment/exchange.go
+++ b/standin/experiment/exchange.go
@@ -186,7 +186,7 @@
 	best := 0
 	for _, engine := range x.simulation.engines {
 		if engine.model.Alive() && x.tenant.Zones.Has(engine.zone) {
-			best = max(best, engine.model.Held(x.salt, chain))
+			best = max(best, engine.model.CachedPrefixBlocks(x.salt, chain))
 		}
 	}
 	return best
--- a/standin/experiment/plots.go
+++ b/standin/experiment/plots.go
@@ -53,7 +53,7 @@
 
 // YError implements plotter.YErrorer.
 func (s spreads) YError(index int) (low, high float64) {
-	return s[index].Median - s[index].Least, s[index].Most - s[index].Median
+	return s[index].Median - s[index].Min, s[index].Max - s[index].Median
 }
 
 // WritePlots writes a PNG for each scenario and measure: bars of the medians
@@ -86,7 +86,7 @@
 		if !known {
 			continue
 		}
-		scaled := Spread{p.scale * spread.Median, p.scale * spread.Least, p.scale * spread.Most}
+		scaled := Spread{p.scale * spread.Median, p.scale * spread.Min, p.scale * spread.Max}
 		bars, names, heights = append(bars, scaled), append(names, rows[index].Policy), append(heights, scaled.Median)
 	}
 	if len(bars) == 0 {
--- a/standin/experiment/table.go
+++ b/standin/experiment/table.go
@@ -16,8 +16,8 @@
 // Spread is a figure over the seeds.
 type Spread struct {
 	Median float64 `json:"median"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 }
 
 // spreadOf returns the spread of figures, of which there is at least one.
@@ -200,15 +200,15 @@
 	for _, class := range classes {
 		tail := r.Classes[class]
 		line += fmt.Sprintf("\t%.0f/%.0f/%.0f[%.0f..%.0f], %.2f%%", 1000*tail.P50.Median, 1000*tail.P95.Median,
-			1000*tail.P99.Median, 1000*tail.P99.Least, 1000*tail.P99.Most, 100*r.RefusedByClass[class].Median)
+			1000*tail.P99.Median, 1000*tail.P99.Min, 1000*tail.P99.Max, 100*r.RefusedByClass[class].Median)
 	}
 	if r.FocusRatio != nil {
 		line += fmt.Sprintf("\t%.0f/%.0f = %.2f[%.2f..%.2f]", 1000*r.FocusP99.Median, 1000*r.QuietP99.Median,
-			r.FocusRatio.Median, r.FocusRatio.Least, r.FocusRatio.Most)
+			r.FocusRatio.Median, r.FocusRatio.Min, r.FocusRatio.Max)
 	}
 	return line
 }
 
 func percent(spread Spread) string {
-	return fmt.Sprintf("%.2f[%.2f..%.2f]", 100*spread.Median, 100*spread.Least, 100*spread.Most)
+	return fmt.Sprintf("%.2f[%.2f..%.2f]", 100*spread.Median, 100*spread.Min, 100*spread.Max)
 }
