--- a/standin/engine/distort.go
+++ b/standin/engine/distort.go
@@ -41,9 +41,9 @@
 	sent int
 }
 
-// pass returns what to send in place of the event, and whether the connection
+// transform returns what to send in place of the event, and whether the connection
 // then ends: cut is a break, lost a clean close without the end event.
-func (d *distorter) pass(event protocol.StreamEvent) (out []protocol.StreamEvent, cut, lost bool) {
+func (d *distorter) transform(event protocol.StreamEvent) (out []protocol.StreamEvent, cut, lost bool) {
 	current := d.source()
 	isChunk := event.Kind == protocol.EventChunk
 	switch {
--- a/standin/engine/handlers.go
+++ b/standin/engine/handlers.go
@@ -43,7 +43,7 @@
 func (s *Server) abortWhenDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-s.life.Load().ended:
+		case <-s.incarnation.Load().crashed:
 			panic(http.ErrAbortHandler)
 		default:
 			next.ServeHTTP(w, r)
@@ -59,9 +59,9 @@
 	}
 	var stream ident.Stream
 	var refusal *protocol.Refusal
-	var current *life
+	var current *incarnationState
 	err := s.do(r.Context(), func(now time.Time) {
-		current = s.life.Load()
+		current = s.incarnation.Load()
 		stream, refusal = s.model.Submit(now, request)
 	})
 	if s.answerFailure(w, err, refusal) {
@@ -77,7 +77,7 @@
 		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "the from parameter must be a sequence number"))
 		return
 	}
-	current := s.life.Load()
+	current := s.incarnation.Load()
 	found := current.stream(ident.Stream(mux.Vars(r)["stream"]))
 	if found == nil {
 		s.writeRefusal(w, s.refuse(protocol.RefusalUnknownStream, "no such stream in this incarnation"))
@@ -98,7 +98,7 @@
 
 // writeStream writes events until the stream, the reader or the life ends. A
 // dropped reader does not cancel the generation; see Options.Grace.
-func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, current *life, source *streamLog, next uint64) {
+func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, current *incarnationState, source *streamLog, next uint64) {
 	source.attach()
 	defer func() { source.detach(time.Now()) }()
 	cut := s.cuts.wait()
@@ -120,7 +120,7 @@
 		case <-changed:
 		case <-cut:
 			panic(http.ErrAbortHandler)
-		case <-current.ended:
+		case <-current.crashed:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
@@ -131,7 +131,7 @@
 // writeDistorted writes what the distorter makes of the event. It returns false
 // when the connection is to be closed, and aborts it when it is to be cut.
 func writeDistorted(writer *eventWriter, distorted *distorter, event protocol.StreamEvent) bool {
-	out, cut, lost := distorted.pass(event)
+	out, cut, lost := distorted.transform(event)
 	for _, sent := range out {
 		if !writer.write(string(sent.Kind), sent.Sequence, sent) {
 			return false
@@ -149,10 +149,10 @@
 	controller *http.ResponseController
 }
 
-func (s *Server) startEvents(w http.ResponseWriter, current *life) *eventWriter {
+func (s *Server) startEvents(w http.ResponseWriter, current *incarnationState) *eventWriter {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
-	w.Header().Set(protocol.HeaderIncarnation, string(current.incarnation))
+	w.Header().Set(protocol.HeaderIncarnation, string(current.id))
 	w.WriteHeader(http.StatusOK)
 	started := &eventWriter{writer: w, controller: http.NewResponseController(w)}
 	_ = started.controller.Flush()
@@ -189,7 +189,7 @@
 
 // refuse returns a refusal for something that did not run.
 func (s *Server) refuse(kind protocol.RefusalKind, message string) *protocol.Refusal {
-	return &protocol.Refusal{Kind: kind, Message: message, Ran: fault.RanNo, Incarnation: s.life.Load().incarnation}
+	return &protocol.Refusal{Kind: kind, Message: message, Ran: fault.RanNo, Incarnation: s.incarnation.Load().id}
 }
 
 // refusalStatus maps a refusal to its status.
--- a/standin/engine/model/cache.go
+++ b/standin/engine/model/cache.go
@@ -17,10 +17,10 @@
 // block is one cached block. A pinned block is used by a running generation
 // and is not on the eviction list.
 type block struct {
-	key   blockKey
-	owner prefix.Namespace
-	pins  int
-	place *list.Element
+	key     blockKey
+	owner   prefix.Namespace
+	pins    int
+	element *list.Element
 }
 
 // blockCache holds at most capacity blocks and evicts the least recently used
@@ -36,8 +36,8 @@
 	return &blockCache{capacity: capacity, blocks: map[blockKey]*block{}, idle: list.New()}
 }
 
-// held returns how many leading blocks of the chain are held.
-func (c *blockCache) held(salt prefix.Salt, chain prefix.Chain) int {
+// cachedPrefix returns how many leading blocks of the chain are held.
+func (c *blockCache) cachedPrefix(salt prefix.Salt, chain prefix.Chain) int {
 	for index, hash := range chain {
 		if c.blocks[blockKey{salt, hash}] == nil {
 			return index
@@ -47,9 +47,9 @@
 }
 
 func (c *blockCache) pin(found *block) {
-	if found.pins == 0 && found.place != nil {
-		c.idle.Remove(found.place)
-		found.place = nil
+	if found.pins == 0 && found.element != nil {
+		c.idle.Remove(found.element)
+		found.element = nil
 	}
 	found.pins++
 }
@@ -61,7 +61,7 @@
 		released := pinned[index]
 		released.pins--
 		if released.pins == 0 && c.blocks[released.key] == released {
-			released.place = c.idle.PushBack(released)
+			released.element = c.idle.PushBack(released)
 		}
 	}
 }
@@ -86,32 +86,32 @@
 	return stored, evicted, true
 }
 
-func (c *blockCache) remove(gone *block) {
-	if gone.place != nil {
-		c.idle.Remove(gone.place)
-		gone.place = nil
+func (c *blockCache) remove(removed *block) {
+	if removed.element != nil {
+		c.idle.Remove(removed.element)
+		removed.element = nil
 	}
-	delete(c.blocks, gone.key)
+	delete(c.blocks, removed.key)
 }
 
 // removeOwned drops every block whose owner matches, in a fixed order.
 func (c *blockCache) removeOwned(matches func(prefix.Namespace) bool) []*block {
-	var gone []*block
-	for _, held := range c.blocks {
-		if matches(held.owner) {
-			gone = append(gone, held)
+	var removed []*block
+	for _, cached := range c.blocks {
+		if matches(cached.owner) {
+			removed = append(removed, cached)
 		}
 	}
-	sort.Slice(gone, func(i, j int) bool {
-		if gone[i].key.salt != gone[j].key.salt {
-			return gone[i].key.salt < gone[j].key.salt
+	sort.Slice(removed, func(i, j int) bool {
+		if removed[i].key.salt != removed[j].key.salt {
+			return removed[i].key.salt < removed[j].key.salt
 		}
-		return gone[i].key.hash < gone[j].key.hash
+		return removed[i].key.hash < removed[j].key.hash
 	})
-	for _, dropped := range gone {
+	for _, dropped := range removed {
 		c.remove(dropped)
 	}
-	return gone
+	return removed
 }
 
 // hashes returns every hash held, in ascending order.
--- a/standin/engine/model/config.go
+++ b/standin/engine/model/config.go
@@ -126,7 +126,7 @@
 	if !(c.EventLoss >= 0 && c.EventLoss <= 1) {
 		return invalidConfig("event loss must be from 0 to 1")
 	}
-	if !knownRole(c.Role) {
+	if !validRole(c.Role) {
 		return invalidConfig("role %q is unknown", c.Role)
 	}
 	return nil
@@ -137,7 +137,7 @@
 		WithRemedy("correct the engine stand-in's flags as 'rehearse engine --help' says")
 }
 
-func knownRole(role string) bool {
+func validRole(role string) bool {
 	return role == RoleMixed || role == RolePrefill || role == RoleDecode
 }
 
--- a/standin/engine/model/engine.go
+++ b/standin/engine/model/engine.go
@@ -26,8 +26,8 @@
 	Truth *truth.Record
 }
 
-// retryHint is the come-back hint of a full engine.
-const retryHint = 200 * time.Millisecond
+// fullRetryAfter is the come-back hint of a full engine.
+const fullRetryAfter = 200 * time.Millisecond
 
 // Engine is the model of one engine through all its lives.
 type Engine struct {
@@ -35,7 +35,7 @@
 	random      *rand.Rand
 	incarnation ident.Incarnation
 	alive       bool
-	leaving     bool
+	draining    bool
 	conditions  Conditions
 	now         time.Time
 	outbox      []Output
@@ -63,14 +63,14 @@
 	e.now = now
 	e.incarnation = incarnation
 	e.alive = true
-	e.leaving = false
+	e.draining = false
 	e.blocks = newBlockCache(e.config.CacheBlocks)
 	e.waiting, e.running, e.step = nil, nil, nil
 	e.streams = map[ident.Stream]*generation{}
 	e.feed = eventFeed{}
 	e.orders = newOrderBook(e.config)
 	e.reports = reportHistory{}
-	e.changed()
+	e.sampleLoad()
 	e.record(truth.Record{Kind: truth.Life})
 }
 
@@ -81,7 +81,7 @@
 	if !e.alive {
 		return
 	}
-	e.progress(now)
+	e.advanceTo(now)
 	for _, queue := range [][]*generation{e.running, e.waiting} {
 		for _, lost := range queue {
 			e.recordGeneration(truth.Lost, lost)
@@ -107,39 +107,39 @@
 
 // CachedPrefixBlocks returns how many leading blocks of a chain the cache truly holds.
 func (e *Engine) CachedPrefixBlocks(salt prefix.Salt, chain prefix.Chain) int {
-	return e.blocks.held(salt, chain)
+	return e.blocks.cachedPrefix(salt, chain)
 }
 
 // Drain makes the engine refuse new work for the rest of its life.
 func (e *Engine) Drain(now time.Time) {
-	e.progress(now)
-	e.leaving = true
-	e.changed()
+	e.advanceTo(now)
+	e.draining = true
+	e.sampleLoad()
 }
 
 // SetConditions changes the circumstances, for example when a fault begins.
 func (e *Engine) SetConditions(now time.Time, conditions Conditions) {
-	e.progress(now)
+	e.advanceTo(now)
 	if conditions == e.conditions {
 		return
 	}
 	wasStalled := e.conditions.Stalled
 	e.conditions = conditions
 	if e.step != nil && wasStalled && !conditions.Stalled {
-		e.step.end = now.Add(e.step.left)
+		e.step.end = now.Add(e.step.remaining)
 	}
 	if e.step != nil && !wasStalled && conditions.Stalled {
-		e.step.left = e.step.end.Sub(now)
+		e.step.remaining = e.step.end.Sub(now)
 	}
 	e.startStep(now)
-	e.changed()
+	e.sampleLoad()
 }
 
 // Submit offers a request. It is refused before anything ran, or accepted: then
 // its start event is in the next outputs. The cached tokens of the start event
 // are those held at acceptance; the end event tells what was truly reused.
 func (e *Engine) Submit(now time.Time, request protocol.GenerateRequest) (ident.Stream, *protocol.Refusal) {
-	e.progress(now)
+	e.advanceTo(now)
 	if refusal := e.check(request); refusal != nil {
 		return "", refusal
 	}
@@ -149,19 +149,19 @@
 	accepted.stream = ident.Stream(fmt.Sprintf("%s-%06d", e.incarnation, e.arrivals))
 	e.streams[accepted.stream] = accepted
 	e.waiting = insertOrdered(e.waiting, accepted)
-	cached := e.usableTokens(accepted, e.blocks.held(request.Salt, accepted.chain))
+	cached := e.usableTokens(accepted, e.blocks.cachedPrefix(request.Salt, accepted.chain))
 	e.emit(accepted, protocol.StreamEvent{
 		Kind:  protocol.EventStart,
 		Usage: &protocol.Usage{PromptTokens: accepted.promptTokens, CachedTokens: cached},
 	})
 	e.startStep(now)
-	e.changed()
+	e.sampleLoad()
 	return accepted.stream, nil
 }
 
 // Cancel stops a generation; a stream that is not live is no error.
 func (e *Engine) Cancel(now time.Time, stream ident.Stream) {
-	e.progress(now)
+	e.advanceTo(now)
 	cancelled := e.streams[stream]
 	if cancelled == nil {
 		return
@@ -169,7 +169,7 @@
 	e.emit(cancelled, protocol.StreamEvent{Kind: protocol.EventError, Message: "generation was cancelled"})
 	e.recordGeneration(truth.Cancelled, cancelled)
 	e.close(cancelled)
-	e.changed()
+	e.sampleLoad()
 }
 
 // check refuses what must not run.
@@ -183,7 +183,7 @@
 		return e.refuse(protocol.RefusalLeaving, "the engine is down")
 	case request.ExpectedIncarnation != e.incarnation:
 		return e.refuse(protocol.RefusalMismatch, "another incarnation is in force")
-	case e.leaving || e.conditions.Draining:
+	case e.draining || e.conditions.Draining:
 		return e.refuse(protocol.RefusalLeaving, "the engine is stopping")
 	case request.Prompt == "" || request.MaxTokens <= 0 || request.RequestID == "":
 		return e.refuse(protocol.RefusalBadRequest, "request_id, prompt and max_tokens must be set")
@@ -196,7 +196,7 @@
 		return e.refuse(protocol.RefusalMismatch, "the salt is not that of tenant, model, version and adapter")
 	case e.conditions.RefuseFull || len(e.waiting) >= e.config.MaxWaiting:
 		refusal := e.refuse(protocol.RefusalFull, "the waiting queue is full")
-		refusal.RetryAfterMillis = retryHint.Milliseconds()
+		refusal.RetryAfterMillis = fullRetryAfter.Milliseconds()
 		return refusal
 	}
 	return nil
@@ -207,15 +207,15 @@
 }
 
 // close ends a generation and releases what it holds.
-func (e *Engine) close(ended *generation) {
-	ended.over = true
-	delete(e.streams, ended.stream)
-	e.blocks.unpin(ended.pinned)
-	ended.pinned = nil
-	if ended.running {
-		e.running = without(e.running, ended)
+func (e *Engine) close(closing *generation) {
+	closing.done = true
+	delete(e.streams, closing.stream)
+	e.blocks.unpin(closing.pinned)
+	closing.pinned = nil
+	if closing.running {
+		e.running = without(e.running, closing)
 	} else {
-		e.waiting = without(e.waiting, ended)
+		e.waiting = without(e.waiting, closing)
 	}
 }
 
@@ -237,26 +237,26 @@
 	e.outbox = append(e.outbox, Output{Time: e.now, Truth: &record})
 }
 
-func (e *Engine) recordGeneration(kind truth.Kind, about *generation) {
+func (e *Engine) recordGeneration(kind truth.Kind, target *generation) {
 	record := truth.Record{
 		Kind:            kind,
-		RequestID:       about.request.RequestID,
-		Attempt:         about.request.Attempt,
-		Stream:          about.stream,
-		Tenant:          about.request.Tenant,
-		Model:           about.request.Model,
-		Version:         about.request.Version,
-		Adapter:         about.request.Adapter,
-		Ran:             about.running,
-		PromptTokens:    about.promptTokens,
-		CachedTokens:    about.cachedTokens,
-		PrefilledTokens: about.prefilled,
-		GeneratedTokens: about.emitted,
-		Reused:          about.reused,
+		RequestID:       target.request.RequestID,
+		Attempt:         target.request.Attempt,
+		Stream:          target.stream,
+		Tenant:          target.request.Tenant,
+		Model:           target.request.Model,
+		Version:         target.request.Version,
+		Adapter:         target.request.Adapter,
+		Ran:             target.running,
+		PromptTokens:    target.promptTokens,
+		CachedTokens:    target.cachedTokens,
+		PrefilledTokens: target.prefilled,
+		GeneratedTokens: target.emitted,
+		Reused:          target.reused,
 	}
 	if kind == truth.Started && e.config.TruthBlocks {
-		record.Salt = about.request.Salt
-		record.Hashes = append(prefix.Chain(nil), about.chain...)
+		record.Salt = target.request.Salt
+		record.Hashes = append(prefix.Chain(nil), target.chain...)
 	}
 	e.record(record)
 }
--- a/standin/engine/model/events.go
+++ b/standin/engine/model/events.go
@@ -19,8 +19,8 @@
 	event protocol.CacheEvent
 }
 
-// announce numbers an event and queues it, unless it is lost on the way.
-func (e *Engine) announce(event protocol.CacheEvent) {
+// queueCacheEvent numbers an event and queues it, unless it is lost on the way.
+func (e *Engine) queueCacheEvent(event protocol.CacheEvent) {
 	if len(event.Hashes) == 0 && event.Kind != protocol.CacheCleared {
 		return
 	}
@@ -43,16 +43,16 @@
 	e.feed.pending = append(e.feed.pending, pendingEvent{due: due, event: event})
 }
 
-// announceRemoved announces removed blocks, one event for each run of one salt.
-func (e *Engine) announceRemoved(gone []*block) {
-	for start := 0; start < len(gone); {
-		salt := gone[start].key.salt
+// queueRemovedEvents announces removed blocks, one event for each run of one salt.
+func (e *Engine) queueRemovedEvents(removed []*block) {
+	for start := 0; start < len(removed); {
+		salt := removed[start].key.salt
 		var hashes prefix.Chain
-		for start < len(gone) && gone[start].key.salt == salt {
-			hashes = append(hashes, gone[start].key.hash)
+		for start < len(removed) && removed[start].key.salt == salt {
+			hashes = append(hashes, removed[start].key.hash)
 			start++
 		}
-		e.announce(protocol.CacheEvent{Kind: protocol.CacheRemoved, Salt: salt, Hashes: hashes})
+		e.queueCacheEvent(protocol.CacheEvent{Kind: protocol.CacheRemoved, Salt: salt, Hashes: hashes})
 	}
 }
 
@@ -71,7 +71,7 @@
 // Snapshot returns every block held now, with the number of the last event,
 // published or not.
 func (e *Engine) Snapshot(now time.Time) protocol.CacheSnapshot {
-	e.progress(now)
+	e.advanceTo(now)
 	return protocol.CacheSnapshot{
 		Incarnation: e.incarnation,
 		Sequence:    e.feed.sequence,
--- a/standin/engine/model/generation.go
+++ b/standin/engine/model/generation.go
@@ -43,7 +43,7 @@
 	reused       []truth.Reuse
 	// running says that it left the waiting queue; over that it has ended.
 	running bool
-	over    bool
+	done    bool
 }
 
 func newGeneration(request protocol.GenerateRequest, blockTokens int) *generation {
@@ -59,15 +59,15 @@
 		},
 		source:       source,
 		offset:       offset,
-		limit:        max(min(request.MaxTokens, source.natural-offset), 0),
+		limit:        max(min(request.MaxTokens, source.naturalLength-offset), 0),
 		chain:        chain,
 		tail:         text[len(chain)*blockTokens*prefix.BytesPerToken:],
 		promptTokens: prefix.Tokens(text),
 	}
 }
 
-// prefillLeft is the number of prompt tokens still to compute.
-func (g *generation) prefillLeft() int { return g.promptTokens - g.cachedTokens - g.prefilled }
+// remainingPrefill is the number of prompt tokens still to compute.
+func (g *generation) remainingPrefill() int { return g.promptTokens - g.cachedTokens - g.prefilled }
 
 // before orders generations: urgent first, then by arrival.
 func (g *generation) before(other *generation) bool {
@@ -79,7 +79,7 @@
 
 // finishReason says why the answer is whole.
 func (g *generation) finishReason() string {
-	if g.offset+g.limit >= g.source.natural {
+	if g.offset+g.limit >= g.source.naturalLength {
 		return finishStop
 	}
 	return finishLength
@@ -129,9 +129,9 @@
 }
 
 // without returns the queue without the generation.
-func without(queue []*generation, gone *generation) []*generation {
+func without(queue []*generation, removed *generation) []*generation {
 	for index, entry := range queue {
-		if entry == gone {
+		if entry == removed {
 			return append(queue[:index], queue[index+1:]...)
 		}
 	}
--- a/standin/engine/model/model_test.go
+++ b/standin/engine/model/model_test.go
@@ -166,7 +166,7 @@
 	is.Equal(rig.replay(), rig.engine.Snapshot(rig.now).Hashes)
 }
 
-func TestContinuedGoesOnExactlyWhereTheTextStopped(t *testing.T) {
+func TestContinuedResumesAtNextToken(t *testing.T) {
 	prompt := longPrompt("p", 50)
 	natural := len(ExpectedText(prompt, 1<<20)) / prefix.BytesPerToken
 	for _, already := range []int{1, 7, 20} {
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestUrgentWorkGoesFirst(t *testing.T) {
+func TestPriorityOrder(t *testing.T) {
 	is := is.New(t)
 	rig := newRig(func(config *Config) { config.MaxRunning = 1 })
 	for index, priority := range []int{5, 5, 1, 3, 1} {
@@ -271,7 +271,7 @@
 	is.Equal(kinds["l"], truth.Lost)
 }
 
-func TestStallStopsProgressAndLosesNothing(t *testing.T) {
+func TestStallPausesGeneration(t *testing.T) {
 	is := is.New(t)
 	rig := newRig(nil)
 	stream, _ := rig.engine.Submit(rig.now, request("r", "t1", "1", longPrompt("p", 100), 20))
@@ -287,7 +287,7 @@
 	is.Equal(len(rig.events[stream]), 22) // start, 20 chunks, end
 }
 
-func TestCacheEventsAreLateAndHaveGaps(t *testing.T) {
+func TestCacheEventDelayAndLoss(t *testing.T) {
 	is := is.New(t)
 	rig := newRig(func(config *Config) { config.EventDelay, config.EventLoss = 5*time.Second, 0.5 })
 	for index := range 40 {
--- a/standin/engine/model/orders.go
+++ b/standin/engine/model/orders.go
@@ -19,20 +19,20 @@
 	role   string
 	loaded []protocol.LoadedModel
 	loads  []pendingLoad
-	// taken and takenIDs remember order ids, the oldest first.
-	taken    map[string]protocol.OrderResult
-	takenIDs []string
+	// accepted and acceptedIDs remember order ids, the oldest first.
+	accepted    map[string]protocol.OrderResult
+	acceptedIDs []string
 }
 
 // pendingLoad is a load under way; due counts once the weights are there.
 type pendingLoad struct {
-	order        protocol.Order
-	weightsThere bool
-	due          time.Time
+	order          protocol.Order
+	weightsFetched bool
+	due            time.Time
 }
 
 func newOrderBook(config Config) orderBook {
-	book := orderBook{role: config.Role, taken: map[string]protocol.OrderResult{}}
+	book := orderBook{role: config.Role, accepted: map[string]protocol.OrderResult{}}
 	for _, model := range config.Models {
 		model.Adapters = slices.Clone(model.Adapters)
 		book.loaded = append(book.loaded, model)
@@ -60,22 +60,22 @@
 }
 
 func (b *orderBook) remember(result protocol.OrderResult) {
-	if len(b.takenIDs) == maxRememberedOrders {
-		delete(b.taken, b.takenIDs[0])
-		b.takenIDs = b.takenIDs[1:]
+	if len(b.acceptedIDs) == maxRememberedOrders {
+		delete(b.accepted, b.acceptedIDs[0])
+		b.acceptedIDs = b.acceptedIDs[1:]
 	}
-	b.takenIDs = append(b.takenIDs, result.OrderID)
-	b.taken[result.OrderID] = result
+	b.acceptedIDs = append(b.acceptedIDs, result.OrderID)
+	b.accepted[result.OrderID] = result
 }
 
 // Order takes a fenced order, or refuses it. A repeat of an order that was
 // taken is confirmed again and has no second effect.
 func (e *Engine) Order(now time.Time, order protocol.Order) (protocol.OrderResult, *protocol.Refusal) {
-	e.progress(now)
+	e.advanceTo(now)
 	if refusal := e.checkOrder(order); refusal != nil {
 		return protocol.OrderResult{}, refusal
 	}
-	if result, repeated := e.orders.taken[order.OrderID]; repeated {
+	if result, repeated := e.orders.accepted[order.OrderID]; repeated {
 		return result, nil
 	}
 	if order.Fence < e.orders.fence {
@@ -96,7 +96,7 @@
 	case protocol.OrderRole:
 		e.orders.role = order.Role
 	}
-	e.changed()
+	e.sampleLoad()
 	return result, nil
 }
 
@@ -111,7 +111,7 @@
 		return e.refuse(protocol.RefusalBadRequest, "order_id must be set")
 	case needsModel && (order.Model == "" || order.Version == ""):
 		return e.refuse(protocol.RefusalBadRequest, "model and version must be set")
-	case order.Kind == protocol.OrderRole && !knownRole(order.Role):
+	case order.Kind == protocol.OrderRole && !validRole(order.Role):
 		return e.refuse(protocol.RefusalBadRequest, "role must be mixed, prefill or decode")
 	case !needsModel && order.Kind != protocol.OrderRole:
 		return e.refuse(protocol.RefusalBadRequest, "unknown order kind")
@@ -126,17 +126,17 @@
 		return
 	}
 	due := e.now.Add(e.config.LoadDuration)
-	e.orders.loads = append(e.orders.loads, pendingLoad{order: order, weightsThere: true, due: due})
+	e.orders.loads = append(e.orders.loads, pendingLoad{order: order, weightsFetched: true, due: due})
 }
 
 // WeightsArrived tells that the weights of a load order were fetched; the load
 // is done after LoadDuration. An order that is no longer pending is ignored.
 func (e *Engine) WeightsArrived(now time.Time, orderID string) {
-	e.progress(now)
+	e.advanceTo(now)
 	for index := range e.orders.loads {
 		load := &e.orders.loads[index]
-		if load.order.OrderID == orderID && !load.weightsThere {
-			load.weightsThere = true
+		if load.order.OrderID == orderID && !load.weightsFetched {
+			load.weightsFetched = true
 			load.due = now.Add(e.config.LoadDuration)
 		}
 	}
@@ -145,7 +145,7 @@
 // LoadPending says whether the load order still waits for its weights.
 func (e *Engine) LoadPending(orderID string) bool {
 	return slices.ContainsFunc(e.orders.loads, func(load pendingLoad) bool {
-		return load.order.OrderID == orderID && !load.weightsThere
+		return load.order.OrderID == orderID && !load.weightsFetched
 	})
 }
 
@@ -153,7 +153,7 @@
 func (e *Engine) finishLoads(now time.Time) {
 	var left []pendingLoad
 	for _, load := range e.orders.loads {
-		if !load.weightsThere || load.due.After(now) {
+		if !load.weightsFetched || load.due.After(now) {
 			left = append(left, load)
 			continue
 		}
@@ -161,7 +161,7 @@
 		e.record(truth.Record{Kind: truth.Loaded, Model: load.order.Model, Version: load.order.Version, OrderID: load.order.OrderID})
 	}
 	e.orders.loads = left
-	e.changed()
+	e.sampleLoad()
 }
 
 // add makes a version ready, or replaces the adapters of one that is.
@@ -185,7 +185,7 @@
 	e.orders.loads = slices.DeleteFunc(e.orders.loads, func(load pendingLoad) bool {
 		return load.order.Model == order.Model && load.order.Version == order.Version
 	})
-	e.announceRemoved(e.blocks.removeOwned(func(owner prefix.Namespace) bool {
+	e.queueRemovedEvents(e.blocks.removeOwned(func(owner prefix.Namespace) bool {
 		return owner.Model == order.Model && owner.Version == order.Version
 	}))
 }
--- a/standin/engine/model/orders_test.go
+++ b/standin/engine/model/orders_test.go
@@ -44,7 +44,7 @@
 				is.Equal(refusal, nil)
 			}
 			rig.run(time.Minute)
-			taken := len(rig.truth)
+			recorded := len(rig.truth)
 			_, refusal := rig.engine.Order(rig.now, test.order)
 			if test.wanted != "" {
 				is.True(refusal != nil)
@@ -54,7 +54,7 @@
 			}
 			rig.run(time.Minute)
 			effect := test.wanted == "" && test.name != "repeat"
-			is.Equal(len(rig.truth) > taken, effect) // a repeat or refusal has no effect
+			is.Equal(len(rig.truth) > recorded, effect) // a repeat or refusal has no effect
 		})
 	}
 }
--- a/standin/engine/model/report.go
+++ b/standin/engine/model/report.go
@@ -17,29 +17,29 @@
 	samples []protocol.LoadReport
 }
 
-// changed notes that the load figures may have changed now.
-func (e *Engine) changed() {
+// sampleLoad notes that the load figures may have changed now.
+func (e *Engine) sampleLoad() {
 	samples := e.reports.samples
 	count := len(samples)
 	if count > 1 && samples[count-1].MeasuredAt.Sub(samples[count-2].MeasuredAt) < sampleInterval {
 		samples[count-1] = e.currentLoad()
 		return
 	}
-	first := max(e.reports.asOf(e.now.Add(-e.conditions.LoadLag)), 0)
+	first := max(e.reports.sampleAt(e.now.Add(-e.conditions.LoadLag)), 0)
 	e.reports.samples = append(samples[first:], e.currentLoad())
 }
 
-// asOf returns the index of the newest sample that was true at the time, or -1.
-func (h *reportHistory) asOf(at time.Time) int {
+// sampleAt returns the index of the newest sample that was true at the time, or -1.
+func (h *reportHistory) sampleAt(at time.Time) int {
 	return sort.Search(len(h.samples), func(i int) bool { return h.samples[i].MeasuredAt.After(at) }) - 1
 }
 
 // LoadReport returns the load figures as they were LoadLag ago, or the first
 // ones of this life if it is younger.
 func (e *Engine) LoadReport(now time.Time) protocol.LoadReport {
-	e.progress(now)
+	e.advanceTo(now)
 	at := now.Add(-e.conditions.LoadLag)
-	index := e.reports.asOf(at)
+	index := e.reports.sampleAt(at)
 	report := e.reports.samples[max(index, 0)]
 	if index == len(e.reports.samples)-1 {
 		report.MeasuredAt = at
@@ -51,16 +51,16 @@
 func (e *Engine) currentLoad() protocol.LoadReport {
 	queued := 0
 	for _, member := range e.running {
-		queued += member.prefillLeft()
+		queued += member.remainingPrefill()
 	}
 	for _, member := range e.waiting {
-		queued += member.prefillLeft()
+		queued += member.remainingPrefill()
 	}
 	slope := float64(e.config.PrefillPerToken) / float64(time.Microsecond)
 	return protocol.LoadReport{
 		Incarnation:           e.incarnation,
 		MeasuredAt:            e.now,
-		Leaving:               e.leaving || e.conditions.Draining,
+		Leaving:               e.draining || e.conditions.Draining,
 		Running:               len(e.running),
 		Waiting:               len(e.waiting),
 		MaxRunning:            e.config.MaxRunning,
--- a/standin/engine/model/step.go
+++ b/standin/engine/model/step.go
@@ -10,7 +10,7 @@
 
 // Shares of the prefill budget by role.
 const (
-	prefillRoleGain   = 2
+	prefillRoleFactor = 2
 	decodeRoleDivisor = 4
 )
 
@@ -24,16 +24,16 @@
 // decoding request.
 type step struct {
 	end time.Time
-	// left is the duration that remains while the engine is stalled.
-	left    time.Duration
-	prefill []prefillShare
-	decode  []*generation
+	// remaining is the duration that remains while the engine is stalled.
+	remaining time.Duration
+	prefill   []prefillShare
+	decode    []*generation
 }
 
 // Advance brings the engine to now and returns everything it said and did since
 // the last call, in order of time.
 func (e *Engine) Advance(now time.Time) []Output {
-	e.progress(now)
+	e.advanceTo(now)
 	drained := e.outbox
 	e.outbox = nil
 	return drained
@@ -65,15 +65,15 @@
 		consider(e.feed.pending[0].due)
 	}
 	for _, load := range e.orders.loads {
-		if load.weightsThere {
+		if load.weightsFetched {
 			consider(load.due)
 		}
 	}
 	return next, found
 }
 
-// progress runs everything due up to now, in order of time.
-func (e *Engine) progress(now time.Time) {
+// advanceTo runs everything due up to now, in order of time.
+func (e *Engine) advanceTo(now time.Time) {
 	for {
 		next, found := e.nextInternal()
 		if !found || next.After(now) {
@@ -108,7 +108,7 @@
 	started := &step{}
 	budget := e.prefillBudget()
 	for _, member := range e.running {
-		if left := member.prefillLeft(); left > 0 {
+		if left := member.remainingPrefill(); left > 0 {
 			tokens := min(left, budget)
 			budget -= tokens
 			if tokens > 0 {
@@ -125,7 +125,7 @@
 func (e *Engine) prefillBudget() int {
 	switch e.orders.role {
 	case RolePrefill:
-		return e.config.PrefillChunkTokens * prefillRoleGain
+		return e.config.PrefillChunkTokens * prefillRoleFactor
 	case RoleDecode:
 		return max(e.config.PrefillChunkTokens/decodeRoleDivisor, 1)
 	}
@@ -151,19 +151,19 @@
 		e.waiting = e.waiting[1:]
 		admitted.running = true
 		e.running = insertOrdered(e.running, admitted)
-		e.lookUp(admitted)
+		e.pinCachedPrefix(admitted)
 		e.recordGeneration(truth.Started, admitted)
 	}
 }
 
-// lookUp pins the cached prefix and counts what it saves. The last token of a
+// pinCachedPrefix pins the cached prefix and counts what it saves. The last token of a
 // prompt is always computed.
-func (e *Engine) lookUp(admitted *generation) {
+func (e *Engine) pinCachedPrefix(admitted *generation) {
 	salt := admitted.request.Salt
-	held := e.blocks.held(salt, admitted.chain)
-	admitted.cachedTokens = e.usableTokens(admitted, held)
+	cachedBlocks := e.blocks.cachedPrefix(salt, admitted.chain)
+	admitted.cachedTokens = e.usableTokens(admitted, cachedBlocks)
 	left := admitted.cachedTokens
-	for _, hash := range admitted.chain[:held] {
+	for _, hash := range admitted.chain[:cachedBlocks] {
 		found := e.blocks.blocks[blockKey{salt, hash}]
 		e.blocks.pin(found)
 		admitted.pinned = append(admitted.pinned, found)
@@ -173,8 +173,8 @@
 	}
 }
 
-func (e *Engine) usableTokens(about *generation, heldBlocks int) int {
-	return min(heldBlocks*e.config.BlockTokens, about.promptTokens-1)
+func (e *Engine) usableTokens(target *generation, cachedBlocks int) int {
+	return min(cachedBlocks*e.config.BlockTokens, target.promptTokens-1)
 }
 
 // finishStep applies the effects of the step under way and begins the next.
@@ -182,22 +182,22 @@
 	finished := e.step
 	e.step = nil
 	for _, share := range finished.prefill {
-		if share.owner.over {
+		if share.owner.done {
 			continue
 		}
 		share.owner.prefilled += share.tokens
 		e.storeBlocks(share.owner)
-		if share.owner.prefillLeft() == 0 {
+		if share.owner.remainingPrefill() == 0 {
 			e.emitToken(share.owner)
 		}
 	}
 	for _, member := range finished.decode {
-		if !member.over {
+		if !member.done {
 			e.emitToken(member)
 		}
 	}
 	e.startStep(e.now)
-	e.changed()
+	e.sampleLoad()
 }
 
 // emitToken emits the next token and, after the last one, the end event.
@@ -232,27 +232,27 @@
 		owner.uncacheable = true
 		return
 	}
-	passed := len(owner.chain)
-	if owner.prefillLeft() > 0 {
-		passed = min(passed, (owner.cachedTokens+owner.prefilled)/e.config.BlockTokens)
+	computed := len(owner.chain)
+	if owner.remainingPrefill() > 0 {
+		computed = min(computed, (owner.cachedTokens+owner.prefilled)/e.config.BlockTokens)
 	}
 	var stored prefix.Chain
 	var evicted []*block
-	for len(owner.pinned) < passed {
+	for len(owner.pinned) < computed {
 		hash := owner.chain[len(owner.pinned)]
-		held, gone, isNew := e.blocks.storePinned(blockKey{owner.request.Salt, hash}, owner.namespace)
-		if held == nil {
+		cached, removed, isNew := e.blocks.storePinned(blockKey{owner.request.Salt, hash}, owner.namespace)
+		if cached == nil {
 			owner.uncacheable = true
 			break
 		}
-		owner.pinned = append(owner.pinned, held)
-		if gone != nil {
-			evicted = append(evicted, gone)
+		owner.pinned = append(owner.pinned, cached)
+		if removed != nil {
+			evicted = append(evicted, removed)
 		}
 		if isNew {
 			stored = append(stored, hash)
 		}
 	}
-	e.announceRemoved(evicted)
-	e.announce(protocol.CacheEvent{Kind: protocol.CacheStored, Salt: owner.request.Salt, Hashes: stored})
+	e.queueRemovedEvents(evicted)
+	e.queueCacheEvent(protocol.CacheEvent{Kind: protocol.CacheStored, Salt: owner.request.Salt, Hashes: stored})
 }
--- a/standin/engine/model/text.go
+++ b/standin/engine/model/text.go
@@ -26,7 +26,7 @@
 // generation with Continued set to the first n tokens goes on at token n.
 func ExpectedText(prompt string, maxTokens int) string {
 	source := newTextSource(prompt)
-	count := min(maxTokens, source.natural)
+	count := min(maxTokens, source.naturalLength)
 	var text strings.Builder
 	for position := range max(count, 0) {
 		text.WriteString(source.token(position))
@@ -37,13 +37,13 @@
 // textSource is the deterministic answer to one prompt.
 type textSource struct {
 	seed uint64
-	// natural is the number of tokens after which the answer stops by itself.
-	natural int
+	// naturalLength is the number of tokens after which the answer stops by itself.
+	naturalLength int
 }
 
 func newTextSource(prompt string) textSource {
 	seed := xxhash.Sum64String(prompt)
-	return textSource{seed: seed, natural: minNaturalTokens + int(seed%naturalSpread)}
+	return textSource{seed: seed, naturalLength: minNaturalTokens + int(seed%naturalSpread)}
 }
 
 // token returns the token at a position of the answer: BytesPerToken bytes.
--- a/standin/engine/model/transfer.go
+++ b/standin/engine/model/transfer.go
@@ -17,14 +17,14 @@
 
 // Export returns those of the named blocks that are held, in the order asked.
 func (e *Engine) Export(now time.Time, request protocol.TransferRequest) ([]byte, int, *protocol.Refusal) {
-	e.progress(now)
+	e.advanceTo(now)
 	if !e.alive || request.ExpectedIncarnation != e.incarnation {
 		return nil, 0, e.refuse(protocol.RefusalMismatch, "another incarnation is in force")
 	}
 	exported := exportedBlocks{Hashes: prefix.Chain{}}
 	for _, hash := range request.Hashes {
-		if held := e.blocks.blocks[blockKey{request.Salt, hash}]; held != nil {
-			exported.Owner = held.owner
+		if cached := e.blocks.blocks[blockKey{request.Salt, hash}]; cached != nil {
+			exported.Owner = cached.owner
 			exported.Hashes = append(exported.Hashes, hash)
 		}
 	}
@@ -38,13 +38,13 @@
 // Import holds exported blocks under the salt. Blocks of another namespace or
 // of a version that is not loaded are refused as a mismatch.
 func (e *Engine) Import(now time.Time, salt prefix.Salt, content []byte) (protocol.TransferResult, *protocol.Refusal) {
-	e.progress(now)
+	e.advanceTo(now)
 	result := protocol.TransferResult{Incarnation: e.incarnation}
 	var imported exportedBlocks
 	if err := json.Unmarshal(content, &imported); err != nil {
 		return result, e.refuse(protocol.RefusalBadRequest, "the body is no export of an engine")
 	}
-	if !e.alive || e.leaving || e.conditions.Draining {
+	if !e.alive || e.draining || e.conditions.Draining {
 		return result, e.refuse(protocol.RefusalLeaving, "the engine is stopping")
 	}
 	if len(imported.Hashes) == 0 {
@@ -57,22 +57,22 @@
 	var stored prefix.Chain
 	var pinned, evicted []*block
 	for _, hash := range imported.Hashes {
-		held, gone, isNew := e.blocks.storePinned(blockKey{salt, hash}, owner)
-		if held == nil {
+		cached, removed, isNew := e.blocks.storePinned(blockKey{salt, hash}, owner)
+		if cached == nil {
 			break
 		}
-		pinned = append(pinned, held)
-		if gone != nil {
-			evicted = append(evicted, gone)
+		pinned = append(pinned, cached)
+		if removed != nil {
+			evicted = append(evicted, removed)
 		}
 		if isNew {
 			stored = append(stored, hash)
 		}
 	}
 	e.blocks.unpin(pinned)
-	e.announceRemoved(evicted)
-	e.announce(protocol.CacheEvent{Kind: protocol.CacheStored, Salt: salt, Hashes: stored})
-	e.changed()
+	e.queueRemovedEvents(evicted)
+	e.queueCacheEvent(protocol.CacheEvent{Kind: protocol.CacheStored, Salt: salt, Hashes: stored})
+	e.sampleLoad()
 	result.Imported = len(pinned)
 	return result, nil
 }
--- a/standin/engine/duty.go
+++ b/standin/engine/modelloop.go
@@ -18,8 +18,8 @@
 
 // Bounds of the retained streams and the pause between looks at them.
 const (
-	maxStreams = 4096
-	sweepPause = 100 * time.Millisecond
+	maxStreams    = 4096
+	sweepInterval = 100 * time.Millisecond
 )
 
 // maxFaults bounds the faults that may be planned and injected at once.
@@ -93,7 +93,7 @@
 
 // deliver hands the model's outputs to streams, feed, truth log and fetches.
 func (s *Server) deliver(now time.Time) {
-	current := s.life.Load()
+	current := s.incarnation.Load()
 	for _, output := range s.model.Advance(now) {
 		switch {
 		case output.Event != nil:
@@ -113,20 +113,20 @@
 // expireStreams cancels generations without a reader and forgets old streams.
 // Above maxStreams every ended stream without a reader counts as old.
 func (s *Server) expireStreams(now time.Time) {
-	if now.Sub(s.lastSweep) < sweepPause {
+	if now.Sub(s.lastSweep) < sweepInterval {
 		return
 	}
 	s.lastSweep = now
-	streams := s.life.Load().list()
+	streams := s.incarnation.Load().listStreams()
 	retention := s.options.Retention
 	if len(streams) > maxStreams {
 		retention = 0
 	}
 	for stream, kept := range streams {
-		ended, quiet := kept.quietFor(now)
+		ended, quiet := kept.idleFor(now)
 		switch {
 		case ended && quiet > retention:
-			s.life.Load().forget(stream)
+			s.incarnation.Load().remove(stream)
 		case !ended && quiet > s.options.Grace:
 			s.model.Cancel(now, stream)
 		}
@@ -176,15 +176,15 @@
 	s.deliver(now)
 	s.model.Crash(now)
 	s.deliver(now)
-	close(s.life.Load().ended)
+	close(s.incarnation.Load().crashed)
 	s.network.Push(networkDown)
 	s.options.Logger.WithField("engine", s.name).Warn("engine crashed")
 }
 
 func (s *Server) restart(now time.Time) {
-	incarnation := ident.Incarnation(ident.NewUnique())
-	s.model.Restart(now, incarnation)
-	s.life.Store(newLife(incarnation))
+	id := ident.Incarnation(ident.NewUnique())
+	s.model.Restart(now, id)
+	s.incarnation.Store(newIncarnation(id))
 	s.network.Push(networkUp)
 	s.options.Logger.WithField("engine", s.name).Warn("engine is back, empty")
 }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -112,7 +112,7 @@
 	network  *ring.Ring[networkState]
 	fetches  *ring.Ring[protocol.Order]
 
-	life        atomic.Pointer[life]
+	incarnation atomic.Pointer[incarnationState]
 	distortions atomic.Pointer[distortions]
 	cuts        broadcast
 	// stopping is closed when the process has no more work; stopped when the
@@ -131,14 +131,14 @@
 		return nil, fault.New(fault.InvalidSettings, "the engine has no name").WithRemedy("give --name")
 	}
 	now := time.Now()
-	incarnation := ident.Incarnation(ident.NewUnique())
+	id := ident.Incarnation(ident.NewUnique())
 	random := rand.New(rand.NewPCG(uint64(options.Seed), seedOf(string(options.Model.Name))))
 	server := &Server{
 		options:  options,
 		name:     string(options.Model.Name),
 		started:  now,
 		truth:    truth.NewLog(truth.DefaultCapacity, options.TruthWriter),
-		model:    model.New(options.Model, incarnation, random, now),
+		model:    model.New(options.Model, id, random, now),
 		plan:     options.Plan,
 		lastCut:  -1,
 		commands: ring.New[command]("engine-commands", commandCapacity, ring.RefuseNew),
@@ -147,7 +147,7 @@
 		stopping: make(chan struct{}),
 		stopped:  make(chan struct{}),
 	}
-	server.life.Store(newLife(incarnation))
+	server.incarnation.Store(newIncarnation(id))
 	server.distortions.Store(&distortions{})
 	return server, nil
 }
@@ -165,7 +165,7 @@
 	var err error
 	select {
 	case <-ctx.Done():
-		s.leave()
+		s.drain()
 		close(s.stopping)
 		err = <-networkDone
 	case err = <-networkDone:
@@ -178,8 +178,8 @@
 	return err
 }
 
-// leave refuses new work and waits until the model is idle, within the timeout.
-func (s *Server) leave() {
+// drain refuses new work and waits until the model is idle, within the timeout.
+func (s *Server) drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), s.options.DrainTimeout)
 	defer cancel()
 	s.options.Logger.WithField("engine", s.name).Info("engine is leaving")
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -66,7 +66,7 @@
 func (p *process) request(prompt string, tokens int) protocol.GenerateRequest {
 	namespace := prefix.Namespace{Tenant: "t1", Model: "m", Version: "1"}
 	return protocol.GenerateRequest{
-		RequestID: "r1", Attempt: 1, ExpectedIncarnation: p.server.life.Load().incarnation,
+		RequestID: "r1", Attempt: 1, ExpectedIncarnation: p.server.incarnation.Load().id,
 		Tenant: "t1", Model: "m", Version: "1", Salt: namespace.Salt(), Prompt: prompt, MaxTokens: tokens,
 	}
 }
@@ -128,7 +128,7 @@
 	return text.String()
 }
 
-func TestResumeAfterCutsGivesTheWholeStream(t *testing.T) {
+func TestResumeAfterCuts(t *testing.T) {
 	is := is.New(t)
 	process := start(t, nil)
 	process.inject(faultplan.Cut, 0, faultplan.Parameters{Events: 5})
@@ -152,7 +152,7 @@
 	is.Equal(textOf(events), model.ExpectedText("the prompt", 23))
 }
 
-func TestCrashDropsStreamsAndReturnsEmpty(t *testing.T) {
+func TestCrashDropsStreamsAndCache(t *testing.T) {
 	is := is.New(t)
 	process := start(t, nil)
 	sent := process.request(strings.Repeat("long prompt ", 100), 500)
@@ -211,7 +211,7 @@
 	is.NoErr(<-process.stopped)
 }
 
-func TestDroppedReaderIsCancelledAfterTheGrace(t *testing.T) {
+func TestGenerationWithoutReaderIsCancelled(t *testing.T) {
 	process := start(t, func(options *Options) { options.Grace = 50 * time.Millisecond })
 	response := process.post("/v1/generate", process.request("the prompt", 8000))
 	readEvents(response, 2)
@@ -232,7 +232,7 @@
 	process := start(t, func(options *Options) { options.Weights = store.URL })
 	order := protocol.Order{
 		OrderID: "o1", Fence: 3, Kind: protocol.OrderLoad, Model: "m", Version: "2",
-		ExpectedIncarnation: process.server.life.Load().incarnation,
+		ExpectedIncarnation: process.server.incarnation.Load().id,
 	}
 	response := process.post("/v1/orders", order)
 	var result protocol.OrderResult
@@ -295,7 +295,7 @@
 			var cut, lost bool
 			for index := 0; index < len(kinds) && !cut && !lost; index++ {
 				var out []protocol.StreamEvent
-				out, cut, lost = distorted.pass(protocol.StreamEvent{Kind: kinds[index], Sequence: uint64(index)})
+				out, cut, lost = distorted.transform(protocol.StreamEvent{Kind: kinds[index], Sequence: uint64(index)})
 				for _, event := range out {
 					sequences = append(sequences, event.Sequence)
 				}
@@ -328,7 +328,7 @@
 			var refusal protocol.Refusal
 			is.NoErr(json.NewDecoder(response.Body).Decode(&refusal))
 			is.Equal(refusal.Kind, protocol.RefusalBadRequest)
-			is.Equal(refusal.Incarnation, process.server.life.Load().incarnation)
+			is.Equal(refusal.Incarnation, process.server.incarnation.Load().id)
 			is.Equal(ident.Incarnation(response.Header.Get(protocol.HeaderIncarnation)), refusal.Incarnation)
 		})
 	}
--- a/standin/engine/state.go
+++ b/standin/engine/state.go
@@ -44,7 +44,7 @@
 		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "the after parameter must be a sequence number"))
 		return
 	}
-	current := s.life.Load()
+	current := s.incarnation.Load()
 	writer := s.startEvents(w, current)
 	keepAlive := time.NewTicker(keepAlivePause)
 	defer keepAlive.Stop()
@@ -52,7 +52,7 @@
 		changed := current.feed.changed.wait()
 		for events := current.feed.after(after, maxBatchEvents); len(events) > 0; events = current.feed.after(after, maxBatchEvents) {
 			after = events[len(events)-1].Sequence
-			batch := protocol.CacheEventBatch{Incarnation: current.incarnation, Events: events}
+			batch := protocol.CacheEventBatch{Incarnation: current.id, Events: events}
 			if !writer.write("cache", after, batch) {
 				return
 			}
@@ -63,7 +63,7 @@
 			if !writer.comment() {
 				return
 			}
-		case <-current.ended:
+		case <-current.crashed:
 			panic(http.ErrAbortHandler)
 		case <-s.stopping:
 			return
@@ -86,7 +86,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set(protocol.HeaderIncarnation, string(s.life.Load().incarnation))
+	w.Header().Set(protocol.HeaderIncarnation, string(s.incarnation.Load().id))
 	_, _ = w.Write(content)
 }
 
@@ -127,8 +127,8 @@
 	}
 }
 
-// engineFaults are the kinds of faults that an engine acts out.
-var engineFaults = []faultplan.Kind{
+// supportedFaults are the kinds of faults that an engine acts out.
+var supportedFaults = []faultplan.Kind{
 	faultplan.Crash, faultplan.Stall, faultplan.Cut, faultplan.EventLoss, faultplan.EventDelay,
 	faultplan.LoadLag, faultplan.DuplicateChunks, faultplan.SwapChunks, faultplan.LoseEnd,
 	faultplan.Slow, faultplan.RefuseFull, faultplan.Leave,
@@ -149,7 +149,7 @@
 	added := faultplan.Fault{
 		Duration: request.Duration, Target: s.name, Kind: request.Kind, Parameters: request.Parameters,
 	}
-	if !slices.Contains(engineFaults, added.Kind) {
+	if !slices.Contains(supportedFaults, added.Kind) {
 		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "fault kind is none that an engine acts out"))
 		return
 	}
@@ -164,10 +164,10 @@
 		_ = s.do(r.Context(), func(now time.Time) { s.inject(now, added) })
 		return
 	}
-	taken := false
-	err := s.do(r.Context(), func(now time.Time) { taken = s.inject(now, added) })
+	accepted := false
+	err := s.do(r.Context(), func(now time.Time) { accepted = s.inject(now, added) })
 	var refusal *protocol.Refusal
-	if !taken {
+	if !accepted {
 		refusal = s.refuse(protocol.RefusalFull, "too many faults are in force; clear them first")
 	}
 	if !s.answerFailure(w, err, refusal) {
@@ -204,7 +204,7 @@
 
 func (s *Server) writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(protocol.HeaderIncarnation, string(s.life.Load().incarnation))
+	w.Header().Set(protocol.HeaderIncarnation, string(s.incarnation.Load().id))
 	_ = json.NewEncoder(w).Encode(body)
 }
 
--- a/standin/engine/streams.go
+++ b/standin/engine/streams.go
@@ -14,48 +14,48 @@
 // asks for older ones sees a gap in the numbers.
 const maxFeedEvents = 65536
 
-// life is what one incarnation keeps for its readers. ended is closed by the
+// incarnationState is what one incarnation keeps for its readers. ended is closed by the
 // model duty when the incarnation crashes.
-type life struct {
-	incarnation ident.Incarnation
-	ended       chan struct{}
-	feed        *feed
-	mutex       sync.Mutex
-	streams     map[ident.Stream]*streamLog
-}
-
-func newLife(incarnation ident.Incarnation) *life {
-	return &life{
-		incarnation: incarnation,
-		ended:       make(chan struct{}),
-		feed:        &feed{},
-		streams:     map[ident.Stream]*streamLog{},
+type incarnationState struct {
+	id      ident.Incarnation
+	crashed chan struct{}
+	feed    *feed
+	mutex   sync.Mutex
+	streams map[ident.Stream]*streamLog
+}
+
+func newIncarnation(id ident.Incarnation) *incarnationState {
+	return &incarnationState{
+		id:      id,
+		crashed: make(chan struct{}),
+		feed:    &feed{},
+		streams: map[ident.Stream]*streamLog{},
 	}
 }
 
 // stream returns the log of a stream, or nil.
-func (l *life) stream(name ident.Stream) *streamLog {
+func (l *incarnationState) stream(name ident.Stream) *streamLog {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.streams[name]
 }
 
-func (l *life) streamFor(name ident.Stream, now time.Time) *streamLog {
+func (l *incarnationState) streamFor(name ident.Stream, now time.Time) *streamLog {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.streams[name] == nil {
-		l.streams[name] = &streamLog{quietSince: now}
+		l.streams[name] = &streamLog{idleSince: now}
 	}
 	return l.streams[name]
 }
 
-func (l *life) list() map[ident.Stream]*streamLog {
+func (l *incarnationState) listStreams() map[ident.Stream]*streamLog {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return maps.Clone(l.streams)
 }
 
-func (l *life) forget(name ident.Stream) {
+func (l *incarnationState) remove(name ident.Stream) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.streams, name)
@@ -89,12 +89,12 @@
 // streamLog keeps all events of one stream for its readers and for resume. Its
 // length is bounded by the model's output limit.
 type streamLog struct {
-	changed    broadcast
-	mutex      sync.Mutex
-	events     []protocol.StreamEvent
-	ended      bool
-	readers    int
-	quietSince time.Time
+	changed   broadcast
+	mutex     sync.Mutex
+	events    []protocol.StreamEvent
+	ended     bool
+	readers   int
+	idleSince time.Time
 }
 
 func (s *streamLog) append(event protocol.StreamEvent, now time.Time) {
@@ -102,7 +102,7 @@
 	s.events = append(s.events, event)
 	if event.Kind == protocol.EventEnd || event.Kind == protocol.EventError {
 		s.ended = true
-		s.quietSince = now
+		s.idleSince = now
 	}
 	s.mutex.Unlock()
 	s.changed.wake()
@@ -130,17 +130,17 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.readers--
-	s.quietSince = now
+	s.idleSince = now
 }
 
-// quietFor tells whether the stream has ended and how long nobody has read it.
-func (s *streamLog) quietFor(now time.Time) (ended bool, quiet time.Duration) {
+// idleFor tells whether the stream has ended and how long nobody has read it.
+func (s *streamLog) idleFor(now time.Time) (ended bool, idle time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.readers > 0 {
 		return s.ended, 0
 	}
-	return s.ended, now.Sub(s.quietSince)
+	return s.ended, now.Sub(s.idleSince)
 }
 
 // feed keeps the newest published cache events.
--- a/standin/engine/weights.go
+++ b/standin/engine/weights.go
@@ -17,8 +17,8 @@
 // Limits of weight fetches.
 const (
 	maxParallelFetches = 8
-	firstFetchPause    = 250 * time.Millisecond
-	longestFetchPause  = 5 * time.Second
+	minFetchBackoff    = 250 * time.Millisecond
+	maxFetchBackoff    = 5 * time.Second
 	fetchTimeout       = 2 * time.Minute
 )
 
@@ -42,7 +42,7 @@
 // fetchUntilDone tries until the weights are there or the load is not pending
 // any more (unloaded, or the engine crashed).
 func (s *Server) fetchUntilDone(ctx context.Context, order protocol.Order) {
-	pause := firstFetchPause
+	pause := minFetchBackoff
 	for {
 		pending := false
 		err := s.do(ctx, func(time.Time) { pending = s.model.LoadPending(order.OrderID) })
@@ -58,7 +58,7 @@
 		if !sleep(ctx, max(wait, pause)) {
 			return
 		}
-		pause = min(2*pause, longestFetchPause)
+		pause = min(2*pause, maxFetchBackoff)
 	}
 }
 
--- a/standin/experiment/attempt.go
+++ b/standin/experiment/attempt.go
@@ -21,12 +21,12 @@
 	stream      ident.Stream
 	sentAt      time.Time
 	firstAt     time.Time
-	// heldTokens is the most of the prompt that any permitted engine truly held
+	// mostCachedTokens is the most of the prompt that any permitted engine truly held
 	// at dispatch.
-	heldTokens int
-	// ownTokens is what the chosen engine itself truly held at dispatch.
-	ownTokens int
-	over      bool
+	mostCachedTokens int
+	// targetCachedTokens is what the chosen engine itself truly held at dispatch.
+	targetCachedTokens int
+	done               bool
 }
 
 // send sends the request to the engine it was given a place on.
@@ -38,8 +38,8 @@
 	sent := &attempt{
 		exchange: x, router: router, engine: s.byName[chosen.Endpoint.Engine],
 		incarnation: chosen.Endpoint.Incarnation, key: placed.Job.Key, chain: chain, sentAt: s.clock.now,
-		ownTokens:  s.byName[chosen.Endpoint.Engine].model.CachedPrefixBlocks(x.salt, chain) * prefix.DefaultBlockTokens,
-		heldTokens: min(x.heldAnywhere(chain)*prefix.DefaultBlockTokens, placed.Job.Request.PromptTokens-1),
+		targetCachedTokens: s.byName[chosen.Endpoint.Engine].model.CachedPrefixBlocks(x.salt, chain) * prefix.DefaultBlockTokens,
+		mostCachedTokens:   min(x.mostCachedBlocks(chain)*prefix.DefaultBlockTokens, placed.Job.Request.PromptTokens-1),
 	}
 	deliver := func() {
 		s.clock.after(s.hop(router.zone, sent.engine.zone), func() { sent.engine.submit(sent) })
@@ -62,20 +62,20 @@
 	}
 }
 
-// answer runs what the engine's word brings about once it is at the router.
-func (a *attempt) answer(run func()) {
+// deliverToRouter runs what the engine's word brings about once it is at the router.
+func (a *attempt) deliverToRouter(run func()) {
 	s := a.exchange.simulation
 	s.clock.after(s.hop(a.router.zone, a.engine.zone), func() {
-		if !a.over {
-			a.followCaller()
+		if !a.done {
+			a.reassignRouter()
 			run()
 		}
 	})
 }
 
-// followCaller moves the attempt to a live router if its own went away: the
+// reassignRouter moves the attempt to a live router if its own went away: the
 // caller resumes its stream there.
-func (a *attempt) followCaller() {
+func (a *attempt) reassignRouter() {
 	for _, router := range a.exchange.simulation.routers {
 		if a.router.alive {
 			return
@@ -101,7 +101,7 @@
 		return
 	}
 	a.firstAt = x.simulation.clock.now.Add(x.simulation.hop(a.router.zone, a.engine.zone))
-	a.answer(func() { a.router.core.RecordFirstToken(x.simulation.clock.now, a.key) })
+	a.deliverToRouter(func() { a.router.core.RecordFirstToken(x.simulation.clock.now, a.key) })
 	if x.firstToken == 0 {
 		x.firstToken = a.firstAt.Add(hopToClient).Sub(x.arrivedAt)
 	}
@@ -130,10 +130,10 @@
 
 // deadline gives up an attempt that has brought no token in its class's time.
 func (a *attempt) deadline() {
-	if a.over || !a.firstAt.IsZero() {
+	if a.done || !a.firstAt.IsZero() {
 		return
 	}
-	a.followCaller()
+	a.reassignRouter()
 	s := a.exchange.simulation
 	s.clock.after(s.hop(a.router.zone, a.engine.zone), func() { a.engine.cancel(a) })
 	a.finish(placement.Result{Broken: true})
@@ -143,7 +143,7 @@
 // finish tells the router that the attempt is over.
 func (a *attempt) finish(result placement.Result) {
 	now := a.exchange.simulation.clock.now
-	a.over = true
+	a.done = true
 	result.Duration = now.Sub(a.sentAt)
 	if !a.firstAt.IsZero() {
 		result.TimeToFirstToken = a.firstAt.Sub(a.sentAt)
--- a/standin/experiment/engines.go
+++ b/standin/experiment/engines.go
@@ -16,11 +16,11 @@
 
 // engineNode drives one engine model and takes in what it says.
 type engineNode struct {
-	simulation *simulation
-	name       ident.Engine
-	zone       ident.Zone
-	model      *model.Engine
-	lives      int
+	simulation   *simulation
+	name         ident.Engine
+	zone         ident.Zone
+	model        *model.Engine
+	incarnations int
 	// wakeAt is the earliest wake-up already scheduled, if any.
 	wakeAt   time.Time
 	attempts map[endpoint.AttemptKey]*attempt
@@ -33,7 +33,7 @@
 		simulation: s, name: config.Name, zone: config.Zone,
 		attempts: make(map[endpoint.AttemptKey]*attempt),
 	}
-	node.model = model.New(config, node.nextLife(), random, s.start)
+	node.model = model.New(config, node.nextIncarnation(), random, s.start)
 	return node
 }
 
@@ -47,23 +47,23 @@
 	return loaded
 }
 
-func (n *engineNode) nextLife() ident.Incarnation {
-	n.lives++
-	return ident.Incarnation(fmt.Sprintf("%s-life-%d", n.name, n.lives))
+func (n *engineNode) nextIncarnation() ident.Incarnation {
+	n.incarnations++
+	return ident.Incarnation(fmt.Sprintf("%s-life-%d", n.name, n.incarnations))
 }
 
-// poke takes in the engine's outputs and schedules its next wake-up. It
+// drainOutputs takes in the engine's outputs and schedules its next wake-up. It
 // follows every call of the model.
-func (n *engineNode) poke() {
+func (n *engineNode) drainOutputs() {
 	now := n.simulation.clock.now
 	for _, output := range n.model.Advance(now) {
 		switch {
 		case output.Event != nil:
-			n.streamed(output.Event)
+			n.applyStreamEvent(output.Event)
 		case output.Batch != nil:
 			n.simulation.deliverEvents(n, *output.Batch)
 		case output.Truth != nil:
-			n.judge(output.Truth)
+			n.recordTruth(output.Truth)
 		}
 	}
 	next, found := n.model.NextTime()
@@ -75,31 +75,31 @@
 		if n.wakeAt.Equal(next) {
 			n.wakeAt = time.Time{}
 		}
-		n.poke()
+		n.drainOutputs()
 	})
 }
 
 // submit offers an attempt to the engine.
 func (n *engineNode) submit(sent *attempt) {
-	if sent.over {
+	if sent.done {
 		return
 	}
 	if !n.model.Alive() {
-		sent.answer(func() { sent.unreachable() })
+		sent.deliverToRouter(func() { sent.unreachable() })
 		return
 	}
 	_, refusal := n.model.Submit(n.simulation.clock.now, sent.request())
 	if refusal != nil {
-		sent.answer(func() { sent.refused(refusal) })
+		sent.deliverToRouter(func() { sent.refused(refusal) })
 		return
 	}
 	n.attempts[sent.key] = sent
 	n.order = append(n.order, sent)
-	n.poke()
+	n.drainOutputs()
 }
 
-// streamed takes in an event of a stream.
-func (n *engineNode) streamed(event *protocol.StreamEvent) {
+// applyStreamEvent takes in an event of a stream.
+func (n *engineNode) applyStreamEvent(event *protocol.StreamEvent) {
 	about := n.attempts[endpoint.AttemptKey{Request: event.RequestID, Attempt: event.Attempt}]
 	if about == nil {
 		return
@@ -108,16 +108,16 @@
 	switch event.Kind {
 	case protocol.EventStart:
 		usage, incarnation := *event.Usage, event.Incarnation
-		about.answer(func() { about.accepted(incarnation, usage) })
+		about.deliverToRouter(func() { about.accepted(incarnation, usage) })
 	case protocol.EventChunk:
 		about.chunk(event.Text, event.Tokens)
 	case protocol.EventEnd:
-		n.forget(about)
-		about.answer(about.completed)
+		n.removeAttempt(about)
+		about.deliverToRouter(about.completed)
 	}
 }
 
-func (n *engineNode) forget(gone *attempt) {
+func (n *engineNode) removeAttempt(gone *attempt) {
 	delete(n.attempts, gone.key)
 	for index, known := range n.order {
 		if known == gone {
@@ -127,15 +127,15 @@
 	}
 }
 
-// judge reads the truth about an attempt.
-func (n *engineNode) judge(record *truth.Record) {
+// recordTruth reads the truth about an attempt.
+func (n *engineNode) recordTruth(record *truth.Record) {
 	about := n.attempts[endpoint.AttemptKey{Request: record.RequestID, Attempt: record.Attempt}]
 	if about == nil || !about.exchange.measured {
 		return
 	}
 	switch record.Kind {
 	case truth.Started:
-		n.simulation.measures.started(about, record)
+		n.simulation.measures.recordStarted(about, record)
 	case truth.Lost, truth.Cancelled:
 		n.simulation.measures.discarded += int64(record.PrefilledTokens + record.GeneratedTokens)
 	}
@@ -144,24 +144,24 @@
 // crash ends the engine's life and breaks its streams.
 func (n *engineNode) crash() {
 	n.model.Crash(n.simulation.clock.now)
-	n.poke()
+	n.drainOutputs()
 	broken := n.order
 	n.attempts, n.order = make(map[endpoint.AttemptKey]*attempt), nil
 	for _, lost := range broken {
-		lost.answer(lost.broken)
+		lost.deliverToRouter(lost.broken)
 	}
 }
 
 func (n *engineNode) restart() {
-	n.model.Restart(n.simulation.clock.now, n.nextLife())
-	n.poke()
+	n.model.Restart(n.simulation.clock.now, n.nextIncarnation())
+	n.drainOutputs()
 }
 
 func (n *engineNode) cancel(unwanted *attempt) {
 	if n.attempts[unwanted.key] == unwanted {
 		n.model.Cancel(n.simulation.clock.now, unwanted.stream)
-		n.poke()
-		n.forget(unwanted)
+		n.drainOutputs()
+		n.removeAttempt(unwanted)
 	}
 }
 
@@ -173,7 +173,7 @@
 	salts map[uint64]uint64
 }
 
-func (e *exactCredits) learn(salt prefix.Salt, chain prefix.Chain) {
+func (e *exactCredits) addSalt(salt prefix.Salt, chain prefix.Chain) {
 	if len(chain) > 0 {
 		e.salts[uint64(chain[0])] = uint64(salt)
 	}
@@ -187,13 +187,13 @@
 	}
 	held := node.model.CachedPrefixBlocks(prefix.Salt(e.salts[uint64(chain[0])]), chain)
 	for _, coming := range node.order {
-		held = max(held, common(chain, coming.chain))
+		held = max(held, commonBlocks(chain, coming.chain))
 	}
 	return float64(held)
 }
 
-// common returns the number of leading blocks that two chains share.
-func common(a, b prefix.Chain) int {
+// commonBlocks returns the number of leading blocks that two chains share.
+func commonBlocks(a, b prefix.Chain) int {
 	low, high := 0, min(len(a), len(b))
 	for low < high {
 		middle := (low + high + 1) / 2
--- a/standin/experiment/exchange.go
+++ b/standin/experiment/exchange.go
@@ -22,37 +22,37 @@
 	continueHold = 5 * time.Second
 )
 
-// clientTries is how often a caller looks for a live router.
-const clientTries = 50
+// maxRouterAttempts is how often a caller looks for a live router.
+const maxRouterAttempts = 50
 
 // exchange is one request of a caller from its arrival to its end.
 type exchange struct {
-	simulation *simulation
-	arrival    workload.Arrival
-	id         ident.Request
-	number     int
-	tenant     *fleet.TenantEntry
-	service    *fleet.ServiceEntry
-	class      *fleet.Class
-	salt       prefix.Salt
-	measured   bool
-	arrivedAt  time.Time
-	holdUntil  time.Time
-	tries      int
-	attempts   int
-	text       strings.Builder
-	tokens     int
-	started    bool
-	excluded   map[ident.Engine]bool
-	relearned  map[ident.Engine]bool
-	firstToken time.Duration
-	ended      bool
+	simulation         *simulation
+	arrival            workload.Arrival
+	id                 ident.Request
+	number             int
+	tenant             *fleet.TenantEntry
+	service            *fleet.ServiceEntry
+	class              *fleet.Class
+	salt               prefix.Salt
+	measured           bool
+	arrivedAt          time.Time
+	holdUntil          time.Time
+	routerAttempts     int
+	attempts           int
+	text               strings.Builder
+	tokens             int
+	started            bool
+	excluded           map[ident.Engine]bool
+	incarnationRetried map[ident.Engine]bool
+	firstToken         time.Duration
+	ended              bool
 }
 
 // arrive takes in a request that its caller sends now.
 func (s *simulation) arrive(arrival workload.Arrival, source string) {
-	tenant, known := s.situation.fleet.Tenant(arrival.Tenant)
-	service, offered := s.situation.fleet.Service(arrival.Service)
+	tenant, known := s.prepared.fleet.Tenant(arrival.Tenant)
+	service, offered := s.prepared.fleet.Service(arrival.Service)
 	if !known || !offered || service.Model == nil {
 		s.fail("the fleet file lacks tenant %q or model service %q", arrival.Tenant, arrival.Service)
 		return
@@ -64,26 +64,26 @@
 	}
 	namespace := prefix.Namespace{Tenant: tenant.Name, Model: service.Model.Name, Version: service.Model.Version}
 	s.measures.arrivals++
-	s.open++
+	s.openRequests++
 	arrived := &exchange{
 		simulation: s, arrival: arrival, number: s.measures.arrivals,
 		id:     ident.Request(fmt.Sprintf("%s-%06d", source, arrival.Number)),
 		tenant: tenant, service: service, class: class, salt: namespace.Salt(),
-		measured:  arrival.At >= s.situation.scenario.Warmup,
-		arrivedAt: s.clock.now,
-		holdUntil: s.clock.now.Add(hopToClient + class.MaxHold),
-		excluded:  make(map[ident.Engine]bool),
-		relearned: make(map[ident.Engine]bool),
+		measured:           arrival.At >= s.prepared.scenario.Warmup,
+		arrivedAt:          s.clock.now,
+		holdUntil:          s.clock.now.Add(hopToClient + class.MaxHold),
+		excluded:           make(map[ident.Engine]bool),
+		incarnationRetried: make(map[ident.Engine]bool),
 	}
 	if arrived.measured {
 		s.measures.offered++
 	}
-	s.clock.after(hopToClient, arrived.receive)
+	s.clock.after(hopToClient, arrived.assignRouter)
 }
 
-// receive lets a live router take the request, one in the tenant's places if
+// assignRouter lets a live router take the request, one in the tenant's places if
 // there is any.
-func (x *exchange) receive() {
+func (x *exchange) assignRouter() {
 	s := x.simulation
 	var near, far []*routerNode
 	for _, router := range s.routers {
@@ -98,9 +98,9 @@
 	if len(near) == 0 {
 		near = far
 	}
-	x.tries++
-	if len(near) == 0 && x.tries < clientTries {
-		s.clock.after(clientRetry, x.receive)
+	x.routerAttempts++
+	if len(near) == 0 && x.routerAttempts < maxRouterAttempts {
+		s.clock.after(clientRetryDelay, x.assignRouter)
 		return
 	}
 	if len(near) == 0 {
@@ -115,7 +115,7 @@
 	now := x.simulation.clock.now
 	text := x.arrival.Prompt + x.text.String()
 	chain := prefix.ChainOf(x.salt, text, prefix.DefaultBlockTokens)
-	x.simulation.exact.learn(x.salt, chain)
+	x.simulation.exact.addSalt(x.salt, chain)
 	zones := make(map[ident.Zone]bool)
 	for _, zone := range x.tenant.Zones.List() {
 		zones[zone] = true
@@ -145,21 +145,21 @@
 		return
 	}
 	x.ended = true
-	x.simulation.open--
-	x.simulation.measures.ended(x, outcome)
+	x.simulation.openRequests--
+	x.simulation.measures.recordEnded(x, outcome)
 }
 
 // retry offers the request again after an attempt that failed, or ends it.
 func (x *exchange) retry(failed *attempt, refusal *protocol.Refusal, outcome Outcome) {
 	now := x.simulation.clock.now
-	lastOnly := x.tokens > 0 && x.tokens >= x.arrival.MaxTokens
-	if x.attempts >= maxAttempts || lastOnly || !failed.router.budget.Allow(now) {
+	allTokensReceived := x.tokens > 0 && x.tokens >= x.arrival.MaxTokens
+	if x.attempts >= maxAttempts || allTokensReceived || !failed.router.budget.Allow(now) {
 		x.end(outcome)
 		return
 	}
-	newLife := refusal != nil && refusal.Incarnation != "" && refusal.Incarnation != failed.incarnation
-	if newLife && !x.relearned[failed.engine.name] {
-		x.relearned[failed.engine.name] = true
+	newIncarnation := refusal != nil && refusal.Incarnation != "" && refusal.Incarnation != failed.incarnation
+	if newIncarnation && !x.incarnationRetried[failed.engine.name] {
+		x.incarnationRetried[failed.engine.name] = true
 	} else {
 		x.excluded[failed.engine.name] = true
 	}
@@ -180,9 +180,9 @@
 	slices.SortFunc(all, func(a, b *exchange) int { return a.number - b.number })
 }
 
-// heldAnywhere returns the most leading blocks of a chain that any engine in
+// mostCachedBlocks returns the most leading blocks of a chain that any engine in
 // the tenant's places truly holds now.
-func (x *exchange) heldAnywhere(chain prefix.Chain) int {
+func (x *exchange) mostCachedBlocks(chain prefix.Chain) int {
 	best := 0
 	for _, engine := range x.simulation.engines {
 		if engine.model.Alive() && x.tenant.Zones.Has(engine.zone) {
--- a/standin/experiment/experiment_test.go
+++ b/standin/experiment/experiment_test.go
@@ -102,7 +102,7 @@
 
 // A lost engine costs tokens that the measures tell as discarded; without a
 // fault nothing is.
-func TestLostAttemptsCountAsWaste(t *testing.T) {
+func TestLostAttemptsCountAsDiscarded(t *testing.T) {
 	is := is.New(t)
 	runs := execute(t, []string{"muldenring-crash", "muldenring-steady"}, []string{"round-robin"}, 8*time.Second)
 	is.True(runs[0].Measures.DiscardedTokens > 0)
--- a/standin/experiment/faults.go
+++ b/standin/experiment/faults.go
@@ -2,7 +2,7 @@
 
 // scheduleFaults lets the scenario's faults happen at their times.
 func (s *simulation) scheduleFaults() {
-	for _, given := range s.situation.scenario.Faults {
+	for _, given := range s.prepared.scenario.Faults {
 		at := s.start.Add(given.At)
 		switch given.Kind {
 		case FaultCrash:
@@ -14,8 +14,8 @@
 			s.clock.at(at, engine.crash)
 			s.clock.at(at.Add(given.For), engine.restart)
 		case FaultZoneLost:
-			s.clock.at(at, func() { s.loseZone(given) })
-			s.clock.at(at.Add(given.For), func() { s.returnZone(given) })
+			s.clock.at(at, func() { s.failZone(given) })
+			s.clock.at(at.Add(given.For), func() { s.restoreZone(given) })
 		case FaultRestartRouters:
 			s.clock.at(at, func() {
 				for _, router := range s.routers {
@@ -26,8 +26,8 @@
 	}
 }
 
-// loseZone ends every router and engine of a zone.
-func (s *simulation) loseZone(given Fault) {
+// failZone ends every router and engine of a zone.
+func (s *simulation) failZone(given Fault) {
 	var waiting []*exchange
 	for _, router := range s.routers {
 		if router.zone == given.Zone {
@@ -39,10 +39,10 @@
 			engine.crash()
 		}
 	}
-	s.comeBack(waiting)
+	s.resubmit(waiting)
 }
 
-func (s *simulation) returnZone(given Fault) {
+func (s *simulation) restoreZone(given Fault) {
 	for _, engine := range s.engines {
 		if engine.zone == given.Zone {
 			engine.restart()
@@ -50,7 +50,7 @@
 	}
 	for _, router := range s.routers {
 		if router.zone == given.Zone {
-			if err := router.begin(); err != nil {
+			if err := router.start(); err != nil {
 				s.fail("a router could not restart: %s", err)
 			}
 		}
--- a/standin/experiment/measure.go
+++ b/standin/experiment/measure.go
@@ -67,7 +67,7 @@
 
 // collector gathers the measures of one simulation.
 type collector struct {
-	situation    *situation
+	prepared     *preparedScenario
 	arrivals     int
 	ends         int
 	neverEnded   int
@@ -90,27 +90,27 @@
 	return hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
 }
 
-func newCollector(from *situation) *collector {
+func newCollector(prepared *preparedScenario) *collector {
 	return &collector{
-		situation: from,
-		outcomes:  make(map[Outcome]int),
-		refused:   make(map[ident.Class]int),
-		tails:     make(map[ident.Class]*hdrhistogram.Histogram),
-		quiet:     newHistogram(),
-		focus:     newHistogram(),
+		prepared: prepared,
+		outcomes: make(map[Outcome]int),
+		refused:  make(map[ident.Class]int),
+		tails:    make(map[ident.Class]*hdrhistogram.Histogram),
+		quiet:    newHistogram(),
+		focus:    newHistogram(),
 	}
 }
 
-// started takes in the truth about an attempt that began to run.
-func (c *collector) started(about *attempt, record *truth.Record) {
+// recordStarted takes in the truth about an attempt that began to run.
+func (c *collector) recordStarted(about *attempt, record *truth.Record) {
 	c.prompt += int64(record.PromptTokens)
 	c.cached += int64(record.CachedTokens)
-	c.recomputed += int64(max(0, about.heldTokens-record.CachedTokens))
-	c.evicted += int64(max(0, min(about.ownTokens, about.heldTokens)-record.CachedTokens))
+	c.recomputed += int64(max(0, about.mostCachedTokens-record.CachedTokens))
+	c.evicted += int64(max(0, min(about.targetCachedTokens, about.mostCachedTokens)-record.CachedTokens))
 }
 
-// ended takes in the end of a request.
-func (c *collector) ended(x *exchange, outcome Outcome) {
+// recordEnded takes in the end of a request.
+func (c *collector) recordEnded(x *exchange, outcome Outcome) {
 	c.ends++
 	if !x.measured {
 		return
@@ -122,11 +122,11 @@
 		c.good++
 	}
 	if x.firstToken > 0 {
-		c.tail(x)
+		c.recordTail(x)
 	}
 }
 
-func (c *collector) tail(x *exchange) {
+func (c *collector) recordTail(x *exchange) {
 	micros := min(x.firstToken.Microseconds(), histogramHighest)
 	tail := c.tails[x.class.Name]
 	if tail == nil {
@@ -135,8 +135,8 @@
 	}
 	// The value is within the histogram's range, so no error can come.
 	_ = tail.RecordValue(micros)
-	focus := c.situation.scenario.Focus
-	if focus == nil || x.class.Name != c.situation.scenario.Protected || c.surging(x.tenant.Name) {
+	focus := c.prepared.scenario.Focus
+	if focus == nil || x.class.Name != c.prepared.scenario.Protected || c.isSurgeTenant(x.tenant.Name) {
 		return
 	}
 	switch at := x.arrival.At; {
@@ -147,10 +147,10 @@
 	}
 }
 
-// surging reports whether the tenant is the cause of a surge and so not among
+// isSurgeTenant reports whether the tenant is the cause of a surge and so not among
 // those to be protected from it.
-func (c *collector) surging(tenant ident.Tenant) bool {
-	for _, surge := range c.situation.scenario.Surges {
+func (c *collector) isSurgeTenant(tenant ident.Tenant) bool {
+	for _, surge := range c.prepared.scenario.Surges {
 		if surge.Tenant == tenant {
 			return true
 		}
@@ -173,7 +173,7 @@
 }
 
 func (c *collector) result(s *simulation) Measures {
-	scenario := &s.situation.scenario
+	scenario := &s.prepared.scenario
 	measures := Measures{
 		Arrivals: c.arrivals, Ended: c.ends, Offered: c.offered, Outcomes: c.outcomes, Refused: c.refused,
 		PromptTokens: c.prompt, CachedTokens: c.cached, RecomputedTokens: c.recomputed, DiscardedTokens: c.discarded, EvictedTokens: c.evicted,
--- a/standin/experiment/move.go
+++ b/standin/experiment/move.go
@@ -19,7 +19,7 @@
 		content, blocks, refusal := source.model.Export(s.clock.now, protocol.TransferRequest{
 			Salt: a.exchange.salt, Hashes: a.chain, ExpectedIncarnation: incarnation,
 		})
-		source.poke()
+		source.drainOutputs()
 		if refusal != nil || blocks == 0 {
 			s.clock.after(toSource, then)
 			return
@@ -28,7 +28,7 @@
 		s.clock.after(legs+toSource+toTarget+legs, func() {
 			if a.engine.model.Alive() && a.engine.model.Incarnation() == a.incarnation {
 				_, _ = a.engine.model.Import(s.clock.now, a.exchange.salt, content)
-				a.engine.poke()
+				a.engine.drainOutputs()
 			}
 			s.clock.after(toTarget, then)
 		})
--- a/standin/experiment/policies.go
+++ b/standin/experiment/policies.go
@@ -86,12 +86,12 @@
 			all = append(all, variant)
 		}
 	}
-	return append(all, previous()...)
+	return append(all, previousPolicies()...)
 }
 
-// previous returns earlier states of the predictive policy, the oldest first,
+// previousPolicies returns earlier states of the predictive policy, the oldest first,
 // to be compared with the present one; the last goes by "previous" as well.
-func previous() []Policy {
+func previousPolicies() []Policy {
 	const never = routing.NeverMove
 	configs := []routing.Config{
 		{UrgentReserve: -1, SlotWait: -1, MinMoveTokens: never},
--- a/standin/experiment/routers.go
+++ b/standin/experiment/routers.go
@@ -23,17 +23,17 @@
 	zone       ident.Zone
 	index      int
 	alive      bool
-	// life counts the cores that this router has had.
-	life   int
-	core   *placement.Core
-	budget *admission.RetryBudget
+	// coreNumber counts the cores that this router has had.
+	coreNumber int
+	core       *placement.Core
+	budget     *admission.RetryBudget
 	// waiting lists the exchanges that wait for a place, by request.
 	waiting map[ident.Request]*exchange
 	tickAt  time.Time
 }
 
-// begin starts the router with a core that knows nothing.
-func (r *routerNode) begin() error {
+// start starts the router with a core that knows nothing.
+func (r *routerNode) start() error {
 	s := r.simulation
 	scheduler, err := s.policy.NewScheduler(s.exact)
 	if err != nil {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	r.life++
+	r.coreNumber++
 	r.alive = true
 	r.waiting = make(map[ident.Request]*exchange)
 	r.budget = admission.NewRetryBudget(admission.RetryConfig{})
@@ -80,9 +80,9 @@
 		return
 	}
 	r.tickAt = next
-	life := r.life
+	coreNumber := r.coreNumber
 	r.simulation.clock.at(next, func() {
-		if r.alive && r.life == life {
+		if r.alive && r.coreNumber == coreNumber {
 			r.tickAt = time.Time{}
 			r.apply(r.core.Tick(r.simulation.clock.now))
 		}
@@ -101,31 +101,31 @@
 
 func (r *routerNode) poll() {
 	now := r.simulation.clock.now
-	for _, question := range r.core.Registry().Due(now, pollInterval, pollsPerTick) {
-		r.ask(r.simulation.byName[question.Engine])
+	for _, due := range r.core.Registry().Due(now, pollInterval, pollsPerTick) {
+		r.readLoadReport(r.simulation.byName[due.Engine])
 	}
 	r.apply(r.core.Tick(now))
 }
 
-// ask reads one engine's load report.
-func (r *routerNode) ask(engine *engineNode) {
+// readLoadReport reads one engine's load report.
+func (r *routerNode) readLoadReport(engine *engineNode) {
 	hop := r.simulation.hop(r.zone, engine.zone)
 	r.simulation.clock.after(hop, func() {
 		if !engine.model.Alive() {
-			r.later(hop, func(now time.Time) { r.apply(r.core.ObserveReportFailure(now, engine.name)) })
+			r.scheduleInput(hop, func(now time.Time) { r.apply(r.core.ObserveReportFailure(now, engine.name)) })
 			return
 		}
 		report := engine.model.LoadReport(r.simulation.clock.now)
-		engine.poke()
-		r.later(hop, func(now time.Time) { r.apply(r.core.ObserveReport(now, engine.name, report)) })
+		engine.drainOutputs()
+		r.scheduleInput(hop, func(now time.Time) { r.apply(r.core.ObserveReport(now, engine.name, report)) })
 	})
 }
 
-// later runs an input of the router's present core after a delay.
-func (r *routerNode) later(delay time.Duration, run func(now time.Time)) {
-	life := r.life
+// scheduleInput runs an input of the router's present core after a delay.
+func (r *routerNode) scheduleInput(delay time.Duration, run func(now time.Time)) {
+	coreNumber := r.coreNumber
 	r.simulation.clock.after(delay, func() {
-		if r.alive && r.life == life {
+		if r.alive && r.coreNumber == coreNumber {
 			run(r.simulation.clock.now)
 		}
 	})
@@ -138,7 +138,7 @@
 		if !router.alive {
 			continue
 		}
-		router.later(s.hop(engine.zone, router.zone), func(now time.Time) {
+		router.scheduleInput(s.hop(engine.zone, router.zone), func(now time.Time) {
 			router.core.ApplyCacheEvents(now, engine.name, batch)
 			if router.core.SnapshotDue(now, engine.name) {
 				router.readSnapshot(engine)
@@ -149,13 +149,13 @@
 
 func (r *routerNode) readSnapshot(engine *engineNode) {
 	hop := r.simulation.hop(r.zone, engine.zone)
-	r.later(hop, func(now time.Time) {
+	r.scheduleInput(hop, func(now time.Time) {
 		if !engine.model.Alive() {
 			return
 		}
 		snapshot := engine.model.Snapshot(now)
-		engine.poke()
-		r.later(hop, func(now time.Time) { r.core.ApplyCacheSnapshot(now, engine.name, snapshot) })
+		engine.drainOutputs()
+		r.scheduleInput(hop, func(now time.Time) { r.core.ApplyCacheSnapshot(now, engine.name, snapshot) })
 	})
 }
 
@@ -163,10 +163,10 @@
 // again by its callers; streams go on, since callers resume them by token.
 func (r *routerNode) restart() {
 	waiting := r.stop()
-	if err := r.begin(); err != nil {
+	if err := r.start(); err != nil {
 		r.simulation.fail("a router could not restart: %s", err)
 	}
-	r.simulation.comeBack(waiting)
+	r.simulation.resubmit(waiting)
 }
 
 // stop ends the router and returns what waited, in a fixed order.
@@ -182,9 +182,9 @@
 	return waiting
 }
 
-// comeBack lets callers whose router went away try again.
-func (s *simulation) comeBack(waiting []*exchange) {
+// resubmit lets callers whose router went away try again.
+func (s *simulation) resubmit(waiting []*exchange) {
 	for _, again := range waiting {
-		s.clock.after(clientRetry, again.receive)
+		s.clock.after(clientRetryDelay, again.assignRouter)
 	}
 }
--- a/standin/experiment/run.go
+++ b/standin/experiment/run.go
@@ -45,9 +45,9 @@
 // scenarios, policies and seeds, whatever the order they finished in.
 func Execute(plan Plan) ([]Run, error) {
 	type task struct {
-		situation *situation
-		policy    Policy
-		seed      uint64
+		prepared *preparedScenario
+		policy   Policy
+		seed     uint64
 	}
 	var tasks []task
 	for _, scenario := range plan.Scenarios {
@@ -72,7 +72,7 @@
 		workers.Go(func() {
 			for index := range next {
 				given := tasks[index]
-				runs[index], errs[index] = runOne(given.situation, given.policy, given.seed)
+				runs[index], errs[index] = runOne(given.prepared, given.policy, given.seed)
 			}
 		})
 	}
@@ -99,7 +99,7 @@
 	return runtime.NumCPU()
 }
 
-func runOne(prepared *situation, policy Policy, seed uint64) (Run, error) {
+func runOne(prepared *preparedScenario, policy Policy, seed uint64) (Run, error) {
 	run := Run{Scenario: prepared.scenario.Name, Policy: policy.Name, Baseline: policy.Baseline, Seed: seed, Protected: prepared.scenario.Protected}
 	simulated, err := newSimulation(prepared, policy, seed)
 	if err != nil {
--- a/standin/experiment/scenario.go
+++ b/standin/experiment/scenario.go
@@ -162,14 +162,14 @@
 	return nil
 }
 
-// situation is a scenario with its deployment's files, ready to be run.
-type situation struct {
+// preparedScenario is a scenario with its deployment's files, ready to be run.
+type preparedScenario struct {
 	scenario Scenario
 	fleet    *fleet.Compiled
 	load     *workload.Spec
 }
 
-func prepare(scenario Scenario) (*situation, error) {
+func prepare(scenario Scenario) (*preparedScenario, error) {
 	document, problems := readFleet(scenario.Deployment)
 	if err := problems.Err(); err != nil {
 		return nil, err
@@ -183,7 +183,7 @@
 		return nil, fault.Wrap(err, fault.InvalidSettings, "load schedule of %s", scenario.Deployment)
 	}
 	spec.Name, spec.Rate, spec.Duration, spec.Events = scenario.Name, scenario.Rate, scenario.Duration, scenario.Events
-	return &situation{scenario, fleet.Compile(document, 1, ""), spec}, nil
+	return &preparedScenario{scenario, fleet.Compile(document, 1, ""), spec}, nil
 }
 
 func readFleet(deployment string) (*fleet.Document, fleet.Problems) {
--- a/standin/experiment/simulation.go
+++ b/standin/experiment/simulation.go
@@ -21,45 +21,45 @@
 )
 
 const (
-	// clientRetry is how long a caller takes to try another router after the
+	// clientRetryDelay is how long a caller takes to try another router after the
 	// connection to its own broke.
-	clientRetry = 100 * time.Millisecond
-	// afterLast is how long after its last arrival a simulation may go on; what
+	clientRetryDelay = 100 * time.Millisecond
+	// maxOverrun is how long after its last arrival a simulation may go on; what
 	// is open then counts as never ended.
-	afterLast = 5 * time.Minute
-	// busySample is the time between two looks at which engines are busy.
-	busySample = 50 * time.Millisecond
+	maxOverrun = 5 * time.Minute
+	// busySampleInterval is the time between two looks at which engines are busy.
+	busySampleInterval = 50 * time.Millisecond
 )
 
 // simulation is one run of a situation under one policy and seed. All of it
 // happens in one goroutine, in virtual time.
 type simulation struct {
-	situation *situation
-	policy    Policy
-	seed      uint64
-	clock     clock
-	start     time.Time
-	random    *rand.Rand
-	engines   []*engineNode
-	byName    map[ident.Engine]*engineNode
-	routers   []*routerNode
-	exact     *exactCredits
-	measures  *collector
-	open      int
-	arriving  int
-	failure   error
+	prepared      *preparedScenario
+	policy        Policy
+	seed          uint64
+	clock         clock
+	start         time.Time
+	random        *rand.Rand
+	engines       []*engineNode
+	byName        map[ident.Engine]*engineNode
+	routers       []*routerNode
+	exact         *exactCredits
+	measures      *collector
+	openRequests  int
+	activeSources int
+	failure       error
 }
 
-func newSimulation(from *situation, policy Policy, seed uint64) (*simulation, error) {
+func newSimulation(prepared *preparedScenario, policy Policy, seed uint64) (*simulation, error) {
 	start := time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 	s := &simulation{
-		situation: from, policy: policy, seed: seed, start: start,
+		prepared: prepared, policy: policy, seed: seed, start: start,
 		clock:  clock{now: start},
 		random: rand.New(rand.NewPCG(seed, xxhash.Sum64String("callers"))),
 		byName: make(map[ident.Engine]*engineNode),
 	}
 	s.exact = &exactCredits{simulation: s, salts: make(map[uint64]uint64)}
-	s.measures = newCollector(from)
+	s.measures = newCollector(prepared)
 	if err := s.addEngines(); err != nil {
 		return nil, err
 	}
@@ -70,15 +70,15 @@
 }
 
 func (s *simulation) addEngines() error {
-	scenario := &s.situation.scenario
-	for _, configured := range s.situation.fleet.Engines() {
+	scenario := &s.prepared.scenario
+	for _, configured := range s.prepared.fleet.Engines() {
 		config := model.DefaultConfig()
 		config.Name, config.Zone = configured.Name, configured.Zone
 		config.CacheBlocks, config.EventLoss = scenario.CacheBlocks, scenario.EventLoss
 		if scenario.LoadLag > 0 {
 			config.LoadLag = scenario.LoadLag
 		}
-		config.Models = modelsOf(s.situation.fleet, configured)
+		config.Models = modelsOf(s.prepared.fleet, configured)
 		if err := config.Validate(); err != nil {
 			return err
 		}
@@ -92,10 +92,10 @@
 
 // addRouters adds one router for each zone.
 func (s *simulation) addRouters() error {
-	for _, region := range s.situation.fleet.Document.Regions {
+	for _, region := range s.prepared.fleet.Document.Regions {
 		for _, zone := range region.Zones {
 			router := &routerNode{simulation: s, zone: zone, index: len(s.routers)}
-			if err := router.begin(); err != nil {
+			if err := router.start(); err != nil {
 				return err
 			}
 			s.routers = append(s.routers, router)
@@ -110,31 +110,31 @@
 	s.scheduleFaults()
 	s.scheduleArrivals()
 	s.sampleBusy()
-	limit := s.start.Add(s.situation.scenario.Duration + afterLast)
-	for (s.open > 0 || s.arriving > 0) && s.failure == nil && s.clock.now.Before(limit) {
+	limit := s.start.Add(s.prepared.scenario.Duration + maxOverrun)
+	for (s.openRequests > 0 || s.activeSources > 0) && s.failure == nil && s.clock.now.Before(limit) {
 		s.clock.step()
 	}
-	s.measures.neverEnded = s.open
+	s.measures.neverEnded = s.openRequests
 	return s.measures.result(s), s.failure
 }
 
 // scheduleArrivals starts the load schedule and each surge.
 func (s *simulation) scheduleArrivals() {
-	scenario := &s.situation.scenario
-	s.feed(workload.NewGenerator(s.situation.load, s.seed), "load", 0, scenario.Duration)
+	scenario := &s.prepared.scenario
+	s.scheduleSource(workload.NewGenerator(s.prepared.load, s.seed), "load", 0, scenario.Duration)
 	for _, surge := range scenario.Surges {
-		spec := *s.situation.load
+		spec := *s.prepared.load
 		spec.Name += "-surge-" + string(surge.Tenant)
 		spec.Rate = surge.Rate
 		spec.Tenants = []workload.Tenant{{Name: surge.Tenant, Weight: 1}}
-		s.feed(workload.NewGenerator(&spec, s.seed), "surge", surge.At, surge.At+surge.For)
+		s.scheduleSource(workload.NewGenerator(&spec, s.seed), "surge", surge.At, surge.At+surge.For)
 	}
 }
 
-// feed lets the arrivals of one generator between two times come in. The next
+// scheduleSource lets the arrivals of one generator between two times come in. The next
 // one is generated when the previous one has come, to bound memory.
-func (s *simulation) feed(generator *workload.Generator, source string, from, until time.Duration) {
-	s.arriving++
+func (s *simulation) scheduleSource(generator *workload.Generator, source string, from, until time.Duration) {
+	s.activeSources++
 	var next func()
 	next = func() {
 		arrival := generator.Next()
@@ -142,7 +142,7 @@
 			arrival = generator.Next()
 		}
 		if arrival.At >= until {
-			s.arriving--
+			s.activeSources--
 			return
 		}
 		s.clock.at(s.start.Add(arrival.At), func() {
@@ -163,7 +163,7 @@
 // sampleBusy counts, at intervals, the engines that have work.
 func (s *simulation) sampleBusy() {
 	at := s.clock.now.Sub(s.start)
-	if at >= s.situation.scenario.Warmup && at < s.situation.scenario.Duration {
+	if at >= s.prepared.scenario.Warmup && at < s.prepared.scenario.Duration {
 		for _, engine := range s.engines {
 			s.measures.samples++
 			if !engine.model.Idle() {
@@ -171,7 +171,7 @@
 			}
 		}
 	}
-	s.clock.after(busySample, s.sampleBusy)
+	s.clock.after(busySampleInterval, s.sampleBusy)
 }
 
 func (s *simulation) targets() []endpoint.Target {
