--- a/standin/engine/distort.go
+++ b/standin/engine/distort.go
@@ -7,17 +7,17 @@
 	"github.com/fieldpond/fieldpond/standin/faultplan"
 )
 
-// distortions are the faults that connections act out.
+// distortions are the faults that connections simulate.
 type distortions struct {
 	duplicate bool
 	swap      bool
 	loseEnd   bool
-	// cutAfter breaks a connection after so many events; zero means never.
+	// cutAfter is the number of events after which a connection is cut; zero means never.
 	cutAfter int
 }
 
-// distort publishes the distortions in force and cuts connections when a cut
-// begins. It runs on the model duty.
+// distort publishes the active distortions and cuts connections when a cut fault
+// begins. Called by the model goroutine.
 func (s *Server) distort(elapsed time.Duration) {
 	current := &distortions{}
 	_, current.duplicate = s.plan.Active(s.name, faultplan.DuplicateChunks, elapsed)
@@ -36,13 +36,13 @@
 // distorter rewrites the events of one connection.
 type distorter struct {
 	source func() *distortions
-	// held is a chunk that waits to be sent after its successor.
+	// held is a chunk to be sent after its successor.
 	held *protocol.StreamEvent
 	sent int
 }
 
-// transform returns what to send in place of the event, and whether the connection
-// then ends: cut is a break, lost a clean close without the end event.
+// transform returns the events to send in place of the event, and whether the
+// connection then ends: cut aborts it, lost closes it without the end event.
 func (d *distorter) transform(event protocol.StreamEvent) (out []protocol.StreamEvent, cut, lost bool) {
 	current := d.source()
 	isChunk := event.Kind == protocol.EventChunk
--- a/standin/engine/handlers.go
+++ b/standin/engine/handlers.go
@@ -14,13 +14,13 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Limits of request bodies.
+// Limits of request bodies, in bytes.
 const (
 	maxRequestBytes  = 16 << 20
 	maxTransferBytes = 64 << 20
 )
 
-// Handler returns the HTTP handler of the engine protocol and the rehearsal kit.
+// Handler returns the HTTP handler of the engine protocol and the fault injection API.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.Use(s.abortWhenDown)
@@ -39,7 +39,7 @@
 	return router
 }
 
-// abortWhenDown breaks requests that reach the process while the engine is down.
+// abortWhenDown aborts requests that arrive while the engine is down.
 func (s *Server) abortWhenDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -70,7 +70,7 @@
 	s.writeStream(w, r, current, current.stream(stream), 0)
 }
 
-// resume streams the events of a stream of this life from a sequence number.
+// resume sends the events of a stream of this incarnation from a sequence number on.
 func (s *Server) resume(w http.ResponseWriter, r *http.Request) {
 	from, err := sequenceParameter(r, "from")
 	if err != nil {
@@ -96,8 +96,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// writeStream writes events until the stream, the reader or the life ends. A
-// dropped reader does not cancel the generation; see Options.Grace.
+// writeStream writes events until the stream ends, the reader disconnects or the
+// engine crashes. A disconnect does not cancel the generation; see Options.Grace.
 func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, current *incarnationState, source *streamLog, next uint64) {
 	source.attach()
 	defer func() { source.detach(time.Now()) }()
@@ -128,8 +128,8 @@
 	}
 }
 
-// writeDistorted writes what the distorter makes of the event. It returns false
-// when the connection is to be closed, and aborts it when it is to be cut.
+// writeDistorted writes the event as the distorter transforms it. It returns
+// false if the connection must be closed and aborts it if it must be cut.
 func writeDistorted(writer *eventWriter, distorted *distorter, event protocol.StreamEvent) bool {
 	out, cut, lost := distorted.transform(event)
 	for _, sent := range out {
@@ -159,7 +159,7 @@
 	return started
 }
 
-// write writes one event; it returns false once the reader is gone.
+// write writes one event; it returns false if it fails.
 func (e *eventWriter) write(kind string, sequence uint64, data any) bool {
 	content, err := json.Marshal(data)
 	if err != nil {
@@ -171,7 +171,7 @@
 	return e.controller.Flush() == nil
 }
 
-// comment writes a comment line, which keeps an idle connection alive.
+// comment writes a comment line as a keep-alive; it returns false if it fails.
 func (e *eventWriter) comment() bool {
 	if _, err := fmt.Fprint(e.writer, ":\n\n"); err != nil {
 		return false
@@ -187,12 +187,12 @@
 	return strconv.ParseUint(text, 10, 64)
 }
 
-// refuse returns a refusal for something that did not run.
+// refuse returns a refusal for work that did not run.
 func (s *Server) refuse(kind protocol.RefusalKind, message string) *protocol.Refusal {
 	return &protocol.Refusal{Kind: kind, Message: message, Ran: fault.RanNo, Incarnation: s.incarnation.Load().id}
 }
 
-// refusalStatus maps a refusal to its status.
+// refusalStatus maps a refusal to its HTTP status.
 func refusalStatus(kind protocol.RefusalKind) int {
 	switch kind {
 	case protocol.RefusalFull:
--- a/standin/engine/model/cache.go
+++ b/standin/engine/model/cache.go
@@ -7,15 +7,15 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// blockKey finds a block. The chain hash is seeded by the salt already; the
-// salt is kept so that no hash collision can cross namespaces.
+// blockKey identifies a block. The chain hash is already seeded by the salt; the
+// salt is kept so that a hash collision cannot cross namespaces.
 type blockKey struct {
 	salt prefix.Salt
 	hash prefix.Hash
 }
 
-// block is one cached block. A pinned block is used by a running generation
-// and is not on the eviction list.
+// block is one cached block. A pinned block is in use by a running generation
+// and not on the eviction list.
 type block struct {
 	key     blockKey
 	owner   prefix.Namespace
@@ -28,7 +28,7 @@
 type blockCache struct {
 	capacity int
 	blocks   map[blockKey]*block
-	// idle lists the unpinned blocks, the next one to evict in front.
+	// idle lists the unpinned blocks, the next to evict first.
 	idle *list.List
 }
 
@@ -36,7 +36,7 @@
 	return &blockCache{capacity: capacity, blocks: map[blockKey]*block{}, idle: list.New()}
 }
 
-// cachedPrefix returns how many leading blocks of the chain are held.
+// cachedPrefix returns the number of leading blocks of the chain in the cache.
 func (c *blockCache) cachedPrefix(salt prefix.Salt, chain prefix.Chain) int {
 	for index, hash := range chain {
 		if c.blocks[blockKey{salt, hash}] == nil {
@@ -55,7 +55,7 @@
 }
 
 // unpin releases pinned blocks, the last of the chain first, so that leaves are
-// evicted before the shared blocks they hang on.
+// evicted before the shared blocks that precede them.
 func (c *blockCache) unpin(pinned []*block) {
 	for index := len(pinned) - 1; index >= 0; index-- {
 		released := pinned[index]
@@ -66,8 +66,8 @@
 	}
 }
 
-// storePinned holds the block and pins it. It returns nil if every block is
-// pinned, the evicted block if one had to go, and whether the block is new.
+// storePinned stores and pins the block. It returns nil if every block is
+// pinned, the evicted block if any, and whether the block is new.
 func (c *blockCache) storePinned(key blockKey, owner prefix.Namespace) (stored, evicted *block, isNew bool) {
 	if found := c.blocks[key]; found != nil {
 		c.pin(found)
@@ -94,7 +94,7 @@
 	delete(c.blocks, removed.key)
 }
 
-// removeOwned drops every block whose owner matches, in a fixed order.
+// removeOwned removes the blocks whose owner matches, in a deterministic order.
 func (c *blockCache) removeOwned(matches func(prefix.Namespace) bool) []*block {
 	var removed []*block
 	for _, cached := range c.blocks {
@@ -114,7 +114,7 @@
 	return removed
 }
 
-// hashes returns every hash held, in ascending order.
+// hashes returns all cached hashes in ascending order.
 func (c *blockCache) hashes() prefix.Chain {
 	all := make(prefix.Chain, 0, len(c.blocks))
 	for key := range c.blocks {
--- a/standin/engine/model/config.go
+++ b/standin/engine/model/config.go
@@ -1,12 +1,12 @@
-// Package model is a discrete-event model of a model engine: continuous
+// Package model is a discrete-event model of an inference engine: continuous
 // batching with chunked prefill, a bounded waiting queue with priorities, a
-// limited block cache with least-recently-used eviction, late and lossy cache
-// events, lagged load reports, fenced orders and crashes.
+// bounded LRU block cache, delayed and lossy cache events, lagged load reports,
+// fenced orders and crashes.
 //
-// It holds no I/O, clock, goroutine or global random source. A driver (the
-// HTTP shell in real time, an experiment in virtual time) calls its methods
-// with the current time, which must never go back, and drains the outputs with
-// Advance. An Engine is used by one goroutine.
+// It has no I/O, clock, goroutine or global random source. A driver (the HTTP
+// server in real time, an experiment in virtual time) calls its methods with the
+// current time, which must not go back, and drains the outputs with Advance. An
+// Engine is not safe for concurrent use.
 package model
 
 import (
@@ -18,9 +18,9 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// Roles of an engine. A role shifts the prefill budget of a step.
+// Roles of an engine. The role sets the prefill budget of a step.
 const (
-	// RoleMixed serves prefill and decode alike.
+	// RoleMixed serves prefill and decode equally.
 	RoleMixed = "mixed"
 	// RolePrefill doubles the prefill budget.
 	RolePrefill = "prefill"
@@ -28,53 +28,53 @@
 	RoleDecode = "decode"
 )
 
-// Config fixes the behaviour of an engine for all its lives.
+// Config is the behaviour of an engine, the same for all its incarnations.
 type Config struct {
-	// Name and Zone go into the truth records.
+	// Name and Zone are written to the truth records.
 	Name ident.Engine
 	Zone ident.Zone
 	// BlockTokens is the size of one cache block; default 16.
 	BlockTokens int
 	// CacheBlocks is the capacity of the block cache; default 4096.
 	CacheBlocks int
-	// MaxRunning bounds the batch; default 16.
+	// MaxRunning is the largest batch size; default 16.
 	MaxRunning int
 	// MaxWaiting bounds the waiting queue; default 256.
 	MaxWaiting int
-	// PrefillChunkTokens is the prefill budget of one step, shared over the
-	// batch, urgent first; default 256.
+	// PrefillChunkTokens is the prefill budget of one step, shared by the batch
+	// in order of priority; default 256.
 	PrefillChunkTokens int
-	// PrefillPerToken is the prefill slope; default 100 µs.
+	// PrefillPerToken is the prefill time of one token; default 100 µs.
 	PrefillPerToken time.Duration
 	// DecodePerToken is the time of a decode step for one request; default 10 ms.
 	DecodePerToken time.Duration
-	// DecodeGrowth is the share by which each further request of the batch
+	// DecodeGrowth is the fraction by which each further request of the batch
 	// lengthens a decode step; default 0.02.
 	DecodeGrowth float64
-	// LoadDuration is the time to load a version once its weights are there;
+	// LoadDuration is the time to load a version once its weights are fetched;
 	// default 2 s.
 	LoadDuration time.Duration
 	// ExternalWeights makes every load wait for WeightsArrived.
 	ExternalWeights bool
-	// TransferPerBlock is the time to export or import one block, acted out by
+	// TransferPerBlock is the time to export or import one block, simulated by
 	// the driver; default 100 µs.
 	TransferPerBlock time.Duration
 	// MaxPromptTokens and MaxOutputTokens bound one request; defaults 262144
 	// and 8192.
 	MaxPromptTokens int
 	MaxOutputTokens int
-	// EventDelay is how late cache events are published; default 200 ms.
+	// EventDelay is the delay of published cache events; default 200 ms.
 	EventDelay time.Duration
 	// EventLoss is the probability that a cache event is lost; default 0.
 	EventLoss float64
-	// LoadLag is how old load reports are; default 250 ms.
+	// LoadLag is the age of load reports; default 250 ms.
 	LoadLag time.Duration
-	// Models are loaded at the start of every life.
+	// Models are loaded at the start of every incarnation.
 	Models []protocol.LoadedModel
-	// Role is the role at the start of every life; default "mixed".
+	// Role is the role at the start of every incarnation; default "mixed".
 	Role string
-	// TruthBlocks adds the block hashes of prompts and of true cache changes to
-	// the truth records.
+	// TruthBlocks adds the block hashes of prompts and of cache changes to the
+	// truth records.
 	TruthBlocks bool
 }
 
@@ -134,22 +134,22 @@
 
 func invalidConfig(format string, arguments ...any) error {
 	return fault.New(fault.InvalidSettings, format, arguments...).
-		WithRemedy("correct the engine stand-in's flags as 'rehearse engine --help' says")
+		WithRemedy("correct the flags of the engine stand-in; see 'rehearse engine --help'")
 }
 
 func validRole(role string) bool {
 	return role == RoleMixed || role == RolePrefill || role == RoleDecode
 }
 
-// Conditions are the circumstances that faults change while an engine lives.
+// Conditions are the parameters that faults change while an engine runs.
 type Conditions struct {
 	// Stalled stops all progress of generations.
 	Stalled bool
-	// RefuseFull refuses all new work as if the queue were full.
+	// RefuseFull rejects all new work as if the queue were full.
 	RefuseFull bool
-	// Draining refuses all new work because the engine is stopping.
+	// Draining rejects all new work because the engine is stopping.
 	Draining bool
-	// SlowFactor multiplies the duration of steps; below 1 counts as 1.
+	// SlowFactor multiplies the duration of steps; values below 1 count as 1.
 	SlowFactor float64
 	// EventLoss, EventDelay and LoadLag replace those of the Config.
 	EventLoss  float64
@@ -157,7 +157,7 @@
 	LoadLag    time.Duration
 }
 
-// Conditions returns the circumstances without any fault.
+// Conditions returns the conditions without any fault.
 func (c Config) Conditions() Conditions {
 	return Conditions{SlowFactor: 1, EventLoss: c.EventLoss, EventDelay: c.EventDelay, LoadLag: c.LoadLag}
 }
--- a/standin/engine/model/engine.go
+++ b/standin/engine/model/engine.go
@@ -12,24 +12,24 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// Output is one thing an engine says or does. Exactly one of Event, Batch,
-// Fetch and Truth is set.
+// Output is one output of an engine. Exactly one of Event, Batch, Fetch and
+// Truth is set.
 type Output struct {
 	Time time.Time
 	// Event belongs to the stream named in it.
 	Event *protocol.StreamEvent
 	// Batch is a published cache event batch.
 	Batch *protocol.CacheEventBatch
-	// Fetch is an order whose weights the driver must fetch (ExternalWeights).
+	// Fetch is a load order whose weights the driver must fetch (ExternalWeights).
 	Fetch *protocol.Order
 	// Truth is a record for the truth log.
 	Truth *truth.Record
 }
 
-// fullRetryAfter is the come-back hint of a full engine.
+// fullRetryAfter is the Retry-After time of a full engine.
 const fullRetryAfter = 200 * time.Millisecond
 
-// Engine is the model of one engine through all its lives.
+// Engine is the model of one engine over all its incarnations.
 type Engine struct {
 	config      Config
 	random      *rand.Rand
@@ -51,14 +51,14 @@
 	reports  reportHistory
 }
 
-// New returns a living engine with an empty cache. The config must be valid.
+// New returns a running engine with an empty cache. The config must be valid.
 func New(config Config, incarnation ident.Incarnation, random *rand.Rand, start time.Time) *Engine {
 	engine := &Engine{config: config, random: random, conditions: config.Conditions()}
 	engine.Restart(start, incarnation)
 	return engine
 }
 
-// Restart begins a new life with an empty cache and the models of the config.
+// Restart starts a new incarnation with an empty cache and the configured models.
 func (e *Engine) Restart(now time.Time, incarnation ident.Incarnation) {
 	e.now = now
 	e.incarnation = incarnation
@@ -74,9 +74,9 @@
 	e.record(truth.Record{Kind: truth.Life})
 }
 
-// Crash ends the life: streams, cache, orders and unpublished events are gone.
-// Until Restart the engine refuses everything; a driver that models the network
-// should refuse connections instead.
+// Crash ends the incarnation: streams, cache, orders and unpublished events are
+// lost. Until Restart the engine rejects everything; a driver that models the
+// network should refuse connections instead.
 func (e *Engine) Crash(now time.Time) {
 	if !e.alive {
 		return
@@ -96,28 +96,28 @@
 	e.blocks = newBlockCache(e.config.CacheBlocks)
 }
 
-// Alive says whether the engine is between Restart and Crash.
+// Alive reports whether the engine is between Restart and Crash.
 func (e *Engine) Alive() bool { return e.alive }
 
-// Incarnation returns the current or last life.
+// Incarnation returns the current or last incarnation.
 func (e *Engine) Incarnation() ident.Incarnation { return e.incarnation }
 
-// Idle says that no generation is waiting or running.
+// Idle reports whether no generation is waiting or running.
 func (e *Engine) Idle() bool { return len(e.waiting) == 0 && len(e.running) == 0 }
 
-// CachedPrefixBlocks returns how many leading blocks of a chain the cache truly holds.
+// CachedPrefixBlocks returns the number of leading blocks of a chain in the cache.
 func (e *Engine) CachedPrefixBlocks(salt prefix.Salt, chain prefix.Chain) int {
 	return e.blocks.cachedPrefix(salt, chain)
 }
 
-// Drain makes the engine refuse new work for the rest of its life.
+// Drain rejects new work for the rest of the incarnation.
 func (e *Engine) Drain(now time.Time) {
 	e.advanceTo(now)
 	e.draining = true
 	e.sampleLoad()
 }
 
-// SetConditions changes the circumstances, for example when a fault begins.
+// SetConditions applies new conditions, for example when a fault begins.
 func (e *Engine) SetConditions(now time.Time, conditions Conditions) {
 	e.advanceTo(now)
 	if conditions == e.conditions {
@@ -135,9 +135,9 @@
 	e.sampleLoad()
 }
 
-// Submit offers a request. It is refused before anything ran, or accepted: then
-// its start event is in the next outputs. The cached tokens of the start event
-// are those held at acceptance; the end event tells what was truly reused.
+// Submit refuses a request before anything runs or accepts it: then its start
+// event is in the next outputs. The start event reports the tokens cached at
+// acceptance, the end event those that were reused.
 func (e *Engine) Submit(now time.Time, request protocol.GenerateRequest) (ident.Stream, *protocol.Refusal) {
 	e.advanceTo(now)
 	if refusal := e.check(request); refusal != nil {
@@ -159,7 +159,7 @@
 	return accepted.stream, nil
 }
 
-// Cancel stops a generation; a stream that is not live is no error.
+// Cancel stops a generation; an unknown or ended stream is no error.
 func (e *Engine) Cancel(now time.Time, stream ident.Stream) {
 	e.advanceTo(now)
 	cancelled := e.streams[stream]
@@ -172,7 +172,7 @@
 	e.sampleLoad()
 }
 
-// check refuses what must not run.
+// check returns a refusal if the request must not run.
 func (e *Engine) check(request protocol.GenerateRequest) *protocol.Refusal {
 	namespace := prefix.Namespace{
 		Tenant: request.Tenant, Model: request.Model,
@@ -206,7 +206,7 @@
 	return &protocol.Refusal{Kind: kind, Message: message, Ran: fault.RanNo, Incarnation: e.incarnation}
 }
 
-// close ends a generation and releases what it holds.
+// close ends a generation and releases its blocks and queue entry.
 func (e *Engine) close(closing *generation) {
 	closing.done = true
 	delete(e.streams, closing.stream)
--- a/standin/engine/model/events.go
+++ b/standin/engine/model/events.go
@@ -8,7 +8,7 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// eventFeed publishes cache events late and with gaps.
+// eventFeed delays cache events; lost events leave gaps in the sequence.
 type eventFeed struct {
 	sequence uint64
 	pending  []pendingEvent
@@ -19,7 +19,7 @@
 	event protocol.CacheEvent
 }
 
-// queueCacheEvent numbers an event and queues it, unless it is lost on the way.
+// queueCacheEvent numbers an event and queues it unless it is lost.
 func (e *Engine) queueCacheEvent(event protocol.CacheEvent) {
 	if len(event.Hashes) == 0 && event.Kind != protocol.CacheCleared {
 		return
@@ -43,7 +43,7 @@
 	e.feed.pending = append(e.feed.pending, pendingEvent{due: due, event: event})
 }
 
-// queueRemovedEvents announces removed blocks, one event for each run of one salt.
+// queueRemovedEvents queues one event for each run of blocks with the same salt.
 func (e *Engine) queueRemovedEvents(removed []*block) {
 	for start := 0; start < len(removed); {
 		salt := removed[start].key.salt
@@ -56,7 +56,7 @@
 	}
 }
 
-// publishDue publishes the events that are due, as one batch.
+// publishDue publishes the due events as one batch.
 func (e *Engine) publishDue(now time.Time) {
 	batch := &protocol.CacheEventBatch{Incarnation: e.incarnation}
 	count := 0
@@ -68,7 +68,7 @@
 	e.outbox = append(e.outbox, Output{Time: e.now, Batch: batch})
 }
 
-// Snapshot returns every block held now, with the number of the last event,
+// Snapshot returns all cached blocks and the sequence number of the last event,
 // published or not.
 func (e *Engine) Snapshot(now time.Time) protocol.CacheSnapshot {
 	e.advanceTo(now)
--- a/standin/engine/model/generation.go
+++ b/standin/engine/model/generation.go
@@ -21,18 +21,19 @@
 	arrival   uint64
 
 	source textSource
-	// offset is the position in the answer at which this attempt begins.
+	// offset is the position in the answer at which this attempt starts.
 	offset int
 	// limit is the number of tokens this attempt emits.
 	limit int
 
-	// chain covers prompt, continued text and, as it grows, emitted text; tail
-	// is the text after its last whole block.
+	// chain covers prompt, continued text and emitted text; tail is the text
+	// after its last whole block.
 	chain prefix.Chain
 	tail  string
-	// pinned are the blocks of the chain held for this generation, from the first.
+	// pinned are the leading blocks of the chain pinned for this generation.
 	pinned []*block
-	// uncacheable says that the cache had no room for the next block.
+	// uncacheable is set when the cache had no room for the next block or the
+	// version was unloaded.
 	uncacheable bool
 
 	promptTokens int
@@ -41,7 +42,7 @@
 	emitted      int
 	sequence     uint64
 	reused       []truth.Reuse
-	// running says that it left the waiting queue; over that it has ended.
+	// running is set when it leaves the waiting queue, done when it ends.
 	running bool
 	done    bool
 }
@@ -66,10 +67,10 @@
 	}
 }
 
-// remainingPrefill is the number of prompt tokens still to compute.
+// remainingPrefill returns the number of prompt tokens still to compute.
 func (g *generation) remainingPrefill() int { return g.promptTokens - g.cachedTokens - g.prefilled }
 
-// before orders generations: urgent first, then by arrival.
+// before orders generations by priority, then by arrival.
 func (g *generation) before(other *generation) bool {
 	if g.request.Priority != other.request.Priority {
 		return g.request.Priority < other.request.Priority
@@ -77,7 +78,7 @@
 	return g.arrival < other.arrival
 }
 
-// finishReason says why the answer is whole.
+// finishReason returns why a complete answer ended.
 func (g *generation) finishReason() string {
 	if g.offset+g.limit >= g.source.naturalLength {
 		return finishStop
@@ -85,7 +86,7 @@
 	return finishLength
 }
 
-// extend adds emitted text to the chain.
+// extend appends emitted text to the chain.
 func (g *generation) extend(text string, blockTokens int) {
 	g.tail += text
 	blockBytes := blockTokens * prefix.BytesPerToken
@@ -100,7 +101,7 @@
 	g.tail = g.tail[blockBytes:]
 }
 
-// addReuse records whose block was reused.
+// addReuse records the owner of a reused block.
 func (g *generation) addReuse(owner prefix.Namespace, incarnation ident.Incarnation, tokens int) {
 	for index := range g.reused {
 		known := &g.reused[index]
@@ -116,15 +117,15 @@
 	})
 }
 
-// insertOrdered adds a generation to an ordered queue.
+// insertOrdered inserts a generation into an ordered queue.
 func insertOrdered(queue []*generation, added *generation) []*generation {
-	place := len(queue)
-	for place > 0 && added.before(queue[place-1]) {
-		place--
+	position := len(queue)
+	for position > 0 && added.before(queue[position-1]) {
+		position--
 	}
 	queue = append(queue, nil)
-	copy(queue[place+1:], queue[place:])
-	queue[place] = added
+	copy(queue[position+1:], queue[position:])
+	queue[position] = added
 	return queue
 }
 
--- a/standin/engine/model/model_test.go
+++ b/standin/engine/model/model_test.go
@@ -20,7 +20,7 @@
 
 var epoch = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// rig drives one engine in virtual time and sorts its outputs.
+// rig drives one engine in virtual time and collects its outputs by kind.
 type rig struct {
 	engine *Engine
 	now    time.Time
@@ -38,7 +38,7 @@
 		change(&config)
 	}
 	return &rig{
-		engine: New(config, "life-1", rand.New(rand.NewPCG(1, 2)), epoch),
+		engine: New(config, "incarnation-1", rand.New(rand.NewPCG(1, 2)), epoch),
 		now:    epoch,
 		events: map[ident.Stream][]protocol.StreamEvent{},
 		times:  map[ident.Stream][]time.Time{},
@@ -63,7 +63,7 @@
 func request(id string, tenant ident.Tenant, version ident.ModelVersion, prompt string, tokens int) protocol.GenerateRequest {
 	namespace := prefix.Namespace{Tenant: tenant, Model: "m", Version: version}
 	return protocol.GenerateRequest{
-		RequestID: ident.Request(id), Attempt: 1, ExpectedIncarnation: "life-1", Tenant: tenant,
+		RequestID: ident.Request(id), Attempt: 1, ExpectedIncarnation: "incarnation-1", Tenant: tenant,
 		Model: "m", Version: version, Salt: namespace.Salt(), Prompt: prompt, MaxTokens: tokens,
 	}
 }
@@ -89,7 +89,7 @@
 	return strings.Repeat(name+"----------------", tokens)[:tokens*prefix.BytesPerToken]
 }
 
-// replay returns the blocks held according to the published events.
+// replay returns the cached blocks according to the published events.
 func (r *rig) replay() prefix.Chain {
 	held := map[prefix.Hash]bool{}
 	for _, event := range r.cache {
@@ -145,7 +145,7 @@
 			last := rig.truth[len(rig.truth)-1]
 			is.Equal(last.Kind, truth.Finished)
 			for _, reuse := range last.Reused {
-				is.Equal(reuse, truth.Reuse{Tenant: test.tenant, Model: "m", Version: test.version, Incarnation: "life-1", Tokens: test.cached})
+				is.Equal(reuse, truth.Reuse{Tenant: test.tenant, Model: "m", Version: test.version, Incarnation: "incarnation-1", Tokens: test.cached})
 			}
 			is.Equal(len(last.Reused) > 0, test.cached > 0)
 		})
@@ -158,7 +158,7 @@
 	for _, step := range []struct {
 		prompt string
 		cached int
-	}{{"a", 0}, {"b", 0}, {"a", 159}, {"c", 0}, {"a", 159}, {"b", 80}} { // the leaves of b went first
+	}{{"a", 0}, {"b", 0}, {"a", 159}, {"c", 0}, {"a", 159}, {"b", 80}} { // the leaves of b were evicted first
 		_, usage, _ := rig.generate(is, request("r", "t1", "1", longPrompt(step.prompt, 160), 1))
 		is.Equal(usage.CachedTokens, step.cached)
 		is.True(len(rig.engine.Snapshot(rig.now).Hashes) <= 25)
@@ -172,11 +172,11 @@
 	for _, already := range []int{1, 7, 20} {
 		t.Run(fmt.Sprint(already), func(t *testing.T) {
 			is := is.New(t)
-			whole := ExpectedText(prompt, 21)
+			complete := ExpectedText(prompt, 21)
 			sent := request("r1", "t1", "1", prompt, 21-already)
-			sent.Continued = whole[:already*prefix.BytesPerToken]
+			sent.Continued = complete[:already*prefix.BytesPerToken]
 			text, _, _ := newRig(nil).generate(is, sent)
-			is.Equal(sent.Continued+text, whole)
+			is.Equal(sent.Continued+text, complete)
 		})
 	}
 	is := is.New(t)
@@ -193,7 +193,7 @@
 		spoil  func(*protocol.GenerateRequest, *rig)
 		wanted protocol.RefusalKind
 	}{
-		{"incarnation", func(r *protocol.GenerateRequest, _ *rig) { r.ExpectedIncarnation = "life-0" }, protocol.RefusalMismatch},
+		{"incarnation", func(r *protocol.GenerateRequest, _ *rig) { r.ExpectedIncarnation = "incarnation-0" }, protocol.RefusalMismatch},
 		{"version", func(r *protocol.GenerateRequest, _ *rig) { r.Version = "0" }, protocol.RefusalMismatch},
 		{"adapter", func(r *protocol.GenerateRequest, _ *rig) { r.Adapter = "x" }, protocol.RefusalMismatch},
 		{"salt of another tenant", func(r *protocol.GenerateRequest, _ *rig) { r.Tenant = "t2" }, protocol.RefusalMismatch},
@@ -219,7 +219,7 @@
 			is.Equal(refusal.Ran, fault.RanNo)
 			rig.run(time.Minute)
 			for _, record := range rig.truth {
-				is.True(record.RequestID != "victim") // a refusal that says "no" is true
+				is.True(record.RequestID != "victim") // a refused request did not run
 			}
 		})
 	}
@@ -258,11 +258,11 @@
 	before := len(rig.events[lost])
 	_, found := rig.engine.NextTime()
 	is.True(!found)
-	rig.engine.Restart(rig.now, "life-2")
+	rig.engine.Restart(rig.now, "incarnation-2")
 	rig.run(time.Minute)
-	is.Equal(len(rig.events[lost]), before) // nothing of the old life goes on
+	is.Equal(len(rig.events[lost]), before) // no output of the old incarnation
 	is.Equal(len(rig.engine.Snapshot(rig.now).Hashes), 0)
-	is.Equal(rig.engine.LoadReport(rig.now).Incarnation, ident.Incarnation("life-2"))
+	is.Equal(rig.engine.LoadReport(rig.now).Incarnation, ident.Incarnation("incarnation-2"))
 	kinds := map[ident.Request]truth.Kind{}
 	for _, record := range rig.truth {
 		kinds[record.RequestID] = record.Kind
--- a/standin/engine/model/orders.go
+++ b/standin/engine/model/orders.go
@@ -10,21 +10,21 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// maxRememberedOrders bounds the order ids kept to recognise repeats.
+// maxRememberedOrders bounds the order ids kept to recognise retries.
 const maxRememberedOrders = 4096
 
-// orderBook holds what fenced orders have made of the engine.
+// orderBook is the engine state that fenced orders change.
 type orderBook struct {
 	fence  uint64
 	role   string
 	loaded []protocol.LoadedModel
 	loads  []pendingLoad
-	// accepted and acceptedIDs remember order ids, the oldest first.
+	// accepted and acceptedIDs keep order ids, the oldest first.
 	accepted    map[string]protocol.OrderResult
 	acceptedIDs []string
 }
 
-// pendingLoad is a load under way; due counts once the weights are there.
+// pendingLoad is a load in progress; due is valid once the weights are fetched.
 type pendingLoad struct {
 	order          protocol.Order
 	weightsFetched bool
@@ -40,7 +40,7 @@
 	return book
 }
 
-// serves says whether a version and adapter are ready.
+// serves reports whether a version and adapter are loaded.
 func (b *orderBook) serves(model ident.Model, version ident.ModelVersion, adapter ident.Adapter) bool {
 	for _, loaded := range b.loaded {
 		if loaded.Model == model && loaded.Version == version {
@@ -68,8 +68,8 @@
 	b.accepted[result.OrderID] = result
 }
 
-// Order takes a fenced order, or refuses it. A repeat of an order that was
-// taken is confirmed again and has no second effect.
+// Order accepts or refuses a fenced order. A retry of an accepted order is
+// confirmed again and has no second effect.
 func (e *Engine) Order(now time.Time, order protocol.Order) (protocol.OrderResult, *protocol.Refusal) {
 	e.advanceTo(now)
 	if refusal := e.checkOrder(order); refusal != nil {
@@ -79,7 +79,7 @@
 		return result, nil
 	}
 	if order.Fence < e.orders.fence {
-		return protocol.OrderResult{}, e.refuse(protocol.RefusalStaleFence, "an order with a newer fence was taken")
+		return protocol.OrderResult{}, e.refuse(protocol.RefusalStaleFence, "an order with a newer fence was accepted")
 	}
 	e.orders.fence = order.Fence
 	result := protocol.OrderResult{OrderID: order.OrderID, Fence: order.Fence}
@@ -129,8 +129,8 @@
 	e.orders.loads = append(e.orders.loads, pendingLoad{order: order, weightsFetched: true, due: due})
 }
 
-// WeightsArrived tells that the weights of a load order were fetched; the load
-// is done after LoadDuration. An order that is no longer pending is ignored.
+// WeightsArrived records that the weights of a load order were fetched; the load
+// completes after LoadDuration. An order that is no longer pending is ignored.
 func (e *Engine) WeightsArrived(now time.Time, orderID string) {
 	e.advanceTo(now)
 	for index := range e.orders.loads {
@@ -142,14 +142,14 @@
 	}
 }
 
-// LoadPending says whether the load order still waits for its weights.
+// LoadPending reports whether the load order still waits for its weights.
 func (e *Engine) LoadPending(orderID string) bool {
 	return slices.ContainsFunc(e.orders.loads, func(load pendingLoad) bool {
 		return load.order.OrderID == orderID && !load.weightsFetched
 	})
 }
 
-// finishLoads makes the loads that are due ready to serve.
+// finishLoads completes the due loads.
 func (e *Engine) finishLoads(now time.Time) {
 	var left []pendingLoad
 	for _, load := range e.orders.loads {
@@ -164,7 +164,7 @@
 	e.sampleLoad()
 }
 
-// add makes a version ready, or replaces the adapters of one that is.
+// add adds a loaded version or replaces the adapters of one.
 func (b *orderBook) add(order protocol.Order) {
 	b.drop(order.Model, order.Version)
 	b.loaded = append(b.loaded, protocol.LoadedModel{
@@ -178,8 +178,8 @@
 	})
 }
 
-// unload drops a version and its blocks. Generations that were accepted before
-// run to their end without using or filling the cache any further.
+// unload drops a version and its blocks. Generations accepted before run to
+// their end without further use of the cache.
 func (e *Engine) unload(order protocol.Order) {
 	e.orders.drop(order.Model, order.Version)
 	e.orders.loads = slices.DeleteFunc(e.orders.loads, func(load pendingLoad) bool {
--- a/standin/engine/model/orders_test.go
+++ b/standin/engine/model/orders_test.go
@@ -16,7 +16,7 @@
 
 func order(id string, fence uint64, kind protocol.OrderKind, version string) protocol.Order {
 	return protocol.Order{
-		OrderID: id, Fence: fence, ExpectedIncarnation: "life-1", Kind: kind,
+		OrderID: id, Fence: fence, ExpectedIncarnation: "incarnation-1", Kind: kind,
 		Model: "m", Version: ident.ModelVersion(version), Role: RoleMixed,
 	}
 }
@@ -31,9 +31,9 @@
 		{"first", nil, order("a", 5, protocol.OrderLoad, "3"), ""},
 		{"same fence", []protocol.Order{order("a", 5, protocol.OrderLoad, "3")}, order("b", 5, protocol.OrderLoad, "4"), ""},
 		{"older fence", []protocol.Order{order("a", 5, protocol.OrderLoad, "3")}, order("b", 4, protocol.OrderLoad, "4"), protocol.RefusalStaleFence},
-		{"repeat", []protocol.Order{order("a", 5, protocol.OrderLoad, "3"), order("b", 6, protocol.OrderUnload, "3")}, order("a", 5, protocol.OrderLoad, "3"), ""},
-		{"other life", nil, protocol.Order{OrderID: "a", Fence: 9, ExpectedIncarnation: "life-0", Kind: protocol.OrderRole, Role: RoleDecode}, protocol.RefusalMismatch},
-		{"unknown role", nil, protocol.Order{OrderID: "a", Fence: 9, ExpectedIncarnation: "life-1", Kind: protocol.OrderRole, Role: "x"}, protocol.RefusalBadRequest},
+		{"retry", []protocol.Order{order("a", 5, protocol.OrderLoad, "3"), order("b", 6, protocol.OrderUnload, "3")}, order("a", 5, protocol.OrderLoad, "3"), ""},
+		{"other incarnation", nil, protocol.Order{OrderID: "a", Fence: 9, ExpectedIncarnation: "incarnation-0", Kind: protocol.OrderRole, Role: RoleDecode}, protocol.RefusalMismatch},
+		{"unknown role", nil, protocol.Order{OrderID: "a", Fence: 9, ExpectedIncarnation: "incarnation-1", Kind: protocol.OrderRole, Role: "x"}, protocol.RefusalBadRequest},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -53,8 +53,8 @@
 				is.Equal(refusal, nil)
 			}
 			rig.run(time.Minute)
-			effect := test.wanted == "" && test.name != "repeat"
-			is.Equal(len(rig.truth) > recorded, effect) // a repeat or refusal has no effect
+			effect := test.wanted == "" && test.name != "retry"
+			is.Equal(len(rig.truth) > recorded, effect) // a retry or refusal has no effect
 		})
 	}
 }
@@ -79,7 +79,7 @@
 	is.Equal(refusal, nil)
 	rig.run(time.Minute)
 	last := rig.truth[len(rig.truth)-1]
-	is.Equal(last.Kind, truth.Finished) // accepted work is not cut by an unload
+	is.Equal(last.Kind, truth.Finished) // an unload does not abort accepted work
 	namespace := prefix.Namespace{Tenant: "t1", Model: "m", Version: "3"}
 	is.Equal(rig.engine.CachedPrefixBlocks(namespace.Salt(), prefix.ChainOf(namespace.Salt(), prompt, 16)), 0)
 	is.Equal(len(rig.engine.Snapshot(rig.now).Hashes), 10) // version 1 keeps its blocks
@@ -96,7 +96,7 @@
 	source.generate(is, sent)
 	chain := prefix.ChainOf(sent.Salt, prompt, 16)
 	content, count, refusal := source.engine.Export(source.now, protocol.TransferRequest{
-		ExpectedIncarnation: "life-1", Salt: sent.Salt, Hashes: chain,
+		ExpectedIncarnation: "incarnation-1", Salt: sent.Salt, Hashes: chain,
 	})
 	is.Equal(refusal, nil)
 	is.Equal(count, 10)
@@ -111,7 +111,7 @@
 	is.Equal(usage.CachedTokens, 159)
 }
 
-// TestSameSeedSameOutputs drives the same random schedule twice.
+// TestSameSeedSameOutputs guards against nondeterministic outputs.
 func TestSameSeedSameOutputs(t *testing.T) {
 	is := is.New(t)
 	history := func() string {
--- a/standin/engine/model/report.go
+++ b/standin/engine/model/report.go
@@ -7,17 +7,17 @@
 	"github.com/fieldpond/fieldpond/internal/engine/protocol"
 )
 
-// sampleInterval is the least time between two kept samples of the load; only
-// the newest sample may follow sooner.
+// sampleInterval is the minimum time between two kept load samples; only the
+// newest sample may follow sooner.
 const sampleInterval = 10 * time.Millisecond
 
-// reportHistory keeps past load figures, oldest first, so that reports can lag.
-// The last sample always holds the current figures.
+// reportHistory keeps load samples, oldest first, so that reports can lag. The
+// last sample is always current.
 type reportHistory struct {
 	samples []protocol.LoadReport
 }
 
-// sampleLoad notes that the load figures may have changed now.
+// sampleLoad records the current load after a possible change.
 func (e *Engine) sampleLoad() {
 	samples := e.reports.samples
 	count := len(samples)
@@ -29,13 +29,13 @@
 	e.reports.samples = append(samples[first:], e.currentLoad())
 }
 
-// sampleAt returns the index of the newest sample that was true at the time, or -1.
+// sampleAt returns the index of the newest sample at the time, or -1.
 func (h *reportHistory) sampleAt(at time.Time) int {
 	return sort.Search(len(h.samples), func(i int) bool { return h.samples[i].MeasuredAt.After(at) }) - 1
 }
 
-// LoadReport returns the load figures as they were LoadLag ago, or the first
-// ones of this life if it is younger.
+// LoadReport returns the load as of LoadLag ago, or the first sample of a younger
+// incarnation.
 func (e *Engine) LoadReport(now time.Time) protocol.LoadReport {
 	e.advanceTo(now)
 	at := now.Add(-e.conditions.LoadLag)
--- a/standin/engine/model/step.go
+++ b/standin/engine/model/step.go
@@ -8,7 +8,7 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// Shares of the prefill budget by role.
+// Changes of the prefill budget by role.
 const (
 	prefillRoleFactor = 2
 	decodeRoleDivisor = 4
@@ -24,14 +24,14 @@
 // decoding request.
 type step struct {
 	end time.Time
-	// remaining is the duration that remains while the engine is stalled.
+	// remaining is the time left to end; valid while the engine is stalled.
 	remaining time.Duration
 	prefill   []prefillShare
 	decode    []*generation
 }
 
-// Advance brings the engine to now and returns everything it said and did since
-// the last call, in order of time.
+// Advance runs the engine up to now and returns its outputs since the last call,
+// in order of time.
 func (e *Engine) Advance(now time.Time) []Output {
 	e.advanceTo(now)
 	drained := e.outbox
@@ -39,8 +39,8 @@
 	return drained
 }
 
-// NextTime returns when something happens next without further input. The
-// outbox, filled by any method, counts as happening now.
+// NextTime returns the time of the next event without further input: the current
+// time if outputs are pending, false if there is no event.
 func (e *Engine) NextTime() (time.Time, bool) {
 	if len(e.outbox) > 0 {
 		return e.now, true
@@ -96,7 +96,7 @@
 	}
 }
 
-// startStep begins the next step if none is under way and there is work.
+// startStep starts the next step if none is in progress and there is work.
 func (e *Engine) startStep(now time.Time) {
 	if e.step != nil || e.conditions.Stalled || !e.alive {
 		return
@@ -144,7 +144,7 @@
 	return time.Duration(duration * max(e.conditions.SlowFactor, 1))
 }
 
-// admit moves waiting requests into the batch and looks up their prefix.
+// admit moves waiting requests into the batch and pins their cached prefixes.
 func (e *Engine) admit() {
 	for len(e.running) < e.config.MaxRunning && len(e.waiting) > 0 {
 		admitted := e.waiting[0]
@@ -156,8 +156,8 @@
 	}
 }
 
-// pinCachedPrefix pins the cached prefix and counts what it saves. The last token of a
-// prompt is always computed.
+// pinCachedPrefix pins the cached prefix and counts the reused tokens. The
+// last token of a prompt is always computed.
 func (e *Engine) pinCachedPrefix(admitted *generation) {
 	salt := admitted.request.Salt
 	cachedBlocks := e.blocks.cachedPrefix(salt, admitted.chain)
@@ -177,7 +177,7 @@
 	return min(cachedBlocks*e.config.BlockTokens, target.promptTokens-1)
 }
 
-// finishStep applies the effects of the step under way and begins the next.
+// finishStep applies the effects of the current step and starts the next.
 func (e *Engine) finishStep() {
 	finished := e.step
 	e.step = nil
@@ -225,8 +225,8 @@
 	e.close(owner)
 }
 
-// storeBlocks caches the blocks that prefill or decode has passed, as long as
-// the version is still loaded and the cache has room.
+// storeBlocks caches the blocks that prefill or decode has computed, as long as
+// the version is loaded and the cache has room.
 func (e *Engine) storeBlocks(owner *generation) {
 	if owner.uncacheable || !e.orders.serves(owner.request.Model, owner.request.Version, owner.request.Adapter) {
 		owner.uncacheable = true
--- a/standin/engine/model/text.go
+++ b/standin/engine/model/text.go
@@ -10,8 +10,8 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// Natural answers end after minNaturalTokens to minNaturalTokens +
-// naturalSpread - 1 tokens, by the hash of the prompt.
+// Without a token limit, answers have minNaturalTokens to minNaturalTokens +
+// naturalSpread - 1 tokens, depending on the hash of the prompt.
 const (
 	minNaturalTokens = 64
 	naturalSpread    = 960
@@ -20,10 +20,10 @@
 // tokenRawBytes is the raw size whose base64 form fills one token.
 const tokenRawBytes = 3
 
-// ExpectedText returns the whole text that every engine generates for prompt
+// ExpectedText returns the complete text that every engine generates for prompt
 // with the given token limit. It is a pure function of its arguments, so that a
-// caller can tell whether an answer is its own, whole and in order. A
-// generation with Continued set to the first n tokens goes on at token n.
+// caller can verify that an answer is its own, complete and in order. A
+// generation with Continued set to the first n tokens continues at token n.
 func ExpectedText(prompt string, maxTokens int) string {
 	source := newTextSource(prompt)
 	count := min(maxTokens, source.naturalLength)
@@ -37,7 +37,7 @@
 // textSource is the deterministic answer to one prompt.
 type textSource struct {
 	seed uint64
-	// naturalLength is the number of tokens after which the answer stops by itself.
+	// naturalLength is the number of tokens of an answer without a limit.
 	naturalLength int
 }
 
@@ -46,7 +46,7 @@
 	return textSource{seed: seed, naturalLength: minNaturalTokens + int(seed%naturalSpread)}
 }
 
-// token returns the token at a position of the answer: BytesPerToken bytes.
+// token returns the token at a position, BytesPerToken bytes long.
 func (s textSource) token(position int) string {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:8], s.seed)
--- a/standin/engine/model/transfer.go
+++ b/standin/engine/model/transfer.go
@@ -8,14 +8,15 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// exportedBlocks is the content of an opaque export. The owner travels with the
-// blocks, so that an import under another namespace is refused.
+// exportedBlocks is the content of an opaque export. It includes the owner, so
+// that an import under another namespace is refused.
 type exportedBlocks struct {
 	Owner  prefix.Namespace `json:"owner"`
 	Hashes prefix.Chain     `json:"hashes"`
 }
 
-// Export returns those of the named blocks that are held, in the order asked.
+// Export returns those of the requested blocks that are cached, in request order,
+// and their number.
 func (e *Engine) Export(now time.Time, request protocol.TransferRequest) ([]byte, int, *protocol.Refusal) {
 	e.advanceTo(now)
 	if !e.alive || request.ExpectedIncarnation != e.incarnation {
@@ -30,19 +31,19 @@
 	}
 	content, err := json.Marshal(exported)
 	if err != nil {
-		return nil, 0, e.refuse(protocol.RefusalBadRequest, "the blocks cannot be written: "+err.Error())
+		return nil, 0, e.refuse(protocol.RefusalBadRequest, "the blocks cannot be encoded: "+err.Error())
 	}
 	return content, len(exported.Hashes), nil
 }
 
-// Import holds exported blocks under the salt. Blocks of another namespace or
+// Import caches exported blocks under the salt. Blocks of another namespace or
 // of a version that is not loaded are refused as a mismatch.
 func (e *Engine) Import(now time.Time, salt prefix.Salt, content []byte) (protocol.TransferResult, *protocol.Refusal) {
 	e.advanceTo(now)
 	result := protocol.TransferResult{Incarnation: e.incarnation}
 	var imported exportedBlocks
 	if err := json.Unmarshal(content, &imported); err != nil {
-		return result, e.refuse(protocol.RefusalBadRequest, "the body is no export of an engine")
+		return result, e.refuse(protocol.RefusalBadRequest, "the body is not an engine export")
 	}
 	if !e.alive || e.draining || e.conditions.Draining {
 		return result, e.refuse(protocol.RefusalLeaving, "the engine is stopping")
@@ -52,7 +53,7 @@
 	}
 	owner := imported.Owner
 	if owner.Salt() != salt || !e.orders.serves(owner.Model, owner.Version, owner.Adapter) {
-		return result, e.refuse(protocol.RefusalMismatch, "the blocks are of another salt or of a version that is not loaded")
+		return result, e.refuse(protocol.RefusalMismatch, "the blocks belong to another salt or to a version that is not loaded")
 	}
 	var stored prefix.Chain
 	var pinned, evicted []*block
--- a/standin/engine/modelloop.go
+++ b/standin/engine/modelloop.go
@@ -12,11 +12,11 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// maxPause is the longest pause of the model duty; faults begin and streams
-// expire at most this late.
+// maxPause is the longest pause of the model goroutine: the maximum delay until
+// faults begin and streams expire.
 const maxPause = 20 * time.Millisecond
 
-// Bounds of the retained streams and the pause between looks at them.
+// Bound of the retained streams and the interval between checks for expiry.
 const (
 	maxStreams    = 4096
 	sweepInterval = 100 * time.Millisecond
@@ -25,14 +25,14 @@
 // maxFaults bounds the faults that may be planned and injected at once.
 const maxFaults = 1024
 
-// command is a piece of work for the model duty.
+// command is a function to run on the model goroutine; done is closed after it ran.
 type command struct {
 	run  func(now time.Time)
 	done chan struct{}
 }
 
-// do lets the model duty run a piece of work and waits for it. The error is a
-// *fault.Fault; of kind Overloaded only if the work will never run.
+// do runs a function on the model goroutine and waits for it. The error is a
+// *fault.Fault; it is of kind Overloaded only if the function will never run.
 func (s *Server) do(ctx context.Context, run func(now time.Time)) error {
 	sent := command{run: run, done: make(chan struct{})}
 	if !s.commands.Push(sent) {
@@ -44,16 +44,16 @@
 	case <-s.stopped:
 		return fault.New(fault.Leaving, "the engine has stopped").WithRan(fault.RanUnknown)
 	case <-ctx.Done():
-		return fault.Wrap(ctx.Err(), fault.Timeout, "the caller went away").WithRan(fault.RanUnknown)
+		return fault.Wrap(ctx.Err(), fault.Timeout, "the caller cancelled or timed out").WithRan(fault.RanUnknown)
 	}
 }
 
-// runModel is the model duty.
+// runModel is the loop of the model goroutine.
 func (s *Server) runModel(ctx context.Context) {
 	defer close(s.stopped)
 	for {
 		s.tick(time.Now())
-		timer := time.NewTimer(s.pause(time.Now()))
+		timer := time.NewTimer(s.timeToNextEvent(time.Now()))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -67,16 +67,16 @@
 }
 
 func (s *Server) runCommands() {
-	for next, ok := s.commands.Pop(); ok; next, ok = s.commands.Pop() {
+	for received, ok := s.commands.Pop(); ok; received, ok = s.commands.Pop() {
 		now := time.Now()
-		next.run(now)
+		received.run(now)
 		s.deliver(now)
-		close(next.done)
+		close(received.done)
 	}
 }
 
-// pause returns how long nothing can happen.
-func (s *Server) pause(now time.Time) time.Duration {
+// timeToNextEvent returns the time until the next model event, at most maxPause.
+func (s *Server) timeToNextEvent(now time.Time) time.Duration {
 	next, found := s.model.NextTime()
 	if !found {
 		return maxPause
@@ -84,14 +84,14 @@
 	return min(max(next.Sub(now), 0), maxPause)
 }
 
-// tick brings faults and the model up to now.
+// tick advances faults, model and stream expiry to now.
 func (s *Server) tick(now time.Time) {
 	s.applyFaults(now)
 	s.deliver(now)
 	s.expireStreams(now)
 }
 
-// deliver hands the model's outputs to streams, feed, truth log and fetches.
+// deliver passes the model's outputs to streams, feed, truth log and weight fetches.
 func (s *Server) deliver(now time.Time) {
 	current := s.incarnation.Load()
 	for _, output := range s.model.Advance(now) {
@@ -102,7 +102,7 @@
 			current.feed.append(output.Batch.Events)
 		case output.Fetch != nil:
 			if !s.fetches.Push(*output.Fetch) {
-				s.options.Logger.WithField("engine", s.name).Error("weight fetch was dropped: ring is full")
+				s.options.Logger.WithField("engine", s.name).Error("weight fetch dropped: ring is full")
 			}
 		case output.Truth != nil:
 			s.truth.Append(*output.Truth)
@@ -110,8 +110,8 @@
 	}
 }
 
-// expireStreams cancels generations without a reader and forgets old streams.
-// Above maxStreams every ended stream without a reader counts as old.
+// expireStreams cancels generations without a reader after the grace period and
+// removes ended ones after the retention time, at once above maxStreams.
 func (s *Server) expireStreams(now time.Time) {
 	if now.Sub(s.lastSweep) < sweepInterval {
 		return
@@ -134,7 +134,7 @@
 	s.deliver(now)
 }
 
-// applyFaults brings the faults of the plan into force, or ends them.
+// applyFaults applies the active faults of the plan and ends the others.
 func (s *Server) applyFaults(now time.Time) {
 	elapsed := now.Sub(s.started)
 	if _, crashed := s.plan.Active(s.name, faultplan.Crash, elapsed); crashed {
@@ -168,7 +168,7 @@
 	s.distort(elapsed)
 }
 
-// crash drops every connection and everything the engine held.
+// crash ends the incarnation and drops all connections.
 func (s *Server) crash(now time.Time) {
 	if !s.model.Alive() {
 		return
@@ -186,10 +186,10 @@
 	s.model.Restart(now, id)
 	s.incarnation.Store(newIncarnation(id))
 	s.network.Push(networkUp)
-	s.options.Logger.WithField("engine", s.name).Warn("engine is back, empty")
+	s.options.Logger.WithField("engine", s.name).Warn("engine restarted with an empty cache")
 }
 
-// inject adds a fault that begins now. It returns false if there are too many.
+// inject adds a fault that begins now. It returns false above maxFaults.
 func (s *Server) inject(now time.Time, added faultplan.Fault) bool {
 	elapsed := now.Sub(s.started)
 	added.At = faultplan.Duration(elapsed)
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -1,16 +1,16 @@
-// Package engine is the HTTP shell around the engine model: it speaks the
-// published engine protocol (see internal/engine/protocol) in real time, acts
-// out faults on its connections and keeps the truth log.
+// Package engine is the HTTP server around the engine model: it implements the
+// engine protocol (see internal/engine/protocol) in real time, simulates faults
+// on its connections and keeps the truth log.
 //
-// Beside the protocol it serves the rehearsal kit:
+// It also serves a fault injection API:
 //
 //	POST /rehearsal/faults   FaultRequest  injects a fault now
 //	DELETE /rehearsal/faults               ends every fault
 //	GET  /rehearsal/truth    truth records as JSON lines
 //
-// Duties: the model duty alone touches the model and the fault plan; the
-// network duty opens and closes the listener; the weights duty fetches weights;
-// handlers reach the model duty through a bounded ring of commands.
+// Goroutines: only the model goroutine accesses the model and the fault plan; the
+// network goroutine opens and closes the listener; the weights goroutine fetches
+// weights. Handlers send commands to the model goroutine through a bounded ring.
 package engine
 
 import (
@@ -37,33 +37,33 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// Capacities of the rings between duties.
+// Capacities of the rings between goroutines.
 const (
 	commandCapacity = 1024
 	networkCapacity = 64
 	fetchCapacity   = 64
 )
 
-// Options fix one engine process.
+// Options configure one engine process.
 type Options struct {
-	// Model is the behaviour; its ExternalWeights is set by the shell.
+	// Model is the behaviour; New sets its ExternalWeights.
 	Model model.Config
-	// Plan is the fault schedule; nil means none. Times count from New.
+	// Plan is the fault schedule, with times relative to New; nil means none.
 	Plan *faultplan.Plan
-	// Seed feeds the random choices. A plan's own seed goes first.
+	// Seed seeds the random source. The seed of the plan takes precedence.
 	Seed int64
 	// Weights is the base URL of the weight store; empty loads without fetching.
 	Weights string
 	// TruthWriter also receives the truth records as JSON lines; nil means none.
 	TruthWriter io.Writer
-	// Grace is how long a generation goes on without a connected reader;
+	// Grace is how long a generation continues without a connected reader;
 	// default 5 s.
 	Grace time.Duration
 	// Retention is how long an ended stream can still be resumed; default 30 s.
 	Retention time.Duration
-	// DrainTimeout bounds the wait for streams to end on a stop; default 60 s.
+	// DrainTimeout bounds the wait for streams to end on shutdown; default 60 s.
 	DrainTimeout time.Duration
-	// Logger receives changes of state; default the global logger.
+	// Logger defaults to the global logger.
 	Logger log.Interface
 }
 
@@ -101,11 +101,11 @@
 	started time.Time
 	truth   *truth.Log
 
-	// model, plan, lastCut and lastSweep belong to the model duty.
+	// model, plan, lastCut and lastSweep belong to the model goroutine.
 	model   *model.Engine
 	plan    *faultplan.Plan
 	lastCut faultplan.Duration
-	// lastSweep is when streams were last looked through.
+	// lastSweep is when expired streams were last removed.
 	lastSweep time.Time
 
 	commands *ring.Ring[command]
@@ -115,20 +115,20 @@
 	incarnation atomic.Pointer[incarnationState]
 	distortions atomic.Pointer[distortions]
 	cuts        broadcast
-	// stopping is closed when the process has no more work; stopped when the
-	// model duty has ended.
+	// stopping is closed when the process is drained, stopped when the model
+	// goroutine has ended.
 	stopping chan struct{}
 	stopped  chan struct{}
 }
 
-// New returns a server whose model is alive and waits for Run.
+// New returns a server with a running model; Run serves it.
 func New(options Options) (*Server, error) {
 	options = options.withDefaults()
 	if err := options.Model.Validate(); err != nil {
 		return nil, err
 	}
 	if options.Model.Name == "" {
-		return nil, fault.New(fault.InvalidSettings, "the engine has no name").WithRemedy("give --name")
+		return nil, fault.New(fault.InvalidSettings, "the engine name is not set").WithRemedy("set --name")
 	}
 	now := time.Now()
 	id := ident.Incarnation(ident.NewUnique())
@@ -152,14 +152,14 @@
 	return server, nil
 }
 
-// Run serves on the listener until the context ends; then the engine says that
-// it is leaving, finishes its streams and returns. Run may be called once.
+// Run serves on the listener until the context ends, then drains the engine and
+// returns. Run may be called only once.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	var duties errgroup.Group
-	duties.Go(func() error { s.runModel(inner); return nil })
-	duties.Go(func() error { s.runWeights(inner); return nil })
+	var goroutines errgroup.Group
+	goroutines.Go(func() error { s.runModel(inner); return nil })
+	goroutines.Go(func() error { s.runWeights(inner); return nil })
 	networkDone := make(chan error, 1)
 	go func() { networkDone <- s.runNetwork(inner, listener) }()
 	var err error
@@ -171,18 +171,18 @@
 	case err = <-networkDone:
 	}
 	stop()
-	_ = duties.Wait()
+	_ = goroutines.Wait()
 	if err == nil {
 		err = s.truth.Err()
 	}
 	return err
 }
 
-// drain refuses new work and waits until the model is idle, within the timeout.
+// drain rejects new work and waits until the model is idle, up to DrainTimeout.
 func (s *Server) drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), s.options.DrainTimeout)
 	defer cancel()
-	s.options.Logger.WithField("engine", s.name).Info("engine is leaving")
+	s.options.Logger.WithField("engine", s.name).Info("engine is draining")
 	idle := false
 	for first := true; !idle; first = false {
 		err := s.do(ctx, func(now time.Time) {
@@ -192,7 +192,7 @@
 			idle = s.model.Idle()
 		})
 		if err != nil {
-			s.options.Logger.WithField("engine", s.name).Error("engine left before its streams ended")
+			s.options.Logger.WithField("engine", s.name).Error("engine stopped before its streams ended")
 			return
 		}
 		if !idle {
@@ -208,15 +208,15 @@
 	networkUp
 )
 
-// Pauses of the network duty.
+// Times of the network goroutine.
 const (
 	relistenPause   = 100 * time.Millisecond
 	shutdownTimeout = 10 * time.Second
 	headerTimeout   = 10 * time.Second
 )
 
-// runNetwork serves the listener. While the engine is down nothing listens, so
-// that connections are refused; then it listens at the same address again.
+// runNetwork serves the listener. While the engine is down the listener is closed,
+// so that connections are refused; then it listens on the same address again.
 func (s *Server) runNetwork(ctx context.Context, listener net.Listener) error {
 	address := listener.Addr().String()
 	for {
@@ -241,7 +241,7 @@
 	}
 }
 
-// awaitNetwork waits for the wanted state; it returns the other one when the
+// awaitNetwork waits for the wanted state; it returns the other one if the
 // process stops first.
 func (s *Server) awaitNetwork(ctx context.Context, served <-chan error, wanted networkState) (networkState, error) {
 	other := networkDown + networkUp - wanted
@@ -273,14 +273,14 @@
 	return nil
 }
 
-// relisten listens at the address again. It returns nil when the process stops.
+// relisten listens on the address again. It returns nil if the process stops.
 func (s *Server) relisten(ctx context.Context, address string) (net.Listener, error) {
 	for {
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
 			return listener, nil
 		}
-		s.options.Logger.WithError(err).WithField("engine", s.name).Warn("engine cannot listen again yet")
+		s.options.Logger.WithError(err).WithField("engine", s.name).Warn("listening again failed, retrying")
 		if !sleep(ctx, relistenPause) {
 			return nil, errors.Wrap(err, "listen again")
 		}
@@ -292,7 +292,7 @@
 	}
 }
 
-// sleep waits and reports whether the context is still alive.
+// sleep waits and reports whether the context is still active.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/standin/engine/server_test.go
+++ b/standin/engine/server_test.go
@@ -87,14 +87,14 @@
 	_ = response.Body.Close()
 }
 
-// until polls a condition; the test run's own time limit ends a wait in vain.
+// until polls a condition, bounded by the time limit of the test run.
 func (p *process) until(condition func() bool) {
 	for !condition() {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// recorded says whether the truth log holds a record of the kind.
+// recorded reports whether the truth log has a record of the kind.
 func (p *process) recorded(kind truth.Kind) bool {
 	for _, record := range p.server.truth.Records() {
 		if record.Kind == kind {
--- a/standin/engine/state.go
+++ b/standin/engine/state.go
@@ -15,7 +15,7 @@
 	"github.com/fieldpond/fieldpond/standin/faultplan"
 )
 
-// Pace of the cache event stream.
+// Batch size and keep-alive interval of the cache event stream.
 const (
 	maxBatchEvents = 256
 	keepAlivePause = 2 * time.Second
@@ -37,7 +37,7 @@
 	}
 }
 
-// cacheEvents streams published cache events after a number, in batches.
+// cacheEvents streams the published cache events after a sequence number, in batches.
 func (s *Server) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := sequenceParameter(r, "after")
 	if err != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// transfer takes the time that moving blocks takes.
+// transfer waits for the transfer time; it returns false if the caller disconnects.
 func (s *Server) transfer(ctx context.Context, blocks int) bool {
 	return sleep(ctx, time.Duration(blocks)*s.options.Model.TransferPerBlock)
 }
@@ -127,7 +127,7 @@
 	}
 }
 
-// supportedFaults are the kinds of faults that an engine acts out.
+// supportedFaults are the kinds of faults that an engine can simulate.
 var supportedFaults = []faultplan.Kind{
 	faultplan.Crash, faultplan.Stall, faultplan.Cut, faultplan.EventLoss, faultplan.EventDelay,
 	faultplan.LoadLag, faultplan.DuplicateChunks, faultplan.SwapChunks, faultplan.LoseEnd,
@@ -150,7 +150,7 @@
 		Duration: request.Duration, Target: s.name, Kind: request.Kind, Parameters: request.Parameters,
 	}
 	if !slices.Contains(supportedFaults, added.Kind) {
-		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "fault kind is none that an engine acts out"))
+		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "the fault kind is not supported by engines"))
 		return
 	}
 	if err := added.Validate(); err != nil {
@@ -158,7 +158,7 @@
 		return
 	}
 	if added.Kind == faultplan.Crash {
-		// A crash closes this connection too, so the answer goes out first.
+		// A crash closes this connection too, so the response is sent first.
 		w.WriteHeader(http.StatusNoContent)
 		_ = http.NewResponseController(w).Flush()
 		_ = s.do(r.Context(), func(now time.Time) { s.inject(now, added) })
@@ -168,14 +168,14 @@
 	err := s.do(r.Context(), func(now time.Time) { accepted = s.inject(now, added) })
 	var refusal *protocol.Refusal
 	if !accepted {
-		refusal = s.refuse(protocol.RefusalFull, "too many faults are in force; clear them first")
+		refusal = s.refuse(protocol.RefusalFull, "too many faults are active; clear them first")
 	}
 	if !s.answerFailure(w, err, refusal) {
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// clearFaults ends every fault, planned ones included.
+// clearFaults ends all faults, including planned ones.
 func (s *Server) clearFaults(w http.ResponseWriter, r *http.Request) {
 	err := s.do(r.Context(), func(now time.Time) {
 		s.plan.Faults = nil
@@ -192,11 +192,11 @@
 	_, _ = s.truth.WriteTo(w)
 }
 
-// readJSON reads a request body, or answers with a refusal and returns false.
+// readJSON decodes a request body, or responds with a refusal and returns false.
 func (s *Server) readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err := decoder.Decode(target); err != nil {
-		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "the body is not the JSON expected: "+err.Error()))
+		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "the body is not the expected JSON: "+err.Error()))
 		return false
 	}
 	return true
@@ -219,8 +219,8 @@
 	_ = json.NewEncoder(w).Encode(refusal)
 }
 
-// answerFailure answers a refusal or a failure to reach the model duty. Work
-// whose fate is open gets no answer: the connection is cut.
+// answerFailure responds to a refusal or to a full command ring and returns true.
+// If it is unknown whether the work runs, it aborts the connection.
 func (s *Server) answerFailure(w http.ResponseWriter, err error, refusal *protocol.Refusal) bool {
 	switch {
 	case fault.Is(err, fault.Overloaded):
--- a/standin/engine/streams.go
+++ b/standin/engine/streams.go
@@ -11,11 +11,11 @@
 )
 
 // maxFeedEvents bounds the cache events kept for late readers; a reader that
-// asks for older ones sees a gap in the numbers.
+// requests older ones sees a gap in the sequence numbers.
 const maxFeedEvents = 65536
 
-// incarnationState is what one incarnation keeps for its readers. ended is closed by the
-// model duty when the incarnation crashes.
+// incarnationState is the streams and cache events of one incarnation. crashed is
+// closed by the model goroutine when the incarnation crashes.
 type incarnationState struct {
 	id      ident.Incarnation
 	crashed chan struct{}
@@ -108,8 +108,8 @@
 	s.changed.wake()
 }
 
-// from returns the events from a sequence number on, and whether the last of
-// them is the last of the stream.
+// from returns the events from a sequence number on, and whether the stream has
+// ended.
 func (s *streamLog) from(sequence uint64) ([]protocol.StreamEvent, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -119,7 +119,7 @@
 	return s.events[sequence:len(s.events):len(s.events)], s.ended
 }
 
-// attach and detach count connected readers.
+// attach adds a connected reader; detach removes it.
 func (s *streamLog) attach() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -133,7 +133,7 @@
 	s.idleSince = now
 }
 
-// idleFor tells whether the stream has ended and how long nobody has read it.
+// idleFor returns whether the stream has ended and how long it has had no reader.
 func (s *streamLog) idleFor(now time.Time) (ended bool, idle time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -160,7 +160,7 @@
 	f.changed.wake()
 }
 
-// after returns at most limit events with numbers above sequence.
+// after returns at most limit events with sequence numbers above sequence.
 func (f *feed) after(sequence uint64, limit int) []protocol.CacheEvent {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/standin/engine/weights.go
+++ b/standin/engine/weights.go
@@ -22,7 +22,7 @@
 	fetchTimeout       = 2 * time.Minute
 )
 
-// runWeights is the weights duty: it fetches the weights of load orders.
+// runWeights fetches the weights of load orders until the context ends.
 func (s *Server) runWeights(ctx context.Context) {
 	var fetchers errgroup.Group
 	fetchers.SetLimit(maxParallelFetches)
@@ -39,8 +39,8 @@
 	}
 }
 
-// fetchUntilDone tries until the weights are there or the load is not pending
-// any more (unloaded, or the engine crashed).
+// fetchUntilDone retries until the weights are fetched or the load is no longer
+// pending (unloaded, or the engine crashed).
 func (s *Server) fetchUntilDone(ctx context.Context, order protocol.Order) {
 	pause := minFetchBackoff
 	for {
@@ -54,7 +54,7 @@
 			_ = s.do(ctx, func(now time.Time) { s.model.WeightsArrived(now, order.OrderID) })
 			return
 		}
-		s.options.Logger.WithError(err).WithField("engine", s.name).Warn("weights were not fetched, trying again")
+		s.options.Logger.WithError(err).WithField("engine", s.name).Warn("fetching the weights failed, retrying")
 		if !sleep(ctx, max(wait, pause)) {
 			return
 		}
@@ -62,7 +62,7 @@
 	}
 }
 
-// fetch reads the weights once. On a rate limit it returns how long to wait.
+// fetch reads the weights once. On an error it returns the Retry-After time, if any.
 func (s *Server) fetch(ctx context.Context, order protocol.Order) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -73,7 +73,7 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return 0, errors.Wrap(err, "ask weight store")
+		return 0, errors.Wrap(err, "request weights")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
--- a/standin/experiment/attempt.go
+++ b/standin/experiment/attempt.go
@@ -10,7 +10,7 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// attempt is one try of an exchange on one engine.
+// attempt is one attempt of an exchange on one engine.
 type attempt struct {
 	exchange    *exchange
 	router      *routerNode
@@ -21,15 +21,15 @@
 	stream      ident.Stream
 	sentAt      time.Time
 	firstAt     time.Time
-	// mostCachedTokens is the most of the prompt that any permitted engine truly held
-	// at dispatch.
+	// mostCachedTokens is the largest number of prompt tokens cached by any
+	// permitted engine at dispatch.
 	mostCachedTokens int
-	// targetCachedTokens is what the chosen engine itself truly held at dispatch.
+	// targetCachedTokens is the number cached by the chosen engine at dispatch.
 	targetCachedTokens int
 	done               bool
 }
 
-// send sends the request to the engine it was given a place on.
+// send sends the request to the engine it was placed on.
 func (x *exchange) send(router *routerNode, placed placement.Placed) {
 	s := x.simulation
 	x.attempts++
@@ -62,19 +62,19 @@
 	}
 }
 
-// deliverToRouter runs what the engine's word brings about once it is at the router.
-func (a *attempt) deliverToRouter(run func()) {
+// deliverToRouter applies an engine's reply at the router after the network delay.
+func (a *attempt) deliverToRouter(apply func()) {
 	s := a.exchange.simulation
 	s.clock.after(s.hop(a.router.zone, a.engine.zone), func() {
 		if !a.done {
 			a.reassignRouter()
-			run()
+			apply()
 		}
 	})
 }
 
-// reassignRouter moves the attempt to a live router if its own went away: the
-// caller resumes its stream there.
+// reassignRouter moves the attempt to a live router if its own failed: the caller
+// resumes its stream there.
 func (a *attempt) reassignRouter() {
 	for _, router := range a.exchange.simulation.routers {
 		if a.router.alive {
@@ -90,8 +90,8 @@
 	a.router.core.RecordStart(a.exchange.simulation.clock.now, a.key, incarnation, usage)
 }
 
-// chunk takes in generated text. Only the first one of a request is timed, so
-// the others are not sent over the simulated network one by one.
+// chunk records generated text. Only the first chunk is timed, so the others are
+// not sent over the simulated network one by one.
 func (a *attempt) chunk(text string, tokens int) {
 	x := a.exchange
 	x.text.WriteString(text)
@@ -128,7 +128,7 @@
 	a.exchange.retry(a, nil, OutcomeLost)
 }
 
-// deadline gives up an attempt that has brought no token in its class's time.
+// deadline cancels an attempt without a token within the deadline of its class.
 func (a *attempt) deadline() {
 	if a.done || !a.firstAt.IsZero() {
 		return
@@ -140,7 +140,7 @@
 	a.exchange.retry(a, nil, OutcomeLate)
 }
 
-// finish tells the router that the attempt is over.
+// finish records the end of the attempt at its router.
 func (a *attempt) finish(result placement.Result) {
 	now := a.exchange.simulation.clock.now
 	a.done = true
--- a/standin/experiment/clock.go
+++ b/standin/experiment/clock.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is something that happens at a virtual time.
+// event is a function scheduled at a virtual time.
 type event struct {
 	at    time.Time
 	order uint64
 	run   func()
 }
 
-// eventHeap orders events by time, and those of one time as they were added.
+// eventHeap orders events by time, then in order of insertion.
 type eventHeap []event
 
 // Len implements heap.Interface.
@@ -41,14 +41,14 @@
 	return popped
 }
 
-// clock is the virtual time of one simulation and what is yet to happen.
+// clock is the virtual time of one simulation with its scheduled events.
 type clock struct {
 	now    time.Time
 	events eventHeap
 	order  uint64
 }
 
-// at runs a function at a time; one that is past runs next.
+// at schedules a function; a time in the past counts as now.
 func (c *clock) at(when time.Time, run func()) {
 	if when.Before(c.now) {
 		when = c.now
--- a/standin/experiment/engines.go
+++ b/standin/experiment/engines.go
@@ -14,17 +14,17 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// engineNode drives one engine model and takes in what it says.
+// engineNode drives one engine model and handles its outputs.
 type engineNode struct {
 	simulation   *simulation
 	name         ident.Engine
 	zone         ident.Zone
 	model        *model.Engine
 	incarnations int
-	// wakeAt is the earliest wake-up already scheduled, if any.
+	// wakeAt is the earliest wake-up scheduled, if any.
 	wakeAt   time.Time
 	attempts map[endpoint.AttemptKey]*attempt
-	// order lists the attempts as they were accepted, for a fixed order.
+	// order lists the attempts in order of acceptance, for deterministic iteration.
 	order []*attempt
 }
 
@@ -52,8 +52,8 @@
 	return ident.Incarnation(fmt.Sprintf("%s-life-%d", n.name, n.incarnations))
 }
 
-// drainOutputs takes in the engine's outputs and schedules its next wake-up. It
-// follows every call of the model.
+// drainOutputs handles the engine's outputs and schedules its next wake-up. Call
+// it after each call of a model method.
 func (n *engineNode) drainOutputs() {
 	now := n.simulation.clock.now
 	for _, output := range n.model.Advance(now) {
@@ -98,7 +98,7 @@
 	n.drainOutputs()
 }
 
-// applyStreamEvent takes in an event of a stream.
+// applyStreamEvent applies a stream event to its attempt.
 func (n *engineNode) applyStreamEvent(event *protocol.StreamEvent) {
 	about := n.attempts[endpoint.AttemptKey{Request: event.RequestID, Attempt: event.Attempt}]
 	if about == nil {
@@ -117,17 +117,17 @@
 	}
 }
 
-func (n *engineNode) removeAttempt(gone *attempt) {
-	delete(n.attempts, gone.key)
+func (n *engineNode) removeAttempt(removed *attempt) {
+	delete(n.attempts, removed.key)
 	for index, known := range n.order {
-		if known == gone {
+		if known == removed {
 			n.order = append(n.order[:index], n.order[index+1:]...)
 			return
 		}
 	}
 }
 
-// recordTruth reads the truth about an attempt.
+// recordTruth measures a truth record of an attempt.
 func (n *engineNode) recordTruth(record *truth.Record) {
 	about := n.attempts[endpoint.AttemptKey{Request: record.RequestID, Attempt: record.Attempt}]
 	if about == nil || !about.exchange.measured {
@@ -141,7 +141,7 @@
 	}
 }
 
-// crash ends the engine's life and breaks its streams.
+// crash ends the engine's incarnation and its streams.
 func (n *engineNode) crash() {
 	n.model.Crash(n.simulation.clock.now)
 	n.drainOutputs()
@@ -157,19 +157,19 @@
 	n.drainOutputs()
 }
 
-func (n *engineNode) cancel(unwanted *attempt) {
-	if n.attempts[unwanted.key] == unwanted {
-		n.model.Cancel(n.simulation.clock.now, unwanted.stream)
+func (n *engineNode) cancel(cancelled *attempt) {
+	if n.attempts[cancelled.key] == cancelled {
+		n.model.Cancel(n.simulation.clock.now, cancelled.stream)
 		n.drainOutputs()
-		n.removeAttempt(unwanted)
+		n.removeAttempt(cancelled)
 	}
 }
 
-// exactCredits tells what every cache truly holds, or is about to hold once
-// the prompts that its engine has accepted are computed.
+// exactCredits reads the actual cache contents, including the blocks of prompts
+// that the engine has accepted but not computed yet.
 type exactCredits struct {
 	simulation *simulation
-	// salts finds the salt of a chain by its first hash.
+	// salts holds the salt of each chain by its first hash.
 	salts map[uint64]uint64
 }
 
@@ -186,13 +186,13 @@
 		return 0
 	}
 	held := node.model.CachedPrefixBlocks(prefix.Salt(e.salts[uint64(chain[0])]), chain)
-	for _, coming := range node.order {
-		held = max(held, commonBlocks(chain, coming.chain))
+	for _, accepted := range node.order {
+		held = max(held, commonBlocks(chain, accepted.chain))
 	}
 	return float64(held)
 }
 
-// commonBlocks returns the number of leading blocks that two chains share.
+// commonBlocks returns the length of the common prefix of two chains.
 func commonBlocks(a, b prefix.Chain) int {
 	low, high := 0, min(len(a), len(b))
 	for low < high {
--- a/standin/experiment/exchange.go
+++ b/standin/experiment/exchange.go
@@ -16,16 +16,16 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// The bounds of the dispatcher of the router process.
+// Bounds of the dispatcher, as in the router process.
 const (
 	maxAttempts  = 6
 	continueHold = 5 * time.Second
 )
 
-// maxRouterAttempts is how often a caller looks for a live router.
+// maxRouterAttempts bounds a caller's attempts to find a live router.
 const maxRouterAttempts = 50
 
-// exchange is one request of a caller from its arrival to its end.
+// exchange is one request of a caller from arrival to end.
 type exchange struct {
 	simulation         *simulation
 	arrival            workload.Arrival
@@ -49,7 +49,7 @@
 	ended              bool
 }
 
-// arrive takes in a request that its caller sends now.
+// arrive adds a request that its caller sends now.
 func (s *simulation) arrive(arrival workload.Arrival, source string) {
 	tenant, known := s.prepared.fleet.Tenant(arrival.Tenant)
 	service, offered := s.prepared.fleet.Service(arrival.Service)
@@ -81,8 +81,8 @@
 	s.clock.after(hopToClient, arrived.assignRouter)
 }
 
-// assignRouter lets a live router take the request, one in the tenant's places if
-// there is any.
+// assignRouter offers the request to a random live router, preferably in the
+// tenant's zones.
 func (x *exchange) assignRouter() {
 	s := x.simulation
 	var near, far []*routerNode
@@ -110,7 +110,7 @@
 	x.offer(near[s.random.IntN(len(near))])
 }
 
-// offer asks a router for a place.
+// offer queues the request at a router for placement.
 func (x *exchange) offer(router *routerNode) {
 	now := x.simulation.clock.now
 	text := x.arrival.Prompt + x.text.String()
@@ -138,7 +138,7 @@
 	}))
 }
 
-// end ends the request, exactly once.
+// end ends the request; a second call fails the simulation.
 func (x *exchange) end(outcome Outcome) {
 	if x.ended {
 		x.simulation.fail("request %s ended twice", x.id)
@@ -149,7 +149,7 @@
 	x.simulation.measures.recordEnded(x, outcome)
 }
 
-// retry offers the request again after an attempt that failed, or ends it.
+// retry offers the request again after a failed attempt, or ends it.
 func (x *exchange) retry(failed *attempt, refusal *protocol.Refusal, outcome Outcome) {
 	now := x.simulation.clock.now
 	allTokensReceived := x.tokens > 0 && x.tokens >= x.arrival.MaxTokens
@@ -180,8 +180,8 @@
 	slices.SortFunc(all, func(a, b *exchange) int { return a.number - b.number })
 }
 
-// mostCachedBlocks returns the most leading blocks of a chain that any engine in
-// the tenant's places truly holds now.
+// mostCachedBlocks returns the largest number of leading blocks of a chain
+// cached by any engine in the tenant's zones.
 func (x *exchange) mostCachedBlocks(chain prefix.Chain) int {
 	best := 0
 	for _, engine := range x.simulation.engines {
@@ -192,18 +192,18 @@
 	return best
 }
 
-// Outcome is how a request ended: answered, or why not.
+// Outcome is how a request ended.
 type Outcome string
 
 const (
-	// OutcomeAnswered is a whole answer.
+	// OutcomeAnswered is a complete answer.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeUnreachable is a caller that found no live router.
+	// OutcomeUnreachable means that the caller found no live router.
 	OutcomeUnreachable Outcome = "no_router"
-	// OutcomeLost is a last attempt whose engine went away.
+	// OutcomeLost means that the engine of the last attempt failed.
 	OutcomeLost Outcome = Outcome(fault.BackendLost)
-	// OutcomeBackendRefused is a last attempt that its engine refused.
+	// OutcomeBackendRefused means that the engine refused the last attempt.
 	OutcomeBackendRefused Outcome = Outcome(fault.BackendRefused)
-	// OutcomeLate is a last attempt without a first token in time.
+	// OutcomeLate means that the last attempt had no first token in time.
 	OutcomeLate Outcome = Outcome(fault.DeadlineExceeded)
 )
--- a/standin/experiment/experiment_test.go
+++ b/standin/experiment/experiment_test.go
@@ -51,8 +51,8 @@
 	return runs
 }
 
-// Every request of every scenario ends exactly once, whatever fails, and the
-// measures stay within what they can be.
+// Guards against requests that never end or end twice under faults, and against
+// impossible measures.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	for _, run := range execute(t, []string{"all"}, []string{"predictive"}, 6*time.Second) {
 		t.Run(run.Scenario, func(t *testing.T) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// The same seed gives the same table, another one does not.
+// Guards against nondeterministic runs and against an unused seed.
 func TestSameSeedSameTable(t *testing.T) {
 	is := is.New(t)
 	table := func(seed uint64) string {
@@ -100,8 +100,8 @@
 	is.True(first != table(8))
 }
 
-// A lost engine costs tokens that the measures tell as discarded; without a
-// fault nothing is.
+// Tokens of attempts lost in a crash must count as discarded; without a fault none
+// are.
 func TestLostAttemptsCountAsDiscarded(t *testing.T) {
 	is := is.New(t)
 	runs := execute(t, []string{"muldenring-crash", "muldenring-steady"}, []string{"round-robin"}, 8*time.Second)
--- a/standin/experiment/faults.go
+++ b/standin/experiment/faults.go
@@ -1,6 +1,6 @@
 package experiment
 
-// scheduleFaults lets the scenario's faults happen at their times.
+// scheduleFaults schedules the scenario's faults.
 func (s *simulation) scheduleFaults() {
 	for _, given := range s.prepared.scenario.Faults {
 		at := s.start.Add(given.At)
@@ -26,7 +26,7 @@
 	}
 }
 
-// failZone ends every router and engine of a zone.
+// failZone stops every router and crashes every engine of a zone.
 func (s *simulation) failZone(given Fault) {
 	var waiting []*exchange
 	for _, router := range s.routers {
@@ -51,7 +51,7 @@
 	for _, router := range s.routers {
 		if router.zone == given.Zone {
 			if err := router.start(); err != nil {
-				s.fail("a router could not restart: %s", err)
+				s.fail("restarting a router failed: %s", err)
 			}
 		}
 	}
--- a/standin/experiment/measure.go
+++ b/standin/experiment/measure.go
@@ -9,15 +9,15 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// Range and precision of the histograms, in microseconds and digits.
+// Range (in microseconds) and significant digits of the histograms.
 const (
 	histogramLowest  = 100
 	histogramHighest = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits  = 3
 )
 
-// Tail holds percentiles of the time to first token, in seconds, as callers
-// see it, over the answers whose first token came.
+// Tail holds percentiles of the time to first token at the caller, in seconds,
+// over the requests that got a first token.
 type Tail struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -25,47 +25,47 @@
 	P99   float64 `json:"p99"`
 }
 
-// Measures is what one run showed. Requests that arrived in the warmup are
-// left out, Arrivals and Ended excepted.
+// Measures are the results of one run. Only Arrivals and Ended include requests
+// that arrived during the warmup.
 type Measures struct {
-	// Arrivals counts every request, Ended every end of one; Offered those
-	// after the warmup.
+	// Arrivals counts all requests, Ended all that ended, Offered those that
+	// arrived after the warmup.
 	Arrivals int `json:"arrivals"`
 	Ended    int `json:"ended"`
 	Offered  int `json:"offered"`
 	// Outcomes counts how requests ended.
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Refused counts by class the requests that got no whole answer.
+	// Refused counts the requests without a complete answer, by class.
 	Refused map[ident.Class]int `json:"refused"`
 	// PromptTokens, CachedTokens, RecomputedTokens and DiscardedTokens are sums
-	// over the attempts that ran: tokens asked for, found cached, computed
-	// although a permitted engine held them at dispatch, and computed by
-	// attempts that were lost or cancelled.
+	// over the attempts that ran: prompt tokens, those found cached, those
+	// computed although a permitted engine had them cached at dispatch, and
+	// tokens computed by attempts that were lost or cancelled.
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CachedTokens     int64 `json:"cached_tokens"`
 	RecomputedTokens int64 `json:"recomputed_tokens"`
 	DiscardedTokens  int64 `json:"discarded_tokens"`
-	// EvictedTokens are those of RecomputedTokens that the chosen engine itself
-	// held at dispatch and evicted before the attempt began to run.
+	// EvictedTokens are those of RecomputedTokens that the chosen engine had
+	// cached at dispatch and evicted before the attempt started.
 	EvictedTokens int64 `json:"evicted_tokens"`
 	// HitRate is cached over prompt tokens, Wasted recomputed and discarded
 	// over prompt tokens.
 	HitRate float64 `json:"hit_rate"`
 	Wasted  float64 `json:"wasted"`
-	// Goodput is the number of whole answers a second whose first token came
-	// within the deadline of their class.
+	// Goodput is the number of complete answers per second whose first token
+	// met the deadline of their class.
 	Goodput float64 `json:"goodput"`
-	// Busy is the share of time that engines had work.
+	// Busy is the fraction of time that engines had work.
 	Busy float64 `json:"busy"`
 	// Classes holds the tails by class.
 	Classes map[ident.Class]Tail `json:"classes"`
-	// Quiet and Focus are the protected class's tails before and inside the
+	// Quiet and Focus are the protected class's tails before and during the
 	// scenario's focus.
 	Quiet *Tail `json:"quiet,omitempty"`
 	Focus *Tail `json:"focus,omitempty"`
 }
 
-// collector gathers the measures of one simulation.
+// collector accumulates the measures of one simulation.
 type collector struct {
 	prepared     *preparedScenario
 	arrivals     int
@@ -101,7 +101,7 @@
 	}
 }
 
-// recordStarted takes in the truth about an attempt that began to run.
+// recordStarted records the truth about an attempt that started to run.
 func (c *collector) recordStarted(about *attempt, record *truth.Record) {
 	c.prompt += int64(record.PromptTokens)
 	c.cached += int64(record.CachedTokens)
@@ -109,7 +109,7 @@
 	c.evicted += int64(max(0, min(about.targetCachedTokens, about.mostCachedTokens)-record.CachedTokens))
 }
 
-// recordEnded takes in the end of a request.
+// recordEnded records the end of a request.
 func (c *collector) recordEnded(x *exchange, outcome Outcome) {
 	c.ends++
 	if !x.measured {
@@ -133,7 +133,7 @@
 		tail = newHistogram()
 		c.tails[x.class.Name] = tail
 	}
-	// The value is within the histogram's range, so no error can come.
+	// The value is capped to the histogram's range, so this cannot fail.
 	_ = tail.RecordValue(micros)
 	focus := c.prepared.scenario.Focus
 	if focus == nil || x.class.Name != c.prepared.scenario.Protected || c.isSurgeTenant(x.tenant.Name) {
@@ -147,8 +147,8 @@
 	}
 }
 
-// isSurgeTenant reports whether the tenant is the cause of a surge and so not among
-// those to be protected from it.
+// isSurgeTenant reports whether the tenant causes a surge and is therefore not
+// protected from it.
 func (c *collector) isSurgeTenant(tenant ident.Tenant) bool {
 	for _, surge := range c.prepared.scenario.Surges {
 		if surge.Tenant == tenant {
--- a/standin/experiment/move.go
+++ b/standin/experiment/move.go
@@ -8,9 +8,9 @@
 	"github.com/fieldpond/fieldpond/standin/engine/model"
 )
 
-// move exports the attempt's cached blocks from one engine and imports them
-// into its own, as the router's placer does, and then goes on. A move that
-// fails costs a recomputation only.
+// move exports the attempt's cached blocks from one engine, imports them into its
+// own, as the router's placer does, and then calls then. A failed move only costs
+// a recomputation.
 func (a *attempt) move(source *engineNode, incarnation ident.Incarnation, then func()) {
 	s := a.exchange.simulation
 	perBlock := model.DefaultConfig().TransferPerBlock
@@ -24,8 +24,8 @@
 			s.clock.after(toSource, then)
 			return
 		}
-		legs := time.Duration(blocks) * perBlock
-		s.clock.after(legs+toSource+toTarget+legs, func() {
+		transferTime := time.Duration(blocks) * perBlock
+		s.clock.after(transferTime+toSource+toTarget+transferTime, func() {
 			if a.engine.model.Alive() && a.engine.model.Incarnation() == a.incarnation {
 				_, _ = a.engine.model.Import(s.clock.now, a.exchange.salt, content)
 				a.engine.drainOutputs()
--- a/standin/experiment/plots.go
+++ b/standin/experiment/plots.go
@@ -13,18 +13,18 @@
 	"github.com/fieldpond/fieldpond/internal/fault"
 )
 
-// Size of a plot and of its bars.
+// Dimensions of a plot and its bars, and the mode of the directory.
 const (
 	plotWidth     = 24 * vg.Centimeter
 	plotHeight    = 12 * vg.Centimeter
 	plotBarWidth  = 28
 	plotDirectory = 0o755
 	labelAngle    = 0.5
-	// barMargin is the room beside the first and last bar, in bars.
+	// barMargin is the margin beside the first and last bar, in bars.
 	barMargin = 0.5
 )
 
-// panel is one measure that is plotted for every scenario.
+// panel is a measure plotted for each scenario.
 type panel struct {
 	file, title, unit string
 	scale             float64
@@ -42,7 +42,7 @@
 	}
 }
 
-// spreads are bars with the least and the most over the seeds.
+// spreads are bars with the minimum and maximum over the seeds.
 type spreads []Spread
 
 // Len implements plotter.XYer.
@@ -56,11 +56,11 @@
 	return s[index].Median - s[index].Min, s[index].Max - s[index].Median
 }
 
-// WritePlots writes a PNG for each scenario and measure: bars of the medians
-// with the spread over the seeds.
+// WritePlots writes a PNG for each scenario and measure, with bars of the medians
+// and their spread over the seeds.
 func WritePlots(directory string, rows []Row) error {
 	if err := os.MkdirAll(directory, plotDirectory); err != nil {
-		return fault.Wrap(err, fault.BadRequest, "the directory for plots cannot be made")
+		return fault.Wrap(err, fault.BadRequest, "the directory for plots cannot be created")
 	}
 	for start := 0; start < len(rows); {
 		end := start
--- a/standin/experiment/policies.go
+++ b/standin/experiment/policies.go
@@ -14,30 +14,30 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// Policy is one way to place requests. Whatever it leaves out is the same for
-// every policy: the queue, the retry budget and the default limiter.
+// Policy is one way to place requests. All policies share the configuration of
+// queue and retry budget.
 type Policy struct {
 	Name string
-	// Baseline says that the policy is one to be beaten.
+	// Baseline marks a policy that others are compared with.
 	Baseline bool
-	// NewScheduler returns the scheduler of one router. exact tells what every
-	// cache truly holds, for the oracle only.
+	// NewScheduler returns the scheduler of one router. exact gives the actual
+	// cache contents, for the oracle only.
 	NewScheduler func(exact framework.Credits) (framework.Scheduler, error)
 	// NewLimiter returns the limiter of one engine at one router; nil means none.
 	NewLimiter func() admission.Limiter
-	// Beliefs sets the beliefs of one router.
+	// Beliefs configures the prefix beliefs of one router.
 	Beliefs beliefs.Config
 }
 
-func predictive(config routing.Config) func(framework.Credits) (framework.Scheduler, error) {
+func predictiveScheduler(config routing.Config) func(framework.Credits) (framework.Scheduler, error) {
 	return func(framework.Credits) (framework.Scheduler, error) { return routing.NewPredictive(config) }
 }
 
-func plain(newScheduler func() *routing.Pipeline) func(framework.Credits) (framework.Scheduler, error) {
+func pipelineScheduler(newScheduler func() *routing.Pipeline) func(framework.Credits) (framework.Scheduler, error) {
 	return func(framework.Credits) (framework.Scheduler, error) { return newScheduler(), nil }
 }
 
-func oracle(exact framework.Credits) (framework.Scheduler, error) {
+func oracleScheduler(exact framework.Credits) (framework.Scheduler, error) {
 	return routing.NewOracle(routing.Config{}, exact)
 }
 
@@ -47,14 +47,14 @@
 
 func rateLimiter() admission.Limiter { return admission.NewLittlesLawLimiter(admission.LimitBounds{}) }
 
-// lowLimit is the limit of one router on one engine in the variant with a
-// fixed limit below the engine's batch.
+// lowLimit is a fixed limit of one router on one engine, below the engine's batch
+// size.
 const lowLimit = 4
 
 func lowLimiter() admission.Limiter { return admission.NewFixedLimiter(lowLimit) }
 
-// limiters are the ways to limit the attempts of one router on one engine, by
-// the suffix that a policy's name takes.
+// limiters limit the attempts of one router on one engine; suffix is appended to
+// the policy name.
 var limiters = []struct {
 	suffix     string
 	newLimiter func() admission.Limiter
@@ -66,16 +66,16 @@
 	{"-unlimited", nil},
 }
 
-// Policies returns every policy, the baselines first: each way to choose an
-// engine with each limiter.
+// Policies returns every scheduler with every limiter, baselines first, followed
+// by earlier versions of the predictive policy.
 func Policies() []Policy {
 	schedulers := []Policy{
-		{Name: "round-robin", Baseline: true, NewScheduler: plain(routing.NewRoundRobin)},
-		{Name: "least-load", Baseline: true, NewScheduler: plain(routing.NewLeastLoad)},
-		{Name: "prefix-hash", Baseline: true, NewScheduler: plain(routing.NewPrefixHash)},
+		{Name: "round-robin", Baseline: true, NewScheduler: pipelineScheduler(routing.NewRoundRobin)},
+		{Name: "least-load", Baseline: true, NewScheduler: pipelineScheduler(routing.NewLeastLoad)},
+		{Name: "prefix-hash", Baseline: true, NewScheduler: pipelineScheduler(routing.NewPrefixHash)},
 		{Name: "prefix-hash-deep", Baseline: true, NewScheduler: deepPrefixHash},
-		{Name: "predictive", NewScheduler: predictive(routing.Config{})},
-		{Name: "oracle", NewScheduler: oracle},
+		{Name: "predictive", NewScheduler: predictiveScheduler(routing.Config{})},
+		{Name: "oracle", NewScheduler: oracleScheduler},
 	}
 	var all []Policy
 	for _, policy := range schedulers {
@@ -89,8 +89,8 @@
 	return append(all, previousPolicies()...)
 }
 
-// previousPolicies returns earlier states of the predictive policy, the oldest first,
-// to be compared with the present one; the last goes by "previous" as well.
+// previousPolicies returns earlier versions of the predictive policy, oldest first,
+// for comparison; the last is also listed as "previous".
 func previousPolicies() []Policy {
 	const never = routing.NeverMove
 	configs := []routing.Config{
@@ -104,7 +104,7 @@
 	for index, config := range configs {
 		versions = append(versions, Policy{
 			Name:         fmt.Sprintf("predictive-v%d", index+1),
-			NewScheduler: predictive(config), NewLimiter: admission.NewDefaultLimiter,
+			NewScheduler: predictiveScheduler(config), NewLimiter: admission.NewDefaultLimiter,
 		})
 	}
 	versions[0].NewLimiter = gradientLimiter
@@ -113,7 +113,7 @@
 	return append(versions, last)
 }
 
-// DefaultPolicies names the policies that are compared unless others are asked for.
+// DefaultPolicies returns the names of the policies compared by default.
 func DefaultPolicies() []string {
 	return []string{"round-robin", "least-load", "prefix-hash", "prefix-hash-deep", "predictive", "oracle"}
 }
@@ -140,12 +140,12 @@
 	return chosen, nil
 }
 
-// deepBlocks is the number of leading blocks, 2048 tokens, that the deep
-// prefix hash tells prompts apart by. In both deployments that reaches into
-// the second of the nested layers, where the first differs by tenant only.
+// deepBlocks is the number of leading blocks (2048 tokens) that the deep prefix
+// hash covers: into the second nested layer of both deployments, as the first
+// differs by tenant only.
 const deepBlocks = 128
 
-// deepHash is the prefix hash policy over more of the prompt's leading blocks.
+// deepHash is the prefix hash policy over more leading blocks of the prompt.
 type deepHash struct{ pipeline *routing.Pipeline }
 
 func deepPrefixHash(framework.Credits) (framework.Scheduler, error) {
@@ -160,7 +160,7 @@
 	deep := *request
 	deep.Chains = make(map[ident.ModelVersion]prefix.Chain, len(request.Chains))
 	for version, chain := range request.Chains {
-		// The rank of a chain follows from its block RootBlock.
+		// The pipeline ranks a chain by its block at index RootBlock.
 		deep.Chains[version] = chain[max(0, min(deepBlocks, len(chain))-prefix.RootBlock-1):]
 	}
 	return d.pipeline.Schedule(&deep, snapshot)
--- a/standin/experiment/routers.go
+++ b/standin/experiment/routers.go
@@ -10,7 +10,7 @@
 	"github.com/fieldpond/fieldpond/internal/prefix/beliefs"
 )
 
-// The pace of load reports, as in the router process.
+// Polling of load reports, as in the router process.
 const (
 	pollTick     = 50 * time.Millisecond
 	pollInterval = 250 * time.Millisecond
@@ -23,16 +23,16 @@
 	zone       ident.Zone
 	index      int
 	alive      bool
-	// coreNumber counts the cores that this router has had.
+	// coreNumber counts the cores; inputs scheduled for an earlier one are dropped.
 	coreNumber int
 	core       *placement.Core
 	budget     *admission.RetryBudget
-	// waiting lists the exchanges that wait for a place, by request.
+	// waiting holds the exchanges that wait for placement.
 	waiting map[ident.Request]*exchange
 	tickAt  time.Time
 }
 
-// start starts the router with a core that knows nothing.
+// start starts the router with a new core.
 func (r *routerNode) start() error {
 	s := r.simulation
 	scheduler, err := s.policy.NewScheduler(s.exact)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// apply carries out the effects of one input of the core.
+// apply carries out the effects that an input to the core returned.
 func (r *routerNode) apply(effects placement.Effects) {
 	for _, placed := range effects.Placed {
 		waiting := r.waiting[placed.Job.Key.Request]
@@ -73,7 +73,7 @@
 	r.scheduleTick()
 }
 
-// scheduleTick wakes the core when the next hold ends.
+// scheduleTick schedules the next tick of the core.
 func (r *routerNode) scheduleTick() {
 	next, waits := r.core.NextTick()
 	if !waits || (r.tickAt.After(r.simulation.clock.now) && !next.Before(r.tickAt)) {
@@ -107,7 +107,7 @@
 	r.apply(r.core.Tick(now))
 }
 
-// readLoadReport reads one engine's load report.
+// readLoadReport requests the load report of an engine and applies it.
 func (r *routerNode) readLoadReport(engine *engineNode) {
 	hop := r.simulation.hop(r.zone, engine.zone)
 	r.simulation.clock.after(hop, func() {
@@ -121,7 +121,7 @@
 	})
 }
 
-// scheduleInput runs an input of the router's present core after a delay.
+// scheduleInput runs an input after a delay unless the core was replaced.
 func (r *routerNode) scheduleInput(delay time.Duration, run func(now time.Time)) {
 	coreNumber := r.coreNumber
 	r.simulation.clock.after(delay, func() {
@@ -131,8 +131,8 @@
 	})
 }
 
-// deliverEvents brings a batch of cache events to every router: in fleets of
-// this size each router reads every engine's events.
+// deliverEvents sends a batch of cache events to every router: in fleets of this
+// size each router reads the events of all engines.
 func (s *simulation) deliverEvents(engine *engineNode, batch protocol.CacheEventBatch) {
 	for _, router := range s.routers {
 		if !router.alive {
@@ -159,17 +159,17 @@
 	})
 }
 
-// restart replaces the core by one that knows nothing. What waited is offered
-// again by its callers; streams go on, since callers resume them by token.
+// restart replaces the core by a new one. Callers submit waiting requests again;
+// streams continue, since callers resume them by token.
 func (r *routerNode) restart() {
 	waiting := r.stop()
 	if err := r.start(); err != nil {
-		r.simulation.fail("a router could not restart: %s", err)
+		r.simulation.fail("restarting a router failed: %s", err)
 	}
 	r.simulation.resubmit(waiting)
 }
 
-// stop ends the router and returns what waited, in a fixed order.
+// stop stops the router and returns its waiting exchanges in deterministic order.
 func (r *routerNode) stop() []*exchange {
 	r.alive = false
 	r.tickAt = time.Time{}
@@ -182,7 +182,7 @@
 	return waiting
 }
 
-// resubmit lets callers whose router went away try again.
+// resubmit retries, after a delay, the requests of callers whose router failed.
 func (s *simulation) resubmit(waiting []*exchange) {
 	for _, again := range waiting {
 		s.clock.after(clientRetryDelay, again.assignRouter)
--- a/standin/experiment/run.go
+++ b/standin/experiment/run.go
@@ -1,11 +1,11 @@
-// Package experiment compares policies of placing requests in a simulation of
-// whole deployments in virtual time: callers, routers, network and engines.
+// Package experiment compares placement policies in a simulation of deployments
+// in virtual time: callers, routers, network and engines.
 //
-// The routers are the very placement cores of the router process, the engines
-// the models of the engine stand-in, the traffic that of the load generator.
-// A simulation runs in one goroutine without a clock; the same scenario,
-// policy and seed give the same measures on every run. The measures are judged
-// on what the engines truly held and did, not on what routers believe.
+// It uses the placement cores of the router process, the engine models of the
+// engine stand-in and the traffic of the load generator. A simulation runs in one
+// goroutine without a real clock; the same scenario, policy and seed give the same
+// measures on every run. The measures are based on the actual state of the
+// engines, not on the routers' beliefs.
 package experiment
 
 import (
@@ -16,18 +16,17 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Plan says what to compare.
+// Plan defines a comparison.
 type Plan struct {
 	Scenarios []Scenario
 	Policies  []Policy
-	// Seeds lists the seeds; every scenario and policy runs with each.
+	// Seeds lists the seeds; every policy runs each scenario with each seed.
 	Seeds []uint64
-	// Parallel bounds the simulations that run at one time; zero means the
-	// processors there are.
+	// Parallel bounds the concurrent simulations; zero means the number of CPUs.
 	Parallel int
-	// Progress, if set, is told before each simulation is begun, by one goroutine:
-	// how many were begun before it, and how many there are.
-	Progress func(begun, all int)
+	// Progress, if set, is called by one goroutine before each simulation, with
+	// the number of simulations already started and their total.
+	Progress func(started, total int)
 }
 
 // Run is one finished simulation.
@@ -36,13 +35,13 @@
 	Policy   string `json:"policy"`
 	Baseline bool   `json:"baseline"`
 	Seed     uint64 `json:"seed"`
-	// Protected is the class whose tail matters most in the scenario.
+	// Protected is the class whose tail latency matters most in the scenario.
 	Protected ident.Class `json:"protected"`
 	Measures  Measures    `json:"measures"`
 }
 
 // Execute runs every combination of the plan. The runs are in the order of
-// scenarios, policies and seeds, whatever the order they finished in.
+// scenarios, policies and seeds.
 func Execute(plan Plan) ([]Run, error) {
 	type task struct {
 		prepared *preparedScenario
@@ -71,8 +70,8 @@
 	for range min(plan.parallel(), len(tasks)) {
 		workers.Go(func() {
 			for index := range next {
-				given := tasks[index]
-				runs[index], errs[index] = runOne(given.prepared, given.policy, given.seed)
+				assigned := tasks[index]
+				runs[index], errs[index] = runOne(assigned.prepared, assigned.policy, assigned.seed)
 			}
 		})
 	}
--- a/standin/experiment/scenario.go
+++ b/standin/experiment/scenario.go
@@ -24,62 +24,62 @@
 
 // Kinds of Fault.
 const (
-	// FaultCrash ends the life of an engine; after For it returns empty.
+	// FaultCrash crashes an engine; after For it restarts with an empty cache.
 	FaultCrash = "crash"
-	// FaultZoneLost ends every engine and router of a zone for a while.
+	// FaultZoneLost stops every engine and router of a zone for the time For.
 	FaultZoneLost = "zone-lost"
-	// FaultRestartRouters replaces every router by one that knows nothing.
+	// FaultRestartRouters restarts every router without its state.
 	FaultRestartRouters = "restart-routers"
 )
 
-// Fault is something that fails during a scenario.
+// Fault is a fault during a scenario.
 type Fault struct {
 	// Kind is "crash", "zone-lost" or "restart-routers".
 	Kind string        `yaml:"kind"`
 	At   time.Duration `yaml:"at"`
 	For  time.Duration `yaml:"for"`
-	// Engine is what a crash ends, Zone what is lost.
+	// Engine is the engine of a crash, Zone the lost zone.
 	Engine ident.Engine `yaml:"engine"`
 	Zone   ident.Zone   `yaml:"zone"`
 }
 
-// Surge adds requests of one tenant to those of the load schedule.
+// Surge adds requests of one tenant to the load schedule.
 type Surge struct {
 	Tenant ident.Tenant  `yaml:"tenant"`
 	At     time.Duration `yaml:"at"`
 	For    time.Duration `yaml:"for"`
-	// Rate is the added arrivals a second.
+	// Rate is the number of added arrivals per second.
 	Rate float64 `yaml:"rate"`
 }
 
-// Focus is the part of a scenario whose tail is compared with the quiet part
-// before it.
+// Focus is the part of a scenario whose tail latency is compared with that of the
+// time before.
 type Focus struct {
 	At  time.Duration `yaml:"at"`
 	For time.Duration `yaml:"for"`
 }
 
-// Scenario is one situation that policies are compared in.
+// Scenario is a situation in which policies are compared.
 type Scenario struct {
 	// Name of the scenario; its file has the same name.
 	Name string `yaml:"name"`
-	// Purpose says what the scenario shows, in a sentence.
+	// Purpose is a sentence on what the scenario shows.
 	Purpose string `yaml:"purpose"`
 	// Deployment names the example whose fleet and load files are used.
 	Deployment string `yaml:"deployment"`
-	// Rate replaces the arrivals a second of the load schedule.
+	// Rate replaces the arrivals per second of the load schedule.
 	Rate float64 `yaml:"rate"`
-	// Duration is how long arrivals go on, the Warmup included; requests that
-	// arrive during the warmup are not measured.
+	// Duration is the time of arrivals, including Warmup; requests that arrive
+	// during the warmup are not measured.
 	Duration time.Duration `yaml:"duration"`
 	Warmup   time.Duration `yaml:"warmup"`
 	// CacheBlocks is the capacity of every engine's block cache.
 	CacheBlocks int `yaml:"cacheBlocks"`
 	// EventLoss is the probability that a cache event is lost.
 	EventLoss float64 `yaml:"eventLoss"`
-	// LoadLag is how old load reports are; zero leaves the engine's default.
+	// LoadLag is the age of load reports; zero means the engine's default.
 	LoadLag time.Duration `yaml:"loadLag"`
-	// Protected is the class whose tail matters most.
+	// Protected is the class whose tail latency matters most.
 	Protected ident.Class `yaml:"protected"`
 	// Events replace those of the load schedule.
 	Events []workload.LoadEvent `yaml:"events"`
@@ -131,7 +131,7 @@
 	return chosen, nil
 }
 
-// nameOfAll stands for every scenario or policy.
+// nameOfAll selects every scenario or policy.
 const nameOfAll = "all"
 
 // ParseScenario decodes and checks a scenario.
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// preparedScenario is a scenario with its deployment's files, ready to be run.
+// preparedScenario is a scenario with the files of its deployment.
 type preparedScenario struct {
 	scenario Scenario
 	fleet    *fleet.Compiled
--- a/standin/experiment/simulation.go
+++ b/standin/experiment/simulation.go
@@ -13,7 +13,7 @@
 	"github.com/fieldpond/fieldpond/standin/workload"
 )
 
-// The network of both deployments, one way.
+// One-way network delays of both deployments.
 const (
 	hopWithinZone   = 100 * time.Microsecond
 	hopBetweenZones = 1500 * time.Microsecond
@@ -21,18 +21,18 @@
 )
 
 const (
-	// clientRetryDelay is how long a caller takes to try another router after the
-	// connection to its own broke.
+	// clientRetryDelay is the delay before a caller retries at another router after
+	// its connection broke.
 	clientRetryDelay = 100 * time.Millisecond
-	// maxOverrun is how long after its last arrival a simulation may go on; what
-	// is open then counts as never ended.
+	// maxOverrun is how long a simulation may run after its last arrival; requests
+	// still open then count as never ended.
 	maxOverrun = 5 * time.Minute
-	// busySampleInterval is the time between two looks at which engines are busy.
+	// busySampleInterval is the time between two samples of busy engines.
 	busySampleInterval = 50 * time.Millisecond
 )
 
-// simulation is one run of a situation under one policy and seed. All of it
-// happens in one goroutine, in virtual time.
+// simulation is one run of a scenario with one policy and seed, in one goroutine
+// and in virtual time.
 type simulation struct {
 	prepared      *preparedScenario
 	policy        Policy
@@ -131,8 +131,8 @@
 	}
 }
 
-// scheduleSource lets the arrivals of one generator between two times come in. The next
-// one is generated when the previous one has come, to bound memory.
+// scheduleSource schedules the arrivals of one generator between two times. The
+// next one is generated when the previous one arrives, to bound memory.
 func (s *simulation) scheduleSource(generator *workload.Generator, source string, from, until time.Duration) {
 	s.activeSources++
 	var next func()
@@ -160,7 +160,7 @@
 	return hopBetweenZones
 }
 
-// sampleBusy counts, at intervals, the engines that have work.
+// sampleBusy periodically counts the engines that have work.
 func (s *simulation) sampleBusy() {
 	at := s.clock.now.Sub(s.start)
 	if at >= s.prepared.scenario.Warmup && at < s.prepared.scenario.Duration {
@@ -185,7 +185,7 @@
 	return targets
 }
 
-// fail ends the simulation with an error of the experiment itself.
+// fail stops the simulation with an error of the experiment itself.
 func (s *simulation) fail(format string, arguments ...any) {
 	if s.failure == nil {
 		s.failure = fault.New(fault.Internal, format, arguments...)
--- a/standin/experiment/table.go
+++ b/standin/experiment/table.go
@@ -13,14 +13,14 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-// Spread is a figure over the seeds.
+// Spread summarises a value over the seeds.
 type Spread struct {
 	Median float64 `json:"median"`
 	Min    float64 `json:"least"`
 	Max    float64 `json:"most"`
 }
 
-// spreadOf returns the spread of figures, of which there is at least one.
+// spreadOf returns the spread of at least one value.
 func spreadOf(values []float64) Spread {
 	sorted := slices.Sorted(slices.Values(values))
 	middle := len(sorted) / 2
@@ -38,35 +38,35 @@
 	P99 Spread `json:"p99"`
 }
 
-// Row sums up the runs of one policy in one scenario.
+// Row summarises the runs of one policy in one scenario.
 type Row struct {
 	Scenario string `json:"scenario"`
 	Policy   string `json:"policy"`
 	Baseline bool   `json:"baseline"`
-	// Protected is the class whose tail matters most in the scenario.
+	// Protected is the class whose tail latency matters most in the scenario.
 	Protected ident.Class `json:"protected"`
 	Seeds     int         `json:"seeds"`
 	HitRate   Spread      `json:"hit_rate"`
 	Wasted    Spread      `json:"wasted"`
 	Goodput   Spread      `json:"goodput"`
-	// Evicted is the part of Wasted that the chosen engine held at dispatch,
-	// Discarded that of lost and cancelled attempts.
+	// Evicted is the part of Wasted that the chosen engine had cached at
+	// dispatch, Discarded that of lost and cancelled attempts.
 	Evicted   Spread                     `json:"evicted"`
 	Discarded Spread                     `json:"discarded"`
 	Busy      Spread                     `json:"busy"`
 	Refused   Spread                     `json:"refused_share"`
 	Outcomes  map[Outcome]Spread         `json:"outcomes"`
 	Classes   map[ident.Class]TailSpread `json:"classes"`
-	// RefusedByClass is the share of all requests.
+	// RefusedByClass is a fraction of all requests.
 	RefusedByClass map[ident.Class]Spread `json:"refused_by_class"`
-	// FocusRatio is the protected class's p99 in the scenario's focus over
-	// that before it.
+	// FocusRatio is the protected class's p99 during the scenario's focus
+	// divided by that before it.
 	QuietP99   *Spread `json:"quiet_p99,omitempty"`
 	FocusP99   *Spread `json:"focus_p99,omitempty"`
 	FocusRatio *Spread `json:"focus_ratio,omitempty"`
 }
 
-// Summarise groups runs by scenario and policy, in the order they come.
+// Summarise groups consecutive runs of the same scenario and policy.
 func Summarise(runs []Run) []Row {
 	var rows []Row
 	for start := 0; start < len(runs); {
@@ -143,8 +143,8 @@
 	return errors.Wrap(encoder.Encode(rows), "writing the results")
 }
 
-// WriteTable writes the rows as tables, one for each scenario: the medians
-// over the seeds, with the least and the most of the main figures.
+// WriteTable writes a table for each scenario: the medians over the seeds, and the
+// minimum and maximum of the main values.
 func WriteTable(out io.Writer, rows []Row) error {
 	for start := 0; start < len(rows); {
 		end := start
@@ -182,7 +182,7 @@
 		return err
 	}
 	for _, row := range rows {
-		if _, err := fmt.Fprintln(table, row.line(names)); err != nil {
+		if _, err := fmt.Fprintln(table, row.format(names)); err != nil {
 			return err
 		}
 	}
@@ -193,8 +193,8 @@
 	return err
 }
 
-// line is the row of the table.
-func (r *Row) line(classes []ident.Class) string {
+// format formats the row of the table.
+func (r *Row) format(classes []ident.Class) string {
 	line := fmt.Sprintf("%s\t%s\t%s\t%.2f, %.2f\t%.2f\t%.0f\t%.2f", r.Policy, percent(r.HitRate), percent(r.Wasted),
 		100*r.Evicted.Median, 100*r.Discarded.Median, r.Goodput.Median, 100*r.Busy.Median, 100*r.Refused.Median)
 	for _, class := range classes {
