--- a/standin/engine/model/cache.go
+++ b/standin/engine/model/cache.go
@@ -7,20 +7,20 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// blockKey finds a block. The chain hash is seeded by the salt already; the
-// salt is kept so that no hash collision can cross namespaces.
+// blockKey identifies a block. The chain hash is already seeded by the salt; the
+// salt is kept so that a hash collision cannot cross namespaces.
 type blockKey struct {
 	salt prefix.Salt
 	hash prefix.Hash
 }
 
-// block is one cached block. A pinned block is used by a running generation
-// and is not on the eviction list.
+// block is one cached block. A pinned block is in use by a running generation
+// and not on the eviction list.
 type block struct {
-	key   blockKey
-	owner prefix.Namespace
-	pins  int
-	place *list.Element
+	key     blockKey
+	owner   prefix.Namespace
+	pins    int
+	element *list.Element
 }
 
 // blockCache holds at most capacity blocks and evicts the least recently used
@@ -28,7 +28,7 @@
 type blockCache struct {
 	capacity int
 	blocks   map[blockKey]*block
-	// idle lists the unpinned blocks, the next one to evict in front.
+	// idle lists the unpinned blocks, the next to evict first.
 	idle *list.List
 }
 
@@ -36,8 +36,8 @@
 	return &blockCache{capacity: capacity, blocks: map[blockKey]*block{}, idle: list.New()}
 }
 
-// held returns how many leading blocks of the chain are held.
-func (c *blockCache) held(salt prefix.Salt, chain prefix.Chain) int {
+// cachedPrefix returns the number of leading blocks of the chain in the cache.
+func (c *blockCache) cachedPrefix(salt prefix.Salt, chain prefix.Chain) int {
 	for index, hash := range chain {
 		if c.blocks[blockKey{salt, hash}] == nil {
 			return index
@@ -47,27 +47,27 @@
 }
 
 func (c *blockCache) pin(found *block) {
-	if found.pins == 0 && found.place != nil {
-		c.idle.Remove(found.place)
-		found.place = nil
+	if found.pins == 0 && found.element != nil {
+		c.idle.Remove(found.element)
+		found.element = nil
 	}
 	found.pins++
 }
 
 // unpin releases pinned blocks, the last of the chain first, so that leaves are
-// evicted before the shared blocks they hang on.
+// evicted before the shared blocks that precede them.
 func (c *blockCache) unpin(pinned []*block) {
 	for index := len(pinned) - 1; index >= 0; index-- {
 		released := pinned[index]
 		released.pins--
 		if released.pins == 0 && c.blocks[released.key] == released {
-			released.place = c.idle.PushBack(released)
+			released.element = c.idle.PushBack(released)
 		}
 	}
 }
 
-// storePinned holds the block and pins it. It returns nil if every block is
-// pinned, the evicted block if one had to go, and whether the block is new.
+// storePinned stores and pins the block. It returns nil if every block is
+// pinned, the evicted block if any, and whether the block is new.
 func (c *blockCache) storePinned(key blockKey, owner prefix.Namespace) (stored, evicted *block, isNew bool) {
 	if found := c.blocks[key]; found != nil {
 		c.pin(found)
@@ -86,35 +86,35 @@
 	return stored, evicted, true
 }
 
-func (c *blockCache) remove(gone *block) {
-	if gone.place != nil {
-		c.idle.Remove(gone.place)
-		gone.place = nil
+func (c *blockCache) remove(removed *block) {
+	if removed.element != nil {
+		c.idle.Remove(removed.element)
+		removed.element = nil
 	}
-	delete(c.blocks, gone.key)
+	delete(c.blocks, removed.key)
 }
 
-// removeOwned drops every block whose owner matches, in a fixed order.
+// removeOwned removes the blocks whose owner matches, in a deterministic order.
 func (c *blockCache) removeOwned(matches func(prefix.Namespace) bool) []*block {
-	var gone []*block
-	for _, held := range c.blocks {
-		if matches(held.owner) {
-			gone = append(gone, held)
+	var removed []*block
+	for _, cached := range c.blocks {
+		if matches(cached.owner) {
+			removed = append(removed, cached)
 		}
 	}
-	sort.Slice(gone, func(i, j int) bool {
-		if gone[i].key.salt != gone[j].key.salt {
-			return gone[i].key.salt < gone[j].key.salt
+	sort.Slice(removed, func(i, j int) bool {
+		if removed[i].key.salt != removed[j].key.salt {
+			return removed[i].key.salt < removed[j].key.salt
 		}
-		return gone[i].key.hash < gone[j].key.hash
+		return removed[i].key.hash < removed[j].key.hash
 	})
-	for _, dropped := range gone {
+	for _, dropped := range removed {
 		c.remove(dropped)
 	}
-	return gone
+	return removed
 }
 
-// hashes returns every hash held, in ascending order.
+// hashes returns all cached hashes in ascending order.
 func (c *blockCache) hashes() prefix.Chain {
 	all := make(prefix.Chain, 0, len(c.blocks))
 	for key := range c.blocks {
--- a/standin/engine/model/engine.go
+++ b/standin/engine/model/engine.go
@@ -12,30 +12,30 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// Output is one thing an engine says or does. Exactly one of Event, Batch,
-// Fetch and Truth is set.
+// Output is one output of an engine. Exactly one of Event, Batch, Fetch and
+// Truth is set.
 type Output struct {
 	Time time.Time
 	// Event belongs to the stream named in it.
 	Event *protocol.StreamEvent
 	// Batch is a published cache event batch.
 	Batch *protocol.CacheEventBatch
-	// Fetch is an order whose weights the driver must fetch (ExternalWeights).
+	// Fetch is a load order whose weights the driver must fetch (ExternalWeights).
 	Fetch *protocol.Order
 	// Truth is a record for the truth log.
 	Truth *truth.Record
 }
 
-// retryHint is the come-back hint of a full engine.
-const retryHint = 200 * time.Millisecond
+// fullRetryAfter is the Retry-After time of a full engine.
+const fullRetryAfter = 200 * time.Millisecond
 
-// Engine is the model of one engine through all its lives.
+// Engine is the model of one engine over all its incarnations.
 type Engine struct {
 	config      Config
 	random      *rand.Rand
 	incarnation ident.Incarnation
 	alive       bool
-	leaving     bool
+	draining    bool
 	conditions  Conditions
 	now         time.Time
 	outbox      []Output
@@ -51,37 +51,37 @@
 	reports  reportHistory
 }
 
-// New returns a living engine with an empty cache. The config must be valid.
+// New returns a running engine with an empty cache. The config must be valid.
 func New(config Config, incarnation ident.Incarnation, random *rand.Rand, start time.Time) *Engine {
 	engine := &Engine{config: config, random: random, conditions: config.Conditions()}
 	engine.Restart(start, incarnation)
 	return engine
 }
 
-// Restart begins a new life with an empty cache and the models of the config.
+// Restart starts a new incarnation with an empty cache and the configured models.
 func (e *Engine) Restart(now time.Time, incarnation ident.Incarnation) {
 	e.now = now
 	e.incarnation = incarnation
 	e.alive = true
-	e.leaving = false
+	e.draining = false
 	e.blocks = newBlockCache(e.config.CacheBlocks)
 	e.waiting, e.running, e.step = nil, nil, nil
 	e.streams = map[ident.Stream]*generation{}
 	e.feed = eventFeed{}
 	e.orders = newOrderBook(e.config)
 	e.reports = reportHistory{}
-	e.changed()
+	e.sampleLoad()
 	e.record(truth.Record{Kind: truth.IncarnationStarted})
 }
 
-// Crash ends the life: streams, cache, orders and unpublished events are gone.
-// Until Restart the engine refuses everything; a driver that models the network
-// should refuse connections instead.
+// Crash ends the incarnation: streams, cache, orders and unpublished events are
+// lost. Until Restart the engine rejects everything; a driver that models the
+// network should refuse connections instead.
 func (e *Engine) Crash(now time.Time) {
 	if !e.alive {
 		return
 	}
-	e.progress(now)
+	e.advanceTo(now)
 	for _, queue := range [][]*generation{e.running, e.waiting} {
 		for _, lost := range queue {
 			e.recordGeneration(truth.Lost, lost)
@@ -96,48 +96,50 @@
 	e.blocks = newBlockCache(e.config.CacheBlocks)
 }
 
-// Alive says whether the engine is between Restart and Crash.
+// Alive reports whether the engine is between Restart and Crash.
 func (e *Engine) Alive() bool { return e.alive }
 
-// Incarnation returns the current or last life.
+// Incarnation returns the current or last incarnation.
 func (e *Engine) Incarnation() ident.Incarnation { return e.incarnation }
 
-// Idle says that no generation is waiting or running.
+// Idle reports whether no generation is waiting or running.
 func (e *Engine) Idle() bool { return len(e.waiting) == 0 && len(e.running) == 0 }
 
-// Held returns how many leading blocks of a chain the cache truly holds.
-func (e *Engine) Held(salt prefix.Salt, chain prefix.Chain) int { return e.blocks.held(salt, chain) }
+// CachedPrefixBlocks returns the number of leading blocks of a chain in the cache.
+func (e *Engine) CachedPrefixBlocks(salt prefix.Salt, chain prefix.Chain) int {
+	return e.blocks.cachedPrefix(salt, chain)
+}
 
-// Leave makes the engine refuse new work for the rest of its life.
-func (e *Engine) Leave(now time.Time) {
-	e.progress(now)
-	e.leaving = true
-	e.changed()
+// Drain rejects new work for the rest of the incarnation.
+func (e *Engine) Drain(now time.Time) {
+	e.advanceTo(now)
+	e.draining = true
+	e.sampleLoad()
 }
 
-// SetConditions changes the circumstances, for example when a fault begins.
+// SetConditions applies new conditions, for example when a fault begins.
 func (e *Engine) SetConditions(now time.Time, conditions Conditions) {
-	e.progress(now)
+	e.advanceTo(now)
 	if conditions == e.conditions {
 		return
 	}
 	wasStalled := e.conditions.Stalled
 	e.conditions = conditions
 	if e.step != nil && wasStalled && !conditions.Stalled {
-		e.step.end = now.Add(e.step.left)
+		e.step.end = now.Add(e.step.remaining)
 	}
 	if e.step != nil && !wasStalled && conditions.Stalled {
-		e.step.left = e.step.end.Sub(now)
+		e.step.remaining = e.step.end.Sub(now)
 	}
 	e.startStep(now)
-	e.changed()
+	e.sampleLoad()
 }
 
-// Submit offers a request. It is refused before anything ran, or accepted: then
-// its start event is in the next outputs. The cached tokens of the start event
-// are those held at acceptance; the end event tells what was truly reused.
+// Submit refuses a request before anything runs or accepts it: then its start
+// event is in the next outputs. The start event reports the tokens cached at
+// acceptance, the end event those that were reused.
 func (e *Engine) Submit(now time.Time, request protocol.GenerateRequest) (ident.Stream, *protocol.Refusal) {
-	e.progress(now)
+	e.advanceTo(now)
 	if refusal := e.check(request); refusal != nil {
 		return "", refusal
 	}
@@ -147,19 +149,19 @@
 	accepted.stream = ident.Stream(fmt.Sprintf("%s-%06d", e.incarnation, e.arrivals))
 	e.streams[accepted.stream] = accepted
 	e.waiting = insertOrdered(e.waiting, accepted)
-	cached := e.usableTokens(accepted, e.blocks.held(request.Salt, accepted.chain))
+	cached := e.usableTokens(accepted, e.blocks.cachedPrefix(request.Salt, accepted.chain))
 	e.emit(accepted, protocol.StreamEvent{
 		Kind:  protocol.EventStart,
 		Usage: &protocol.Usage{PromptTokens: accepted.promptTokens, CachedTokens: cached},
 	})
 	e.startStep(now)
-	e.changed()
+	e.sampleLoad()
 	return accepted.stream, nil
 }
 
-// Cancel stops a generation; a stream that is not live is no error.
+// Cancel stops a generation; an unknown or ended stream is no error.
 func (e *Engine) Cancel(now time.Time, stream ident.Stream) {
-	e.progress(now)
+	e.advanceTo(now)
 	cancelled := e.streams[stream]
 	if cancelled == nil {
 		return
@@ -167,10 +169,10 @@
 	e.emit(cancelled, protocol.StreamEvent{Kind: protocol.EventError, Message: "generation was cancelled"})
 	e.recordGeneration(truth.Cancelled, cancelled)
 	e.close(cancelled)
-	e.changed()
+	e.sampleLoad()
 }
 
-// check refuses what must not run.
+// check returns a refusal if the request must not run.
 func (e *Engine) check(request protocol.GenerateRequest) *protocol.Refusal {
 	namespace := prefix.Namespace{
 		Tenant: request.Tenant, Model: request.Model,
@@ -181,7 +183,7 @@
 		return e.refuse(protocol.RefusalDraining, "the engine is down")
 	case request.ExpectedIncarnation != e.incarnation:
 		return e.refuse(protocol.RefusalMismatch, "another incarnation is in force")
-	case e.leaving || e.conditions.Leaving:
+	case e.draining || e.conditions.Draining:
 		return e.refuse(protocol.RefusalDraining, "the engine is stopping")
 	case request.Prompt == "" || request.MaxTokens <= 0 || request.RequestID == "":
 		return e.refuse(protocol.RefusalBadRequest, "request_id, prompt and max_tokens must be set")
@@ -194,7 +196,7 @@
 		return e.refuse(protocol.RefusalMismatch, "the salt is not that of tenant, model, version and adapter")
 	case e.conditions.RefuseFull || len(e.waiting) >= e.config.MaxWaiting:
 		refusal := e.refuse(protocol.RefusalFull, "the waiting queue is full")
-		refusal.RetryAfterMillis = retryHint.Milliseconds()
+		refusal.RetryAfterMillis = fullRetryAfter.Milliseconds()
 		return refusal
 	}
 	return nil
@@ -204,16 +206,16 @@
 	return &protocol.Refusal{Kind: kind, Message: message, Ran: fault.RanNo, Incarnation: e.incarnation}
 }
 
-// close ends a generation and releases what it holds.
-func (e *Engine) close(ended *generation) {
-	ended.over = true
-	delete(e.streams, ended.stream)
-	e.blocks.unpin(ended.pinned)
-	ended.pinned = nil
-	if ended.running {
-		e.running = without(e.running, ended)
+// close ends a generation and releases its blocks and queue entry.
+func (e *Engine) close(closing *generation) {
+	closing.done = true
+	delete(e.streams, closing.stream)
+	e.blocks.unpin(closing.pinned)
+	closing.pinned = nil
+	if closing.running {
+		e.running = without(e.running, closing)
 	} else {
-		e.waiting = without(e.waiting, ended)
+		e.waiting = without(e.waiting, closing)
 	}
 }
 
@@ -235,26 +237,26 @@
 	e.outbox = append(e.outbox, Output{Time: e.now, Truth: &record})
 }
 
-func (e *Engine) recordGeneration(kind truth.Kind, about *generation) {
+func (e *Engine) recordGeneration(kind truth.Kind, target *generation) {
 	record := truth.Record{
 		Kind:            kind,
-		RequestID:       about.request.RequestID,
-		Attempt:         about.request.Attempt,
-		Stream:          about.stream,
-		Tenant:          about.request.Tenant,
-		Model:           about.request.Model,
-		Version:         about.request.Version,
-		Adapter:         about.request.Adapter,
-		Ran:             about.running,
-		PromptTokens:    about.promptTokens,
-		CachedTokens:    about.cachedTokens,
-		PrefilledTokens: about.prefilled,
-		GeneratedTokens: about.emitted,
-		Reused:          about.reused,
+		RequestID:       target.request.RequestID,
+		Attempt:         target.request.Attempt,
+		Stream:          target.stream,
+		Tenant:          target.request.Tenant,
+		Model:           target.request.Model,
+		Version:         target.request.Version,
+		Adapter:         target.request.Adapter,
+		Ran:             target.running,
+		PromptTokens:    target.promptTokens,
+		CachedTokens:    target.cachedTokens,
+		PrefilledTokens: target.prefilled,
+		GeneratedTokens: target.emitted,
+		Reused:          target.reused,
 	}
 	if kind == truth.Started && e.config.TruthBlocks {
-		record.Salt = about.request.Salt
-		record.Hashes = append(prefix.Chain(nil), about.chain...)
+		record.Salt = target.request.Salt
+		record.Hashes = append(prefix.Chain(nil), target.chain...)
 	}
 	e.record(record)
 }
--- a/standin/engine/state.go
+++ b/standin/engine/state.go
@@ -15,7 +15,7 @@
 	"github.com/fieldpond/fieldpond/standin/faultplan"
 )
 
-// Pace of the cache event stream.
+// Batch size and keep-alive interval of the cache event stream.
 const (
 	maxBatchEvents = 256
 	keepAlivePause = 2 * time.Second
@@ -37,14 +37,14 @@
 	}
 }
 
-// cacheEvents streams published cache events after a number, in batches.
+// cacheEvents streams the published cache events after a sequence number, in batches.
 func (s *Server) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := sequenceParameter(r, "after")
 	if err != nil {
 		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "the after parameter must be a sequence number"))
 		return
 	}
-	current := s.life.Load()
+	current := s.incarnation.Load()
 	writer := s.startEvents(w, current)
 	keepAlive := time.NewTicker(keepAlivePause)
 	defer keepAlive.Stop()
@@ -52,7 +52,7 @@
 		changed := current.feed.changed.wait()
 		for events := current.feed.after(after, maxBatchEvents); len(events) > 0; events = current.feed.after(after, maxBatchEvents) {
 			after = events[len(events)-1].Sequence
-			batch := protocol.CacheEventBatch{Incarnation: current.incarnation, Events: events}
+			batch := protocol.CacheEventBatch{Incarnation: current.id, Events: events}
 			if !writer.write("cache", after, batch) {
 				return
 			}
@@ -63,7 +63,7 @@
 			if !writer.comment() {
 				return
 			}
-		case <-current.ended:
+		case <-current.crashed:
 			panic(http.ErrAbortHandler)
 		case <-s.stopping:
 			return
@@ -86,7 +86,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set(protocol.HeaderIncarnation, string(s.life.Load().incarnation))
+	w.Header().Set(protocol.HeaderIncarnation, string(s.incarnation.Load().id))
 	_, _ = w.Write(content)
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// transfer takes the time that moving blocks takes.
+// transfer waits for the transfer time; it returns false if the caller disconnects.
 func (s *Server) transfer(ctx context.Context, blocks int) bool {
 	return sleep(ctx, time.Duration(blocks)*s.options.Model.TransferPerBlock)
 }
@@ -127,8 +127,8 @@
 	}
 }
 
-// engineFaults are the kinds of faults that an engine acts out.
-var engineFaults = []faultplan.Kind{
+// supportedFaults are the kinds of faults that an engine can simulate.
+var supportedFaults = []faultplan.Kind{
 	faultplan.Crash, faultplan.Stall, faultplan.Cut, faultplan.EventLoss, faultplan.EventDelay,
 	faultplan.LoadLag, faultplan.DuplicateChunks, faultplan.SwapChunks, faultplan.LoseEnd,
 	faultplan.Slow, faultplan.RefuseFull, faultplan.Drain,
@@ -149,8 +149,8 @@
 	added := faultplan.Fault{
 		Duration: request.Duration, Target: s.name, Kind: request.Kind, Parameters: request.Parameters,
 	}
-	if !slices.Contains(engineFaults, added.Kind) {
-		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "fault kind is none that an engine acts out"))
+	if !slices.Contains(supportedFaults, added.Kind) {
+		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "the fault kind is not supported by engines"))
 		return
 	}
 	if err := added.Validate(); err != nil {
@@ -158,24 +158,24 @@
 		return
 	}
 	if added.Kind == faultplan.Crash {
-		// A crash closes this connection too, so the answer goes out first.
+		// A crash closes this connection too, so the response is sent first.
 		w.WriteHeader(http.StatusNoContent)
 		_ = http.NewResponseController(w).Flush()
 		_ = s.do(r.Context(), func(now time.Time) { s.inject(now, added) })
 		return
 	}
-	taken := false
-	err := s.do(r.Context(), func(now time.Time) { taken = s.inject(now, added) })
+	accepted := false
+	err := s.do(r.Context(), func(now time.Time) { accepted = s.inject(now, added) })
 	var refusal *protocol.Refusal
-	if !taken {
-		refusal = s.refuse(protocol.RefusalFull, "too many faults are in force; clear them first")
+	if !accepted {
+		refusal = s.refuse(protocol.RefusalFull, "too many faults are active; clear them first")
 	}
 	if !s.answerFailure(w, err, refusal) {
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// clearFaults ends every fault, planned ones included.
+// clearFaults ends all faults, including planned ones.
 func (s *Server) clearFaults(w http.ResponseWriter, r *http.Request) {
 	err := s.do(r.Context(), func(now time.Time) {
 		s.plan.Faults = nil
@@ -192,11 +192,11 @@
 	_, _ = s.truth.WriteTo(w)
 }
 
-// readJSON reads a request body, or answers with a refusal and returns false.
+// readJSON decodes a request body, or responds with a refusal and returns false.
 func (s *Server) readJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err := decoder.Decode(target); err != nil {
-		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "the body is not the JSON expected: "+err.Error()))
+		s.writeRefusal(w, s.refuse(protocol.RefusalBadRequest, "the body is not the expected JSON: "+err.Error()))
 		return false
 	}
 	return true
@@ -204,7 +204,7 @@
 
 func (s *Server) writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(protocol.HeaderIncarnation, string(s.life.Load().incarnation))
+	w.Header().Set(protocol.HeaderIncarnation, string(s.incarnation.Load().id))
 	_ = json.NewEncoder(w).Encode(body)
 }
 
@@ -219,8 +219,8 @@
 	_ = json.NewEncoder(w).Encode(refusal)
 }
 
-// answerFailure answers a refusal or a failure to reach the model duty. Work
-// whose fate is open gets no answer: the connection is cut.
+// answerFailure responds to a refusal or to a full command ring and returns true.
+// If it is unknown whether the work runs, it aborts the connection.
 func (s *Server) answerFailure(w http.ResponseWriter, err error, refusal *protocol.Refusal) bool {
 	switch {
 	case fault.Is(err, fault.Overloaded):
--- a/standin/engine/weights.go
+++ b/standin/engine/weights.go
@@ -17,12 +17,12 @@
 // Limits of weight fetches.
 const (
 	maxParallelFetches = 8
-	firstFetchPause    = 250 * time.Millisecond
-	longestFetchPause  = 5 * time.Second
+	minFetchBackoff    = 250 * time.Millisecond
+	maxFetchBackoff    = 5 * time.Second
 	fetchTimeout       = 2 * time.Minute
 )
 
-// runWeights is the weights duty: it fetches the weights of load orders.
+// runWeights fetches the weights of load orders until the context ends.
 func (s *Server) runWeights(ctx context.Context) {
 	var fetchers errgroup.Group
 	fetchers.SetLimit(maxParallelFetches)
@@ -39,10 +39,10 @@
 	}
 }
 
-// fetchUntilDone tries until the weights are there or the load is not pending
-// any more (unloaded, or the engine crashed).
+// fetchUntilDone retries until the weights are fetched or the load is no longer
+// pending (unloaded, or the engine crashed).
 func (s *Server) fetchUntilDone(ctx context.Context, order protocol.Order) {
-	pause := firstFetchPause
+	pause := minFetchBackoff
 	for {
 		pending := false
 		err := s.do(ctx, func(time.Time) { pending = s.model.LoadPending(order.OrderID) })
@@ -54,15 +54,15 @@
 			_ = s.do(ctx, func(now time.Time) { s.model.WeightsArrived(now, order.OrderID) })
 			return
 		}
-		s.options.Logger.WithError(err).WithField("engine", s.name).Warn("weights were not fetched, trying again")
+		s.options.Logger.WithError(err).WithField("engine", s.name).Warn("fetching the weights failed, retrying")
 		if !sleep(ctx, max(wait, pause)) {
 			return
 		}
-		pause = min(2*pause, longestFetchPause)
+		pause = min(2*pause, maxFetchBackoff)
 	}
 }
 
-// fetch reads the weights once. On a rate limit it returns how long to wait.
+// fetch reads the weights once. On an error it returns the Retry-After time, if any.
 func (s *Server) fetch(ctx context.Context, order protocol.Order) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -73,7 +73,7 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return 0, errors.Wrap(err, "ask weight store")
+		return 0, errors.Wrap(err, "request weights")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
--- a/standin/experiment/engines.go
+++ b/standin/experiment/engines.go
@@ -14,17 +14,17 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// engineNode drives one engine model and takes in what it says.
+// engineNode drives one engine model and handles its outputs.
 type engineNode struct {
-	simulation *simulation
-	name       ident.Engine
-	zone       ident.Zone
-	model      *model.Engine
-	lives      int
-	// wakeAt is the earliest wake-up already scheduled, if any.
+	simulation   *simulation
+	name         ident.Engine
+	zone         ident.Zone
+	model        *model.Engine
+	incarnations int
+	// wakeAt is the earliest wake-up scheduled, if any.
 	wakeAt   time.Time
 	attempts map[endpoint.AttemptKey]*attempt
-	// order lists the attempts as they were accepted, for a fixed order.
+	// order lists the attempts in order of acceptance, for deterministic iteration.
 	order []*attempt
 }
 
@@ -33,7 +33,7 @@
 		simulation: s, name: config.Name, zone: config.Zone,
 		attempts: make(map[endpoint.AttemptKey]*attempt),
 	}
-	node.model = model.New(config, node.nextLife(), random, s.start)
+	node.model = model.New(config, node.nextIncarnation(), random, s.start)
 	return node
 }
 
@@ -47,23 +47,23 @@
 	return loaded
 }
 
-func (n *engineNode) nextLife() ident.Incarnation {
-	n.lives++
-	return ident.Incarnation(fmt.Sprintf("%s-life-%d", n.name, n.lives))
+func (n *engineNode) nextIncarnation() ident.Incarnation {
+	n.incarnations++
+	return ident.Incarnation(fmt.Sprintf("%s-life-%d", n.name, n.incarnations))
 }
 
-// poke takes in the engine's outputs and schedules its next wake-up. It
-// follows every call of the model.
-func (n *engineNode) poke() {
+// drainOutputs handles the engine's outputs and schedules its next wake-up. Call
+// it after each call of a model method.
+func (n *engineNode) drainOutputs() {
 	now := n.simulation.clock.now
 	for _, output := range n.model.Advance(now) {
 		switch {
 		case output.Event != nil:
-			n.streamed(output.Event)
+			n.applyStreamEvent(output.Event)
 		case output.Batch != nil:
 			n.simulation.deliverEvents(n, *output.Batch)
 		case output.Truth != nil:
-			n.judge(output.Truth)
+			n.recordTruth(output.Truth)
 		}
 	}
 	next, found := n.model.NextTime()
@@ -75,31 +75,31 @@
 		if n.wakeAt.Equal(next) {
 			n.wakeAt = time.Time{}
 		}
-		n.poke()
+		n.drainOutputs()
 	})
 }
 
 // submit offers an attempt to the engine.
 func (n *engineNode) submit(sent *attempt) {
-	if sent.over {
+	if sent.done {
 		return
 	}
 	if !n.model.Alive() {
-		sent.answer(func() { sent.unreachable() })
+		sent.deliverToRouter(func() { sent.unreachable() })
 		return
 	}
 	_, refusal := n.model.Submit(n.simulation.clock.now, sent.request())
 	if refusal != nil {
-		sent.answer(func() { sent.refused(refusal) })
+		sent.deliverToRouter(func() { sent.refused(refusal) })
 		return
 	}
 	n.attempts[sent.key] = sent
 	n.order = append(n.order, sent)
-	n.poke()
+	n.drainOutputs()
 }
 
-// streamed takes in an event of a stream.
-func (n *engineNode) streamed(event *protocol.StreamEvent) {
+// applyStreamEvent applies a stream event to its attempt.
+func (n *engineNode) applyStreamEvent(event *protocol.StreamEvent) {
 	about := n.attempts[endpoint.AttemptKey{Request: event.RequestID, Attempt: event.Attempt}]
 	if about == nil {
 		return
@@ -108,72 +108,72 @@
 	switch event.Kind {
 	case protocol.EventStart:
 		usage, incarnation := *event.Usage, event.Incarnation
-		about.answer(func() { about.accepted(incarnation, usage) })
+		about.deliverToRouter(func() { about.accepted(incarnation, usage) })
 	case protocol.EventChunk:
 		about.chunk(event.Text, event.Tokens)
 	case protocol.EventEnd:
-		n.forget(about)
-		about.answer(about.completed)
+		n.removeAttempt(about)
+		about.deliverToRouter(about.completed)
 	}
 }
 
-func (n *engineNode) forget(gone *attempt) {
-	delete(n.attempts, gone.key)
+func (n *engineNode) removeAttempt(removed *attempt) {
+	delete(n.attempts, removed.key)
 	for index, known := range n.order {
-		if known == gone {
+		if known == removed {
 			n.order = append(n.order[:index], n.order[index+1:]...)
 			return
 		}
 	}
 }
 
-// judge reads the truth about an attempt.
-func (n *engineNode) judge(record *truth.Record) {
+// recordTruth measures a truth record of an attempt.
+func (n *engineNode) recordTruth(record *truth.Record) {
 	about := n.attempts[endpoint.AttemptKey{Request: record.RequestID, Attempt: record.Attempt}]
 	if about == nil || !about.exchange.measured {
 		return
 	}
 	switch record.Kind {
 	case truth.Started:
-		n.simulation.measures.started(about, record)
+		n.simulation.measures.recordStarted(about, record)
 	case truth.Lost, truth.Cancelled:
 		n.simulation.measures.discarded += int64(record.PrefilledTokens + record.GeneratedTokens)
 	}
 }
 
-// crash ends the engine's life and breaks its streams.
+// crash ends the engine's incarnation and its streams.
 func (n *engineNode) crash() {
 	n.model.Crash(n.simulation.clock.now)
-	n.poke()
+	n.drainOutputs()
 	broken := n.order
 	n.attempts, n.order = make(map[endpoint.AttemptKey]*attempt), nil
 	for _, lost := range broken {
-		lost.answer(lost.broken)
+		lost.deliverToRouter(lost.broken)
 	}
 }
 
 func (n *engineNode) restart() {
-	n.model.Restart(n.simulation.clock.now, n.nextLife())
-	n.poke()
+	n.model.Restart(n.simulation.clock.now, n.nextIncarnation())
+	n.drainOutputs()
 }
 
-func (n *engineNode) cancel(unwanted *attempt) {
-	if n.attempts[unwanted.key] == unwanted {
-		n.model.Cancel(n.simulation.clock.now, unwanted.stream)
-		n.poke()
-		n.forget(unwanted)
+func (n *engineNode) cancel(cancelled *attempt) {
+	if n.attempts[cancelled.key] == cancelled {
+		n.model.Cancel(n.simulation.clock.now, cancelled.stream)
+		n.drainOutputs()
+		n.removeAttempt(cancelled)
 	}
 }
 
-// exactCredits tells what every cache truly holds, or is about to hold once
-// the prompts that its engine has accepted are computed.
+// exactCredits reads the actual cache contents, including the blocks of prompts
+// that the engine has accepted but not computed yet.
 type exactCredits struct {
 	simulation *simulation
-	// salts finds the salt of a chain by its first hash.
+	// salts holds the salt of each chain by its first hash.
 	salts map[uint64]uint64
 }
 
-func (e *exactCredits) learn(salt prefix.Salt, chain prefix.Chain) {
+func (e *exactCredits) addSalt(salt prefix.Salt, chain prefix.Chain) {
 	if len(chain) > 0 {
 		e.salts[uint64(chain[0])] = uint64(salt)
 	}
@@ -185,15 +185,15 @@
 	if node == nil || len(chain) == 0 || node.model.Incarnation() != incarnation || !node.model.Alive() {
 		return 0
 	}
-	held := node.model.Held(prefix.Salt(e.salts[uint64(chain[0])]), chain)
-	for _, coming := range node.order {
-		held = max(held, common(chain, coming.chain))
+	held := node.model.CachedPrefixBlocks(prefix.Salt(e.salts[uint64(chain[0])]), chain)
+	for _, accepted := range node.order {
+		held = max(held, commonBlocks(chain, accepted.chain))
 	}
 	return float64(held)
 }
 
-// common returns the number of leading blocks that two chains share.
-func common(a, b prefix.Chain) int {
+// commonBlocks returns the length of the common prefix of two chains.
+func commonBlocks(a, b prefix.Chain) int {
 	low, high := 0, min(len(a), len(b))
 	for low < high {
 		middle := (low + high + 1) / 2
--- a/standin/experiment/move.go
+++ b/standin/experiment/move.go
@@ -8,9 +8,9 @@
 	"github.com/fieldpond/fieldpond/standin/engine/model"
 )
 
-// move exports the attempt's cached blocks from one engine and imports them
-// into its own, as the router's placer does, and then goes on. A move that
-// fails costs a recomputation only.
+// move exports the attempt's cached blocks from one engine, imports them into its
+// own, as the router's placer does, and then calls then. A failed move only costs
+// a recomputation.
 func (a *attempt) move(source *engineNode, incarnation ident.Incarnation, then func()) {
 	s := a.exchange.simulation
 	perBlock := model.DefaultConfig().TransferPerBlock
@@ -19,16 +19,16 @@
 		content, blocks, refusal := source.model.Export(s.clock.now, protocol.TransferRequest{
 			Salt: a.exchange.salt, Hashes: a.chain, ExpectedIncarnation: incarnation,
 		})
-		source.poke()
+		source.drainOutputs()
 		if refusal != nil || blocks == 0 {
 			s.clock.after(toSource, then)
 			return
 		}
-		legs := time.Duration(blocks) * perBlock
-		s.clock.after(legs+toSource+toTarget+legs, func() {
+		transferTime := time.Duration(blocks) * perBlock
+		s.clock.after(transferTime+toSource+toTarget+transferTime, func() {
 			if a.engine.model.Alive() && a.engine.model.Incarnation() == a.incarnation {
 				_, _ = a.engine.model.Import(s.clock.now, a.exchange.salt, content)
-				a.engine.poke()
+				a.engine.drainOutputs()
 			}
 			s.clock.after(toTarget, then)
 		})
