--- a/proofs/answers_test.go
+++ b/proofs/answers_test.go
@@ -22,20 +22,20 @@
 func TestSameKeyOfTwoTenants(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{})
+	c := harness.Start(t, harness.Config{})
 	for _, name := range c.Applications {
 		c.Inject(name, faultboard.Fault{Kind: application.FaultSlow, DurationMillis: lastingMillis, DelayMillis: 250, Probability: 0.5})
 	}
 	callers := []*harness.Caller{c.NewCaller(harness.TenantA), c.NewCaller(harness.TenantB)}
 	const keys = 12
-	together(2*keys, func(number int) {
+	concurrently(2*keys, func(number int) {
 		caller, key := callers[number%2], fmt.Sprintf("key-%d", number/2)
 		if number%3 == 0 {
 			impatient, leave := context.WithTimeout(t.Context(), 60*time.Millisecond)
 			caller.Book(impatient, c.RouterURLs()[0], key, "{}")
 			leave()
 		}
-		is.True(bookUntilAnswered(t.Context(), caller, c.RouterURLs(), key, "{}", bookingTries).Answered())
+		is.True(bookUntilAnswered(t.Context(), caller, c.RouterURLs(), key, "{}", bookingAttempts).Answered())
 	})
 	executions := c.AllExecutions()
 	is.Equal(len(executions), 2*keys) // one for each tenant's key
@@ -52,25 +52,25 @@
 // every answer is whole.
 func TestSamePromptOfTwoTenants(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{Relayed: true})
+	c := harness.Start(t, harness.Config{Relayed: true})
 	for _, name := range c.Engines[:2] {
 		c.Relay(name).Arm(harness.Cut{
 			Match: "POST /v1/generate", Direction: harness.ToRouter, After: 4000, Action: harness.Reset, Times: 3,
 		})
 	}
 	callers := []*harness.Caller{c.NewCaller(harness.TenantA), c.NewCaller(harness.TenantB)}
-	together(16, func(number int) {
-		ask := harness.Ask{Prompt: prompt("same", number/2), MaxTokens: streamTokens}
+	concurrently(16, func(number int) {
+		req := harness.ModelRequest{Prompt: prompt("same", number/2), MaxTokens: streamTokens}
 		send := callers[number%2].Stream
 		if number >= 8 {
-			send = callers[number%2].Whole
+			send = callers[number%2].Complete
 		}
-		requireWhole(t, ask, send(t.Context(), c.RouterURLs()[number/2%2], ask))
+		requireComplete(t, req, send(t.Context(), c.RouterURLs()[number/2%2], req))
 	})
 	owner := map[ident.Request]ident.Tenant{}
 	for _, caller := range callers {
-		for _, told := range caller.History() {
-			owner[told.RequestID] = caller.Tenant
+		for _, outcome := range caller.History() {
+			owner[outcome.RequestID] = caller.Tenant
 		}
 	}
 	is := is.New(t)
@@ -91,33 +91,33 @@
 func TestLateAnswersOfAFrozenEngineReachNobody(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{Engines: 2})
+	c := harness.Start(t, harness.Config{Engines: 2})
 	caller := c.NewCaller(harness.TenantA)
 	var once sync.Once
 	frozen := ""
 	began := time.Now()
-	together(4, func(number int) {
-		ask := longAsk(fmt.Sprintf("frozen %d", number), 100)
-		ask.OnText = func(bytes int) {
+	concurrently(4, func(number int) {
+		req := longRequest(fmt.Sprintf("frozen %d", number), 100)
+		req.OnText = func(bytes int) {
 			if bytes > 60 {
 				once.Do(func() { frozen = freezeBusy(c) })
 			}
 		}
-		requireWhole(t, ask, caller.Stream(t.Context(), c.RouterURLs()[number%2], ask))
+		requireComplete(t, req, caller.Stream(t.Context(), c.RouterURLs()[number%2], req))
 	})
 	is.True(frozen != "")
 	t.Logf("every answer was whole %s after the start", time.Since(began).Round(time.Second))
 	c.Resume(frozen)
-	together(8, func(number int) {
-		ask := harness.Ask{Prompt: prompt("after", number), MaxTokens: streamTokens}
-		requireWhole(t, ask, caller.Stream(t.Context(), c.RouterURLs()[number%2], ask))
+	concurrently(8, func(number int) {
+		req := harness.ModelRequest{Prompt: prompt("after", number), MaxTokens: streamTokens}
+		requireComplete(t, req, caller.Stream(t.Context(), c.RouterURLs()[number%2], req))
 	})
 }
 
 // freezeBusy freezes an engine with a generation that has begun and not ended.
 func freezeBusy(c *harness.Cluster) string {
 	for _, name := range c.Engines {
-		if unfinished(c.Truth(name)) > 0 {
+		if unfinishedGenerations(c.Truth(name)) > 0 {
 			c.Freeze(name)
 			return name
 		}
--- a/proofs/atmostonce_test.go
+++ b/proofs/atmostonce_test.go
@@ -17,26 +17,26 @@
 	"github.com/fieldpond/fieldpond/standin/platform"
 )
 
-// shortClaims makes routers give a claim up soon, so that a slow table commits
+// shortClaimTimeouts makes routers give a claim up soon, so that a slow table commits
 // later than that.
-const shortClaims = `
+const shortClaimTimeouts = `
 table:
   timeout: 300ms
   claimTimeout: 600ms
 `
 
-// slowTable is far beyond both limits.
-const slowTable = 1500 * time.Millisecond
+// slowTableDelay is far beyond both limits.
+const slowTableDelay = 1500 * time.Millisecond
 
-// bookingTries bounds the sendings of a caller that repeats.
-const bookingTries = 40
+// bookingAttempts bounds the sendings of a caller that repeats.
+const bookingAttempts = 40
 
 // Promise 4: the same keys at the same instant at both routers, from both
 // tenants, repeated while the table loses and delays answers and the
 // applications refuse, stall the answer, or cut it before or after running.
 func TestBookingsRunAtMostOnceInAStorm(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{RouterSettings: shortClaims})
+	c := harness.Start(t, harness.Config{RouterSettings: shortClaimTimeouts})
 	table := func(kind string, probability float64, delay int64) faultboard.Fault {
 		return faultboard.Fault{Service: platform.ServiceTable, Kind: kind, DurationMillis: lastingMillis, Probability: probability, DelayMillis: delay}
 	}
@@ -52,40 +52,40 @@
 	const keys, sendersPerKey = 20, 4
 	callers := []*harness.Caller{c.NewCaller(harness.TenantA), c.NewCaller(harness.TenantB)}
 	routers := c.RouterURLs()
-	together(keys*sendersPerKey, func(number int) {
+	concurrently(keys*sendersPerKey, func(number int) {
 		key := fmt.Sprintf("key-%d", number/sendersPerKey)
 		caller := callers[number%2]
-		turned := slices.Clone(routers)
+		order := slices.Clone(routers)
 		if number%sendersPerKey < 2 {
-			slices.Reverse(turned)
+			slices.Reverse(order)
 		}
-		bookUntilAnswered(t.Context(), caller, turned, key, "{}", 8)
+		bookUntilAnswered(t.Context(), caller, order, key, "{}", 8)
 	})
 	c.ClearFaults(harness.Platform)
 	for _, name := range c.Applications {
 		c.ClearFaults(name)
 	}
-	requireRepeatsOfNotRunSucceed(t, c, callers...)
+	requireNotRunRetriesSucceed(t, c, callers...)
 	c.Await("every execution has ended", c.Idle)
 	executions := c.AllExecutions()
 	requireAtMostOnce(t, executions, callers...)
 	is.New(t).True(len(executions) > keys) // of 2*keys pairs of tenant and key
 }
 
-// requireRepeatsOfNotRunSucceed repeats each key of which every sending was
+// requireNotRunRetriesSucceed repeats each key of which every sending was
 // told "not run": the repeat must get an answer.
-func requireRepeatsOfNotRunSucceed(t *testing.T, c *harness.Cluster, callers ...*harness.Caller) {
+func requireNotRunRetriesSucceed(t *testing.T, c *harness.Cluster, callers ...*harness.Caller) {
 	t.Helper()
 	for _, caller := range callers {
 		open := map[string]bool{}
-		for _, told := range caller.History() {
-			open[told.Key] = open[told.Key] || told.Ran() != fault.RanNo
+		for _, outcome := range caller.History() {
+			open[outcome.Key] = open[outcome.Key] || outcome.Ran() != fault.RanNo
 		}
 		for key, isOpen := range open {
 			if isOpen {
 				continue
 			}
-			if last := bookUntilAnswered(t.Context(), caller, c.RouterURLs(), key, "{}", bookingTries); !last.Answered() {
+			if last := bookUntilAnswered(t.Context(), caller, c.RouterURLs(), key, "{}", bookingAttempts); !last.Answered() {
 				t.Errorf("%s was never run, and its repeat was told %+v", key, last.Refusal)
 			}
 		}
@@ -96,13 +96,13 @@
 // the chance to run at all.
 func TestBookingUnderTableFaults(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{RouterSettings: shortClaims})
+	c := harness.Start(t, harness.Config{RouterSettings: shortClaimTimeouts})
 	cases := []struct {
 		name  string
 		fault faultboard.Fault
 	}{
 		{"answers lost after the commit", faultboard.Fault{Kind: platform.FaultLoseAnswer}},
-		{"slow beyond every limit, committing later", faultboard.Fault{Kind: platform.FaultSlow, DelayMillis: slowTable.Milliseconds()}},
+		{"slow beyond every limit, committing later", faultboard.Fault{Kind: platform.FaultSlow, DelayMillis: slowTableDelay.Milliseconds()}},
 		{"down", faultboard.Fault{Kind: platform.FaultOutage}},
 		{"over its rate limit", faultboard.Fault{Kind: platform.FaultRate}},
 	}
@@ -114,18 +114,18 @@
 			caller := c.NewCaller(harness.TenantA)
 			key := fmt.Sprintf("key-%d", number)
 			routers := c.RouterURLs()
-			together(4, func(sender int) { caller.Book(t.Context(), routers[sender%2], key, "{}") })
-			for _, told := range caller.History() {
-				is.True(!told.Broken)
-				is.True(told.Answered() || told.RetryAfter != "") // a word at once, with a time to come back
+			concurrently(4, func(sender int) { caller.Book(t.Context(), routers[sender%2], key, "{}") })
+			for _, outcome := range caller.History() {
+				is.True(!outcome.Broken)
+				is.True(outcome.Answered() || outcome.RetryAfter != "") // a word at once, with a time to come back
 			}
 			c.ClearFaults(harness.Platform)
-			is.True(bookUntilAnswered(t.Context(), caller, routers, key, "{}", bookingTries).Answered())
+			is.True(bookUntilAnswered(t.Context(), caller, routers, key, "{}", bookingAttempts).Answered())
 			requireAtMostOnce(t, c.AllExecutions(), caller)
 		})
 	}
 	// Whatever was still on its way to the table has taken effect or not by now.
-	time.Sleep(slowTable)
+	time.Sleep(slowTableDelay)
 	late := c.NewCaller(harness.TenantA)
 	for number := range cases {
 		is.New(t).True(late.Book(t.Context(), c.RouterURLs()[number%2], fmt.Sprintf("key-%d", number), "{}").Replayed)
@@ -133,10 +133,10 @@
 	requireAtMostOnce(t, c.AllExecutions(), late)
 }
 
-// claimedWhileFrozen sends a booking to a router and freezes it so that its
+// claimWhileFrozen sends a booking to a router and freezes it so that its
 // claim takes effect in the table while it stands still: after the claim and
 // before any dispatch. It returns the key; the sending goes on.
-func claimedWhileFrozen(t *testing.T, c *harness.Cluster, caller *harness.Caller, router string) (key string, ended <-chan harness.Told) {
+func claimWhileFrozen(t *testing.T, c *harness.Cluster, caller *harness.Caller, router string) (key string, ended <-chan harness.Outcome) {
 	t.Helper()
 	for try := 1; try <= 5; try++ {
 		key := fmt.Sprintf("frozen-%d", try)
@@ -146,7 +146,7 @@
 			Service: platform.ServiceTable, Kind: platform.FaultSlow, OnlyWrites: true,
 			DurationMillis: lastingMillis, DelayMillis: delay.Milliseconds(),
 		})
-		done := make(chan harness.Told, 1)
+		done := make(chan harness.Outcome, 1)
 		go func() { done <- caller.Book(t.Context(), c.URL(router), key, "{}") }()
 		time.Sleep(delay / 2)
 		c.Freeze(router)
@@ -176,8 +176,8 @@
 	return false
 }
 
-// longClaims lets a router wait for a slow table.
-const longClaims = `
+// longClaimTimeouts lets a router wait for a slow table.
+const longClaimTimeouts = `
 table:
   timeout: 10s
   claimTimeout: 10s
@@ -188,21 +188,21 @@
 func TestHolderKilledBeforeDispatch(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{RouterSettings: longClaims})
+	c := harness.Start(t, harness.Config{RouterSettings: longClaimTimeouts})
 	caller := c.NewCaller(harness.TenantA)
-	key, ended := claimedWhileFrozen(t, c, caller, c.Routers[0])
+	key, ended := claimWhileFrozen(t, c, caller, c.Routers[0])
 	c.Kill(c.Routers[0])
 	is.True((<-ended).Broken)
 	for range 3 {
-		told := caller.Book(t.Context(), c.URL(c.Routers[1]), key, "{}")
-		is.Equal(told.Ran(), fault.RanUnknown) // it never says "not run": it cannot know
-		is.Equal(told.Kind(), fault.AlreadyClaimed)
+		outcome := caller.Book(t.Context(), c.URL(c.Routers[1]), key, "{}")
+		is.Equal(outcome.Ran(), fault.RanUnknown) // it never says "not run": it cannot know
+		is.Equal(outcome.Kind(), fault.AlreadyClaimed)
 	}
 	c.Restart(c.Routers[0])
 	c.AwaitServing(c.Routers[0])
 	is.Equal(caller.Book(t.Context(), c.URL(c.Routers[0]), key, "{}").Ran(), fault.RanUnknown)
 	executions := c.AllExecutions()
-	is.Equal(executionsOf(executions, harness.Told{Tenant: caller.Tenant, Key: key}), 0)
+	is.Equal(executionsOf(executions, harness.Outcome{Tenant: caller.Tenant, Key: key}), 0)
 	requireAtMostOnce(t, executions, caller)
 }
 
@@ -211,16 +211,16 @@
 func TestFrozenHolderAwakesAfterItsTimeouts(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{RouterSettings: "\ntable:\n  timeout: 3s\n  claimTimeout: 3s\n"})
+	c := harness.Start(t, harness.Config{RouterSettings: "\ntable:\n  timeout: 3s\n  claimTimeout: 3s\n"})
 	caller := c.NewCaller(harness.TenantA)
-	key, ended := claimedWhileFrozen(t, c, caller, c.Routers[0])
+	key, ended := claimWhileFrozen(t, c, caller, c.Routers[0])
 	other := c.URL(c.Routers[1])
-	together(3, func(int) { caller.Book(t.Context(), other, key, "{}") })
+	concurrently(3, func(int) { caller.Book(t.Context(), other, key, "{}") })
 	time.Sleep(3500 * time.Millisecond) // beyond the claim's limit, not a condition
 	is.Equal(caller.Book(t.Context(), other, key, "{}").Ran(), fault.RanUnknown)
 	c.Resume(c.Routers[0])
 	first := <-ended
-	last := bookUntilAnswered(t.Context(), caller, []string{other, c.URL(c.Routers[0])}, key, "{}", bookingTries)
+	last := bookUntilAnswered(t.Context(), caller, []string{other, c.URL(c.Routers[0])}, key, "{}", bookingAttempts)
 	t.Logf("the frozen sending was told ran %q (%s), the last one answered %v", first.Ran(), first.Kind(), last.Answered())
 	executions := c.AllExecutions()
 	requireAtMostOnce(t, executions, caller)
@@ -237,9 +237,9 @@
 		t.Run(lost, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			c := harness.Start(t, harness.Shape{ApplicationArgs: []string{"--execute-millis", "1500"}})
+			c := harness.Start(t, harness.Config{ApplicationArgs: []string{"--execute-millis", "1500"}})
 			caller := c.NewCaller(harness.TenantA)
-			ended := make(chan harness.Told, 1)
+			ended := make(chan harness.Outcome, 1)
 			go func() { ended <- caller.Book(t.Context(), c.URL(c.Routers[0]), "key", "{}") }()
 			c.Await("the booking runs", func() bool { return len(c.AllExecutions()) == 1 })
 			other := c.URL(c.Routers[1])
@@ -252,11 +252,11 @@
 				is.Equal(caller.Book(t.Context(), c.URL(c.Routers[0]), "key", "{}").Ran(), fault.RanUnknown)
 			} else {
 				c.Freeze(c.Routers[0])
-				together(3, func(int) { is.Equal(caller.Book(t.Context(), other, "key", "{}").Ran(), fault.RanUnknown) })
+				concurrently(3, func(int) { is.Equal(caller.Book(t.Context(), other, "key", "{}").Ran(), fault.RanUnknown) })
 				c.Resume(c.Routers[0])
 				is.True((<-ended).Answered())
 				// The outcome is recorded: the other router gives the same answer.
-				last := bookUntilAnswered(t.Context(), caller, []string{other}, "key", "{}", bookingTries)
+				last := bookUntilAnswered(t.Context(), caller, []string{other}, "key", "{}", bookingAttempts)
 				is.True(last.Answered() && last.Replayed)
 			}
 			executions := c.AllExecutions()
@@ -272,17 +272,17 @@
 func TestHerdRestartWithTheStoreDown(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{Routers: 3, RouterSettings: shortClaims, ApplicationArgs: []string{"--execute-millis", "400"}})
+	c := harness.Start(t, harness.Config{Routers: 3, RouterSettings: shortClaimTimeouts, ApplicationArgs: []string{"--execute-millis", "400"}})
 	caller := c.NewCaller(harness.TenantA)
 	const keys = 12
 	name := func(number int) string { return fmt.Sprintf("key-%d", number) }
 	routers := c.RouterURLs()
 	var first sync.WaitGroup
 	first.Go(func() {
-		together(keys, func(number int) { caller.Book(t.Context(), routers[number%3], name(number), "{}") })
+		concurrently(keys, func(number int) { caller.Book(t.Context(), routers[number%3], name(number), "{}") })
 	})
 	c.Await("bookings run", func() bool { return len(c.AllExecutions()) >= keys/2 })
-	c.Inject(harness.Platform, lasting(faultboard.AllServices, platform.FaultOutage))
+	c.Inject(harness.Platform, lastingFault(faultboard.AllServices, platform.FaultOutage))
 	for _, router := range c.Routers {
 		c.Kill(router)
 	}
@@ -293,16 +293,16 @@
 	for _, router := range c.Routers {
 		c.AwaitUp(router)
 	}
-	together(keys, func(number int) {
-		told := caller.Book(t.Context(), routers[(number+1)%3], name(number), "{}")
-		if told.Answered() || told.Broken || told.RetryAfter == "" {
-			t.Errorf("with the store down a booking was told %+v", told.Refusal)
+	concurrently(keys, func(number int) {
+		outcome := caller.Book(t.Context(), routers[(number+1)%3], name(number), "{}")
+		if outcome.Answered() || outcome.Broken || outcome.RetryAfter == "" {
+			t.Errorf("with the store down a booking was told %+v", outcome.Refusal)
 		}
 	})
 	c.ClearFaults(harness.Platform)
 	c.AwaitServing(c.Routers...)
 	executed := map[string]bool{}
-	together(keys, func(number int) { bookUntilAnswered(t.Context(), caller, routers, name(number), "{}", 6) })
+	concurrently(keys, func(number int) { bookUntilAnswered(t.Context(), caller, routers, name(number), "{}", 6) })
 	c.Await("every execution has ended", c.Idle)
 	executions := c.AllExecutions()
 	for _, execution := range executions {
@@ -312,7 +312,7 @@
 	requireAtMostOnce(t, executions, caller)
 	// A key that nobody ever ran was claimed and lost; none of its repeats is
 	// told that it ran.
-	for _, told := range caller.History() {
-		is.True(executed[told.Key] || told.Ran() != fault.RanYes)
+	for _, outcome := range caller.History() {
+		is.True(executed[outcome.Key] || outcome.Ran() != fault.RanYes)
 	}
 }
--- a/proofs/cacheprocess_test.go
+++ b/proofs/cacheprocess_test.go
@@ -41,21 +41,21 @@
 	r.Document = &document
 }
 
-// streamAcross runs long streams and calls disturb once some have text. Each
+// streamDuring runs long streams and calls disturb once some have text. Each
 // answer must come whole.
-func (r *cacheRun) streamAcross(disturb func()) {
+func (r *cacheRun) streamDuring(disturb func()) {
 	r.t.Helper()
 	caller := r.NewCaller(harness.TenantA)
 	var once sync.Once
-	together(6, func(number int) {
-		ask := longAsk(fmt.Sprint("long ", number), 120)
-		ask.OnText = func(bytes int) {
+	concurrently(6, func(number int) {
+		req := longRequest(fmt.Sprint("long ", number), 120)
+		req.OnText = func(bytes int) {
 			if bytes > 40 {
 				once.Do(disturb)
 			}
 		}
-		told := caller.Stream(r.t.Context(), r.RouterURLs()[number%2], ask)
-		requireHonest(r.t, ask, told)
+		outcome := caller.Stream(r.t.Context(), r.RouterURLs()[number%2], req)
+		requireValidStream(r.t, req, outcome)
 	})
 }
 
@@ -64,7 +64,7 @@
 // what begins after their adoption.
 func TestCachesAreNotSharedOnRealSockets(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{PlatformArgs: []string{"--weight-rate", "0", "--weight-gigabytes-per-second", "0"}})
+	c := harness.Start(t, harness.Config{PlatformArgs: []string{"--weight-rate", "0", "--weight-gigabytes-per-second", "0"}})
 	r := &cacheRun{Cluster: c, t: t, callers: startTraffic(t, c)}
 	r.callers.awaitAnswers(c, 60)
 
@@ -80,11 +80,11 @@
 	r.callers.awaitAnswers(c, 60)
 
 	r.replaceWeights()
-	r.withdrawPlace()
+	r.withdrawZone()
 	r.callers.end()
 	records := allTruth(c)
-	judgeReuse(t, records)
-	judgeVersions(t, records)
+	checkReuse(t, records)
+	checkContinuedVersions(t, records)
 	is.New(t).True(reusedTokens(records) > 50000) // the caches were truly in use
 }
 
@@ -93,7 +93,7 @@
 // the old ones away, which the routers order the engines to unload, under load.
 func (r *cacheRun) replaceWeights() {
 	r.t.Helper()
-	r.streamAcross(func() {
+	r.streamDuring(func() {
 		r.apply(func(document *fleet.Document) {
 			document.Models[0].Version, document.Models[0].AcceptVersions = newWeights, []ident.ModelVersion{harness.ModelVersion}
 		})
@@ -105,7 +105,7 @@
 	adopted := time.Now()
 	awaitEngines(r.t, r.Cluster, "no engine has the old weights", func(engine status.Engine) bool { return !has(harness.ModelVersion)(engine) })
 	r.callers.awaitAnswers(r.Cluster, 60)
-	requireNoStart(r.t, allTruth(r.Cluster), r.callers.begunAfter(adopted), func(record truth.Record) bool {
+	requireNoStart(r.t, allTruth(r.Cluster), r.callers.requestsSentAfter(adopted), func(record truth.Record) bool {
 		return record.Version != newWeights
 	})
 }
@@ -117,20 +117,20 @@
 	}
 }
 
-// withdrawPlace takes one of two zones away from a tenant.
-func (r *cacheRun) withdrawPlace() {
+// withdrawZone takes one of two zones away from a tenant.
+func (r *cacheRun) withdrawZone() {
 	r.t.Helper()
 	r.apply(func(document *fleet.Document) { document.Tenants[0].Places = []string{string(harness.ZoneA)} })
 	adopted := time.Now()
 	r.callers.awaitAnswers(r.Cluster, 60)
-	requireNoStart(r.t, allTruth(r.Cluster), r.callers.begunAfter(adopted), func(record truth.Record) bool {
+	requireNoStart(r.t, allTruth(r.Cluster), r.callers.requestsSentAfter(adopted), func(record truth.Record) bool {
 		return record.Tenant == r.Document.Tenants[0].Name && record.Zone != harness.ZoneA
 	})
 }
 
-// judgeVersions requires that all attempts of a request that emitted text had
+// checkContinuedVersions requires that all attempts of a request that emitted text had
 // the same version.
-func judgeVersions(t *testing.T, records []truth.Record) {
+func checkContinuedVersions(t *testing.T, records []truth.Record) {
 	t.Helper()
 	emitted := map[ident.Request]ident.ModelVersion{}
 	continued := 0
--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -24,9 +24,9 @@
 	chaosSeed   = 20
 )
 
-// disturb kills, restarts, freezes and resumes routers in turn, until all the
+// disruptRouters kills, restarts, freezes and resumes routers in turn, until all the
 // rounds are over; then every router serves again.
-func disturb(c *harness.Cluster, random *rand.Rand) {
+func disruptRouters(c *harness.Cluster, random *rand.Rand) {
 	for range chaosRounds {
 		router := c.Routers[random.IntN(len(c.Routers))]
 		pause := time.Duration(100+random.IntN(500)) * time.Millisecond
@@ -49,7 +49,7 @@
 // applications refuse, cut and run without an answer.
 func TestBookingsWhileEverythingFails(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{Routers: 3, RouterSettings: shortClaims})
+	c := harness.Start(t, harness.Config{Routers: 3, RouterSettings: shortClaimTimeouts})
 	for _, name := range c.Applications {
 		for kind, probability := range map[string]float64{
 			application.FaultRefuseFull: 0.15, application.FaultRunThenCut: 0.1, application.FaultCutBefore: 0.1, application.FaultSlow: 0.5,
@@ -76,14 +76,14 @@
 			}
 		})
 	}
-	disturb(c, rand.New(rand.NewPCG(chaosSeed, 1)))
+	disruptRouters(c, rand.New(rand.NewPCG(chaosSeed, 1)))
 	endLoad()
 	work.Wait()
 	c.ClearFaults(harness.Platform)
 	for _, name := range c.Applications {
 		c.ClearFaults(name)
 	}
-	requireRepeatsOfNotRunSucceed(t, c, callers...)
+	requireNotRunRetriesSucceed(t, c, callers...)
 	c.Await("every execution has ended", c.Idle)
 	executions := c.AllExecutions()
 	requireAtMostOnce(t, executions, callers...)
@@ -98,7 +98,7 @@
 	plan := filepath.Join(t.TempDir(), "faults.yaml")
 	is := is.New(t)
 	is.NoErr(os.WriteFile(plan, crashPlan(20, 700*time.Millisecond), 0o600))
-	c := harness.Start(t, harness.Shape{Routers: 3, Relayed: true, EngineArgs: []string{"--event-loss", "0.3", "--faults", plan}})
+	c := harness.Start(t, harness.Config{Routers: 3, Relayed: true, EngineArgs: []string{"--event-loss", "0.3", "--faults", plan}})
 	for number, name := range c.Engines {
 		c.Relay(name).Arm(harness.Cut{
 			Match: "POST /v1/generate", Direction: harness.ToRouter, After: 3000 + 2000*number, Action: harness.Reset, Times: 10,
@@ -112,21 +112,21 @@
 	for worker := range 9 {
 		work.Go(func() {
 			for number := 0; load.Err() == nil; number++ {
-				ask := harness.Ask{Prompt: prompt(fmt.Sprintf("worker %d", worker), number), MaxTokens: streamTokens}
+				req := harness.ModelRequest{Prompt: prompt(fmt.Sprintf("worker %d", worker), number), MaxTokens: streamTokens}
 				routers := c.RouterURLs()
 				first := (worker + number) % len(routers)
-				told := caller.AskAll(t.Context(), append(routers[first:], routers[:first]...), ask, 8)
-				requireHonest(t, ask, told)
+				outcome := caller.StreamWithRetries(t.Context(), append(routers[first:], routers[:first]...), req, 8)
+				requireValidStream(t, req, outcome)
 				mutex.Lock()
 				all++
-				if told.Done {
+				if outcome.Done {
 					whole++
 				}
 				mutex.Unlock()
 			}
 		})
 	}
-	disturb(c, rand.New(rand.NewPCG(chaosSeed, 2)))
+	disruptRouters(c, rand.New(rand.NewPCG(chaosSeed, 2)))
 	endLoad()
 	work.Wait()
 	t.Logf("%d of %d answers were whole, the others ended with an error", whole, all)
--- a/proofs/configuration_test.go
+++ b/proofs/configuration_test.go
@@ -33,8 +33,8 @@
 	for _, router := range c.Routers {
 		work.Go(func() {
 			for ; ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
-				if seen, answered := statusOf(ctx, c, router); answered && seen.FleetVersion > 0 {
-					watch.see(router, seen.FleetVersion)
+				if seen, answered := routerStatus(ctx, c, router); answered && seen.FleetVersion > 0 {
+					watch.observe(router, seen.FleetVersion)
 				}
 			}
 		})
@@ -46,7 +46,7 @@
 	return watch
 }
 
-func (w *versionWatch) see(router string, version uint64) {
+func (w *versionWatch) observe(router string, version uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if version < w.last[router] {
@@ -77,8 +77,8 @@
 	mutex sync.Mutex
 	// accepted holds the versions that were told as accepted; open counts
 	// applies that ended without a word on the outcome.
-	accepted map[uint64]string
-	open     int
+	accepted        map[uint64]string
+	unknownOutcomes int
 }
 
 // apply applies a file of the given name once, and reports whether it was told
@@ -93,7 +93,7 @@
 		Version uint64 `json:"version"`
 	}
 	if err != nil || json.Unmarshal([]byte(output), &applied) != nil {
-		o.open++
+		o.unknownOutcomes++
 		return false
 	}
 	if other, taken := o.accepted[applied.Version]; taken {
@@ -103,9 +103,9 @@
 	return true
 }
 
-// race lets two operators apply at the same time until each was accepted.
-func (o *operators) race(label string) {
-	together(2, func(number int) {
+// applyConcurrently lets two operators apply at the same time until each was accepted.
+func (o *operators) applyConcurrently(label string) {
+	concurrently(2, func(number int) {
 		for try := range 20 {
 			if o.apply(fmt.Sprintf("%s-%d-%d", label, number, try)) {
 				return
@@ -131,9 +131,9 @@
 // whatever happens to operators, store and routers at that moment.
 func TestAcceptedFilesNeverRevertOnRealRouters(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{Routers: 3, Engines: 1, Applications: 1})
+	c := harness.Start(t, harness.Config{Routers: 3, Engines: 1, Applications: 1})
 	watch := watchVersions(t, c)
-	team := &operators{t: t, c: c, accepted: map[uint64]string{1: "proofs"}}
+	ops := &operators{t: t, c: c, accepted: map[uint64]string{1: "proofs"}}
 	slow := faultboard.Fault{Service: platform.ServiceTable, Kind: platform.FaultSlow, DurationMillis: lastingMillis, DelayMillis: 200}
 	lossy := faultboard.Fault{
 		Service: platform.ServiceTable, Kind: platform.FaultLoseAnswer, DurationMillis: lastingMillis, Probability: 0.5, OnlyWrites: true,
@@ -142,30 +142,30 @@
 		name string
 		run  func(t *testing.T)
 	}{
-		{"two operators race", func(*testing.T) { team.race("race") }},
+		{"two operators race", func(*testing.T) { ops.applyConcurrently("race") }},
 		{"two operators race, the store slow", func(*testing.T) {
 			c.Inject(harness.Platform, slow)
-			team.race("slow")
+			ops.applyConcurrently("slow")
 		}},
 		{"answers of applies lost", func(*testing.T) {
 			c.Inject(harness.Platform, lossy)
-			team.race("lossy")
+			ops.applyConcurrently("lossy")
 		}},
 		{"the store down", func(t *testing.T) {
-			c.Inject(harness.Platform, lasting(platform.ServiceTable, platform.FaultOutage))
-			is.New(t).True(!team.apply("down"))
+			c.Inject(harness.Platform, lastingFault(platform.ServiceTable, platform.FaultOutage))
+			is.New(t).True(!ops.apply("down"))
 		}},
 		{"a router frozen across three versions", func(*testing.T) {
 			c.Freeze(c.Routers[1])
 			for version := range 3 {
-				team.race(fmt.Sprint("frozen", version))
+				ops.applyConcurrently(fmt.Sprint("frozen", version))
 			}
 			c.Resume(c.Routers[1])
 		}},
 		{"every router replaced during applies", func(*testing.T) {
 			for index, router := range c.Routers {
 				var work sync.WaitGroup
-				work.Go(func() { team.race(fmt.Sprint("rolling", index)) })
+				work.Go(func() { ops.applyConcurrently(fmt.Sprint("rolling", index)) })
 				c.Kill(router)
 				c.Restart(router)
 				work.Wait()
@@ -181,11 +181,11 @@
 	}
 	check := is.New(t)
 	accepted := headCommits(c)
-	told := uint64(len(team.accepted))
-	check.True(told <= accepted)                   // nobody was told of a file that was not accepted
-	check.True(accepted <= told+uint64(team.open)) // and no file was accepted that nobody applied
-	check.True(accepted > 12)                      // the races took place
-	for version := range team.accepted {
+	reported := uint64(len(ops.accepted))
+	check.True(reported <= accepted)                             // nobody was told of a file that was not accepted
+	check.True(accepted <= reported+uint64(ops.unknownOutcomes)) // and no file was accepted that nobody applied
+	check.True(accepted > 12)                                    // the races took place
+	for version := range ops.accepted {
 		check.True(version <= accepted)
 	}
 }
--- /dev/null
+++ b/proofs/draining_test.go
@@ -0,0 +1,164 @@
+package proofs
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/fieldpond/fieldpond/internal/endpoint"
+	"github.com/fieldpond/fieldpond/internal/ident"
+	"github.com/fieldpond/fieldpond/internal/membership"
+	"github.com/fieldpond/fieldpond/internal/membership/simnet"
+	"github.com/fieldpond/fieldpond/standin/truth"
+)
+
+// drainingBound is the time after the first sign of leaving from which a back
+// end must get no new work.
+const drainingBound = 3 * time.Second
+
+// drainingSimulation is two engines and three routers that gossip over a network
+// that loses a fifth of the datagrams.
+type drainingSimulation struct {
+	*simulation
+	draining *simulatedEngine
+	network  *simnet.Network
+}
+
+func newDrainingSimulation(t *testing.T) *drainingSimulation {
+	sim := &drainingSimulation{simulation: newSimulation(t)}
+	sim.draining = sim.addEngine("e-1", "z", "v1", "v2")
+	sim.addEngine("e-2", "z", "v1", "v2")
+	network, err := simnet.New(simnet.Config{Seed: 5, Loss: 0.2, MinDelay: time.Millisecond, MaxDelay: 3 * time.Millisecond, Encode: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sim.network = network
+	for index, name := range []string{"router-1", "router-2", "router-3"} {
+		router := sim.addRouter(name)
+		node, err := network.Start(index, "z", []string{simnet.Address(0), simnet.Address(1), simnet.Address(2)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		router.onChange = func(change endpoint.Change) { sim.broadcast(node, change) }
+	}
+	sim.onStep = sim.gossip
+	return sim
+}
+
+// broadcast spreads a router's first sign that an engine is leaving.
+func (w *drainingSimulation) broadcast(node *simnet.Node, change endpoint.Change) {
+	if change.Kind != endpoint.ChangeDraining {
+		return
+	}
+	w.network.Do(node, func(machine *membership.Machine, now time.Time) {
+		err := machine.Broadcast(now, membership.BackendReport{
+			Backend: string(change.Engine), Incarnation: change.Incarnation, Kind: membership.ReportDraining,
+			Observer: node.Member.Node, ObservedAt: now.UnixMilli(),
+		})
+		if err != nil {
+			w.t.Error(err)
+		}
+	})
+}
+
+// gossip lets the network run for a step and hands its signs to the cores.
+func (w *drainingSimulation) gossip() {
+	w.network.Run(virtualStep)
+	for index, node := range w.network.Nodes {
+		for _, event := range node.TakeEvents() {
+			if event.Kind == membership.ReportReceived {
+				router := w.routers[index]
+				w.applyEffects(router, router.core.ObserveDraining(w.now, ident.Engine(event.Report.Backend), event.Report.Incarnation))
+			}
+		}
+	}
+}
+
+// applyMachineList shows the machine list to the first routers, as one read of it does.
+func (w *drainingSimulation) applyMachineList(readers int, draining bool) {
+	for _, router := range w.routers[:readers] {
+		w.applyEffects(router, router.core.ApplyMachineList(w.now, map[ident.Engine]bool{w.draining.name: draining}))
+	}
+}
+
+// applyFleetFile puts a fleet file in force at a router that states the engine leaving.
+func (w *drainingSimulation) applyFleetFile(router *simulatedRouter) {
+	targets := w.targets()
+	targets[0].Draining = true
+	w.applyEffects(router, router.core.Configure(w.now, targets))
+}
+
+func (w *drainingSimulation) dropReports(routers ...*simulatedRouter) {
+	for _, router := range routers {
+		router.reportsLost = true
+	}
+}
+
+// TestLeavingEngineGetsNoNewWork judges by what reaches the engine: nothing
+// later than drainingBound after the first router could see the first sign.
+func TestLeavingEngineGetsNoNewWork(t *testing.T) {
+	cases := []struct {
+		name string
+		sign func(w *drainingSimulation)
+	}{
+		{"by the machine list", func(w *drainingSimulation) { w.applyMachineList(3, true) }},
+		{"by the machine list, lost on two of three", func(w *drainingSimulation) { w.applyMachineList(1, true) }},
+		{"by its own report, lost on two of three", func(w *drainingSimulation) {
+			w.dropReports(w.routers[1:]...)
+			w.draining.Leave(w.now)
+		}},
+		{"by its own refusal only, while the list lags", func(w *drainingSimulation) {
+			w.dropReports(w.routers...)
+			w.draining.Leave(w.now)
+			for second := range 6 {
+				w.after(time.Duration(second)*time.Second, func() { w.applyMachineList(3, false) })
+			}
+		}},
+		{"by the fleet file, adopted one after the other", func(w *drainingSimulation) {
+			for index, router := range w.routers {
+				w.after(time.Duration(index)*time.Second, func() { w.applyFleetFile(router) })
+			}
+		}},
+		{"by the list, and the engine crashes and returns", func(w *drainingSimulation) {
+			w.applyMachineList(3, true)
+			w.after(drainingBound, func() { w.crash(w.draining) })
+			w.after(drainingBound+100*time.Millisecond, func() { w.restart(w.draining) })
+		}},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			check := is.New(t)
+			sim := newDrainingSimulation(t)
+			sim.run(2 * reportInterval)
+			sim.offerLoad(3 * time.Second)
+			bound := sim.now.Add(drainingBound)
+			test.sign(sim)
+			for _, hot := range []string{"villach", "krems", "steyr", "wels"} {
+				sim.shared = []string{hot, hot + " rules", hot + " orders"} // new prompts, which no engine holds
+				sim.offerLoad(2 * time.Second)
+			}
+			sim.run(virtualMaxHold)
+			check.Equal(len(sim.open), 0)
+			check.Equal(len(sim.refused), 0) // the other engine took over
+			check.True(startsOn(sim.truth, "e-1", sim.now) > 50)
+			check.Equal(startsOn(sim.truth, "e-1", sim.now), startsOn(sim.truth, "e-1", bound))
+			for _, arrived := range sim.arrivals {
+				if arrived.engine == "e-1" && arrived.at.After(bound) {
+					t.Errorf("an attempt reached the engine %v after the bound", arrived.at.Sub(bound))
+				}
+			}
+		})
+	}
+}
+
+// startsOn counts what began to run on an engine up to a time.
+func startsOn(records []truth.Record, engine ident.Engine, until time.Time) int {
+	count := 0
+	for _, record := range records {
+		if record.Kind == truth.Started && record.Engine == engine && !record.Time.After(until) {
+			count++
+		}
+	}
+	return count
+}
--- a/proofs/leavingprocess_test.go
+++ b/proofs/drainingprocess_test.go
@@ -17,24 +17,24 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// quickList lets changes of the machine list show, and be read, within a second.
-const quickList = "intervals: {machinePoll: 300ms}\n"
+// fastMachinePoll lets changes of the machine list show, and be read, within a second.
+const fastMachinePoll = "intervals: {machinePoll: 300ms}\n"
 
 // Promise 7: once a back end shows as leaving, nothing new starts on it, and
 // what runs on it finishes.
 func TestLeavingBackEndsGetNoNewWorkOnRealSockets(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{
-		Routers: 3, Engines: 4, RouterSettings: quickList, PlatformArgs: []string{"--lag", "200ms"},
+	c := harness.Start(t, harness.Config{
+		Routers: 3, Engines: 4, RouterSettings: fastMachinePoll, PlatformArgs: []string{"--lag", "200ms"},
 	})
 	signs := []struct {
 		name string
 		sign func(engine string)
 	}{
-		{"by the machine list", func(engine string) { listMachines(t, c, engine) }},
+		{"by the machine list", func(engine string) { setMachinesLeaving(t, c, engine) }},
 		{"by its own word", func(engine string) { c.Signal(engine, syscall.SIGTERM) }},
 		{"by the fleet file", func(engine string) {
-			document := leavingFile(c, engine, "")
+			document := drainingDocument(c, engine, "")
 			if output, err := c.Apply(document); err != nil {
 				t.Fatalf("applying: %v\n%s", err, output)
 			}
@@ -43,33 +43,33 @@
 	callers := startTraffic(t, c)
 	for index, sign := range signs {
 		t.Run(sign.name, func(t *testing.T) {
-			leaving := c.Engines[index]
-			streams := openStreams(t, c, leaving)
-			sign.sign(leaving)
-			awaitEngines(t, c, leaving+" is leaving", func(engine status.Engine) bool {
-				return string(engine.Engine) != leaving || engine.Leaving || !engine.Alive
+			draining := c.Engines[index]
+			streams := streamUntilRunningOn(t, c, draining)
+			sign.sign(draining)
+			awaitEngines(t, c, draining+" is leaving", func(engine status.Engine) bool {
+				return string(engine.Engine) != draining || engine.Leaving || !engine.Alive
 			})
 			visible := time.Now()
 			callers.awaitAnswers(c, 60)
 			streams()
-			requireNoStart(t, allTruth(c), callers.begunAfter(visible), func(record truth.Record) bool {
-				return string(record.Engine) == leaving
+			requireNoStart(t, allTruth(c), callers.requestsSentAfter(visible), func(record truth.Record) bool {
+				return string(record.Engine) == draining
 			})
 		})
 	}
 	callers.end()
 	for _, caller := range callers.callers {
-		for _, told := range caller.History() {
-			if told.Refusal != nil {
-				t.Errorf("a caller was told %+v", told.Refusal)
+		for _, outcome := range caller.History() {
+			if outcome.Refusal != nil {
+				t.Errorf("a caller was told %+v", outcome.Refusal)
 			}
 		}
 	}
-	is.New(t).Equal(c.AwaitEnd(c.Engines[1]), 0) // the one that was told to stop
+	is.New(t).Equal(c.AwaitExit(c.Engines[1]), 0) // the one that was told to stop
 }
 
-// leavingFile returns the fleet file with an engine or application leaving.
-func leavingFile(c *harness.Cluster, engine, application string) *fleet.Document {
+// drainingDocument returns the fleet file with an engine or application leaving.
+func drainingDocument(c *harness.Cluster, engine, application string) *fleet.Document {
 	document := *c.Document
 	document.Engines = slices.Clone(document.Engines)
 	for index := range document.Engines {
@@ -86,25 +86,25 @@
 	return &document
 }
 
-// openStreams starts long streams until one runs on the engine. The function
+// streamUntilRunningOn starts long streams until one runs on the engine. The function
 // returned waits for their ends and requires each answer whole.
-func openStreams(t *testing.T, c *harness.Cluster, engine string) (finish func()) {
+func streamUntilRunningOn(t *testing.T, c *harness.Cluster, engine string) (finish func()) {
 	t.Helper()
 	caller := c.NewCaller(harness.TenantA)
 	const most, tokens = 60, 150
 	ended := make(chan func(), most)
 	for number := range most {
 		began := make(chan struct{}, 1)
-		ask := longAsk(fmt.Sprintf("%s stream %d", engine, number), tokens)
-		ask.OnText = func(int) {
+		req := longRequest(fmt.Sprintf("%s stream %d", engine, number), tokens)
+		req.OnText = func(int) {
 			select {
 			case began <- struct{}{}:
 			default:
 			}
 		}
 		go func() {
-			told := caller.Stream(t.Context(), c.RouterURLs()[number%len(c.Routers)], ask)
-			ended <- func() { requireWhole(t, ask, told) }
+			outcome := caller.Stream(t.Context(), c.RouterURLs()[number%len(c.Routers)], req)
+			ended <- func() { requireComplete(t, req, outcome) }
 		}()
 		<-began
 		if runsOn(c, engine) {
@@ -136,47 +136,47 @@
 // Promise 7, applications: the list, their own refusal and the fleet file.
 func TestLeavingApplicationsGetNoNewWorkOnRealSockets(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{
-		Routers: 3, Engines: 1, Applications: 4, RouterSettings: quickList, PlatformArgs: []string{"--lag", "200ms"},
+	c := harness.Start(t, harness.Config{
+		Routers: 3, Engines: 1, Applications: 4, RouterSettings: fastMachinePoll, PlatformArgs: []string{"--lag", "200ms"},
 	})
 	caller := c.NewCaller(harness.TenantA)
 	signs := []struct {
 		name string
 		sign func(application string)
 	}{
-		{"by the machine list", func(application string) { listMachines(t, c, application) }},
+		{"by the machine list", func(application string) { setMachinesLeaving(t, c, application) }},
 		{"by its own refusal, then gone", func(application string) { c.Signal(application, syscall.SIGTERM) }},
 		{"by the fleet file", func(application string) {
-			if output, err := c.Apply(leavingFile(c, "", application)); err != nil {
+			if output, err := c.Apply(drainingDocument(c, "", application)); err != nil {
 				t.Fatalf("applying: %v\n%s", err, output)
 			}
 		}},
 	}
 	for index, sign := range signs {
 		t.Run(sign.name, func(t *testing.T) {
-			leaving := c.Applications[index]
-			sign.sign(leaving)
-			time.Sleep(leavingBound) // the promise's own "few seconds"
-			var late []harness.Told
+			draining := c.Applications[index]
+			sign.sign(draining)
+			time.Sleep(drainingBound) // the promise's own "few seconds"
+			var late []harness.Outcome
 			for number := range 60 {
 				key := fmt.Sprintf("sign-%d-%d", index, number)
 				late = append(late, caller.Book(t.Context(), c.RouterURLs()[number%len(c.Routers)], key, key))
 			}
-			staying := executionsBut(c, c.Applications[:index+1])
-			for _, told := range late {
-				if !told.Answered() || executionsOf(staying, told) != 1 {
-					t.Errorf("%s was told %+v and ran %d times on those that stay", told.Key, told.Refusal, executionsOf(staying, told))
+			remaining := executionsExcept(c, c.Applications[:index+1])
+			for _, outcome := range late {
+				if !outcome.Answered() || executionsOf(remaining, outcome) != 1 {
+					t.Errorf("%s was told %+v and ran %d times on those that stay", outcome.Key, outcome.Refusal, executionsOf(remaining, outcome))
 				}
 			}
 		})
 	}
 }
 
-// executionsBut returns the truth logs of all applications but some.
-func executionsBut(c *harness.Cluster, leaving []string) []application.Execution {
+// executionsExcept returns the truth logs of all applications but some.
+func executionsExcept(c *harness.Cluster, excluded []string) []application.Execution {
 	var all []application.Execution
 	for _, name := range c.Applications {
-		if !slices.Contains(leaving, name) {
+		if !slices.Contains(excluded, name) {
 			all = append(all, c.Executions(name)...)
 		}
 	}
--- a/proofs/harness/binaries.go
+++ b/proofs/harness/binaries.go
@@ -53,4 +53,4 @@
 	return directory, nil
 }
 
-func pathOf(program deployment.Program) string { return filepath.Join(binaries, string(program)) }
+func programPath(program deployment.Program) string { return filepath.Join(binaries, string(program)) }
--- a/proofs/harness/caller.go
+++ b/proofs/harness/caller.go
@@ -25,8 +25,8 @@
 // maxAnswerBytes bounds what a caller reads of an answer that is no stream.
 const maxAnswerBytes = 1 << 20
 
-// Told is what a caller sent and what it was told: one entry of its history.
-type Told struct {
+// Outcome is what a caller sent and what it was told: one entry of its history.
+type Outcome struct {
 	Began, Ended time.Time
 	Router       string
 	Tenant       ident.Tenant
@@ -60,13 +60,13 @@
 }
 
 // Answered reports whether a whole answer came.
-func (t Told) Answered() bool {
+func (t Outcome) Answered() bool {
 	return !t.Broken && t.Refusal == nil && t.Status >= 200 && t.Status < 300
 }
 
 // Ran returns what the caller was told of execution: "yes" with an answer,
 // the word of a stated fault, and "unknown" when the connection broke.
-func (t Told) Ran() fault.Ran {
+func (t Outcome) Ran() fault.Ran {
 	switch {
 	case t.Broken:
 		return fault.RanUnknown
@@ -78,7 +78,7 @@
 }
 
 // Kind returns the kind of the stated fault, or "".
-func (t Told) Kind() fault.Kind {
+func (t Outcome) Kind() fault.Kind {
 	if t.Refusal == nil {
 		return ""
 	}
@@ -91,7 +91,7 @@
 	Tenant  ident.Tenant
 	client  *http.Client
 	mutex   sync.Mutex
-	history []Told
+	history []Outcome
 }
 
 // NewCaller returns a caller of a tenant with connections of its own.
@@ -112,17 +112,17 @@
 // NewSlowCaller returns a caller whose connections buffer next to nothing.
 func (c *Cluster) NewSlowCaller(tenant ident.Tenant) *Caller {
 	dialer := &net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var optionErr error
 		err := raw.Control(func(descriptor uintptr) {
-			failed = syscall.SetsockoptInt(int(descriptor), syscall.SOL_SOCKET, syscall.SO_RCVBUF, slowBufferBytes)
-			if failed == nil {
-				failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, slowSegmentBytes)
+			optionErr = syscall.SetsockoptInt(int(descriptor), syscall.SOL_SOCKET, syscall.SO_RCVBUF, slowBufferBytes)
+			if optionErr == nil {
+				optionErr = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, slowSegmentBytes)
 			}
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return optionErr
 	}}
 	transport := &http.Transport{DialContext: dialer.DialContext}
 	c.tb.Cleanup(transport.CloseIdleConnections)
@@ -130,44 +130,44 @@
 }
 
 // History returns what the caller was told so far, in the order of the ends.
-func (c *Caller) History() []Told {
+func (c *Caller) History() []Outcome {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return append([]Told(nil), c.history...)
+	return append([]Outcome(nil), c.history...)
 }
 
-func (c *Caller) note(told *Told) {
-	told.Ended = time.Now()
+func (c *Caller) record(outcome *Outcome) {
+	outcome.Ended = time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.history = append(c.history, *told)
+	c.history = append(c.history, *outcome)
 }
 
 // Book sends one request to the route that may run only once.
-func (c *Caller) Book(ctx context.Context, router, key, body string) Told {
-	return c.Call(ctx, http.MethodPost, router, Book, key, body)
+func (c *Caller) Book(ctx context.Context, router, key, body string) Outcome {
+	return c.Call(ctx, http.MethodPost, router, BookPath, key, body)
 }
 
 // Call sends one request to a route of the application service.
-func (c *Caller) Call(ctx context.Context, method, router, path, key, body string) Told {
-	told := Told{Began: time.Now(), Router: router, Tenant: c.Tenant, Key: key, Body: body}
-	defer c.note(&told)
+func (c *Caller) Call(ctx context.Context, method, router, path, key, body string) Outcome {
+	outcome := Outcome{Began: time.Now(), Router: router, Tenant: c.Tenant, Key: key, Body: body}
+	defer c.record(&outcome)
 	url := router + "/v1/services/" + string(Bookings) + path
-	content, ok := c.exchange(ctx, &told, method, url, body, key)
+	content, ok := c.exchange(ctx, &outcome, method, url, body, key)
 	if ok {
-		told.Broken = json.Unmarshal(content, &told.Answer) != nil
+		outcome.Broken = json.Unmarshal(content, &outcome.Answer) != nil
 	}
-	return told
+	return outcome
 }
 
 // exchange sends a request and reads its whole answer into told. It returns
 // the body of an answer that is no refusal.
-func (c *Caller) exchange(ctx context.Context, told *Told, method, url, body, key string) ([]byte, bool) {
+func (c *Caller) exchange(ctx context.Context, outcome *Outcome, method, url, body, key string) ([]byte, bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := c.request(ctx, method, url, body)
 	if err != nil {
-		told.Broken = true
+		outcome.Broken = true
 		return nil, false
 	}
 	if key != "" {
@@ -175,21 +175,21 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		told.Broken, told.Unsent = true, unsent(err)
+		outcome.Broken, outcome.Unsent = true, isDialError(err)
 		return nil, false
 	}
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		told.Broken = true
+		outcome.Broken = true
 		return nil, false
 	}
-	told.takeHeader(response)
+	outcome.readHeader(response)
 	if response.StatusCode >= http.StatusBadRequest {
-		told.takeRefusal(content)
+		outcome.readRefusal(content)
 		return nil, false
 	}
-	told.Replayed = response.Header.Get("Idempotency-Replayed") != ""
+	outcome.Replayed = response.Header.Get("Idempotency-Replayed") != ""
 	return content, true
 }
 
@@ -201,25 +201,25 @@
 	// net/http would send a request with an idempotency key again by itself,
 	// and that sending would be missing from the history.
 	request.GetBody = nil
-	request.Header.Set("Authorization", "Bearer "+KeyOf(c.Tenant))
+	request.Header.Set("Authorization", "Bearer "+APIKey(c.Tenant))
 	request.Header.Set("Content-Type", "application/json")
 	return request, nil
 }
 
-// unsent reports whether an exchange failed before a connection was opened.
-func unsent(err error) bool {
-	var failed *net.OpError
-	return errors.As(err, &failed) && failed.Op == "dial"
+// isDialError reports whether an exchange failed before a connection was opened.
+func isDialError(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-func (t *Told) takeHeader(response *http.Response) {
+func (t *Outcome) readHeader(response *http.Response) {
 	t.Status = response.StatusCode
 	t.RequestID = ident.Request(response.Header.Get("X-Request-Id"))
 	t.RetryAfter = response.Header.Get("Retry-After")
 }
 
-// takeRefusal reads a stated fault. A body that states none leaves its fate open.
-func (t *Told) takeRefusal(content []byte) {
+// readRefusal reads a stated fault. A body that states none leaves its fate open.
+func (t *Outcome) readRefusal(content []byte) {
 	var body api.ErrorBody
 	if json.Unmarshal(content, &body) != nil || body.Error.Ran == "" {
 		body.Error.Ran = fault.RanUnknown
--- a/proofs/harness/cluster.go
+++ b/proofs/harness/cluster.go
@@ -32,8 +32,8 @@
 // clusterKey is shared by the routers of a rehearsal.
 const clusterKey = "proofs-only-cluster-key-0123456789abcdef"
 
-// Shape says what to start. Zero numbers take the defaults.
-type Shape struct {
+// Config says what to start. Zero numbers take the defaults.
+type Config struct {
 	// Routers, Engines and Applications are numbers of processes. Defaults: 2,
 	// 3, 2.
 	Routers, Engines, Applications int
@@ -47,7 +47,7 @@
 	Edit func(document *fleet.Document)
 }
 
-func (s Shape) withDefaults() Shape {
+func (s Config) withDefaults() Config {
 	for number, fallback := range map[*int]int{&s.Routers: 2, &s.Engines: 3, &s.Applications: 2} {
 		if *number == 0 {
 			*number = fallback
@@ -75,9 +75,9 @@
 
 // Start starts a rehearsal and puts its fleet file in force on every router.
 // All of it ends with the test.
-func Start(tb testing.TB, shape Shape) *Cluster {
+func Start(tb testing.TB, config Config) *Cluster {
 	tb.Helper()
-	c := Prepare(tb, shape)
+	c := Prepare(tb, config)
 	names := append([]string{Platform}, c.Engines...)
 	names = append(append(names, c.Applications...), c.Routers...)
 	for _, name := range names {
@@ -94,36 +94,36 @@
 }
 
 // Prepare works out a rehearsal without starting any process.
-func Prepare(tb testing.TB, shape Shape) *Cluster {
+func Prepare(tb testing.TB, config Config) *Cluster {
 	tb.Helper()
-	shape = shape.withDefaults()
+	config = config.withDefaults()
 	ports := reservePorts(tb)
 	c := &Cluster{
 		tb: tb, directory: tb.TempDir(), processes: map[string]*process{}, relays: map[string]*Relay{},
-		Document: newDocument(shape, ports),
+		Document: newDocument(config, ports),
 	}
-	tb.Cleanup(c.end)
-	if shape.Edit != nil {
-		shape.Edit(c.Document)
+	tb.Cleanup(c.stop)
+	if config.Edit != nil {
+		config.Edit(c.Document)
 	}
 	plan, err := deployment.New(c.Document, deployment.Options{
-		Directory: c.directory, Routers: shape.Routers, Host: host, FirstPort: ports.next, Seed: 1, ClusterKey: clusterKey,
+		Directory: c.directory, Routers: config.Routers, Host: host, FirstPort: ports.next, Seed: 1, ClusterKey: clusterKey,
 	})
 	if err != nil {
 		tb.Fatalf("planning the rehearsal: %v", err)
 	}
-	for range 1 + 2*shape.Routers {
-		ports.take()
+	for range 1 + 2*config.Routers {
+		ports.allocate()
 	}
-	c.writeFiles(plan, shape)
-	c.addProcesses(plan, shape)
-	if shape.Relayed {
+	c.writeFiles(plan, config)
+	c.addProcesses(plan, config)
+	if config.Relayed {
 		c.addRelays(ports)
 	}
 	return c
 }
 
-func (c *Cluster) writeFiles(plan *deployment.Plan, shape Shape) {
+func (c *Cluster) writeFiles(plan *deployment.Plan, config Config) {
 	settings := map[string]bool{}
 	for _, router := range plan.Routers {
 		settings[filepath.Join(c.directory, router.Name+".yaml")] = true
@@ -131,7 +131,7 @@
 	for _, file := range plan.Files {
 		data := file.Data
 		if settings[file.Path] {
-			data = append(data, shape.RouterSettings...)
+			data = append(data, config.RouterSettings...)
 		}
 		if err := os.WriteFile(file.Path, data, 0o600); err != nil {
 			c.tb.Fatalf("writing the files of the rehearsal: %v", err)
@@ -139,15 +139,15 @@
 	}
 }
 
-func (c *Cluster) addProcesses(plan *deployment.Plan, shape Shape) {
-	c.add(plan.Platform, shape.PlatformArgs)
+func (c *Cluster) addProcesses(plan *deployment.Plan, config Config) {
+	c.add(plan.Platform, config.PlatformArgs)
 	for _, engine := range plan.Engines {
 		c.Engines = append(c.Engines, engine.Name)
-		c.add(engine, append([]string{"--truth", c.truthFile(engine.Name)}, shape.EngineArgs...))
+		c.add(engine, append([]string{"--truth", c.truthFile(engine.Name)}, config.EngineArgs...))
 	}
 	for _, application := range plan.Applications {
 		c.Applications = append(c.Applications, application.Name)
-		c.add(application, append([]string{"--truth", c.truthFile(application.Name)}, shape.ApplicationArgs...))
+		c.add(application, append([]string{"--truth", c.truthFile(application.Name)}, config.ApplicationArgs...))
 	}
 	for _, router := range plan.Routers {
 		c.Routers = append(c.Routers, router.Name)
@@ -155,8 +155,8 @@
 	}
 }
 
-func (c *Cluster) add(planned deployment.Process, more []string) {
-	planned.Args = append(planned.Args, more...)
+func (c *Cluster) add(planned deployment.Process, extraArgs []string) {
+	planned.Args = append(planned.Args, extraArgs...)
 	c.processes[planned.Name] = &process{Process: planned, log: filepath.Join(c.directory, planned.Name+".log")}
 }
 
@@ -177,13 +177,13 @@
 }
 
 func (c *Cluster) addRelay(name, target string, ports *portBlock) string {
-	relay := newRelay(c.tb, addressOf(ports.take()), target)
+	relay := newRelay(c.tb, addressOf(ports.allocate()), target)
 	c.relays[name] = relay
 	return relay.address
 }
 
-// end kills what still runs and, if the test failed, shows the logs.
-func (c *Cluster) end() {
+// stop kills what still runs and, if the test failed, shows the logs.
+func (c *Cluster) stop() {
 	for _, process := range c.processes {
 		process.kill()
 	}
@@ -221,17 +221,17 @@
 func (c *Cluster) Terminate(name string) int {
 	c.tb.Helper()
 	c.Signal(name, syscall.SIGTERM)
-	return c.AwaitEnd(name)
+	return c.AwaitExit(name)
 }
 
 // Signal sends a signal to a process.
 func (c *Cluster) Signal(name string, signal syscall.Signal) { c.process(name).signal(signal) }
 
-// AwaitEnd waits for the end of a process and returns its exit code.
-func (c *Cluster) AwaitEnd(name string) int {
+// AwaitExit waits for the end of a process and returns its exit code.
+func (c *Cluster) AwaitExit(name string) int {
 	c.tb.Helper()
-	code, ended := c.process(name).wait(WaitLimit)
-	if !ended {
+	code, exited := c.process(name).wait(WaitLimit)
+	if !exited {
 		c.tb.Fatalf("%s has not ended", name)
 	}
 	return code
@@ -286,7 +286,7 @@
 		return "", fmt.Errorf("writing the fleet file: %w", err)
 	}
 	arguments := append([]string{"apply", "-f", file.Name(), "--platform", c.URL(Platform)}, flags...)
-	output, err := exec.Command(pathOf(deployment.ProgramRouter), arguments...).CombinedOutput()
+	output, err := exec.Command(programPath(deployment.ProgramRouter), arguments...).CombinedOutput()
 	return string(output), err
 }
 
--- a/proofs/harness/fleetfile.go
+++ b/proofs/harness/fleetfile.go
@@ -17,10 +17,10 @@
 	Assistant ident.Service = "assistant"
 	// Bookings has the routes Book, which is not repeatable, and Slots.
 	Bookings ident.Service = "bookings"
-	// Book is the path of the route POST that may run only once.
-	Book = "/book"
-	// Slots is the path of the repeatable route GET.
-	Slots = "/slots"
+	// BookPath is the path of the route POST that may run only once.
+	BookPath = "/book"
+	// SlotsPath is the path of the repeatable route GET.
+	SlotsPath = "/slots"
 	// Model is the one model, of the version ModelVersion.
 	Model ident.Model = "model-1"
 	// ModelVersion is the version that engines have loaded at the start.
@@ -49,12 +49,12 @@
 // className is the only class.
 const className ident.Class = "normal"
 
-// KeyOf returns the API key of a tenant.
-func KeyOf(tenant ident.Tenant) string { return "key-" + string(tenant) }
+// APIKey returns the API key of a tenant.
+func APIKey(tenant ident.Tenant) string { return "key-" + string(tenant) }
 
 // newDocument returns the fleet file of a rehearsal; addresses come from the
 // block, in the order of the file.
-func newDocument(shape Shape, ports *portBlock) *fleet.Document {
+func newDocument(config Config, ports *portBlock) *fleet.Document {
 	document := &fleet.Document{
 		Schema:  fleet.SchemaVersion,
 		Name:    "proofs",
@@ -66,21 +66,21 @@
 		Services: []fleet.Service{
 			{Name: Assistant, Kind: fleet.ServiceModel, Model: Model, Classes: []ident.Class{className}},
 			{Name: Bookings, Kind: fleet.ServiceApplication, Classes: []ident.Class{className}, Routes: []fleet.Route{
-				{Method: "POST", Path: Book}, {Method: "GET", Path: Slots, Retryable: true},
+				{Method: "POST", Path: BookPath}, {Method: "GET", Path: SlotsPath, Retryable: true},
 			}},
 		},
 		Tenants: []fleet.Tenant{NewTenant(TenantA), NewTenant(TenantB)},
 	}
-	for index := range shape.Engines {
+	for index := range config.Engines {
 		document.Engines = append(document.Engines, fleet.Engine{
 			Name:    ident.Engine(fmt.Sprintf("engine-%d", index+1)),
-			Address: addressOf(ports.take()), Zone: zoneOf(index), Models: []ident.Model{Model},
+			Address: addressOf(ports.allocate()), Zone: zoneOf(index), Models: []ident.Model{Model},
 		})
 	}
-	for index := range shape.Applications {
+	for index := range config.Applications {
 		document.Applications = append(document.Applications, fleet.Application{
 			Name:    ident.Application(fmt.Sprintf("application-%d", index+1)),
-			Address: addressOf(ports.take()), Zone: zoneOf(index), Services: []ident.Service{Bookings},
+			Address: addressOf(ports.allocate()), Zone: zoneOf(index), Services: []ident.Service{Bookings},
 		})
 	}
 	return document
@@ -88,10 +88,10 @@
 
 func zoneOf(index int) ident.Zone { return []ident.Zone{ZoneA, ZoneB}[index%2] }
 
-// NewTenant returns a tenant with the key KeyOf, both services and the whole
+// NewTenant returns a tenant with the key APIKey, both services and the whole
 // region.
 func NewTenant(name ident.Tenant) fleet.Tenant {
-	digest := sha256.Sum256([]byte(KeyOf(name)))
+	digest := sha256.Sum256([]byte(APIKey(name)))
 	return fleet.Tenant{
 		Name: name, KeyHashes: []string{hex.EncodeToString(digest[:])},
 		Places: []string{string(Region)}, Services: []ident.Service{Assistant, Bookings}, Share: 1,
--- a/proofs/harness/inspect.go
+++ b/proofs/harness/inspect.go
@@ -15,8 +15,8 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// pathHistory is where the platform serves the truth log of its table.
-const pathHistory = "/rehearsal/history"
+// historyPath is where the platform serves the truth log of its table.
+const historyPath = "/rehearsal/history"
 
 // Inject puts a fault into a stand-in: a faultboard.Fault for the platform and
 // applications, an engine.FaultRequest for engines.
@@ -26,16 +26,16 @@
 	if err != nil {
 		c.tb.Fatalf("encoding a fault for %s: %v", name, err)
 	}
-	c.faults(name, http.MethodPost, content)
+	c.sendFaultRequest(name, http.MethodPost, content)
 }
 
 // ClearFaults takes back every fault of a stand-in.
 func (c *Cluster) ClearFaults(name string) {
 	c.tb.Helper()
-	c.faults(name, http.MethodDelete, nil)
+	c.sendFaultRequest(name, http.MethodDelete, nil)
 }
 
-func (c *Cluster) faults(name, method string, content []byte) {
+func (c *Cluster) sendFaultRequest(name, method string, content []byte) {
 	c.tb.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -49,15 +49,15 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode >= http.StatusBadRequest {
-		said, _ := io.ReadAll(response.Body)
-		c.tb.Fatalf("faults of %s: status %d: %s", name, response.StatusCode, said)
+		body, _ := io.ReadAll(response.Body)
+		c.tb.Fatalf("faults of %s: status %d: %s", name, response.StatusCode, body)
 	}
 }
 
 // Truth returns the truth log of an engine over all its lives.
 func (c *Cluster) Truth(engine string) []truth.Record {
 	c.tb.Helper()
-	records, err := truth.Read(bytes.NewReader(c.truthOf(engine)))
+	records, err := truth.Read(bytes.NewReader(c.readTruthFile(engine)))
 	if err != nil {
 		c.tb.Fatalf("truth log of %s: %v", engine, err)
 	}
@@ -67,12 +67,12 @@
 // Executions returns the truth log of an application over all its lives.
 func (c *Cluster) Executions(name string) []application.Execution {
 	c.tb.Helper()
-	return decodeLines[application.Execution](c, name, bytes.NewReader(c.truthOf(name)))
+	return decodeLines[application.Execution](c, name, bytes.NewReader(c.readTruthFile(name)))
 }
 
-// truthOf reads the truth file of a back end; one that was never started has
+// readTruthFile reads the truth file of a back end; one that was never started has
 // none.
-func (c *Cluster) truthOf(name string) []byte {
+func (c *Cluster) readTruthFile(name string) []byte {
 	c.tb.Helper()
 	content, err := os.ReadFile(c.truthFile(name))
 	if err != nil && !os.IsNotExist(err) {
@@ -95,7 +95,7 @@
 // History returns every transaction that the platform's table committed.
 func (c *Cluster) History() []platform.Commit {
 	c.tb.Helper()
-	return readLines[platform.Commit](c, Platform, pathHistory)
+	return readLines[platform.Commit](c, Platform, historyPath)
 }
 
 // readLines reads JSON lines from a stand-in.
@@ -135,7 +135,7 @@
 // Idle reports whether no live application is executing anything.
 func (c *Cluster) Idle() bool {
 	for _, name := range c.Applications {
-		if c.process(name).over() {
+		if c.process(name).hasExited() {
 			continue
 		}
 		var report protocol.LoadReport
--- a/proofs/harness/ports.go
+++ b/proofs/harness/ports.go
@@ -21,8 +21,8 @@
 // portBlock hands out the ports of one block.
 type portBlock struct{ next int }
 
-// take returns the next port of the block.
-func (p *portBlock) take() int {
+// allocate returns the next port of the block.
+func (p *portBlock) allocate() int {
 	p.next++
 	return p.next - 1
 }
--- a/proofs/harness/process.go
+++ b/proofs/harness/process.go
@@ -23,8 +23,8 @@
 	log     string
 	mutex   sync.Mutex
 	command *exec.Cmd
-	// ended is closed when the present life has ended.
-	ended chan struct{}
+	// exited is closed when the present life has ended.
+	exited chan struct{}
 }
 
 // starts runs on one OS thread for as long as the test program lives: the
@@ -48,7 +48,7 @@
 		tb.Fatalf("opening the log of %s: %v", p.Name, err)
 	}
 	defer func() { _ = log.Close() }()
-	command := exec.Command(pathOf(p.Program), p.Args...)
+	command := exec.Command(programPath(p.Program), p.Args...)
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = childAttributes()
 	failed := make(chan error)
@@ -56,33 +56,33 @@
 	if err := <-failed; err != nil {
 		tb.Fatalf("starting %s: %v", p.Name, err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
 		_ = command.Wait()
-		close(ended)
+		close(exited)
 	}()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.command, p.ended = command, ended
+	p.command, p.exited = command, exited
 }
 
-// life returns the present life.
-func (p *process) life() (*exec.Cmd, chan struct{}) {
+// current returns the present life.
+func (p *process) current() (*exec.Cmd, chan struct{}) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.command, p.ended
+	return p.command, p.exited
 }
 
 // signal sends a signal to the present life; one that has ended takes none.
 func (p *process) signal(signal syscall.Signal) {
-	if command, _ := p.life(); command != nil {
+	if command, _ := p.current(); command != nil {
 		_ = command.Process.Signal(signal)
 	}
 }
 
 // kill ends the present life at once and waits for its end.
 func (p *process) kill() {
-	command, ended := p.life()
+	command, ended := p.current()
 	if command == nil {
 		return
 	}
@@ -92,7 +92,7 @@
 
 // wait returns the exit code, or false if the process outlives the limit.
 func (p *process) wait(limit time.Duration) (int, bool) {
-	command, ended := p.life()
+	command, ended := p.current()
 	select {
 	case <-ended:
 		return command.ProcessState.ExitCode(), true
@@ -101,9 +101,9 @@
 	}
 }
 
-// over reports whether the present life has ended.
-func (p *process) over() bool {
-	_, ended := p.life()
+// hasExited reports whether the present life has ended.
+func (p *process) hasExited() bool {
+	_, ended := p.current()
 	select {
 	case <-ended:
 		return true
--- a/proofs/harness/relay.go
+++ b/proofs/harness/relay.go
@@ -59,14 +59,14 @@
 
 	mutex       sync.Mutex
 	cut         Cut
-	left        int
-	struck      int
-	connections map[*relayed]bool
+	cutsLeft    int
+	cutCount    int
+	connections map[*relayedConnection]bool
 	closed      bool
 	// released ends every Hold.
 	released chan struct{}
-	// late holds the beginnings of the answers to what was held back.
-	late []string
+	// lateAnswers holds the beginnings of the answers to what was held back.
+	lateAnswers []string
 }
 
 func newRelay(tb testing.TB, address, target string) *Relay {
@@ -75,7 +75,7 @@
 	if err != nil {
 		tb.Fatalf("opening a relay: %v", err)
 	}
-	r := &Relay{address: address, target: target, listener: listener, connections: map[*relayed]bool{}, released: make(chan struct{})}
+	r := &Relay{address: address, target: target, listener: listener, connections: map[*relayedConnection]bool{}, released: make(chan struct{})}
 	tb.Cleanup(r.close)
 	go r.accept()
 	return r
@@ -86,21 +86,21 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.cut = cut
-	r.left = max(cut.Times, 1)
+	r.cutsLeft = max(cut.Times, 1)
 }
 
 // Disarm takes the cut back; stalled connections stay stalled.
 func (r *Relay) Disarm() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.left = 0
+	r.cutsLeft = 0
 }
 
-// Struck returns how many connections were cut so far.
-func (r *Relay) Struck() int {
+// CutCount returns how many connections were cut so far.
+func (r *Relay) CutCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.struck
+	return r.cutCount
 }
 
 // Release passes on what Hold kept back; nothing can be held after it.
@@ -119,7 +119,7 @@
 func (r *Relay) LateAnswers() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return append([]string(nil), r.late...)
+	return append([]string(nil), r.lateAnswers...)
 }
 
 // ended reports whether the test is over.
@@ -129,59 +129,59 @@
 	return r.closed
 }
 
-func (r *Relay) noteLate(answer []byte) {
+func (r *Relay) recordLateAnswer(answer []byte) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.late = append(r.late, string(answer))
+	r.lateAnswers = append(r.lateAnswers, string(answer))
 }
 
-// armed returns the cut in force, if any.
-func (r *Relay) armed() (Cut, bool) {
+// activeCut returns the cut in force, if any.
+func (r *Relay) activeCut() (Cut, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.cut, r.left > 0
+	return r.cut, r.cutsLeft > 0
 }
 
-// claim takes one of the cut's strikes.
-func (r *Relay) claim() bool {
+// claimCut takes one of the cut's strikes.
+func (r *Relay) claimCut() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.left == 0 {
+	if r.cutsLeft == 0 {
 		return false
 	}
-	r.left--
+	r.cutsLeft--
 	return true
 }
 
-func (r *Relay) noteStruck() {
+func (r *Relay) recordCut() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.struck++
+	r.cutCount++
 }
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		routerSide, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", r.target)
+		backendSide, err := net.Dial("tcp", r.target)
 		if err != nil {
 			// The back end refused, so the router must see a break at once.
-			abort(near)
+			abort(routerSide)
 			continue
 		}
-		connection := &relayed{relay: r, near: near, far: far}
+		connection := &relayedConnection{relay: r, routerSide: routerSide, backendSide: backendSide}
 		r.mutex.Lock()
 		r.connections[connection] = true
 		closed := r.closed
 		r.mutex.Unlock()
 		if closed {
-			connection.end(Close)
+			connection.disconnect(Close)
 			return
 		}
-		go connection.pump(ToBackend)
-		go connection.pump(ToRouter)
+		go connection.forward(ToBackend)
+		go connection.forward(ToRouter)
 	}
 }
 
@@ -192,37 +192,37 @@
 	defer r.mutex.Unlock()
 	r.closed = true
 	for connection := range r.connections {
-		connection.end(Close)
+		connection.disconnect(Close)
 	}
 }
 
-func (r *Relay) forget(connection *relayed) {
+func (r *Relay) remove(connection *relayedConnection) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.connections, connection)
 }
 
-// relayed is one connection through a relay.
-type relayed struct {
-	relay     *Relay
-	near, far net.Conn
+// relayedConnection is one connection through a relay.
+type relayedConnection struct {
+	relay                   *Relay
+	routerSide, backendSide net.Conn
 
 	mutex sync.Mutex
 	// matched says that the cut holds for this connection; left counts the
 	// bytes that still pass in its direction.
-	matched bool
-	stalled bool
-	cut     Cut
-	left    int
+	matched   bool
+	stalled   bool
+	cut       Cut
+	bytesLeft int
 }
 
 const relayBufferBytes = 32 << 10
 
-// pump forwards one half until it ends or is cut.
-func (c *relayed) pump(direction Direction) {
-	source, sink := c.near, c.far
+// forward forwards one half until it ends or is cut.
+func (c *relayedConnection) forward(direction Direction) {
+	source, sink := c.routerSide, c.backendSide
 	if direction == ToRouter {
-		source, sink = c.far, c.near
+		source, sink = c.backendSide, c.routerSide
 	}
 	buffer := make([]byte, relayBufferBytes)
 	for {
@@ -235,7 +235,7 @@
 			}
 		}
 		if cut {
-			c.strike(buffer[len(pass):count])
+			c.applyCut(buffer[len(pass):count])
 			return
 		}
 		if err != nil {
@@ -246,26 +246,26 @@
 }
 
 // hold keeps a request back until the release and delivers it then.
-func (c *relayed) hold(kept []byte) {
+func (c *relayedConnection) hold(held []byte) {
 	<-c.relay.released
 	if c.relay.ended() {
 		return
 	}
-	far, err := net.Dial("tcp", c.relay.target)
+	backendSide, err := net.Dial("tcp", c.relay.target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = far.Close() }()
-	if _, err := far.Write(kept); err != nil {
+	defer func() { _ = backendSide.Close() }()
+	if _, err := backendSide.Write(held); err != nil {
 		return
 	}
 	answer := make([]byte, relayBufferBytes)
-	count, _ := far.Read(answer)
-	c.relay.noteLate(answer[:count])
+	count, _ := backendSide.Read(answer)
+	c.relay.recordLateAnswer(answer[:count])
 }
 
 // admit returns the bytes that pass, and whether the connection is cut then.
-func (c *relayed) admit(direction Direction, data []byte) ([]byte, bool) {
+func (c *relayedConnection) admit(direction Direction, data []byte) ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.stalled {
@@ -285,65 +285,65 @@
 	if !c.matched || direction != c.cut.Direction {
 		return data, false
 	}
-	if len(data)-passed < c.left {
-		c.left -= len(data) - passed
+	if len(data)-passed < c.bytesLeft {
+		c.bytesLeft -= len(data) - passed
 		return data, false
 	}
-	return data[:passed+c.left], true
+	return data[:passed+c.bytesLeft], true
 }
 
 // match looks for the armed cut's text and returns where it begins and ends.
 // A text that two reads share is not found: requests of the proofs are small.
-func (c *relayed) match(data []byte) (start, end int) {
-	cut, armed := c.relay.armed()
+func (c *relayedConnection) match(data []byte) (start, end int) {
+	cut, armed := c.relay.activeCut()
 	if !armed {
 		return 0, 0
 	}
 	start = bytes.Index(data, []byte(cut.Match))
-	if start < 0 || !c.relay.claim() {
+	if start < 0 || !c.relay.claimCut() {
 		return 0, 0
 	}
-	c.matched, c.cut, c.left = true, cut, cut.After
+	c.matched, c.cut, c.bytesLeft = true, cut, cut.After
 	return start, start + len(cut.Match)
 }
 
-// strike does to the connection as the cut says; kept is what does not pass.
-func (c *relayed) strike(kept []byte) {
+// applyCut does to the connection as the cut says; kept is what does not pass.
+func (c *relayedConnection) applyCut(held []byte) {
 	switch action := c.cut.Action; action {
 	case Stall, Hold:
 		c.mutex.Lock()
 		c.stalled = true
 		c.mutex.Unlock()
 	default:
-		c.end(action)
-		c.relay.forget(c)
+		c.disconnect(action)
+		c.relay.remove(c)
 	}
-	c.relay.noteStruck()
+	c.relay.recordCut()
 	if c.cut.Action == Hold {
-		c.hold(kept)
+		c.hold(held)
 	}
 }
 
 // finish passes the end of one half on, unless the connection is stalled.
-func (c *relayed) finish() {
+func (c *relayedConnection) finish() {
 	c.mutex.Lock()
 	stalled := c.stalled
 	c.mutex.Unlock()
 	if stalled {
 		return
 	}
-	c.end(Close)
-	c.relay.forget(c)
+	c.disconnect(Close)
+	c.relay.remove(c)
 }
 
-func (c *relayed) end(action Action) {
+func (c *relayedConnection) disconnect(action Action) {
 	if action == Reset {
-		abort(c.near)
-		abort(c.far)
+		abort(c.routerSide)
+		abort(c.backendSide)
 		return
 	}
-	_ = c.near.Close()
-	_ = c.far.Close()
+	_ = c.routerSide.Close()
+	_ = c.backendSide.Close()
 }
 
 // abort closes a connection with a TCP reset.
--- a/proofs/harness/stream.go
+++ b/proofs/harness/stream.go
@@ -20,8 +20,8 @@
 	resumePause = 50 * time.Millisecond
 )
 
-// Ask is one model request.
-type Ask struct {
+// ModelRequest is one model request.
+type ModelRequest struct {
 	Prompt    string
 	MaxTokens int
 	// OnText is called after each event with the number of bytes of text so
@@ -30,109 +30,109 @@
 }
 
 // Stream sends one model request and reads its stream as far as it goes.
-func (c *Caller) Stream(ctx context.Context, router string, ask Ask) Told {
+func (c *Caller) Stream(ctx context.Context, router string, modelRequest ModelRequest) Outcome {
 	body, err := json.Marshal(map[string]any{
-		"model": Assistant, "prompt": ask.Prompt, "max_tokens": ask.MaxTokens, "stream": true,
+		"model": Assistant, "prompt": modelRequest.Prompt, "max_tokens": modelRequest.MaxTokens, "stream": true,
 	})
 	if err != nil {
-		return Told{Broken: true}
+		return Outcome{Broken: true}
 	}
-	return c.read(ctx, http.MethodPost, router, "/v1/completions", string(body), ask, Told{})
+	return c.read(ctx, http.MethodPost, router, "/v1/completions", string(body), modelRequest, Outcome{})
 }
 
 // Whole sends one model request that asks for its answer in one piece.
-func (c *Caller) Whole(ctx context.Context, router string, ask Ask) Told {
-	told := Told{Began: time.Now(), Router: router, Tenant: c.Tenant}
-	defer c.note(&told)
-	body, err := json.Marshal(map[string]any{"model": Assistant, "prompt": ask.Prompt, "max_tokens": ask.MaxTokens})
+func (c *Caller) Complete(ctx context.Context, router string, modelRequest ModelRequest) Outcome {
+	outcome := Outcome{Began: time.Now(), Router: router, Tenant: c.Tenant}
+	defer c.record(&outcome)
+	body, err := json.Marshal(map[string]any{"model": Assistant, "prompt": modelRequest.Prompt, "max_tokens": modelRequest.MaxTokens})
 	if err != nil {
-		told.Broken = true
-		return told
+		outcome.Broken = true
+		return outcome
 	}
-	content, ok := c.exchange(ctx, &told, http.MethodPost, router+"/v1/completions", string(body), "")
+	content, ok := c.exchange(ctx, &outcome, http.MethodPost, router+"/v1/completions", string(body), "")
 	if !ok {
-		return told
+		return outcome
 	}
 	var answer api.Answer
-	if json.Unmarshal(content, &answer) != nil || len(answer.Choices) != 1 || !told.takeChoice(answer.Choices[0]) {
-		told.Broken = true
-		return told
+	if json.Unmarshal(content, &answer) != nil || len(answer.Choices) != 1 || !outcome.applyChoice(answer.Choices[0]) {
+		outcome.Broken = true
+		return outcome
 	}
-	told.Usage, told.Done = answer.Usage, true
-	return told
+	outcome.Usage, outcome.Done = answer.Usage, true
+	return outcome
 }
 
 // Continue resumes a stream that broke, at any router, from its last event.
-func (c *Caller) Continue(ctx context.Context, router string, ask Ask, before Told) Told {
-	return c.read(ctx, http.MethodGet, router, "/v1/streams", "", ask, before)
+func (c *Caller) Resume(ctx context.Context, router string, modelRequest ModelRequest, before Outcome) Outcome {
+	return c.read(ctx, http.MethodGet, router, "/v1/streams", "", modelRequest, before)
 }
 
-// AskAll acts as a proper client: it sends the request to the first router, and
+// StreamWithRetries acts as a proper client: it sends the request to the first router, and
 // resumes or repeats it at the next ones until it has the whole answer, a
 // stated fault that ends the stream, or made all the tries.
-func (c *Caller) AskAll(ctx context.Context, routers []string, ask Ask, tries int) Told {
-	var told Told
-	for try := range tries {
-		router := routers[try%len(routers)]
-		if told.LastID == "" {
-			told = c.Stream(ctx, router, ask)
+func (c *Caller) StreamWithRetries(ctx context.Context, routers []string, modelRequest ModelRequest, attempts int) Outcome {
+	var outcome Outcome
+	for attempt := range attempts {
+		router := routers[attempt%len(routers)]
+		if outcome.LastID == "" {
+			outcome = c.Stream(ctx, router, modelRequest)
 		} else {
-			told = c.Continue(ctx, router, ask, told)
+			outcome = c.Resume(ctx, router, modelRequest, outcome)
 		}
-		refusedAtFirst := told.Refusal != nil && told.Text == "" && told.Refusal.RetryAfterMillis > 0
-		if !told.Broken && !refusedAtFirst {
-			return told
+		refusedAtFirst := outcome.Refusal != nil && outcome.Text == "" && outcome.Refusal.RetryAfterMillis > 0
+		if !outcome.Broken && !refusedAtFirst {
+			return outcome
 		}
 		time.Sleep(resumePause)
 	}
-	return told
+	return outcome
 }
 
 // read makes one exchange; before is what earlier ones brought of the stream.
-func (c *Caller) read(ctx context.Context, method, router, path, body string, ask Ask, before Told) Told {
-	told := Told{Began: time.Now(), Router: router, Tenant: c.Tenant, Text: before.Text, LastID: before.LastID}
-	defer c.note(&told)
+func (c *Caller) read(ctx context.Context, method, router, path, body string, modelRequest ModelRequest, before Outcome) Outcome {
+	outcome := Outcome{Began: time.Now(), Router: router, Tenant: c.Tenant, Text: before.Text, LastID: before.LastID}
+	defer c.record(&outcome)
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := c.request(ctx, method, router+path, body)
 	if err != nil {
-		told.Broken = true
-		return told
+		outcome.Broken = true
+		return outcome
 	}
 	if before.LastID != "" {
 		request.Header.Set("Last-Event-ID", before.LastID)
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		told.Broken, told.Unsent = true, unsent(err)
-		return told
+		outcome.Broken, outcome.Unsent = true, isDialError(err)
+		return outcome
 	}
 	defer func() { _ = response.Body.Close() }()
-	told.takeHeader(response)
+	outcome.readHeader(response)
 	if response.StatusCode != http.StatusOK {
 		var content bytes.Buffer
 		_, _ = content.ReadFrom(response.Body)
-		told.takeRefusal(content.Bytes())
-		return told
+		outcome.readRefusal(content.Bytes())
+		return outcome
 	}
 	events := sse.NewReader(response.Body, maxEventBytes)
-	for !told.Done && told.Refusal == nil {
+	for !outcome.Done && outcome.Refusal == nil {
 		event, err := events.Next()
-		if err != nil || !told.take(event) {
-			told.Broken = true
-			return told
+		if err != nil || !outcome.applyEvent(event) {
+			outcome.Broken = true
+			return outcome
 		}
-		if ask.OnText != nil {
-			ask.OnText(len(told.Text))
+		if modelRequest.OnText != nil {
+			modelRequest.OnText(len(outcome.Text))
 		}
 	}
-	return told
+	return outcome
 }
 
-// take adds one event; it returns false for one that cannot be understood.
-func (t *Told) take(event sse.Event) bool {
+// applyEvent adds one event; it returns false for one that cannot be understood.
+func (t *Outcome) applyEvent(event sse.Event) bool {
 	if event.Name == "error" {
-		t.takeRefusal(event.Data)
+		t.readRefusal(event.Data)
 		return true
 	}
 	if string(event.Data) == doneData {
@@ -149,11 +149,11 @@
 	if part.Usage != nil {
 		t.Usage = part.Usage
 	}
-	return t.takeChoice(part.Choices[0])
+	return t.applyChoice(part.Choices[0])
 }
 
-// takeChoice adds the text of a choice; it returns false if it has none.
-func (t *Told) takeChoice(choice api.Choice) bool {
+// applyChoice adds the text of a choice; it returns false if it has none.
+func (t *Outcome) applyChoice(choice api.Choice) bool {
 	if choice.FinishReason != nil && *choice.FinishReason != "" {
 		t.Finish = *choice.FinishReason
 	}
--- a/proofs/helpers_test.go
+++ b/proofs/helpers_test.go
@@ -26,53 +26,53 @@
 	return fmt.Sprintf("%s order %d: ", label, number) + strings.Repeat("rules of the yard; ", 20)
 }
 
-// longAsk returns a request whose answer has at least so many tokens.
-func longAsk(label string, tokens int) harness.Ask {
+// longRequest returns a request whose answer has at least so many tokens.
+func longRequest(label string, tokens int) harness.ModelRequest {
 	for number := 0; ; number++ {
-		ask := harness.Ask{Prompt: prompt(label, number), MaxTokens: tokens}
-		if len(model.ExpectedText(ask.Prompt, tokens)) == tokens*prefix.BytesPerToken {
-			return ask
+		req := harness.ModelRequest{Prompt: prompt(label, number), MaxTokens: tokens}
+		if len(model.ExpectedText(req.Prompt, tokens)) == tokens*prefix.BytesPerToken {
+			return req
 		}
 	}
 }
 
-// requireHonest fails unless the stream is the whole answer to its request, or
+// requireValidStream fails unless the stream is the whole answer to its request, or
 // a part of it, in order, that does not claim to be whole.
-func requireHonest(t *testing.T, ask harness.Ask, told harness.Told) {
+func requireValidStream(t *testing.T, req harness.ModelRequest, outcome harness.Outcome) {
 	t.Helper()
-	expected := model.ExpectedText(ask.Prompt, ask.MaxTokens)
+	expected := model.ExpectedText(req.Prompt, req.MaxTokens)
 	switch {
-	case told.Done && told.Text != expected:
-		t.Errorf("a stream that ended as whole has %d of %d bytes, right so far: %v", len(told.Text), len(expected), strings.HasPrefix(expected, told.Text))
-	case told.Done && (told.Finish == "" || told.Usage == nil || told.Usage.CompletionTokens*prefix.BytesPerToken != len(expected)):
-		t.Errorf("a whole stream ended with finish reason %q and usage %+v", told.Finish, told.Usage)
-	case !strings.HasPrefix(expected, told.Text):
-		t.Errorf("the text is not the beginning of the answer: %d bytes", len(told.Text))
-	case !told.Done && told.Refusal == nil && !told.Broken:
+	case outcome.Done && outcome.Text != expected:
+		t.Errorf("a stream that ended as whole has %d of %d bytes, right so far: %v", len(outcome.Text), len(expected), strings.HasPrefix(expected, outcome.Text))
+	case outcome.Done && (outcome.Finish == "" || outcome.Usage == nil || outcome.Usage.CompletionTokens*prefix.BytesPerToken != len(expected)):
+		t.Errorf("a whole stream ended with finish reason %q and usage %+v", outcome.Finish, outcome.Usage)
+	case !strings.HasPrefix(expected, outcome.Text):
+		t.Errorf("the text is not the beginning of the answer: %d bytes", len(outcome.Text))
+	case !outcome.Done && outcome.Refusal == nil && !outcome.Broken:
 		t.Error("a stream ended without its end, without an error and unbroken")
 	}
 }
 
-// requireWhole fails unless the whole answer came.
-func requireWhole(t *testing.T, ask harness.Ask, told harness.Told) {
+// requireComplete fails unless the whole answer came.
+func requireComplete(t *testing.T, req harness.ModelRequest, outcome harness.Outcome) {
 	t.Helper()
-	requireHonest(t, ask, told)
-	if !told.Done {
-		t.Errorf("no whole answer: broken %v, refusal %+v, %d bytes", told.Broken, told.Refusal, len(told.Text))
+	requireValidStream(t, req, outcome)
+	if !outcome.Done {
+		t.Errorf("no whole answer: broken %v, refusal %+v, %d bytes", outcome.Broken, outcome.Refusal, len(outcome.Text))
 	}
 }
 
-// lasting returns a fault of the platform or an application that stays until
+// lastingFault returns a fault of the platform or an application that stays until
 // it is cleared.
-func lasting(service, kind string) faultboard.Fault {
+func lastingFault(service, kind string) faultboard.Fault {
 	return faultboard.Fault{Service: service, Kind: kind, DurationMillis: lastingMillis}
 }
 
 // executionsOf returns the executions under a tenant's idempotency key.
-func executionsOf(all []application.Execution, told harness.Told) int {
+func executionsOf(all []application.Execution, outcome harness.Outcome) int {
 	count := 0
 	for _, execution := range all {
-		if execution.Tenant == told.Tenant && execution.IdempotencyKey == told.Key {
+		if execution.Tenant == outcome.Tenant && execution.IdempotencyKey == outcome.Key {
 			count++
 		}
 	}
@@ -90,20 +90,20 @@
 
 // bookUntilAnswered repeats a booking at the routers in turn until an answer
 // comes, as a proper caller does, and returns the last word after the tries.
-func bookUntilAnswered(ctx context.Context, caller *harness.Caller, routers []string, key, body string, tries int) harness.Told {
-	var told harness.Told
-	for try := range tries {
-		told = caller.Book(ctx, routers[try%len(routers)], key, body)
-		if told.Answered() || told.Kind() == fault.KeyReused {
-			return told
+func bookUntilAnswered(ctx context.Context, caller *harness.Caller, routers []string, key, body string, attempts int) harness.Outcome {
+	var outcome harness.Outcome
+	for attempt := range attempts {
+		outcome = caller.Book(ctx, routers[attempt%len(routers)], key, body)
+		if outcome.Answered() || outcome.Kind() == fault.KeyReused {
+			return outcome
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return told
+	return outcome
 }
 
-// together runs a function so many times at once and waits for all.
-func together(count int, run func(number int)) {
+// concurrently runs a function so many times at once and waits for all.
+func concurrently(count int, run func(number int)) {
 	var work sync.WaitGroup
 	for number := range count {
 		work.Go(func() { run(number) })
--- a/proofs/history_test.go
+++ b/proofs/history_test.go
@@ -20,29 +20,29 @@
 // The bookings of one tenant's key are a register that is written at most once:
 // an execution writes it, and every word a caller is told reads it.
 
-// word is what one operation does with the register.
-type word int
+// operationKind is what one operation does with the register.
+type operationKind int
 
 const (
-	// wordRun is an execution, from a truth log: the register was empty.
-	wordRun word = iota
-	// wordAnswered names a booking: the register holds it.
-	wordAnswered
-	// wordYes says that the work ran: the register is not empty.
-	wordYes
-	// wordNo was said with the claim in hand: the register was empty.
-	wordNo
-	// wordOpen says nothing of the register.
-	wordOpen
+	// executionOperation is an execution, from a truth log: the register was empty.
+	executionOperation operationKind = iota
+	// answerOperation names a booking: the register holds it.
+	answerOperation
+	// ranOperation says that the work ran: the register is not empty.
+	ranOperation
+	// notRunOperation was said with the claim in hand: the register was empty.
+	notRunOperation
+	// unknownOperation says nothing of the register.
+	unknownOperation
 )
 
-// access is one operation on the register of a key.
-type access struct {
+// registerOperation is one operation on the register of a key.
+type registerOperation struct {
 	key     string
-	word    word
+	kind    operationKind
 	booking string
-	// said is the kind of a refusal, for the reader of a failed history.
-	said fault.Kind
+	// faultKind is the kind of a refusal, for the reader of a failed history.
+	faultKind fault.Kind
 }
 
 // bookingRegister is the model; its state is the booking, or "".
@@ -50,7 +50,7 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[string][]porcupine.Operation{}
 		for _, operation := range history {
-			key := operation.Input.(access).key
+			key := operation.Input.(registerOperation).key
 			parts[key] = append(parts[key], operation)
 		}
 		var partitions [][]porcupine.Operation
@@ -61,32 +61,32 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, _ any) (bool, any) {
-		booked, operation := state.(string), input.(access)
-		switch operation.word {
-		case wordRun:
+		booked, operation := state.(string), input.(registerOperation)
+		switch operation.kind {
+		case executionOperation:
 			return booked == "", operation.booking
-		case wordAnswered:
+		case answerOperation:
 			return booked == operation.booking, booked
-		case wordYes:
+		case ranOperation:
 			return booked != "", booked
-		case wordNo:
+		case notRunOperation:
 			return booked == "", booked
 		}
 		return true, booked
 	},
 }
 
-// accessOf returns what a caller's word says of the register. A refusal before
+// operationOf returns what a caller's word says of the register. A refusal before
 // the claim was read speaks of this one sending only.
-func accessOf(told harness.Told) access {
-	read := access{key: registerKey(told.Tenant, told.Key), word: wordOpen, said: told.Kind()}
+func operationOf(outcome harness.Outcome) registerOperation {
+	read := registerOperation{key: registerKey(outcome.Tenant, outcome.Key), kind: unknownOperation, faultKind: outcome.Kind()}
 	switch {
-	case told.Answered():
-		read.word, read.booking = wordAnswered, told.Answer.Booking
-	case told.Ran() == fault.RanYes:
-		read.word = wordYes
-	case told.Ran() == fault.RanNo && (told.Kind() == fault.BackendRefused || told.Kind() == fault.NoPermittedEngine):
-		read.word = wordNo
+	case outcome.Answered():
+		read.kind, read.booking = answerOperation, outcome.Answer.Booking
+	case outcome.Ran() == fault.RanYes:
+		read.kind = ranOperation
+	case outcome.Ran() == fault.RanNo && (outcome.Kind() == fault.BackendRefused || outcome.Kind() == fault.NoPermittedEngine):
+		read.kind = notRunOperation
 	}
 	return read
 }
@@ -109,7 +109,7 @@
 		ran[execution.RequestID] = true
 		at := execution.Time.UnixNano()
 		operations = append(operations, porcupine.Operation{
-			Input: access{key: key, word: wordRun, booking: bookingOf(execution)}, Call: at, Return: at,
+			Input: registerOperation{key: key, kind: executionOperation, booking: bookingOf(execution)}, Call: at, Return: at,
 		})
 	}
 	for key, count := range runs {
@@ -118,13 +118,13 @@
 		}
 	}
 	for number, caller := range callers {
-		for _, told := range caller.History() {
-			requireOwnAnswer(t, told)
-			if told.Ran() == fault.RanNo && ran[told.RequestID] {
-				t.Errorf("%s was told not run (%s) of a request that ran", told.Key, told.Kind())
+		for _, outcome := range caller.History() {
+			requireOwnAnswer(t, outcome)
+			if outcome.Ran() == fault.RanNo && ran[outcome.RequestID] {
+				t.Errorf("%s was told not run (%s) of a request that ran", outcome.Key, outcome.Kind())
 			}
-			operation := porcupine.Operation{ClientId: number, Input: accessOf(told), Call: told.Began.UnixNano(), Return: told.Ended.UnixNano()}
-			if operation.Input.(access).word == wordOpen {
+			operation := porcupine.Operation{ClientId: number, Input: operationOf(outcome), Call: outcome.Began.UnixNano(), Return: outcome.Ended.UnixNano()}
+			if operation.Input.(registerOperation).kind == unknownOperation {
 				operation.Return = math.MaxInt64
 			}
 			operations = append(operations, operation)
@@ -150,17 +150,17 @@
 
 // requireOwnAnswer fails if an answer is that of another tenant, key or body,
 // or a refusal that passes does not say when to come back.
-func requireOwnAnswer(t *testing.T, told harness.Told) {
+func requireOwnAnswer(t *testing.T, outcome harness.Outcome) {
 	t.Helper()
-	digest := application.Digest(told.Tenant, told.Key, []byte(told.Body))
-	if told.Answered() && told.Key != "" && (told.Answer.Digest != digest || told.Answer.Tenant != told.Tenant) {
-		t.Errorf("%s of %s got the answer %+v", told.Key, told.Tenant, told.Answer)
+	digest := application.Digest(outcome.Tenant, outcome.Key, []byte(outcome.Body))
+	if outcome.Answered() && outcome.Key != "" && (outcome.Answer.Digest != digest || outcome.Answer.Tenant != outcome.Tenant) {
+		t.Errorf("%s of %s got the answer %+v", outcome.Key, outcome.Tenant, outcome.Answer)
 	}
-	if told.Refusal == nil || told.RetryAfter != "" {
+	if outcome.Refusal == nil || outcome.RetryAfter != "" {
 		return
 	}
-	switch told.Status {
+	switch outcome.Status {
 	case 429, 502, 503:
-		t.Errorf("%s was refused with %d %s and no Retry-After", told.Key, told.Status, told.Kind())
+		t.Errorf("%s was refused with %d %s and no Retry-After", outcome.Key, outcome.Status, outcome.Kind())
 	}
 }
--- a/proofs/notrun_test.go
+++ b/proofs/notrun_test.go
@@ -27,21 +27,21 @@
 // markedBody is small enough to leave in one write.
 var markedBody = strings.Repeat("head ", 100) + markMiddle + strings.Repeat(" rest", 100) + markTail
 
-// requireTrueNotRun fails if a key of which any sending was told "not run" was
+// requireNotRunTrue fails if a key of which any sending was told "not run" was
 // executed, each key having been sent once; it returns how many were told so.
-func requireTrueNotRun(t *testing.T, executions []application.Execution, caller *harness.Caller) (count int) {
+func requireNotRunTrue(t *testing.T, executions []application.Execution, caller *harness.Caller) (count int) {
 	t.Helper()
-	for _, told := range caller.History() {
-		requireOwnAnswer(t, told)
-		runs := executionsOf(executions, told)
-		if told.Ran() == fault.RanNo {
+	for _, outcome := range caller.History() {
+		requireOwnAnswer(t, outcome)
+		runs := executionsOf(executions, outcome)
+		if outcome.Ran() == fault.RanNo {
 			count++
 			if runs > 0 {
-				t.Errorf("%s was told not run (%s) and ran %d times", told.Key, told.Kind(), runs)
+				t.Errorf("%s was told not run (%s) and ran %d times", outcome.Key, outcome.Kind(), runs)
 			}
 		}
-		if told.Ran() == fault.RanYes && runs != 1 {
-			t.Errorf("%s was told that it ran, and ran %d times", told.Key, runs)
+		if outcome.Ran() == fault.RanYes && runs != 1 {
+			t.Errorf("%s was told that it ran, and ran %d times", outcome.Key, runs)
 		}
 	}
 	return count
@@ -51,7 +51,7 @@
 // said of what did not run.
 func TestNotRunIsTrueWhereverTheConnectionIsCut(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{Relayed: true})
+	c := harness.Start(t, harness.Config{Relayed: true})
 	cases := []struct {
 		name string
 		cut  harness.Cut
@@ -70,7 +70,7 @@
 				test.cut.Action, test.cut.Times = action, 2
 				c.Relay(name).Arm(test.cut)
 			}
-			together(6, func(number int) {
+			concurrently(6, func(number int) {
 				caller.Book(t.Context(), c.RouterURLs()[number%2], fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(test.name, " ", "-"), action, number), markedBody)
 			})
 			sent += 6
@@ -78,10 +78,10 @@
 	}
 	c.Await("every execution has ended", c.Idle)
 	executions := c.AllExecutions()
-	requireTrueNotRun(t, executions, caller)
+	requireNotRunTrue(t, executions, caller)
 	struck := 0
 	for _, name := range c.Applications {
-		struck += c.Relay(name).Struck()
+		struck += c.Relay(name).CutCount()
 	}
 	t.Logf("sent %d, struck %d, ran %d", sent, struck, len(executions))
 	is := is.New(t)
@@ -94,30 +94,30 @@
 func TestNotRunIsTrueWhateverApplicationsDo(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{Applications: 3, ApplicationArgs: []string{"--execute-millis", "30"}})
+	c := harness.Start(t, harness.Config{Applications: 3, ApplicationArgs: []string{"--execute-millis", "30"}})
 	caller := c.NewCaller(harness.TenantA)
 	send := func(label string) {
-		together(12, func(number int) {
+		concurrently(12, func(number int) {
 			caller.Book(t.Context(), c.RouterURLs()[number%2], fmt.Sprintf("%s-%d", label, number), "{}")
 		})
 	}
 	for _, kind := range []string{application.FaultRefuseFull, application.FaultRunThenCut, application.FaultCutBefore} {
-		c.Inject(c.Applications[0], lasting(application.ServiceApplication, kind))
+		c.Inject(c.Applications[0], lastingFault(application.ServiceApplication, kind))
 		send("one-" + kind)
 		for _, name := range c.Applications {
-			c.Inject(name, lasting(application.ServiceApplication, kind))
+			c.Inject(name, lastingFault(application.ServiceApplication, kind))
 		}
 		send("all-" + kind)
 		for _, name := range c.Applications {
 			c.ClearFaults(name)
 		}
 	}
-	for _, told := range caller.History() {
-		if strings.HasPrefix(told.Key, "all-"+application.FaultRefuseFull) {
-			is.Equal(told.Ran(), fault.RanNo)
+	for _, outcome := range caller.History() {
+		if strings.HasPrefix(outcome.Key, "all-"+application.FaultRefuseFull) {
+			is.Equal(outcome.Ran(), fault.RanNo)
 		}
-		if strings.HasPrefix(told.Key, "all-"+application.FaultRunThenCut) {
-			is.Equal(told.Ran(), fault.RanUnknown)
+		if strings.HasPrefix(outcome.Key, "all-"+application.FaultRunThenCut) {
+			is.Equal(outcome.Ran(), fault.RanUnknown)
 		}
 	}
 	c.Kill(c.Applications[2])
@@ -132,14 +132,14 @@
 	c.Kill(c.Applications[0])
 	send("all-gone")
 	executions := c.AllExecutions()
-	is.True(requireTrueNotRun(t, executions, caller) >= 24) // "all refuse" and "all gone"
+	is.True(requireNotRunTrue(t, executions, caller) >= 24) // "all refuse" and "all gone"
 	requireAtMostOnce(t, executions, caller)
-	for _, told := range caller.History() {
-		if strings.HasPrefix(told.Key, "one-killed") || strings.HasPrefix(told.Key, "one-leaving") || strings.HasPrefix(told.Key, "two-gone") {
-			is.True(told.Answered() || told.Ran() == fault.RanNo) // nothing that was begun is lost
+	for _, outcome := range caller.History() {
+		if strings.HasPrefix(outcome.Key, "one-killed") || strings.HasPrefix(outcome.Key, "one-leaving") || strings.HasPrefix(outcome.Key, "two-gone") {
+			is.True(outcome.Answered() || outcome.Ran() == fault.RanNo) // nothing that was begun is lost
 		}
-		if strings.HasPrefix(told.Key, "all-gone") {
-			is.Equal(told.Ran(), fault.RanNo)
+		if strings.HasPrefix(outcome.Key, "all-gone") {
+			is.Equal(outcome.Ran(), fault.RanNo)
 		}
 	}
 }
@@ -149,31 +149,31 @@
 func TestNotRunIsTrueWhenAHoldEnds(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{
+	c := harness.Start(t, harness.Config{
 		Engines: 2, Relayed: true, EngineArgs: []string{"--max-running", "1", "--max-waiting", "1", "--token-millis", "5"},
 		Edit: func(document *fleet.Document) { document.Classes[0].MaxHold = 400 * time.Millisecond },
 	})
 	caller := c.NewCaller(harness.TenantA)
-	together(40, func(number int) {
+	concurrently(40, func(number int) {
 		time.Sleep(time.Duration(number) * 25 * time.Millisecond)
-		ask := harness.Ask{Prompt: prompt("held", number), MaxTokens: 40}
-		requireHonest(t, ask, caller.Stream(t.Context(), c.RouterURLs()[number%2], ask))
+		req := harness.ModelRequest{Prompt: prompt("held", number), MaxTokens: 40}
+		requireValidStream(t, req, caller.Stream(t.Context(), c.RouterURLs()[number%2], req))
 	})
 	for _, name := range c.Engines {
 		c.Inject(name, engine.FaultRequest{Kind: faultplan.RefuseFull, Duration: faultplan.Duration(time.Minute)})
 	}
-	together(6, func(number int) {
-		told := caller.Stream(t.Context(), c.RouterURLs()[number%2], harness.Ask{Prompt: prompt("full", number), MaxTokens: 40})
-		is.Equal(told.Ran(), fault.RanNo)
+	concurrently(6, func(number int) {
+		outcome := caller.Stream(t.Context(), c.RouterURLs()[number%2], harness.ModelRequest{Prompt: prompt("full", number), MaxTokens: 40})
+		is.Equal(outcome.Ran(), fault.RanNo)
 	})
 	// The generation begins, and its first word is lost on the way.
 	for _, name := range c.Engines {
 		c.ClearFaults(name)
 		c.Relay(name).Arm(harness.Cut{Match: "POST /v1/generate", Direction: harness.ToRouter, Action: harness.Reset, Times: 100})
 	}
-	together(6, func(number int) {
-		told := caller.Stream(t.Context(), c.RouterURLs()[number%2], harness.Ask{Prompt: prompt("cut", number), MaxTokens: 40})
-		is.True(told.Refusal != nil)
+	concurrently(6, func(number int) {
+		outcome := caller.Stream(t.Context(), c.RouterURLs()[number%2], harness.ModelRequest{Prompt: prompt("cut", number), MaxTokens: 40})
+		is.True(outcome.Refusal != nil)
 	})
 	began := map[ident.Request]bool{}
 	for _, record := range allTruth(c) {
@@ -182,13 +182,13 @@
 		}
 	}
 	notRun := 0
-	for _, told := range caller.History() {
-		requireOwnAnswer(t, told)
-		if told.Ran() != fault.RanNo {
+	for _, outcome := range caller.History() {
+		requireOwnAnswer(t, outcome)
+		if outcome.Ran() != fault.RanNo {
 			continue
 		}
 		notRun++
-		is.True(told.RequestID != "" && !began[told.RequestID])
+		is.True(outcome.RequestID != "" && !began[outcome.RequestID])
 	}
 	is.True(notRun > 10 && len(began) > 10) // both sides of the race were met
 }
--- a/proofs/observe_test.go
+++ b/proofs/observe_test.go
@@ -20,9 +20,9 @@
 // observeTimeout bounds one exchange of the helpers below.
 const observeTimeout = 2 * time.Second
 
-// exchange sends JSON, or nothing, and decodes the JSON answer if into is set.
+// exchangeJSON sends JSON, or nothing, and decodes the JSON answer if into is set.
 // It reports whether the answer was a success.
-func exchange(ctx context.Context, method, url string, body, into any) bool {
+func exchangeJSON(ctx context.Context, method, url string, body, into any) bool {
 	ctx, cancel := context.WithTimeout(ctx, observeTimeout)
 	defer cancel()
 	content, err := json.Marshal(body)
@@ -44,10 +44,10 @@
 	return into == nil || json.NewDecoder(response.Body).Decode(into) == nil
 }
 
-// statusOf returns what a router says of itself, if it answers.
-func statusOf(ctx context.Context, c *harness.Cluster, router string) (seen status.Router, answered bool) {
-	answered = exchange(ctx, http.MethodGet, c.URL(router)+status.Path, nil, &seen)
-	return seen, answered
+// routerStatus returns what a router says of itself, if it answers.
+func routerStatus(ctx context.Context, c *harness.Cluster, router string) (state status.Router, answered bool) {
+	answered = exchangeJSON(ctx, http.MethodGet, c.URL(router)+status.Path, nil, &state)
+	return state, answered
 }
 
 // awaitEngines waits until every router believes what is wanted of its engines.
@@ -55,17 +55,17 @@
 	t.Helper()
 	for _, router := range c.Routers {
 		c.Await(router+" sees that "+what, func() bool {
-			seen, answered := statusOf(t.Context(), c, router)
+			seen, answered := routerStatus(t.Context(), c, router)
 			return answered && len(seen.Engines) > 0 && !slices.ContainsFunc(seen.Engines, func(engine status.Engine) bool { return !wanted(engine) })
 		})
 	}
 }
 
-// listMachines makes the platform's machine list say that some are leaving.
-func listMachines(t *testing.T, c *harness.Cluster, leaving ...string) {
+// setMachinesLeaving makes the platform's machine list say that some are leaving.
+func setMachinesLeaving(t *testing.T, c *harness.Cluster, leaving ...string) {
 	t.Helper()
 	var list protocol.MachineList
-	if !exchange(t.Context(), http.MethodGet, c.URL(harness.Platform)+"/machines/v1/list", nil, &list) {
+	if !exchangeJSON(t.Context(), http.MethodGet, c.URL(harness.Platform)+"/machines/v1/list", nil, &list) {
 		t.Fatal("the machine list could not be read")
 	}
 	for index := range list.Machines {
@@ -74,7 +74,7 @@
 			list.Machines[index].State = protocol.MachineLeaving
 		}
 	}
-	if !exchange(t.Context(), http.MethodPut, c.URL(harness.Platform)+"/rehearsal/machines", list, nil) {
+	if !exchangeJSON(t.Context(), http.MethodPut, c.URL(harness.Platform)+"/rehearsal/machines", list, nil) {
 		t.Fatal("the machine list could not be replaced")
 	}
 }
@@ -105,8 +105,8 @@
 		running.work.Go(func() {
 			for turn := 0; ctx.Err() == nil; turn++ {
 				first := (number + turn) % len(routers)
-				ask := harness.Ask{Prompt: sharedPrompt([]string{"graz", "linz", "wien"}[turn%3], turn), MaxTokens: trafficTokens}
-				caller.AskAll(ctx, append(routers[first:len(routers):len(routers)], routers[:first]...), ask, trafficTries)
+				req := harness.ModelRequest{Prompt: sharedPrompt([]string{"graz", "linz", "wien"}[turn%3], turn), MaxTokens: trafficTokens}
+				caller.StreamWithRetries(ctx, append(routers[first:len(routers):len(routers)], routers[:first]...), req, trafficTries)
 			}
 		})
 	}
@@ -123,8 +123,8 @@
 func (r *traffic) answered() int {
 	count := 0
 	for _, caller := range r.callers {
-		for _, told := range caller.History() {
-			if told.Done {
+		for _, outcome := range caller.History() {
+			if outcome.Done {
 				count++
 			}
 		}
@@ -138,13 +138,13 @@
 	c.Await("the callers have more answers", func() bool { return r.answered() >= before+more })
 }
 
-// begunAfter returns the names of requests that were sent after a time.
-func (r *traffic) begunAfter(after time.Time) map[ident.Request]bool {
+// requestsSentAfter returns the names of requests that were sent after a time.
+func (r *traffic) requestsSentAfter(after time.Time) map[ident.Request]bool {
 	names := map[ident.Request]bool{}
 	for _, caller := range r.callers {
-		for _, told := range caller.History() {
-			if told.RequestID != "" && told.Began.After(after) {
-				names[told.RequestID] = true
+		for _, outcome := range caller.History() {
+			if outcome.RequestID != "" && outcome.Began.After(after) {
+				names[outcome.RequestID] = true
 			}
 		}
 	}
--- a/proofs/pairs_test.go
+++ b/proofs/pairs_test.go
@@ -20,32 +20,32 @@
 func TestEngineCrashWithAnEventGap(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{EngineArgs: []string{"--event-loss", "0.5", "--event-delay", "600ms", "--token-millis", "4"}})
+	c := harness.Start(t, harness.Config{EngineArgs: []string{"--event-loss", "0.5", "--event-delay", "600ms", "--token-millis", "4"}})
 	callers := []*harness.Caller{c.NewCaller(harness.TenantA), c.NewCaller(harness.TenantB)}
 	const rounds, perRound = 5, 8
 	for round := range rounds {
-		together(perRound, func(number int) {
+		concurrently(perRound, func(number int) {
 			if number == 0 {
 				c.Inject(c.Engines[round%len(c.Engines)], engine.FaultRequest{
 					Kind: faultplan.Crash, Duration: faultplan.Duration(150 * time.Millisecond),
 				})
 			}
-			ask := harness.Ask{Prompt: prompt("hot prefix", 1) + fmt.Sprintf("%d %d", round, number), MaxTokens: streamTokens}
-			requireWhole(t, ask, callers[number%2].AskAll(t.Context(), c.RouterURLs(), ask, 5))
+			req := harness.ModelRequest{Prompt: prompt("hot prefix", 1) + fmt.Sprintf("%d %d", round, number), MaxTokens: streamTokens}
+			requireComplete(t, req, callers[number%2].StreamWithRetries(t.Context(), c.RouterURLs(), req, 5))
 		})
 		for _, name := range c.Engines {
 			c.AwaitUp(name)
 		}
 	}
-	lives, reused := map[ident.Incarnation]bool{}, 0
+	incarnations, reused := map[ident.Incarnation]bool{}, 0
 	for _, record := range allTruth(c) {
-		lives[record.Incarnation] = true
+		incarnations[record.Incarnation] = true
 		for _, used := range record.Reused {
 			reused++
 			is.Equal(used.Incarnation, record.Incarnation)
 			is.Equal(used.Tenant, record.Tenant)
 		}
 	}
-	is.Equal(len(lives), len(c.Engines)+rounds) // the crashes did take place
-	is.True(reused > 0)                         // and the cache was used
+	is.Equal(len(incarnations), len(c.Engines)+rounds) // the crashes did take place
+	is.True(reused > 0)                                // and the cache was used
 }
--- a/proofs/plannedstop_test.go
+++ b/proofs/plannedstop_test.go
@@ -24,22 +24,22 @@
 func TestPlannedStopOfRoutersCutsNoRequest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{Routers: 3, Engines: 4, EngineArgs: []string{"--token-millis", "13"}})
+	c := harness.Start(t, harness.Config{Routers: 3, Engines: 4, EngineArgs: []string{"--token-millis", "13"}})
 	callers := []*harness.Caller{c.NewCaller(harness.TenantA), c.NewCaller(harness.TenantB)}
 	var work sync.WaitGroup
 	running := make(chan struct{}, len(c.Routers))
 	for number, router := range c.RouterURLs() {
-		ask := longAsk(fmt.Sprintf("long %d", number), usualGraceTokens)
+		req := longRequest(fmt.Sprintf("long %d", number), usualGraceTokens)
 		var begun sync.Once
-		ask.OnText = func(int) { begun.Do(func() { running <- struct{}{} }) }
-		work.Go(func() { requireWhole(t, ask, callers[0].Stream(t.Context(), router, ask)) })
+		req.OnText = func(int) { begun.Do(func() { running <- struct{}{} }) }
+		work.Go(func() { requireComplete(t, req, callers[0].Stream(t.Context(), router, req)) })
 	}
 	for range c.Routers {
 		<-running
 	}
 	load, endLoad := context.WithCancel(t.Context())
 	for worker := range 6 {
-		work.Go(func() { keepAsking(load, t, c, callers[worker%2], worker) })
+		work.Go(func() { sendUntilCancelled(load, t, c, callers[worker%2], worker) })
 	}
 	for _, router := range c.Routers {
 		is.Equal(c.Terminate(router), 0)
@@ -48,55 +48,55 @@
 	}
 	endLoad()
 	work.Wait()
-	answered := requireUncut(t, callers...)
+	answered := requireNoneCut(t, callers...)
 	is.True(answered > 100)
 	requireAtMostOnce(t, c.AllExecutions(), callers...)
 }
 
-// keepAsking streams and books in turn until the load ends; a router that
+// sendUntilCancelled streams and books in turn until the load ends; a router that
 // takes no connection or is not ready is passed by, as a proper caller does,
 // and one that says when to come back is left alone until then.
-func keepAsking(load context.Context, t *testing.T, c *harness.Cluster, caller *harness.Caller, worker int) {
+func sendUntilCancelled(load context.Context, t *testing.T, c *harness.Cluster, caller *harness.Caller, worker int) {
 	routers := c.RouterURLs()
-	away := make([]time.Time, len(routers))
+	retryAt := make([]time.Time, len(routers))
 	for number := 0; load.Err() == nil; number++ {
 		index := (worker + number) % len(routers)
-		if time.Now().Before(away[index]) {
+		if time.Now().Before(retryAt[index]) {
 			time.Sleep(time.Millisecond) // all of them may be away
 			continue
 		}
-		told := askOnce(t, caller, routers[index], worker, number)
-		if seconds, err := strconv.Atoi(told.RetryAfter); err == nil {
-			away[index] = time.Now().Add(time.Duration(seconds) * time.Second)
+		outcome := sendOnce(t, caller, routers[index], worker, number)
+		if seconds, err := strconv.Atoi(outcome.RetryAfter); err == nil {
+			retryAt[index] = time.Now().Add(time.Duration(seconds) * time.Second)
 		}
 	}
 }
 
-// askOnce books or streams, by the parity of the number.
-func askOnce(t *testing.T, caller *harness.Caller, router string, worker, number int) harness.Told {
+// sendOnce books or streams, by the parity of the number.
+func sendOnce(t *testing.T, caller *harness.Caller, router string, worker, number int) harness.Outcome {
 	if number%2 == 0 {
 		return caller.Book(t.Context(), router, fmt.Sprintf("key-%d-%d", worker, number), "{}")
 	}
-	ask := harness.Ask{Prompt: prompt(fmt.Sprintf("worker %d", worker), number), MaxTokens: 12}
-	told := caller.Stream(t.Context(), router, ask)
-	requireHonest(t, ask, told)
-	return told
+	req := harness.ModelRequest{Prompt: prompt(fmt.Sprintf("worker %d", worker), number), MaxTokens: 12}
+	outcome := caller.Stream(t.Context(), router, req)
+	requireValidStream(t, req, outcome)
+	return outcome
 }
 
-// requireUncut fails for every request that was taken and not answered whole;
+// requireNoneCut fails for every request that was taken and not answered whole;
 // it returns the number of whole answers.
-func requireUncut(t *testing.T, callers ...*harness.Caller) (answered int) {
+func requireNoneCut(t *testing.T, callers ...*harness.Caller) (answered int) {
 	t.Helper()
 	for _, caller := range callers {
-		for _, told := range caller.History() {
+		for _, outcome := range caller.History() {
 			switch {
-			case told.Answered():
+			case outcome.Answered():
 				answered++
-			case told.Unsent:
-			case told.Broken:
-				t.Errorf("a request to %s was cut: key %q, %d bytes of text", told.Router, told.Key, len(told.Text))
-			case told.Ran() != fault.RanNo:
-				t.Errorf("a request to %s ended with %s, ran %s", told.Router, told.Kind(), told.Ran())
+			case outcome.Unsent:
+			case outcome.Broken:
+				t.Errorf("a request to %s was cut: key %q, %d bytes of text", outcome.Router, outcome.Key, len(outcome.Text))
+			case outcome.Ran() != fault.RanNo:
+				t.Errorf("a request to %s ended with %s, ran %s", outcome.Router, outcome.Kind(), outcome.Ran())
 			}
 		}
 	}
@@ -108,36 +108,36 @@
 func TestPlannedStopOfBackendsCutsNoRequest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{ApplicationArgs: []string{"--execute-millis", "300"}})
+	c := harness.Start(t, harness.Config{ApplicationArgs: []string{"--execute-millis", "300"}})
 	caller := c.NewCaller(harness.TenantA)
 	var work sync.WaitGroup
 	begun := make(chan struct{}, 9)
 	for number := range 9 {
-		ask := longAsk(fmt.Sprintf("long %d", number), 200)
+		req := longRequest(fmt.Sprintf("long %d", number), 200)
 		var once sync.Once
-		ask.OnText = func(int) { once.Do(func() { begun <- struct{}{} }) }
-		work.Go(func() { requireWhole(t, ask, caller.Stream(t.Context(), c.RouterURLs()[number%2], ask)) })
+		req.OnText = func(int) { once.Do(func() { begun <- struct{}{} }) }
+		work.Go(func() { requireComplete(t, req, caller.Stream(t.Context(), c.RouterURLs()[number%2], req)) })
 	}
 	for range 9 {
 		<-begun
 	}
 	stopping := c.Engines[0]
 	for _, name := range c.Engines {
-		if unfinished(c.Truth(name)) > unfinished(c.Truth(stopping)) {
+		if unfinishedGenerations(c.Truth(name)) > unfinishedGenerations(c.Truth(stopping)) {
 			stopping = name
 		}
 	}
-	is.True(unfinished(c.Truth(stopping)) > 0)
+	is.True(unfinishedGenerations(c.Truth(stopping)) > 0)
 	load, endLoad := context.WithCancel(t.Context())
 	for worker := range 4 {
-		work.Go(func() { keepAsking(load, t, c, caller, worker) })
+		work.Go(func() { sendUntilCancelled(load, t, c, caller, worker) })
 	}
 	var codes [2]int
-	together(2, func(number int) { codes[number] = c.Terminate([]string{stopping, c.Applications[0]}[number]) })
+	concurrently(2, func(number int) { codes[number] = c.Terminate([]string{stopping, c.Applications[0]}[number]) })
 	endLoad()
 	work.Wait()
 	is.Equal(codes, [2]int{0, 0})
-	is.True(requireUncut(t, caller) > 20)
+	is.True(requireNoneCut(t, caller) > 20)
 	ends := map[truth.Kind]int{}
 	for _, record := range c.Truth(stopping) {
 		ends[record.Kind]++
--- a/proofs/restart_bench_test.go
+++ b/proofs/restart_bench_test.go
@@ -13,7 +13,7 @@
 // to the first answer, and the share of prompt tokens found in the engines'
 // caches before and after. Run it with -benchtime 5x.
 func BenchmarkRestart(b *testing.B) {
-	const routers, lately = 3, 60
+	const routers, recentPrompts = 3, 60
 	cases := []struct {
 		name     string
 		platform *faultboard.Fault
@@ -27,20 +27,20 @@
 	}
 	for _, test := range cases {
 		b.Run(test.name, func(b *testing.B) {
-			c := harness.Start(b, harness.Shape{Routers: routers})
+			c := harness.Start(b, harness.Config{Routers: routers})
 			callers := startTraffic(b, c)
-			callers.awaitAnswers(c, lately)
+			callers.awaitAnswers(c, recentPrompts)
 			total, longest, before, after := time.Duration(0), time.Duration(0), 0.0, 0.0
 			for round := 0; b.Loop(); round++ {
 				if test.platform != nil {
 					c.Inject(harness.Platform, *test.platform)
 				}
 				began := time.Now()
-				before += hitRate(allTruth(c), time.Time{}, began, lately)
+				before += hitRate(allTruth(c), time.Time{}, began, recentPrompts)
 				took := restart(b, c, fmt.Sprint("round ", round), c.Routers[:test.count]...)
 				total, longest = total+took, max(longest, took)
-				callers.awaitAnswers(c, lately)
-				after += hitRate(allTruth(c), began, time.Now(), lately)
+				callers.awaitAnswers(c, recentPrompts)
+				after += hitRate(allTruth(c), began, time.Now(), recentPrompts)
 				c.ClearFaults(harness.Platform)
 				c.AwaitServing(c.Routers...)
 			}
--- a/proofs/restart_test.go
+++ b/proofs/restart_test.go
@@ -20,31 +20,31 @@
 var slowPlatform = faultboard.Fault{Kind: platform.FaultSlow, DurationMillis: lastingMillis, DelayMillis: 800}
 
 // platformDown cuts every exchange with the platform.
-var platformDown = lasting("", platform.FaultOutage)
+var platformDown = lastingFault("", platform.FaultOutage)
 
-// firstAnswer asks a router that listens until it answers, and returns how long
+// timeToFirstAnswer asks a router that listens until it answers, and returns how long
 // that took. Until then it may only say that it is not ready, and when to come
 // back, and that must be true.
-func firstAnswer(tb testing.TB, c *harness.Cluster, router, label string) time.Duration {
+func timeToFirstAnswer(tb testing.TB, c *harness.Cluster, router, label string) time.Duration {
 	tb.Helper()
 	caller := c.NewCaller(harness.TenantA)
 	began := time.Now()
 	for number := 0; time.Since(began) < harness.WaitLimit; number++ {
-		told := caller.Stream(tb.Context(), c.URL(router), harness.Ask{Prompt: prompt(label, number), MaxTokens: 1})
-		if told.Done {
+		outcome := caller.Stream(tb.Context(), c.URL(router), harness.ModelRequest{Prompt: prompt(label, number), MaxTokens: 1})
+		if outcome.Done {
 			return time.Since(began)
 		}
-		requireNotReady(tb, told)
+		requireNotReady(tb, outcome)
 		time.Sleep(10 * time.Millisecond)
 	}
 	tb.Fatalf("%s never answered", router)
 	return 0
 }
 
-func requireNotReady(tb testing.TB, told harness.Told) {
+func requireNotReady(tb testing.TB, outcome harness.Outcome) {
 	tb.Helper()
-	if told.Broken || told.Kind() != fault.NotReady || told.Ran() != fault.RanNo || told.RetryAfter == "" {
-		tb.Errorf("broken %v, told %+v, Retry-After %q", told.Broken, told.Refusal, told.RetryAfter)
+	if outcome.Broken || outcome.Kind() != fault.NotReady || outcome.Ran() != fault.RanNo || outcome.RetryAfter == "" {
+		tb.Errorf("broken %v, told %+v, Retry-After %q", outcome.Broken, outcome.Refusal, outcome.RetryAfter)
 	}
 }
 
@@ -60,9 +60,9 @@
 	}
 	var mutex sync.Mutex
 	longest := time.Duration(0)
-	together(len(routers), func(number int) {
+	concurrently(len(routers), func(number int) {
 		c.AwaitUp(routers[number])
-		took := firstAnswer(tb, c, routers[number], fmt.Sprint(label, number))
+		took := timeToFirstAnswer(tb, c, routers[number], fmt.Sprint(label, number))
 		mutex.Lock()
 		defer mutex.Unlock()
 		longest = max(longest, took)
@@ -91,7 +91,7 @@
 // the platform down, they refuse truly and say when to come back.
 func TestRestartedRoutersServeAtOnce(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{Routers: 3})
+	c := harness.Start(t, harness.Config{Routers: 3})
 	callers := startTraffic(t, c)
 	callers.awaitAnswers(c, 60)
 	cases := []struct {
@@ -118,18 +118,18 @@
 			is.New(t).True(after >= before/2) // engines' caches outlive routers, and are found again
 			c.ClearFaults(harness.Platform)
 			for _, router := range c.Routers {
-				firstAnswer(t, c, router, fmt.Sprint("again ", number)) // the others went on serving
+				timeToFirstAnswer(t, c, router, fmt.Sprint("again ", number)) // the others went on serving
 			}
 		})
 	}
 	callers.end()
-	requireTrueRefusals(t, callers)
-	t.Run("all at the same instant, the platform down", func(t *testing.T) { herdWithoutPlatform(t, c) })
+	requireOnlyNotReadyRefusals(t, callers)
+	t.Run("all at the same instant, the platform down", func(t *testing.T) { restartAllWithoutPlatform(t, c) })
 }
 
-// herdWithoutPlatform restarts every router with the platform down: nobody
+// restartAllWithoutPlatform restarts every router with the platform down: nobody
 // knows in which places a tenant's data may be.
-func herdWithoutPlatform(t *testing.T, c *harness.Cluster) {
+func restartAllWithoutPlatform(t *testing.T, c *harness.Cluster) {
 	c.Inject(harness.Platform, platformDown)
 	for _, router := range c.Routers {
 		c.Kill(router)
@@ -142,30 +142,30 @@
 	for _, router := range c.Routers {
 		c.AwaitUp(router)
 		for number := range 20 {
-			requireNotReady(t, caller.Stream(t.Context(), c.URL(router), harness.Ask{Prompt: prompt("herd", number), MaxTokens: 1}))
+			requireNotReady(t, caller.Stream(t.Context(), c.URL(router), harness.ModelRequest{Prompt: prompt("herd", number), MaxTokens: 1}))
 			requireNotReady(t, caller.Book(t.Context(), c.URL(router), fmt.Sprintf("herd-%d", number), "x"))
 		}
 	}
 	is.New(t).Equal(len(allTruth(c)), starts) // none of it ran
-	for _, told := range caller.History() {
-		if told.Key != "" && executionsOf(c.AllExecutions(), told) > 0 {
-			t.Errorf("%s was told not ready and ran", told.Key)
+	for _, outcome := range caller.History() {
+		if outcome.Key != "" && executionsOf(c.AllExecutions(), outcome) > 0 {
+			t.Errorf("%s was told not ready and ran", outcome.Key)
 		}
 	}
 	c.ClearFaults(harness.Platform)
 	for _, router := range c.Routers {
-		firstAnswer(t, c, router, "platform is back")
+		timeToFirstAnswer(t, c, router, "platform is back")
 	}
 }
 
-// requireTrueRefusals fails if a caller met a refusal other than of a router
+// requireOnlyNotReadyRefusals fails if a caller met a refusal other than of a router
 // that was not ready.
-func requireTrueRefusals(t *testing.T, callers *traffic) {
+func requireOnlyNotReadyRefusals(t *testing.T, callers *traffic) {
 	t.Helper()
 	for _, caller := range callers.callers {
-		for _, told := range caller.History() {
-			if told.Refusal != nil {
-				requireNotReady(t, told)
+		for _, outcome := range caller.History() {
+			if outcome.Refusal != nil {
+				requireNotReady(t, outcome)
 			}
 		}
 	}
--- a/proofs/simulatedtraffic_test.go
+++ b/proofs/simulatedtraffic_test.go
@@ -12,8 +12,8 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// wanted is what one caller asks for.
-type wanted struct {
+// requestSpec is what one caller asks for.
+type requestSpec struct {
 	tenant   ident.Tenant
 	zones    []ident.Zone
 	versions []ident.ModelVersion
@@ -22,35 +22,35 @@
 
 // openRequest is a request between its offer and its end.
 type openRequest struct {
-	wanted
+	requestSpec
 	router   *simulatedRouter
 	attempts ident.Attempt
 	excluded map[ident.Engine]bool
 }
 
-// flight is one attempt on its way to, or on, an engine.
-type flight struct {
+// inFlightAttempt is one attempt on its way to, or on, an engine.
+type inFlightAttempt struct {
 	request *openRequest
 	placed  placement.Placed
 	sentAt  time.Time
 	first   time.Duration
 }
 
-// dispatched is one decision of a core.
-type dispatched struct {
+// dispatchRecord is one decision of a core.
+type dispatchRecord struct {
 	at      time.Time
-	attempt attemptName
+	attempt attemptID
 	router  string
 	engine  ident.Engine
 	version ident.ModelVersion
 	// credited is the number of prompt tokens that the decision took to be cached.
 	credited float64
-	// groundless is true if the life that the decision expects is not the
+	// creditUnfounded is true if the life that the decision expects is not the
 	// engine's present one, or never held the first block of the prompt and was
 	// never sent it.
-	groundless bool
-	// overFor is how long ago the life that the decision expects ended.
-	overFor time.Duration
+	creditUnfounded bool
+	// endedFor is how long ago the life that the decision expects ended.
+	endedFor time.Duration
 }
 
 // arrival is an attempt that reached an engine, whatever the engine said.
@@ -59,8 +59,8 @@
 	engine ident.Engine
 }
 
-// attemptName is how the truth records name an attempt.
-type attemptName struct {
+// attemptID is how the truth records name an attempt.
+type attemptID struct {
 	request ident.Request
 	number  ident.Attempt
 }
@@ -78,13 +78,13 @@
 	return text + fmt.Sprintf(" order number %d", end)
 }
 
-// load lets callers of two tenants ask for a while, in turn at every router.
-func (s *simulation) load(duration time.Duration) {
+// offerLoad lets callers of two tenants ask for a while, in turn at every router.
+func (s *simulation) offerLoad(duration time.Duration) {
 	const pause = 20 * time.Millisecond
 	tenants := []ident.Tenant{"haulier-1", "haulier-2"}
 	for end := s.now.Add(duration); s.now.Before(end); s.run(pause) {
 		number := s.offered
-		s.offer(s.routers[number%len(s.routers)], wanted{
+		s.offer(s.routers[number%len(s.routers)], requestSpec{
 			tenant: tenants[number/2%len(tenants)], zones: []ident.Zone{"z"},
 			versions: []ident.ModelVersion{"v2", "v1"}, prompt: sharedPrompt(s.shared[number%len(s.shared)], number),
 		})
@@ -92,10 +92,10 @@
 }
 
 // offer hands a request to a router.
-func (s *simulation) offer(router *simulatedRouter, want wanted) {
+func (s *simulation) offer(router *simulatedRouter, spec requestSpec) {
 	s.offered++
 	id := ident.Request(fmt.Sprintf("r-%06d", s.offered))
-	s.open[id] = &openRequest{wanted: want, router: router, excluded: map[ident.Engine]bool{}}
+	s.open[id] = &openRequest{requestSpec: spec, router: router, excluded: map[ident.Engine]bool{}}
 	s.place(id)
 }
 
@@ -114,17 +114,17 @@
 	for _, version := range open.versions {
 		request.Chains[version] = prefix.ChainOf(open.salt(version), open.prompt, prefix.DefaultBlockTokens)
 	}
-	s.take(open.router, open.router.core.Offer(s.now, &placement.Job{
+	s.applyEffects(open.router, open.router.core.Offer(s.now, &placement.Job{
 		Key: placement.AttemptKeyOf(id, open.attempts), Request: request, Weight: 1, MaxHold: virtualMaxHold,
 	}))
 }
 
-func (w *wanted) salt(version ident.ModelVersion) prefix.Salt {
+func (w *requestSpec) salt(version ident.ModelVersion) prefix.Salt {
 	return prefix.Namespace{Tenant: w.tenant, Model: "m", Version: version}.Salt()
 }
 
-// take acts on the effects of one input of a core.
-func (s *simulation) take(router *simulatedRouter, effects placement.Effects) {
+// applyEffects acts on the effects of one input of a core.
+func (s *simulation) applyEffects(router *simulatedRouter, effects placement.Effects) {
 	for _, change := range effects.Changes {
 		router.onChange(change)
 	}
@@ -141,27 +141,27 @@
 func (s *simulation) dispatch(router *simulatedRouter, placed placement.Placed) {
 	chosen := placed.Candidate
 	chain := placed.Job.Request.Chains[chosen.Version]
-	life := chosen.Endpoint.Incarnation
+	incarnation := chosen.Endpoint.Incarnation
 	engine := s.engine(chosen.Endpoint.Engine)
-	present := engine.Alive() && engine.Incarnation() == life
-	grounded := present && (engine.stored[chain[0]] || router.sent[sentBlock{life, chain[0]}])
-	overFor := time.Duration(0)
-	if !present {
-		overFor = s.now.Sub(engine.endedAt)
+	current := engine.Alive() && engine.Incarnation() == incarnation
+	founded := current && (engine.stored[chain[0]] || router.sent[sentBlock{incarnation, chain[0]}])
+	endedFor := time.Duration(0)
+	if !current {
+		endedFor = s.now.Sub(engine.endedAt)
 	}
-	s.placed = append(s.placed, dispatched{
-		at: s.now, attempt: attemptName{placed.Job.Request.ID, placed.Job.Key.Attempt}, router: router.name, engine: engine.name, version: chosen.Version,
-		credited: chosen.CreditTokens, groundless: chosen.CreditTokens >= 1 && !grounded, overFor: overFor,
+	s.dispatches = append(s.dispatches, dispatchRecord{
+		at: s.now, attempt: attemptID{placed.Job.Request.ID, placed.Job.Key.Attempt}, router: router.name, engine: engine.name, version: chosen.Version,
+		credited: chosen.CreditTokens, creditUnfounded: chosen.CreditTokens >= 1 && !founded, endedFor: endedFor,
 	})
 	for _, hash := range chain {
-		router.sent[sentBlock{life, hash}] = true
+		router.sent[sentBlock{incarnation, hash}] = true
 	}
-	started := &flight{request: s.open[placed.Job.Request.ID], placed: placed, sentAt: s.now}
-	s.after(router.travel, func() { s.arrive(started) })
+	started := &inFlightAttempt{request: s.open[placed.Job.Request.ID], placed: placed, sentAt: s.now}
+	s.after(router.dispatchDelay, func() { s.arrive(started) })
 }
 
 // arrive offers an attempt to its engine, as the published protocol says.
-func (s *simulation) arrive(arrived *flight) {
+func (s *simulation) arrive(arrived *inFlightAttempt) {
 	chosen, request := arrived.placed.Candidate, arrived.request
 	engine := s.engine(chosen.Endpoint.Engine)
 	if !engine.Alive() {
@@ -176,26 +176,26 @@
 		Version: chosen.Version, Salt: request.salt(chosen.Version), Prompt: request.prompt, MaxTokens: 2,
 	})
 	if refusal != nil {
-		request.router.unsend(arrived)
+		request.router.recordRefusal(arrived)
 		request.excluded[engine.name] = refusal.Incarnation == chosen.Endpoint.Incarnation
 		s.finish(arrived, placement.Result{Refusal: refusal.Kind, Incarnation: refusal.Incarnation})
 		return
 	}
-	request.router.flights[stream] = arrived
+	request.router.inFlight[stream] = arrived
 }
 
-// unsend records that a life refused a dispatch and will not hold its blocks.
-func (r *simulatedRouter) unsend(refused *flight) {
+// recordRefusal records that a life refused a dispatch and will not hold its blocks.
+func (r *simulatedRouter) recordRefusal(refused *inFlightAttempt) {
 	chosen := refused.placed.Candidate
 	for _, hash := range refused.placed.Job.Request.Chains[chosen.Version] {
 		delete(r.sent, sentBlock{chosen.Endpoint.Incarnation, hash})
 	}
 }
 
-// takeEvent hands an event of a stream to the router that reads it.
-func (s *simulation) takeEvent(event *protocol.StreamEvent) {
+// applyStreamEvent hands an event of a stream to the router that reads it.
+func (s *simulation) applyStreamEvent(event *protocol.StreamEvent) {
 	for _, router := range s.routers {
-		reader := router.flights[event.Stream]
+		reader := router.inFlight[event.Stream]
 		if reader == nil {
 			continue
 		}
@@ -206,7 +206,7 @@
 			reader.first = s.now.Sub(reader.sentAt)
 		}
 		if event.Kind == protocol.EventEnd {
-			delete(router.flights, event.Stream)
+			delete(router.inFlight, event.Stream)
 			s.answered++
 			s.finish(reader, placement.Result{Incarnation: event.Incarnation, TimeToFirstToken: reader.first})
 		}
@@ -214,10 +214,10 @@
 }
 
 // finish ends an attempt and, unless it was answered, begins the next one.
-func (s *simulation) finish(over *flight, result placement.Result) {
+func (s *simulation) finish(over *inFlightAttempt, result placement.Result) {
 	id := over.placed.Job.Request.ID
 	router := over.request.router
-	s.take(router, router.core.RecordEnd(s.now, over.placed.Job.Key, result))
+	s.applyEffects(router, router.core.RecordEnd(s.now, over.placed.Job.Key, result))
 	answered := result.Refusal == "" && !result.Unreachable && !result.Broken
 	if answered || over.request.attempts == virtualAttempts {
 		delete(s.open, id)
--- a/proofs/simulation_test.go
+++ b/proofs/simulation_test.go
@@ -33,18 +33,18 @@
 // verdicts come from the engines' truth records and from the engines' own
 // caches, never from what a core counts.
 type simulation struct {
-	t       *testing.T
-	now     time.Time
-	engines []*simulatedEngine
-	routers []*simulatedRouter
-	later   []delayed
-	// eachStep runs at every step, before the engines are asked.
-	eachStep func()
-	truth    []truth.Record
-	// placed is every decision to dispatch, in order.
-	placed  []dispatched
-	refused []placement.Refused
-	open    map[ident.Request]*openRequest
+	t         *testing.T
+	now       time.Time
+	engines   []*simulatedEngine
+	routers   []*simulatedRouter
+	scheduled []scheduledCall
+	// onStep runs at every step, before the engines are asked.
+	onStep func()
+	truth  []truth.Record
+	// dispatches is every decision to dispatch, in order.
+	dispatches []dispatchRecord
+	refused    []placement.Refused
+	open       map[ident.Request]*openRequest
 	// shared names the long shared prompts of the callers.
 	shared  []string
 	offered int
@@ -54,18 +54,18 @@
 	arrivals []arrival
 }
 
-// delayed is something that happens later.
-type delayed struct {
-	at time.Time
-	do func()
+// scheduledCall is something that happens later.
+type scheduledCall struct {
+	at  time.Time
+	run func()
 }
 
 // simulatedEngine is one engine model with the network before it.
 type simulatedEngine struct {
 	*model.Engine
-	name  ident.Engine
-	zone  ident.Zone
-	lives int
+	name         ident.Engine
+	zone         ident.Zone
+	incarnations int
 	// endedAt is when the last life ended.
 	endedAt time.Time
 	// stored holds the blocks that the present life holds.
@@ -76,13 +76,13 @@
 type simulatedRouter struct {
 	name string
 	core *placement.Core
-	// deaf routers get no load reports, gapped ones lose every second batch of
+	// reportsLost routers get no load reports, gapped ones lose every second batch of
 	// cache events, and eventless ones lose all.
-	deaf, gapped, eventless bool
-	batches                 int
-	// travel is how long a dispatch is on its way.
-	travel  time.Duration
-	flights map[ident.Stream]*flight
+	reportsLost, eventGaps, eventsLost bool
+	batches                            int
+	// dispatchDelay is how long a dispatch is on its way.
+	dispatchDelay time.Duration
+	inFlight      map[ident.Stream]*inFlightAttempt
 	// sent holds the blocks of every chain that was dispatched to a life.
 	sent map[sentBlock]bool
 	// onChange sees every change of an engine's state.
@@ -90,7 +90,7 @@
 }
 
 func newSimulation(t *testing.T) *simulation {
-	return &simulation{t: t, now: virtualStart, eachStep: func() {}, open: map[ident.Request]*openRequest{}, shared: []string{"graz", "linz", "wien"}}
+	return &simulation{t: t, now: virtualStart, onStep: func() {}, open: map[ident.Request]*openRequest{}, shared: []string{"graz", "linz", "wien"}}
 }
 
 // addEngine adds an engine that has the versions of model "m" loaded.
@@ -100,7 +100,7 @@
 	for _, version := range versions {
 		config.Models = append(config.Models, protocol.LoadedModel{Model: "m", Version: version})
 	}
-	added := &simulatedEngine{name: name, zone: zone, lives: 1, stored: map[prefix.Hash]bool{}}
+	added := &simulatedEngine{name: name, zone: zone, incarnations: 1, stored: map[prefix.Hash]bool{}}
 	added.Engine = model.New(config, ident.Incarnation(name)+"-life-1", rand.New(rand.NewPCG(3, uint64(len(s.engines)))), s.now)
 	s.engines = append(s.engines, added)
 	return added
@@ -129,21 +129,21 @@
 		s.t.Fatal(err)
 	}
 	added := &simulatedRouter{
-		name: name, travel: 2 * time.Millisecond, onChange: func(endpoint.Change) {},
-		flights: map[ident.Stream]*flight{}, sent: map[sentBlock]bool{},
+		name: name, dispatchDelay: 2 * time.Millisecond, onChange: func(endpoint.Change) {},
+		inFlight: map[ident.Stream]*inFlightAttempt{}, sent: map[sentBlock]bool{},
 	}
 	added.core = placement.New(placement.Config{
 		Scheduler: scheduler, Beliefs: believed, Queue: admission.NewQueue(admission.Config{}),
 		Hop: func(ident.Zone) time.Duration { return time.Millisecond },
 	})
 	s.routers = append(s.routers, added)
-	s.take(added, added.core.Configure(s.now, s.targets()))
+	s.applyEffects(added, added.core.Configure(s.now, s.targets()))
 	return added
 }
 
 // after plans something.
 func (s *simulation) after(delay time.Duration, do func()) {
-	s.later = append(s.later, delayed{s.now.Add(delay), do})
+	s.scheduled = append(s.scheduled, scheduledCall{s.now.Add(delay), do})
 }
 
 // run lets so much time pass.
@@ -151,22 +151,22 @@
 	for end := s.now.Add(duration); s.now.Before(end); {
 		s.now = s.now.Add(virtualStep)
 		s.runDue()
-		s.eachStep()
+		s.onStep()
 		for _, engine := range s.engines {
-			s.drain(engine)
+			s.applyOutputs(engine)
 		}
 		if s.now.Sub(virtualStart)%reportInterval == 0 {
 			s.report()
 		}
 		for _, router := range s.routers {
-			s.take(router, router.core.Tick(s.now))
+			s.applyEffects(router, router.core.Tick(s.now))
 		}
 	}
 }
 
 func (s *simulation) runDue() {
-	var due []delayed
-	s.later = slices.DeleteFunc(s.later, func(planned delayed) bool {
+	var due []scheduledCall
+	s.scheduled = slices.DeleteFunc(s.scheduled, func(planned scheduledCall) bool {
 		if planned.at.After(s.now) {
 			return false
 		}
@@ -174,7 +174,7 @@
 		return true
 	})
 	for _, planned := range due {
-		planned.do()
+		planned.run()
 	}
 }
 
@@ -183,34 +183,34 @@
 	for _, router := range s.routers {
 		for _, engine := range s.engines {
 			switch {
-			case router.deaf:
+			case router.reportsLost:
 			case engine.Alive():
-				s.take(router, router.core.ObserveReport(s.now, engine.name, engine.LoadReport(s.now)))
+				s.applyEffects(router, router.core.ObserveReport(s.now, engine.name, engine.LoadReport(s.now)))
 			default:
-				s.take(router, router.core.ObserveReportFailure(s.now, engine.name))
+				s.applyEffects(router, router.core.ObserveReportFailure(s.now, engine.name))
 			}
 		}
 	}
 }
 
-// drain takes in what an engine said and did.
-func (s *simulation) drain(engine *simulatedEngine) {
+// applyOutputs takes in what an engine said and did.
+func (s *simulation) applyOutputs(engine *simulatedEngine) {
 	for _, output := range engine.Advance(s.now) {
 		switch {
 		case output.Event != nil:
-			s.takeEvent(output.Event)
+			s.applyStreamEvent(output.Event)
 		case output.Batch != nil:
 			for _, router := range s.routers {
-				router.takeBatch(s, engine, *output.Batch)
+				router.applyBatch(s, engine, *output.Batch)
 			}
 		case output.Truth != nil:
-			s.takeTruth(engine, *output.Truth)
+			s.recordTruth(engine, *output.Truth)
 		}
 	}
 }
 
-// takeTruth keeps a truth record and what the engine's present life holds.
-func (s *simulation) takeTruth(engine *simulatedEngine, record truth.Record) {
+// recordTruth keeps a truth record and what the engine's present life holds.
+func (s *simulation) recordTruth(engine *simulatedEngine, record truth.Record) {
 	s.truth = append(s.truth, record)
 	for _, hash := range record.Hashes {
 		switch record.Kind {
@@ -225,9 +225,9 @@
 	}
 }
 
-func (r *simulatedRouter) takeBatch(s *simulation, engine *simulatedEngine, batch protocol.CacheEventBatch) {
+func (r *simulatedRouter) applyBatch(s *simulation, engine *simulatedEngine, batch protocol.CacheEventBatch) {
 	r.batches++
-	if r.eventless || r.gapped && r.batches%2 == 0 {
+	if r.eventsLost || r.eventGaps && r.batches%2 == 0 {
 		return
 	}
 	r.core.ApplyCacheEvents(s.now, engine.name, batch)
@@ -241,22 +241,22 @@
 func (s *simulation) crash(engine *simulatedEngine) {
 	engine.Crash(s.now)
 	engine.endedAt = s.now
-	s.drain(engine)
+	s.applyOutputs(engine)
 	for _, router := range s.routers {
-		for stream, broken := range router.flights {
+		for stream, broken := range router.inFlight {
 			if broken.placed.Candidate.Endpoint.Engine == engine.name {
-				delete(router.flights, stream)
+				delete(router.inFlight, stream)
 				s.finish(broken, placement.Result{Broken: true})
 			}
 		}
 	}
 }
 
-// revive begins the engine's next life, at the same address.
-func (s *simulation) revive(engine *simulatedEngine) {
-	engine.lives++
+// restart begins the engine's next life, at the same address.
+func (s *simulation) restart(engine *simulatedEngine) {
+	engine.incarnations++
 	engine.stored = map[prefix.Hash]bool{}
-	engine.Restart(s.now, ident.Incarnation(fmt.Sprintf("%s-life-%d", engine.name, engine.lives)))
+	engine.Restart(s.now, ident.Incarnation(fmt.Sprintf("%s-life-%d", engine.name, engine.incarnations)))
 }
 
 func (s *simulation) engine(name ident.Engine) *simulatedEngine {
--- a/proofs/streams_test.go
+++ b/proofs/streams_test.go
@@ -28,7 +28,7 @@
 // left it gets a true beginning and an error.
 func TestStreamsAreWholeUnderFaults(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{Relayed: true})
+	c := harness.Start(t, harness.Config{Relayed: true})
 	faulty := func(kind faultplan.Kind, parameters faultplan.Parameters, engines int) func() {
 		return func() {
 			for _, name := range c.Engines[:engines] {
@@ -70,7 +70,7 @@
 	for number, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			test.begin()
-			askTogether(t, c, fmt.Sprintf("case %d", number), test.noWay)
+			streamConcurrently(t, c, fmt.Sprintf("case %d", number), test.noWay)
 			for _, name := range c.Engines {
 				c.AwaitUp(name)
 				c.ClearFaults(name)
@@ -80,22 +80,22 @@
 	}
 	struck := 0
 	for _, name := range c.Engines {
-		struck += c.Relay(name).Struck()
+		struck += c.Relay(name).CutCount()
 	}
 	is.New(t).True(struck >= 4) // the cuts did take place
 }
 
-// askTogether sends several requests at once and requires every answer whole
+// streamConcurrently sends several requests at once and requires every answer whole
 // or, without a way, a true beginning and an error.
-func askTogether(t *testing.T, c *harness.Cluster, label string, noWay bool) {
+func streamConcurrently(t *testing.T, c *harness.Cluster, label string, allFaulty bool) {
 	t.Helper()
 	caller := c.NewCaller(harness.TenantA)
-	together(streamsPerCase, func(number int) {
-		ask := harness.Ask{Prompt: prompt(label, number), MaxTokens: streamTokens}
-		told := caller.Stream(t.Context(), c.RouterURLs()[number%2], ask)
-		requireHonest(t, ask, told)
-		if told.Broken || told.Done == noWay {
-			t.Errorf("broken %v, whole %v, refusal %+v, %d bytes", told.Broken, told.Done, told.Refusal, len(told.Text))
+	concurrently(streamsPerCase, func(number int) {
+		req := harness.ModelRequest{Prompt: prompt(label, number), MaxTokens: streamTokens}
+		outcome := caller.Stream(t.Context(), c.RouterURLs()[number%2], req)
+		requireValidStream(t, req, outcome)
+		if outcome.Broken || outcome.Done == allFaulty {
+			t.Errorf("broken %v, whole %v, refusal %+v, %d bytes", outcome.Broken, outcome.Done, outcome.Refusal, len(outcome.Text))
 		}
 	})
 }
@@ -104,26 +104,26 @@
 // again, costs no caller a part of its answer.
 func TestStreamsAreWholeWhenEnginesAreKilled(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{})
+	c := harness.Start(t, harness.Config{})
 	caller := c.NewCaller(harness.TenantA)
 	lost := 0
 	for round := range 3 {
 		var once sync.Once
 		killed := ""
-		together(streamsPerCase, func(number int) {
-			ask := longAsk(fmt.Sprintf("round %d stream %d", round, number), 64)
-			ask.OnText = func(bytes int) {
+		concurrently(streamsPerCase, func(number int) {
+			req := longRequest(fmt.Sprintf("round %d stream %d", round, number), 64)
+			req.OnText = func(bytes int) {
 				if bytes > 40*(round+1) {
 					once.Do(func() { killed = killBusy(c) })
 				}
 			}
-			told := caller.Stream(t.Context(), c.RouterURLs()[number%2], ask)
-			requireWhole(t, ask, told)
+			outcome := caller.Stream(t.Context(), c.RouterURLs()[number%2], req)
+			requireComplete(t, req, outcome)
 		})
 		if killed == "" {
 			t.Fatal("no engine was busy when it was to be killed")
 		}
-		lost += unfinished(c.Truth(killed))
+		lost += unfinishedGenerations(c.Truth(killed))
 		c.Restart(killed)
 		c.AwaitServing(c.Routers...)
 	}
@@ -134,7 +134,7 @@
 func killBusy(c *harness.Cluster) string {
 	for _, name := range c.Engines {
 		before := len(c.Truth(name))
-		if unfinished(c.Truth(name)) > 0 && before > 0 {
+		if unfinishedGenerations(c.Truth(name)) > 0 && before > 0 {
 			c.Kill(name)
 			return name
 		}
@@ -142,9 +142,9 @@
 	return ""
 }
 
-// unfinished counts the generations that the engine's last life began and did
+// unfinishedGenerations counts the generations that the engine's last life began and did
 // not end.
-func unfinished(records []truth.Record) int {
+func unfinishedGenerations(records []truth.Record) int {
 	open := map[ident.Stream]bool{}
 	for _, record := range records {
 		switch record.Kind {
@@ -163,21 +163,21 @@
 // one, from its last event, and has the whole answer with no part twice.
 func TestStreamsGoOnAtAnotherRouterWhenTheirsIsKilled(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{})
+	c := harness.Start(t, harness.Config{})
 	caller := c.NewCaller(harness.TenantA)
 	var once sync.Once
-	together(streamsPerCase, func(number int) {
-		ask := longAsk(fmt.Sprintf("stream %d", number), 64+10*number)
-		ask.OnText = func(bytes int) {
+	concurrently(streamsPerCase, func(number int) {
+		req := longRequest(fmt.Sprintf("stream %d", number), 64+10*number)
+		req.OnText = func(bytes int) {
 			if number == 0 && bytes > 60 {
 				once.Do(func() { c.Kill(c.Routers[0]) })
 			}
 		}
-		requireWhole(t, ask, caller.AskAll(t.Context(), c.RouterURLs(), ask, 5))
+		requireComplete(t, req, caller.StreamWithRetries(t.Context(), c.RouterURLs(), req, 5))
 	})
 	resumed := 0
-	for _, told := range caller.History() {
-		if told.Broken && told.Text != "" {
+	for _, outcome := range caller.History() {
+		if outcome.Broken && outcome.Text != "" {
 			resumed++
 		}
 	}
@@ -196,11 +196,11 @@
 // the caller is told so, and what it has is a true beginning.
 func TestStreamWithoutAWayEndsWithAnError(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{Engines: 1})
+	c := harness.Start(t, harness.Config{Engines: 1})
 	caller := c.NewCaller(harness.TenantA)
-	ask := longAsk("no way", 200)
+	req := longRequest("no way", 200)
 	var once sync.Once
-	ask.OnText = func(bytes int) {
+	req.OnText = func(bytes int) {
 		if bytes > 60 {
 			once.Do(func() {
 				c.Kill(c.Routers[0])
@@ -208,13 +208,13 @@
 			})
 		}
 	}
-	told := caller.AskAll(t.Context(), c.RouterURLs(), ask, 4)
-	requireHonest(t, ask, told)
+	outcome := caller.StreamWithRetries(t.Context(), c.RouterURLs(), req, 4)
+	requireValidStream(t, req, outcome)
 	is := is.New(t)
-	is.True(!told.Done)
-	is.True(told.Refusal != nil)
-	is.True(len(told.Text) > 60)
-	is.True(told.RetryAfter != "" || told.Refusal.RetryAfterMillis > 0)
+	is.True(!outcome.Done)
+	is.True(outcome.Refusal != nil)
+	is.True(len(outcome.Text) > 60)
+	is.True(outcome.RetryAfter != "" || outcome.Refusal.RetryAfterMillis > 0)
 }
 
 // Promise 1: a caller that stops reading for a while loses nothing. The name of
@@ -223,7 +223,7 @@
 func TestSlowReaderLosesNothing(t *testing.T) {
 	t.Parallel()
 	verbose := ident.Tenant(strings.Repeat("long-name-", 12))
-	c := harness.Start(t, harness.Shape{
+	c := harness.Start(t, harness.Config{
 		Routers: 1, Engines: 1, EngineArgs: []string{"--token-millis", "4"},
 		Edit: func(document *fleet.Document) {
 			document.Tenants = append(document.Tenants, harness.NewTenant(verbose))
@@ -231,18 +231,18 @@
 	})
 	caller := c.NewSlowCaller(verbose)
 	router := c.RouterURLs()[0]
-	slow, quick := longAsk("slow", 1000), longAsk("quick", 100)
+	slow, quick := longRequest("slow", 1000), longRequest("quick", 100)
 	others := c.NewCaller(harness.TenantB)
 	began := time.Now()
-	requireWhole(t, quick, others.Stream(t.Context(), router, quick))
+	requireComplete(t, quick, others.Stream(t.Context(), router, quick))
 	tenth := time.Since(began)
 	var once sync.Once
 	slow.OnText = func(int) {
 		once.Do(func() {
 			// Not a condition: eight tenths of the stream fill the buffers.
 			time.Sleep(8 * tenth)
-			requireWhole(t, quick, others.Stream(t.Context(), router, quick))
+			requireComplete(t, quick, others.Stream(t.Context(), router, quick))
 		})
 	}
-	requireWhole(t, slow, caller.AskAll(t.Context(), []string{router}, slow, 3))
+	requireComplete(t, slow, caller.StreamWithRetries(t.Context(), []string{router}, slow, 3))
 }
--- a/proofs/versionchange_test.go
+++ b/proofs/versionchange_test.go
@@ -31,15 +31,15 @@
 	controlLease = "control/" + string(harness.Assistant)
 	// ordersPath begins every request with an order.
 	ordersPath = "POST /v1/orders"
-	// enduringTokens makes a stream outlast the first loads of a change.
-	enduringTokens = 1000
-	enduring       = 9
+	// longStreamTokens makes a stream outlast the first loads of a change.
+	longStreamTokens = 1000
+	longStreamCount  = 9
 )
 
-// changeShape is a cluster whose loads are short; the third engine shares the
+// changeConfig is a cluster whose loads are short; the third engine shares the
 // first one's zone.
-func changeShape() harness.Shape {
-	return harness.Shape{
+func changeConfig() harness.Config {
+	return harness.Config{
 		Routers: 3, Engines: 3, Relayed: true,
 		RouterSettings: "control:\n  loadsPerSecond: 5\n",
 		PlatformArgs:   []string{"--weight-rate", "5", "--weight-gigabytes", "0.1"},
@@ -47,8 +47,8 @@
 	}
 }
 
-// edited returns the fleet file with another version of the model.
-func edited(c *harness.Cluster, version ident.ModelVersion, accepted ...ident.ModelVersion) *fleet.Document {
+// documentWithVersions returns the fleet file with another version of the model.
+func documentWithVersions(c *harness.Cluster, version ident.ModelVersion, accepted ...ident.ModelVersion) *fleet.Document {
 	document := *c.Document
 	document.Models = slices.Clone(document.Models)
 	document.Models[0].Version, document.Models[0].AcceptVersions = version, accepted
@@ -62,9 +62,9 @@
 	}
 }
 
-// served returns the versions that an engine serves, by the records of its
+// servedVersions returns the versions that an engine serves, by the records of its
 // truth log so far.
-func served(records []truth.Record) map[ident.ModelVersion]bool {
+func servedVersions(records []truth.Record) map[ident.ModelVersion]bool {
 	versions := map[ident.ModelVersion]bool{}
 	for _, record := range records {
 		switch {
@@ -81,11 +81,11 @@
 	return versions
 }
 
-// awaitServed waits until each engine serves just these versions.
-func awaitServed(c *harness.Cluster, versions ...ident.ModelVersion) {
+// awaitServedVersions waits until each engine serves just these versions.
+func awaitServedVersions(c *harness.Cluster, versions ...ident.ModelVersion) {
 	for _, name := range c.Engines {
 		c.Await(fmt.Sprintf("%s serves %v", name, versions), func() bool {
-			now := served(c.Truth(name))
+			now := servedVersions(c.Truth(name))
 			return len(now) == len(versions) && !slices.ContainsFunc(versions, func(version ident.ModelVersion) bool { return !now[version] })
 		})
 	}
@@ -100,17 +100,17 @@
 	}
 }
 
-// changeLoad is callers who stream and book at some routers without a pause
+// strictLoad is callers who stream and book at some routers without a pause
 // and never ask twice: each request must be answered whole at once.
-type changeLoad struct {
+type strictLoad struct {
 	callers []*harness.Caller
 	stop    context.CancelFunc
 	work    sync.WaitGroup
 }
 
-func startChangeLoad(t *testing.T, c *harness.Cluster, routers []string) *changeLoad {
+func startStrictLoad(t *testing.T, c *harness.Cluster, routers []string) *strictLoad {
 	ctx, stop := context.WithCancel(t.Context())
-	load := &changeLoad{stop: stop}
+	load := &strictLoad{stop: stop}
 	t.Cleanup(load.end)
 	for number, tenant := range []ident.Tenant{harness.TenantA, harness.TenantB, harness.TenantA, harness.TenantB} {
 		caller := c.NewCaller(tenant)
@@ -118,10 +118,10 @@
 		load.work.Go(func() {
 			for turn := 0; ctx.Err() == nil; turn++ {
 				router := routers[(number+turn)%len(routers)]
-				ask := harness.Ask{Prompt: sharedPrompt([]string{"graz", "linz"}[turn%2], turn), MaxTokens: streamTokens}
-				requireWhole(t, ask, caller.Stream(t.Context(), router, ask))
-				if told := caller.Book(t.Context(), router, fmt.Sprintf("key-%d-%d", number, turn), "{}"); !told.Answered() {
-					t.Errorf("a booking was not answered: broken %v, %+v", told.Broken, told.Refusal)
+				req := harness.ModelRequest{Prompt: sharedPrompt([]string{"graz", "linz"}[turn%2], turn), MaxTokens: streamTokens}
+				requireComplete(t, req, caller.Stream(t.Context(), router, req))
+				if outcome := caller.Book(t.Context(), router, fmt.Sprintf("key-%d-%d", number, turn), "{}"); !outcome.Answered() {
+					t.Errorf("a booking was not answered: broken %v, %+v", outcome.Broken, outcome.Refusal)
 				}
 			}
 		})
@@ -129,41 +129,41 @@
 	return load
 }
 
-func (l *changeLoad) end() {
+func (l *strictLoad) end() {
 	l.stop()
 	l.work.Wait()
 }
 
-// endure starts streams that outlast the first loads, and waits until each has
+// startLongStreams starts streams that outlast the first loads, and waits until each has
 // begun. The function that it returns waits for their ends.
-func endure(t *testing.T, c *harness.Cluster) (wait func()) {
+func startLongStreams(t *testing.T, c *harness.Cluster) (wait func()) {
 	var work sync.WaitGroup
-	begun := make(chan struct{}, enduring)
+	begun := make(chan struct{}, longStreamCount)
 	caller := c.NewCaller(harness.TenantA)
-	for number := range enduring {
-		ask := longAsk(fmt.Sprintf("enduring %d", number), enduringTokens)
+	for number := range longStreamCount {
+		req := longRequest(fmt.Sprintf("enduring %d", number), longStreamTokens)
 		var once sync.Once
-		ask.OnText = func(int) { once.Do(func() { begun <- struct{}{} }) }
+		req.OnText = func(int) { once.Do(func() { begun <- struct{}{} }) }
 		work.Go(func() {
-			requireWhole(t, ask, caller.Stream(t.Context(), c.RouterURLs()[number%len(c.Routers)], ask))
+			requireComplete(t, req, caller.Stream(t.Context(), c.RouterURLs()[number%len(c.Routers)], req))
 			once.Do(func() { begun <- struct{}{} })
 		})
 	}
-	for range enduring {
+	for range longStreamCount {
 		<-begun
 	}
 	return work.Wait
 }
 
-// crashBusyOld crashes an engine that generates with the old version while
+// crashEngineOnOldVersion crashes an engine that generates with the old version while
 // every router believes that both others serve the next version as well.
-func crashBusyOld(t *testing.T, c *harness.Cluster) {
+func crashEngineOnOldVersion(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	victim := ""
 	c.Await("one engine is busy with the old version and the others serve the next one", func() bool {
 		known := map[ident.Engine]int{}
 		for _, router := range c.Routers {
-			seen, _ := statusOf(t.Context(), c, router)
+			seen, _ := routerStatus(t.Context(), c, router)
 			for _, engine := range seen.Engines {
 				if slices.Contains(engine.Loaded, status.Loaded{Model: harness.Model, Version: nextVersion}) {
 					known[engine.Engine]++
@@ -173,7 +173,7 @@
 		for index, name := range c.Engines {
 			first, second := c.Engines[(index+1)%len(c.Engines)], c.Engines[(index+2)%len(c.Engines)]
 			everywhere := known[ident.Engine(first)] == len(c.Routers) && known[ident.Engine(second)] == len(c.Routers)
-			if everywhere && unfinished(withVersion(c.Truth(name), harness.ModelVersion)) > 0 {
+			if everywhere && unfinishedGenerations(withVersion(c.Truth(name), harness.ModelVersion)) > 0 {
 				victim = name
 			}
 		}
@@ -192,29 +192,29 @@
 func TestVersionChangeUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, changeShape())
+	c := harness.Start(t, changeConfig())
 	var withdrawn time.Time
-	t.Cleanup(func() { judgeServing(t, allTruth(c), withdrawn) })
-	awaitFence(c, holderOf(t, c).Fence)
-	load := startChangeLoad(t, c, c.RouterURLs())
-	ended := endure(t, c)
+	t.Cleanup(func() { checkAlwaysServable(t, allTruth(c), withdrawn) })
+	awaitFence(c, awaitLeaseHolder(t, c).Fence)
+	load := startStrictLoad(t, c, c.RouterURLs())
+	ended := startLongStreams(t, c)
 	for _, name := range c.Engines { // the answer to each engine's next order is lost
 		c.Relay(name).Arm(harness.Cut{Match: ordersPath, Direction: harness.ToRouter, Action: harness.Close})
 	}
-	requireApplied(t, c, edited(c, nextVersion, harness.ModelVersion))
-	crashBusyOld(t, c)
-	awaitServed(c, harness.ModelVersion, nextVersion)
+	requireApplied(t, c, documentWithVersions(c, nextVersion, harness.ModelVersion))
+	crashEngineOnOldVersion(t, c)
+	awaitServedVersions(c, harness.ModelVersion, nextVersion)
 	ended()
 	withdrawn = time.Now()
-	requireApplied(t, c, edited(c, nextVersion))
-	awaitServed(c, nextVersion)
+	requireApplied(t, c, documentWithVersions(c, nextVersion))
+	awaitServedVersions(c, nextVersion)
 	load.end()
 
 	records := allTruth(c)
-	judgeReuse(t, records)
-	judgeOneVersion(t, records)
-	judgeOrders(t, c)
-	judgePace(t, c)
+	checkReuse(t, records)
+	checkSingleVersion(t, records)
+	checkOrders(t, c)
+	checkLoadPacing(t, c)
 	reused := map[ident.ModelVersion]int{}
 	kinds := map[truth.Kind]int{}
 	for _, record := range records {
@@ -224,13 +224,13 @@
 	is.True(reused[harness.ModelVersion] > 0 && reused[nextVersion] > 0) // the caches of both were in use
 	is.True(kinds[truth.Lost] > 0)                                       // the crash struck generations with text
 	for _, name := range c.Engines {
-		is.Equal(c.Relay(name).Struck(), 1) // the answer was lost
+		is.Equal(c.Relay(name).CutCount(), 1) // the answer was lost
 	}
 	requireAtMostOnce(t, c.AllExecutions(), load.callers...)
 }
 
-// judgeOneVersion fails for a request whose text came from two versions.
-func judgeOneVersion(t *testing.T, records []truth.Record) {
+// checkSingleVersion fails for a request whose text came from two versions.
+func checkSingleVersion(t *testing.T, records []truth.Record) {
 	t.Helper()
 	versions := map[ident.Request]ident.ModelVersion{}
 	for _, record := range records {
@@ -244,10 +244,10 @@
 	}
 }
 
-// judgeOrders fails if an order took effect twice, or after one with a newer
+// checkOrders fails if an order took effect twice, or after one with a newer
 // fence, or did once more in one life of an engine, under one fence, what another
 // had done.
-func judgeOrders(t *testing.T, c *harness.Cluster) {
+func checkOrders(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	for _, name := range c.Engines {
 		fence, taken, changes := uint64(0), map[string]bool{}, map[string]bool{}
@@ -271,19 +271,19 @@
 	}
 }
 
-// inOrder returns the records of all engines in the order of their times.
-func inOrder(records []truth.Record) []truth.Record {
+// sortedByTime returns the records of all engines in the order of their times.
+func sortedByTime(records []truth.Record) []truth.Record {
 	records = slices.Clone(records)
 	slices.SortStableFunc(records, func(a, b truth.Record) int { return a.Time.Compare(b.Time) })
 	return records
 }
 
-// judgePace fails if two engines of a zone loaded weights at one time.
-func judgePace(t *testing.T, c *harness.Cluster) {
+// checkLoadPacing fails if two engines of a zone loaded weights at one time.
+func checkLoadPacing(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	loading := map[ident.Zone]ident.Engine{}
 	loads := 0
-	for _, record := range inOrder(allTruth(c)) {
+	for _, record := range sortedByTime(allTruth(c)) {
 		switch {
 		case record.Kind == truth.OrderTaken && record.OrderKind == string(protocol.OrderLoad):
 			if other := loading[record.Zone]; other != "" {
@@ -300,39 +300,39 @@
 	}
 }
 
-// judgeServing fails for a moment at which no engine served a version that the
+// checkAlwaysServable fails for a moment at which no engine served a version that the
 // file in force accepted. From withdrawn on, if it is set, the old one does not
 // count.
-func judgeServing(t *testing.T, records []truth.Record, withdrawn time.Time) {
+func checkAlwaysServable(t *testing.T, records []truth.Record, withdrawn time.Time) {
 	t.Helper()
-	so := map[ident.Engine][]truth.Record{}
+	history := map[ident.Engine][]truth.Record{}
 	began := map[ident.Engine]bool{}
-	for _, record := range inOrder(records) {
-		so[record.Engine] = append(so[record.Engine], record)
+	for _, record := range sortedByTime(records) {
+		history[record.Engine] = append(history[record.Engine], record)
 		began[record.Engine] = true
 		if !slices.Contains([]truth.Kind{truth.Crashed, truth.OrderTaken}, record.Kind) {
 			continue
 		}
-		able := 0
+		servable := 0
 		for name := range began {
-			versions := served(so[name])
+			versions := servedVersions(history[name])
 			if versions[nextVersion] || versions[harness.ModelVersion] && (withdrawn.IsZero() || record.Time.Before(withdrawn)) {
-				able++
+				servable++
 			}
 		}
-		if able == 0 {
+		if servable == 0 {
 			t.Errorf("no engine could serve after %s of %s", record.Kind, record.Engine)
 		}
 	}
 }
 
-// holderOf waits until the lease is held, by its row in the table.
-func holderOf(t *testing.T, c *harness.Cluster) (record lease.Record) {
+// awaitLeaseHolder waits until the lease is held, by its row in the table.
+func awaitLeaseHolder(t *testing.T, c *harness.Cluster) (record lease.Record) {
 	t.Helper()
 	path := "/table/v1/rows/" + url.PathEscape(lease.RowKey(controlLease))
 	c.Await("the lease is held", func() (held bool) {
 		var row platformprotocol.Row
-		if !exchange(t.Context(), http.MethodGet, c.URL(harness.Platform)+path, nil, &row) {
+		if !exchangeJSON(t.Context(), http.MethodGet, c.URL(harness.Platform)+path, nil, &row) {
 			return false
 		}
 		var err error
@@ -348,15 +348,15 @@
 func TestFrozenHolderOfTheControlLease(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, changeShape())
+	c := harness.Start(t, changeConfig())
 	var withdrawn time.Time
-	t.Cleanup(func() { judgeServing(t, allTruth(c), withdrawn) })
-	first := holderOf(t, c)
+	t.Cleanup(func() { checkAlwaysServable(t, allTruth(c), withdrawn) })
+	first := awaitLeaseHolder(t, c)
 	awaitFence(c, first.Fence)
 	held := c.Relay(c.Engines[0])
 	held.Arm(harness.Cut{Match: ordersPath, Before: true, Action: harness.Hold})
-	requireApplied(t, c, edited(c, nextVersion, harness.ModelVersion))
-	c.Await("an order is on its way", func() bool { return held.Struck() == 1 })
+	requireApplied(t, c, documentWithVersions(c, nextVersion, harness.ModelVersion))
+	c.Await("an order is on its way", func() bool { return held.CutCount() == 1 })
 	c.Freeze(string(first.Node))
 	var others []string
 	for _, router := range c.Routers {
@@ -364,10 +364,10 @@
 			others = append(others, c.URL(router))
 		}
 	}
-	load := startChangeLoad(t, c, others)
+	load := startStrictLoad(t, c, others)
 	var second lease.Record
 	c.Await("another router holds the lease", func() bool {
-		second = holderOf(t, c)
+		second = awaitLeaseHolder(t, c)
 		return second.Node != first.Node
 	})
 	is.True(second.Fence > first.Fence)
@@ -376,16 +376,16 @@
 	held.Release()
 	c.Await("the engine has answered the late order", func() bool { return len(held.LateAnswers()) > 0 })
 	is.True(strings.Contains(held.LateAnswers()[0], string(protocol.RefusalStaleFence)))
-	awaitServed(c, harness.ModelVersion, nextVersion)
+	awaitServedVersions(c, harness.ModelVersion, nextVersion)
 	withdrawn = time.Now()
-	requireApplied(t, c, edited(c, nextVersion))
-	awaitServed(c, nextVersion)
+	requireApplied(t, c, documentWithVersions(c, nextVersion))
+	awaitServedVersions(c, nextVersion)
 	load.end()
 
 	records := allTruth(c)
-	judgeReuse(t, records)
-	judgeOneVersion(t, records)
-	judgeOrders(t, c)
-	judgePace(t, c)
+	checkReuse(t, records)
+	checkSingleVersion(t, records)
+	checkOrders(t, c)
+	checkLoadPacing(t, c)
 	requireAtMostOnce(t, c.AllExecutions(), load.callers...)
 }
