--- a/proofs/answers_test.go
+++ b/proofs/answers_test.go
@@ -17,8 +17,8 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// Promise 2: two tenants use the same keys with the same body, answers come
-// late and out of order, and callers leave and come back for theirs.
+// Two tenants use the same keys and bodies, with late and reordered answers and
+// callers that disconnect and retry: each must get its own answer.
 func TestSameKeyOfTwoTenants(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -31,25 +31,24 @@
 	concurrently(2*keys, func(number int) {
 		caller, key := callers[number%2], fmt.Sprintf("key-%d", number/2)
 		if number%3 == 0 {
-			impatient, leave := context.WithTimeout(t.Context(), 60*time.Millisecond)
-			caller.Book(impatient, c.RouterURLs()[0], key, "{}")
-			leave()
+			shortCtx, cancel := context.WithTimeout(t.Context(), 60*time.Millisecond)
+			caller.Book(shortCtx, c.RouterURLs()[0], key, "{}")
+			cancel()
 		}
 		is.True(bookUntilAnswered(t.Context(), caller, c.RouterURLs(), key, "{}", bookingAttempts).Answered())
 	})
 	executions := c.AllExecutions()
 	is.Equal(len(executions), 2*keys) // one for each tenant's key
 	requireAtMostOnce(t, executions, callers...)
-	// A key with another body is another request: refused, and not run.
+	// The same key with another body is refused and not run.
 	reused := callers[0].Book(t.Context(), c.RouterURLs()[1], "key-0", `{"other": 1}`)
 	is.Equal(reused.Kind(), fault.KeyReused)
 	is.Equal(reused.Ran(), fault.RanNo)
 	is.Equal(len(c.AllExecutions()), 2*keys)
 }
 
-// Promise 2: two tenants send the same prompts at the same instant while
-// connections break; every generation was run for the tenant that asked, and
-// every answer is whole.
+// Two tenants send the same prompts at once while connections break: a generation
+// for, or a cache entry of, the other tenant is a failure.
 func TestSamePromptOfTwoTenants(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Relayed: true})
@@ -86,8 +85,8 @@
 	}
 }
 
-// Promise 2: an engine frozen in the middle of its streams is given up; when it
-// awakes, what it still has to say reaches nobody.
+// Guards against late output of an engine that was frozen during its streams,
+// given up and resumed: it must not reach any caller.
 func TestLateAnswersOfAFrozenEngineReachNobody(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -106,7 +105,7 @@
 		requireComplete(t, req, caller.Stream(t.Context(), c.RouterURLs()[number%2], req))
 	})
 	is.True(frozen != "")
-	t.Logf("every answer was whole %s after the start", time.Since(began).Round(time.Second))
+	t.Logf("every answer was complete %s after the start", time.Since(began).Round(time.Second))
 	c.Resume(frozen)
 	concurrently(8, func(number int) {
 		req := harness.ModelRequest{Prompt: prompt("after", number), MaxTokens: streamTokens}
@@ -114,7 +113,7 @@
 	})
 }
 
-// freezeBusy freezes an engine with a generation that has begun and not ended.
+// freezeBusy freezes an engine with a running generation and returns its name, or "".
 func freezeBusy(c *harness.Cluster) string {
 	for _, name := range c.Engines {
 		if unfinishedGenerations(c.Truth(name)) > 0 {
--- a/proofs/atmostonce_test.go
+++ b/proofs/atmostonce_test.go
@@ -17,23 +17,22 @@
 	"github.com/fieldpond/fieldpond/standin/platform"
 )
 
-// shortClaimTimeouts makes routers give a claim up soon, so that a slow table commits
-// later than that.
+// shortClaimTimeouts makes routers give up a claim before a slow table commits it.
 const shortClaimTimeouts = `
 table:
   timeout: 300ms
   claimTimeout: 600ms
 `
 
-// slowTableDelay is far beyond both limits.
+// slowTableDelay is far beyond both timeouts.
 const slowTableDelay = 1500 * time.Millisecond
 
-// bookingAttempts bounds the sendings of a caller that repeats.
+// bookingAttempts bounds the attempts of a retrying caller.
 const bookingAttempts = 40
 
-// Promise 4: the same keys at the same instant at both routers, from both
-// tenants, repeated while the table loses and delays answers and the
-// applications refuse, stall the answer, or cut it before or after running.
+// Guards against a second execution while both tenants send the same keys to both
+// routers at once and retry, the table loses and delays answers, and the
+// applications refuse, delay, or cut the connection before or after running.
 func TestBookingsRunAtMostOnceInAStorm(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{RouterSettings: shortClaimTimeouts})
@@ -72,8 +71,8 @@
 	is.New(t).True(len(executions) > keys) // of 2*keys pairs of tenant and key
 }
 
-// requireNotRunRetriesSucceed repeats each key of which every sending was
-// told "not run": the repeat must get an answer.
+// requireNotRunRetriesSucceed retries each key of which every attempt was
+// reported not run: the retry must get an answer.
 func requireNotRunRetriesSucceed(t *testing.T, c *harness.Cluster, callers ...*harness.Caller) {
 	t.Helper()
 	for _, caller := range callers {
@@ -86,14 +85,14 @@
 				continue
 			}
 			if last := bookUntilAnswered(t.Context(), caller, c.RouterURLs(), key, "{}", bookingAttempts); !last.Answered() {
-				t.Errorf("%s was never run, and its repeat was told %+v", key, last.Refusal)
+				t.Errorf("%s was never run, and its retry got %+v", key, last.Refusal)
 			}
 		}
 	}
 }
 
-// Promise 4: what the table does to one claim costs neither a second run nor
-// the chance to run at all.
+// Guards against a second execution, and against a key that can never run, after
+// table faults during its claim.
 func TestBookingUnderTableFaults(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{RouterSettings: shortClaimTimeouts})
@@ -117,25 +116,25 @@
 			concurrently(4, func(sender int) { caller.Book(t.Context(), routers[sender%2], key, "{}") })
 			for _, outcome := range caller.History() {
 				is.True(!outcome.Broken)
-				is.True(outcome.Answered() || outcome.RetryAfter != "") // a word at once, with a time to come back
+				is.True(outcome.Answered() || outcome.RetryAfter != "") // answered, or refused with Retry-After
 			}
 			c.ClearFaults(harness.Platform)
 			is.True(bookUntilAnswered(t.Context(), caller, routers, key, "{}", bookingAttempts).Answered())
 			requireAtMostOnce(t, c.AllExecutions(), caller)
 		})
 	}
-	// Whatever was still on its way to the table has taken effect or not by now.
+	// Wait until delayed writes can no longer take effect in the table.
 	time.Sleep(slowTableDelay)
-	late := c.NewCaller(harness.TenantA)
+	lateCaller := c.NewCaller(harness.TenantA)
 	for number := range cases {
-		is.New(t).True(late.Book(t.Context(), c.RouterURLs()[number%2], fmt.Sprintf("key-%d", number), "{}").Replayed)
+		is.New(t).True(lateCaller.Book(t.Context(), c.RouterURLs()[number%2], fmt.Sprintf("key-%d", number), "{}").Replayed)
 	}
-	requireAtMostOnce(t, c.AllExecutions(), late)
+	requireAtMostOnce(t, c.AllExecutions(), lateCaller)
 }
 
-// claimWhileFrozen sends a booking to a router and freezes it so that its
-// claim takes effect in the table while it stands still: after the claim and
-// before any dispatch. It returns the key; the sending goes on.
+// claimWhileFrozen sends a booking to a router and freezes the router so that the
+// table commits the claim before any dispatch. It returns the key and a channel
+// that receives the outcome of the request, which is still open.
 func claimWhileFrozen(t *testing.T, c *harness.Cluster, caller *harness.Caller, router string) (key string, ended <-chan harness.Outcome) {
 	t.Helper()
 	for try := 1; try <= 5; try++ {
@@ -157,7 +156,7 @@
 				return key, done
 			}
 		}
-		c.Resume(router) // too early or too late: try again with more time
+		c.Resume(router) // frozen too early or too late: retry with a longer delay
 		<-done
 	}
 	t.Fatal("no claim took effect while its router was frozen")
@@ -176,15 +175,15 @@
 	return false
 }
 
-// longClaimTimeouts lets a router wait for a slow table.
+// longClaimTimeouts makes routers wait for a slow table.
 const longClaimTimeouts = `
 table:
   timeout: 10s
   claimTimeout: 10s
 `
 
-// Promise 4: a holder that is killed between its claim and the dispatch leaves
-// a key that is never run, and nobody is told that it may run.
+// A holder killed between claim and dispatch leaves a key that is never run: no
+// caller may be told "not run", since another router cannot know that.
 func TestHolderKilledBeforeDispatch(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -195,7 +194,7 @@
 	is.True((<-ended).Broken)
 	for range 3 {
 		outcome := caller.Book(t.Context(), c.URL(c.Routers[1]), key, "{}")
-		is.Equal(outcome.Ran(), fault.RanUnknown) // it never says "not run": it cannot know
+		is.Equal(outcome.Ran(), fault.RanUnknown) // never "not run": the router cannot know
 		is.Equal(outcome.Kind(), fault.AlreadyClaimed)
 	}
 	c.Restart(c.Routers[0])
@@ -206,8 +205,8 @@
 	requireAtMostOnce(t, executions, caller)
 }
 
-// Promise 4, with a lapsed limit on top: a holder frozen with its claim beyond
-// every timeout wakes up to a world that went on, and nothing runs twice.
+// Guards against a second execution when a holder that was frozen with its claim
+// beyond every timeout resumes.
 func TestFrozenHolderAwakesAfterItsTimeouts(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -216,21 +215,21 @@
 	key, ended := claimWhileFrozen(t, c, caller, c.Routers[0])
 	other := c.URL(c.Routers[1])
 	concurrently(3, func(int) { caller.Book(t.Context(), other, key, "{}") })
-	time.Sleep(3500 * time.Millisecond) // beyond the claim's limit, not a condition
+	time.Sleep(3500 * time.Millisecond) // beyond the claim's timeout; there is no condition to await
 	is.Equal(caller.Book(t.Context(), other, key, "{}").Ran(), fault.RanUnknown)
 	c.Resume(c.Routers[0])
 	first := <-ended
 	last := bookUntilAnswered(t.Context(), caller, []string{other, c.URL(c.Routers[0])}, key, "{}", bookingAttempts)
-	t.Logf("the frozen sending was told ran %q (%s), the last one answered %v", first.Ran(), first.Kind(), last.Answered())
+	t.Logf("the frozen request got ran %q (%s), the last one answered %v", first.Ran(), first.Kind(), last.Answered())
 	executions := c.AllExecutions()
 	requireAtMostOnce(t, executions, caller)
-	// Told "not run", a repeat may run; told an answer, it is the same.
+	// A retry may run after "not run"; otherwise it gets the first answer.
 	is.True(last.Answered())
 	is.Equal(executionsOf(executions, last), 1)
 }
 
-// Promise 4: a holder that is killed or frozen after its dispatch causes no
-// second run, whoever repeats wherever.
+// Guards against a second execution after a holder was killed or frozen after its
+// dispatch.
 func TestHolderLostAfterDispatch(t *testing.T) {
 	t.Parallel()
 	for _, lost := range []string{"killed", "frozen"} {
@@ -266,9 +265,8 @@
 	}
 }
 
-// Promise 4 and the pair herd restart and store down: every router is killed
-// at the same instant under bookings and comes back while the store is down;
-// callers repeat all the while, and after it.
+// Guards against a second execution when every router is killed at once under
+// bookings and restarts while the store is down, and callers retry.
 func TestHerdRestartWithTheStoreDown(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -296,7 +294,7 @@
 	concurrently(keys, func(number int) {
 		outcome := caller.Book(t.Context(), routers[(number+1)%3], name(number), "{}")
 		if outcome.Answered() || outcome.Broken || outcome.RetryAfter == "" {
-			t.Errorf("with the store down a booking was told %+v", outcome.Refusal)
+			t.Errorf("with the store down a booking got %+v", outcome.Refusal)
 		}
 	})
 	c.ClearFaults(harness.Platform)
@@ -310,8 +308,7 @@
 	}
 	is.True(len(executions) >= keys/2)
 	requireAtMostOnce(t, executions, caller)
-	// A key that nobody ever ran was claimed and lost; none of its repeats is
-	// told that it ran.
+	// A key that was claimed but never run must not be reported as run.
 	for _, outcome := range caller.History() {
 		is.True(executed[outcome.Key] || outcome.Ran() != fault.RanYes)
 	}
--- a/proofs/cache_test.go
+++ b/proofs/cache_test.go
@@ -12,12 +12,12 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// detectionBound is how long a router may go on believing in a life that is over:
-// three lost load reports and one for the lag.
+// detectionBound is how long a router may rely on an ended incarnation: three lost
+// load reports, and one for the delay.
 const detectionBound = 4 * reportInterval
 
-// cacheSimulation is two engines in one zone, three routers, and callers of two
-// tenants who all ask with the very same prompts.
+// cacheSimulation has two engines in one zone, three routers, and callers of two
+// tenants that send identical prompts.
 type cacheSimulation struct {
 	*simulation
 	faulty *simulatedEngine
@@ -33,14 +33,14 @@
 	return sim
 }
 
-// deliverLateEvents tells every router of the blocks of a life that is over.
+// deliverLateEvents gives every router cache events of an ended incarnation.
 func (w *cacheSimulation) deliverLateEvents(batch protocol.CacheEventBatch) {
 	for _, router := range w.routers {
 		router.core.ApplyCacheEvents(w.now, w.faulty.name, batch)
 	}
 }
 
-// sendOrder changes the weights of the broken engine.
+// sendOrder changes the weights of the faulty engine.
 func (w *cacheSimulation) sendOrder(kind protocol.OrderKind, version ident.ModelVersion) {
 	w.faulty.Order(w.now, protocol.Order{
 		OrderID: string(kind) + string(version), Fence: 1, ExpectedIncarnation: w.faulty.Incarnation(),
@@ -48,7 +48,7 @@
 	})
 }
 
-// storedBlocksBatch is a batch that names every block the engine's life stored.
+// storedBlocksBatch returns a batch with every block in the faulty engine's cache.
 func (w *cacheSimulation) storedBlocksBatch() protocol.CacheEventBatch {
 	batch := protocol.CacheEventBatch{Incarnation: w.faulty.Incarnation()}
 	event := protocol.CacheEvent{Sequence: 1 << 40, Kind: protocol.CacheStored}
@@ -59,7 +59,6 @@
 	return batch
 }
 
-// cacheFaults are the faults of TestNoRelianceOnForeignOrDeadCaches.
 var cacheFaults = []struct {
 	name  string
 	fault func(w *cacheSimulation)
@@ -86,7 +85,7 @@
 		w.crash(w.faulty)
 		w.after(300*time.Millisecond, func() { w.restart(w.faulty) })
 	}},
-	{"events of the dead life come after its death", func(w *cacheSimulation) {
+	{"events of the ended incarnation come after the crash", func(w *cacheSimulation) {
 		late := w.storedBlocksBatch()
 		w.crash(w.faulty)
 		w.after(2*time.Second, func() { w.deliverLateEvents(late) })
@@ -106,7 +105,7 @@
 		}
 		w.sendOrder(protocol.OrderUnload, "v2")
 		w.after(time.Second, func() { w.sendOrder(protocol.OrderLoad, "v2") })
-		w.after(4*time.Second, func() { w.crash(w.engines[1]) }) // all must go to the first engine
+		w.after(4*time.Second, func() { w.crash(w.engines[1]) }) // leaves only the first engine
 	}},
 	{"dispatches with a new prompt are refused for a while", func(w *cacheSimulation) {
 		w.shared = []string{"ruling", "charter", "tariff"}
@@ -125,10 +124,9 @@
 	}},
 }
 
-// TestNoRelianceOnForeignOrDeadCaches judges every run by the engines' truth
-// records and their real caches: what ran reused blocks of its own tenant,
-// version and engine life only, and was not sent there for blocks which that
-// life never held.
+// TestNoRelianceOnForeignOrDeadCaches guards against reuse of blocks of another
+// tenant, version or incarnation, and against placement for blocks that the
+// incarnation never held, by the engines' truth records and real caches.
 func TestNoRelianceOnForeignOrDeadCaches(t *testing.T) {
 	for _, test := range cacheFaults {
 		t.Run(test.name, func(t *testing.T) {
@@ -142,13 +140,14 @@
 			checkReuse(t, sim.truth)
 			checkDecisions(t, sim)
 			check.Equal(len(sim.open), 0)               // every request ended
-			check.Equal(len(sim.refused), 0)            // another engine was there all the time
-			check.True(reusedTokens(sim.truth) > 50000) // the caches were truly in use
+			check.Equal(len(sim.refused), 0)            // another engine was always available
+			check.True(reusedTokens(sim.truth) > 50000) // the caches were used
 		})
 	}
 }
 
-// checkReuse reads from the truth records whose blocks each generation used.
+// checkReuse fails if a generation used blocks of another tenant, version, model
+// or incarnation.
 func checkReuse(t *testing.T, records []truth.Record) {
 	t.Helper()
 	for _, record := range records {
@@ -171,9 +170,9 @@
 	return tokens
 }
 
-// checkDecisions compares what decisions relied on with what the engines held.
-// A decision on a life that has just ended is unavoidable; one made after the
-// time of detection, or one whose attempt ran, is not.
+// checkDecisions compares the blocks that decisions relied on with those that the
+// engines held. A decision for an incarnation that has just ended is unavoidable;
+// one made after detectionBound, or one whose attempt ran, is a failure.
 func checkDecisions(t *testing.T, sim *cacheSimulation) {
 	t.Helper()
 	ran := map[attemptID]bool{}
@@ -184,7 +183,7 @@
 	}
 	for _, decision := range sim.dispatches {
 		if decision.creditUnfounded && (ran[decision.attempt] || decision.endedFor > detectionBound) {
-			t.Errorf("%s relied on %.0f tokens that %s did not hold (its life was over for %v)",
+			t.Errorf("%s relied on %.0f tokens that %s did not hold (its incarnation ended %v before)",
 				decision.router, decision.credited, decision.engine, decision.endedFor)
 		}
 	}
--- a/proofs/cacheprocess_test.go
+++ b/proofs/cacheprocess_test.go
@@ -21,14 +21,14 @@
 // newWeights is the version that replaces harness.ModelVersion.
 const newWeights ident.ModelVersion = "v2"
 
-// cacheRun is a rehearsal with traffic of two tenants who share prompts.
+// cacheRun is a cluster with traffic of two tenants that share prompts.
 type cacheRun struct {
 	*harness.Cluster
 	t       *testing.T
 	callers *traffic
 }
 
-// apply changes the fleet file in force, on every router.
+// apply applies a changed fleet file on every router.
 func (r *cacheRun) apply(change func(document *fleet.Document)) {
 	r.t.Helper()
 	document := *r.Document
@@ -41,8 +41,8 @@
 	r.Document = &document
 }
 
-// streamDuring runs long streams and calls disturb once some have text. Each
-// answer must come whole.
+// streamDuring runs long streams and calls disturb once one of them has text. No
+// stream may be corrupted.
 func (r *cacheRun) streamDuring(disturb func()) {
 	r.t.Helper()
 	caller := r.NewCaller(harness.TenantA)
@@ -59,16 +59,16 @@
 	})
 }
 
-// Promise 4: on real sockets, what runs reuses blocks of its own tenant, version
-// and engine life only; and files that replace weights or withdraw places bind
-// what begins after their adoption.
+// Guards, with real processes, against reuse of blocks of another tenant, version
+// or incarnation, and against use of weights or zones that the adopted fleet
+// file no longer permits.
 func TestCachesAreNotSharedOnRealSockets(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{PlatformArgs: []string{"--weight-rate", "0", "--weight-gigabytes-per-second", "0"}})
 	r := &cacheRun{Cluster: c, t: t, callers: startTraffic(t, c)}
 	r.callers.awaitAnswers(c, 60)
 
-	for _, name := range c.Engines { // a crash and a gap in its events
+	for _, name := range c.Engines { // a crash with a gap in the cache events
 		c.Inject(name, engine.FaultRequest{
 			Kind: faultplan.EventLoss, Duration: faultplan.Duration(time.Minute), Parameters: faultplan.Parameters{Probability: 0.5},
 		})
@@ -85,12 +85,12 @@
 	records := allTruth(c)
 	checkReuse(t, records)
 	checkContinuedVersions(t, records)
-	is.New(t).True(reusedTokens(records) > 50000) // the caches were truly in use
+	is.New(t).True(reusedTokens(records) > 50000) // the caches were used
 }
 
-// replaceWeights puts new weights in force, which the routers order the engines
-// to load, and crashes an engine while streams of the old ones run; then it takes
-// the old ones away, which the routers order the engines to unload, under load.
+// replaceWeights applies new weights, which the routers order the engines to load,
+// and crashes an engine during streams of the old ones; then it removes the old
+// ones, which the routers order the engines to unload, under load.
 func (r *cacheRun) replaceWeights() {
 	r.t.Helper()
 	r.streamDuring(func() {
@@ -110,14 +110,14 @@
 	})
 }
 
-// has returns a condition on engines that have loaded a version.
+// has returns a condition that holds for engines with the version loaded.
 func has(version ident.ModelVersion) func(engine status.Engine) bool {
 	return func(engine status.Engine) bool {
 		return slices.ContainsFunc(engine.Loaded, func(loaded status.Loaded) bool { return loaded.Version == version })
 	}
 }
 
-// withdrawZone takes one of two zones away from a tenant.
+// withdrawZone removes one of two zones from a tenant's places.
 func (r *cacheRun) withdrawZone() {
 	r.t.Helper()
 	r.apply(func(document *fleet.Document) { document.Tenants[0].Places = []string{string(harness.ZoneA)} })
@@ -128,8 +128,8 @@
 	})
 }
 
-// checkContinuedVersions requires that all attempts of a request that emitted text had
-// the same version.
+// checkContinuedVersions fails if attempts of one request emitted text of several
+// versions, and logs if no request had several attempts with text.
 func checkContinuedVersions(t *testing.T, records []truth.Record) {
 	t.Helper()
 	emitted := map[ident.Request]ident.ModelVersion{}
--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -18,14 +18,14 @@
 	"github.com/fieldpond/fieldpond/standin/platform"
 )
 
-// chaosRounds is the number of disturbances; their seed is fixed.
+// chaosRounds is the number of disruptions; their seed is fixed.
 const (
 	chaosRounds = 12
 	chaosSeed   = 20
 )
 
-// disruptRouters kills, restarts, freezes and resumes routers in turn, until all the
-// rounds are over; then every router serves again.
+// disruptRouters restarts or freezes a random router in each round, and waits at
+// the end until every router serves.
 func disruptRouters(c *harness.Cluster, random *rand.Rand) {
 	for range chaosRounds {
 		router := c.Routers[random.IntN(len(c.Routers))]
@@ -44,9 +44,9 @@
 	c.AwaitServing(c.Routers...)
 }
 
-// Promises 3, 4 and 6 with everything at once: routers die and freeze under
-// bookings, while the table is slow, loses answers and goes down, and the
-// applications refuse, cut and run without an answer.
+// Guards against a second execution and false "not run" reports under combined
+// faults: routers killed and frozen, the table slow, losing answers and down, and
+// applications that refuse, cut, or run without an answer.
 func TestBookingsWhileEverythingFails(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Routers: 3, RouterSettings: shortClaimTimeouts})
@@ -67,7 +67,7 @@
 	var work sync.WaitGroup
 	for worker := range 16 {
 		work.Go(func() {
-			// Pairs of workers share their keys and begin at different routers.
+			// Workers share their keys and start at different routers.
 			for number := 0; load.Err() == nil; number++ {
 				key := fmt.Sprintf("key-%d-%d", worker/4, number)
 				routers := c.RouterURLs()
@@ -91,8 +91,8 @@
 	is.New(t).True(len(executions) > 20)
 }
 
-// Promise 1 with everything at once: routers die and freeze, engines crash and
-// lose events, connections are cut and chunks come twice.
+// Guards against corrupt streams under combined faults: routers killed and frozen,
+// engines crashing and losing events, connections cut and chunks sent twice.
 func TestStreamsWhileEverythingFails(t *testing.T) {
 	t.Parallel()
 	plan := filepath.Join(t.TempDir(), "faults.yaml")
@@ -129,12 +129,12 @@
 	disruptRouters(c, rand.New(rand.NewPCG(chaosSeed, 2)))
 	endLoad()
 	work.Wait()
-	t.Logf("%d of %d answers were whole, the others ended with an error", whole, all)
+	t.Logf("%d of %d answers were complete, the others ended with an error", whole, all)
 	is.True(whole > all/2)
 }
 
-// crashPlan returns a fault plan in which every engine sends its chunks twice
-// and the three crash in turn, each to come back empty at once.
+// crashPlan returns a fault plan in which every engine sends its chunks twice and
+// the three engines crash in turn, each restarting with an empty cache.
 func crashPlan(crashes int, every time.Duration) []byte {
 	plan := "faults:\n  - {at: 0s, target: \"engine-*\", kind: duplicate_chunks}\n"
 	for number := 1; number <= crashes; number++ {
--- a/proofs/configuration_test.go
+++ b/proofs/configuration_test.go
@@ -16,7 +16,7 @@
 	"github.com/fieldpond/fieldpond/standin/platform"
 )
 
-// versionWatch notes which versions each router says it has in force.
+// versionWatch records the fleet file version that each router reports.
 type versionWatch struct {
 	t     *testing.T
 	c     *harness.Cluster
@@ -24,8 +24,8 @@
 	last  map[string]uint64
 }
 
-// watchVersions looks at every router until the test ends and fails it when a
-// version falls, be it by a restart.
+// watchVersions polls every router until the test ends and fails the test if a
+// version decreases, even across a restart.
 func watchVersions(t *testing.T, c *harness.Cluster) *versionWatch {
 	watch := &versionWatch{t: t, c: c, last: map[string]uint64{}}
 	ctx, stop := context.WithCancel(t.Context())
@@ -33,8 +33,8 @@
 	for _, router := range c.Routers {
 		work.Go(func() {
 			for ; ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
-				if seen, answered := routerStatus(ctx, c, router); answered && seen.FleetVersion > 0 {
-					watch.observe(router, seen.FleetVersion)
+				if state, answered := routerStatus(ctx, c, router); answered && state.FleetVersion > 0 {
+					watch.observe(router, state.FleetVersion)
 				}
 			}
 		})
@@ -55,7 +55,7 @@
 	w.last[router] = version
 }
 
-// await waits until every router has shown the version or a newer one.
+// await waits until every router has reported the version or a newer one.
 func (w *versionWatch) await(version uint64) {
 	w.t.Helper()
 	w.c.Await(fmt.Sprintf("version %d is in force everywhere", version), func() bool {
@@ -70,19 +70,19 @@
 	})
 }
 
-// operators apply files and count what they were told.
+// operators applies fleet files and counts the reported outcomes.
 type operators struct {
 	t     *testing.T
 	c     *harness.Cluster
 	mutex sync.Mutex
-	// accepted holds the versions that were told as accepted; open counts
-	// applies that ended without a word on the outcome.
+	// accepted holds the names of the files reported as accepted, by version;
+	// unknownOutcomes counts applies without a reported version.
 	accepted        map[uint64]string
 	unknownOutcomes int
 }
 
-// apply applies a file of the given name once, and reports whether it was told
-// to be accepted.
+// apply applies a file of the given name once and returns whether the command
+// reported it accepted.
 func (o *operators) apply(name string) bool {
 	document := *o.c.Document
 	document.Name = name
@@ -97,13 +97,13 @@
 		return false
 	}
 	if other, taken := o.accepted[applied.Version]; taken {
-		o.t.Errorf("%s and %s were both told to be version %d", name, other, applied.Version)
+		o.t.Errorf("%s and %s were both reported as version %d", name, other, applied.Version)
 	}
 	o.accepted[applied.Version] = name
 	return true
 }
 
-// applyConcurrently lets two operators apply at the same time until each was accepted.
+// applyConcurrently lets two operators apply at once until each file is accepted.
 func (o *operators) applyConcurrently(label string) {
 	concurrently(2, func(number int) {
 		for try := range 20 {
@@ -114,7 +114,7 @@
 	})
 }
 
-// headCommits returns how many files the table's truth log accepted.
+// headCommits counts the accepted files in the table's truth log.
 func headCommits(c *harness.Cluster) uint64 {
 	count := uint64(0)
 	for _, commit := range c.History() {
@@ -127,8 +127,8 @@
 	return count
 }
 
-// Promise 9: an accepted file is in force on every router and never reverts,
-// whatever happens to operators, store and routers at that moment.
+// Guards against an accepted file that is lost or reverts on a router under
+// concurrent applies, store faults, frozen and replaced routers.
 func TestAcceptedFilesNeverRevertOnRealRouters(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Routers: 3, Engines: 1, Applications: 1})
@@ -182,9 +182,9 @@
 	check := is.New(t)
 	accepted := headCommits(c)
 	reported := uint64(len(ops.accepted))
-	check.True(reported <= accepted)                             // nobody was told of a file that was not accepted
-	check.True(accepted <= reported+uint64(ops.unknownOutcomes)) // and no file was accepted that nobody applied
-	check.True(accepted > 12)                                    // the races took place
+	check.True(reported <= accepted)                             // no file was reported accepted that was not
+	check.True(accepted <= reported+uint64(ops.unknownOutcomes)) // and no file was accepted without an apply
+	check.True(accepted > 12)                                    // the concurrent applies took place
 	for version := range ops.accepted {
 		check.True(version <= accepted)
 	}
--- a/proofs/draining_test.go
+++ b/proofs/draining_test.go
@@ -13,11 +13,11 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// drainingBound is the time after the first sign of leaving from which a back
+// drainingBound is the time after the first sign of draining from which a back
 // end must get no new work.
 const drainingBound = 3 * time.Second
 
-// drainingSimulation is two engines and three routers that gossip over a network
+// drainingSimulation has two engines and three routers that gossip over a network
 // that loses a fifth of the datagrams.
 type drainingSimulation struct {
 	*simulation
@@ -46,7 +46,7 @@
 	return sim
 }
 
-// broadcast spreads a router's first sign that an engine is leaving.
+// broadcast sends a router's first observation that an engine is draining.
 func (w *drainingSimulation) broadcast(node *simnet.Node, change endpoint.Change) {
 	if change.Kind != endpoint.ChangeDraining {
 		return
@@ -62,7 +62,7 @@
 	})
 }
 
-// gossip lets the network run for a step and hands its signs to the cores.
+// gossip runs the network for a step and applies the received reports.
 func (w *drainingSimulation) gossip() {
 	w.network.Run(virtualStep)
 	for index, node := range w.network.Nodes {
@@ -75,14 +75,14 @@
 	}
 }
 
-// applyMachineList shows the machine list to the first routers, as one read of it does.
+// applyMachineList gives the first routers the machine list, as one read does.
 func (w *drainingSimulation) applyMachineList(readers int, draining bool) {
 	for _, router := range w.routers[:readers] {
 		w.applyEffects(router, router.core.ApplyMachineList(w.now, map[ident.Engine]bool{w.draining.name: draining}))
 	}
 }
 
-// applyFleetFile puts a fleet file in force at a router that states the engine leaving.
+// applyFleetFile applies a fleet file with the engine draining on one router.
 func (w *drainingSimulation) applyFleetFile(router *simulatedRouter) {
 	targets := w.targets()
 	targets[0].Draining = true
@@ -95,12 +95,12 @@
 	}
 }
 
-// TestLeavingEngineGetsNoNewWork judges by what reaches the engine: nothing
-// later than drainingBound after the first router could see the first sign.
+// TestLeavingEngineGetsNoNewWork fails if anything reaches the draining engine
+// later than drainingBound after a router could first observe it.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	cases := []struct {
-		name string
-		sign func(w *drainingSimulation)
+		name          string
+		startDraining func(w *drainingSimulation)
 	}{
 		{"by the machine list", func(w *drainingSimulation) { w.applyMachineList(3, true) }},
 		{"by the machine list, lost on two of three", func(w *drainingSimulation) { w.applyMachineList(1, true) }},
@@ -133,9 +133,9 @@
 			sim.run(2 * reportInterval)
 			sim.offerLoad(3 * time.Second)
 			bound := sim.now.Add(drainingBound)
-			test.sign(sim)
-			for _, hot := range []string{"villach", "krems", "steyr", "wels"} {
-				sim.shared = []string{hot, hot + " rules", hot + " orders"} // new prompts, which no engine holds
+			test.startDraining(sim)
+			for _, label := range []string{"villach", "krems", "steyr", "wels"} {
+				sim.shared = []string{label, label + " rules", label + " orders"} // new prompts, which no engine holds
 				sim.offerLoad(2 * time.Second)
 			}
 			sim.run(virtualMaxHold)
--- a/proofs/drainingprocess_test.go
+++ b/proofs/drainingprocess_test.go
@@ -17,22 +17,22 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// fastMachinePoll lets changes of the machine list show, and be read, within a second.
+// fastMachinePoll makes routers read the machine list within a second.
 const fastMachinePoll = "intervals: {machinePoll: 300ms}\n"
 
-// Promise 7: once a back end shows as leaving, nothing new starts on it, and
-// what runs on it finishes.
+// Guards against new work on an engine that is observed draining, and against
+// cutting the streams that run on it.
 func TestLeavingBackEndsGetNoNewWorkOnRealSockets(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{
 		Routers: 3, Engines: 4, RouterSettings: fastMachinePoll, PlatformArgs: []string{"--lag", "200ms"},
 	})
-	signs := []struct {
-		name string
-		sign func(engine string)
+	cases := []struct {
+		name          string
+		startDraining func(engine string)
 	}{
 		{"by the machine list", func(engine string) { setMachinesLeaving(t, c, engine) }},
-		{"by its own word", func(engine string) { c.Signal(engine, syscall.SIGTERM) }},
+		{"by its own report", func(engine string) { c.Signal(engine, syscall.SIGTERM) }},
 		{"by the fleet file", func(engine string) {
 			document := drainingDocument(c, engine, "")
 			if output, err := c.Apply(document); err != nil {
@@ -41,18 +41,18 @@
 		}},
 	}
 	callers := startTraffic(t, c)
-	for index, sign := range signs {
-		t.Run(sign.name, func(t *testing.T) {
+	for index, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			draining := c.Engines[index]
 			streams := streamUntilRunningOn(t, c, draining)
-			sign.sign(draining)
-			awaitEngines(t, c, draining+" is leaving", func(engine status.Engine) bool {
+			test.startDraining(draining)
+			awaitEngines(t, c, draining+" is draining", func(engine status.Engine) bool {
 				return string(engine.Engine) != draining || engine.Leaving || !engine.Alive
 			})
-			visible := time.Now()
+			observedAt := time.Now()
 			callers.awaitAnswers(c, 60)
 			streams()
-			requireNoStart(t, allTruth(c), callers.requestsSentAfter(visible), func(record truth.Record) bool {
+			requireNoStart(t, allTruth(c), callers.requestsSentAfter(observedAt), func(record truth.Record) bool {
 				return string(record.Engine) == draining
 			})
 		})
@@ -61,14 +61,14 @@
 	for _, caller := range callers.callers {
 		for _, outcome := range caller.History() {
 			if outcome.Refusal != nil {
-				t.Errorf("a caller was told %+v", outcome.Refusal)
+				t.Errorf("a caller was refused with %+v", outcome.Refusal)
 			}
 		}
 	}
-	is.New(t).Equal(c.AwaitExit(c.Engines[1]), 0) // the one that was told to stop
+	is.New(t).Equal(c.AwaitExit(c.Engines[1]), 0) // the one that got SIGTERM
 }
 
-// drainingDocument returns the fleet file with an engine or application leaving.
+// drainingDocument returns the fleet file with an engine or application draining.
 func drainingDocument(c *harness.Cluster, engine, application string) *fleet.Document {
 	document := *c.Document
 	document.Engines = slices.Clone(document.Engines)
@@ -86,8 +86,8 @@
 	return &document
 }
 
-// streamUntilRunningOn starts long streams until one runs on the engine. The function
-// returned waits for their ends and requires each answer whole.
+// streamUntilRunningOn starts long streams until one runs on the engine. The
+// returned function waits for their ends and requires each to be complete.
 func streamUntilRunningOn(t *testing.T, c *harness.Cluster, engine string) (finish func()) {
 	t.Helper()
 	caller := c.NewCaller(harness.TenantA)
@@ -115,11 +115,11 @@
 			}
 		}
 	}
-	t.Fatalf("no stream came to run on %s", engine)
+	t.Fatalf("no stream ran on %s", engine)
 	return nil
 }
 
-// runsOn reports whether a long stream runs on an engine now.
+// runsOn reports whether a long stream is running on an engine.
 func runsOn(c *harness.Cluster, engine string) bool {
 	running := map[ident.Stream]bool{}
 	for _, record := range c.Truth(engine) {
@@ -133,16 +133,16 @@
 	return len(running) > 0
 }
 
-// Promise 7, applications: the list, their own refusal and the fleet file.
+// Guards against new work on a draining application.
 func TestLeavingApplicationsGetNoNewWorkOnRealSockets(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{
 		Routers: 3, Engines: 1, Applications: 4, RouterSettings: fastMachinePoll, PlatformArgs: []string{"--lag", "200ms"},
 	})
 	caller := c.NewCaller(harness.TenantA)
-	signs := []struct {
-		name string
-		sign func(application string)
+	cases := []struct {
+		name          string
+		startDraining func(application string)
 	}{
 		{"by the machine list", func(application string) { setMachinesLeaving(t, c, application) }},
 		{"by its own refusal, then gone", func(application string) { c.Signal(application, syscall.SIGTERM) }},
@@ -152,11 +152,11 @@
 			}
 		}},
 	}
-	for index, sign := range signs {
-		t.Run(sign.name, func(t *testing.T) {
+	for index, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			draining := c.Applications[index]
-			sign.sign(draining)
-			time.Sleep(drainingBound) // the promise's own "few seconds"
+			test.startDraining(draining)
+			time.Sleep(drainingBound) // routers may need this long to observe it
 			var late []harness.Outcome
 			for number := range 60 {
 				key := fmt.Sprintf("sign-%d-%d", index, number)
@@ -165,14 +165,14 @@
 			remaining := executionsExcept(c, c.Applications[:index+1])
 			for _, outcome := range late {
 				if !outcome.Answered() || executionsOf(remaining, outcome) != 1 {
-					t.Errorf("%s was told %+v and ran %d times on those that stay", outcome.Key, outcome.Refusal, executionsOf(remaining, outcome))
+					t.Errorf("%s got %+v and ran %d times on the remaining applications", outcome.Key, outcome.Refusal, executionsOf(remaining, outcome))
 				}
 			}
 		})
 	}
 }
 
-// executionsExcept returns the truth logs of all applications but some.
+// executionsExcept returns the truth logs of all applications but the excluded.
 func executionsExcept(c *harness.Cluster, excluded []string) []application.Execution {
 	var all []application.Execution
 	for _, name := range c.Applications {
--- a/proofs/harness/binaries.go
+++ b/proofs/harness/binaries.go
@@ -11,16 +11,16 @@
 	"github.com/fieldpond/fieldpond/standin/deployment"
 )
 
-// BinariesVariable names the environment variable of a directory with the two
-// programs. If it is set, nothing is built: so the proofs can be run against
-// other builds, such as one whose guard was taken out.
+// BinariesVariable is the environment variable with a directory of prebuilt
+// binaries. If it is set, nothing is built, so that the proofs can run against
+// other builds, such as one with a check removed.
 const BinariesVariable = "FIELDPOND_PROOF_BINARIES"
 
-// binaries is the directory of the two programs.
+// binaries is the directory of the binaries under test.
 var binaries string
 
-// Main builds the two programs once, runs the tests of a package and removes
-// the programs. It is called from TestMain and returns the exit code.
+// Main builds the binaries, runs the tests of a package and removes the
+// binaries. It is called from TestMain and returns the exit code.
 func Main(m *testing.M) int {
 	binaries = os.Getenv(BinariesVariable)
 	if binaries == "" {
@@ -35,20 +35,20 @@
 	return m.Run()
 }
 
-// build builds the programs into a directory of its own.
+// build builds the binaries into a temporary directory.
 func build() (string, error) {
 	directory, err := os.MkdirTemp("", "fieldpond-proofs-")
 	if err != nil {
-		return "", fmt.Errorf("making a directory for the programs: %w", err)
+		return "", fmt.Errorf("creating a directory for the binaries: %w", err)
 	}
-	located, err := exec.Command("go", "list", "-m", "-f", "{{.Dir}}").Output()
+	moduleDir, err := exec.Command("go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
-		return directory, fmt.Errorf("finding the module: %w", err)
+		return directory, fmt.Errorf("locating the module: %w", err)
 	}
 	command := exec.Command("go", "build", "-o", directory+"/", "./cmd/...")
-	command.Dir = strings.TrimSpace(string(located))
+	command.Dir = strings.TrimSpace(string(moduleDir))
 	if output, err := command.CombinedOutput(); err != nil {
-		return directory, fmt.Errorf("building the programs: %w\n%s", err, output)
+		return directory, fmt.Errorf("building the binaries: %w\n%s", err, output)
 	}
 	return directory, nil
 }
--- a/proofs/harness/caller.go
+++ b/proofs/harness/caller.go
@@ -19,74 +19,74 @@
 	"github.com/fieldpond/fieldpond/standin/application"
 )
 
-// callTimeout bounds one exchange of a caller, far above every limit of a router.
+// callTimeout bounds one exchange of a caller, far above every router timeout.
 const callTimeout = 60 * time.Second
 
-// maxAnswerBytes bounds what a caller reads of an answer that is no stream.
+// maxAnswerBytes bounds the body of an answer that is not a stream.
 const maxAnswerBytes = 1 << 20
 
-// Outcome is what a caller sent and what it was told: one entry of its history.
+// Outcome is one request of a caller with its result: one entry of its history.
 type Outcome struct {
 	Began, Ended time.Time
 	Router       string
 	Tenant       ident.Tenant
-	// Key and Body are those of an application request.
+	// Key is the idempotency key and Body the body of an application request.
 	Key, Body string
 
-	// Broken says that the connection broke before a whole answer; nothing
-	// below is set then, but for the text of a stream.
+	// Broken is set if the connection broke before the answer was complete. Of
+	// the fields below, only those of a stream may be set then.
 	Broken bool
-	// Unsent says that no connection was opened, so nothing was sent.
+	// Unsent is set if no connection was opened, so nothing was sent.
 	Unsent bool
 	Status int
-	// RequestID is the router's name for the request.
+	// RequestID is the id that the router gave the request.
 	RequestID ident.Request
-	// Refusal is set if the router stated a fault, in an answer or an event.
+	// Refusal is set if the router returned an error, in an answer or an event.
 	Refusal *api.ErrorDetail
-	// RetryAfter is the header of that name, in seconds; empty if it is missing.
+	// RetryAfter is the Retry-After header, in seconds; empty if it is missing.
 	RetryAfter string
-	// Answer is the application's, and Replayed says that it is an earlier one's.
+	// Answer is the application's; Replayed is set if it was stored earlier.
 	Answer   application.Answer
 	Replayed bool
 
-	// Text, Finish and Done are what a stream brought: its text so far, its
-	// finish reason, and whether its end marker arrived.
+	// Text, Finish and Done are a stream's text so far, its finish reason, and
+	// whether its end marker arrived.
 	Text, Finish string
 	Done         bool
-	// LastID is the last event id, to resume from.
+	// LastID is the last event id, from which the stream is resumed.
 	LastID string
-	// Usage is that of the end of the stream.
+	// Usage is the token usage reported at the end of the stream.
 	Usage *api.Usage
 }
 
-// Answered reports whether a whole answer came.
-func (t Outcome) Answered() bool {
-	return !t.Broken && t.Refusal == nil && t.Status >= 200 && t.Status < 300
+// Answered reports whether a complete, successful answer arrived.
+func (o Outcome) Answered() bool {
+	return !o.Broken && o.Refusal == nil && o.Status >= 200 && o.Status < 300
 }
 
-// Ran returns what the caller was told of execution: "yes" with an answer,
-// the word of a stated fault, and "unknown" when the connection broke.
-func (t Outcome) Ran() fault.Ran {
+// Ran returns what the caller learned about execution: "yes" with an answer,
+// the error's value with a refusal, "unknown" when the connection broke.
+func (o Outcome) Ran() fault.Ran {
 	switch {
-	case t.Broken:
+	case o.Broken:
 		return fault.RanUnknown
-	case t.Refusal != nil:
-		return t.Refusal.Ran
+	case o.Refusal != nil:
+		return o.Refusal.Ran
 	default:
 		return fault.RanYes
 	}
 }
 
-// Kind returns the kind of the stated fault, or "".
-func (t Outcome) Kind() fault.Kind {
-	if t.Refusal == nil {
+// Kind returns the kind of the refusal, or "".
+func (o Outcome) Kind() fault.Kind {
+	if o.Refusal == nil {
 		return ""
 	}
-	return t.Refusal.Kind
+	return o.Refusal.Kind
 }
 
-// Caller is one client of the routers. It keeps the history of all it was
-// told. It is safe for concurrent use.
+// Caller is one client of the routers, which records its outcomes. It is safe
+// for concurrent use.
 type Caller struct {
 	Tenant  ident.Tenant
 	client  *http.Client
@@ -94,7 +94,7 @@
 	history []Outcome
 }
 
-// NewCaller returns a caller of a tenant with connections of its own.
+// NewCaller returns a caller of a tenant with its own connections.
 func (c *Cluster) NewCaller(tenant ident.Tenant) *Caller {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	c.tb.Cleanup(transport.CloseIdleConnections)
@@ -102,14 +102,13 @@
 }
 
 // The receive buffer and the segments of a slow caller are far smaller than a
-// long stream, which keeps the send buffer at the router's end small as well:
-// so the router is the one that has to wait.
+// long stream. The router's send buffer stays small as well, so its writes block.
 const (
 	slowBufferBytes  = 4 << 10
 	slowSegmentBytes = 536
 )
 
-// NewSlowCaller returns a caller whose connections buffer next to nothing.
+// NewSlowCaller returns a caller whose connections have minimal buffers.
 func (c *Cluster) NewSlowCaller(tenant ident.Tenant) *Caller {
 	dialer := &net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
@@ -129,7 +128,7 @@
 	return &Caller{Tenant: tenant, client: &http.Client{Transport: transport}}
 }
 
-// History returns what the caller was told so far, in the order of the ends.
+// History returns the outcomes so far, in the order in which they ended.
 func (c *Caller) History() []Outcome {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -143,7 +142,7 @@
 	c.history = append(c.history, *outcome)
 }
 
-// Book sends one request to the route that may run only once.
+// Book sends one request to the route that must run at most once.
 func (c *Caller) Book(ctx context.Context, router, key, body string) Outcome {
 	return c.Call(ctx, http.MethodPost, router, BookPath, key, body)
 }
@@ -160,8 +159,8 @@
 	return outcome
 }
 
-// exchange sends a request and reads its whole answer into told. It returns
-// the body of an answer that is no refusal.
+// exchange sends a request and reads its whole answer into outcome. It returns
+// the body, and false if the request failed or was refused.
 func (c *Caller) exchange(ctx context.Context, outcome *Outcome, method, url, body, key string) ([]byte, bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -198,8 +197,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// net/http would send a request with an idempotency key again by itself,
-	// and that sending would be missing from the history.
+	// net/http would retry a request with an idempotency key by itself, and the
+	// retry would be missing from the history.
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+APIKey(c.Tenant))
 	request.Header.Set("Content-Type", "application/json")
@@ -212,18 +211,18 @@
 	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-func (t *Outcome) readHeader(response *http.Response) {
-	t.Status = response.StatusCode
-	t.RequestID = ident.Request(response.Header.Get("X-Request-Id"))
-	t.RetryAfter = response.Header.Get("Retry-After")
+func (o *Outcome) readHeader(response *http.Response) {
+	o.Status = response.StatusCode
+	o.RequestID = ident.Request(response.Header.Get("X-Request-Id"))
+	o.RetryAfter = response.Header.Get("Retry-After")
 }
 
-// readRefusal reads a stated fault. A body that states none leaves its fate open.
-func (t *Outcome) readRefusal(content []byte) {
+// readRefusal reads an error body. Without one, execution stays unknown.
+func (o *Outcome) readRefusal(content []byte) {
 	var body api.ErrorBody
 	if json.Unmarshal(content, &body) != nil || body.Error.Ran == "" {
 		body.Error.Ran = fault.RanUnknown
-		body.Error.Kind = fault.Kind("http_" + strconv.Itoa(t.Status))
+		body.Error.Kind = fault.Kind("http_" + strconv.Itoa(o.Status))
 	}
-	t.Refusal = &body.Error
+	o.Refusal = &body.Error
 }
--- a/proofs/harness/child_other.go
+++ b/proofs/harness/child_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// childAttributes is empty where the kernel cannot end a child with its parent.
+// childAttributes is nil where the kernel cannot kill a child with its parent.
 func childAttributes() *syscall.SysProcAttr { return nil }
--- a/proofs/harness/cluster.go
+++ b/proofs/harness/cluster.go
@@ -20,28 +20,28 @@
 	"github.com/fieldpond/fieldpond/standin/deployment"
 )
 
-// Limits of waits; no test passes or fails by how fast a condition comes true.
+// Limits of waits; no test depends on how soon a condition holds.
 const (
 	// WaitLimit bounds every wait for a condition.
 	WaitLimit = 30 * time.Second
 	waitPause = 10 * time.Millisecond
-	// probeTimeout bounds one look at a process.
+	// probeTimeout bounds one HTTP exchange with a process.
 	probeTimeout = 2 * time.Second
 )
 
-// clusterKey is shared by the routers of a rehearsal.
+// clusterKey is shared by the routers of a cluster.
 const clusterKey = "proofs-only-cluster-key-0123456789abcdef"
 
-// Config says what to start. Zero numbers take the defaults.
+// Config describes the cluster to start. Zero numbers take the defaults.
 type Config struct {
 	// Routers, Engines and Applications are numbers of processes. Defaults: 2,
-	// 3, 2.
+	// 3 and 2.
 	Routers, Engines, Applications int
-	// Relayed puts a Relay before every back end.
+	// Relayed puts a Relay in front of every back end.
 	Relayed bool
 	// RouterSettings is YAML added to every router's settings file.
 	RouterSettings string
-	// EngineArgs, ApplicationArgs and PlatformArgs are further flags.
+	// EngineArgs, ApplicationArgs and PlatformArgs are extra flags.
 	EngineArgs, ApplicationArgs, PlatformArgs []string
 	// Edit changes the fleet file before anything starts.
 	Edit func(document *fleet.Document)
@@ -56,10 +56,10 @@
 	return s
 }
 
-// Cluster is a running rehearsal.
+// Cluster is a set of real processes that a test runs.
 type Cluster struct {
-	// Document is the fleet file that was applied first. Back end addresses
-	// are those of the relays, if there are any.
+	// Document is the first fleet file. Its back end addresses are those of the
+	// relays, if there are any.
 	Document *fleet.Document
 	// Routers, Engines and Applications are the names of the processes.
 	Routers, Engines, Applications []string
@@ -73,8 +73,8 @@
 // Platform is the name of the platform's process.
 const Platform = "platform"
 
-// Start starts a rehearsal and puts its fleet file in force on every router.
-// All of it ends with the test.
+// Start starts a cluster and applies its fleet file on every router. All
+// processes end with the test.
 func Start(tb testing.TB, config Config) *Cluster {
 	tb.Helper()
 	c := Prepare(tb, config)
@@ -93,7 +93,7 @@
 	return c
 }
 
-// Prepare works out a rehearsal without starting any process.
+// Prepare plans a cluster and writes its files, without starting any process.
 func Prepare(tb testing.TB, config Config) *Cluster {
 	tb.Helper()
 	config = config.withDefaults()
@@ -110,7 +110,7 @@
 		Directory: c.directory, Routers: config.Routers, Host: host, FirstPort: ports.next, Seed: 1, ClusterKey: clusterKey,
 	})
 	if err != nil {
-		tb.Fatalf("planning the rehearsal: %v", err)
+		tb.Fatalf("planning the cluster: %v", err)
 	}
 	for range 1 + 2*config.Routers {
 		ports.allocate()
@@ -134,7 +134,7 @@
 			data = append(data, config.RouterSettings...)
 		}
 		if err := os.WriteFile(file.Path, data, 0o600); err != nil {
-			c.tb.Fatalf("writing the files of the rehearsal: %v", err)
+			c.tb.Fatalf("writing the files of the cluster: %v", err)
 		}
 	}
 }
@@ -164,7 +164,8 @@
 	return filepath.Join(c.directory, backend+".truth")
 }
 
-// addRelays puts a relay before every back end and its address into the file.
+// addRelays puts a relay in front of every back end and its address into the
+// fleet file.
 func (c *Cluster) addRelays(ports *portBlock) {
 	for index := range c.Document.Engines {
 		engine := &c.Document.Engines[index]
@@ -182,7 +183,7 @@
 	return relay.address
 }
 
-// stop kills what still runs and, if the test failed, shows the logs.
+// stop kills the processes and, if the test failed, prints the ends of their logs.
 func (c *Cluster) stop() {
 	for _, process := range c.processes {
 		process.kill()
@@ -210,14 +211,14 @@
 // Kill ends a process with SIGKILL.
 func (c *Cluster) Kill(name string) { c.process(name).kill() }
 
-// Restart starts a process that has ended, at its old address, and waits until
-// it serves HTTP.
+// Restart starts an ended process at its old address and waits until it serves
+// HTTP.
 func (c *Cluster) Restart(name string) {
 	c.Launch(name)
 	c.AwaitUp(name)
 }
 
-// Terminate sends SIGTERM, waits for the end and returns the exit code.
+// Terminate sends SIGTERM, waits for the exit and returns the exit code.
 func (c *Cluster) Terminate(name string) int {
 	c.tb.Helper()
 	c.Signal(name, syscall.SIGTERM)
@@ -227,12 +228,12 @@
 // Signal sends a signal to a process.
 func (c *Cluster) Signal(name string, signal syscall.Signal) { c.process(name).signal(signal) }
 
-// AwaitExit waits for the end of a process and returns its exit code.
+// AwaitExit waits until a process exits and returns its exit code.
 func (c *Cluster) AwaitExit(name string) int {
 	c.tb.Helper()
 	code, exited := c.process(name).wait(WaitLimit)
 	if !exited {
-		c.tb.Fatalf("%s has not ended", name)
+		c.tb.Fatalf("%s has not exited", name)
 	}
 	return code
 }
@@ -240,7 +241,7 @@
 // Freeze stops a process with SIGSTOP; its connections stay open.
 func (c *Cluster) Freeze(name string) { c.Signal(name, syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on.
+// Resume continues a frozen process with SIGCONT.
 func (c *Cluster) Resume(name string) { c.Signal(name, syscall.SIGCONT) }
 
 // URL returns the base URL of a process's HTTP listener.
@@ -255,23 +256,23 @@
 	return urls
 }
 
-// Relay returns the relay before a back end.
+// Relay returns the relay in front of a back end.
 func (c *Cluster) Relay(name string) *Relay {
 	c.tb.Helper()
 	relay, known := c.relays[name]
 	if !known {
-		c.tb.Fatalf("there is no relay before %q; set Shape.Relayed", name)
+		c.tb.Fatalf("there is no relay in front of %q; set Config.Relayed", name)
 	}
 	return relay
 }
 
-// Apply puts a fleet file in force by the operator's command and waits until
-// the live routers have it. It returns the command's output.
+// Apply runs the apply command, waits until the live routers have adopted the
+// fleet file, and returns the command's output.
 func (c *Cluster) Apply(document *fleet.Document) (string, error) {
 	return c.RunApply(document, "--wait", "--routers", strings.Join(c.routerAddresses(), ","))
 }
 
-// RunApply runs the operator's command with further flags.
+// RunApply runs the apply command with extra flags and returns its output.
 func (c *Cluster) RunApply(document *fleet.Document, flags ...string) (string, error) {
 	encoded, err := yaml.Marshal(document)
 	if err != nil {
@@ -279,7 +280,7 @@
 	}
 	file, err := os.CreateTemp(c.directory, "fleet-*.yaml")
 	if err != nil {
-		return "", fmt.Errorf("making the fleet file: %w", err)
+		return "", fmt.Errorf("creating the fleet file: %w", err)
 	}
 	defer func() { _ = file.Close() }()
 	if _, err := file.Write(encoded); err != nil {
@@ -298,13 +299,13 @@
 	return addresses
 }
 
-// Await waits until a condition holds and fails the test if it never does.
+// Await waits until a condition holds and fails the test after WaitLimit.
 func (c *Cluster) Await(what string, condition func() bool) {
 	c.tb.Helper()
 	limit := time.Now().Add(WaitLimit)
 	for !condition() {
 		if time.Now().After(limit) {
-			c.tb.Fatalf("waited in vain until %s", what)
+			c.tb.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(waitPause)
 	}
@@ -323,14 +324,14 @@
 	c.Await(name+" serves HTTP", func() bool { return c.probe(name, path, nil) })
 }
 
-// AwaitServing waits until routers have a fleet file in force and believe
-// every engine of it that is not leaving to be alive.
+// AwaitServing waits until routers have adopted a fleet file and consider all
+// its engines that are not draining alive.
 func (c *Cluster) AwaitServing(routers ...string) {
 	c.tb.Helper()
 	for _, router := range routers {
 		c.Await(router+" knows every engine", func() bool {
-			var seen status.Router
-			return c.probe(router, "/readyz", nil) && c.probe(router, "/status.json", &seen) && allAlive(seen.Engines)
+			var state status.Router
+			return c.probe(router, "/readyz", nil) && c.probe(router, "/status.json", &state) && allAlive(state.Engines)
 		})
 	}
 }
@@ -344,8 +345,8 @@
 	return len(engines) > 0
 }
 
-// probe gets a path of a process, decodes its JSON if into is set, and reports
-// whether that worked.
+// probe requests a path of a process, decodes its JSON if into is set, and
+// reports whether both succeeded.
 func (c *Cluster) probe(name, path string, into any) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
--- a/proofs/harness/fleetfile.go
+++ b/proofs/harness/fleetfile.go
@@ -11,48 +11,47 @@
 	"github.com/fieldpond/fieldpond/internal/prefix"
 )
 
-// Names in the fleet file of every rehearsal.
+// Names in the fleet file of every cluster.
 const (
-	// Assistant is the model service, Bookings the application service.
+	// Assistant is the model service.
 	Assistant ident.Service = "assistant"
-	// Bookings has the routes Book, which is not repeatable, and Slots.
+	// Bookings is the application service, with the routes BookPath and SlotsPath.
 	Bookings ident.Service = "bookings"
-	// BookPath is the path of the route POST that may run only once.
+	// BookPath is the path of the POST route that must run at most once.
 	BookPath = "/book"
-	// SlotsPath is the path of the repeatable route GET.
+	// SlotsPath is the path of the retryable GET route.
 	SlotsPath = "/slots"
-	// Model is the one model, of the version ModelVersion.
+	// Model is the only model.
 	Model ident.Model = "model-1"
-	// ModelVersion is the version that engines have loaded at the start.
+	// ModelVersion is the version that engines have loaded when they start.
 	ModelVersion ident.ModelVersion = "v1"
 	// Region holds both zones.
 	Region ident.Region = "region"
-	// ZoneA and ZoneB take back ends and routers in turn.
+	// ZoneA has every second back end and router, beginning with the first.
 	ZoneA ident.Zone = "zone-a"
-	// ZoneB is the other zone.
+	// ZoneB has the others.
 	ZoneB ident.Zone = "zone-b"
-	// TenantA and TenantB may use both services in the whole region.
+	// TenantA may use both services in the whole region.
 	TenantA ident.Tenant = "tenant-a"
-	// TenantB is the other tenant.
+	// TenantB has the same permissions as TenantA.
 	TenantB ident.Tenant = "tenant-b"
 )
 
-// Times of the only class.
+// Limits of the only class.
 const (
 	maxHold  = 5 * time.Second
 	deadline = 20 * time.Second
 )
 
-// prefillMicros is the prefill time of one token of the stand-in engines.
+// prefillMicros is the prefill time per token of the stand-in engines.
 const prefillMicros = 100
 
-// className is the only class.
 const className ident.Class = "normal"
 
 // APIKey returns the API key of a tenant.
 func APIKey(tenant ident.Tenant) string { return "key-" + string(tenant) }
 
-// newDocument returns the fleet file of a rehearsal; addresses come from the
+// newDocument returns the fleet file of a cluster; addresses come from the
 // block, in the order of the file.
 func newDocument(config Config, ports *portBlock) *fleet.Document {
 	document := &fleet.Document{
@@ -88,8 +87,8 @@
 
 func zoneOf(index int) ident.Zone { return []ident.Zone{ZoneA, ZoneB}[index%2] }
 
-// NewTenant returns a tenant with the key APIKey, both services and the whole
-// region.
+// NewTenant returns a tenant with the API key APIKey(name), both services and
+// the whole region.
 func NewTenant(name ident.Tenant) fleet.Tenant {
 	digest := sha256.Sum256([]byte(APIKey(name)))
 	return fleet.Tenant{
--- a/proofs/harness/inspect.go
+++ b/proofs/harness/inspect.go
@@ -15,11 +15,11 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// historyPath is where the platform serves the truth log of its table.
+// historyPath is the path of the platform's table truth log.
 const historyPath = "/rehearsal/history"
 
-// Inject puts a fault into a stand-in: a faultboard.Fault for the platform and
-// applications, an engine.FaultRequest for engines.
+// Inject activates a fault of a stand-in: a faultboard.Fault for the platform
+// and applications, an engine.FaultRequest for engines.
 func (c *Cluster) Inject(name string, fault any) {
 	c.tb.Helper()
 	content, err := json.Marshal(fault)
@@ -29,7 +29,7 @@
 	c.sendFaultRequest(name, http.MethodPost, content)
 }
 
-// ClearFaults takes back every fault of a stand-in.
+// ClearFaults removes every fault of a stand-in.
 func (c *Cluster) ClearFaults(name string) {
 	c.tb.Helper()
 	c.sendFaultRequest(name, http.MethodDelete, nil)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Truth returns the truth log of an engine over all its lives.
+// Truth returns the truth log of an engine over all its incarnations.
 func (c *Cluster) Truth(engine string) []truth.Record {
 	c.tb.Helper()
 	records, err := truth.Read(bytes.NewReader(c.readTruthFile(engine)))
@@ -64,21 +64,21 @@
 	return records
 }
 
-// Executions returns the truth log of an application over all its lives.
+// Executions returns the truth log of an application over all its incarnations.
 func (c *Cluster) Executions(name string) []application.Execution {
 	c.tb.Helper()
 	return decodeLines[application.Execution](c, name, bytes.NewReader(c.readTruthFile(name)))
 }
 
-// readTruthFile reads the truth file of a back end; one that was never started has
-// none.
+// readTruthFile reads the truth file of a back end; it is empty if the back end
+// was never started.
 func (c *Cluster) readTruthFile(name string) []byte {
 	c.tb.Helper()
 	content, err := os.ReadFile(c.truthFile(name))
 	if err != nil && !os.IsNotExist(err) {
 		c.tb.Fatalf("truth log of %s: %v", name, err)
 	}
-	// A life that was killed may have left a line half written.
+	// A killed process may have left an incomplete last line.
 	return content[:bytes.LastIndexByte(content, '\n')+1]
 }
 
@@ -132,7 +132,7 @@
 	}
 }
 
-// Idle reports whether no live application is executing anything.
+// Idle reports whether no running application is executing a request.
 func (c *Cluster) Idle() bool {
 	for _, name := range c.Applications {
 		if c.process(name).hasExited() {
--- a/proofs/harness/ports.go
+++ b/proofs/harness/ports.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Blocks of ports lie below the ephemeral range of Linux, from which outgoing
-// connections could take the port of a process that is being restarted.
+// Blocks of ports are below the ephemeral range of Linux: an outgoing connection
+// could otherwise get the port of a process that is being restarted.
 const (
 	firstBlockPort = 12000
 	endOfPorts     = 32000
@@ -18,7 +18,7 @@
 
 const host = "127.0.0.1"
 
-// portBlock hands out the ports of one block.
+// portBlock allocates the ports of one block.
 type portBlock struct{ next int }
 
 // allocate returns the next port of the block.
@@ -27,8 +27,8 @@
 	return p.next - 1
 }
 
-// reservePorts finds a block that is free as a whole and guards it until the
-// test ends, by holding its first port open.
+// reservePorts finds a block of free ports and reserves it until the test ends
+// by listening on its first port.
 func reservePorts(tb testing.TB) *portBlock {
 	tb.Helper()
 	blocks := (endOfPorts - firstBlockPort) / portsPerBlock
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// blockFree reports whether all ports but the first are free.
+// blockFree reports whether all ports of a block but the first are free.
 func blockFree(first int) bool {
 	for port := first + 1; port < first+portsPerBlock; port++ {
 		stream, err := net.Listen("tcp", addressOf(port))
--- a/proofs/harness/process.go
+++ b/proofs/harness/process.go
@@ -14,21 +14,21 @@
 	"github.com/fieldpond/fieldpond/standin/deployment"
 )
 
-// tailBytes is how much of a log is shown when a test fails.
+// tailBytes is how much of a log is printed when a test fails.
 const tailBytes = 3000
 
-// process is one process of the rehearsal, over all its lives.
+// process is one process of the cluster, over all its incarnations.
 type process struct {
 	deployment.Process
 	log     string
 	mutex   sync.Mutex
 	command *exec.Cmd
-	// exited is closed when the present life has ended.
+	// exited is closed when the current incarnation has exited.
 	exited chan struct{}
 }
 
-// starts runs on one OS thread for as long as the test program lives: the
-// kernel ends a child when the thread that started it ends.
+// starts receives the starts of processes for one OS thread that lives as long as
+// the test program: the kernel kills a child when the thread that started it ends.
 var starts = make(chan func())
 
 func init() {
@@ -40,7 +40,7 @@
 	}()
 }
 
-// start begins a life of the process. Its log is appended to.
+// start starts the process, appending to its log.
 func (p *process) start(tb testing.TB) {
 	tb.Helper()
 	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -66,21 +66,21 @@
 	p.command, p.exited = command, exited
 }
 
-// current returns the present life.
+// current returns the current incarnation; both are nil before the first start.
 func (p *process) current() (*exec.Cmd, chan struct{}) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.command, p.exited
 }
 
-// signal sends a signal to the present life; one that has ended takes none.
+// signal sends a signal to the process; it has no effect after the exit.
 func (p *process) signal(signal syscall.Signal) {
 	if command, _ := p.current(); command != nil {
 		_ = command.Process.Signal(signal)
 	}
 }
 
-// kill ends the present life at once and waits for its end.
+// kill kills the process and waits for its exit.
 func (p *process) kill() {
 	command, ended := p.current()
 	if command == nil {
@@ -90,7 +90,7 @@
 	<-ended
 }
 
-// wait returns the exit code, or false if the process outlives the limit.
+// wait returns the exit code, or false if the process runs beyond the limit.
 func (p *process) wait(limit time.Duration) (int, bool) {
 	command, ended := p.current()
 	select {
@@ -101,7 +101,7 @@
 	}
 }
 
-// hasExited reports whether the present life has ended.
+// hasExited reports whether the process has exited or was never started.
 func (p *process) hasExited() bool {
 	_, ended := p.current()
 	select {
--- a/proofs/harness/relay.go
+++ b/proofs/harness/relay.go
@@ -7,51 +7,50 @@
 	"testing"
 )
 
-// Direction names one half of a relayed connection.
+// Direction is a direction of a relayed connection.
 type Direction int
 
 const (
-	// ToBackend is the half that carries requests.
+	// ToBackend is the direction of requests.
 	ToBackend Direction = iota
-	// ToRouter is the half that carries answers.
+	// ToRouter is the direction of answers.
 	ToRouter
 )
 
-// Action is what a relay does to a connection.
+// Action is what a relay does to a connection that it cuts.
 type Action int
 
 const (
-	// Close closes both halves, as a process that ends does.
+	// Close closes both sides, as an exiting process does.
 	Close Action = iota
-	// Reset sends a TCP reset both ways, as a crashed machine's peer sees it.
+	// Reset sends a TCP reset to both sides, as after a machine crash.
 	Reset
-	// Stall forwards nothing more; the connection stays open.
+	// Stall stops forwarding; the connection stays open.
 	Stall
-	// Hold keeps back the request until Release. It then reaches the back end,
-	// over a new connection, whether or not the router still waits. It is for
-	// requests without further bytes, and needs Before.
+	// Hold keeps the request until Release, which delivers it to the back end over
+	// a new connection, even if the router has given up. It needs Before, and a
+	// request that arrives in one read.
 	Hold
 )
 
-// Cut breaks connections at a byte. It strikes a connection once Match has
-// passed towards the back end.
+// Cut breaks connections at a byte offset. It applies to a connection on which
+// Match is sent to the back end.
 type Cut struct {
-	// Match is a text of the request: of its first line, or of its body.
+	// Match is a text in the request's first line or body.
 	Match string
-	// Before cuts before the first byte of Match; After and Direction do not
-	// count then.
+	// Before cuts before the first byte of Match; After and Direction are
+	// ignored then.
 	Before bool
-	// Direction and After say where else: after so many further bytes in that
-	// direction, counted from the end of Match.
+	// Without Before, the cut is After bytes after the end of Match, counted in
+	// Direction.
 	Direction Direction
 	After     int
 	Action    Action
-	// Times bounds how many connections are struck. Default: 1.
+	// Times is the maximum number of connections to cut. Default: 1.
 	Times int
 }
 
-// Relay passes TCP connections through to a back end and breaks them as told.
-// It is a fixture of the proofs only.
+// Relay forwards TCP connections to a back end and cuts them as armed.
 type Relay struct {
 	address  string
 	target   string
@@ -63,9 +62,9 @@
 	cutCount    int
 	connections map[*relayedConnection]bool
 	closed      bool
-	// released ends every Hold.
+	// released is closed to end every Hold.
 	released chan struct{}
-	// lateAnswers holds the beginnings of the answers to what was held back.
+	// lateAnswers holds the beginnings of the answers to held requests.
 	lateAnswers []string
 }
 
@@ -81,7 +80,7 @@
 	return r
 }
 
-// Arm puts a cut in force in place of the one before.
+// Arm sets the cut, replacing the previous one.
 func (r *Relay) Arm(cut Cut) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -89,7 +88,7 @@
 	r.cutsLeft = max(cut.Times, 1)
 }
 
-// Disarm takes the cut back; stalled connections stay stalled.
+// Disarm removes the cut; stalled connections stay stalled.
 func (r *Relay) Disarm() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -103,7 +102,7 @@
 	return r.cutCount
 }
 
-// Release passes on what Hold kept back; nothing can be held after it.
+// Release delivers the held requests; nothing can be held afterwards.
 func (r *Relay) Release() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -114,8 +113,8 @@
 	}
 }
 
-// LateAnswers returns the beginnings of what the back end answered to requests
-// that were held back and released.
+// LateAnswers returns the beginnings of the back end's answers to requests that
+// were held and released.
 func (r *Relay) LateAnswers() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -135,14 +134,14 @@
 	r.lateAnswers = append(r.lateAnswers, string(answer))
 }
 
-// activeCut returns the cut in force, if any.
+// activeCut returns the armed cut, and false if none is left to apply.
 func (r *Relay) activeCut() (Cut, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.cut, r.cutsLeft > 0
 }
 
-// claimCut takes one of the cut's strikes.
+// claimCut reserves one use of the cut; it returns false if none is left.
 func (r *Relay) claimCut() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -167,7 +166,7 @@
 		}
 		backendSide, err := net.Dial("tcp", r.target)
 		if err != nil {
-			// The back end refused, so the router must see a break at once.
+			// The back end refused, so the router must see a reset at once.
 			abort(routerSide)
 			continue
 		}
@@ -208,8 +207,8 @@
 	routerSide, backendSide net.Conn
 
 	mutex sync.Mutex
-	// matched says that the cut holds for this connection; left counts the
-	// bytes that still pass in its direction.
+	// matched is set if the cut applies to this connection; bytesLeft counts the
+	// bytes still to forward in its direction.
 	matched   bool
 	stalled   bool
 	cut       Cut
@@ -218,7 +217,7 @@
 
 const relayBufferBytes = 32 << 10
 
-// forward forwards one half until it ends or is cut.
+// forward copies one direction until it ends or is cut.
 func (c *relayedConnection) forward(direction Direction) {
 	source, sink := c.routerSide, c.backendSide
 	if direction == ToRouter {
@@ -245,7 +244,7 @@
 	}
 }
 
-// hold keeps a request back until the release and delivers it then.
+// hold keeps a request until Release and delivers it then, unless the test is over.
 func (c *relayedConnection) hold(held []byte) {
 	<-c.relay.released
 	if c.relay.ended() {
@@ -264,7 +263,7 @@
 	c.relay.recordLateAnswer(answer[:count])
 }
 
-// admit returns the bytes that pass, and whether the connection is cut then.
+// admit returns the bytes to forward, and whether the connection is cut after them.
 func (c *relayedConnection) admit(direction Direction, data []byte) ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -292,8 +291,8 @@
 	return data[:passed+c.bytesLeft], true
 }
 
-// match looks for the armed cut's text and returns where it begins and ends.
-// A text that two reads share is not found: requests of the proofs are small.
+// match searches for the armed cut's text and returns its start and end. A text
+// split over two reads is not found; the requests of the proofs are small enough.
 func (c *relayedConnection) match(data []byte) (start, end int) {
 	cut, armed := c.relay.activeCut()
 	if !armed {
@@ -307,7 +306,7 @@
 	return start, start + len(cut.Match)
 }
 
-// applyCut does to the connection as the cut says; kept is what does not pass.
+// applyCut applies the cut's action; held is the data that was not forwarded.
 func (c *relayedConnection) applyCut(held []byte) {
 	switch action := c.cut.Action; action {
 	case Stall, Hold:
@@ -324,7 +323,7 @@
 	}
 }
 
-// finish passes the end of one half on, unless the connection is stalled.
+// finish closes the connection when one direction ends, unless it is stalled.
 func (c *relayedConnection) finish() {
 	c.mutex.Lock()
 	stalled := c.stalled
--- a/proofs/harness/stream.go
+++ b/proofs/harness/stream.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// doneData is the end marker of a whole stream.
+	// doneData is the end marker of a complete stream.
 	doneData = "[DONE]"
 	// maxEventBytes bounds one event of a stream.
 	maxEventBytes = 1 << 20
-	// resumePause is waited before a stream is resumed or a request repeated.
+	// resumePause is the wait before a stream is resumed or a request retried.
 	resumePause = 50 * time.Millisecond
 )
 
@@ -25,11 +25,11 @@
 	Prompt    string
 	MaxTokens int
 	// OnText is called after each event with the number of bytes of text so
-	// far. It may block: a slow reader does.
+	// far. It may block, as a slow reader does.
 	OnText func(bytes int)
 }
 
-// Stream sends one model request and reads its stream as far as it goes.
+// Stream sends one model request and reads its stream until it ends or breaks.
 func (c *Caller) Stream(ctx context.Context, router string, modelRequest ModelRequest) Outcome {
 	body, err := json.Marshal(map[string]any{
 		"model": Assistant, "prompt": modelRequest.Prompt, "max_tokens": modelRequest.MaxTokens, "stream": true,
@@ -40,7 +40,7 @@
 	return c.read(ctx, http.MethodPost, router, "/v1/completions", string(body), modelRequest, Outcome{})
 }
 
-// Whole sends one model request that asks for its answer in one piece.
+// Complete sends one model request without streaming.
 func (c *Caller) Complete(ctx context.Context, router string, modelRequest ModelRequest) Outcome {
 	outcome := Outcome{Began: time.Now(), Router: router, Tenant: c.Tenant}
 	defer c.record(&outcome)
@@ -62,14 +62,14 @@
 	return outcome
 }
 
-// Continue resumes a stream that broke, at any router, from its last event.
+// Resume resumes a broken stream at any router, after its last event.
 func (c *Caller) Resume(ctx context.Context, router string, modelRequest ModelRequest, before Outcome) Outcome {
 	return c.read(ctx, http.MethodGet, router, "/v1/streams", "", modelRequest, before)
 }
 
-// StreamWithRetries acts as a proper client: it sends the request to the first router, and
-// resumes or repeats it at the next ones until it has the whole answer, a
-// stated fault that ends the stream, or made all the tries.
+// StreamWithRetries sends the request to the first router and resumes or retries
+// it at the next ones until the answer is complete, the router refuses for good,
+// or no attempts are left.
 func (c *Caller) StreamWithRetries(ctx context.Context, routers []string, modelRequest ModelRequest, attempts int) Outcome {
 	var outcome Outcome
 	for attempt := range attempts {
@@ -88,7 +88,7 @@
 	return outcome
 }
 
-// read makes one exchange; before is what earlier ones brought of the stream.
+// read makes one exchange of a stream; before is the outcome of the previous one.
 func (c *Caller) read(ctx context.Context, method, router, path, body string, modelRequest ModelRequest, before Outcome) Outcome {
 	outcome := Outcome{Began: time.Now(), Router: router, Tenant: c.Tenant, Text: before.Text, LastID: before.LastID}
 	defer c.record(&outcome)
@@ -129,14 +129,14 @@
 	return outcome
 }
 
-// applyEvent adds one event; it returns false for one that cannot be understood.
-func (t *Outcome) applyEvent(event sse.Event) bool {
+// applyEvent adds one event; it returns false if it cannot be decoded.
+func (o *Outcome) applyEvent(event sse.Event) bool {
 	if event.Name == "error" {
-		t.readRefusal(event.Data)
+		o.readRefusal(event.Data)
 		return true
 	}
 	if string(event.Data) == doneData {
-		t.Done = true
+		o.Done = true
 		return true
 	}
 	var part api.Answer
@@ -144,22 +144,22 @@
 		return false
 	}
 	if event.ID != "" {
-		t.LastID = event.ID
+		o.LastID = event.ID
 	}
 	if part.Usage != nil {
-		t.Usage = part.Usage
+		o.Usage = part.Usage
 	}
-	return t.applyChoice(part.Choices[0])
+	return o.applyChoice(part.Choices[0])
 }
 
 // applyChoice adds the text of a choice; it returns false if it has none.
-func (t *Outcome) applyChoice(choice api.Choice) bool {
+func (o *Outcome) applyChoice(choice api.Choice) bool {
 	if choice.FinishReason != nil && *choice.FinishReason != "" {
-		t.Finish = *choice.FinishReason
+		o.Finish = *choice.FinishReason
 	}
 	if choice.Text == nil {
 		return false
 	}
-	t.Text += *choice.Text
+	o.Text += *choice.Text
 	return true
 }
--- a/proofs/helpers_test.go
+++ b/proofs/helpers_test.go
@@ -17,16 +17,16 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// lastingMillis is how long a fault is in force unless it is taken back.
+// lastingMillis is how long a fault is active unless it is cleared.
 const lastingMillis = 60_000
 
-// prompt returns a prompt of a few cache blocks, each with an answer of its
-// own. No two share a block, so that they spread over the engines.
+// prompt returns a prompt of a few cache blocks. No two prompts share an answer
+// or a block, so that they spread over the engines.
 func prompt(label string, number int) string {
 	return fmt.Sprintf("%s order %d: ", label, number) + strings.Repeat("rules of the yard; ", 20)
 }
 
-// longRequest returns a request whose answer has at least so many tokens.
+// longRequest returns a request whose answer has the given number of tokens.
 func longRequest(label string, tokens int) harness.ModelRequest {
 	for number := 0; ; number++ {
 		req := harness.ModelRequest{Prompt: prompt(label, number), MaxTokens: tokens}
@@ -36,39 +36,39 @@
 	}
 }
 
-// requireValidStream fails unless the stream is the whole answer to its request, or
-// a part of it, in order, that does not claim to be whole.
+// requireValidStream fails unless the stream is the complete answer, or a prefix
+// of it that ended with an error or a broken connection.
 func requireValidStream(t *testing.T, req harness.ModelRequest, outcome harness.Outcome) {
 	t.Helper()
 	expected := model.ExpectedText(req.Prompt, req.MaxTokens)
 	switch {
 	case outcome.Done && outcome.Text != expected:
-		t.Errorf("a stream that ended as whole has %d of %d bytes, right so far: %v", len(outcome.Text), len(expected), strings.HasPrefix(expected, outcome.Text))
+		t.Errorf("a stream marked complete has %d of %d bytes, is a prefix: %v", len(outcome.Text), len(expected), strings.HasPrefix(expected, outcome.Text))
 	case outcome.Done && (outcome.Finish == "" || outcome.Usage == nil || outcome.Usage.CompletionTokens*prefix.BytesPerToken != len(expected)):
-		t.Errorf("a whole stream ended with finish reason %q and usage %+v", outcome.Finish, outcome.Usage)
+		t.Errorf("a complete stream ended with finish reason %q and usage %+v", outcome.Finish, outcome.Usage)
 	case !strings.HasPrefix(expected, outcome.Text):
-		t.Errorf("the text is not the beginning of the answer: %d bytes", len(outcome.Text))
+		t.Errorf("the text is not a prefix of the answer: %d bytes", len(outcome.Text))
 	case !outcome.Done && outcome.Refusal == nil && !outcome.Broken:
-		t.Error("a stream ended without its end, without an error and unbroken")
+		t.Error("a stream ended without its end marker, an error or a broken connection")
 	}
 }
 
-// requireComplete fails unless the whole answer came.
+// requireComplete fails unless the stream is the complete answer.
 func requireComplete(t *testing.T, req harness.ModelRequest, outcome harness.Outcome) {
 	t.Helper()
 	requireValidStream(t, req, outcome)
 	if !outcome.Done {
-		t.Errorf("no whole answer: broken %v, refusal %+v, %d bytes", outcome.Broken, outcome.Refusal, len(outcome.Text))
+		t.Errorf("the answer is incomplete: broken %v, refusal %+v, %d bytes", outcome.Broken, outcome.Refusal, len(outcome.Text))
 	}
 }
 
-// lastingFault returns a fault of the platform or an application that stays until
-// it is cleared.
+// lastingFault returns a fault of the platform or an application that is active
+// until it is cleared.
 func lastingFault(service, kind string) faultboard.Fault {
 	return faultboard.Fault{Service: service, Kind: kind, DurationMillis: lastingMillis}
 }
 
-// executionsOf returns the executions under a tenant's idempotency key.
+// executionsOf counts the executions under a tenant's idempotency key.
 func executionsOf(all []application.Execution, outcome harness.Outcome) int {
 	count := 0
 	for _, execution := range all {
@@ -88,8 +88,8 @@
 	return records
 }
 
-// bookUntilAnswered repeats a booking at the routers in turn until an answer
-// comes, as a proper caller does, and returns the last word after the tries.
+// bookUntilAnswered retries a booking at the routers in turn until it is answered
+// or its key is refused as reused, and returns the last outcome.
 func bookUntilAnswered(ctx context.Context, caller *harness.Caller, routers []string, key, body string, attempts int) harness.Outcome {
 	var outcome harness.Outcome
 	for attempt := range attempts {
@@ -102,7 +102,7 @@
 	return outcome
 }
 
-// concurrently runs a function so many times at once and waits for all.
+// concurrently runs a function count times at once and waits for all.
 func concurrently(count int, run func(number int)) {
 	var work sync.WaitGroup
 	for number := range count {
--- a/proofs/history_test.go
+++ b/proofs/history_test.go
@@ -18,21 +18,21 @@
 )
 
 // The bookings of one tenant's key are a register that is written at most once:
-// an execution writes it, and every word a caller is told reads it.
+// an execution writes it, and every outcome of a caller reads it.
 
-// operationKind is what one operation does with the register.
+// operationKind is what one operation does to, or proves about, the register.
 type operationKind int
 
 const (
 	// executionOperation is an execution, from a truth log: the register was empty.
 	executionOperation operationKind = iota
-	// answerOperation names a booking: the register holds it.
+	// answerOperation returned a booking: the register holds it.
 	answerOperation
-	// ranOperation says that the work ran: the register is not empty.
+	// ranOperation was reported as run: the register is not empty.
 	ranOperation
-	// notRunOperation was said with the claim in hand: the register was empty.
+	// notRunOperation was reported by the claim's holder: the register was empty.
 	notRunOperation
-	// unknownOperation says nothing of the register.
+	// unknownOperation proves nothing about the register.
 	unknownOperation
 )
 
@@ -41,7 +41,7 @@
 	key     string
 	kind    operationKind
 	booking string
-	// faultKind is the kind of a refusal, for the reader of a failed history.
+	// faultKind is the kind of a refusal, for the text of a failure.
 	faultKind fault.Kind
 }
 
@@ -76,8 +76,8 @@
 	},
 }
 
-// operationOf returns what a caller's word says of the register. A refusal before
-// the claim was read speaks of this one sending only.
+// operationOf returns what a caller's outcome proves about the register. A refusal
+// before the claim was read proves something about this attempt only.
 func operationOf(outcome harness.Outcome) registerOperation {
 	read := registerOperation{key: registerKey(outcome.Tenant, outcome.Key), kind: unknownOperation, faultKind: outcome.Kind()}
 	switch {
@@ -97,7 +97,7 @@
 	return fmt.Sprintf("%s-%d", execution.Incarnation, execution.Order)
 }
 
-// requireAtMostOnce judges the histories of callers against the executions.
+// requireAtMostOnce checks the histories of callers against the executions.
 func requireAtMostOnce(t *testing.T, executions []application.Execution, callers ...*harness.Caller) {
 	t.Helper()
 	var operations []porcupine.Operation
@@ -121,7 +121,7 @@
 		for _, outcome := range caller.History() {
 			requireOwnAnswer(t, outcome)
 			if outcome.Ran() == fault.RanNo && ran[outcome.RequestID] {
-				t.Errorf("%s was told not run (%s) of a request that ran", outcome.Key, outcome.Kind())
+				t.Errorf("%s was reported not run (%s), but the request ran", outcome.Key, outcome.Kind())
 			}
 			operation := porcupine.Operation{ClientId: number, Input: operationOf(outcome), Call: outcome.Began.UnixNano(), Return: outcome.Ended.UnixNano()}
 			if operation.Input.(registerOperation).kind == unknownOperation {
@@ -132,12 +132,12 @@
 	}
 	for _, part := range bookingRegister.Partition(operations) {
 		if !porcupine.CheckOperations(bookingRegister, part) {
-			t.Errorf("the history of a key is none of a register that is written at most once:\n%s", describe(part))
+			t.Errorf("the history of a key is not that of a register written at most once:\n%s", describe(part))
 		}
 	}
 }
 
-// describe lists the operations of one key in the order of their beginnings.
+// describe lists the operations of one key in the order of their starts.
 func describe(part []porcupine.Operation) string {
 	slices.SortFunc(part, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 	var text strings.Builder
@@ -148,8 +148,8 @@
 	return text.String()
 }
 
-// requireOwnAnswer fails if an answer is that of another tenant, key or body,
-// or a refusal that passes does not say when to come back.
+// requireOwnAnswer fails if an answer belongs to another tenant, key or body, or
+// a temporary refusal has no Retry-After.
 func requireOwnAnswer(t *testing.T, outcome harness.Outcome) {
 	t.Helper()
 	digest := application.Digest(outcome.Tenant, outcome.Key, []byte(outcome.Body))
--- a/proofs/notrun_test.go
+++ b/proofs/notrun_test.go
@@ -18,17 +18,18 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// Marks in the body of a booking that cuts are placed by.
+// Texts in the body of a booking at which connections are cut.
 const (
 	markMiddle = "MIDDLE-OF-BODY"
 	markTail   = "TAIL-OF-BODY"
 )
 
-// markedBody is small enough to leave in one write.
+// markedBody is small enough to be sent in one write.
 var markedBody = strings.Repeat("head ", 100) + markMiddle + strings.Repeat(" rest", 100) + markTail
 
-// requireNotRunTrue fails if a key of which any sending was told "not run" was
-// executed, each key having been sent once; it returns how many were told so.
+// requireNotRunTrue fails if a request that was reported not run was executed, or
+// one reported as run was not executed once. Each key must have been sent once.
+// It returns the number of requests reported not run.
 func requireNotRunTrue(t *testing.T, executions []application.Execution, caller *harness.Caller) (count int) {
 	t.Helper()
 	for _, outcome := range caller.History() {
@@ -37,18 +38,18 @@
 		if outcome.Ran() == fault.RanNo {
 			count++
 			if runs > 0 {
-				t.Errorf("%s was told not run (%s) and ran %d times", outcome.Key, outcome.Kind(), runs)
+				t.Errorf("%s was reported not run (%s) and ran %d times", outcome.Key, outcome.Kind(), runs)
 			}
 		}
 		if outcome.Ran() == fault.RanYes && runs != 1 {
-			t.Errorf("%s was told that it ran, and ran %d times", outcome.Key, runs)
+			t.Errorf("%s was reported as run and ran %d times", outcome.Key, runs)
 		}
 	}
 	return count
 }
 
-// Promise 3: wherever the connection to a back end is cut, "not run" is only
-// said of what did not run.
+// Guards against "not run" for a request that ran, when the connection to its back
+// end is cut at any point.
 func TestNotRunIsTrueWhereverTheConnectionIsCut(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Relayed: true})
@@ -79,18 +80,18 @@
 	c.Await("every execution has ended", c.Idle)
 	executions := c.AllExecutions()
 	requireNotRunTrue(t, executions, caller)
-	struck := 0
+	cuts := 0
 	for _, name := range c.Applications {
-		struck += c.Relay(name).CutCount()
+		cuts += c.Relay(name).CutCount()
 	}
-	t.Logf("sent %d, struck %d, ran %d", sent, struck, len(executions))
+	t.Logf("sent %d, cut %d, ran %d", sent, cuts, len(executions))
 	is := is.New(t)
-	is.True(struck >= 2*len(cases))                             // the cuts did take place
-	is.True(len(executions) > sent/3 && len(executions) < sent) // some of the cut ones ran, some did not
+	is.True(cuts >= 2*len(cases))                               // the cuts took place
+	is.True(len(executions) > sent/3 && len(executions) < sent) // some of the cut requests ran, some did not
 }
 
-// Promise 3: what applications do to a request, up to their planned stop and
-// their death, is told truly; and a request that was refused may run elsewhere.
+// Guards against wrong execution reports when applications refuse, cut, stop or
+// are killed, and against losing a request that another could run.
 func TestNotRunIsTrueWhateverApplicationsDo(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -136,7 +137,7 @@
 	requireAtMostOnce(t, executions, caller)
 	for _, outcome := range caller.History() {
 		if strings.HasPrefix(outcome.Key, "one-killed") || strings.HasPrefix(outcome.Key, "one-leaving") || strings.HasPrefix(outcome.Key, "two-gone") {
-			is.True(outcome.Answered() || outcome.Ran() == fault.RanNo) // nothing that was begun is lost
+			is.True(outcome.Answered() || outcome.Ran() == fault.RanNo) // no started request is lost
 		}
 		if strings.HasPrefix(outcome.Key, "all-gone") {
 			is.Equal(outcome.Ran(), fault.RanNo)
@@ -144,8 +145,8 @@
 	}
 }
 
-// Promise 3: a hold that ends by its limit, racing with places that become
-// free, refuses only what no engine began.
+// Guards against "not run" for a request that an engine started while its hold
+// timed out.
 func TestNotRunIsTrueWhenAHoldEnds(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -166,7 +167,7 @@
 		outcome := caller.Stream(t.Context(), c.RouterURLs()[number%2], harness.ModelRequest{Prompt: prompt("full", number), MaxTokens: 40})
 		is.Equal(outcome.Ran(), fault.RanNo)
 	})
-	// The generation begins, and its first word is lost on the way.
+	// The generation starts, and the connection is reset before its answer.
 	for _, name := range c.Engines {
 		c.ClearFaults(name)
 		c.Relay(name).Arm(harness.Cut{Match: "POST /v1/generate", Direction: harness.ToRouter, Action: harness.Reset, Times: 100})
@@ -190,5 +191,5 @@
 		notRun++
 		is.True(outcome.RequestID != "" && !began[outcome.RequestID])
 	}
-	is.True(notRun > 10 && len(began) > 10) // both sides of the race were met
+	is.True(notRun > 10 && len(began) > 10) // both outcomes of the race occurred
 }
--- a/proofs/observe_test.go
+++ b/proofs/observe_test.go
@@ -17,11 +17,11 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// observeTimeout bounds one exchange of the helpers below.
+// observeTimeout bounds one HTTP exchange of the helpers below.
 const observeTimeout = 2 * time.Second
 
-// exchangeJSON sends JSON, or nothing, and decodes the JSON answer if into is set.
-// It reports whether the answer was a success.
+// exchangeJSON sends body as JSON, decodes the JSON answer if into is set, and
+// reports whether both succeeded.
 func exchangeJSON(ctx context.Context, method, url string, body, into any) bool {
 	ctx, cancel := context.WithTimeout(ctx, observeTimeout)
 	defer cancel()
@@ -44,24 +44,25 @@
 	return into == nil || json.NewDecoder(response.Body).Decode(into) == nil
 }
 
-// routerStatus returns what a router says of itself, if it answers.
+// routerStatus returns a router's status, if it answers.
 func routerStatus(ctx context.Context, c *harness.Cluster, router string) (state status.Router, answered bool) {
 	answered = exchangeJSON(ctx, http.MethodGet, c.URL(router)+status.Path, nil, &state)
 	return state, answered
 }
 
-// awaitEngines waits until every router believes what is wanted of its engines.
+// awaitEngines waits until the condition holds for all engines on every router.
 func awaitEngines(t *testing.T, c *harness.Cluster, what string, wanted func(engine status.Engine) bool) {
 	t.Helper()
 	for _, router := range c.Routers {
-		c.Await(router+" sees that "+what, func() bool {
-			seen, answered := routerStatus(t.Context(), c, router)
-			return answered && len(seen.Engines) > 0 && !slices.ContainsFunc(seen.Engines, func(engine status.Engine) bool { return !wanted(engine) })
+		c.Await(router+" observes that "+what, func() bool {
+			state, answered := routerStatus(t.Context(), c, router)
+			return answered && len(state.Engines) > 0 && !slices.ContainsFunc(state.Engines, func(engine status.Engine) bool { return !wanted(engine) })
 		})
 	}
 }
 
-// setMachinesLeaving makes the platform's machine list say that some are leaving.
+// setMachinesLeaving sets some machines leaving, and all others live, in the
+// platform's machine list.
 func setMachinesLeaving(t *testing.T, c *harness.Cluster, leaving ...string) {
 	t.Helper()
 	var list protocol.MachineList
@@ -79,8 +80,8 @@
 	}
 }
 
-// traffic is callers of both tenants who ask, with the same shared prompts, in
-// turn at every router until they are told to stop.
+// traffic is a set of callers of both tenants that send the same shared prompts to
+// every router in turn until they are stopped.
 type traffic struct {
 	callers []*harness.Caller
 	stop    context.CancelFunc
@@ -119,7 +120,7 @@
 	r.work.Wait()
 }
 
-// answered counts whole answers so far.
+// answered counts complete answers so far.
 func (r *traffic) answered() int {
 	count := 0
 	for _, caller := range r.callers {
@@ -132,13 +133,13 @@
 	return count
 }
 
-// awaitAnswers waits for so many more whole answers.
+// awaitAnswers waits for the given number of further complete answers.
 func (r *traffic) awaitAnswers(c *harness.Cluster, more int) {
 	before := r.answered()
 	c.Await("the callers have more answers", func() bool { return r.answered() >= before+more })
 }
 
-// requestsSentAfter returns the names of requests that were sent after a time.
+// requestsSentAfter returns the ids of requests that were sent after a time.
 func (r *traffic) requestsSentAfter(after time.Time) map[ident.Request]bool {
 	names := map[ident.Request]bool{}
 	for _, caller := range r.callers {
@@ -151,8 +152,8 @@
 	return names
 }
 
-// requireNoStart fails if one of the requests began to run where it must not,
-// and if none of them ran anywhere.
+// requireNoStart fails if one of the requests started where it is forbidden, or if
+// none of them started at all.
 func requireNoStart(t *testing.T, records []truth.Record, requests map[ident.Request]bool, forbidden func(record truth.Record) bool) {
 	t.Helper()
 	started := 0
--- a/proofs/page_test.go
+++ b/proofs/page_test.go
@@ -16,7 +16,7 @@
 	declaredTest = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark)[A-Za-z0-9]+)\(`)
 )
 
-// Every test that the page of proofs names exists.
+// Guards against names of missing tests in docs/PROOFS.md.
 func TestThePageNamesTestsThatExist(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/PROOFS.md")
--- a/proofs/pairs_test.go
+++ b/proofs/pairs_test.go
@@ -13,10 +13,9 @@
 	"github.com/fieldpond/fieldpond/standin/faultplan"
 )
 
-// The pair engine crash and event gap: engines lose half of their cache events
-// and send the others late, and crash and return empty at once, while callers
-// of both tenants share hot prefixes. Every answer is whole, and no generation
-// used a cache entry of another life or tenant.
+// Guards against incomplete answers, and against use of cache entries of another
+// incarnation or tenant, when engines lose and delay cache events and crash under
+// traffic with shared prefixes.
 func TestEngineCrashWithAnEventGap(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -46,6 +45,6 @@
 			is.Equal(used.Tenant, record.Tenant)
 		}
 	}
-	is.Equal(len(incarnations), len(c.Engines)+rounds) // the crashes did take place
+	is.Equal(len(incarnations), len(c.Engines)+rounds) // the crashes took place
 	is.True(reused > 0)                                // and the cache was used
 }
--- a/proofs/plannedstop_test.go
+++ b/proofs/plannedstop_test.go
@@ -16,11 +16,11 @@
 )
 
 // usualGraceTokens makes a stream longer than the ten seconds that process
-// supervisors usually grant before they kill.
+// supervisors usually wait before SIGKILL.
 const usualGraceTokens = 900
 
-// Promise 5: routers are stopped and replaced one by one under load, while
-// streams longer than the usual grace run on each; no request is cut.
+// Guards against cut requests when routers are stopped and replaced one by one
+// under load with streams longer than the usual grace period.
 func TestPlannedStopOfRoutersCutsNoRequest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -53,16 +53,15 @@
 	requireAtMostOnce(t, c.AllExecutions(), callers...)
 }
 
-// sendUntilCancelled streams and books in turn until the load ends; a router that
-// takes no connection or is not ready is passed by, as a proper caller does,
-// and one that says when to come back is left alone until then.
+// sendUntilCancelled streams and books in turn until the load ends. It uses
+// the routers in turn and skips one until its Retry-After has passed.
 func sendUntilCancelled(load context.Context, t *testing.T, c *harness.Cluster, caller *harness.Caller, worker int) {
 	routers := c.RouterURLs()
 	retryAt := make([]time.Time, len(routers))
 	for number := 0; load.Err() == nil; number++ {
 		index := (worker + number) % len(routers)
 		if time.Now().Before(retryAt[index]) {
-			time.Sleep(time.Millisecond) // all of them may be away
+			time.Sleep(time.Millisecond) // all routers may be waiting for their Retry-After
 			continue
 		}
 		outcome := sendOnce(t, caller, routers[index], worker, number)
@@ -72,7 +71,7 @@
 	}
 }
 
-// sendOnce books or streams, by the parity of the number.
+// sendOnce books if the number is even, and streams otherwise.
 func sendOnce(t *testing.T, caller *harness.Caller, router string, worker, number int) harness.Outcome {
 	if number%2 == 0 {
 		return caller.Book(t.Context(), router, fmt.Sprintf("key-%d-%d", worker, number), "{}")
@@ -83,8 +82,8 @@
 	return outcome
 }
 
-// requireNoneCut fails for every request that was taken and not answered whole;
-// it returns the number of whole answers.
+// requireNoneCut fails for every request that was cut, or ended with an error and
+// may have run; it returns the number of complete answers.
 func requireNoneCut(t *testing.T, callers ...*harness.Caller) (answered int) {
 	t.Helper()
 	for _, caller := range callers {
@@ -103,8 +102,8 @@
 	return answered
 }
 
-// Promise 5: an engine and an application are stopped with work running; the
-// work is finished where it runs, and what comes meanwhile goes elsewhere.
+// Guards against cut requests when an engine and an application with running work
+// are stopped: they must finish it, and new work must go elsewhere.
 func TestPlannedStopOfBackendsCutsNoRequest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/proofs/restart_bench_test.go
+++ b/proofs/restart_bench_test.go
@@ -45,7 +45,7 @@
 				c.AwaitServing(c.Routers...)
 			}
 			rounds := float64(b.N)
-			b.ReportMetric(0, "ns/op") // a round's waits say nothing
+			b.ReportMetric(0, "ns/op") // a round consists mostly of waits
 			b.ReportMetric(float64(total.Milliseconds())/rounds, "mean-ms-to-answer")
 			b.ReportMetric(float64(longest.Milliseconds()), "max-ms-to-answer")
 			b.ReportMetric(before/rounds, "hit-before")
--- a/proofs/restart_test.go
+++ b/proofs/restart_test.go
@@ -16,15 +16,14 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// slowPlatform delays everything that the platform does.
+// slowPlatform delays every exchange with the platform.
 var slowPlatform = faultboard.Fault{Kind: platform.FaultSlow, DurationMillis: lastingMillis, DelayMillis: 800}
 
 // platformDown cuts every exchange with the platform.
 var platformDown = lastingFault("", platform.FaultOutage)
 
-// timeToFirstAnswer asks a router that listens until it answers, and returns how long
-// that took. Until then it may only say that it is not ready, and when to come
-// back, and that must be true.
+// timeToFirstAnswer sends requests to a listening router until it answers, and
+// returns the time until then. Every earlier outcome must be a not-ready refusal.
 func timeToFirstAnswer(tb testing.TB, c *harness.Cluster, router, label string) time.Duration {
 	tb.Helper()
 	caller := c.NewCaller(harness.TenantA)
@@ -44,12 +43,12 @@
 func requireNotReady(tb testing.TB, outcome harness.Outcome) {
 	tb.Helper()
 	if outcome.Broken || outcome.Kind() != fault.NotReady || outcome.Ran() != fault.RanNo || outcome.RetryAfter == "" {
-		tb.Errorf("broken %v, told %+v, Retry-After %q", outcome.Broken, outcome.Refusal, outcome.RetryAfter)
+		tb.Errorf("broken %v, refusal %+v, Retry-After %q", outcome.Broken, outcome.Refusal, outcome.RetryAfter)
 	}
 }
 
-// restart kills routers, starts them at the same instant, and returns the
-// longest time from listening to the first answer.
+// restart kills routers, starts them all at once, and returns the longest time
+// from listening to the first answer.
 func restart(tb testing.TB, c *harness.Cluster, label string, routers ...string) time.Duration {
 	tb.Helper()
 	for _, router := range routers {
@@ -70,8 +69,8 @@
 	return longest
 }
 
-// hitRate returns the share of prompt tokens that came from caches, over at
-// most the last count of the long prompts that ended before a time.
+// hitRate returns the share of cached prompt tokens among at most the last count
+// long prompts that finished between two times.
 func hitRate(records []truth.Record, from, until time.Time, count int) float64 {
 	records = slices.SortedFunc(slices.Values(records), func(a, b truth.Record) int { return a.Time.Compare(b.Time) })
 	cached, all := 0, 0
@@ -86,9 +85,9 @@
 	return float64(cached) / float64(max(1, all))
 }
 
-// Promise 2: routers that restart serve at once: with the platform up, slow or
-// down as long as one router that knows the file lives. When none does, with
-// the platform down, they refuse truly and say when to come back.
+// Restarted routers must serve at once, with the platform slow or down too, as long
+// as one running router has the fleet file. If none has it and the platform is
+// down, they must refuse with Retry-After and run nothing.
 func TestRestartedRoutersServeAtOnce(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Routers: 3})
@@ -115,10 +114,10 @@
 			restart(t, c, fmt.Sprint("restart ", number), test.routers...)
 			callers.awaitAnswers(c, 60)
 			after := hitRate(allTruth(c), began, time.Now(), 1000)
-			is.New(t).True(after >= before/2) // engines' caches outlive routers, and are found again
+			is.New(t).True(after >= before/2) // the routers use the engines' caches again
 			c.ClearFaults(harness.Platform)
 			for _, router := range c.Routers {
-				timeToFirstAnswer(t, c, router, fmt.Sprint("again ", number)) // the others went on serving
+				timeToFirstAnswer(t, c, router, fmt.Sprint("again ", number)) // every router serves
 			}
 		})
 	}
@@ -127,8 +126,8 @@
 	t.Run("all at the same instant, the platform down", func(t *testing.T) { restartAllWithoutPlatform(t, c) })
 }
 
-// restartAllWithoutPlatform restarts every router with the platform down: nobody
-// knows in which places a tenant's data may be.
+// restartAllWithoutPlatform restarts every router with the platform down: no router
+// has a fleet file, so none knows the permitted places of a tenant.
 func restartAllWithoutPlatform(t *testing.T, c *harness.Cluster) {
 	c.Inject(harness.Platform, platformDown)
 	for _, router := range c.Routers {
@@ -149,7 +148,7 @@
 	is.New(t).Equal(len(allTruth(c)), starts) // none of it ran
 	for _, outcome := range caller.History() {
 		if outcome.Key != "" && executionsOf(c.AllExecutions(), outcome) > 0 {
-			t.Errorf("%s was told not ready and ran", outcome.Key)
+			t.Errorf("%s was refused as not ready and ran", outcome.Key)
 		}
 	}
 	c.ClearFaults(harness.Platform)
@@ -158,8 +157,7 @@
 	}
 }
 
-// requireOnlyNotReadyRefusals fails if a caller met a refusal other than of a router
-// that was not ready.
+// requireOnlyNotReadyRefusals fails if a caller got any refusal but not-ready.
 func requireOnlyNotReadyRefusals(t *testing.T, callers *traffic) {
 	t.Helper()
 	for _, caller := range callers.callers {
--- a/proofs/simulatedtraffic_test.go
+++ b/proofs/simulatedtraffic_test.go
@@ -12,7 +12,7 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// requestSpec is what one caller asks for.
+// requestSpec is the content of one caller's request.
 type requestSpec struct {
 	tenant   ident.Tenant
 	zones    []ident.Zone
@@ -20,7 +20,7 @@
 	prompt   string
 }
 
-// openRequest is a request between its offer and its end.
+// openRequest is a request that has not ended.
 type openRequest struct {
 	requestSpec
 	router   *simulatedRouter
@@ -28,7 +28,7 @@
 	excluded map[ident.Engine]bool
 }
 
-// inFlightAttempt is one attempt on its way to, or on, an engine.
+// inFlightAttempt is one attempt on its way to, or running on, an engine.
 type inFlightAttempt struct {
 	request *openRequest
 	placed  placement.Placed
@@ -36,49 +36,48 @@
 	first   time.Duration
 }
 
-// dispatchRecord is one decision of a core.
+// dispatchRecord is one placement decision of a core.
 type dispatchRecord struct {
 	at      time.Time
 	attempt attemptID
 	router  string
 	engine  ident.Engine
 	version ident.ModelVersion
-	// credited is the number of prompt tokens that the decision took to be cached.
+	// credited is the number of prompt tokens that the core expected to be cached.
 	credited float64
-	// creditUnfounded is true if the life that the decision expects is not the
-	// engine's present one, or never held the first block of the prompt and was
-	// never sent it.
+	// creditUnfounded is set for a credit if the expected incarnation is not the
+	// engine's current one, or neither held nor was sent the prompt's first block.
 	creditUnfounded bool
-	// endedFor is how long ago the life that the decision expects ended.
+	// endedFor is the time since the end of the expected incarnation, or 0.
 	endedFor time.Duration
 }
 
-// arrival is an attempt that reached an engine, whatever the engine said.
+// arrival is an attempt that reached an engine, accepted or refused.
 type arrival struct {
 	at     time.Time
 	engine ident.Engine
 }
 
-// attemptID is how the truth records name an attempt.
+// attemptID identifies an attempt in the truth records.
 type attemptID struct {
 	request ident.Request
 	number  ident.Attempt
 }
 
-// sentBlock is a block of a chain that was dispatched to one life.
+// sentBlock is a block of a chain that was dispatched to one incarnation.
 type sentBlock struct {
 	incarnation ident.Incarnation
 	hash        prefix.Hash
 }
 
-// sharedPrompt returns a prompt with a long shared part and a short end.
+// sharedPrompt returns a prompt with a long shared prefix and a short unique end.
 func sharedPrompt(shared string, end int) string {
 	const sharedTokens, bytes = 512, prefix.BytesPerToken
 	text := strings.Repeat(shared+" firm policy and regional rules. ", sharedTokens)[:sharedTokens*bytes]
 	return text + fmt.Sprintf(" order number %d", end)
 }
 
-// offerLoad lets callers of two tenants ask for a while, in turn at every router.
+// offerLoad offers requests of two tenants to the routers in turn for the duration.
 func (s *simulation) offerLoad(duration time.Duration) {
 	const pause = 20 * time.Millisecond
 	tenants := []ident.Tenant{"haulier-1", "haulier-2"}
@@ -91,7 +90,7 @@
 	}
 }
 
-// offer hands a request to a router.
+// offer offers a new request to a router.
 func (s *simulation) offer(router *simulatedRouter, spec requestSpec) {
 	s.offered++
 	id := ident.Request(fmt.Sprintf("r-%06d", s.offered))
@@ -99,7 +98,7 @@
 	s.place(id)
 }
 
-// place asks the router for a place for the request's next attempt.
+// place offers the request's next attempt to the router's core.
 func (s *simulation) place(id ident.Request) {
 	open := s.open[id]
 	open.attempts++
@@ -123,7 +122,7 @@
 	return prefix.Namespace{Tenant: w.tenant, Model: "m", Version: version}.Salt()
 }
 
-// applyEffects acts on the effects of one input of a core.
+// applyEffects carries out the effects that a core returned.
 func (s *simulation) applyEffects(router *simulatedRouter, effects placement.Effects) {
 	for _, change := range effects.Changes {
 		router.onChange(change)
@@ -156,43 +155,43 @@
 	for _, hash := range chain {
 		router.sent[sentBlock{incarnation, hash}] = true
 	}
-	started := &inFlightAttempt{request: s.open[placed.Job.Request.ID], placed: placed, sentAt: s.now}
-	s.after(router.dispatchDelay, func() { s.arrive(started) })
+	sentAttempt := &inFlightAttempt{request: s.open[placed.Job.Request.ID], placed: placed, sentAt: s.now}
+	s.after(router.dispatchDelay, func() { s.arrive(sentAttempt) })
 }
 
-// arrive offers an attempt to its engine, as the published protocol says.
-func (s *simulation) arrive(arrived *inFlightAttempt) {
-	chosen, request := arrived.placed.Candidate, arrived.request
+// arrive submits an attempt to its engine with the engine protocol.
+func (s *simulation) arrive(attempt *inFlightAttempt) {
+	chosen, request := attempt.placed.Candidate, attempt.request
 	engine := s.engine(chosen.Endpoint.Engine)
 	if !engine.Alive() {
 		request.excluded[engine.name] = true
-		s.finish(arrived, placement.Result{Unreachable: true})
+		s.finish(attempt, placement.Result{Unreachable: true})
 		return
 	}
 	s.arrivals = append(s.arrivals, arrival{s.now, engine.name})
 	stream, refusal := engine.Submit(s.now, protocol.GenerateRequest{
-		RequestID: arrived.placed.Job.Request.ID, Attempt: arrived.placed.Job.Key.Attempt,
+		RequestID: attempt.placed.Job.Request.ID, Attempt: attempt.placed.Job.Key.Attempt,
 		ExpectedIncarnation: chosen.Endpoint.Incarnation, Tenant: request.tenant, Model: "m",
 		Version: chosen.Version, Salt: request.salt(chosen.Version), Prompt: request.prompt, MaxTokens: 2,
 	})
 	if refusal != nil {
-		request.router.recordRefusal(arrived)
+		request.router.removeRefused(attempt)
 		request.excluded[engine.name] = refusal.Incarnation == chosen.Endpoint.Incarnation
-		s.finish(arrived, placement.Result{Refusal: refusal.Kind, Incarnation: refusal.Incarnation})
+		s.finish(attempt, placement.Result{Refusal: refusal.Kind, Incarnation: refusal.Incarnation})
 		return
 	}
-	request.router.inFlight[stream] = arrived
+	request.router.inFlight[stream] = attempt
 }
 
-// recordRefusal records that a life refused a dispatch and will not hold its blocks.
-func (r *simulatedRouter) recordRefusal(refused *inFlightAttempt) {
-	chosen := refused.placed.Candidate
-	for _, hash := range refused.placed.Job.Request.Chains[chosen.Version] {
+// removeRefused forgets a refused dispatch: its incarnation will not hold the blocks.
+func (r *simulatedRouter) removeRefused(attempt *inFlightAttempt) {
+	chosen := attempt.placed.Candidate
+	for _, hash := range attempt.placed.Job.Request.Chains[chosen.Version] {
 		delete(r.sent, sentBlock{chosen.Endpoint.Incarnation, hash})
 	}
 }
 
-// applyStreamEvent hands an event of a stream to the router that reads it.
+// applyStreamEvent gives a stream event to the router that reads the stream.
 func (s *simulation) applyStreamEvent(event *protocol.StreamEvent) {
 	for _, router := range s.routers {
 		reader := router.inFlight[event.Stream]
@@ -213,13 +212,14 @@
 	}
 }
 
-// finish ends an attempt and, unless it was answered, begins the next one.
-func (s *simulation) finish(over *inFlightAttempt, result placement.Result) {
-	id := over.placed.Job.Request.ID
-	router := over.request.router
-	s.applyEffects(router, router.core.RecordEnd(s.now, over.placed.Job.Key, result))
+// finish ends an attempt and, unless it was answered, starts the next one until
+// virtualAttempts is reached.
+func (s *simulation) finish(attempt *inFlightAttempt, result placement.Result) {
+	id := attempt.placed.Job.Request.ID
+	router := attempt.request.router
+	s.applyEffects(router, router.core.RecordEnd(s.now, attempt.placed.Job.Key, result))
 	answered := result.Refusal == "" && !result.Unreachable && !result.Broken
-	if answered || over.request.attempts == virtualAttempts {
+	if answered || attempt.request.attempts == virtualAttempts {
 		delete(s.open, id)
 		return
 	}
--- a/proofs/simulation_test.go
+++ b/proofs/simulation_test.go
@@ -19,7 +19,7 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// The pace of a simulation. The values are those of the router's settings.
+// Times and limits of a simulation, as in the router's settings.
 const (
 	virtualStep     = 5 * time.Millisecond
 	reportInterval  = 250 * time.Millisecond
@@ -29,63 +29,62 @@
 
 var virtualStart = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
-// simulation runs placement cores against engine models in virtual time. Its
-// verdicts come from the engines' truth records and from the engines' own
-// caches, never from what a core counts.
+// simulation runs placement cores against engine models in virtual time. Tests
+// check the engines' truth records and caches, never the counters of a core.
 type simulation struct {
 	t         *testing.T
 	now       time.Time
 	engines   []*simulatedEngine
 	routers   []*simulatedRouter
 	scheduled []scheduledCall
-	// onStep runs at every step, before the engines are asked.
+	// onStep runs at every step, before the engines advance.
 	onStep func()
 	truth  []truth.Record
 	// dispatches is every decision to dispatch, in order.
 	dispatches []dispatchRecord
 	refused    []placement.Refused
 	open       map[ident.Request]*openRequest
-	// shared names the long shared prompts of the callers.
+	// shared holds the labels of the callers' shared prompts.
 	shared  []string
 	offered int
-	// answered counts requests that got their whole answer.
+	// answered counts requests with a complete answer.
 	answered int
 	// arrivals is every attempt that reached an engine.
 	arrivals []arrival
 }
 
-// scheduledCall is something that happens later.
+// scheduledCall is a call at a later virtual time.
 type scheduledCall struct {
 	at  time.Time
 	run func()
 }
 
-// simulatedEngine is one engine model with the network before it.
+// simulatedEngine is one engine model.
 type simulatedEngine struct {
 	*model.Engine
 	name         ident.Engine
 	zone         ident.Zone
 	incarnations int
-	// endedAt is when the last life ended.
+	// endedAt is when the last incarnation ended.
 	endedAt time.Time
-	// stored holds the blocks that the present life holds.
+	// stored holds the blocks in the current incarnation's cache.
 	stored map[prefix.Hash]bool
 }
 
-// simulatedRouter is one core with the network around it.
+// simulatedRouter is one core with its network conditions.
 type simulatedRouter struct {
 	name string
 	core *placement.Core
-	// reportsLost routers get no load reports, gapped ones lose every second batch of
-	// cache events, and eventless ones lose all.
+	// reportsLost drops all load reports, eventGaps every second batch of cache
+	// events, and eventsLost all of them.
 	reportsLost, eventGaps, eventsLost bool
 	batches                            int
-	// dispatchDelay is how long a dispatch is on its way.
+	// dispatchDelay is the network delay of a dispatch.
 	dispatchDelay time.Duration
 	inFlight      map[ident.Stream]*inFlightAttempt
-	// sent holds the blocks of every chain that was dispatched to a life.
+	// sent holds the blocks of every chain dispatched to an incarnation.
 	sent map[sentBlock]bool
-	// onChange sees every change of an engine's state.
+	// onChange receives every change of an engine's state.
 	onChange func(endpoint.Change)
 }
 
@@ -106,7 +105,7 @@
 	return added
 }
 
-// targets lists the engines as a fleet file would.
+// targets returns the engines as a fleet file lists them.
 func (s *simulation) targets() []endpoint.Target {
 	var targets []endpoint.Target
 	for _, engine := range s.engines {
@@ -124,7 +123,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	believed, err := beliefs.New(beliefs.Config{}, s.now)
+	prefixBeliefs, err := beliefs.New(beliefs.Config{}, s.now)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -133,7 +132,7 @@
 		inFlight: map[ident.Stream]*inFlightAttempt{}, sent: map[sentBlock]bool{},
 	}
 	added.core = placement.New(placement.Config{
-		Scheduler: scheduler, Beliefs: believed, Queue: admission.NewQueue(admission.Config{}),
+		Scheduler: scheduler, Beliefs: prefixBeliefs, Queue: admission.NewQueue(admission.Config{}),
 		Hop: func(ident.Zone) time.Duration { return time.Millisecond },
 	})
 	s.routers = append(s.routers, added)
@@ -141,12 +140,12 @@
 	return added
 }
 
-// after plans something.
+// after schedules a call.
 func (s *simulation) after(delay time.Duration, do func()) {
 	s.scheduled = append(s.scheduled, scheduledCall{s.now.Add(delay), do})
 }
 
-// run lets so much time pass.
+// run advances the virtual time.
 func (s *simulation) run(duration time.Duration) {
 	for end := s.now.Add(duration); s.now.Before(end); {
 		s.now = s.now.Add(virtualStep)
@@ -178,7 +177,7 @@
 	}
 }
 
-// report gives every router the load reports of all engines.
+// report delivers the load reports, or failures, of all engines to every router.
 func (s *simulation) report() {
 	for _, router := range s.routers {
 		for _, engine := range s.engines {
@@ -193,7 +192,7 @@
 	}
 }
 
-// applyOutputs takes in what an engine said and did.
+// applyOutputs advances an engine and applies its outputs.
 func (s *simulation) applyOutputs(engine *simulatedEngine) {
 	for _, output := range engine.Advance(s.now) {
 		switch {
@@ -209,7 +208,7 @@
 	}
 }
 
-// recordTruth keeps a truth record and what the engine's present life holds.
+// recordTruth appends a truth record and updates the engine's stored blocks.
 func (s *simulation) recordTruth(engine *simulatedEngine, record truth.Record) {
 	s.truth = append(s.truth, record)
 	for _, hash := range record.Hashes {
@@ -237,7 +236,7 @@
 	}
 }
 
-// crash ends the engine's life. Open attempts break.
+// crash ends the engine's incarnation. Its attempts break.
 func (s *simulation) crash(engine *simulatedEngine) {
 	engine.Crash(s.now)
 	engine.endedAt = s.now
@@ -252,7 +251,7 @@
 	}
 }
 
-// restart begins the engine's next life, at the same address.
+// restart starts the engine's next incarnation, at the same address.
 func (s *simulation) restart(engine *simulatedEngine) {
 	engine.incarnations++
 	engine.stored = map[prefix.Hash]bool{}
--- a/proofs/streams_test.go
+++ b/proofs/streams_test.go
@@ -17,26 +17,25 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// Streams of the cases below.
+// Number and length of the streams of a case.
 const (
 	streamsPerCase = 6
 	streamTokens   = 60
 )
 
-// Promise 1: whatever engines or connections do to a stream, its caller gets
-// the whole answer in order, as long as one sound engine is left; and with none
-// left it gets a true beginning and an error.
+// Under faults of engines and connections, a caller must get the complete answer
+// while one healthy engine is left, and otherwise a prefix of it and an error.
 func TestStreamsAreWholeUnderFaults(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Relayed: true})
-	faulty := func(kind faultplan.Kind, parameters faultplan.Parameters, engines int) func() {
+	injectFault := func(kind faultplan.Kind, parameters faultplan.Parameters, engines int) func() {
 		return func() {
 			for _, name := range c.Engines[:engines] {
 				c.Inject(name, engine.FaultRequest{Kind: kind, Duration: faultplan.Duration(time.Minute), Parameters: parameters})
 			}
 		}
 	}
-	relayed := func(action harness.Action, after int) func() {
+	armRelays := func(action harness.Action, after int) func() {
 		return func() {
 			for _, name := range c.Engines[:2] {
 				c.Relay(name).Arm(harness.Cut{
@@ -48,29 +47,29 @@
 	all := len(c.Engines)
 	cases := []struct {
 		name string
-		// noWay says that no engine is sound.
-		noWay bool
-		begin func()
+		// allFaulty is set if no engine is healthy.
+		allFaulty bool
+		begin     func()
 	}{
-		{"chunks sent twice", false, faulty(faultplan.DuplicateChunks, faultplan.Parameters{}, all)},
-		{"cut after every few events", false, faulty(faultplan.Cut, faultplan.Parameters{Events: 7}, all)},
-		{"chunks swapped by two engines", false, faulty(faultplan.SwapChunks, faultplan.Parameters{}, 2)},
-		{"chunks swapped by all", true, faulty(faultplan.SwapChunks, faultplan.Parameters{}, all)},
-		{"end event lost by all", true, faulty(faultplan.LoseEnd, faultplan.Parameters{}, all)},
+		{"chunks sent twice", false, injectFault(faultplan.DuplicateChunks, faultplan.Parameters{}, all)},
+		{"cut after every few events", false, injectFault(faultplan.Cut, faultplan.Parameters{Events: 7}, all)},
+		{"chunks swapped by two engines", false, injectFault(faultplan.SwapChunks, faultplan.Parameters{}, 2)},
+		{"chunks swapped by all", true, injectFault(faultplan.SwapChunks, faultplan.Parameters{}, all)},
+		{"end event lost by all", true, injectFault(faultplan.LoseEnd, faultplan.Parameters{}, all)},
 		{"two engines crash", false, func() {
 			for _, name := range c.Engines[:2] {
 				c.Inject(name, engine.FaultRequest{Kind: faultplan.Crash, Duration: faultplan.Duration(300 * time.Millisecond)})
 			}
 		}},
-		{"closed before the answer", false, relayed(harness.Close, 0)},
-		{"closed within the answer", false, relayed(harness.Close, 3000)},
-		{"reset within the answer", false, relayed(harness.Reset, 5000)},
-		{"reset near the end", false, relayed(harness.Reset, 15000)},
+		{"closed before the answer", false, armRelays(harness.Close, 0)},
+		{"closed within the answer", false, armRelays(harness.Close, 3000)},
+		{"reset within the answer", false, armRelays(harness.Reset, 5000)},
+		{"reset near the end", false, armRelays(harness.Reset, 15000)},
 	}
 	for number, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			test.begin()
-			streamConcurrently(t, c, fmt.Sprintf("case %d", number), test.noWay)
+			streamConcurrently(t, c, fmt.Sprintf("case %d", number), test.allFaulty)
 			for _, name := range c.Engines {
 				c.AwaitUp(name)
 				c.ClearFaults(name)
@@ -78,15 +77,15 @@
 			}
 		})
 	}
-	struck := 0
+	cuts := 0
 	for _, name := range c.Engines {
-		struck += c.Relay(name).CutCount()
+		cuts += c.Relay(name).CutCount()
 	}
-	is.New(t).True(struck >= 4) // the cuts did take place
+	is.New(t).True(cuts >= 4) // the cuts took place
 }
 
-// streamConcurrently sends several requests at once and requires every answer whole
-// or, without a way, a true beginning and an error.
+// streamConcurrently sends several requests at once and requires complete answers
+// or, if all engines are faulty, a prefix and an error for each.
 func streamConcurrently(t *testing.T, c *harness.Cluster, label string, allFaulty bool) {
 	t.Helper()
 	caller := c.NewCaller(harness.TenantA)
@@ -95,13 +94,13 @@
 		outcome := caller.Stream(t.Context(), c.RouterURLs()[number%2], req)
 		requireValidStream(t, req, outcome)
 		if outcome.Broken || outcome.Done == allFaulty {
-			t.Errorf("broken %v, whole %v, refusal %+v, %d bytes", outcome.Broken, outcome.Done, outcome.Refusal, len(outcome.Text))
+			t.Errorf("broken %v, complete %v, refusal %+v, %d bytes", outcome.Broken, outcome.Done, outcome.Refusal, len(outcome.Text))
 		}
 	})
 }
 
-// Promise 1: an engine that is killed in the middle of its streams, again and
-// again, costs no caller a part of its answer.
+// Guards against incomplete answers when engines are repeatedly killed during
+// their streams.
 func TestStreamsAreWholeWhenEnginesAreKilled(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{})
@@ -127,10 +126,10 @@
 		c.Restart(killed)
 		c.AwaitServing(c.Routers...)
 	}
-	is.New(t).True(lost >= 3) // each kill did strike a running generation
+	is.New(t).True(lost >= 3) // each kill interrupted a running generation
 }
 
-// killBusy kills an engine with a generation that has begun and not ended.
+// killBusy kills an engine with a running generation and returns its name, or "".
 func killBusy(c *harness.Cluster) string {
 	for _, name := range c.Engines {
 		before := len(c.Truth(name))
@@ -142,8 +141,8 @@
 	return ""
 }
 
-// unfinishedGenerations counts the generations that the engine's last life began and did
-// not end.
+// unfinishedGenerations counts the generations that the engine's last incarnation
+// started and did not end.
 func unfinishedGenerations(records []truth.Record) int {
 	open := map[ident.Stream]bool{}
 	for _, record := range records {
@@ -159,8 +158,8 @@
 	return len(open)
 }
 
-// Promise 1: a caller whose router is killed resumes its stream at the other
-// one, from its last event, and has the whole answer with no part twice.
+// Guards against lost or duplicated text, and against a second generation, when a
+// caller's router is killed and it resumes its stream at the other one.
 func TestStreamsGoOnAtAnotherRouterWhenTheirsIsKilled(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{})
@@ -181,8 +180,8 @@
 			resumed++
 		}
 	}
-	is.New(t).True(resumed > 0) // the kill did break streams that had text
-	// Each answer was generated once: the resumed streams went on, none anew.
+	is.New(t).True(resumed > 0) // the kill broke streams that had text
+	// Each answer was generated once: no resumed stream started a new generation.
 	started := 0
 	for _, record := range allTruth(c) {
 		if record.Kind == truth.Started {
@@ -192,8 +191,8 @@
 	is.New(t).Equal(started, streamsPerCase)
 }
 
-// Promise 1: with the router and the engine of a stream gone, no way is left;
-// the caller is told so, and what it has is a true beginning.
+// When the router and the only engine of a stream are killed, the caller must keep
+// a prefix of the answer and get an error with a retry delay.
 func TestStreamWithoutAWayEndsWithAnError(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Engines: 1})
@@ -217,9 +216,8 @@
 	is.True(outcome.RetryAfter != "" || outcome.Refusal.RetryAfterMillis > 0)
 }
 
-// Promise 1: a caller that stops reading for a while loses nothing. The name of
-// its tenant stands in every event id: it makes the stream larger than all
-// buffers on its way.
+// Guards against lost text when a caller stops reading for a while. Every event id
+// contains the long tenant name, which makes the stream exceed all buffers.
 func TestSlowReaderLosesNothing(t *testing.T) {
 	t.Parallel()
 	verbose := ident.Tenant(strings.Repeat("long-name-", 12))
@@ -235,12 +233,12 @@
 	others := c.NewCaller(harness.TenantB)
 	began := time.Now()
 	requireComplete(t, quick, others.Stream(t.Context(), router, quick))
-	tenth := time.Since(began)
+	quickDuration := time.Since(began)
 	var once sync.Once
 	slow.OnText = func(int) {
 		once.Do(func() {
-			// Not a condition: eight tenths of the stream fill the buffers.
-			time.Sleep(8 * tenth)
+			// There is no condition to await: 80% of the stream fill the buffers.
+			time.Sleep(8 * quickDuration)
 			requireComplete(t, quick, others.Stream(t.Context(), router, quick))
 		})
 	}
--- a/proofs/versionchange_test.go
+++ b/proofs/versionchange_test.go
@@ -27,17 +27,17 @@
 
 const (
 	nextVersion ident.ModelVersion = "v2"
-	// controlLease is the lease of the only group of engines.
+	// controlLease is the control lease of the only engine group.
 	controlLease = "control/" + string(harness.Assistant)
-	// ordersPath begins every request with an order.
+	// ordersPath is the start of every request with an order.
 	ordersPath = "POST /v1/orders"
-	// longStreamTokens makes a stream outlast the first loads of a change.
+	// longStreamTokens makes a stream last longer than the first loads.
 	longStreamTokens = 1000
 	longStreamCount  = 9
 )
 
-// changeConfig is a cluster whose loads are short; the third engine shares the
-// first one's zone.
+// changeConfig describes a cluster with short weight loads; the first and third
+// engine share a zone.
 func changeConfig() harness.Config {
 	return harness.Config{
 		Routers: 3, Engines: 3, Relayed: true,
@@ -47,7 +47,7 @@
 	}
 }
 
-// documentWithVersions returns the fleet file with another version of the model.
+// documentWithVersions returns the fleet file with other versions of the model.
 func documentWithVersions(c *harness.Cluster, version ident.ModelVersion, accepted ...ident.ModelVersion) *fleet.Document {
 	document := *c.Document
 	document.Models = slices.Clone(document.Models)
@@ -62,8 +62,8 @@
 	}
 }
 
-// servedVersions returns the versions that an engine serves, by the records of its
-// truth log so far.
+// servedVersions returns the versions that an engine serves after the given records
+// of its truth log.
 func servedVersions(records []truth.Record) map[ident.ModelVersion]bool {
 	versions := map[ident.ModelVersion]bool{}
 	for _, record := range records {
@@ -81,7 +81,7 @@
 	return versions
 }
 
-// awaitServedVersions waits until each engine serves just these versions.
+// awaitServedVersions waits until each engine serves exactly these versions.
 func awaitServedVersions(c *harness.Cluster, versions ...ident.ModelVersion) {
 	for _, name := range c.Engines {
 		c.Await(fmt.Sprintf("%s serves %v", name, versions), func() bool {
@@ -91,17 +91,17 @@
 	}
 }
 
-// awaitFence waits until each engine has taken an order with the fence.
+// awaitFence waits until each engine has accepted an order with the fence.
 func awaitFence(c *harness.Cluster, fence uint64) {
 	for _, name := range c.Engines {
-		c.Await(fmt.Sprintf("%s has taken an order with fence %d", name, fence), func() bool {
+		c.Await(fmt.Sprintf("%s has accepted an order with fence %d", name, fence), func() bool {
 			return slices.ContainsFunc(c.Truth(name), func(record truth.Record) bool { return record.Fence == fence })
 		})
 	}
 }
 
-// strictLoad is callers who stream and book at some routers without a pause
-// and never ask twice: each request must be answered whole at once.
+// strictLoad is a set of callers that stream and book continuously and never retry:
+// each request must be answered completely.
 type strictLoad struct {
 	callers []*harness.Caller
 	stop    context.CancelFunc
@@ -134,8 +134,8 @@
 	l.work.Wait()
 }
 
-// startLongStreams starts streams that outlast the first loads, and waits until each has
-// begun. The function that it returns waits for their ends.
+// startLongStreams starts streams that last longer than the first loads, and waits
+// until each has started. The returned function waits for their ends.
 func startLongStreams(t *testing.T, c *harness.Cluster) (wait func()) {
 	var work sync.WaitGroup
 	begun := make(chan struct{}, longStreamCount)
@@ -155,16 +155,16 @@
 	return work.Wait
 }
 
-// crashEngineOnOldVersion crashes an engine that generates with the old version while
-// every router believes that both others serve the next version as well.
+// crashEngineOnOldVersion crashes an engine that generates with the old version
+// once every router has observed that both others serve the next one.
 func crashEngineOnOldVersion(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	victim := ""
 	c.Await("one engine is busy with the old version and the others serve the next one", func() bool {
 		known := map[ident.Engine]int{}
 		for _, router := range c.Routers {
-			seen, _ := routerStatus(t.Context(), c, router)
-			for _, engine := range seen.Engines {
+			state, _ := routerStatus(t.Context(), c, router)
+			for _, engine := range state.Engines {
 				if slices.Contains(engine.Loaded, status.Loaded{Model: harness.Model, Version: nextVersion}) {
 					known[engine.Engine]++
 				}
@@ -182,13 +182,13 @@
 	c.Inject(victim, engine.FaultRequest{Kind: faultplan.Crash, Duration: faultplan.Duration(300 * time.Millisecond)})
 }
 
-// withVersion leaves out the records of generations with other versions.
+// withVersion removes the records with other versions.
 func withVersion(records []truth.Record, version ident.ModelVersion) []truth.Record {
 	return slices.DeleteFunc(records, func(record truth.Record) bool { return record.Version != "" && record.Version != version })
 }
 
-// Issue 6, point 4: a rolling change of the model version under load, by two
-// applies, with answers to orders lost and one engine crashing meanwhile.
+// Guards against failed requests, mixed versions and repeated orders during a
+// rolling version change under load with lost order answers and an engine crash.
 func TestVersionChangeUnderLoad(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -222,14 +222,14 @@
 		kinds[record.Kind]++
 	}
 	is.True(reused[harness.ModelVersion] > 0 && reused[nextVersion] > 0) // the caches of both were in use
-	is.True(kinds[truth.Lost] > 0)                                       // the crash struck generations with text
+	is.True(kinds[truth.Lost] > 0)                                       // the crash interrupted generations with text
 	for _, name := range c.Engines {
 		is.Equal(c.Relay(name).CutCount(), 1) // the answer was lost
 	}
 	requireAtMostOnce(t, c.AllExecutions(), load.callers...)
 }
 
-// checkSingleVersion fails for a request whose text came from two versions.
+// checkSingleVersion fails for a request with text of two versions.
 func checkSingleVersion(t *testing.T, records []truth.Record) {
 	t.Helper()
 	versions := map[ident.Request]ident.ModelVersion{}
@@ -244,9 +244,8 @@
 	}
 }
 
-// checkOrders fails if an order took effect twice, or after one with a newer
-// fence, or did once more in one life of an engine, under one fence, what another
-// had done.
+// checkOrders fails if an order was accepted twice or after one with a newer fence,
+// or if two orders with one fence did the same in one incarnation of an engine.
 func checkOrders(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	for _, name := range c.Engines {
@@ -256,29 +255,29 @@
 				continue
 			}
 			if record.Fence < fence {
-				t.Errorf("%s took %s with fence %d after fence %d", name, record.OrderID, record.Fence, fence)
+				t.Errorf("%s accepted %s with fence %d after fence %d", name, record.OrderID, record.Fence, fence)
 			}
 			fence = record.Fence
 			change := fmt.Sprint(record.Incarnation, record.Fence, record.OrderKind, record.Version)
 			if taken[record.OrderID] || changes[change] {
-				t.Errorf("%s took order %s, %s %s, twice", name, record.OrderID, record.OrderKind, record.Version)
+				t.Errorf("%s accepted order %s, %s %s, twice", name, record.OrderID, record.OrderKind, record.Version)
 			}
 			taken[record.OrderID], changes[change] = true, true
 		}
 		if len(taken) == 0 {
-			t.Errorf("%s took no order", name)
+			t.Errorf("%s accepted no order", name)
 		}
 	}
 }
 
-// sortedByTime returns the records of all engines in the order of their times.
+// sortedByTime returns the records in the order of their times.
 func sortedByTime(records []truth.Record) []truth.Record {
 	records = slices.Clone(records)
 	slices.SortStableFunc(records, func(a, b truth.Record) int { return a.Time.Compare(b.Time) })
 	return records
 }
 
-// checkLoadPacing fails if two engines of a zone loaded weights at one time.
+// checkLoadPacing fails if two engines of a zone loaded weights at the same time.
 func checkLoadPacing(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	loading := map[ident.Zone]ident.Engine{}
@@ -287,7 +286,7 @@
 		switch {
 		case record.Kind == truth.OrderTaken && record.OrderKind == string(protocol.OrderLoad):
 			if other := loading[record.Zone]; other != "" {
-				t.Errorf("%s was told to load while %s of the same zone loaded", record.Engine, other)
+				t.Errorf("%s was ordered to load while %s of the same zone loaded", record.Engine, other)
 			}
 			loading[record.Zone] = record.Engine
 			loads++
@@ -300,9 +299,8 @@
 	}
 }
 
-// checkAlwaysServable fails for a moment at which no engine served a version that the
-// file in force accepted. From withdrawn on, if it is set, the old one does not
-// count.
+// checkAlwaysServable fails if at any time no engine served a version that the
+// fleet file accepted. The old version is accepted until withdrawn, if it is set.
 func checkAlwaysServable(t *testing.T, records []truth.Record, withdrawn time.Time) {
 	t.Helper()
 	history := map[ident.Engine][]truth.Record{}
@@ -326,7 +324,8 @@
 	}
 }
 
-// awaitLeaseHolder waits until the lease is held, by its row in the table.
+// awaitLeaseHolder waits until the lease's row in the table has a holder and
+// returns it.
 func awaitLeaseHolder(t *testing.T, c *harness.Cluster) (record lease.Record) {
 	t.Helper()
 	path := "/table/v1/rows/" + url.PathEscape(lease.RowKey(controlLease))
@@ -342,9 +341,9 @@
 	return record
 }
 
-// Issue 6, point 4: the holder of the control lease is frozen past its lease
-// with an order on its way. Both come back during the change, after another
-// holder has fenced the engines.
+// Guards against a stale order: the holder of the control lease is frozen past its
+// lease with an order in flight, and both return after another holder has fenced
+// the engines.
 func TestFrozenHolderOfTheControlLease(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -353,10 +352,10 @@
 	t.Cleanup(func() { checkAlwaysServable(t, allTruth(c), withdrawn) })
 	first := awaitLeaseHolder(t, c)
 	awaitFence(c, first.Fence)
-	held := c.Relay(c.Engines[0])
-	held.Arm(harness.Cut{Match: ordersPath, Before: true, Action: harness.Hold})
+	relay := c.Relay(c.Engines[0])
+	relay.Arm(harness.Cut{Match: ordersPath, Before: true, Action: harness.Hold})
 	requireApplied(t, c, documentWithVersions(c, nextVersion, harness.ModelVersion))
-	c.Await("an order is on its way", func() bool { return held.CutCount() == 1 })
+	c.Await("an order is on its way", func() bool { return relay.CutCount() == 1 })
 	c.Freeze(string(first.Node))
 	var others []string
 	for _, router := range c.Routers {
@@ -373,9 +372,9 @@
 	is.True(second.Fence > first.Fence)
 	awaitFence(c, second.Fence)
 	c.Resume(string(first.Node))
-	held.Release()
-	c.Await("the engine has answered the late order", func() bool { return len(held.LateAnswers()) > 0 })
-	is.True(strings.Contains(held.LateAnswers()[0], string(protocol.RefusalStaleFence)))
+	relay.Release()
+	c.Await("the engine has answered the late order", func() bool { return len(relay.LateAnswers()) > 0 })
+	is.True(strings.Contains(relay.LateAnswers()[0], string(protocol.RefusalStaleFence)))
 	awaitServedVersions(c, harness.ModelVersion, nextVersion)
 	withdrawn = time.Now()
 	requireApplied(t, c, documentWithVersions(c, nextVersion))
