--- a/proofs/cacheprocess_test.go
+++ b/proofs/cacheprocess_test.go
@@ -21,14 +21,14 @@
 // newWeights is the version that replaces harness.ModelVersion.
 const newWeights ident.ModelVersion = "v2"
 
-// cacheRun is a rehearsal with traffic of two tenants who share prompts.
+// cacheRun is a cluster with traffic of two tenants that share prompts.
 type cacheRun struct {
 	*harness.Cluster
 	t       *testing.T
 	callers *traffic
 }
 
-// apply changes the fleet file in force, on every router.
+// apply applies a changed fleet file on every router.
 func (r *cacheRun) apply(change func(document *fleet.Document)) {
 	r.t.Helper()
 	document := *r.Document
@@ -41,34 +41,34 @@
 	r.Document = &document
 }
 
-// streamAcross runs long streams and calls disturb once some have text. Each
-// answer must come whole.
-func (r *cacheRun) streamAcross(disturb func()) {
+// streamDuring runs long streams and calls disturb once one of them has text. No
+// stream may be corrupted.
+func (r *cacheRun) streamDuring(disturb func()) {
 	r.t.Helper()
 	caller := r.NewCaller(harness.TenantA)
 	var once sync.Once
-	together(6, func(number int) {
-		ask := longAsk(fmt.Sprint("long ", number), 120)
-		ask.OnText = func(bytes int) {
+	concurrently(6, func(number int) {
+		req := longRequest(fmt.Sprint("long ", number), 120)
+		req.OnText = func(bytes int) {
 			if bytes > 40 {
 				once.Do(disturb)
 			}
 		}
-		told := caller.Stream(r.t.Context(), r.RouterURLs()[number%2], ask)
-		requireHonest(r.t, ask, told)
+		outcome := caller.Stream(r.t.Context(), r.RouterURLs()[number%2], req)
+		requireValidStream(r.t, req, outcome)
 	})
 }
 
-// Promise 4: on real sockets, what runs reuses blocks of its own tenant, version
-// and engine life only; and files that replace weights or withdraw places bind
-// what begins after their adoption.
+// Guards, with real processes, against reuse of blocks of another tenant, version
+// or incarnation, and against use of weights or zones that the adopted fleet
+// file no longer permits.
 func TestCachesAreNotSharedOnRealSockets(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{PlatformArgs: []string{"--weight-rate", "0", "--weight-gigabytes-per-second", "0"}})
+	c := harness.Start(t, harness.Config{PlatformArgs: []string{"--weight-rate", "0", "--weight-gigabytes-per-second", "0"}})
 	r := &cacheRun{Cluster: c, t: t, callers: startTraffic(t, c)}
 	r.callers.awaitAnswers(c, 60)
 
-	for _, name := range c.Engines { // a crash and a gap in its events
+	for _, name := range c.Engines { // a crash with a gap in the cache events
 		c.Inject(name, engine.FaultRequest{
 			Kind: faultplan.EventLoss, Duration: faultplan.Duration(time.Minute), Parameters: faultplan.Parameters{Probability: 0.5},
 		})
@@ -80,20 +80,20 @@
 	r.callers.awaitAnswers(c, 60)
 
 	r.replaceWeights()
-	r.withdrawPlace()
+	r.withdrawZone()
 	r.callers.end()
 	records := allTruth(c)
-	judgeReuse(t, records)
-	judgeVersions(t, records)
-	is.New(t).True(reusedTokens(records) > 50000) // the caches were truly in use
+	checkReuse(t, records)
+	checkContinuedVersions(t, records)
+	is.New(t).True(reusedTokens(records) > 50000) // the caches were used
 }
 
-// replaceWeights puts new weights in force, which the routers order the engines
-// to load, and crashes an engine while streams of the old ones run; then it takes
-// the old ones away, which the routers order the engines to unload, under load.
+// replaceWeights applies new weights, which the routers order the engines to load,
+// and crashes an engine during streams of the old ones; then it removes the old
+// ones, which the routers order the engines to unload, under load.
 func (r *cacheRun) replaceWeights() {
 	r.t.Helper()
-	r.streamAcross(func() {
+	r.streamDuring(func() {
 		r.apply(func(document *fleet.Document) {
 			document.Models[0].Version, document.Models[0].AcceptVersions = newWeights, []ident.ModelVersion{harness.ModelVersion}
 		})
@@ -105,32 +105,32 @@
 	adopted := time.Now()
 	awaitEngines(r.t, r.Cluster, "no engine has the old weights", func(engine status.Engine) bool { return !has(harness.ModelVersion)(engine) })
 	r.callers.awaitAnswers(r.Cluster, 60)
-	requireNoStart(r.t, allTruth(r.Cluster), r.callers.begunAfter(adopted), func(record truth.Record) bool {
+	requireNoStart(r.t, allTruth(r.Cluster), r.callers.requestsSentAfter(adopted), func(record truth.Record) bool {
 		return record.Version != newWeights
 	})
 }
 
-// has returns a condition on engines that have loaded a version.
+// has returns a condition that holds for engines with the version loaded.
 func has(version ident.ModelVersion) func(engine status.Engine) bool {
 	return func(engine status.Engine) bool {
 		return slices.ContainsFunc(engine.Loaded, func(loaded status.Loaded) bool { return loaded.Version == version })
 	}
 }
 
-// withdrawPlace takes one of two zones away from a tenant.
-func (r *cacheRun) withdrawPlace() {
+// withdrawZone removes one of two zones from a tenant's places.
+func (r *cacheRun) withdrawZone() {
 	r.t.Helper()
 	r.apply(func(document *fleet.Document) { document.Tenants[0].Places = []string{string(harness.ZoneA)} })
 	adopted := time.Now()
 	r.callers.awaitAnswers(r.Cluster, 60)
-	requireNoStart(r.t, allTruth(r.Cluster), r.callers.begunAfter(adopted), func(record truth.Record) bool {
+	requireNoStart(r.t, allTruth(r.Cluster), r.callers.requestsSentAfter(adopted), func(record truth.Record) bool {
 		return record.Tenant == r.Document.Tenants[0].Name && record.Zone != harness.ZoneA
 	})
 }
 
-// judgeVersions requires that all attempts of a request that emitted text had
-// the same version.
-func judgeVersions(t *testing.T, records []truth.Record) {
+// checkContinuedVersions fails if attempts of one request emitted text of several
+// versions, and logs if no request had several attempts with text.
+func checkContinuedVersions(t *testing.T, records []truth.Record) {
 	t.Helper()
 	emitted := map[ident.Request]ident.ModelVersion{}
 	continued := 0
--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -18,15 +18,15 @@
 	"github.com/fieldpond/fieldpond/standin/platform"
 )
 
-// chaosRounds is the number of disturbances; their seed is fixed.
+// chaosRounds is the number of disruptions; their seed is fixed.
 const (
 	chaosRounds = 12
 	chaosSeed   = 20
 )
 
-// disturb kills, restarts, freezes and resumes routers in turn, until all the
-// rounds are over; then every router serves again.
-func disturb(c *harness.Cluster, random *rand.Rand) {
+// disruptRouters restarts or freezes a random router in each round, and waits at
+// the end until every router serves.
+func disruptRouters(c *harness.Cluster, random *rand.Rand) {
 	for range chaosRounds {
 		router := c.Routers[random.IntN(len(c.Routers))]
 		pause := time.Duration(100+random.IntN(500)) * time.Millisecond
@@ -44,12 +44,12 @@
 	c.AwaitServing(c.Routers...)
 }
 
-// Promises 3, 4 and 6 with everything at once: routers die and freeze under
-// bookings, while the table is slow, loses answers and goes down, and the
-// applications refuse, cut and run without an answer.
+// Guards against a second execution and false "not run" reports under combined
+// faults: routers killed and frozen, the table slow, losing answers and down, and
+// applications that refuse, cut, or run without an answer.
 func TestBookingsWhileEverythingFails(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{Routers: 3, RouterSettings: shortClaims})
+	c := harness.Start(t, harness.Config{Routers: 3, RouterSettings: shortClaimTimeouts})
 	for _, name := range c.Applications {
 		for kind, probability := range map[string]float64{
 			application.FaultRefuseFull: 0.15, application.FaultRunThenCut: 0.1, application.FaultCutBefore: 0.1, application.FaultSlow: 0.5,
@@ -67,7 +67,7 @@
 	var work sync.WaitGroup
 	for worker := range 16 {
 		work.Go(func() {
-			// Pairs of workers share their keys and begin at different routers.
+			// Workers share their keys and start at different routers.
 			for number := 0; load.Err() == nil; number++ {
 				key := fmt.Sprintf("key-%d-%d", worker/4, number)
 				routers := c.RouterURLs()
@@ -76,14 +76,14 @@
 			}
 		})
 	}
-	disturb(c, rand.New(rand.NewPCG(chaosSeed, 1)))
+	disruptRouters(c, rand.New(rand.NewPCG(chaosSeed, 1)))
 	endLoad()
 	work.Wait()
 	c.ClearFaults(harness.Platform)
 	for _, name := range c.Applications {
 		c.ClearFaults(name)
 	}
-	requireRepeatsOfNotRunSucceed(t, c, callers...)
+	requireNotRunRetriesSucceed(t, c, callers...)
 	c.Await("every execution has ended", c.Idle)
 	executions := c.AllExecutions()
 	requireAtMostOnce(t, executions, callers...)
@@ -91,14 +91,14 @@
 	is.New(t).True(len(executions) > 20)
 }
 
-// Promise 1 with everything at once: routers die and freeze, engines crash and
-// lose events, connections are cut and chunks come twice.
+// Guards against corrupt streams under combined faults: routers killed and frozen,
+// engines crashing and losing events, connections cut and chunks sent twice.
 func TestStreamsWhileEverythingFails(t *testing.T) {
 	t.Parallel()
 	plan := filepath.Join(t.TempDir(), "faults.yaml")
 	is := is.New(t)
 	is.NoErr(os.WriteFile(plan, crashPlan(20, 700*time.Millisecond), 0o600))
-	c := harness.Start(t, harness.Shape{Routers: 3, Relayed: true, EngineArgs: []string{"--event-loss", "0.3", "--faults", plan}})
+	c := harness.Start(t, harness.Config{Routers: 3, Relayed: true, EngineArgs: []string{"--event-loss", "0.3", "--faults", plan}})
 	for number, name := range c.Engines {
 		c.Relay(name).Arm(harness.Cut{
 			Match: "POST /v1/generate", Direction: harness.ToRouter, After: 3000 + 2000*number, Action: harness.Reset, Times: 10,
@@ -112,29 +112,29 @@
 	for worker := range 9 {
 		work.Go(func() {
 			for number := 0; load.Err() == nil; number++ {
-				ask := harness.Ask{Prompt: prompt(fmt.Sprintf("worker %d", worker), number), MaxTokens: streamTokens}
+				req := harness.ModelRequest{Prompt: prompt(fmt.Sprintf("worker %d", worker), number), MaxTokens: streamTokens}
 				routers := c.RouterURLs()
 				first := (worker + number) % len(routers)
-				told := caller.AskAll(t.Context(), append(routers[first:], routers[:first]...), ask, 8)
-				requireHonest(t, ask, told)
+				outcome := caller.StreamWithRetries(t.Context(), append(routers[first:], routers[:first]...), req, 8)
+				requireValidStream(t, req, outcome)
 				mutex.Lock()
 				all++
-				if told.Done {
+				if outcome.Done {
 					whole++
 				}
 				mutex.Unlock()
 			}
 		})
 	}
-	disturb(c, rand.New(rand.NewPCG(chaosSeed, 2)))
+	disruptRouters(c, rand.New(rand.NewPCG(chaosSeed, 2)))
 	endLoad()
 	work.Wait()
-	t.Logf("%d of %d answers were whole, the others ended with an error", whole, all)
+	t.Logf("%d of %d answers were complete, the others ended with an error", whole, all)
 	is.True(whole > all/2)
 }
 
-// crashPlan returns a fault plan in which every engine sends its chunks twice
-// and the three crash in turn, each to come back empty at once.
+// crashPlan returns a fault plan in which every engine sends its chunks twice and
+// the three engines crash in turn, each restarting with an empty cache.
 func crashPlan(crashes int, every time.Duration) []byte {
 	plan := "faults:\n  - {at: 0s, target: \"engine-*\", kind: duplicate_chunks}\n"
 	for number := 1; number <= crashes; number++ {
--- a/proofs/harness/cluster.go
+++ b/proofs/harness/cluster.go
@@ -20,34 +20,34 @@
 	"github.com/fieldpond/fieldpond/standin/deployment"
 )
 
-// Limits of waits; no test passes or fails by how fast a condition comes true.
+// Limits of waits; no test depends on how soon a condition holds.
 const (
 	// WaitLimit bounds every wait for a condition.
 	WaitLimit = 30 * time.Second
 	waitPause = 10 * time.Millisecond
-	// probeTimeout bounds one look at a process.
+	// probeTimeout bounds one HTTP exchange with a process.
 	probeTimeout = 2 * time.Second
 )
 
-// clusterKey is shared by the routers of a rehearsal.
+// clusterKey is shared by the routers of a cluster.
 const clusterKey = "proofs-only-cluster-key-0123456789abcdef"
 
-// Shape says what to start. Zero numbers take the defaults.
-type Shape struct {
+// Config describes the cluster to start. Zero numbers take the defaults.
+type Config struct {
 	// Routers, Engines and Applications are numbers of processes. Defaults: 2,
-	// 3, 2.
+	// 3 and 2.
 	Routers, Engines, Applications int
-	// Relayed puts a Relay before every back end.
+	// Relayed puts a Relay in front of every back end.
 	Relayed bool
 	// RouterSettings is YAML added to every router's settings file.
 	RouterSettings string
-	// EngineArgs, ApplicationArgs and PlatformArgs are further flags.
+	// EngineArgs, ApplicationArgs and PlatformArgs are extra flags.
 	EngineArgs, ApplicationArgs, PlatformArgs []string
 	// Edit changes the fleet file before anything starts.
 	Edit func(document *fleet.Document)
 }
 
-func (s Shape) withDefaults() Shape {
+func (s Config) withDefaults() Config {
 	for number, fallback := range map[*int]int{&s.Routers: 2, &s.Engines: 3, &s.Applications: 2} {
 		if *number == 0 {
 			*number = fallback
@@ -56,10 +56,10 @@
 	return s
 }
 
-// Cluster is a running rehearsal.
+// Cluster is a set of real processes that a test runs.
 type Cluster struct {
-	// Document is the fleet file that was applied first. Back end addresses
-	// are those of the relays, if there are any.
+	// Document is the first fleet file. Its back end addresses are those of the
+	// relays, if there are any.
 	Document *fleet.Document
 	// Routers, Engines and Applications are the names of the processes.
 	Routers, Engines, Applications []string
@@ -73,11 +73,11 @@
 // Platform is the name of the platform's process.
 const Platform = "platform"
 
-// Start starts a rehearsal and puts its fleet file in force on every router.
-// All of it ends with the test.
-func Start(tb testing.TB, shape Shape) *Cluster {
+// Start starts a cluster and applies its fleet file on every router. All
+// processes end with the test.
+func Start(tb testing.TB, config Config) *Cluster {
 	tb.Helper()
-	c := Prepare(tb, shape)
+	c := Prepare(tb, config)
 	names := append([]string{Platform}, c.Engines...)
 	names = append(append(names, c.Applications...), c.Routers...)
 	for _, name := range names {
@@ -93,37 +93,37 @@
 	return c
 }
 
-// Prepare works out a rehearsal without starting any process.
-func Prepare(tb testing.TB, shape Shape) *Cluster {
+// Prepare plans a cluster and writes its files, without starting any process.
+func Prepare(tb testing.TB, config Config) *Cluster {
 	tb.Helper()
-	shape = shape.withDefaults()
+	config = config.withDefaults()
 	ports := reservePorts(tb)
 	c := &Cluster{
 		tb: tb, directory: tb.TempDir(), processes: map[string]*process{}, relays: map[string]*Relay{},
-		Document: newDocument(shape, ports),
+		Document: newDocument(config, ports),
 	}
-	tb.Cleanup(c.end)
-	if shape.Edit != nil {
-		shape.Edit(c.Document)
+	tb.Cleanup(c.stop)
+	if config.Edit != nil {
+		config.Edit(c.Document)
 	}
 	plan, err := deployment.New(c.Document, deployment.Options{
-		Directory: c.directory, Routers: shape.Routers, Host: host, FirstPort: ports.next, Seed: 1, ClusterKey: clusterKey,
+		Directory: c.directory, Routers: config.Routers, Host: host, FirstPort: ports.next, Seed: 1, ClusterKey: clusterKey,
 	})
 	if err != nil {
-		tb.Fatalf("planning the rehearsal: %v", err)
+		tb.Fatalf("planning the cluster: %v", err)
 	}
-	for range 1 + 2*shape.Routers {
-		ports.take()
+	for range 1 + 2*config.Routers {
+		ports.allocate()
 	}
-	c.writeFiles(plan, shape)
-	c.addProcesses(plan, shape)
-	if shape.Relayed {
+	c.writeFiles(plan, config)
+	c.addProcesses(plan, config)
+	if config.Relayed {
 		c.addRelays(ports)
 	}
 	return c
 }
 
-func (c *Cluster) writeFiles(plan *deployment.Plan, shape Shape) {
+func (c *Cluster) writeFiles(plan *deployment.Plan, config Config) {
 	settings := map[string]bool{}
 	for _, router := range plan.Routers {
 		settings[filepath.Join(c.directory, router.Name+".yaml")] = true
@@ -131,23 +131,23 @@
 	for _, file := range plan.Files {
 		data := file.Data
 		if settings[file.Path] {
-			data = append(data, shape.RouterSettings...)
+			data = append(data, config.RouterSettings...)
 		}
 		if err := os.WriteFile(file.Path, data, 0o600); err != nil {
-			c.tb.Fatalf("writing the files of the rehearsal: %v", err)
+			c.tb.Fatalf("writing the files of the cluster: %v", err)
 		}
 	}
 }
 
-func (c *Cluster) addProcesses(plan *deployment.Plan, shape Shape) {
-	c.add(plan.Platform, shape.PlatformArgs)
+func (c *Cluster) addProcesses(plan *deployment.Plan, config Config) {
+	c.add(plan.Platform, config.PlatformArgs)
 	for _, engine := range plan.Engines {
 		c.Engines = append(c.Engines, engine.Name)
-		c.add(engine, append([]string{"--truth", c.truthFile(engine.Name)}, shape.EngineArgs...))
+		c.add(engine, append([]string{"--truth", c.truthFile(engine.Name)}, config.EngineArgs...))
 	}
 	for _, application := range plan.Applications {
 		c.Applications = append(c.Applications, application.Name)
-		c.add(application, append([]string{"--truth", c.truthFile(application.Name)}, shape.ApplicationArgs...))
+		c.add(application, append([]string{"--truth", c.truthFile(application.Name)}, config.ApplicationArgs...))
 	}
 	for _, router := range plan.Routers {
 		c.Routers = append(c.Routers, router.Name)
@@ -155,8 +155,8 @@
 	}
 }
 
-func (c *Cluster) add(planned deployment.Process, more []string) {
-	planned.Args = append(planned.Args, more...)
+func (c *Cluster) add(planned deployment.Process, extraArgs []string) {
+	planned.Args = append(planned.Args, extraArgs...)
 	c.processes[planned.Name] = &process{Process: planned, log: filepath.Join(c.directory, planned.Name+".log")}
 }
 
@@ -164,7 +164,8 @@
 	return filepath.Join(c.directory, backend+".truth")
 }
 
-// addRelays puts a relay before every back end and its address into the file.
+// addRelays puts a relay in front of every back end and its address into the
+// fleet file.
 func (c *Cluster) addRelays(ports *portBlock) {
 	for index := range c.Document.Engines {
 		engine := &c.Document.Engines[index]
@@ -177,13 +178,13 @@
 }
 
 func (c *Cluster) addRelay(name, target string, ports *portBlock) string {
-	relay := newRelay(c.tb, addressOf(ports.take()), target)
+	relay := newRelay(c.tb, addressOf(ports.allocate()), target)
 	c.relays[name] = relay
 	return relay.address
 }
 
-// end kills what still runs and, if the test failed, shows the logs.
-func (c *Cluster) end() {
+// stop kills the processes and, if the test failed, prints the ends of their logs.
+func (c *Cluster) stop() {
 	for _, process := range c.processes {
 		process.kill()
 	}
@@ -210,29 +211,29 @@
 // Kill ends a process with SIGKILL.
 func (c *Cluster) Kill(name string) { c.process(name).kill() }
 
-// Restart starts a process that has ended, at its old address, and waits until
-// it serves HTTP.
+// Restart starts an ended process at its old address and waits until it serves
+// HTTP.
 func (c *Cluster) Restart(name string) {
 	c.Launch(name)
 	c.AwaitUp(name)
 }
 
-// Terminate sends SIGTERM, waits for the end and returns the exit code.
+// Terminate sends SIGTERM, waits for the exit and returns the exit code.
 func (c *Cluster) Terminate(name string) int {
 	c.tb.Helper()
 	c.Signal(name, syscall.SIGTERM)
-	return c.AwaitEnd(name)
+	return c.AwaitExit(name)
 }
 
 // Signal sends a signal to a process.
 func (c *Cluster) Signal(name string, signal syscall.Signal) { c.process(name).signal(signal) }
 
-// AwaitEnd waits for the end of a process and returns its exit code.
-func (c *Cluster) AwaitEnd(name string) int {
+// AwaitExit waits until a process exits and returns its exit code.
+func (c *Cluster) AwaitExit(name string) int {
 	c.tb.Helper()
-	code, ended := c.process(name).wait(WaitLimit)
-	if !ended {
-		c.tb.Fatalf("%s has not ended", name)
+	code, exited := c.process(name).wait(WaitLimit)
+	if !exited {
+		c.tb.Fatalf("%s has not exited", name)
 	}
 	return code
 }
@@ -240,7 +241,7 @@
 // Freeze stops a process with SIGSTOP; its connections stay open.
 func (c *Cluster) Freeze(name string) { c.Signal(name, syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on.
+// Resume continues a frozen process with SIGCONT.
 func (c *Cluster) Resume(name string) { c.Signal(name, syscall.SIGCONT) }
 
 // URL returns the base URL of a process's HTTP listener.
@@ -255,23 +256,23 @@
 	return urls
 }
 
-// Relay returns the relay before a back end.
+// Relay returns the relay in front of a back end.
 func (c *Cluster) Relay(name string) *Relay {
 	c.tb.Helper()
 	relay, known := c.relays[name]
 	if !known {
-		c.tb.Fatalf("there is no relay before %q; set Shape.Relayed", name)
+		c.tb.Fatalf("there is no relay in front of %q; set Config.Relayed", name)
 	}
 	return relay
 }
 
-// Apply puts a fleet file in force by the operator's command and waits until
-// the live routers have it. It returns the command's output.
+// Apply runs the apply command, waits until the live routers have adopted the
+// fleet file, and returns the command's output.
 func (c *Cluster) Apply(document *fleet.Document) (string, error) {
 	return c.RunApply(document, "--wait", "--routers", strings.Join(c.routerAddresses(), ","))
 }
 
-// RunApply runs the operator's command with further flags.
+// RunApply runs the apply command with extra flags and returns its output.
 func (c *Cluster) RunApply(document *fleet.Document, flags ...string) (string, error) {
 	encoded, err := yaml.Marshal(document)
 	if err != nil {
@@ -279,14 +280,14 @@
 	}
 	file, err := os.CreateTemp(c.directory, "fleet-*.yaml")
 	if err != nil {
-		return "", fmt.Errorf("making the fleet file: %w", err)
+		return "", fmt.Errorf("creating the fleet file: %w", err)
 	}
 	defer func() { _ = file.Close() }()
 	if _, err := file.Write(encoded); err != nil {
 		return "", fmt.Errorf("writing the fleet file: %w", err)
 	}
 	arguments := append([]string{"apply", "-f", file.Name(), "--platform", c.URL(Platform)}, flags...)
-	output, err := exec.Command(pathOf(deployment.ProgramRouter), arguments...).CombinedOutput()
+	output, err := exec.Command(programPath(deployment.ProgramRouter), arguments...).CombinedOutput()
 	return string(output), err
 }
 
@@ -298,13 +299,13 @@
 	return addresses
 }
 
-// Await waits until a condition holds and fails the test if it never does.
+// Await waits until a condition holds and fails the test after WaitLimit.
 func (c *Cluster) Await(what string, condition func() bool) {
 	c.tb.Helper()
 	limit := time.Now().Add(WaitLimit)
 	for !condition() {
 		if time.Now().After(limit) {
-			c.tb.Fatalf("waited in vain until %s", what)
+			c.tb.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(waitPause)
 	}
@@ -323,14 +324,14 @@
 	c.Await(name+" serves HTTP", func() bool { return c.probe(name, path, nil) })
 }
 
-// AwaitServing waits until routers have a fleet file in force and believe
-// every engine of it that is not leaving to be alive.
+// AwaitServing waits until routers have adopted a fleet file and consider all
+// its engines that are not draining alive.
 func (c *Cluster) AwaitServing(routers ...string) {
 	c.tb.Helper()
 	for _, router := range routers {
 		c.Await(router+" knows every engine", func() bool {
-			var seen status.Router
-			return c.probe(router, "/readyz", nil) && c.probe(router, "/status.json", &seen) && allAlive(seen.Engines)
+			var state status.Router
+			return c.probe(router, "/readyz", nil) && c.probe(router, "/status.json", &state) && allAlive(state.Engines)
 		})
 	}
 }
@@ -344,8 +345,8 @@
 	return len(engines) > 0
 }
 
-// probe gets a path of a process, decodes its JSON if into is set, and reports
-// whether that worked.
+// probe requests a path of a process, decodes its JSON if into is set, and
+// reports whether both succeeded.
 func (c *Cluster) probe(name, path string, into any) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
--- a/proofs/notrun_test.go
+++ b/proofs/notrun_test.go
@@ -18,40 +18,41 @@
 	"github.com/fieldpond/fieldpond/standin/truth"
 )
 
-// Marks in the body of a booking that cuts are placed by.
+// Texts in the body of a booking at which connections are cut.
 const (
 	markMiddle = "MIDDLE-OF-BODY"
 	markTail   = "TAIL-OF-BODY"
 )
 
-// markedBody is small enough to leave in one write.
+// markedBody is small enough to be sent in one write.
 var markedBody = strings.Repeat("head ", 100) + markMiddle + strings.Repeat(" rest", 100) + markTail
 
-// requireTrueNotRun fails if a key of which any sending was told "not run" was
-// executed, each key having been sent once; it returns how many were told so.
-func requireTrueNotRun(t *testing.T, executions []application.Execution, caller *harness.Caller) (count int) {
+// requireNotRunTrue fails if a request that was reported not run was executed, or
+// one reported as run was not executed once. Each key must have been sent once.
+// It returns the number of requests reported not run.
+func requireNotRunTrue(t *testing.T, executions []application.Execution, caller *harness.Caller) (count int) {
 	t.Helper()
-	for _, told := range caller.History() {
-		requireOwnAnswer(t, told)
-		runs := executionsOf(executions, told)
-		if told.Ran() == fault.RanNo {
+	for _, outcome := range caller.History() {
+		requireOwnAnswer(t, outcome)
+		runs := executionsOf(executions, outcome)
+		if outcome.Ran() == fault.RanNo {
 			count++
 			if runs > 0 {
-				t.Errorf("%s was told not run (%s) and ran %d times", told.Key, told.Kind(), runs)
+				t.Errorf("%s was reported not run (%s) and ran %d times", outcome.Key, outcome.Kind(), runs)
 			}
 		}
-		if told.Ran() == fault.RanYes && runs != 1 {
-			t.Errorf("%s was told that it ran, and ran %d times", told.Key, runs)
+		if outcome.Ran() == fault.RanYes && runs != 1 {
+			t.Errorf("%s was reported as run and ran %d times", outcome.Key, runs)
 		}
 	}
 	return count
 }
 
-// Promise 3: wherever the connection to a back end is cut, "not run" is only
-// said of what did not run.
+// Guards against "not run" for a request that ran, when the connection to its back
+// end is cut at any point.
 func TestNotRunIsTrueWhereverTheConnectionIsCut(t *testing.T) {
 	t.Parallel()
-	c := harness.Start(t, harness.Shape{Relayed: true})
+	c := harness.Start(t, harness.Config{Relayed: true})
 	cases := []struct {
 		name string
 		cut  harness.Cut
@@ -70,7 +71,7 @@
 				test.cut.Action, test.cut.Times = action, 2
 				c.Relay(name).Arm(test.cut)
 			}
-			together(6, func(number int) {
+			concurrently(6, func(number int) {
 				caller.Book(t.Context(), c.RouterURLs()[number%2], fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(test.name, " ", "-"), action, number), markedBody)
 			})
 			sent += 6
@@ -78,46 +79,46 @@
 	}
 	c.Await("every execution has ended", c.Idle)
 	executions := c.AllExecutions()
-	requireTrueNotRun(t, executions, caller)
-	struck := 0
+	requireNotRunTrue(t, executions, caller)
+	cuts := 0
 	for _, name := range c.Applications {
-		struck += c.Relay(name).Struck()
+		cuts += c.Relay(name).CutCount()
 	}
-	t.Logf("sent %d, struck %d, ran %d", sent, struck, len(executions))
+	t.Logf("sent %d, cut %d, ran %d", sent, cuts, len(executions))
 	is := is.New(t)
-	is.True(struck >= 2*len(cases))                             // the cuts did take place
-	is.True(len(executions) > sent/3 && len(executions) < sent) // some of the cut ones ran, some did not
+	is.True(cuts >= 2*len(cases))                               // the cuts took place
+	is.True(len(executions) > sent/3 && len(executions) < sent) // some of the cut requests ran, some did not
 }
 
-// Promise 3: what applications do to a request, up to their planned stop and
-// their death, is told truly; and a request that was refused may run elsewhere.
+// Guards against wrong execution reports when applications refuse, cut, stop or
+// are killed, and against losing a request that another could run.
 func TestNotRunIsTrueWhateverApplicationsDo(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{Applications: 3, ApplicationArgs: []string{"--execute-millis", "30"}})
+	c := harness.Start(t, harness.Config{Applications: 3, ApplicationArgs: []string{"--execute-millis", "30"}})
 	caller := c.NewCaller(harness.TenantA)
 	send := func(label string) {
-		together(12, func(number int) {
+		concurrently(12, func(number int) {
 			caller.Book(t.Context(), c.RouterURLs()[number%2], fmt.Sprintf("%s-%d", label, number), "{}")
 		})
 	}
 	for _, kind := range []string{application.FaultRefuseFull, application.FaultRunThenCut, application.FaultCutBefore} {
-		c.Inject(c.Applications[0], lasting(application.ServiceApplication, kind))
+		c.Inject(c.Applications[0], lastingFault(application.ServiceApplication, kind))
 		send("one-" + kind)
 		for _, name := range c.Applications {
-			c.Inject(name, lasting(application.ServiceApplication, kind))
+			c.Inject(name, lastingFault(application.ServiceApplication, kind))
 		}
 		send("all-" + kind)
 		for _, name := range c.Applications {
 			c.ClearFaults(name)
 		}
 	}
-	for _, told := range caller.History() {
-		if strings.HasPrefix(told.Key, "all-"+application.FaultRefuseFull) {
-			is.Equal(told.Ran(), fault.RanNo)
+	for _, outcome := range caller.History() {
+		if strings.HasPrefix(outcome.Key, "all-"+application.FaultRefuseFull) {
+			is.Equal(outcome.Ran(), fault.RanNo)
 		}
-		if strings.HasPrefix(told.Key, "all-"+application.FaultRunThenCut) {
-			is.Equal(told.Ran(), fault.RanUnknown)
+		if strings.HasPrefix(outcome.Key, "all-"+application.FaultRunThenCut) {
+			is.Equal(outcome.Ran(), fault.RanUnknown)
 		}
 	}
 	c.Kill(c.Applications[2])
@@ -132,48 +133,48 @@
 	c.Kill(c.Applications[0])
 	send("all-gone")
 	executions := c.AllExecutions()
-	is.True(requireTrueNotRun(t, executions, caller) >= 24) // "all refuse" and "all gone"
+	is.True(requireNotRunTrue(t, executions, caller) >= 24) // "all refuse" and "all gone"
 	requireAtMostOnce(t, executions, caller)
-	for _, told := range caller.History() {
-		if strings.HasPrefix(told.Key, "one-killed") || strings.HasPrefix(told.Key, "one-leaving") || strings.HasPrefix(told.Key, "two-gone") {
-			is.True(told.Answered() || told.Ran() == fault.RanNo) // nothing that was begun is lost
+	for _, outcome := range caller.History() {
+		if strings.HasPrefix(outcome.Key, "one-killed") || strings.HasPrefix(outcome.Key, "one-leaving") || strings.HasPrefix(outcome.Key, "two-gone") {
+			is.True(outcome.Answered() || outcome.Ran() == fault.RanNo) // no started request is lost
 		}
-		if strings.HasPrefix(told.Key, "all-gone") {
-			is.Equal(told.Ran(), fault.RanNo)
+		if strings.HasPrefix(outcome.Key, "all-gone") {
+			is.Equal(outcome.Ran(), fault.RanNo)
 		}
 	}
 }
 
-// Promise 3: a hold that ends by its limit, racing with places that become
-// free, refuses only what no engine began.
+// Guards against "not run" for a request that an engine started while its hold
+// timed out.
 func TestNotRunIsTrueWhenAHoldEnds(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	c := harness.Start(t, harness.Shape{
+	c := harness.Start(t, harness.Config{
 		Engines: 2, Relayed: true, EngineArgs: []string{"--max-running", "1", "--max-waiting", "1", "--token-millis", "5"},
 		Edit: func(document *fleet.Document) { document.Classes[0].MaxHold = 400 * time.Millisecond },
 	})
 	caller := c.NewCaller(harness.TenantA)
-	together(40, func(number int) {
+	concurrently(40, func(number int) {
 		time.Sleep(time.Duration(number) * 25 * time.Millisecond)
-		ask := harness.Ask{Prompt: prompt("held", number), MaxTokens: 40}
-		requireHonest(t, ask, caller.Stream(t.Context(), c.RouterURLs()[number%2], ask))
+		req := harness.ModelRequest{Prompt: prompt("held", number), MaxTokens: 40}
+		requireValidStream(t, req, caller.Stream(t.Context(), c.RouterURLs()[number%2], req))
 	})
 	for _, name := range c.Engines {
 		c.Inject(name, engine.FaultRequest{Kind: faultplan.RefuseFull, Duration: faultplan.Duration(time.Minute)})
 	}
-	together(6, func(number int) {
-		told := caller.Stream(t.Context(), c.RouterURLs()[number%2], harness.Ask{Prompt: prompt("full", number), MaxTokens: 40})
-		is.Equal(told.Ran(), fault.RanNo)
+	concurrently(6, func(number int) {
+		outcome := caller.Stream(t.Context(), c.RouterURLs()[number%2], harness.ModelRequest{Prompt: prompt("full", number), MaxTokens: 40})
+		is.Equal(outcome.Ran(), fault.RanNo)
 	})
-	// The generation begins, and its first word is lost on the way.
+	// The generation starts, and the connection is reset before its answer.
 	for _, name := range c.Engines {
 		c.ClearFaults(name)
 		c.Relay(name).Arm(harness.Cut{Match: "POST /v1/generate", Direction: harness.ToRouter, Action: harness.Reset, Times: 100})
 	}
-	together(6, func(number int) {
-		told := caller.Stream(t.Context(), c.RouterURLs()[number%2], harness.Ask{Prompt: prompt("cut", number), MaxTokens: 40})
-		is.True(told.Refusal != nil)
+	concurrently(6, func(number int) {
+		outcome := caller.Stream(t.Context(), c.RouterURLs()[number%2], harness.ModelRequest{Prompt: prompt("cut", number), MaxTokens: 40})
+		is.True(outcome.Refusal != nil)
 	})
 	began := map[ident.Request]bool{}
 	for _, record := range allTruth(c) {
@@ -182,13 +183,13 @@
 		}
 	}
 	notRun := 0
-	for _, told := range caller.History() {
-		requireOwnAnswer(t, told)
-		if told.Ran() != fault.RanNo {
+	for _, outcome := range caller.History() {
+		requireOwnAnswer(t, outcome)
+		if outcome.Ran() != fault.RanNo {
 			continue
 		}
 		notRun++
-		is.True(told.RequestID != "" && !began[told.RequestID])
+		is.True(outcome.RequestID != "" && !began[outcome.RequestID])
 	}
-	is.True(notRun > 10 && len(began) > 10) // both sides of the race were met
+	is.True(notRun > 10 && len(began) > 10) // both outcomes of the race occurred
 }
--- a/proofs/simulatedtraffic_test.go
+++ b/proofs/simulatedtraffic_test.go
@@ -12,94 +12,93 @@
 	"github.com/fieldpond/fieldpond/internal/routing/framework"
 )
 
-// wanted is what one caller asks for.
-type wanted struct {
+// requestSpec is the content of one caller's request.
+type requestSpec struct {
 	tenant   ident.Tenant
 	zones    []ident.Zone
 	versions []ident.ModelVersion
 	prompt   string
 }
 
-// openRequest is a request between its offer and its end.
+// openRequest is a request that has not ended.
 type openRequest struct {
-	wanted
+	requestSpec
 	router   *simulatedRouter
 	attempts ident.Attempt
 	excluded map[ident.Engine]bool
 }
 
-// flight is one attempt on its way to, or on, an engine.
-type flight struct {
+// inFlightAttempt is one attempt on its way to, or running on, an engine.
+type inFlightAttempt struct {
 	request *openRequest
 	placed  placement.Placed
 	sentAt  time.Time
 	first   time.Duration
 }
 
-// dispatched is one decision of a core.
-type dispatched struct {
+// dispatchRecord is one placement decision of a core.
+type dispatchRecord struct {
 	at      time.Time
-	attempt attemptName
+	attempt attemptID
 	router  string
 	engine  ident.Engine
 	version ident.ModelVersion
-	// credited is the number of prompt tokens that the decision took to be cached.
+	// credited is the number of prompt tokens that the core expected to be cached.
 	credited float64
-	// groundless is true if the life that the decision expects is not the
-	// engine's present one, or never held the first block of the prompt and was
-	// never sent it.
-	groundless bool
-	// overFor is how long ago the life that the decision expects ended.
-	overFor time.Duration
+	// creditUnfounded is set for a credit if the expected incarnation is not the
+	// engine's current one, or neither held nor was sent the prompt's first block.
+	creditUnfounded bool
+	// endedFor is the time since the end of the expected incarnation, or 0.
+	endedFor time.Duration
 }
 
-// arrival is an attempt that reached an engine, whatever the engine said.
+// arrival is an attempt that reached an engine, accepted or refused.
 type arrival struct {
 	at     time.Time
 	engine ident.Engine
 }
 
-// attemptName is how the truth records name an attempt.
-type attemptName struct {
+// attemptID identifies an attempt in the truth records.
+type attemptID struct {
 	request ident.Request
 	number  ident.Attempt
 }
 
-// sentBlock is a block of a chain that was dispatched to one life.
+// sentBlock is a block of a chain that was dispatched to one incarnation.
 type sentBlock struct {
 	incarnation ident.Incarnation
 	hash        prefix.Hash
 }
 
-// sharedPrompt returns a prompt with a long shared part and a short end.
+// sharedPrompt returns a prompt with a long shared prefix and a short unique end.
 func sharedPrompt(shared string, end int) string {
 	const sharedTokens, bytes = 512, prefix.BytesPerToken
 	text := strings.Repeat(shared+" firm policy and regional rules. ", sharedTokens)[:sharedTokens*bytes]
 	return text + fmt.Sprintf(" order number %d", end)
 }
 
-// load lets callers of two tenants ask for a while, in turn at every router.
-func (s *simulation) load(duration time.Duration) {
+// offerLoad offers requests of two tenants to the routers in turn for the duration.
+func (s *simulation) offerLoad(duration time.Duration) {
 	const pause = 20 * time.Millisecond
 	tenants := []ident.Tenant{"haulier-1", "haulier-2"}
 	for end := s.now.Add(duration); s.now.Before(end); s.run(pause) {
 		number := s.offered
-		s.offer(s.routers[number%len(s.routers)], wanted{
+		s.offer(s.routers[number%len(s.routers)], requestSpec{
 			tenant: tenants[number/2%len(tenants)], zones: []ident.Zone{"z"},
 			versions: []ident.ModelVersion{"v2", "v1"}, prompt: sharedPrompt(s.shared[number%len(s.shared)], number),
 		})
 	}
 }
 
-// offer hands a request to a router.
-func (s *simulation) offer(router *simulatedRouter, want wanted) {
+// offer offers a new request to a router.
+func (s *simulation) offer(router *simulatedRouter, spec requestSpec) {
 	s.offered++
 	id := ident.Request(fmt.Sprintf("r-%06d", s.offered))
-	s.open[id] = &openRequest{wanted: want, router: router, excluded: map[ident.Engine]bool{}}
+	s.open[id] = &openRequest{requestSpec: spec, router: router, excluded: map[ident.Engine]bool{}}
 	s.place(id)
 }
 
-// place asks the router for a place for the request's next attempt.
+// place offers the request's next attempt to the router's core.
 func (s *simulation) place(id ident.Request) {
 	open := s.open[id]
 	open.attempts++
@@ -114,17 +113,17 @@
 	for _, version := range open.versions {
 		request.Chains[version] = prefix.ChainOf(open.salt(version), open.prompt, prefix.DefaultBlockTokens)
 	}
-	s.take(open.router, open.router.core.Offer(s.now, &placement.Job{
+	s.applyEffects(open.router, open.router.core.Offer(s.now, &placement.Job{
 		Key: placement.AttemptKeyOf(id, open.attempts), Request: request, Weight: 1, MaxHold: virtualMaxHold,
 	}))
 }
 
-func (w *wanted) salt(version ident.ModelVersion) prefix.Salt {
+func (w *requestSpec) salt(version ident.ModelVersion) prefix.Salt {
 	return prefix.Namespace{Tenant: w.tenant, Model: "m", Version: version}.Salt()
 }
 
-// take acts on the effects of one input of a core.
-func (s *simulation) take(router *simulatedRouter, effects placement.Effects) {
+// applyEffects carries out the effects that a core returned.
+func (s *simulation) applyEffects(router *simulatedRouter, effects placement.Effects) {
 	for _, change := range effects.Changes {
 		router.onChange(change)
 	}
@@ -141,61 +140,61 @@
 func (s *simulation) dispatch(router *simulatedRouter, placed placement.Placed) {
 	chosen := placed.Candidate
 	chain := placed.Job.Request.Chains[chosen.Version]
-	life := chosen.Endpoint.Incarnation
+	incarnation := chosen.Endpoint.Incarnation
 	engine := s.engine(chosen.Endpoint.Engine)
-	present := engine.Alive() && engine.Incarnation() == life
-	grounded := present && (engine.stored[chain[0]] || router.sent[sentBlock{life, chain[0]}])
-	overFor := time.Duration(0)
-	if !present {
-		overFor = s.now.Sub(engine.endedAt)
+	current := engine.Alive() && engine.Incarnation() == incarnation
+	founded := current && (engine.stored[chain[0]] || router.sent[sentBlock{incarnation, chain[0]}])
+	endedFor := time.Duration(0)
+	if !current {
+		endedFor = s.now.Sub(engine.endedAt)
 	}
-	s.placed = append(s.placed, dispatched{
-		at: s.now, attempt: attemptName{placed.Job.Request.ID, placed.Job.Key.Attempt}, router: router.name, engine: engine.name, version: chosen.Version,
-		credited: chosen.CreditTokens, groundless: chosen.CreditTokens >= 1 && !grounded, overFor: overFor,
+	s.dispatches = append(s.dispatches, dispatchRecord{
+		at: s.now, attempt: attemptID{placed.Job.Request.ID, placed.Job.Key.Attempt}, router: router.name, engine: engine.name, version: chosen.Version,
+		credited: chosen.CreditTokens, creditUnfounded: chosen.CreditTokens >= 1 && !founded, endedFor: endedFor,
 	})
 	for _, hash := range chain {
-		router.sent[sentBlock{life, hash}] = true
+		router.sent[sentBlock{incarnation, hash}] = true
 	}
-	started := &flight{request: s.open[placed.Job.Request.ID], placed: placed, sentAt: s.now}
-	s.after(router.travel, func() { s.arrive(started) })
+	sentAttempt := &inFlightAttempt{request: s.open[placed.Job.Request.ID], placed: placed, sentAt: s.now}
+	s.after(router.dispatchDelay, func() { s.arrive(sentAttempt) })
 }
 
-// arrive offers an attempt to its engine, as the published protocol says.
-func (s *simulation) arrive(arrived *flight) {
-	chosen, request := arrived.placed.Candidate, arrived.request
+// arrive submits an attempt to its engine with the engine protocol.
+func (s *simulation) arrive(attempt *inFlightAttempt) {
+	chosen, request := attempt.placed.Candidate, attempt.request
 	engine := s.engine(chosen.Endpoint.Engine)
 	if !engine.Alive() {
 		request.excluded[engine.name] = true
-		s.finish(arrived, placement.Result{Unreachable: true})
+		s.finish(attempt, placement.Result{Unreachable: true})
 		return
 	}
 	s.arrivals = append(s.arrivals, arrival{s.now, engine.name})
 	stream, refusal := engine.Submit(s.now, protocol.GenerateRequest{
-		RequestID: arrived.placed.Job.Request.ID, Attempt: arrived.placed.Job.Key.Attempt,
+		RequestID: attempt.placed.Job.Request.ID, Attempt: attempt.placed.Job.Key.Attempt,
 		ExpectedIncarnation: chosen.Endpoint.Incarnation, Tenant: request.tenant, Model: "m",
 		Version: chosen.Version, Salt: request.salt(chosen.Version), Prompt: request.prompt, MaxTokens: 2,
 	})
 	if refusal != nil {
-		request.router.unsend(arrived)
+		request.router.removeRefused(attempt)
 		request.excluded[engine.name] = refusal.Incarnation == chosen.Endpoint.Incarnation
-		s.finish(arrived, placement.Result{Refusal: refusal.Kind, Incarnation: refusal.Incarnation})
+		s.finish(attempt, placement.Result{Refusal: refusal.Kind, Incarnation: refusal.Incarnation})
 		return
 	}
-	request.router.flights[stream] = arrived
+	request.router.inFlight[stream] = attempt
 }
 
-// unsend records that a life refused a dispatch and will not hold its blocks.
-func (r *simulatedRouter) unsend(refused *flight) {
-	chosen := refused.placed.Candidate
-	for _, hash := range refused.placed.Job.Request.Chains[chosen.Version] {
+// removeRefused forgets a refused dispatch: its incarnation will not hold the blocks.
+func (r *simulatedRouter) removeRefused(attempt *inFlightAttempt) {
+	chosen := attempt.placed.Candidate
+	for _, hash := range attempt.placed.Job.Request.Chains[chosen.Version] {
 		delete(r.sent, sentBlock{chosen.Endpoint.Incarnation, hash})
 	}
 }
 
-// takeEvent hands an event of a stream to the router that reads it.
-func (s *simulation) takeEvent(event *protocol.StreamEvent) {
+// applyStreamEvent gives a stream event to the router that reads the stream.
+func (s *simulation) applyStreamEvent(event *protocol.StreamEvent) {
 	for _, router := range s.routers {
-		reader := router.flights[event.Stream]
+		reader := router.inFlight[event.Stream]
 		if reader == nil {
 			continue
 		}
@@ -206,20 +205,21 @@
 			reader.first = s.now.Sub(reader.sentAt)
 		}
 		if event.Kind == protocol.EventEnd {
-			delete(router.flights, event.Stream)
+			delete(router.inFlight, event.Stream)
 			s.answered++
 			s.finish(reader, placement.Result{Incarnation: event.Incarnation, TimeToFirstToken: reader.first})
 		}
 	}
 }
 
-// finish ends an attempt and, unless it was answered, begins the next one.
-func (s *simulation) finish(over *flight, result placement.Result) {
-	id := over.placed.Job.Request.ID
-	router := over.request.router
-	s.take(router, router.core.RecordEnd(s.now, over.placed.Job.Key, result))
+// finish ends an attempt and, unless it was answered, starts the next one until
+// virtualAttempts is reached.
+func (s *simulation) finish(attempt *inFlightAttempt, result placement.Result) {
+	id := attempt.placed.Job.Request.ID
+	router := attempt.request.router
+	s.applyEffects(router, router.core.RecordEnd(s.now, attempt.placed.Job.Key, result))
 	answered := result.Refusal == "" && !result.Unreachable && !result.Broken
-	if answered || over.request.attempts == virtualAttempts {
+	if answered || attempt.request.attempts == virtualAttempts {
 		delete(s.open, id)
 		return
 	}
