--- a/internal/router/controlmetrics.go
+++ b/internal/router/controlmetrics.go
@@ -35,13 +35,13 @@
 
 func (r *Router) registerControl() {
 	group := telemetry.NewGroup(r.telemetry, func() (controlTotals, bool) { return totalsOf(r.control.Status()), true })
-	group.Gauge("control_leases_held", "Groups of engines whose control lease this router holds.", func(t controlTotals) int { return t.held })
-	group.Gauge("control_loads_under_way", "Loads of model weights ordered and not yet reported as loaded.", func(t controlTotals) int { return t.loading })
+	group.Gauge("control_leases_held", "Groups of engines that this router is in charge of.", func(t controlTotals) int { return t.held })
+	group.Gauge("control_loads_under_way", "Loads of model weights ordered and not yet shown.", func(t controlTotals) int { return t.loading })
 	group.Counter("control_orders_total", "Orders issued to engines.", func(t controlTotals) uint64 { return t.orders })
 	group.Counter("control_orders_repeated_total", "Orders issued again under the same id after a lost answer.", func(t controlTotals) uint64 { return t.retries })
 	group.Counter("control_orders_refused_total", "Orders that an engine refused.", func(t controlTotals) uint64 { return t.refused })
-	group.Counter("control_stale_fences_total", "Times that a fence newer than this router's was observed.", func(t controlTotals) uint64 { return t.staleFences })
-	group.Counter("control_unloads_guarded_total", "Checks that deferred an unload because it would have removed the last warm engine.", func(t controlTotals) uint64 { return t.deferredUnloads })
-	group.Counter("control_leases_lapsed_total", "Leases that expired before they were renewed.", func(t controlTotals) uint64 { return t.expired })
+	group.Counter("control_stale_fences_total", "Times a newer fence than this router's was met.", func(t controlTotals) uint64 { return t.staleFences })
+	group.Counter("control_unloads_guarded_total", "Looks at unloads that would have taken the last warm engine away.", func(t controlTotals) uint64 { return t.deferredUnloads })
+	group.Counter("control_leases_lapsed_total", "Leases that ran out before they were renewed.", func(t controlTotals) uint64 { return t.expired })
 	group.Register()
 }
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -60,25 +60,25 @@
 	group := telemetry.NewGroup(r.telemetry, func() (*dispatch.Counters, bool) { return &r.dispatch.Counters, true })
 	group.Counter("stream_events_crossed_total", "Events of another request, attempt, incarnation or stream; dropped.", func(c *dispatch.Counters) uint64 { return c.Misrouted.Load() })
 	group.Counter("stream_events_late_total", "Events of an attempt that was over; dropped.", func(c *dispatch.Counters) uint64 { return c.StaleAttempt.Load() })
-	group.Counter("stream_events_repeated_total", "Events that had been received before; dropped.", func(c *dispatch.Counters) uint64 { return c.Duplicate.Load() })
+	group.Counter("stream_events_repeated_total", "Events that had been taken before; dropped.", func(c *dispatch.Counters) uint64 { return c.Duplicate.Load() })
 	group.Counter("stream_gaps_total", "Breaks because an event of a stream was missing.", func(c *dispatch.Counters) uint64 { return c.Gaps.Load() })
 	group.Counter("stream_stalls_total", "Breaks because no event came in time.", func(c *dispatch.Counters) uint64 { return c.Stalls.Load() })
 	group.Counter("stream_resumes_total", "Streams resumed on the same incarnation.", func(c *dispatch.Counters) uint64 { return c.Resumes.Load() })
 	group.Counter("streams_continued_total", "Streams continued on another engine after text was emitted.", func(c *dispatch.Counters) uint64 { return c.Continued.Load() })
-	group.Counter("streams_regenerated_total", "Streams restarted before any text was emitted.", func(c *dispatch.Counters) uint64 { return c.Regenerated.Load() })
+	group.Counter("streams_regenerated_total", "Streams begun anew before any text was emitted.", func(c *dispatch.Counters) uint64 { return c.Regenerated.Load() })
 	group.Counter("streams_cancelled_total", "Generations cancelled at their engine.", func(c *dispatch.Counters) uint64 { return c.Cancelled.Load() })
 	group.Counter("attempts_total", "Attempts sent to engines.", func(c *dispatch.Counters) uint64 { return c.Attempts.Load() })
 	group.Counter("retries_total", "Attempts after the first of a request.", func(c *dispatch.Counters) uint64 { return c.Retries.Load() })
 	group.Counter("retries_refused_total", "Retries not made because the budget was used up.", func(c *dispatch.Counters) uint64 { return c.BudgetRefused.Load() })
-	group.Counter("claims_attached_total", "Retries that waited for the first request, which was still running.", func(c *dispatch.Counters) uint64 { return c.Attached.Load() })
-	group.Counter("answers_retained_total", "Retries answered with the retained answer.", func(c *dispatch.Counters) uint64 { return c.Retained.Load() })
+	group.Counter("claims_attached_total", "Repeats that waited for the running first sending.", func(c *dispatch.Counters) uint64 { return c.Attached.Load() })
+	group.Counter("answers_retained_total", "Repeats answered with the retained answer.", func(c *dispatch.Counters) uint64 { return c.Retained.Load() })
 	group.Counter("answers_unsaved_total", "Answers of claimed requests that could not be retained.", func(c *dispatch.Counters) uint64 { return c.Unsaved.Load() })
 	group.Register()
 }
 
 func (r *Router) registerQuarantine() {
 	group := telemetry.NewGroup(r.telemetry, func() (quarantineCounts, bool) { return r.quarantines.counts(), true })
-	group.Gauge("quarantined_requests", "Requests that are quarantined because engines crashed while they ran them.", func(c quarantineCounts) int { return c.quarantined })
+	group.Gauge("quarantined_requests", "Requests that are held, since engines crashed while they ran them.", func(c quarantineCounts) int { return c.quarantined })
 	group.Gauge("crash_suspects", "Requests that ran on an engine as it crashed, and were not answered since.", func(c quarantineCounts) int { return c.suspects })
 	group.Register()
 }
@@ -86,8 +86,8 @@
 func (r *Router) registerClaims() {
 	group := telemetry.NewGroup(r.telemetry, func() (claim.Counters, bool) { return r.claims.Counters(), true })
 	group.Counter("claims_granted_total", "Claims won by this router.", func(c claim.Counters) uint64 { return c.Granted })
-	group.Counter("claims_shown_total", "Claims that existed already: of a retry, or of another router.", func(c claim.Counters) uint64 { return c.AlreadyClaimed })
-	group.Counter("claims_refused_total", "Claims without an answer from the table in time; their requests did not run.", func(c claim.Counters) uint64 { return c.Refused })
+	group.Counter("claims_shown_total", "Claims that stood already: a repeat, or another router's.", func(c claim.Counters) uint64 { return c.AlreadyClaimed })
+	group.Counter("claims_refused_total", "Claims without an answer of the table in time; their requests did not run.", func(c claim.Counters) uint64 { return c.Refused })
 	group.Counter("claims_released_total", "Claims given up after they may have reached the table.", func(c claim.Counters) uint64 { return c.Released })
 	group.Counter("claim_outcomes_dropped_total", "Outcomes not recorded because too many waited for the table.", func(c claim.Counters) uint64 { return c.Dropped })
 	group.Counter("claim_transactions_total", "Transactions sent to the table for claims and outcomes.", func(c claim.Counters) uint64 { return c.Transactions })
@@ -121,11 +121,11 @@
 func (r *Router) registerFleet() {
 	group := telemetry.NewGroup(r.telemetry, func() (fleet.AdopterCounters, bool) { return r.syncer.Counters(), true })
 	group.Gauge("fleet_version", "Fleet version in force here; 0 is none yet.", func(fleet.AdopterCounters) int { return int(r.syncer.CurrentRef().Version) })
-	group.Gauge("fleet_versions_behind", "Fleet versions between the one in force here and the newest known.", func(fleet.AdopterCounters) int {
+	group.Gauge("fleet_versions_behind", "Fleet versions between the one in force here and the newest heard of.", func(fleet.AdopterCounters) int {
 		return max(0, int(r.members.Head().Version)-int(r.syncer.CurrentRef().Version))
 	})
 	group.Counter("fleet_adopted_total", "Fleet files put in force.", func(c fleet.AdopterCounters) uint64 { return c.Adopted })
-	group.Counter("fleet_disputed_total", "Fleet files that contradict another of the same version.", func(c fleet.AdopterCounters) uint64 { return c.Disputed })
+	group.Counter("fleet_disputed_total", "Fleet files heard of that contradict another of the same version.", func(c fleet.AdopterCounters) uint64 { return c.Disputed })
 	group.Counter("fleet_table_behind_total", "Reads of the table that showed an older version than the one in force.", func(c fleet.AdopterCounters) uint64 { return c.TableBehind })
 	group.Counter("fleet_bad_bodies_total", "Fleet files that did not match their digest or failed their checks.", func(c fleet.AdopterCounters) uint64 { return c.BadBodies })
 	group.Register()
--- a/internal/router/metricsplacement.go
+++ b/internal/router/metricsplacement.go
@@ -34,7 +34,7 @@
 	group.Counter("admission_offered_total", "Requests offered to the queue.", func(p placement.State) uint64 { return p.Queue.Offered })
 	group.Counter("admission_dispatched_total", "Requests that left the queue for an engine.", func(p placement.State) uint64 { return p.Queue.Dispatched })
 	group.Counter("admission_aged_total", "Dispatches out of turn for the starvation bound.", func(p placement.State) uint64 { return p.Queue.Aged })
-	group.Counter("admission_withdrawn_total", "Requests whose caller disconnected while they waited.", func(p placement.State) uint64 { return p.Queue.Removed })
+	group.Counter("admission_withdrawn_total", "Requests whose caller left while they waited.", func(p placement.State) uint64 { return p.Queue.Removed })
 	group.Labelled(telemetry.KindCounter, "admission_refused_total",
 		"Requests refused by the queue: full, hopeless (predicted wait above the hold time), displaced by another, expired, or rejected for want of an engine.", "reason", refusedByQueue)
 	group.Labelled(telemetry.KindGauge, "engines", "Engines of the fleet file by state as this router sees them: alive, leaving or dead.", "state", enginesByState)
@@ -98,7 +98,7 @@
 	group.Counter("beliefs_low_total", "Answered attempts that found more tokens cached than believed, by more than one block.", func(p placement.State) uint64 { return p.Decisions.BeliefLow })
 	group.Counter("beliefs_right_total", "Answered attempts that found as many tokens cached as believed, within one block.", func(p placement.State) uint64 { return p.Decisions.BeliefRight })
 	group.Gauge("belief_blocks", "Cache blocks remembered now.", func(p placement.State) int { return p.Beliefs.Blocks })
-	group.Counter("belief_blocks_evicted_total", "Cache blocks evicted for lack of room in the router.", func(p placement.State) uint64 { return p.Beliefs.Evicted })
+	group.Counter("belief_blocks_evicted_total", "Cache blocks forgotten for lack of room in the router.", func(p placement.State) uint64 { return p.Beliefs.Evicted })
 	group.Counter("cache_event_gaps_total", "Gaps in the sequences of cache events.", func(p placement.State) uint64 { return p.Beliefs.Gaps })
 	group.Counter("cache_events_stale_total", "Observations of an incarnation that is no longer the engine's; dropped.", func(p placement.State) uint64 { return p.Beliefs.Stale })
 	group.Counter("beliefs_dropped_total", "Times that all beliefs about an engine were dropped: new incarnation, weights or death.", func(p placement.State) uint64 { return p.Beliefs.Dropped })
@@ -113,7 +113,7 @@
 	group.Counter("directory_reports_total", "Reports of cached prefixes sent to their owners.", func(p placement.State) uint64 { return p.Directory.Reports })
 	group.Counter("directory_malformed_total", "Directory messages ignored because of their form.", func(p placement.State) uint64 { return p.Directory.Malformed })
 	group.Counter("directory_misdirected_total", "Directory messages for a part that this router does not own.", func(p placement.State) uint64 { return p.Directory.Misdirected })
-	group.Counter("directory_overflow_total", "Directory entries evicted for lack of room.", func(p placement.State) uint64 { return p.Directory.Overflow })
+	group.Counter("directory_overflow_total", "Directory entries forgotten for lack of room.", func(p placement.State) uint64 { return p.Directory.Overflow })
 	group.Gauge("directory_roots", "Prefixes that this router holds for the directory now.", func(p placement.State) int { return p.Directory.Roots })
 	group.Register()
 }
--- a/internal/router/sweeper.go
+++ b/internal/router/sweeper.go
@@ -67,10 +67,10 @@
 		}
 		return 0
 	})
-	group.Counter("claims_swept_total", "Claim rows deleted after their retention had passed.", func(s sweepReading) uint64 { return s.counters.Deleted })
+	group.Counter("claims_swept_total", "Claim rows deleted since their retention had passed.", func(s sweepReading) uint64 { return s.counters.Deleted })
 	group.Counter("claim_sweep_rows_read_total", "Claim rows read to see whether their retention has passed.", func(s sweepReading) uint64 { return s.counters.Read })
-	group.Counter("claim_sweep_rows_changed_total", "Claim rows not deleted because they had changed after they were read.", func(s sweepReading) uint64 { return s.counters.Changed })
-	group.Counter("claim_sweep_failures_total", "Requests of the sweep without an answer from the table; they are retried.", func(s sweepReading) uint64 { return s.counters.Failed })
+	group.Counter("claim_sweep_rows_changed_total", "Claim rows left alone since they had changed after they were read.", func(s sweepReading) uint64 { return s.counters.Changed })
+	group.Counter("claim_sweep_failures_total", "Requests of the sweep without an answer of the table; they are made again.", func(s sweepReading) uint64 { return s.counters.Failed })
 	group.Counter("claim_sweep_passes_total", "Whole passes over all claim rows.", func(s sweepReading) uint64 { return s.counters.Passes })
 	group.Register()
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -58,9 +58,9 @@
 	)
 	r.rings.describe(r)
 	r.charts = &chartObserver{
-		transitions: r.Counter("chart_transitions_total", "Transitions of state charts.", "chart", "from", "event", "to"),
+		transitions: r.Counter("chart_transitions_total", "Events taken by state charts.", "chart", "from", "event", "to"),
 		ignored:     r.Counter("chart_ignored_total", "Events that the state of a chart ignores.", "chart", "state", "event"),
-		rejected:    r.Counter("chart_not_taken_total", "Events rejected by state charts; any is a bug.", "chart", "state", "event", "reason"),
+		rejected:    r.Counter("chart_not_taken_total", "Events refused by state charts; any is a fault of the program.", "chart", "state", "event", "reason"),
 	}
 	r.refusals = r.Counter("refusals_total", "Requests answered with a fault, by kind and by what ran.", "kind", "ran")
 	return r
