--- a/internal/admission/throughput.go
+++ b/internal/admission/throughput.go
@@ -34,48 +34,48 @@
 	items   float64
 }
 
-func (d *throughput) advance(now time.Time) {
-	elapsed := now.Sub(d.updated)
+func (t *throughput) advance(now time.Time) {
+	elapsed := now.Sub(t.updated)
 	if elapsed <= 0 {
 		return
 	}
-	d.updated = now
+	t.updated = now
 	decay := math.Exp(-elapsed.Seconds() / throughputMemory.Seconds())
-	d.busy *= decay
-	d.cost *= decay
-	d.items *= decay
-	if d.waiting > 0 {
-		d.busy += throughputMemory.Seconds() * (1 - decay)
+	t.busy *= decay
+	t.cost *= decay
+	t.items *= decay
+	if t.waiting > 0 {
+		t.busy += throughputMemory.Seconds() * (1 - decay)
 	}
 }
 
-func (d *throughput) enter(now time.Time) {
-	d.advance(now)
-	d.waiting++
+func (t *throughput) enter(now time.Time) {
+	t.advance(now)
+	t.waiting++
 }
 
-func (d *throughput) leave(now time.Time) {
-	d.advance(now)
-	d.waiting--
+func (t *throughput) leave(now time.Time) {
+	t.advance(now)
+	t.waiting--
 }
 
 // recordDispatch counts a dispatch. One at the moment the pool began to wait is ignored, as it
 // took no busy time.
-func (d *throughput) recordDispatch(now time.Time, cost float64) {
-	d.advance(now)
-	if d.busy > 0 {
-		d.cost += cost
-		d.items++
+func (t *throughput) recordDispatch(now time.Time, cost float64) {
+	t.advance(now)
+	if t.busy > 0 {
+		t.cost += cost
+		t.items++
 	}
 }
 
 // rates returns tokens and items a second, if known.
-func (d *throughput) rates(now time.Time) (cost, items float64, known bool) {
-	d.advance(now)
-	if d.busy < minBusyTime.Seconds() || d.items < minServedItems {
+func (t *throughput) rates(now time.Time) (cost, items float64, known bool) {
+	t.advance(now)
+	if t.busy < minBusyTime.Seconds() || t.items < minServedItems {
 		return 0, 0, false
 	}
-	return d.cost / d.busy, d.items / d.busy, true
+	return t.cost / t.busy, t.items / t.busy, true
 }
 
 func (q *Queue) throughputOf(now time.Time, key PoolKey) *throughput {
--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -68,35 +68,35 @@
 	created int64
 }
 
-func (f answerBuilder) base(version ident.ModelVersion, object string) Answer {
-	id := "cmpl-" + string(f.request)
-	if f.chat {
-		id = "chatcmpl-" + string(f.request)
+func (b answerBuilder) base(version ident.ModelVersion, object string) Answer {
+	id := "cmpl-" + string(b.request)
+	if b.chat {
+		id = "chatcmpl-" + string(b.request)
 	}
-	return Answer{ID: id, Object: object, Created: f.created, Model: f.service, SystemFingerprint: version}
+	return Answer{ID: id, Object: object, Created: b.created, Model: b.service, SystemFingerprint: version}
 }
 
 // complete returns the answer to a request without streaming.
-func (f answerBuilder) complete(text string, completion dispatch.Completion) Answer {
+func (b answerBuilder) complete(text string, completion dispatch.Completion) Answer {
 	object := "text_completion"
 	choice := Choice{FinishReason: &completion.FinishReason}
-	if f.chat {
+	if b.chat {
 		object = "chat.completion"
 		choice.Message = &Message{Role: roleAssistant, Content: &text}
 	} else {
 		choice.Text = &text
 	}
-	answer := f.base(completion.Version, object)
+	answer := b.base(completion.Version, object)
 	answer.Choices = []Choice{choice}
 	answer.Usage = usageOf(completion.Usage)
 	return answer
 }
 
 // chunk returns one chunk of a stream; the first one carries the role.
-func (f answerBuilder) chunk(text string, version ident.ModelVersion, withRole bool) Answer {
+func (b answerBuilder) chunk(text string, version ident.ModelVersion, withRole bool) Answer {
 	object := "text_completion"
 	choice := Choice{}
-	if f.chat {
+	if b.chat {
 		object = "chat.completion.chunk"
 		choice.Delta = &Message{Content: &text}
 		if withRole {
@@ -105,15 +105,15 @@
 	} else {
 		choice.Text = &text
 	}
-	answer := f.base(version, object)
+	answer := b.base(version, object)
 	answer.Choices = []Choice{choice}
 	return answer
 }
 
 // lastChunk returns the chunk with the finish reason and usage.
-func (f answerBuilder) lastChunk(completion dispatch.Completion) Answer {
-	answer := f.chunk("", completion.Version, false)
-	if f.chat {
+func (b answerBuilder) lastChunk(completion dispatch.Completion) Answer {
+	answer := b.chunk("", completion.Version, false)
+	if b.chat {
 		answer.Choices[0].Delta = &Message{}
 	}
 	answer.Choices[0].FinishReason = &completion.FinishReason
--- a/internal/backend/home.go
+++ b/internal/backend/home.go
@@ -60,8 +60,8 @@
 // weightedDraw turns a score, evenly distributed over 64 bits, into a draw that is the least of
 // several in proportion to the weights.
 func weightedDraw(score uint64, weight int) float64 {
-	part := (float64(score>>11) + 0.5) / (1 << 53)
-	return -math.Log(part) / float64(weight)
+	fraction := (float64(score>>11) + 0.5) / (1 << 53)
+	return -math.Log(fraction) / float64(weight)
 }
 
 // firstRanked returns the back end that ranks first for the shared part of the prompt
--- a/internal/backend/record.go
+++ b/internal/backend/record.go
@@ -92,9 +92,9 @@
 	// overloadedFrom is the congestion from which requests that would wait for long are
 	// refused.
 	overloadedFrom = 0.7
-	// overloadedPart is the share of the time left, as a divisor, that such a request may be
+	// overloadedDivisor is the share of the time left, as a divisor, that such a request may be
 	// expected to wait.
-	overloadedPart = 40
+	overloadedDivisor = 40
 )
 
 // Wait returns the expected time until the back end begins to prefill the prompt.
@@ -107,7 +107,7 @@
 // give up first; the length of a prompt does not count, so that long ones are served as often
 // as short ones.
 func (c *Choice) Overloaded(left time.Duration) bool {
-	return c.Congestion >= overloadedFrom && c.Wait()*overloadedPart > left
+	return c.Congestion >= overloadedFrom && c.Wait()*overloadedDivisor > left
 }
 
 // Expiry is the time after which no request may begin on a version older than
--- a/internal/canary/adopt.go
+++ b/internal/canary/adopt.go
@@ -64,14 +64,14 @@
 }
 
 // hasCapacity reports whether the target's back ends can replace the others.
-func (e *backendCounts) hasCapacity() bool {
-	return float64(e.targetSlots) >= minCapacityFraction*float64(e.otherSlots)
+func (c *backendCounts) hasCapacity() bool {
+	return float64(c.targetSlots) >= minCapacityFraction*float64(c.otherSlots)
 }
 
 // testedBackends returns how many of the target's back ends are used during observation: so
 // few that the target's share is a normal load for each.
-func (e *backendCounts) testedBackends(share float64) int {
-	return max(minTestedBackends, int(share*float64(e.others)+0.5))
+func (c *backendCounts) testedBackends(share float64) int {
+	return max(minTestedBackends, int(share*float64(c.others)+0.5))
 }
 
 // adoptOrder returns the state that follows from a new order and the previous state, which
--- a/internal/canary/director.go
+++ b/internal/canary/director.go
@@ -168,7 +168,7 @@
 
 // ApplyReport applies a router's report.
 func (d *Director) ApplyReport(now time.Time, from netip.AddrPort, report *Report) {
-	if !report.sound() {
+	if !report.valid() {
 		return
 	}
 	known := d.rollout(report.Service)
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -92,7 +92,7 @@
 
 // add adds the difference of two reports of one incarnation; earlier may be nil. Inherited
 // is set if it sent to the target under an earlier holder.
-func (e *openWindows) add(now time.Time, report, earlier *Report, inherited bool) {
+func (o *openWindows) add(now time.Time, report, earlier *Report, inherited bool) {
 	none := &Tally{}
 	for index := range report.Tallies {
 		tally := &report.Tallies[index]
@@ -101,7 +101,7 @@
 			before = earlier.tally(tally.Route, tally.Group, none)
 		}
 		if tally.Answers > before.Answers {
-			open := e.window(now, tally.Route)
+			open := o.window(now, tally.Route)
 			open.add(tally, before)
 			open.inherited = open.inherited || inherited
 		}
@@ -119,21 +119,21 @@
 }
 
 // window returns the open window of a route, which is added if it is new.
-func (e *openWindows) window(now time.Time, route string) *window {
-	for _, open := range e.windows {
+func (o *openWindows) window(now time.Time, route string) *window {
+	for _, open := range o.windows {
 		if open.route == route {
 			return open
 		}
 	}
 	open := &window{route: route, since: now}
-	e.windows = append(e.windows, open)
+	o.windows = append(o.windows, open)
 	return open
 }
 
 // removeDue removes and returns the complete windows, or all.
-func (e *openWindows) removeDue(now time.Time, all bool) []*window {
+func (o *openWindows) removeDue(now time.Time, all bool) []*window {
 	var due []*window
-	e.windows = slices.DeleteFunc(e.windows, func(open *window) bool {
+	o.windows = slices.DeleteFunc(o.windows, func(open *window) bool {
 		if all || open.due(now) {
 			due = append(due, open)
 			return true
--- a/internal/canary/fuzz_test.go
+++ b/internal/canary/fuzz_test.go
@@ -38,7 +38,7 @@
 			gate.ApplyPermit(at(time.Second), &permit)
 		}
 		gate.Choose(at(time.Second), testRequest)
-		if made := gate.Report(at(time.Second), modelService); made != nil && !made.sound() {
+		if made := gate.Report(at(time.Second), modelService); made != nil && !made.valid() {
 			t.Fatalf("unsound report: %+v", made)
 		}
 	})
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -187,7 +187,7 @@
 
 // ApplyPermit applies a permit, which may also carry a final phase or a new order.
 func (g *Gate) ApplyPermit(now time.Time, permit *Permit) {
-	if !g.cfg.Bounds.Enabled() || !permit.sound() {
+	if !g.cfg.Bounds.Enabled() || !permit.valid() {
 		return
 	}
 	g.startClock(now)
--- a/internal/canary/gate_test.go
+++ b/internal/canary/gate_test.go
@@ -289,7 +289,7 @@
 	}
 	report := gate.Report(at(time.Second), modelService)
 	is.True(len(report.Tallies) <= maxTallies)
-	is.True(report.sound())
+	is.True(report.valid())
 }
 
 func TestRetriesAvoidTarget(t *testing.T) {
--- a/internal/canary/message.go
+++ b/internal/canary/message.go
@@ -43,8 +43,8 @@
 	Proved []ident.Release `cbor:"11,keyasint,omitempty"`
 }
 
-// sound reports whether the permit's values are valid: its sender is not authenticated.
-func (p *Permit) sound() bool {
+// valid reports whether the permit's values are valid: its sender is not authenticated.
+func (p *Permit) valid() bool {
 	if len(p.Order.Service) > maxNameBytes || len(p.Order.Target) > maxNameBytes {
 		return false
 	}
@@ -91,13 +91,13 @@
 	Times Histogram
 }
 
-// sound reports whether the report's values are valid.
-func (r *Report) sound() bool {
+// valid reports whether the report's values are valid.
+func (r *Report) valid() bool {
 	if len(r.Service) > maxNameBytes || len(r.Tallies) > maxTallies {
 		return false
 	}
 	for index := range r.Tallies {
-		if !r.Tallies[index].sound() {
+		if !r.Tallies[index].valid() {
 			return false
 		}
 	}
@@ -108,8 +108,8 @@
 // cannot overflow.
 const maxCount = 1 << 40
 
-// sound reports whether the tally's values are valid.
-func (t *Tally) sound() bool {
+// valid reports whether the tally's values are valid.
+func (t *Tally) valid() bool {
 	if len(t.Route) > maxNameBytes || len(t.Times) > timeBins {
 		return false
 	}
--- a/internal/canary/permits.go
+++ b/internal/canary/permits.go
@@ -31,7 +31,7 @@
 	r.grant(now)
 	var actions []Action
 	for _, router := range r.fleet.routers {
-		if !r.knowsFinal(router) {
+		if !r.reportedFinal(router) {
 			actions = append(actions, SendPermit{To: router.address, Permit: r.permit(router)})
 		}
 	}
@@ -46,8 +46,8 @@
 	return r.cfg.Tick
 }
 
-// knowsFinal reports whether a router has reported the final phase.
-func (r *rollout) knowsFinal(router *router) bool {
+// reportedFinal reports whether a router has reported the final phase.
+func (r *rollout) reportedFinal(router *router) bool {
 	return r.state.Phase.Final() && router.current != nil && router.current.newest.Phase == r.state.Phase
 }
 
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -51,25 +51,25 @@
 
 // Run advances the core until ctx ends. It then refuses new claims, records the outcomes that
 // wait, and returns when none is left or after drainTimeouts times Config.Timeout.
-func (k *Manager) Run(ctx context.Context) {
+func (m *Manager) Run(ctx context.Context) {
 	timer := time.NewTimer(minWait)
 	defer timer.Stop()
-	defer close(k.stopped)
-	defer k.sending.Wait()
+	defer close(m.stopped)
+	defer m.sending.Wait()
 	ended := ctx.Done()
 	var drained <-chan time.Time
-	for !k.idle() {
+	for !m.idle() {
 		select {
 		case <-ended:
 			ended = nil
-			drained = time.After(drainTimeouts * k.config.Timeout)
-			k.stop()
+			drained = time.After(drainTimeouts * m.config.Timeout)
+			m.stop()
 		case <-drained:
 			return
 		case <-timer.C:
-		case <-k.changed:
+		case <-m.changed:
 		}
-		wake, scheduled := k.advance(ctx)
+		wake, scheduled := m.advance(ctx)
 		if scheduled {
 			timer.Reset(max(minWait, wake))
 		} else {
@@ -79,134 +79,134 @@
 }
 
 // Claim implements Claimer.
-func (k *Manager) Claim(ctx context.Context, key Key, digest Digest) (Grant, error) {
+func (m *Manager) Claim(ctx context.Context, key Key, digest Digest) (Grant, error) {
 	claimID := ident.NewUniqueID()
 	now := time.Now()
-	deadline := now.Add(k.config.Timeout)
+	deadline := now.Add(m.config.Timeout)
 	if limit, limited := ctx.Deadline(); limited && limit.Before(deadline) {
 		deadline = limit
 	}
 	answered := make(chan Answer, 1)
-	k.mutex.Lock()
-	if k.stopping {
-		k.mutex.Unlock()
+	m.mutex.Lock()
+	if m.stopping {
+		m.mutex.Unlock()
 		return Grant{}, fault.New(fault.ShuttingDown, "this router is stopping")
 	}
-	k.claimWaiters[claimID] = answered
-	k.core.Submit(now, claimID, key, digest, deadline)
-	k.deliver()
-	k.mutex.Unlock()
-	k.signal()
+	m.claimWaiters[claimID] = answered
+	m.core.Submit(now, claimID, key, digest, deadline)
+	m.deliver()
+	m.mutex.Unlock()
+	m.signal()
 	select {
 	case answer := <-answered:
 		return answer.Grant, answer.asError()
 	case <-ctx.Done():
-	case <-k.stopped:
+	case <-m.stopped:
 	}
-	return k.abandon(claimID)
+	return m.abandon(claimID)
 }
 
 // abandon ends a claim whose caller has gone. No later answer of the core is delivered, so the
 // claim is released and did not run.
-func (k *Manager) abandon(claimID string) (Grant, error) {
-	k.mutex.Lock()
-	delete(k.claimWaiters, claimID)
-	k.core.Abandon(time.Now(), claimID)
-	k.mutex.Unlock()
-	k.signal()
+func (m *Manager) abandon(claimID string) (Grant, error) {
+	m.mutex.Lock()
+	delete(m.claimWaiters, claimID)
+	m.core.Abandon(time.Now(), claimID)
+	m.mutex.Unlock()
+	m.signal()
 	problem := fault.New(fault.StoreUnavailable, "the caller's deadline passed before the table answered the claim")
-	return Grant{}, problem.WithRetryAfter(k.config.Timeout)
+	return Grant{}, problem.WithRetryAfter(m.config.Timeout)
 }
 
 // Finish implements Claimer. If ctx ends first, the outcome is still recorded in the background
 // and the error is that the store did not answer in time.
-func (k *Manager) Finish(ctx context.Context, _ Key, claimID string, outcome Outcome) error {
+func (m *Manager) Finish(ctx context.Context, _ Key, claimID string, outcome Outcome) error {
 	answered := make(chan Answer, 1)
-	k.mutex.Lock()
-	if _, waiting := k.recordWaiters[claimID]; waiting {
-		k.mutex.Unlock()
+	m.mutex.Lock()
+	if _, waiting := m.recordWaiters[claimID]; waiting {
+		m.mutex.Unlock()
 		return fault.New(fault.Conflict, "claim %s is being finished already", claimID).WithRan(outcome.Ran)
 	}
-	k.recordWaiters[claimID] = answered
-	k.core.Settle(time.Now(), claimID, outcome)
-	k.deliver()
-	k.mutex.Unlock()
-	k.signal()
+	m.recordWaiters[claimID] = answered
+	m.core.Settle(time.Now(), claimID, outcome)
+	m.deliver()
+	m.mutex.Unlock()
+	m.signal()
 	select {
 	case answer := <-answered:
 		return answer.asError()
 	case <-ctx.Done():
-	case <-k.stopped:
+	case <-m.stopped:
 	}
-	k.mutex.Lock()
-	delete(k.recordWaiters, claimID)
-	k.mutex.Unlock()
+	m.mutex.Lock()
+	delete(m.recordWaiters, claimID)
+	m.mutex.Unlock()
 	return fault.New(fault.StoreUnavailable, "the outcome is not recorded yet").WithRan(outcome.Ran)
 }
 
 // stop refuses further claims.
-func (k *Manager) stop() {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.stopping = true
+func (m *Manager) stop() {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.stopping = true
 }
 
 // idle reports whether the manager is shutting down and all operations are done.
-func (k *Manager) idle() bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	counters := k.core.Counters()
-	return k.stopping && counters.Waiting+counters.Background == 0
+func (m *Manager) idle() bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	counters := m.core.Counters()
+	return m.stopping && counters.Waiting+counters.Background == 0
 }
 
 // Counters returns the core's counters.
-func (k *Manager) Counters() Counters {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.core.Counters()
+func (m *Manager) Counters() Counters {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.core.Counters()
 }
 
 // Holds reports whether this process holds the claim: its request may be running here, or its
 // outcome is not settled by the caller yet.
-func (k *Manager) Holds(claimID string) bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	_, held := k.core.held[claimID]
+func (m *Manager) Holds(claimID string) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	_, held := m.core.held[claimID]
 	return held
 }
 
-func (k *Manager) advance(ctx context.Context) (time.Duration, bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (m *Manager) advance(ctx context.Context) (time.Duration, bool) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	now := time.Now()
-	for _, batch := range k.core.Advance(now) {
-		k.sending.Add(1)
-		go k.send(ctx, batch)
+	for _, batch := range m.core.Advance(now) {
+		m.sending.Add(1)
+		go m.send(ctx, batch)
 	}
-	k.deliver()
-	wake, scheduled := k.core.NextWake(now)
+	m.deliver()
+	wake, scheduled := m.core.NextWake(now)
 	return wake.Sub(now), scheduled
 }
 
 // send runs one transaction; there are at most Config.MaxInFlight of them.
-func (k *Manager) send(ctx context.Context, batch Batch) {
-	defer k.sending.Done()
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), k.config.CommitTimeout)
+func (m *Manager) send(ctx context.Context, batch Batch) {
+	defer m.sending.Done()
+	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), m.config.CommitTimeout)
 	defer cancel()
-	result, err := k.table.Commit(bounded, batch.Transaction)
-	k.mutex.Lock()
-	k.core.Completed(time.Now(), batch.ID, result, err)
-	k.deliver()
-	k.mutex.Unlock()
-	k.signal()
+	result, err := m.table.Commit(bounded, batch.Transaction)
+	m.mutex.Lock()
+	m.core.Completed(time.Now(), batch.ID, result, err)
+	m.deliver()
+	m.mutex.Unlock()
+	m.signal()
 }
 
 // deliver sends the core's answers to the callers; the mutex is held.
-func (k *Manager) deliver() {
-	for _, answer := range k.core.Answers() {
-		waiters := k.claimWaiters
+func (m *Manager) deliver() {
+	for _, answer := range m.core.Answers() {
+		waiters := m.claimWaiters
 		if answer.Recorded {
-			waiters = k.recordWaiters
+			waiters = m.recordWaiters
 		}
 		if waiter, waiting := waiters[answer.ClaimID]; waiting {
 			waiter <- answer
@@ -215,9 +215,9 @@
 	}
 }
 
-func (k *Manager) signal() {
+func (m *Manager) signal() {
 	select {
-	case k.changed <- struct{}{}:
+	case m.changed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/claim/sweeper.go
+++ b/internal/claim/sweeper.go
@@ -67,9 +67,9 @@
 
 // Run sweeps until ctx ends, and then releases the lease.
 func (s *Sweeper) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { s.elector.Run(ctx) })
-	defer duties.Wait()
+	var background sync.WaitGroup
+	background.Go(func() { s.elector.Run(ctx) })
+	defer background.Wait()
 	wait.Every(ctx, sweepInterval, func() {
 		s.elector.Contend(s.options.Contends())
 		if request, due := s.next(); due {
--- a/internal/dispatch/claimed.go
+++ b/internal/dispatch/claimed.go
@@ -75,7 +75,7 @@
 	grant, err := d.Claimer.Claim(runContext, key, run.digest)
 	if err != nil {
 		application.chart.Fire(EventClaimFailed)
-		d.runs.forget(key, run)
+		d.runs.remove(key, run)
 		d.runs.publish(run, Answer{}, d.withRetryAfter(err))
 		return
 	}
@@ -96,7 +96,7 @@
 	if failure != nil {
 		// The failure is valid for waiting callers only: recording it frees the
 		// key, maybe long before the record is confirmed to this router.
-		d.runs.forget(key, run)
+		d.runs.remove(key, run)
 	}
 	d.runs.publish(run, answer, failure)
 	d.recordOutcome(ctx, key, grant.Record.ClaimID, answer, failure)
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -62,7 +62,7 @@
 // the table.
 func (r *runRegistry) retain(key claim.Key, run *claimedRun) {
 	if run.failure != nil {
-		r.forget(key, run)
+		r.remove(key, run)
 		return
 	}
 	r.mutex.Lock()
@@ -77,7 +77,7 @@
 	}
 }
 
-func (r *runRegistry) forget(key claim.Key, run *claimedRun) {
+func (r *runRegistry) remove(key claim.Key, run *claimedRun) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.runs[key] == run {
--- a/internal/dispatch/streamreader.go
+++ b/internal/dispatch/streamreader.go
@@ -35,9 +35,9 @@
 
 // run returns the end event. Its error is errCallerGone, or a *fault.Fault if
 // the stream cannot be resumed on this incarnation.
-func (f *streamReader) run(ctx context.Context, stream engine.EventStream) (*protocol.StreamEvent, error) {
+func (r *streamReader) run(ctx context.Context, stream engine.EventStream) (*protocol.StreamEvent, error) {
 	for {
-		end, err := f.consume(ctx, stream)
+		end, err := r.consume(ctx, stream)
 		stream.Close()
 		if end != nil || errors.Is(err, errCallerGone) {
 			return end, err
@@ -45,11 +45,11 @@
 		if ctx.Err() != nil {
 			return nil, errCallerGone
 		}
-		f.onBroken()
-		if !f.sequencer.StreamKnown() || f.sequencer.Ended() {
+		r.onBroken()
+		if !r.sequencer.StreamKnown() || r.sequencer.Ended() {
 			return nil, err
 		}
-		stream, err = f.resume(ctx)
+		stream, err = r.resume(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -57,9 +57,9 @@
 }
 
 // consume reads one connection until the end event (returned), a break, a gap or a stall.
-func (f *streamReader) consume(ctx context.Context, stream engine.EventStream) (*protocol.StreamEvent, error) {
+func (r *streamReader) consume(ctx context.Context, stream engine.EventStream) (*protocol.StreamEvent, error) {
 	var stalled atomic.Bool
-	timer := time.AfterFunc(f.eventTimeout(), func() {
+	timer := time.AfterFunc(r.eventTimeout(), func() {
 		stalled.Store(true)
 		stream.Close()
 	})
@@ -68,40 +68,40 @@
 	for {
 		event, err := stream.Next()
 		if stalled.Load() {
-			f.dispatcher.Counters.Stalls.Add(1)
+			r.dispatcher.Counters.Stalls.Add(1)
 			return nil, fault.New(fault.BackendLost, "no event arrived in time").WithRan(fault.RanUnknown)
 		}
 		if err != nil {
 			return nil, streamFault(err)
 		}
-		switch result := f.sequencer.Check(&event); result {
+		switch result := r.sequencer.Check(&event); result {
 		case Accepted:
 		case Gap:
-			f.dispatcher.Counters.Gaps.Add(1)
+			r.dispatcher.Counters.Gaps.Add(1)
 			return nil, fault.New(fault.BackendLost, "an event of the stream was lost").WithRan(fault.RanYes)
 		default:
-			f.dispatcher.countDropped(result)
+			r.dispatcher.countDropped(result)
 			continue
 		}
 		timer.Stop()
-		f.idleResumes = 0
-		end, err := f.deliver(&event)
+		r.idleResumes = 0
+		end, err := r.deliver(&event)
 		if end != nil || err != nil {
 			return end, err
 		}
-		timer.Reset(f.eventTimeout())
+		timer.Reset(r.eventTimeout())
 	}
 }
 
 // deliver passes an accepted event to onEvent, and returns it if it ends the stream.
-func (f *streamReader) deliver(event *protocol.StreamEvent) (*protocol.StreamEvent, error) {
+func (r *streamReader) deliver(event *protocol.StreamEvent) (*protocol.StreamEvent, error) {
 	if event.Kind == protocol.EventError {
 		return nil, fault.New(fault.BackendLost, "the engine aborted the stream").WithRan(fault.RanYes)
 	}
 	if event.Kind == protocol.EventChunk {
-		f.chunks++
+		r.chunks++
 	}
-	if err := f.onEvent(event); err != nil {
+	if err := r.onEvent(event); err != nil {
 		return nil, errors.Wrap(errCallerGone, err.Error())
 	}
 	if event.Kind == protocol.EventEnd {
@@ -112,14 +112,14 @@
 
 // eventTimeout returns the bound of the wait for the next event. It is short after
 // a resume, since the engine sends at once what it has already generated.
-func (f *streamReader) eventTimeout() time.Duration {
-	if f.idleResumes > 0 {
-		return f.dispatcher.config.ResumeTimeout
+func (r *streamReader) eventTimeout() time.Duration {
+	if r.idleResumes > 0 {
+		return r.dispatcher.config.ResumeTimeout
 	}
-	if f.chunks == 0 && f.firstTimeout > 0 {
-		return f.firstTimeout
+	if r.chunks == 0 && r.firstTimeout > 0 {
+		return r.firstTimeout
 	}
-	return f.dispatcher.config.StallTimeout
+	return r.dispatcher.config.StallTimeout
 }
 
 // streamFault converts the error of an open stream to a fault. EOF without an
@@ -133,21 +133,21 @@
 
 // resume reopens the stream at its next event. It returns a fault if the engine
 // refuses, or after MaxIdleResumes resumes that brought no event.
-func (f *streamReader) resume(ctx context.Context) (engine.EventStream, error) {
+func (r *streamReader) resume(ctx context.Context) (engine.EventStream, error) {
 	for {
-		if f.idleResumes >= f.dispatcher.config.MaxIdleResumes {
+		if r.idleResumes >= r.dispatcher.config.MaxIdleResumes {
 			return nil, fault.New(fault.BackendLost, "the stream could not be resumed").WithRan(fault.RanUnknown)
 		}
-		if f.idleResumes > 0 && !wait.For(ctx, f.dispatcher.config.ResumeDelay) {
+		if r.idleResumes > 0 && !wait.For(ctx, r.dispatcher.config.ResumeDelay) {
 			return nil, errCallerGone
 		}
-		f.idleResumes++
-		f.dispatcher.Counters.Resumes.Add(1)
-		stream, err := f.dispatcher.openStream(ctx, f.dispatcher.config.ResumeTimeout, func(ctx context.Context) (engine.EventStream, error) {
-			return f.dispatcher.Engines.Resume(ctx, f.address, engine.ResumeTarget{
-				Incarnation: f.sequencer.Incarnation(),
-				Stream:      f.sequencer.Stream(),
-				From:        f.sequencer.Next(),
+		r.idleResumes++
+		r.dispatcher.Counters.Resumes.Add(1)
+		stream, err := r.dispatcher.openStream(ctx, r.dispatcher.config.ResumeTimeout, func(ctx context.Context) (engine.EventStream, error) {
+			return r.dispatcher.Engines.Resume(ctx, r.address, engine.ResumeTarget{
+				Incarnation: r.sequencer.Incarnation(),
+				Stream:      r.sequencer.Stream(),
+				From:        r.sequencer.Next(),
 			})
 		})
 		if err == nil {
--- a/internal/fleet/adopter_test.go
+++ b/internal/fleet/adopter_test.go
@@ -26,8 +26,8 @@
 	return files
 }
 
-func (w *adopterFiles) ref(version Version) FileRef {
-	return FileRef{Version: version, Digest: DigestOf(w.accepted[version-1])}
+func (a *adopterFiles) ref(version Version) FileRef {
+	return FileRef{Version: version, Digest: DigestOf(a.accepted[version-1])}
 }
 
 // adopterRun drives one Adopter with answers that may be correct, stale, wrong or
--- a/internal/fleet/checktenants.go
+++ b/internal/fleet/checktenants.go
@@ -62,8 +62,8 @@
 // servicePlaces holds the places in which each service has an active back end.
 type servicePlaces map[ident.Service]map[string]bool
 
-func (r servicePlaces) serves(service ident.Service, places []string) bool {
-	return slices.ContainsFunc(places, func(place string) bool { return r[service][place] })
+func (s servicePlaces) serves(service ident.Service, places []string) bool {
+	return slices.ContainsFunc(places, func(place string) bool { return s[service][place] })
 }
 
 func servicePlacesOf(document *Document) servicePlaces {
--- a/internal/forward/recent.go
+++ b/internal/forward/recent.go
@@ -33,14 +33,14 @@
 	defer p.mutex.Unlock()
 	usedAt, known := p.usedAt[part]
 	if !known && len(p.usedAt) >= maxRecentParts {
-		p.forget(now)
+		p.evict(now)
 	}
 	p.usedAt[part] = now
 	return known && now.Sub(usedAt) < recentFor
 }
 
-// forget drops the parts that were not used recently, or all if that frees no space.
-func (p *recentPrompts) forget(now time.Time) {
+// evict drops the parts that were not used recently, or all if that frees no space.
+func (p *recentPrompts) evict(now time.Time) {
 	for part, usedAt := range p.usedAt {
 		if now.Sub(usedAt) >= recentFor {
 			delete(p.usedAt, part)
--- a/internal/forward/releases.go
+++ b/internal/forward/releases.go
@@ -63,9 +63,9 @@
 
 // chooseReleases returns the releases for the next attempt. Only the first call counts the request.
 func (r *run) chooseReleases(now time.Time) backend.Releases {
-	ask := canary.ChooseRequest{Service: r.service, Route: r.route.Name, First: !r.counted, Excluded: len(r.excluded)}
+	request := canary.ChooseRequest{Service: r.service, Route: r.route.Name, First: !r.counted, Excluded: len(r.excluded)}
 	r.counted = true
-	return r.forwarder.Releases.Choose(now, ask)
+	return r.forwarder.Releases.Choose(now, request)
 }
 
 // countForRelease counts the attempt for the release of its back end.
--- a/internal/forward/start.go
+++ b/internal/forward/start.go
@@ -48,15 +48,15 @@
 // configuration is confirmed again: keys, versions, engines and quarantines may have changed
 // during the suspension, even where no bound on their age is exceeded.
 func (f *Forwarder) awaitConfirmation(ctx context.Context, request *Request) {
-	wokeAt, found := clock.ResumedAt()
+	resumedAt, found := clock.ResumedAt()
 	if !found || f.Holder.View().Snapshot == nil {
 		return
 	}
-	until := wokeAt.Add(configurationWait)
+	until := resumedAt.Add(configurationWait)
 	if request.ClientTimeout > 0 {
-		until = earlier(until, wokeAt.Add(request.ClientTimeout/configurationWaitDivisor))
+		until = earlier(until, resumedAt.Add(request.ClientTimeout/configurationWaitDivisor))
 	}
-	for f.Holder.View().ConfirmedAt.Before(wokeAt) && clock.Now().Before(until) {
+	for f.Holder.View().ConfirmedAt.Before(resumedAt) && clock.Now().Before(until) {
 		if !wait.For(ctx, placeInterval) {
 			return
 		}
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -102,29 +102,29 @@
 
 // RecordStart records that an engine accepted an attempt and counted its tokens.
 func (c *Core) RecordStart(now time.Time, key endpoint.AttemptKey, incarnation ident.Incarnation, usage protocol.Usage) {
-	flight := c.inFlight[key]
-	if flight == nil || flight.incarnation != incarnation {
+	current := c.inFlight[key]
+	if current == nil || current.incarnation != incarnation {
 		return
 	}
-	request := &flight.job.Request
-	chain := request.Chains[flight.version]
+	request := &current.job.Request
+	chain := request.Chains[current.version]
 	if request.BlockTokens > 0 {
 		held := usage.CachedTokens / request.BlockTokens
-		c.config.Beliefs.RecordAnswer(now, flight.engine, incarnation, chain, held)
+		c.config.Beliefs.RecordAnswer(now, current.engine, incarnation, chain, held)
 		if c.directory != nil {
-			c.directory.RecordAnswer(now, flight.engine, incarnation, chain, held)
+			c.directory.RecordAnswer(now, current.engine, incarnation, chain, held)
 		}
 	}
-	c.count(flight, usage)
+	c.count(current, usage)
 }
 
 // count compares the tokens believed cached with those that the engine found.
-func (c *Core) count(flight *attempt, usage protocol.Usage) {
+func (c *Core) count(current *attempt, usage protocol.Usage) {
 	c.Counters.PromptTokens += uint64(usage.PromptTokens)
 	c.Counters.CachedTokens += uint64(usage.CachedTokens)
-	c.Counters.CreditedTokens += uint64(flight.credit)
-	tolerance := float64(flight.job.Request.BlockTokens)
-	switch difference := flight.credit - float64(usage.CachedTokens); {
+	c.Counters.CreditedTokens += uint64(current.credit)
+	tolerance := float64(current.job.Request.BlockTokens)
+	switch difference := current.credit - float64(usage.CachedTokens); {
 	case difference > tolerance:
 		c.Counters.BeliefHigh++
 	case difference < -tolerance:
@@ -137,8 +137,8 @@
 // RecordFirstToken records that an engine has prefilled an attempt's prompt, and
 // so everything queued before it.
 func (c *Core) RecordFirstToken(now time.Time, key endpoint.AttemptKey) {
-	if flight := c.inFlight[key]; flight != nil {
-		c.registry.FirstToken(now, flight.engine, key)
+	if current := c.inFlight[key]; current != nil {
+		c.registry.FirstToken(now, current.engine, key)
 	}
 }
 
@@ -161,28 +161,28 @@
 // RecordEnd records the end of an attempt. The zero Result means that the
 // placement was not used.
 func (c *Core) RecordEnd(now time.Time, key endpoint.AttemptKey, result Result) Effects {
-	flight := c.inFlight[key]
-	if flight == nil {
+	current := c.inFlight[key]
+	if current == nil {
 		return c.dispatchWaiting(now)
 	}
 	delete(c.inFlight, key)
-	if !c.registry.HasAddress(flight.engine, flight.address) {
+	if !c.registry.HasAddress(current.engine, current.address) {
 		return c.dispatchWaiting(now)
 	}
-	c.registry.Ended(now, flight.engine, key)
-	c.applyChanges(c.registry.ObserveIncarnation(flight.engine, result.Incarnation))
-	if limiter := c.limiters[flight.engine]; limiter != nil {
+	c.registry.Ended(now, current.engine, key)
+	c.applyChanges(c.registry.ObserveIncarnation(current.engine, result.Incarnation))
+	if limiter := c.limiters[current.engine]; limiter != nil {
 		limiter.Finished(now, sampleOf(result))
 	}
 	if result.Unreachable || result.Refusal != "" || result == (Result{}) {
-		chain := flight.job.Request.Chains[flight.version]
-		c.config.Beliefs.RecordRefusal(flight.engine, flight.incarnation, chain)
+		chain := current.job.Request.Chains[current.version]
+		c.config.Beliefs.RecordRefusal(current.engine, current.incarnation, chain)
 	}
 	switch {
 	case result.Unreachable:
-		c.applyChanges(c.registry.ObserveUnreachable(flight.engine))
+		c.applyChanges(c.registry.ObserveUnreachable(current.engine))
 	case result.Refusal == protocol.RefusalDraining:
-		c.applyChanges(c.registry.ObserveDraining(now, flight.engine, result.Incarnation))
+		c.applyChanges(c.registry.ObserveDraining(now, current.engine, result.Incarnation))
 	}
 	return c.dispatchWaiting(now)
 }
--- a/internal/prefix/directory/node_test.go
+++ b/internal/prefix/directory/node_test.go
@@ -27,8 +27,8 @@
 	held  map[prefix.Hash]bool
 }
 
-func (h *engineBlocks) Holds(_ ident.Engine, _ ident.Incarnation, hash prefix.Hash) (held, known bool) {
-	return h.held[hash], h.known
+func (e *engineBlocks) Holds(_ ident.Engine, _ ident.Incarnation, hash prefix.Hash) (held, known bool) {
+	return e.held[hash], e.known
 }
 
 // cluster connects nodes by a lossless network that counts bytes.
--- a/internal/quarantine/decision.go
+++ b/internal/quarantine/decision.go
@@ -34,8 +34,8 @@
 }
 
 // String returns the reason for the quarantine, as sent to clients.
-func (v *Decision) String() string {
-	return fmt.Sprintf("%d back ends crashed while they ran this request, which has the fingerprint %s", len(v.Crashes), v.Request)
+func (d *Decision) String() string {
+	return fmt.Sprintf("%d back ends crashed while they ran this request, which has the fingerprint %s", len(d.Crashes), d.Request)
 }
 
 // Check returns the decision on a quarantined request, nil if the request may be sent.
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -30,10 +30,10 @@
 }
 
 // ToStore returns the number of crashes to store, as Ledger.ToStore does.
-func (t *Evidence) ToStore() int {
+func (e *Evidence) ToStore() int {
 	merged := NewLedger()
-	merged.Merge(time.Unix(0, 0), []Evidence{*t})
-	return merged.ToStore(t.Request)
+	merged.Merge(time.Unix(0, 0), []Evidence{*e})
+	return merged.ToStore(e.Request)
 }
 
 // Evidence returns the evidence on a request; it is false if there is none.
--- a/internal/quarantine/guard/abandoned.go
+++ b/internal/quarantine/guard/abandoned.go
@@ -31,20 +31,20 @@
 	next int
 }
 
-func (l *abandonedAttempts) add(attempt abandonedAttempt) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.all[l.next] = attempt
-	l.next = (l.next + 1) % maxAbandoned
+func (a *abandonedAttempts) add(attempt abandonedAttempt) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.all[a.next] = attempt
+	a.next = (a.next + 1) % maxAbandoned
 }
 
 // take removes and returns the requests abandoned at an incarnation shortly before its crash.
-func (l *abandonedAttempts) take(incarnation ident.Incarnation, crashedAt time.Time) []quarantine.Fingerprint {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (a *abandonedAttempts) take(incarnation ident.Incarnation, crashedAt time.Time) []quarantine.Fingerprint {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var requests []quarantine.Fingerprint
-	for index := range l.all {
-		attempt := &l.all[index]
+	for index := range a.all {
+		attempt := &a.all[index]
 		if attempt.incarnation != incarnation {
 			continue
 		}
@@ -57,11 +57,11 @@
 }
 
 // has reports whether a request was abandoned at an incarnation shortly before a time.
-func (l *abandonedAttempts) has(incarnation ident.Incarnation, now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for index := range l.all {
-		if attempt := &l.all[index]; attempt.incarnation == incarnation && now.Sub(attempt.at) <= abandonedWindow {
+func (a *abandonedAttempts) has(incarnation ident.Incarnation, now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for index := range a.all {
+		if attempt := &a.all[index]; attempt.incarnation == incarnation && now.Sub(attempt.at) <= abandonedWindow {
 			return true
 		}
 	}
--- a/internal/quarantine/guard/guard.go
+++ b/internal/quarantine/guard/guard.go
@@ -185,8 +185,8 @@
 	loops.Go(func() { g.checks.run(ctx) })
 	loops.Go(func() { g.maintainRows(ctx) })
 	wait.Every(ctx, updateInterval, func() {
-		g.repeatUpdates()
-		g.ledger.Forget(clock.Now())
+		g.resendUpdates()
+		g.ledger.Expire(clock.Now())
 	})
 	loops.Wait()
 }
--- a/internal/quarantine/guard/rows.go
+++ b/internal/quarantine/guard/rows.go
@@ -61,14 +61,14 @@
 	listedAt time.Time
 	// epoch is that of the store at the last list.
 	epoch uint64
-	// trialAskedAt is when this router last requested a trial.
-	trialAskedAt map[quarantine.Fingerprint]time.Time
+	// trialRequestedAt is when this router last requested a trial.
+	trialRequestedAt map[quarantine.Fingerprint]time.Time
 }
 
 func newRows(table store.Table, timeout time.Duration, ledger *quarantine.Ledger) *rows {
 	return &rows{
 		table: table, timeout: timeout, ledger: ledger,
-		stored: make(map[quarantine.Fingerprint]int), trialAskedAt: make(map[quarantine.Fingerprint]time.Time), listedAt: clock.Now(),
+		stored: make(map[quarantine.Fingerprint]int), trialRequestedAt: make(map[quarantine.Fingerprint]time.Time), listedAt: clock.Now(),
 	}
 }
 
@@ -124,7 +124,7 @@
 	restored := r.read && list.Epoch > r.epoch
 	r.epoch = max(r.epoch, list.Epoch)
 	for request := range before {
-		if _, there := found[request]; there || list.More {
+		if _, listed := found[request]; listed || list.More {
 			continue
 		}
 		delete(r.stored, request)
@@ -281,7 +281,7 @@
 // acquireTrial requests a trial, and returns the number granted so far. One whose write gets no
 // answer counts as used.
 func (r *rows) acquireTrial(ctx context.Context, request quarantine.Fingerprint) (trialResult, int) {
-	if !r.mayAskForTrial(clock.Now(), request) {
+	if !r.mayRequestTrial(clock.Now(), request) {
 		return trialDenied, 0
 	}
 	bounded, cancel := context.WithTimeout(ctx, trialTimeout)
@@ -306,17 +306,17 @@
 	return r.grantTrial(bounded, &row, request, value.Evidence.Trials+1)
 }
 
-// mayAskForTrial reports whether this router may request a trial now, and records it.
-func (r *rows) mayAskForTrial(now time.Time, request quarantine.Fingerprint) bool {
+// mayRequestTrial reports whether this router may request a trial now, and records it.
+func (r *rows) mayRequestTrial(now time.Time, request quarantine.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.trialAskedAt[request]) < trialInterval {
+	if now.Sub(r.trialRequestedAt[request]) < trialInterval {
 		return false
 	}
-	if len(r.trialAskedAt) > maxRows {
-		clear(r.trialAskedAt)
+	if len(r.trialRequestedAt) > maxRows {
+		clear(r.trialRequestedAt)
 	}
-	r.trialAskedAt[request] = now
+	r.trialRequestedAt[request] = now
 	return true
 }
 
--- a/internal/quarantine/guard/updates.go
+++ b/internal/quarantine/guard/updates.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// repeatUpdates sends the updates again that were not sent often enough.
-func (g *Guard) repeatUpdates() {
+// resendUpdates sends the updates again that were not sent often enough.
+func (g *Guard) resendUpdates() {
 	g.mu.Lock()
 	var due []quarantine.Fingerprint
 	for request, times := range g.updates {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -247,7 +247,7 @@
 
 // evict drops old suspects or, if there are none, the one with the least evidence.
 func (l *Ledger) evict(now time.Time) {
-	l.forget(now)
+	l.expire(now)
 	if len(l.suspects) < maxSuspects {
 		return
 	}
@@ -269,14 +269,14 @@
 	return a.changedAt().Before(b.changedAt())
 }
 
-// Forget drops suspects that are not quarantined and without recent evidence.
-func (l *Ledger) Forget(now time.Time) {
+// Expire drops suspects that are not quarantined and without recent evidence.
+func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forget(now)
+	l.expire(now)
 }
 
-func (l *Ledger) forget(now time.Time) {
+func (l *Ledger) expire(now time.Time) {
 	for request, known := range l.suspects {
 		if !known.quarantined() && now.Sub(known.changedAt()) > suspectTTL {
 			delete(l.suspects, request)
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -162,7 +162,7 @@
 	quarantined, suspects := ledger.Counts()
 	is.Equal(quarantined, 1)
 	is.Equal(suspects, 2048)
-	ledger.Forget(startTime.Add(time.Hour))
+	ledger.Expire(startTime.Add(time.Hour))
 	quarantined, suspects = ledger.Counts()
 	is.Equal(quarantined, 1)
 	is.Equal(suspects, 1)
--- a/internal/quota/agent.go
+++ b/internal/quota/agent.go
@@ -24,10 +24,10 @@
 
 const (
 	// attemptsPerLeader is the number of times that a request is sent to one leader, and
-	// attemptsIfHeard that if a message arrived from it since the last hello was due: then
+	// attemptsIfReceiving that if a message arrived from it since the last hello was due: then
 	// datagrams are lost, and the leader must not be taken for down.
-	attemptsPerLeader = 2
-	attemptsIfHeard   = 6
+	attemptsPerLeader   = 2
+	attemptsIfReceiving = 6
 	// leadersPerRequest is the number of leaders that one request is sent to.
 	leadersPerRequest = 3
 	// assumedRouters is the number of routers while it is unknown.
@@ -192,8 +192,8 @@
 // retry resends a request without a response, unless too many leaders were tried.
 func (a *Agent) retry(now time.Time, id uint64, waiting *pending) {
 	maxAttempts := attemptsPerLeader
-	if a.ranking.HeardSince(waiting.leader, now.Add(-a.ranking.interval)) {
-		maxAttempts = attemptsIfHeard
+	if a.ranking.ReceivedSince(waiting.leader, now.Add(-a.ranking.interval)) {
+		maxAttempts = attemptsIfReceiving
 	}
 	if waiting.attempts >= maxAttempts {
 		a.ranking.MarkDown(waiting.leader)
--- a/internal/quota/denials.go
+++ b/internal/quota/denials.go
@@ -10,8 +10,8 @@
 	// denialAllowance is the number of recent denials from which on denied requests are delayed
 	// for longer than until the next unit is free.
 	denialAllowance = 8
-	// claimsPerUnit is the number of requests that may come for each free unit.
-	claimsPerUnit = 4
+	// requestsPerUnit is the number of requests that may come for each free unit.
+	requestsPerUnit = 4
 )
 
 // denialCounter counts recent denials, so that the routers of a large fleet don't all request
@@ -40,5 +40,5 @@
 	if excess <= 0 || rate <= 0 {
 		return 0
 	}
-	return min(time.Duration(excess*p.bounds.Unit/(claimsPerUnit*rate)*float64(time.Second)), maxRetryAfter)
+	return min(time.Duration(excess*p.bounds.Unit/(requestsPerUnit*rate)*float64(time.Second)), maxRetryAfter)
 }
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -41,7 +41,7 @@
 	// Slack is a number of units beyond Overshoot.
 	Slack float64
 	// Unit is the amount of each reservation where all are equal, else 0. A pool of at least
-	// unitPart of all routers accumulates one unit even if its share of the limit is smaller.
+	// unitFraction of all routers accumulates one unit even if its share of the limit is smaller.
 	Unit float64
 }
 
@@ -63,26 +63,26 @@
 // rate returns the rate at which buckets fill: the limit's rate and a part of the spare, since
 // a needless denial costs more than a request too many.
 func (b Bounds) rate(limit Limit) float64 {
-	return limit.Rate + ratePart*b.spare(limit)/max(b.Window.Seconds(), 1)
+	return limit.Rate + rateFraction*b.spare(limit)/max(b.Window.Seconds(), 1)
 }
 
 // The spare of a window is divided. The rest covers the time for which two pools count a router
 // that moves from one to the other.
 const (
-	// ratePart of the spare is granted evenly over the window.
-	ratePart = 0.4
-	// startCreditPart of the spare is the start credit of all routers together: each adds its
+	// rateFraction of the spare is granted evenly over the window.
+	rateFraction = 0.4
+	// startCreditFraction of the spare is the start credit of all routers together: each adds its
 	// share to the pool that it joins, at most once in a window.
-	startCreditPart = 0.1
-	// debtPart of the spare may be granted to one large request beyond a full bucket.
-	debtPart = 0.15
+	startCreditFraction = 0.1
+	// overdraftFraction of the spare may be granted to one large request beyond a full bucket.
+	overdraftFraction = 0.15
 )
 
 const (
-	// unitPart is the part of all routers from which on a pool accumulates a whole unit. Many
+	// unitFraction is the part of all routers from which on a pool accumulates a whole unit. Many
 	// smaller pools could grant their units all at once.
-	unitPart = 0.25
-	// preferredPart of a unit may be missing when a preferred reservation is granted, so that
+	unitFraction = 0.25
+	// preferredFraction of a unit may be missing when a preferred reservation is granted, so that
 	// preferred ones come first where there are enough of them to use a limit.
-	preferredPart = 0.5
+	preferredFraction = 0.5
 )
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -46,15 +46,15 @@
 	// Version orders the limits of a subject; the highest applies.
 	Version uint64  `cbor:"3,keyasint"`
 	Amount  float64 `cbor:"4,keyasint"`
-	// Preferred reservations are granted a little earlier than others (preferredPart).
+	// Preferred reservations are granted a little earlier than others (preferredFraction).
 	Preferred bool `cbor:"5,keyasint,omitempty"`
 }
 
 // valid reports whether the numbers are finite and not negative: messages of other routers are
 // not trusted.
-func (c *Reservation) valid() bool {
+func (r *Reservation) valid() bool {
 	finite := func(value float64) bool { return value >= 0 && !math.IsInf(value, 1) }
-	return finite(c.Amount) && finite(c.Limit.Rate) && finite(c.Limit.Burst) && c.Limit.Limited()
+	return finite(r.Amount) && finite(r.Limit.Rate) && finite(r.Limit.Burst) && r.Limit.Limited()
 }
 
 // AcquireRequest requests a reservation from the leader of a pool. A retry has the same ID.
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -144,8 +144,8 @@
 	}
 	p.sweepAt = now.Add(p.memberTimeout)
 	before := len(p.members)
-	for member, heardAt := range p.members {
-		goneAt := heardAt.Add(p.memberTimeout)
+	for member, refreshedAt := range p.members {
+		goneAt := refreshedAt.Add(p.memberTimeout)
 		if !now.Before(goneAt) {
 			delete(p.members, member)
 		} else if goneAt.Before(p.sweepAt) {
@@ -192,7 +192,7 @@
 func (p *Pool) capacity(limit Limit, routers int) float64 {
 	share := p.share(routers)
 	capacity := limit.capacity() * share
-	if share >= unitPart {
+	if share >= unitFraction {
 		capacity = max(capacity, p.bounds.Unit)
 	}
 	return capacity
@@ -200,7 +200,7 @@
 
 // maxLevel returns the capacity plus the start credits of the members.
 func (p *Pool) maxLevel(limit Limit, routers int) float64 {
-	return p.capacity(limit, routers) + startCreditPart*p.bounds.spare(limit)*p.share(routers)
+	return p.capacity(limit, routers) + startCreditFraction*p.bounds.spare(limit)*p.share(routers)
 }
 
 // shrink reduces all buckets to the share of the remaining members: another pool may grant the
@@ -289,7 +289,7 @@
 // withCredits returns the level of a bucket with the start credits since its last update: at
 // most those of all routers, however many joined and left.
 func (p *Pool) withCredits(known *bucket, full float64, routers int) float64 {
-	whole := startCreditPart * p.bounds.spare(known.limit)
+	whole := startCreditFraction * p.bounds.spare(known.limit)
 	part := min(whole*float64(p.credits-known.credits)/float64(max(routers, 1)), whole)
 	return max(known.level, min(known.level+part, full+whole))
 }
@@ -299,12 +299,12 @@
 	share := p.share(routers)
 	full := p.capacity(tokens.limit, routers)
 	needed := reservation.Amount
-	if largest := full + debtPart*p.bounds.spare(tokens.limit)*share; reservation.Amount <= largest {
+	if largest := full + overdraftFraction*p.bounds.spare(tokens.limit)*share; reservation.Amount <= largest {
 		// A request larger than the bucket waits until it is full.
 		needed = min(reservation.Amount, full)
 	}
 	if reservation.Preferred {
-		needed -= preferredPart * p.bounds.Unit
+		needed -= preferredFraction * p.bounds.Unit
 	}
 	lacking := needed - tokens.level
 	if lacking <= 0 {
--- a/internal/quota/ranking.go
+++ b/internal/quota/ranking.go
@@ -23,10 +23,10 @@
 	// so that the next leader is known in advance; as many that are down are probed for their
 	// return.
 	standbys = 3
-	// maxUnheardProbes is the number of routers without any message yet that are probed at
+	// maxUnknownProbes is the number of routers without any message yet that are probed at
 	// once. After a restart of the whole fleet the oldest router that did not restart may be
 	// behind many that did.
-	maxUnheardProbes = 64
+	maxUnknownProbes = 64
 	// minResponseTimeout covers a round trip between zones and scheduling delays at both ends.
 	minResponseTimeout = 30 * time.Millisecond
 	maxResponseTimeout = 250 * time.Millisecond
@@ -64,8 +64,8 @@
 	pendingHello uint64
 	pendingSince time.Time
 	helloAt      time.Time
-	// heardAt is when any of its messages came last.
-	heardAt time.Time
+	// receivedAt is when any of its messages came last.
+	receivedAt time.Time
 	// rtt is the mean round-trip time.
 	rtt time.Duration
 }
@@ -143,14 +143,14 @@
 // ObserveMessage records that a message of a router came.
 func (r *Ranking) ObserveMessage(now time.Time, from netip.AddrPort) {
 	if known := r.find(from); known != nil {
-		known.heardAt = now
+		known.receivedAt = now
 	}
 }
 
-// HeardSince reports whether a message of a router came after a time.
-func (r *Ranking) HeardSince(addr netip.AddrPort, since time.Time) bool {
+// ReceivedSince reports whether a message of a router came after a time.
+func (r *Ranking) ReceivedSince(addr netip.AddrPort, since time.Time) bool {
 	known := r.find(addr)
-	return known != nil && known.heardAt.After(since)
+	return known != nil && known.receivedAt.After(since)
 }
 
 // MarkDown records that a router repeatedly did not answer in time.
@@ -193,7 +193,7 @@
 		if known.pendingHello == 0 || now.Sub(known.pendingSince) < r.interval {
 			continue
 		}
-		if known.up && known.heardAt.After(known.pendingSince) {
+		if known.up && known.receivedAt.After(known.pendingSince) {
 			// The datagram was lost: another message of the router came since.
 			known.pendingHello = 0
 			continue
@@ -205,7 +205,7 @@
 // probePass counts the routers visited by one call of DueHellos.
 type probePass struct {
 	place             int
-	up, down, unheard int
+	up, down, unknown int
 	// interval is the time between two hellos to the router visited last.
 	interval time.Duration
 }
@@ -224,10 +224,10 @@
 		pass.down++
 		pass.interval += time.Duration(pass.down/standbys) * probeInterval
 	default:
-		pass.unheard++
+		pass.unknown++
 		pass.interval = r.interval
 	}
-	return pass.up <= pass.place+standbys && pass.unheard <= maxUnheardProbes
+	return pass.up <= pass.place+standbys && pass.unknown <= maxUnknownProbes
 }
 
 // hello returns a hello to a candidate and counts it as sent.
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -127,7 +127,7 @@
 	}
 	if grant.Fence != c.fence {
 		c.fence = grant.Fence
-		c.planner.ForgetOrders()
+		c.planner.DropOrders()
 	}
 	// Orders of two lease holders must not interleave.
 	if now.Before(grant.QuietUntil) || !now.Before(grant.ActUntil) {
--- a/internal/rollout/crashes.go
+++ b/internal/rollout/crashes.go
@@ -43,9 +43,9 @@
 	reported   bool
 }
 
-// noteCrashes counts engines under order that are not listed any more. Those that stop as planned
+// countCrashes counts engines under order that are not listed any more. Those that stop as planned
 // are listed as draining before.
-func (p *Planner) noteCrashes(records []backend.Record) {
+func (p *Planner) countCrashes(records []backend.Record) {
 	listed := make(map[ident.Incarnation]struct{}, len(records))
 	for _, record := range records {
 		listed[record.Instance] = struct{}{}
--- a/internal/rollout/planner.go
+++ b/internal/rollout/planner.go
@@ -143,7 +143,7 @@
 // Observe sets the instance list and the published versions.
 func (p *Planner) Observe(records []backend.Record, models map[ident.Model]catalog.PublishedVersion) {
 	p.models = models
-	p.noteCrashes(records)
+	p.countCrashes(records)
 	engines := make(map[ident.Incarnation]*engineState, len(records))
 	for _, record := range records {
 		if len(record.Models) == 0 || record.Draining {
@@ -167,8 +167,8 @@
 	}
 }
 
-// ForgetOrders drops the state of open orders. Called when the lease has a new fence.
-func (p *Planner) ForgetOrders() {
+// DropOrders drops the state of open orders. Called when the lease has a new fence.
+func (p *Planner) DropOrders() {
 	for _, engine := range p.engines {
 		engine.ordered, engine.inFlight = 0, false
 		engine.quiescingSince = time.Time{}
--- a/internal/rollout/quiescing_test.go
+++ b/internal/rollout/quiescing_test.go
@@ -114,7 +114,7 @@
 			planner.Reported(now, "i-00", &rollout.Report{Versions: map[ident.Model]int{model: 2}, Active: 1})
 		}, false},
 		{"it does not answer", func(planner *rollout.Planner, now time.Time) { planner.Reported(now, "i-00", nil) }, true},
-		{"another holder", func(planner *rollout.Planner, _ time.Time) { planner.ForgetOrders() }, true},
+		{"another holder", func(planner *rollout.Planner, _ time.Time) { planner.DropOrders() }, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/router/charts.go
+++ b/internal/router/charts.go
@@ -5,9 +5,9 @@
 	"github.com/fieldpond/fieldpond/internal/statechart"
 )
 
-// guardRepeatable is the guard of the request chart that permits a retry after an
+// guardRetryable is the guard of the request chart that permits a retry after an
 // attempt with an unknown outcome.
-const guardRepeatable statechart.Guard = "repeatable"
+const guardRetryable statechart.Guard = "repeatable"
 
 // requestChart drives one instance of the request chart for dispatch.
 type requestChart struct {
@@ -23,7 +23,7 @@
 	return func(repeatable bool) dispatch.Chart {
 		options := []statechart.Option{statechart.Observe(observer)}
 		if repeatable {
-			options = append(options, statechart.Allow(guardRepeatable))
+			options = append(options, statechart.Allow(guardRetryable))
 		}
 		return requestChart{chart.New(options...)}
 	}
--- a/internal/router/metricsplacement.go
+++ b/internal/router/metricsplacement.go
@@ -14,8 +14,8 @@
 func (r *Router) readPlacement() (placement.State, bool) {
 	bounded, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	reading, err := r.placementRunner.State(bounded)
-	return reading, err == nil
+	state, err := r.placementRunner.State(bounded)
+	return state, err == nil
 }
 
 func (r *Router) registerPlacement() {
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -90,8 +90,8 @@
 }
 
 func (r *Router) serveHead(context.Context, headRequest) (headResponse, error) {
-	pair := r.syncer.CurrentRef()
-	return headResponse{uint64(pair.Version), string(pair.Digest)}, nil
+	ref := r.syncer.CurrentRef()
+	return headResponse{uint64(ref.Version), string(ref.Digest)}, nil
 }
 
 func (r *Router) serveBody(_ context.Context, request bodyRequest) (bodyResponse, error) {
--- a/internal/router/status.go
+++ b/internal/router/status.go
@@ -46,21 +46,21 @@
 // status collects the state of every component. Engines, queue and decisions are
 // empty if the placement runner does not answer in time.
 func (r *Router) status(ctx context.Context) status.Router {
-	pair := r.syncer.CurrentRef()
+	ref := r.syncer.CurrentRef()
 	report := status.Router{
 		Node:         ident.Node(r.settings.Node),
 		Zone:         ident.Zone(r.settings.Zone),
 		State:        string(r.state()),
-		FleetVersion: uint64(pair.Version),
-		FleetDigest:  string(pair.Digest),
+		FleetVersion: uint64(ref.Version),
+		FleetDigest:  string(ref.Digest),
 	}
 	for _, member := range r.view().Members {
 		report.Members = append(report.Members, statusMember(member))
 	}
-	if reading, err := r.placementRunner.State(ctx); err == nil {
-		report.Engines = statusEngines(reading.Endpoints)
-		report.Queue = statusQueue(reading)
-		report.Decisions = status.Decisions(reading.Decisions)
+	if state, err := r.placementRunner.State(ctx); err == nil {
+		report.Engines = statusEngines(state.Endpoints)
+		report.Queue = statusQueue(state)
+		report.Decisions = status.Decisions(state.Decisions)
 	}
 	report.Applications = r.apps.status(time.Now())
 	claims := r.claims.Counters()
@@ -79,10 +79,10 @@
 	return report
 }
 
-func statusQueue(reading placement.State) status.Queue {
-	queue := status.Queue{InFlight: reading.InFlight}
-	for _, priority := range slices.Sorted(maps.Keys(reading.Waiting)) {
-		waiting := reading.Waiting[priority]
+func statusQueue(state placement.State) status.Queue {
+	queue := status.Queue{InFlight: state.InFlight}
+	for _, priority := range slices.Sorted(maps.Keys(state.Waiting)) {
+		waiting := state.Waiting[priority]
 		queue.Waiting += waiting
 		queue.ByPriority = append(queue.ByPriority, status.PriorityDepth{Priority: priority, Waiting: waiting})
 	}
--- a/internal/router/sweeper.go
+++ b/internal/router/sweeper.go
@@ -51,26 +51,26 @@
 	return prefixes
 }
 
-// sweepReading is the state of the sweeper.
-type sweepReading struct {
+// sweepState is the state of the sweeper.
+type sweepState struct {
 	held     bool
 	counters claim.SweepCounters
 }
 
 func (r *Router) registerSweep() {
-	group := telemetry.NewGroup(r.telemetry, func() (sweepReading, bool) {
-		return sweepReading{r.sweeper.Held(), r.sweeper.Counters()}, true
+	group := telemetry.NewGroup(r.telemetry, func() (sweepState, bool) {
+		return sweepState{r.sweeper.Held(), r.sweeper.Counters()}, true
 	})
-	group.Gauge("claim_sweep_lease_held", "1 on the router that deletes old claims, 0 on the others.", func(s sweepReading) int {
+	group.Gauge("claim_sweep_lease_held", "1 on the router that deletes old claims, 0 on the others.", func(s sweepState) int {
 		if s.held {
 			return 1
 		}
 		return 0
 	})
-	group.Counter("claims_swept_total", "Claim rows deleted since their retention had passed.", func(s sweepReading) uint64 { return s.counters.Deleted })
-	group.Counter("claim_sweep_rows_read_total", "Claim rows read to see whether their retention has passed.", func(s sweepReading) uint64 { return s.counters.Read })
-	group.Counter("claim_sweep_rows_changed_total", "Claim rows left alone since they had changed after they were read.", func(s sweepReading) uint64 { return s.counters.Changed })
-	group.Counter("claim_sweep_failures_total", "Requests of the sweep without an answer of the table; they are made again.", func(s sweepReading) uint64 { return s.counters.Failed })
-	group.Counter("claim_sweep_passes_total", "Whole passes over all claim rows.", func(s sweepReading) uint64 { return s.counters.Passes })
+	group.Counter("claims_swept_total", "Claim rows deleted since their retention had passed.", func(s sweepState) uint64 { return s.counters.Deleted })
+	group.Counter("claim_sweep_rows_read_total", "Claim rows read to see whether their retention has passed.", func(s sweepState) uint64 { return s.counters.Read })
+	group.Counter("claim_sweep_rows_changed_total", "Claim rows left alone since they had changed after they were read.", func(s sweepState) uint64 { return s.counters.Changed })
+	group.Counter("claim_sweep_failures_total", "Requests of the sweep without an answer of the table; they are made again.", func(s sweepState) uint64 { return s.counters.Failed })
+	group.Counter("claim_sweep_passes_total", "Whole passes over all claim rows.", func(s sweepState) uint64 { return s.counters.Passes })
 	group.Register()
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -46,16 +46,16 @@
 	if err != nil {
 		return nil, time.Time{}, errors.Wrap(err, "encode the pull")
 	}
-	update, askedAt, err := c.pullOnce(ctx, peer, body)
+	update, requestedAt, err := c.pullOnce(ctx, peer, body)
 	var failed *exchange.Error
 	if errors.As(err, &failed) && failed.Silent && ctx.Err() == nil {
-		update, askedAt, err = c.pullOnce(ctx, peer, body)
+		update, requestedAt, err = c.pullOnce(ctx, peer, body)
 	}
-	return update, askedAt, err
+	return update, requestedAt, err
 }
 
 func (c *Client) pullOnce(ctx context.Context, peer Peer, body []byte) (*Update, time.Time, error) {
-	askedAt := clock.Now()
+	requestedAt := clock.Now()
 	rsp, err := c.pool.Do(ctx, peer.Addr.String(), &exchange.Request{
 		Method: http.MethodPost, Target: Path, Host: peer.Addr.String(), Body: body,
 	})
@@ -73,10 +73,10 @@
 	if err := cbor.Unmarshal(data, &update); err != nil {
 		return nil, time.Time{}, errors.Wrap(err, "decode a peer's update")
 	}
-	if err := update.validate(clock.Since(askedAt)); err != nil {
+	if err := update.validate(clock.Since(requestedAt)); err != nil {
 		return nil, time.Time{}, err
 	}
-	return &update, askedAt.Add(update.HeldFor), nil
+	return &update, requestedAt.Add(update.HeldFor), nil
 }
 
 // validate rejects an update with negative ages or a longer delay than the pull took.
--- a/internal/upstream/server.go
+++ b/internal/upstream/server.go
@@ -51,7 +51,7 @@
 // ServeHTTP implements http.Handler. It delays the answer until there is newer state, for a
 // bounded time.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	askedAt := clock.Now()
+	receivedAt := clock.Now()
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxPullBytes))
 	var pull Pull
 	if err != nil || r.URL.Path != Path || cbor.Unmarshal(body, &pull) != nil {
@@ -64,7 +64,7 @@
 	}
 	now := clock.Now()
 	update := s.state.Update(now, &pull)
-	update.HeldFor = now.Sub(askedAt)
+	update.HeldFor = now.Sub(receivedAt)
 	encoded, err := cbor.Marshal(update)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
