--- a/internal/backend/record.go
+++ b/internal/backend/record.go
@@ -125,7 +125,7 @@
 	Service ident.Service
 	// Model is empty for requests that run no model.
 	Model ident.Model
-	// Expiries are until when a request may begin on older versions of the model, oldest first.
+	// Expiries bound when requests may begin on older versions of the model, oldest first.
 	Expiries []Expiry
 	// HomeKey ranks back ends by the shared part of the prompt; 0 means that
 	// nothing is shared.
--- a/internal/canary/account.go
+++ b/internal/canary/account.go
@@ -29,7 +29,7 @@
 	ceiling uint64
 }
 
-// takeOver starts a new holder's account, which knows only its predecessors' ceiling.
+// takeOver starts a new holder's account, which has only its predecessors' ceiling.
 func (a *account) takeOver(ceiling uint64) {
 	a.inherited, a.granted = ceiling, 0
 	if a.hooks.ignoreCeiling {
--- a/internal/canary/director.go
+++ b/internal/canary/director.go
@@ -101,8 +101,8 @@
 }
 
 // Observe applies the orders, back ends and routers read from the store, and the store's
-// time then. It is also called without the lease, so that a new holder knows how old an
-// order can be.
+// time then. It is also called without the lease, so that a new holder can bound the age
+// of an order.
 func (d *Director) Observe(now time.Time, storeNow time.Duration, orders []Order, backends []backend.Record, routers []netip.AddrPort) {
 	if origin := now.Add(-storeNow); d.storeEpoch.IsZero() || origin.Before(d.storeEpoch) {
 		d.storeEpoch = origin
--- a/internal/canary/fuzz_test.go
+++ b/internal/canary/fuzz_test.go
@@ -39,7 +39,7 @@
 		}
 		gate.Choose(at(time.Second), testRequest)
 		if made := gate.Report(at(time.Second), modelService); made != nil && !made.valid() {
-			t.Fatalf("unsound report: %+v", made)
+			t.Fatalf("invalid report: %+v", made)
 		}
 	})
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -88,7 +88,7 @@
 	Engines           engine.Generator
 	Placer            Placer
 	Budget            RetryBudget
-	NewChart          func(repeatable bool) Chart
+	NewChart          func(retryable bool) Chart
 	Applications      engine.ApplicationCaller
 	ApplicationPlacer ApplicationPlacer
 	Claimer           claim.Claimer
--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -4,8 +4,8 @@
 // with bytes that belong to no request.
 //
 // A connection is silent if its peer stops acknowledging without a reset. The
-// kernel detects that by unacknowledged bytes and probes; idle connections whose
-// peer has not been heard since are then closed.
+// kernel detects that by unacknowledged bytes and probes; idle connections that
+// received nothing since are then closed.
 //
 // net/http's Transport reads answers in the background and retries some requests
 // by itself, which hides what was sent. This package uses net/http only to parse
@@ -24,8 +24,8 @@
 	address string
 	reader  *bufio.Reader
 	// idleSince and idleUntil bound the idle time between two exchanges;
-	// timeoutAdvertised is true if the peer advertised it. The peer was last
-	// heard at idleSince.
+	// timeoutAdvertised is true if the peer advertised it. The last byte was
+	// received at idleSince.
 	idleSince, idleUntil time.Time
 	timeoutAdvertised    bool
 	// ackTimeout is how long sent bytes may stay unacknowledged.
--- a/internal/exchange/silence.go
+++ b/internal/exchange/silence.go
@@ -14,7 +14,7 @@
 }
 
 // recordSilent records that a connection has been silent since a time. It closes
-// the idle connections to the same address whose peer was not heard since.
+// the idle connections to the same address that received nothing since.
 func (p *Pool) recordSilent(address string, since time.Time) {
 	p.mutex.Lock()
 	p.silent++
@@ -28,8 +28,8 @@
 }
 
 // recordConnected counts a new connection. If it proves that an address with a
-// silent connection is reachable, the idle connections to all addresses whose
-// peer was not heard since the silence are closed.
+// silent connection is reachable, the idle connections to all addresses that
+// received nothing since the silence are closed.
 func (p *Pool) recordConnected(address string) {
 	p.mutex.Lock()
 	p.opened++
@@ -46,7 +46,7 @@
 	}
 }
 
-// closeIdleBefore closes the idle connections whose peer was not heard since a
+// closeIdleBefore closes the idle connections that received nothing since a
 // time, and returns their number; the caller holds the mutex.
 func (p *Pool) closeIdleBefore(known *target, since time.Time) int {
 	kept := known.idle[:0]
--- a/internal/exchange/silencedetector.go
+++ b/internal/exchange/silencedetector.go
@@ -32,7 +32,7 @@
 }
 
 // recordConnected records a new connection to an address. It returns true, once per
-// finding, if all connections whose peer was not heard since the returned time are
+// finding, if all connections that received nothing since the returned time are
 // suspect.
 func (s *silenceDetector) recordConnected(now time.Time, address string) (since time.Time, suspectAll bool) {
 	known, found := s.findings[address]
--- a/internal/fleet/schema.go
+++ b/internal/fleet/schema.go
@@ -2,7 +2,7 @@
 // between two files, and how a file is applied and distributed.
 //
 // A fleet file is applied as a whole and is declarative: it states the desired
-// state, which routers and the control duty establish.
+// state, which routers and the control component establish.
 package fleet
 
 import (
--- a/internal/inbound/clients.go
+++ b/internal/inbound/clients.go
@@ -212,7 +212,7 @@
 
 // Sweep closes connections that are idle, or send a header, for longer than the
 // limits allow. For an idle one the longer of the limits at its start and now
-// applies, since its client may not know a reduced one.
+// applies, since its client may not have received a reduced one.
 func (c *Clients) Sweep(now time.Time) {
 	limits := c.limits()
 	var over []*Conn
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -239,8 +239,8 @@
 	m.joined = m.joined || (settled && !message.Joining)
 }
 
-// joining reports whether this router has not reached a router that knows the cluster. It
-// is bounded in time, since no router does if all start at once.
+// joining reports whether this router has not reached a router that has joined. It is
+// bounded in time, since no router has joined if all start at once.
 func (m *Machine) joining() bool {
 	return !m.joined && m.now.Sub(m.started) < joinPeriods*m.timing.ProbePeriod
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -92,7 +92,7 @@
 	Salt uint64 `cbor:"11,keyasint,omitempty"`
 	// Buckets holds bucketCount big-endian 32-bit digests.
 	Buckets []byte `cbor:"12,keyasint,omitempty"`
-	// Joining means that the sender has not reached a router that knows the cluster.
+	// Joining means that the sender has not reached a router that has joined.
 	Joining bool `cbor:"13,keyasint,omitempty"`
 }
 
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -56,7 +56,7 @@
 	return job.Request.Priority > 0 && now.Sub(c.lastBypass[job.Request.Priority]) >= reserveBypassInterval
 }
 
-// bypassReserve repeats the decision on a held job without the reserve.
+// bypassReserve decides again on a held job, now with the use of the reserve.
 func (c *Core) bypassReserve(now time.Time, job *Job) framework.Decision {
 	job.Request.BypassReserve = true
 	decision := c.config.Scheduler.Schedule(&job.Request, &c.snapshot)
--- a/internal/prefix/beliefs/store.go
+++ b/internal/prefix/beliefs/store.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// Remove forgets an engine that the fleet no longer has.
+// Remove drops the state of an engine that the fleet no longer has.
 func (s *Store) Remove(engine ident.Engine) {
 	s.RecordDeath(engine)
 	delete(s.engines, engine)
--- a/internal/prefix/directory/node.go
+++ b/internal/prefix/directory/node.go
@@ -155,7 +155,7 @@
 	n.incarnations[engine] = incarnation
 }
 
-// Remove forgets an engine that the fleet no longer has.
+// Remove drops the state of an engine that the fleet no longer has.
 func (n *Node) Remove(engine ident.Engine) { delete(n.incarnations, engine) }
 
 // Handle applies one message of another node and returns the messages to send.
--- a/internal/prefix/directory/node_test.go
+++ b/internal/prefix/directory/node_test.go
@@ -21,7 +21,7 @@
 
 var start = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
-// engineBlocks holds the blocks that the engine's owner knows from events.
+// engineBlocks holds the blocks that the engine's owner has from events.
 type engineBlocks struct {
 	known bool
 	held  map[prefix.Hash]bool
@@ -194,7 +194,7 @@
 }
 
 // Unique tails of requests to a busy engine must not evict other engines from a
-// shard, and holdings that a shard knows must not be reported to it again.
+// shard, and holdings that a shard has must not be reported to it again.
 func TestUniqueTailsDoNotEvictSharedPrefix(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 5)
--- a/internal/quarantine/guard/crashchecks.go
+++ b/internal/quarantine/guard/crashchecks.go
@@ -60,9 +60,9 @@
 // Backends is the router's registry of back ends. Its methods are safe for concurrent use.
 type Backends interface {
 	// DrainingOrUnlisted reports whether an incarnation has ended as planned or is about to.
-	DrainingOrUnlisted(life ident.Incarnation) bool
+	DrainingOrUnlisted(incarnation ident.Incarnation) bool
 	// ObserveGone records that an incarnation has ended.
-	ObserveGone(now time.Time, life ident.Incarnation)
+	ObserveGone(now time.Time, incarnation ident.Incarnation)
 }
 
 // crashCheck checks whether one incarnation has crashed.
@@ -90,7 +90,7 @@
 type crashChecks struct {
 	backends Backends
 	// onCrash is called with the requests that ran on a crashed incarnation.
-	onCrash func(at time.Time, life ident.Incarnation, requests []quarantine.Fingerprint)
+	onCrash func(at time.Time, incarnation ident.Incarnation, requests []quarantine.Fingerprint)
 	// onResult is called with the result of each check: crashed, alive or unknown.
 	onResult func(string)
 
--- a/internal/quarantine/guard/harness_test.go
+++ b/internal/quarantine/guard/harness_test.go
@@ -14,7 +14,7 @@
 )
 
 // probeFunc is the result of probing an incarnation.
-type probeFunc func(life ident.Incarnation) ProbeResult
+type probeFunc func(incarnation ident.Incarnation) ProbeResult
 
 func always(result ProbeResult) probeFunc {
 	return func(ident.Incarnation) ProbeResult { return result }
--- a/internal/quota/agent.go
+++ b/internal/quota/agent.go
@@ -25,7 +25,7 @@
 const (
 	// attemptsPerLeader is the number of times that a request is sent to one leader, and
 	// attemptsIfReceiving that if a message arrived from it since the last hello was due: then
-	// datagrams are lost, and the leader must not be taken for down.
+	// datagrams are lost, and the leader must not be considered down.
 	attemptsPerLeader   = 2
 	attemptsIfReceiving = 6
 	// leadersPerRequest is the number of leaders that one request is sent to.
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// Most routers that each one knows have restarted too and rank behind it.
+// Most routers in the list of each one have restarted too and rank behind it.
 func TestRestartedFleetFormsOnePool(t *testing.T) {
 	tests := []struct {
 		routers int
--- a/internal/reference/fleet.go
+++ b/internal/reference/fleet.go
@@ -23,7 +23,7 @@
     fieldpond apply -f fleet.yaml --platform http://127.0.0.1:7000
 
 Unknown keys are errors. Durations are written as 250ms, 2s or 5m. Addresses are
-IP numbers, so that routing needs no name service. Complete files are in
+IP addresses, so that routing needs no name service. Complete files are in
 examples/. Beyond the rules in the tables, "fieldpond check" reports names that
 are not declared, names declared twice, and tenants that no engine of their places
 can serve.
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -23,7 +23,7 @@
 const (
 	// Accepted orders are carried out, or already were.
 	Accepted Result = iota + 1
-	// Conflicting orders met another order in progress, or another sequence number.
+	// Conflicting orders were refused for another order in progress or sequence number.
 	Conflicting
 	// Outdated orders carried a fence older than one that the engine has seen.
 	Outdated
--- a/internal/rollout/quiescing_test.go
+++ b/internal/rollout/quiescing_test.go
@@ -107,7 +107,7 @@
 	tests := []struct {
 		name  string
 		after func(planner *rollout.Planner, now time.Time)
-		// again is whether the engine quiesces once more.
+		// again is whether the engine quiesces again.
 		again bool
 	}{
 		{"it has the version", func(planner *rollout.Planner, now time.Time) {
--- a/internal/router/charts.go
+++ b/internal/router/charts.go
@@ -19,10 +19,10 @@
 func (c requestChart) Fire(event dispatch.Event) { _, _ = c.instance.Fire(statechart.Event(event)) }
 
 // newRequestCharts returns a function that creates the chart of a request.
-func newRequestCharts(chart *statechart.Chart, observer statechart.Observer) func(repeatable bool) dispatch.Chart {
-	return func(repeatable bool) dispatch.Chart {
+func newRequestCharts(chart *statechart.Chart, observer statechart.Observer) func(retryable bool) dispatch.Chart {
+	return func(retryable bool) dispatch.Chart {
 		options := []statechart.Option{statechart.Observe(observer)}
-		if repeatable {
+		if retryable {
 			options = append(options, statechart.Allow(guardRetryable))
 		}
 		return requestChart{chart.New(options...)}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// broadcastDraining tells the other routers that a back end is draining.
+// broadcastDraining notifies the other routers that a back end is draining.
 func (r *Router) broadcastDraining(backend string, incarnation ident.Incarnation) {
 	r.background.Go(func() {
 		bounded, cancel := context.WithTimeout(context.Background(), membershipTimeout)
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -38,7 +38,7 @@
 	Body []byte `cbor:"1,keyasint"`
 }
 
-// keepRequest tells a router that one of its streams was resumed at another
+// keepRequest notifies a router that one of its streams was resumed at another
 // router, so that it must not cancel the stream.
 type keepRequest struct {
 	Stream ident.Stream `cbor:"1,keyasint"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,15 +12,15 @@
 	Node string `yaml:"node"`
 	// Zone is the zone of this router, as named in the fleet file. Required.
 	Zone string `yaml:"zone"`
-	// Listen is the address for callers and operators over HTTP: host:port, the host an IP number. Required.
+	// Listen is the address for callers and operators over HTTP: host:port, the host an IP address. Required.
 	Listen string `yaml:"listen"`
-	// Advertise is the HTTP address by which other routers reach this one: host:port, the host an IP number. Not set means the listen address.
+	// Advertise is the HTTP address by which other routers reach this one: host:port, the host an IP address. Not set means the listen address.
 	Advertise string `yaml:"advertise"`
-	// GossipListen is the UDP address for gossip between routers: host:port, the host an IP number. Required.
+	// GossipListen is the UDP address for gossip between routers: host:port, the host an IP address. Required.
 	GossipListen string `yaml:"gossipListen"`
 	// GossipAdvertise is the UDP address by which other routers reach this one. Not set means the gossip listen address.
 	GossipAdvertise string `yaml:"gossipAdvertise"`
-	// Platform is the URL of the platform's services, "http://" or "https://" and a host that is an IP number. Required.
+	// Platform is the URL of the platform's services, "http://" or "https://" and a host that is an IP address. Required.
 	Platform string `yaml:"platform"`
 	// Seeds lists gossip addresses of other routers to join, in addition to the platform's machine list. Empty means the machine list only.
 	Seeds []string `yaml:"seeds"`
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -44,7 +44,7 @@
 			[]string{"line 2: zones: unknown setting", "line 3: limits.maxBodyBytes: \"many\" is not a whole number", "line 3: limits.most: unknown setting", "not set: zone: is required"}},
 		{"host names", "listen: 127.0.0.1:8080", "listen: localhost:80\nseeds: [\"10.0.0.1:1\", \"seed:1\"]",
 			[]string{`line 3: listen: "localhost:80"`, `line 4: seeds: "seed:1"`}},
-		{"platform by name", "http://127.0.0.1:9000", "http://user:pw@platform", []string{"must not contain a user name", `host "platform" is not an IP number`}},
+		{"platform by name", "http://127.0.0.1:9000", "http://user:pw@platform", []string{"must not contain a user name", `host "platform" is not an IP address`}},
 		{"unreachable advertise", "listen: 127.0.0.1:8080", "listen: 0.0.0.0:8080", []string{`not set: advertise: "0.0.0.0:8080" cannot be reached`}},
 		{"inline key", "clusterKey: {environment: FIELDPOND_TEST_KEY}", "clusterKey: " + testKey, []string{"line 6: clusterKey: must be a mapping"}},
 		{"key as path", "environment: FIELDPOND_TEST_KEY", "file: " + testKey, []string{"line 6: clusterKey.file: names a file that cannot be read"}},
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -82,9 +82,9 @@
 	address, err := netip.ParseAddrPort(value)
 	switch {
 	case err != nil:
-		r.problemAt(path, "%q is not host:port with an IP number as host", value)
+		r.problemAt(path, "%q is not host:port with an IP address as host", value)
 	case reachable && (address.Addr().IsUnspecified() || address.Port() == 0):
-		r.problemAt(path, "%q cannot be reached by others: give a definite IP number and port", value)
+		r.problemAt(path, "%q cannot be reached by others: give a definite IP address and port", value)
 	}
 }
 
@@ -104,7 +104,7 @@
 		r.problemAt("platform", "must not contain a user name or password")
 	}
 	if _, err := netip.ParseAddr(parsed.Hostname()); err != nil {
-		r.problemAt("platform", "the host %q is not an IP number", parsed.Hostname())
+		r.problemAt("platform", "the host %q is not an IP address", parsed.Hostname())
 	}
 }
 
--- a/internal/upstream/chain.go
+++ b/internal/upstream/chain.go
@@ -90,7 +90,7 @@
 	fanout = 8
 )
 
-// peerState is what this router knows about one peer.
+// peerState is the known state of one peer.
 type peerState struct {
 	peer Peer
 	// backoff is the latest back-off after failures, 0 while the peer answers.
