--- a/internal/dispatch/application_test.go
+++ b/internal/dispatch/application_test.go
@@ -165,8 +165,8 @@
 	group.Wait()
 }
 
-// repeat sends the booking again after its outcome was recorded.
-func (c bookingCase) repeat(t *testing.T, router *Dispatcher) {
+// retry sends the booking again after its outcome was recorded.
+func (c bookingCase) retry(t *testing.T, router *Dispatcher) {
 	is := is.New(t)
 	answer, err := router.RunApplication(t.Context(), booking())
 	if c.status == 0 {
@@ -203,7 +203,7 @@
 					return // the key is free again
 				}
 				for _, router := range routers {
-					c.repeat(t, router)
+					c.retry(t, router)
 					router.Close()
 				}
 				is.Equal(applications.executed, c.executed)
--- a/internal/dispatch/streamreader.go
+++ b/internal/dispatch/streamreader.go
@@ -220,7 +220,7 @@
 	return refusal != nil && refusal.Kind == protocol.RefusalBadRequest
 }
 
-// asBadRequest returns a fault that blames the request, not the back end.
+// asBadRequest returns a fault of the request, not of the back end.
 func asBadRequest(err error) *fault.Fault {
 	return fault.Wrap(err, fault.BadRequest, "the back end rejected the request as invalid").
 		WithRemedy("shorten the prompt, reduce max_tokens or correct the body; the limits are those of the back end")
--- a/internal/fault/kinds.go
+++ b/internal/fault/kinds.go
@@ -37,7 +37,7 @@
 	StoreUnavailable Kind = "store_unavailable"
 	// BackendLost is a back end that failed after the attempt was sent.
 	BackendLost Kind = "backend_lost"
-	// Quarantined is a request that is not forwarded, since back ends crashed under it.
+	// Quarantined is a request that is not forwarded, since back ends crashed while they ran it.
 	Quarantined Kind = "quarantined"
 	// BackendRefused is an explicit refusal by a back end before execution.
 	BackendRefused Kind = "backend_refused"
--- a/internal/forward/releases_test.go
+++ b/internal/forward/releases_test.go
@@ -20,10 +20,10 @@
 
 // fakeReleases returns first for the first choice of a request, later for further ones.
 type fakeReleases struct {
-	mutex sync.Mutex
-	first backend.Releases
-	later backend.Releases
-	asks  []canary.ChooseRequest
+	mutex    sync.Mutex
+	first    backend.Releases
+	later    backend.Releases
+	requests []canary.ChooseRequest
 	// revoked is a release that is no longer allowed after the placement.
 	revoked  ident.Release
 	declined int
@@ -32,11 +32,11 @@
 }
 
 // Choose implements forward.Releases.
-func (f *fakeReleases) Choose(_ time.Time, ask canary.ChooseRequest) backend.Releases {
+func (f *fakeReleases) Choose(_ time.Time, chooseRequest canary.ChooseRequest) backend.Releases {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.asks = append(f.asks, ask)
-	if ask.First {
+	f.requests = append(f.requests, chooseRequest)
+	if chooseRequest.First {
 		return f.first
 	}
 	return f.later
@@ -107,7 +107,7 @@
 		first, later backend.Releases
 		answers      []answer
 		sent         []ident.Release
-		asks         []canary.ChooseRequest
+		requests     []canary.ChooseRequest
 		declined     int
 		status       int
 	}{
@@ -137,7 +137,7 @@
 			sink := b.forward(t, request("safe"))
 			is.Equal(sink.status, tt.status)
 			is.Equal(releases.sent, tt.sent)
-			is.Equal(releases.asks, tt.asks)
+			is.Equal(releases.requests, tt.requests)
 			is.Equal(releases.declined, tt.declined)
 			is.Equal(len(releases.samples), len(tt.sent)) // one sample per attempt
 		})
@@ -152,7 +152,7 @@
 	wanted := request("safe")
 	wanted.ClientGone = func() bool { return true }
 	b.forward(t, wanted)
-	is.Equal(len(releases.asks), 1)
+	is.Equal(len(releases.requests), 1)
 	is.Equal(len(releases.sent), 0)
 	is.Equal(releases.declined, 1)
 }
@@ -186,13 +186,13 @@
 	is.True(sink.refusal != nil)
 	is.Equal(len(releases.sent), 0)
 	firsts := 0
-	for _, ask := range releases.asks {
-		if ask.First {
+	for _, chooseRequest := range releases.requests {
+		if chooseRequest.First {
 			firsts++
 		}
 	}
 	is.Equal(firsts, 1) // a request that waits is counted once
-	is.True(len(releases.asks) > 1)
+	is.True(len(releases.requests) > 1)
 }
 
 // Samples must reflect the outcome and time of attempts. The first-byte timeout is 210ms.
--- a/internal/inbound/clients_test.go
+++ b/internal/inbound/clients_test.go
@@ -119,11 +119,11 @@
 	is := is.New(t)
 	s := newTestServer(t, inbound.Config{MaxConnections: 3})
 	var conns []net.Conn
-	for asked := range int64(4) {
+	for index := range int64(4) {
 		conn := dial(t, s.addr, getRequest("/"))
 		is.Equal(answer(t, conn).StatusCode, http.StatusOK)
 		// The server sends the answer before it marks the connection as idle.
-		eventually(t, "the connection is idle", func() bool { return s.idled.Load() == asked+1 })
+		eventually(t, "the connection is idle", func() bool { return s.idled.Load() == index+1 })
 		conns = append(conns, conn)
 	}
 	eventually(t, "the first connection is closed", func() bool { return s.open() == 3 })
--- a/internal/lease/machine.go
+++ b/internal/lease/machine.go
@@ -149,8 +149,8 @@
 // those of a holder that a restore of the table may have hidden.
 func (m *Machine) quietAfter(now time.Time) time.Time {
 	quiet := m.quietAfterRow(now)
-	if forgotten := m.restoredAt.Add(m.maxActionTime()); !m.restoredAt.IsZero() && forgotten.After(quiet) {
-		return forgotten
+	if quietAfterRestore := m.restoredAt.Add(m.maxActionTime()); !m.restoredAt.IsZero() && quietAfterRestore.After(quiet) {
+		return quietAfterRestore
 	}
 	return quiet
 }
--- a/internal/prefix/checkpoints.go
+++ b/internal/prefix/checkpoints.go
@@ -16,9 +16,9 @@
 	coarseEnd    = 2048
 )
 
-var ladder = newLadder()
+var checkpointIndexes = newCheckpointIndexes()
 
-func newLadder() []int {
+func newCheckpointIndexes() []int {
 	steps := []int{RootBlock}
 	for end := fineStride; end <= fineEnd; end += fineStride {
 		steps = append(steps, end-1)
@@ -43,7 +43,7 @@
 // block. Two chains that share a prefix share the checkpoints inside it.
 func CheckpointCount(length int) int {
 	count := 0
-	for count < len(ladder) && ladder[count] < length-1 {
+	for count < len(checkpointIndexes) && checkpointIndexes[count] < length-1 {
 		count++
 	}
 	if length > 0 {
@@ -54,8 +54,8 @@
 
 // CheckpointAt returns the block index of one of the checkpoints of a chain.
 func CheckpointAt(checkpoint, length int) int {
-	if checkpoint < len(ladder) {
-		return min(ladder[checkpoint], length-1)
+	if checkpoint < len(checkpointIndexes) {
+		return min(checkpointIndexes[checkpoint], length-1)
 	}
 	return length - 1
 }
--- a/internal/prefix/directory/lookup.go
+++ b/internal/prefix/directory/lookup.go
@@ -159,7 +159,7 @@
 	if !shared {
 		holding, _ = holdingOf(engine, incarnation, chain, len(chain))
 	}
-	if !rooted || n.shardKnows(now, root, &holding) {
+	if !rooted || n.shardHas(now, root, &holding) {
 		return
 	}
 	key := reportKey{engine, incarnation, hashAt(holding.Hashes, len(holding.Hashes)/hashBytes-1)}
@@ -171,10 +171,10 @@
 	}
 }
 
-// shardKnows reports whether the shard's last answer has the holding, or is full
+// shardHas reports whether the shard's last answer has the holding, or is full
 // of engines that hold as much of the chain. Without the second condition, all
 // routers keep reporting engines of a hot prefix that the shard has no room for.
-func (n *Node) shardKnows(now time.Time, root prefix.Hash, holding *Holding) bool {
+func (n *Node) shardHas(now time.Time, root prefix.Hash, holding *Holding) bool {
 	cached, found := n.cache.get(root)
 	if !found || !now.Before(cached.expires) {
 		return false
--- a/internal/quarantine/decision.go
+++ b/internal/quarantine/decision.go
@@ -8,7 +8,7 @@
 
 const (
 	// maxTrials is the number of trials of a quarantined request over all routers. It leaves
-	// one of three allowed sendings for a copy that was already in flight.
+	// one of three allowed attempts for a copy that was already in flight.
 	maxTrials = 2
 	// QuarantinedRetryAfter is the Retry-After of a request without a further trial.
 	QuarantinedRetryAfter = 10 * time.Minute
@@ -18,7 +18,7 @@
 
 // trialPauses are the times before the first and second trial, since the last crash or trial.
 // The first is short for requests quarantined wrongly. After a crash in the first trial the
-// request is probably guilty, and another crash would break all other requests of the back end.
+// request is probably the cause, and another crash would break all other requests of the back end.
 var trialPauses = [maxTrials]time.Duration{10 * time.Second, 10 * time.Minute}
 
 // Decision states why a request may not be sent.
--- a/internal/quarantine/guard/guard.go
+++ b/internal/quarantine/guard/guard.go
@@ -144,15 +144,15 @@
 	}
 }
 
-// recordCrash records the crash of an incarnation under requests, which include those abandoned
-// there.
+// recordCrash records the crash of an incarnation that ran requests; those abandoned there are
+// added.
 func (g *Guard) recordCrash(at time.Time, incarnation ident.Incarnation, requests []quarantine.Fingerprint) {
 	requests = append(requests, g.abandoned.take(incarnation, at)...)
 	log.WithFields(log.Fields{"instance": incarnation, "requests": len(requests)}).Warn("backend_crashed")
 	g.recordEvidence(at, incarnation, requests)
 }
 
-// recordEvidence adds a crash under requests and sends it to the other routers.
+// recordEvidence adds a crash as evidence on requests and sends it to the other routers.
 func (g *Guard) recordEvidence(at time.Time, incarnation ident.Incarnation, requests []quarantine.Fingerprint) {
 	quarantined := g.ledger.RecordCrash(at, incarnation, requests)
 	g.announce(requests...)
--- a/internal/quarantine/guard/guard_test.go
+++ b/internal/quarantine/guard/guard_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// A request that was just answered is innocent, although it ran on each engine that crashed.
+// A request that was just answered is no cause, although it ran on each engine that crashed.
 func TestSuccessClearsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -11,7 +11,7 @@
 
 const (
 	// crashesToQuarantine is the number of incarnations that must have crashed while they ran a
-	// request before it is quarantined. Fewer would quarantine innocent requests where engines
+	// request before it is quarantined. Fewer would quarantine harmless requests where engines
 	// crash for other reasons.
 	crashesToQuarantine = 3
 	// crashesToStore is the number from which on the evidence is stored: the router that
@@ -185,8 +185,7 @@
 	}
 }
 
-// ToStore returns the number of crashes under a request whose evidence the store is to have, 0
-// if none.
+// ToStore returns the number of crashes to store as evidence on a request, 0 if none.
 func (l *Ledger) ToStore(request Fingerprint) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quota/pool_test.go
+++ b/internal/quota/pool_test.go
@@ -14,7 +14,7 @@
 var testLimit = Limit{Rate: 1000, Burst: 2000}
 
 // testBounds leave a spare of 1000: 400 are granted evenly over the window, 100 are start
-// credits, 150 are debt.
+// credits, 150 are overdraft.
 var testBounds = Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 0}
 
 func addrOf(index int) netip.AddrPort {
--- a/internal/reference/fleet.go
+++ b/internal/reference/fleet.go
@@ -148,8 +148,8 @@
 	case form == "entry":
 		return "entries"
 	case strings.HasPrefix(form, "name of "):
-		_, thing, _ := strings.Cut(strings.TrimPrefix(form, "name of "), " ")
-		return thing + " names"
+		_, noun, _ := strings.Cut(strings.TrimPrefix(form, "name of "), " ")
+		return noun + " names"
 	default:
 		return form
 	}
--- a/internal/router/quarantine_test.go
+++ b/internal/router/quarantine_test.go
@@ -121,10 +121,10 @@
 	return &quarantine.Subject{Identity: quarantine.Identity{Tenant: "t", Body: []byte(body)}}
 }
 
-// becomesQuarantined calls repeat until the router quarantines the request, for 3 s at most.
-func becomesQuarantined(q *quarantines, body string, repeat func()) bool {
+// becomesQuarantined calls send until the router quarantines the request, for 3 s at most.
+func becomesQuarantined(q *quarantines, body string, send func()) bool {
 	for range 300 {
-		repeat()
+		send()
 		if q.Check(time.Now(), crashSubject(body)) != nil {
 			return true
 		}
