--- a/internal/canary/fuzz_test.go
+++ b/internal/canary/fuzz_test.go
@@ -38,8 +38,8 @@
 			gate.ApplyPermit(at(time.Second), &permit)
 		}
 		gate.Choose(at(time.Second), testRequest)
-		if made := gate.Report(at(time.Second), modelService); made != nil && !made.sound() {
-			t.Fatalf("unsound report: %+v", made)
+		if made := gate.Report(at(time.Second), modelService); made != nil && !made.valid() {
+			t.Fatalf("invalid report: %+v", made)
 		}
 	})
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -11,7 +11,7 @@
 
 const (
 	// crashesToQuarantine is the number of incarnations that must have crashed while they ran a
-	// request before it is quarantined. Fewer would quarantine innocent requests where engines
+	// request before it is quarantined. Fewer would quarantine harmless requests where engines
 	// crash for other reasons.
 	crashesToQuarantine = 3
 	// crashesToStore is the number from which on the evidence is stored: the router that
@@ -185,8 +185,7 @@
 	}
 }
 
-// ToStore returns the number of crashes under a request whose evidence the store is to have, 0
-// if none.
+// ToStore returns the number of crashes to store as evidence on a request, 0 if none.
 func (l *Ledger) ToStore(request Fingerprint) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -247,7 +246,7 @@
 
 // evict drops old suspects or, if there are none, the one with the least evidence.
 func (l *Ledger) evict(now time.Time) {
-	l.forget(now)
+	l.expire(now)
 	if len(l.suspects) < maxSuspects {
 		return
 	}
@@ -269,14 +268,14 @@
 	return a.changedAt().Before(b.changedAt())
 }
 
-// Forget drops suspects that are not quarantined and without recent evidence.
-func (l *Ledger) Forget(now time.Time) {
+// Expire drops suspects that are not quarantined and without recent evidence.
+func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forget(now)
+	l.expire(now)
 }
 
-func (l *Ledger) forget(now time.Time) {
+func (l *Ledger) expire(now time.Time) {
 	for request, known := range l.suspects {
 		if !known.quarantined() && now.Sub(known.changedAt()) > suspectTTL {
 			delete(l.suspects, request)
--- a/internal/rollout/quiescing_test.go
+++ b/internal/rollout/quiescing_test.go
@@ -107,14 +107,14 @@
 	tests := []struct {
 		name  string
 		after func(planner *rollout.Planner, now time.Time)
-		// again is whether the engine quiesces once more.
+		// again is whether the engine quiesces again.
 		again bool
 	}{
 		{"it has the version", func(planner *rollout.Planner, now time.Time) {
 			planner.Reported(now, "i-00", &rollout.Report{Versions: map[ident.Model]int{model: 2}, Active: 1})
 		}, false},
 		{"it does not answer", func(planner *rollout.Planner, now time.Time) { planner.Reported(now, "i-00", nil) }, true},
-		{"another holder", func(planner *rollout.Planner, _ time.Time) { planner.ForgetOrders() }, true},
+		{"another holder", func(planner *rollout.Planner, _ time.Time) { planner.DropOrders() }, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/router/charts.go
+++ b/internal/router/charts.go
@@ -5,9 +5,9 @@
 	"github.com/fieldpond/fieldpond/internal/statechart"
 )
 
-// guardRepeatable is the guard of the request chart that permits a retry after an
+// guardRetryable is the guard of the request chart that permits a retry after an
 // attempt with an unknown outcome.
-const guardRepeatable statechart.Guard = "repeatable"
+const guardRetryable statechart.Guard = "repeatable"
 
 // requestChart drives one instance of the request chart for dispatch.
 type requestChart struct {
@@ -19,11 +19,11 @@
 func (c requestChart) Fire(event dispatch.Event) { _, _ = c.instance.Fire(statechart.Event(event)) }
 
 // newRequestCharts returns a function that creates the chart of a request.
-func newRequestCharts(chart *statechart.Chart, observer statechart.Observer) func(repeatable bool) dispatch.Chart {
-	return func(repeatable bool) dispatch.Chart {
+func newRequestCharts(chart *statechart.Chart, observer statechart.Observer) func(retryable bool) dispatch.Chart {
+	return func(retryable bool) dispatch.Chart {
 		options := []statechart.Option{statechart.Observe(observer)}
-		if repeatable {
-			options = append(options, statechart.Allow(guardRepeatable))
+		if retryable {
+			options = append(options, statechart.Allow(guardRetryable))
 		}
 		return requestChart{chart.New(options...)}
 	}
