--- a/internal/node/follower_test.go
+++ b/internal/node/follower_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -170,7 +171,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.records, nil
+	return slices.Clone(s.records), nil // tests change records in place
 }
 
 // Commit implements platform.Table.
