--- a/internal/node/advertised_test.go
+++ b/internal/node/advertised_test.go
@@ -171,15 +171,15 @@
 	f := newLimitFleet(t, 2, 3)
 	f.changeEngine(0, func(engine *limitedEngine) { engine.draining = true })
 	draining := f.engines[0].record.Instance
-	knows := func(index int) bool { return f.router(index).forwarder.Backends.DrainingOrUnlisted(draining) }
+	seesDraining := func(index int) bool { return f.router(index).forwarder.Backends.DrainingOrUnlisted(draining) }
 	result := &limitLoad{}
 	eventually(t, func() bool {
 		result.send(t.Context(), 0, f.router(0).forwarder)
-		return knows(0)
+		return seesDraining(0)
 	})
-	eventually(t, func() bool { return knows(1) && knows(2) })
+	eventually(t, func() bool { return seesDraining(1) && seesDraining(2) })
 	f.startRouter(3)
-	is.True(knows(3))
+	is.True(seesDraining(3))
 	is.Equal(len(f.engines[0].answers), 1) // no other router got an answer of the engine
 }
 
--- a/internal/node/backendlimit_test.go
+++ b/internal/node/backendlimit_test.go
@@ -153,17 +153,17 @@
 	t.Parallel()
 	f := newLimitFleet(t, 2, 3)
 	f.limit(1.3, 0)
-	knows := func(index int) bool {
+	hasLimit := func(index int) bool {
 		return slices.Contains(f.router(index).forwarder.Backends.LimitedInstances(clock.Now()), f.engines[0].record.Instance)
 	}
 	result := &limitLoad{}
 	eventually(t, func() bool {
 		result.send(t.Context(), 0, f.router(0).forwarder)
-		return knows(0)
+		return hasLimit(0)
 	})
-	eventually(t, func() bool { return knows(1) && knows(2) })
+	eventually(t, func() bool { return hasLimit(1) && hasLimit(2) })
 	f.startRouter(3)
-	if !knows(3) {
+	if !hasLimit(3) {
 		t.Error("a router serves before it knows a limit that its peers know")
 	}
 	if count := len(f.engines[0].firstLimitAt); count != 1 {
--- a/internal/node/canary.go
+++ b/internal/node/canary.go
@@ -93,13 +93,13 @@
 }
 
 // Choose implements forward.Releases.
-func (c *canaries) Choose(now time.Time, ask canary.ChooseRequest) backend.Releases {
+func (c *canaries) Choose(now time.Time, request canary.ChooseRequest) backend.Releases {
 	if !c.restricted.Load() {
 		return backend.Releases{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gate.Choose(now, ask)
+	return c.gate.Choose(now, request)
 }
 
 // StillAllowed implements forward.Releases.
@@ -171,8 +171,8 @@
 	for index := range records {
 		record := &records[index]
 		known := releases[record.Service]
-		if place, found := slices.BinarySearch(known, record.Release); !found {
-			releases[record.Service] = slices.Insert(known, place, record.Release)
+		if position, found := slices.BinarySearch(known, record.Release); !found {
+			releases[record.Service] = slices.Insert(known, position, record.Release)
 		}
 	}
 	return releases
--- a/internal/node/canary_test.go
+++ b/internal/node/canary_test.go
@@ -11,7 +11,7 @@
 	"github.com/fieldpond/fieldpond/internal/ident"
 )
 
-const guardedDuration = 14 * time.Second
+const canaryDuration = 14 * time.Second
 
 // During faults a good release is promoted before the deadline and a bad one is rolled back,
 // within the bounds of exposure, with one final state and without breaking a request.
@@ -19,42 +19,42 @@
 	tests := []struct {
 		name string
 		// fault happens after the order.
-		fault func(f *guardedFleet)
+		fault func(f *canaryFleet)
 	}{
-		{"nothing", func(*guardedFleet) {}},
-		{"the holder is killed", func(f *guardedFleet) {
+		{"nothing", func(*canaryFleet) {}},
+		{"the holder is killed", func(f *canaryFleet) {
 			time.Sleep(3 * time.Second)
 			f.kill("r0")
 			f.setHolder("", 0)
 			time.Sleep(2 * time.Second)
 			f.setHolder("r1", 2)
 		}},
-		{"two routers believe to hold the lease", func(f *guardedFleet) {
+		{"two routers believe to hold the lease", func(f *canaryFleet) {
 			time.Sleep(3 * time.Second)
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.holders = map[ident.Node]uint64{"r0": 1, "r1": 2}
 		}},
-		{"answers to writes are lost", func(f *guardedFleet) {
+		{"answers to writes are lost", func(f *canaryFleet) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.writeFaults = []writeFault{answerLost, callLost, answerLost, callLost}
 		}},
-		{"a write is applied long after its timeout", func(f *guardedFleet) {
+		{"a write is applied long after its timeout", func(f *canaryFleet) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.writeFaults = []writeFault{callLost, writtenLater, callLost, writtenLater}
 		}},
-		{"states are unreadable for 3 s", func(f *guardedFleet) {
+		{"states are unreadable for 3 s", func(f *canaryFleet) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.statesUnreadableUntil = time.Now().Add(3 * time.Second)
 		}},
-		{"a router starts in the middle", func(f *guardedFleet) {
+		{"a router starts in the middle", func(f *canaryFleet) {
 			time.Sleep(4 * time.Second)
 			f.start(f.t.Context(), "late")
 		}},
-		{"a router is partitioned from the others", func(f *guardedFleet) {
+		{"a router is partitioned from the others", func(f *canaryFleet) {
 			time.Sleep(3 * time.Second)
 			f.cutOff("r3", true)
 		}},
@@ -73,12 +73,12 @@
 		for _, release := range releases {
 			t.Run(tt.name+", the release is "+release.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f := newGuardedFleet(t, 8)
+					f := newCanaryFleet(t, 8)
 					f.failing, f.slow = release.failing, release.slow
-					f.order(guardedDuration)
+					f.order(canaryDuration)
 					tt.fault(f)
-					f.sleepUntil(guardedDuration + 6*time.Second)
-					phase := f.check(guardedDuration, release.want == canary.RolledBack)
+					f.sleepUntil(canaryDuration + 6*time.Second)
+					phase := f.check(canaryDuration, release.want == canary.RolledBack)
 					is.New(t).Equal(phase.String(), release.want.String())
 				})
 			})
@@ -87,15 +87,15 @@
 }
 
 // sleepUntil sleeps until a time after the order.
-func (f *guardedFleet) sleepUntil(after time.Duration) {
+func (f *canaryFleet) sleepUntil(after time.Duration) {
 	time.Sleep(time.Until(f.orderedAt.Add(after)))
 }
 
 // cutOff sets whether datagrams to and from a router are lost.
-func (f *guardedFleet) cutOff(node ident.Node, cut bool) {
+func (f *canaryFleet) cutOff(node ident.Node, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.partitionedFrom[node] = cut
+	f.partitionedNodes[node] = cut
 }
 
 // A router partitioned from the holder sends nothing to an unproved release from a second
@@ -103,22 +103,22 @@
 func TestPartitionedRouterSendsNothingUnproved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newGuardedFleet(t, 8)
-		f.order(guardedDuration)
+		f := newCanaryFleet(t, 8)
+		f.order(canaryDuration)
 		f.sleepUntil(4 * time.Second)
 		is.True(f.sentTo("r5", f.orderedAt, time.Now()) > 0)
 		f.cutOff("r5", true)
 		f.sleepUntil(5100 * time.Millisecond)
 		begun := time.Now()
-		f.sleepUntil(guardedDuration + 6*time.Second)
-		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
+		f.sleepUntil(canaryDuration + 6*time.Second)
+		is.Equal(f.check(canaryDuration, false), canary.Succeeded)
 		is.True(f.sentTo("r5", f.finalStateAt(), time.Now()) > 0) // the final state came with the shared state
 		is.Equal(f.sentTo("r5", begun, f.finalStateAt()), 0)
 	})
 }
 
 // finalStateAt returns when the final state was reported to the operator.
-func (f *guardedFleet) finalStateAt() time.Time {
+func (f *canaryFleet) finalStateAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reported[len(f.reported)-1].at
@@ -128,8 +128,8 @@
 func TestNewRouterWaitsForPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newGuardedFleet(t, 6)
-		f.order(guardedDuration)
+		f := newCanaryFleet(t, 6)
+		f.order(canaryDuration)
 		f.sleepUntil(3 * time.Second)
 		f.cutOff("late", true)
 		f.start(t.Context(), "late")
@@ -145,8 +145,8 @@
 		f.mu.Unlock()
 		is.True(served > 20) // by the old release
 		f.cutOff("late", false)
-		f.sleepUntil(guardedDuration + 6*time.Second)
-		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
+		f.sleepUntil(canaryDuration + 6*time.Second)
+		is.Equal(f.check(canaryDuration, false), canary.Succeeded)
 	})
 }
 
@@ -154,16 +154,16 @@
 func TestIdleRolloutCostsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newGuardedFleet(t, 4)
-		before := f.guarded["r1"].canaries.gate.Report(time.Now(), "s")
+		f := newCanaryFleet(t, 4)
+		before := f.canaryRouters["r1"].canaries.gate.Report(time.Now(), "s")
 		is.True(before == nil)
-		is.True(!f.guarded["r0"].canaries.busy(time.Now()))
+		is.True(!f.canaryRouters["r0"].canaries.busy(time.Now()))
 		update := f.routers["r0"].follower.replica.Update(time.Now(), fullPull())
 		is.True(update.Configuration.Rollouts == nil) // nothing on the wire
-		f.order(guardedDuration)
-		f.sleepUntil(guardedDuration + 20*time.Second)
-		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
-		for node, router := range f.guarded {
+		f.order(canaryDuration)
+		f.sleepUntil(canaryDuration + 20*time.Second)
+		is.Equal(f.check(canaryDuration, false), canary.Succeeded)
+		for node, router := range f.canaryRouters {
 			if router.canaries.busy(time.Now()) {
 				t.Errorf("%s is still busy with the rollout", node)
 			}
@@ -184,7 +184,7 @@
 func TestNewReleaseWaitsForConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newGuardedFleet(t, 3)
+		f := newCanaryFleet(t, 3)
 		f.mu.Lock()
 		f.unserved = 0 // before the first list nothing can be served
 		f.mu.Unlock()
@@ -221,16 +221,16 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newGuardedFleet(t, 6)
-				f.order(guardedDuration)
+				f := newCanaryFleet(t, 6)
+				f.order(canaryDuration)
 				f.sleepUntil(3 * time.Second)
 				f.store.change(func() { f.store.reading.Orders = nil })
 				if tt.takeover {
 					time.Sleep(1500 * time.Millisecond)
 					f.setHolder("r2", 2)
 				}
-				f.sleepUntil(guardedDuration + 6*time.Second)
-				is.New(t).Equal(f.check(guardedDuration, true), canary.RolledBack)
+				f.sleepUntil(canaryDuration + 6*time.Second)
+				is.New(t).Equal(f.check(canaryDuration, true), canary.RolledBack)
 			})
 		})
 	}
@@ -240,15 +240,15 @@
 func TestRewrittenOrderKeepsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newGuardedFleet(t, 6)
-		f.order(guardedDuration)
+		f := newCanaryFleet(t, 6)
+		f.order(canaryDuration)
 		f.sleepUntil(3 * time.Second)
 		f.store.change(func() {
 			f.store.version++
 			f.store.reading.Orders = []canary.Order{{Service: "s", Target: newRelease, Duration: time.Minute, Revision: f.store.version}}
 		})
-		f.sleepUntil(guardedDuration + 6*time.Second)
-		is.Equal(f.check(guardedDuration, false), canary.Succeeded)
+		f.sleepUntil(canaryDuration + 6*time.Second)
+		is.Equal(f.check(canaryDuration, false), canary.Succeeded)
 		is.True(!f.routers["r4"].follower.replica.currentRollouts().pending())
 	})
 }
@@ -257,15 +257,15 @@
 func TestOrderForAnotherReleaseReplacesRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newGuardedFleet(t, 6)
-		f.order(guardedDuration)
+		f := newCanaryFleet(t, 6)
+		f.order(canaryDuration)
 		f.sleepUntil(3 * time.Second)
 		f.store.change(func() {
 			f.store.version++
-			f.store.reading.Orders = []canary.Order{{Service: "s", Target: "v3", Duration: guardedDuration, Revision: f.store.version}}
+			f.store.reading.Orders = []canary.Order{{Service: "s", Target: "v3", Duration: canaryDuration, Revision: f.store.version}}
 		})
 		f.list(oldRelease, newRelease, "v3")
-		f.sleepUntil(guardedDuration + 9*time.Second)
+		f.sleepUntil(canaryDuration + 9*time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		phases := map[ident.Release]canary.Phase{}
@@ -280,14 +280,14 @@
 
 func TestCanariesDoNotAllocatePerRequest(t *testing.T) {
 	is := is.New(t)
-	c := newCanaries(guardedBounds, &canaries{metrics: newMetrics(func() gaugeValues { return gaugeValues{} })})
+	c := newCanaries(canaryBounds, &canaries{metrics: newMetrics(func() gaugeValues { return gaugeValues{} })})
 	record := recordsOf(oldRelease)
 	c.applyList(time.Now(), record)
 	c.setRollouts(time.Now(), nil)
 	now := time.Now()
-	ask := canary.ChooseRequest{Service: "s", Route: "route", First: true}
+	request := canary.ChooseRequest{Service: "s", Route: "route", First: true}
 	allocs := testing.AllocsPerRun(500, func() {
-		releases := c.Choose(now, ask)
+		releases := c.Choose(now, request)
 		if releases.Restricted() {
 			t.Error("a service of one release is restricted")
 		}
--- a/internal/node/canarybench_test.go
+++ b/internal/node/canarybench_test.go
@@ -20,7 +20,7 @@
 			fleet := newBenchFleet(routers)
 			b.ResetTimer()
 			for b.Loop() {
-				fleet.playSecond()
+				fleet.simulateSecond()
 			}
 			b.ReportMetric(float64(fleet.permits)/float64(b.N), "permit-B/s")
 			b.ReportMetric(float64(fleet.reports)/float64(b.N), "report-B/s")
@@ -45,7 +45,7 @@
 	}
 	var addrs []netip.AddrPort
 	create := func(number int) *canaries {
-		c := newCanaries(guardedBounds, &canaries{
+		c := newCanaries(canaryBounds, &canaries{
 			self:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 1),
 			peers: func() []netip.AddrPort { return addrs }, metrics: newMetrics(func() gaugeValues { return gaugeValues{} }),
 		})
@@ -84,9 +84,9 @@
 	f.holder.term.director.ApplyReport(f.now, to, report)
 }
 
-// playSecond simulates a second, in which each router serves requests of each route at both
+// simulateSecond simulates a second, in which each router serves requests of each route at both
 // releases.
-func (f *benchFleet) playSecond() {
+func (f *benchFleet) simulateSecond() {
 	records := recordsOf(oldRelease, newRelease)
 	addrs := append(f.holder.peers(), f.holder.self)
 	for range 10 {
--- a/internal/node/canarycheck_test.go
+++ b/internal/node/canarycheck_test.go
@@ -9,7 +9,7 @@
 )
 
 // check checks the invariants of a rollout, and returns the final phase.
-func (f *guardedFleet) check(duration time.Duration, bad bool) canary.Phase {
+func (f *canaryFleet) check(duration time.Duration, bad bool) canary.Phase {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,7 +40,7 @@
 
 // checkExposure checks how many requests a bad target got, and that none came later than the
 // rollback time after its 50th bad answer.
-func (f *guardedFleet) checkExposure(duration time.Duration) {
+func (f *canaryFleet) checkExposure(duration time.Duration) {
 	sent, all := 0, 0
 	for _, one := range f.arrivals {
 		if one.at.Before(f.orderedAt) || one.at.After(f.orderedAt.Add(duration)) {
@@ -51,7 +51,7 @@
 			sent++
 		}
 	}
-	if most := guardedBounds.Share*float64(all) + guardedBounds.Slack; float64(sent) > most {
+	if most := canaryBounds.Share*float64(all) + canaryBounds.Slack; float64(sent) > most {
 		f.t.Errorf("%d of %d requests went to the bad release, more than %.0f", sent, all, most)
 	}
 	slices.SortFunc(f.badAt, time.Time.Compare)
@@ -59,7 +59,7 @@
 		return
 	}
 	for _, one := range f.arrivals {
-		if late := one.at.Sub(f.badAt[49]); one.release == newRelease && late > guardedBounds.Rollback {
+		if late := one.at.Sub(f.badAt[49]); one.release == newRelease && late > canaryBounds.Rollback {
 			f.t.Errorf("%s sent to the bad release %v after its 50th bad answer", one.node, late)
 			return
 		}
@@ -71,11 +71,11 @@
 const partitionedDelay = 2 * time.Second
 
 // checkSwitch checks that nothing went to the old release after the final state.
-func (f *guardedFleet) checkSwitch() {
+func (f *canaryFleet) checkSwitch() {
 	last := f.reported[len(f.reported)-1].at
 	for _, one := range f.arrivals {
 		allowed := time.Duration(0)
-		if f.partitionedFrom[one.node] {
+		if f.partitionedNodes[one.node] {
 			allowed = partitionedDelay
 		}
 		if one.release == oldRelease && one.at.Sub(last) > allowed {
@@ -86,7 +86,7 @@
 }
 
 // sentTo returns how many requests a router sent to the target between two times.
-func (f *guardedFleet) sentTo(node ident.Node, from, to time.Time) int {
+func (f *canaryFleet) sentTo(node ident.Node, from, to time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
--- a/internal/node/canaryfleet_test.go
+++ b/internal/node/canaryfleet_test.go
@@ -33,20 +33,20 @@
 	requestInterval = 20 * time.Millisecond
 )
 
-var guardedBounds = canary.Bounds{Share: 0.1, Slack: 50, Rollback: 5 * time.Second}
+var canaryBounds = canary.Bounds{Share: 0.1, Slack: 50, Rollback: 5 * time.Second}
 
-// guardedFleet is a group of routers that move a service to another release, in virtual
+// canaryFleet is a group of routers that move a service to another release, in virtual
 // time. Datagrams take a millisecond.
-type guardedFleet struct {
+type canaryFleet struct {
 	*zone
 	t *testing.T
 
-	mu      sync.Mutex
-	guarded map[ident.Node]*guardedRouter
-	starts  int
-	holders map[ident.Node]uint64
-	// partitionedFrom are the routers that neither send nor receive datagrams.
-	partitionedFrom map[ident.Node]bool
+	mu            sync.Mutex
+	canaryRouters map[ident.Node]*canaryRouter
+	starts        int
+	holders       map[ident.Node]uint64
+	// partitionedNodes are the routers that neither send nor receive datagrams.
+	partitionedNodes map[ident.Node]bool
 	// writeFaults are the faults of the next writes of states, in order.
 	writeFaults           []writeFault
 	statesUnreadableUntil time.Time
@@ -90,9 +90,9 @@
 	release ident.Release
 }
 
-// guardedRouter is one incarnation of a router of the fleet.
-type guardedRouter struct {
-	fleet    *guardedFleet
+// canaryRouter is one incarnation of a router of the fleet.
+type canaryRouter struct {
+	fleet    *canaryFleet
 	node     ident.Node
 	addr     netip.AddrPort
 	canaries *canaries
@@ -100,13 +100,13 @@
 	random   *rand.Rand
 }
 
-// newGuardedFleet starts routers r0, r1, ..., of which r0 holds the lease, with four back ends
+// newCanaryFleet starts routers r0, r1, ..., of which r0 holds the lease, with four back ends
 // of the old release.
-func newGuardedFleet(t *testing.T, routers int) *guardedFleet {
+func newCanaryFleet(t *testing.T, routers int) *canaryFleet {
 	t.Helper()
-	f := &guardedFleet{
-		zone: newZone(), t: t, guarded: map[ident.Node]*guardedRouter{}, holders: map[ident.Node]uint64{"r0": 1}, pause: requestInterval,
-		partitionedFrom: map[ident.Node]bool{}, slow: 1,
+	f := &canaryFleet{
+		zone: newZone(), t: t, canaryRouters: map[ident.Node]*canaryRouter{}, holders: map[ident.Node]uint64{"r0": 1}, pause: requestInterval,
+		partitionedNodes: map[ident.Node]bool{}, slow: 1,
 		open: map[ident.Release]map[ident.Node]int{oldRelease: {}, newRelease: {}, "v3": {}},
 	}
 	f.beforeStart = f.setUpRouter
@@ -120,12 +120,12 @@
 }
 
 // list lists four back ends of each release, and no others.
-func (f *guardedFleet) list(releases ...ident.Release) {
+func (f *canaryFleet) list(releases ...ident.Release) {
 	f.store.change(func() { f.store.records = recordsOf(releases...) })
 }
 
 // unlist removes the back ends of a release from the list.
-func (f *guardedFleet) unlist(release ident.Release) {
+func (f *canaryFleet) unlist(release ident.Release) {
 	f.store.change(func() {
 		f.store.records = slices.DeleteFunc(slices.Clone(f.store.records), func(record backend.Record) bool {
 			return record.Release == release
@@ -167,33 +167,33 @@
 }
 
 // setUpRouter sets up the canaries and the clients of a router that starts.
-func (f *guardedFleet) setUpRouter(ctx context.Context, running *zoneRouter) {
+func (f *canaryFleet) setUpRouter(ctx context.Context, running *zoneRouter) {
 	follower := running.follower
 	f.mu.Lock()
 	f.starts++
 	number := f.starts
 	f.mu.Unlock()
-	router := &guardedRouter{
+	router := &canaryRouter{
 		fleet: f, node: running.node, addr: netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), uint16(number)),
 		backends: follower.replica.backends, random: rand.New(rand.NewPCG(uint64(number), 5)),
 	}
 	follower.routerList.addr = router.addr
 	states := &rolloutStates{table: unreadableStates{f.store, f}, writer: f, timeout: time.Second}
-	router.canaries = newCanaries(guardedBounds, &canaries{
+	router.canaries = newCanaries(canaryBounds, &canaries{
 		self: router.addr, peers: follower.recipients.others, refreshPeers: follower.readRouters, lease: router,
 		backends: router.backends, states: states, metrics: newMetrics(func() gaugeValues { return gaugeValues{} }),
 		send: router.send,
 	})
 	follower.states, follower.replica.canaries = states, router.canaries
 	f.mu.Lock()
-	f.guarded[running.node] = router
+	f.canaryRouters[running.node] = router
 	f.mu.Unlock()
 	go router.canaries.run(ctx)
 	go router.clients(ctx)
 }
 
 // Held implements leaseHolder.
-func (r *guardedRouter) Held() (lease.Grant, error) {
+func (r *canaryRouter) Held() (lease.Grant, error) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	fence := r.fleet.holders[r.node]
@@ -204,14 +204,14 @@
 }
 
 // setHolder gives the lease to a router.
-func (f *guardedFleet) setHolder(node ident.Node, fence uint64) {
+func (f *canaryFleet) setHolder(node ident.Node, fence uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.holders = map[ident.Node]uint64{node: fence}
 }
 
 // send delivers an encoded datagram as a socket would.
-func (r *guardedRouter) send(to netip.AddrPort, sent datagram) {
+func (r *canaryRouter) send(to netip.AddrPort, sent datagram) {
 	encoded, err := cbor.Marshal(sent)
 	if err != nil || len(encoded) > maxDatagramBytes {
 		r.fleet.t.Errorf("a datagram of %d bytes: %v", len(encoded), err)
@@ -226,13 +226,13 @@
 }
 
 // receiver returns the router at an address, or nil if it is unreachable.
-func (f *guardedFleet) receiver(from ident.Node, to netip.AddrPort) *guardedRouter {
+func (f *canaryFleet) receiver(from ident.Node, to netip.AddrPort) *canaryRouter {
 	f.zone.mu.Lock()
 	defer f.zone.mu.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for node, router := range f.guarded {
-		if router.addr == to && !f.partitionedFrom[node] && !f.partitionedFrom[from] && !f.routers[node].dead && !f.routers[from].dead {
+	for node, router := range f.canaryRouters {
+		if router.addr == to && !f.partitionedNodes[node] && !f.partitionedNodes[from] && !f.routers[node].dead && !f.routers[from].dead {
 			return router
 		}
 	}
@@ -240,7 +240,7 @@
 }
 
 // clients sends requests until ctx ends.
-func (r *guardedRouter) clients(ctx context.Context) {
+func (r *canaryRouter) clients(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.request(ctx)
 		r.fleet.mu.Lock()
@@ -251,24 +251,24 @@
 }
 
 // request sends one request as a forwarder would.
-func (r *guardedRouter) request(ctx context.Context) {
+func (r *canaryRouter) request(ctx context.Context) {
 	now := time.Now()
 	query := backend.Query{Service: "s", SpreadKey: r.random.Uint64(), Expected: answerTime}
-	ask := canary.ChooseRequest{Service: "s", Route: "route", First: true}
-	query.Releases = r.canaries.Choose(now, ask)
-	choice, flight, found := r.backends.Pick(now, &query)
+	chooseRequest := canary.ChooseRequest{Service: "s", Route: "route", First: true}
+	query.Releases = r.canaries.Choose(now, chooseRequest)
+	choice, attempt, found := r.backends.Pick(now, &query)
 	if !found && query.Releases.Only != "" {
 		r.canaries.Declined("s")
-		ask.First = false
-		query.Releases = r.canaries.Choose(now, ask)
-		choice, flight, found = r.backends.Pick(now, &query)
+		chooseRequest.First = false
+		query.Releases = r.canaries.Choose(now, chooseRequest)
+		choice, attempt, found = r.backends.Pick(now, &query)
 	}
 	if !found {
 		r.fleet.countUnserved()
 		return
 	}
 	if !r.canaries.StillAllowed("s", &query.Releases, choice.Release) {
-		flight.End(now, backend.Abandoned)
+		attempt.End(now, backend.Abandoned)
 		if query.Releases.Only != "" {
 			r.canaries.Declined("s")
 		}
@@ -291,20 +291,20 @@
 		case <-time.After(sample.Elapsed):
 		}
 		r.fleet.depart(r.node, choice.Release, bad)
-		flight.ObserveBytes(time.Now())
-		flight.End(time.Now(), outcome)
+		attempt.ObserveBytes(time.Now())
+		attempt.End(time.Now(), outcome)
 		r.canaries.Ended(time.Now(), run, sample)
 	}()
 }
 
-func (f *guardedFleet) countUnserved() {
+func (f *canaryFleet) countUnserved() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unserved++
 }
 
 // arrive records a request at a back end, and returns whether its answer is a failure.
-func (f *guardedFleet) arrive(node ident.Node, release ident.Release, chance float64) bool {
+func (f *canaryFleet) arrive(node ident.Node, release ident.Release, chance float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.arrivals = append(f.arrivals, arrival{time.Now(), node, release})
@@ -312,7 +312,7 @@
 	return release == newRelease && chance < f.failing
 }
 
-func (f *guardedFleet) depart(node ident.Node, release ident.Release, bad bool) {
+func (f *canaryFleet) depart(node ident.Node, release ident.Release, bad bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.open[release][node]--
@@ -322,7 +322,7 @@
 }
 
 // CommitRollout implements RolloutStore.
-func (f *guardedFleet) CommitRollout(
+func (f *canaryFleet) CommitRollout(
 	ctx context.Context, transaction protocol.Transaction, written *canary.State,
 ) (protocol.TransactionResult, error) {
 	f.mu.Lock()
@@ -348,7 +348,7 @@
 }
 
 // commit writes a state, and updates the list as an operator does after a final one.
-func (f *guardedFleet) commit(ctx context.Context, transaction protocol.Transaction, state canary.State) (protocol.TransactionResult, error) {
+func (f *canaryFleet) commit(ctx context.Context, transaction protocol.Transaction, state canary.State) (protocol.TransactionResult, error) {
 	result, err := f.store.Commit(ctx, transaction)
 	if err != nil || !result.Committed {
 		return result, err
@@ -358,7 +358,7 @@
 	left := 0
 	for node, open := range f.open[oldRelease] {
 		// A partitioned router learns of the switch later.
-		if !f.partitionedFrom[node] {
+		if !f.partitionedNodes[node] {
 			left += open
 		}
 	}
@@ -378,36 +378,36 @@
 // unreadableStates is the store's table, from which states cannot be read for a while.
 type unreadableStates struct {
 	*fakeStore
-	fleet *guardedFleet
+	fleet *canaryFleet
 }
 
-func (b unreadableStates) readError() error {
-	b.fleet.mu.Lock()
-	defer b.fleet.mu.Unlock()
-	if time.Now().Before(b.fleet.statesUnreadableUntil) {
+func (u unreadableStates) readError() error {
+	u.fleet.mu.Lock()
+	defer u.fleet.mu.Unlock()
+	if time.Now().Before(u.fleet.statesUnreadableUntil) {
 		return fault.New(fault.StoreUnavailable, "down")
 	}
 	return nil
 }
 
 // Read implements store.Table.
-func (b unreadableStates) Read(ctx context.Context, key string) (protocol.Row, bool, error) {
-	if err := b.readError(); err != nil {
+func (u unreadableStates) Read(ctx context.Context, key string) (protocol.Row, bool, error) {
+	if err := u.readError(); err != nil {
 		return protocol.Row{}, false, err
 	}
-	return b.fakeStore.Read(ctx, key)
+	return u.fakeStore.Read(ctx, key)
 }
 
 // List implements store.Table.
-func (b unreadableStates) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
-	if err := b.readError(); err != nil {
+func (u unreadableStates) List(ctx context.Context, prefix string, limit int) (protocol.RowList, error) {
+	if err := u.readError(); err != nil {
 		return protocol.RowList{}, err
 	}
-	return b.fakeStore.List(ctx, prefix, limit)
+	return u.fakeStore.List(ctx, prefix, limit)
 }
 
 // order orders the move to the target within a time; its back ends are listed a second later.
-func (f *guardedFleet) order(duration time.Duration) {
+func (f *canaryFleet) order(duration time.Duration) {
 	f.mu.Lock()
 	f.orderedAt = time.Now()
 	f.mu.Unlock()
--- a/internal/node/canaryslow_test.go
+++ b/internal/node/canaryslow_test.go
@@ -17,18 +17,18 @@
 		for _, pause := range []time.Duration{40 * time.Millisecond, 80 * time.Millisecond, 160 * time.Millisecond} {
 			t.Run(killedAfter.String()+" "+pause.String(), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f := newGuardedFleet(t, 5)
+					f := newCanaryFleet(t, 5)
 					f.mu.Lock()
 					f.slow, f.pause = 5, pause
 					f.mu.Unlock()
-					f.order(guardedDuration)
+					f.order(canaryDuration)
 					time.Sleep(killedAfter)
 					f.kill("r0")
 					f.setHolder("", 0)
 					time.Sleep(3500 * time.Millisecond)
 					f.setHolder(ident.Node("r1"), 2)
-					f.sleepUntil(guardedDuration + 6*time.Second)
-					is.New(t).Equal(f.check(guardedDuration, true).String(), canary.RolledBack.String())
+					f.sleepUntil(canaryDuration + 6*time.Second)
+					is.New(t).Equal(f.check(canaryDuration, true).String(), canary.RolledBack.String())
 				})
 			})
 		}
--- a/internal/node/crashingfaults_test.go
+++ b/internal/node/crashingfaults_test.go
@@ -93,8 +93,8 @@
 	f.work = 2 * time.Second
 	ctx, cancel := context.WithTimeout(t.Context(), 7*time.Second)
 	defer cancel()
-	hot := &clientLoad{}
-	loops := hot.run(ctx, f, 48, time.Now(), func(int, int) string { return "hot" })
+	frequent := &clientLoad{}
+	loops := frequent.run(ctx, f, 48, time.Now(), func(int, int) string { return "hot" })
 	for round := 0; ctx.Err() == nil; round++ {
 		time.Sleep(1200 * time.Millisecond)
 		for index := range 5 {
@@ -105,8 +105,8 @@
 		}
 	}
 	loops.Wait()
-	t.Logf("%d requests, %.3f served; %d quarantined; %d crashes", hot.requests.Load(), hot.share(), hot.quarantined.Load(), f.allCrashes)
-	if hot.share() < 0.95 || hot.quarantined.Load() > 0 {
+	t.Logf("%d requests, %.3f served; %d quarantined; %d crashes", frequent.requests.Load(), frequent.share(), frequent.quarantined.Load(), f.allCrashes)
+	if frequent.share() < 0.95 || frequent.quarantined.Load() > 0 {
 		t.Error("a frequent request was quarantined or not served")
 	}
 }
--- a/internal/node/director.go
+++ b/internal/node/director.go
@@ -78,10 +78,10 @@
 
 // observe passes to the director what was read. If there is a new order it first passes the
 // other orders, as of the latest time at which the new one was absent.
-func (d *leaseTerm) observe(now time.Time, rollouts *knownRollouts, engines []backend.Record, routers []netip.AddrPort) {
+func (t *leaseTerm) observe(now time.Time, rollouts *knownRollouts, engines []backend.Record, routers []netip.AddrPort) {
 	origin := rollouts.readAt.Add(-rollouts.storeTime)
-	if newest := rollouts.newestRevision(); newest > d.newestRevision {
-		d.newestRevision = newest
+	if newest := rollouts.newestRevision(); newest > t.newestRevision {
+		t.newestRevision = newest
 		absent := rollouts.absentAt
 		if absent == 0 {
 			absent = max(rollouts.storeTime-orderLookback, 0)
@@ -89,9 +89,9 @@
 		before := slices.DeleteFunc(slices.Clone(rollouts.orders), func(order canary.Order) bool {
 			return order.Revision == newest
 		})
-		d.director.Observe(origin.Add(absent), absent, before, engines, routers)
+		t.director.Observe(origin.Add(absent), absent, before, engines, routers)
 	}
-	d.director.Observe(now, now.Sub(origin), rollouts.orders, engines, routers)
+	t.director.Observe(now, now.Sub(origin), rollouts.orders, engines, routers)
 }
 
 // sendPermit sends a permit to a router, or applies it if this is the router.
--- a/internal/node/epoch.go
+++ b/internal/node/epoch.go
@@ -53,8 +53,8 @@
 // Call it before the answer is applied.
 func (f *follower) observeEpoch() {
 	epoch := max(f.epochs.Epoch(), f.peersEpoch.Load())
-	for seen := f.seenEpoch.Load(); epoch > seen; seen = f.seenEpoch.Load() {
-		if f.seenEpoch.CompareAndSwap(seen, epoch) {
+	for handled := f.handledEpoch.Load(); epoch > handled; handled = f.handledEpoch.Load() {
+		if f.handledEpoch.CompareAndSwap(handled, epoch) {
 			now := clock.Now()
 			log.WithFields(log.Fields{"epoch": epoch}).Info("store_epoch_seen")
 			f.replica.storeRestored(now)
@@ -78,7 +78,7 @@
 func (f *follower) maintainRow(ctx context.Context) {
 	wait.Every(ctx, rejoinCheckInterval, func() {
 		f.observeEpoch()
-		if !f.chain.joined() || f.routerList.current(f.seenEpoch.Load()) {
+		if !f.chain.joined() || f.routerList.current(f.handledEpoch.Load()) {
 			return
 		}
 		askedAt := clock.Now()
--- a/internal/node/epoch_test.go
+++ b/internal/node/epoch_test.go
@@ -20,11 +20,11 @@
 type restoredStore struct{ *fakeStore }
 
 // Configurations implements Source.
-func (c restoredStore) Configurations(ctx context.Context, after, until uint64) ([]Reading, error) {
+func (r restoredStore) Configurations(ctx context.Context, after, until uint64) ([]Reading, error) {
 	if after != 0 && store.Epoch(after) != store.Epoch(until) {
 		return nil, ErrHistoryGone
 	}
-	return c.fakeStore.Configurations(ctx, after, until)
+	return r.fakeStore.Configurations(ctx, after, until)
 }
 
 // After a restore an older configuration in the row must not replace the one in force, nor
@@ -70,9 +70,9 @@
 // fakeEpochs implements Epochs with an epoch that a test sets.
 type fakeEpochs struct{ epoch atomic.Uint64 }
 
-func (c *fakeEpochs) Epoch() uint64         { return c.epoch.Load() }
-func (c *fakeEpochs) First() (uint64, bool) { return 3, true }
-func (c *fakeEpochs) ObserveFirst(uint64)   {}
+func (f *fakeEpochs) Epoch() uint64         { return f.epoch.Load() }
+func (f *fakeEpochs) First() (uint64, bool) { return 3, true }
+func (f *fakeEpochs) ObserveFirst(uint64)   {}
 
 // After a restore a router must write its row again only if it is lost, to keep the routers' order.
 func TestRouterRewritesRowOnlyIfLost(t *testing.T) {
@@ -160,9 +160,9 @@
 	is := is.New(t)
 	f := newFollower(newFakeStore())
 	f.applyPeerEpoch(&upstream.Update{Epoch: 2})
-	is.Equal(f.seenEpoch.Load(), uint64(2))
+	is.Equal(f.handledEpoch.Load(), uint64(2))
 	f.applyPeerEpoch(&upstream.Update{}) // of an older build, or of a peer that has not observed it
-	is.Equal(f.seenEpoch.Load(), uint64(2))
+	is.Equal(f.handledEpoch.Load(), uint64(2))
 	is.True(!f.epochsCurrent(&upstream.Update{Epoch: 1}))
 	is.True(f.epochsCurrent(&upstream.Update{Epoch: 2})) // this router has no first epoch itself
 	f.epochs = optionalEpochs{&fakeEpochs{}}
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -51,9 +51,9 @@
 	rowsLoadedAt   time.Time
 	rowsLoadFailed atomic.Bool
 	// epochs counts restores of the store; peersEpoch is the newest epoch that a peer reported,
-	// seenEpoch the newest that this router has handled.
-	epochs                optionalEpochs
-	peersEpoch, seenEpoch atomic.Uint64
+	// handledEpoch the newest that this router has handled.
+	epochs                   optionalEpochs
+	peersEpoch, handledEpoch atomic.Uint64
 	// outdated holds, by model, the version below the newest that its row was last logged with.
 	outdated map[ident.Model]int
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -41,9 +41,9 @@
 			{Instance: "a", Service: "s", Models: models}, {Instance: "b", Service: "s", Models: models},
 		})
 		(&notifier{recipients: &recipients{}, backends: known, canaries: newFuzzCanaries(now)}).receive(netip.AddrPort{}, encoded)
-		_, flight, found := known.Pick(now, &backend.Query{Service: "s", Model: model})
+		_, attempt, found := known.Pick(now, &backend.Query{Service: "s", Model: model})
 		if found {
-			flight.End(now, backend.Abandoned)
+			attempt.End(now, backend.Abandoned)
 			return
 		}
 		var decoded datagram
@@ -58,7 +58,7 @@
 // newFuzzCanaries returns the canaries of a router that directs a rollout and knows the sender
 // of the fuzzed datagram as a peer.
 func newFuzzCanaries(now time.Time) *canaries {
-	c := newCanaries(guardedBounds, &canaries{
+	c := newCanaries(canaryBounds, &canaries{
 		metrics: newMetrics(func() gaugeValues { return gaugeValues{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{{}} },
 		send: func(netip.AddrPort, datagram) {},
 	})
--- a/internal/node/laterow_test.go
+++ b/internal/node/laterow_test.go
@@ -19,10 +19,10 @@
 }
 
 // Commit implements store.Table.
-func (e *lateWriteTable) Commit(ctx context.Context, transaction protocol.Transaction) (protocol.TransactionResult, error) {
-	result, err := e.Table.Commit(ctx, transaction)
-	if after := e.afterCommit; after != nil {
-		e.afterCommit = nil
+func (t *lateWriteTable) Commit(ctx context.Context, transaction protocol.Transaction) (protocol.TransactionResult, error) {
+	result, err := t.Table.Commit(ctx, transaction)
+	if after := t.afterCommit; after != nil {
+		t.afterCommit = nil
 		after()
 	}
 	return result, err
--- a/internal/node/limitfleet_test.go
+++ b/internal/node/limitfleet_test.go
@@ -282,8 +282,8 @@
 	var counted []time.Time
 	largest := 0
 	for _, arrival := range e.arrivals {
-		learnedAt, known := e.firstLimitAt[arrival.router]
-		if !known || arrival.at.Before(learnedAt.Add(limitDelay)) {
+		firstAt, known := e.firstLimitAt[arrival.router]
+		if !known || arrival.at.Before(firstAt.Add(limitDelay)) {
 			continue
 		}
 		counted = append(counted, arrival.at)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -312,9 +312,9 @@
 		n.metrics.countOrder(result)
 		logOrder(order, result)
 	}
-	config.OnSuspectVersion = func(doubt rollout.SuspectVersion) {
-		n.metrics.suspectVersions.WithLabelValues(string(doubt.Model)).Inc()
-		log.WithFields(log.Fields{"model": doubt.Model, "version": doubt.Version, "ended": doubt.Crashed}).Warn("version_doubted")
+	config.OnSuspectVersion = func(suspect rollout.SuspectVersion) {
+		n.metrics.suspectVersions.WithLabelValues(string(suspect.Model)).Inc()
+		log.WithFields(log.Fields{"model": suspect.Model, "version": suspect.Version, "ended": suspect.Crashed}).Warn("version_doubted")
 	}
 	if socket != nil && n.config.Disabled.Enabled(mechanism.Notifications) {
 		config.Notifier = socket
--- a/internal/node/notifier_test.go
+++ b/internal/node/notifier_test.go
@@ -52,18 +52,18 @@
 	query := &backend.Query{Service: "s", Model: model}
 	for _, known := range []*backend.Registry{own, other} {
 		eventually(t, func() bool {
-			_, flight, found := known.Pick(time.Now(), query)
+			_, attempt, found := known.Pick(time.Now(), query)
 			if found {
-				flight.End(time.Now(), backend.Abandoned)
+				attempt.End(time.Now(), backend.Abandoned)
 			}
 			return !found
 		})
 	}
 	holder.Notify(rollout.Notification{Model: model, Version: 2, Loaded: []ident.Incarnation{"i-007"}})
 	eventually(t, func() bool {
-		choice, flight, found := other.Pick(time.Now(), query)
+		choice, attempt, found := other.Pick(time.Now(), query)
 		if found {
-			flight.End(time.Now(), backend.Abandoned)
+			attempt.End(time.Now(), backend.Abandoned)
 		}
 		return found && choice.Instance == "i-007" && choice.Version == 2
 	})
@@ -107,9 +107,9 @@
 		sender.notifyHealth(tt.notification)
 		for _, known := range []*backend.Registry{sender.backends, other.backends} {
 			eventually(t, func() bool {
-				choice, flight, found := known.Pick(time.Now(), &backend.Query{Service: "s", Model: model})
+				choice, attempt, found := known.Pick(time.Now(), &backend.Query{Service: "s", Model: model})
 				if found {
-					flight.End(time.Now(), backend.Abandoned)
+					attempt.End(time.Now(), backend.Abandoned)
 				}
 				return found && choice.Instance == tt.want
 			})
--- a/internal/node/publicationfakes_test.go
+++ b/internal/node/publicationfakes_test.go
@@ -149,16 +149,16 @@
 	return changes, err
 }
 
-// slowSearch is a source that fails the first searches for the oldest changes: requests with
+// failingSearch is a source that fails the first searches for the oldest changes: requests with
 // the hold time of a recheck whose changes are not forgotten.
-type slowSearch struct {
+type failingSearch struct {
 	*zoneRouter
-	late *atomic.Int32
+	failures *atomic.Int32
 }
 
-func (s *slowSearch) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
-	changes, err := s.zoneRouter.Changes(ctx, after, hold)
-	if err == nil && hold == recheckHold && s.late.Add(-1) >= 0 {
+func (f *failingSearch) Changes(ctx context.Context, after uint64, hold time.Duration) (Changes, error) {
+	changes, err := f.zoneRouter.Changes(ctx, after, hold)
+	if err == nil && hold == recheckHold && f.failures.Add(-1) >= 0 {
 		return Changes{}, fault.New(fault.StoreUnavailable, "no answer")
 	}
 	return changes, err
--- a/internal/node/publicationmarkfaults_test.go
+++ b/internal/node/publicationmarkfaults_test.go
@@ -141,11 +141,11 @@
 // limitedTable is a table that accepts a hundred entries in a transaction, as the store does.
 type limitedTable struct{ *fakeStore }
 
-func (h *limitedTable) Commit(ctx context.Context, tx protocol.Transaction) (protocol.TransactionResult, error) {
+func (t *limitedTable) Commit(ctx context.Context, tx protocol.Transaction) (protocol.TransactionResult, error) {
 	if len(tx.Writes)+len(tx.Conditions) > 100 {
 		return protocol.TransactionResult{}, fault.New(fault.StoreUnavailable, "status 400")
 	}
-	return h.fakeStore.Commit(ctx, tx)
+	return t.fakeStore.Commit(ctx, tx)
 }
 
 // The marks of more models than fit into one transaction must all be written.
--- a/internal/node/publicationsearch_test.go
+++ b/internal/node/publicationsearch_test.go
@@ -12,7 +12,7 @@
 
 // The search for the oldest changes that the store keeps must be retried until it is answered.
 func TestUnansweredSearchIsRetried(t *testing.T) {
-	for _, late := range []int32{1, 2, 5} {
+	for _, count := range []int32{1, 2, 5} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			z := newZone()
@@ -23,9 +23,9 @@
 			z.store.forget(z.store.revision())
 			z.store.publish(3, 2)
 			failures := &atomic.Int32{}
-			failures.Store(late)
+			failures.Store(count)
 			z.beforeStart = func(_ context.Context, running *zoneRouter) {
-				running.follower.source = &slowSearch{running, failures}
+				running.follower.source = &failingSearch{running, failures}
 			}
 			started := z.start(t.Context(), "a")
 			time.Sleep(recheckWindow - time.Second)
--- a/internal/node/publicationwatch.go
+++ b/internal/node/publicationwatch.go
@@ -37,14 +37,14 @@
 
 // Results of watches, as metric labels.
 const (
-	watchNews   = "news"
-	watchQuiet  = "quiet"
-	watchGone   = "history_gone"
-	watchFailed = "failed"
+	watchNewVersion = "news"
+	watchQuiet      = "quiet"
+	watchGone       = "history_gone"
+	watchFailed     = "failed"
 )
 
 // watchResults maps whether an answer had a new version to the result.
-var watchResults = map[bool]string{true: watchNews, false: watchQuiet}
+var watchResults = map[bool]string{true: watchNewVersion, false: watchQuiet}
 
 // watchPosition is the point up to which all publications are known.
 type watchPosition struct {
--- a/internal/node/pull.go
+++ b/internal/node/pull.go
@@ -239,7 +239,7 @@
 // Older builds and routers that pull only from them know of none.
 func (f *follower) epochsCurrent(update *upstream.Update) bool {
 	_, known := f.epochs.First()
-	return update.Epoch >= f.seenEpoch.Load() && (update.FirstEra > 0 || !known)
+	return update.Epoch >= f.handledEpoch.Load() && (update.FirstEra > 0 || !known)
 }
 
 // apply applies the state of a peer as of a time.
--- a/internal/node/readercutoff_test.go
+++ b/internal/node/readercutoff_test.go
@@ -66,8 +66,8 @@
 				time.Sleep(30 * time.Second)
 				f.requireVersion(t, 5) // all are supplied
 				f.requireCount(t, 10)
-				t.Logf("at most %d retries in a window, %d are allowed", f.maxInWindow(), greedySlack)
-				is.True(f.maxInWindow() <= greedySlack)
+				t.Logf("at most %d retries in a window, %d are allowed", f.maxInWindow(), totalSlack)
+				is.True(f.maxInWindow() <= totalSlack)
 			})
 		})
 	}
@@ -75,8 +75,8 @@
 
 // newReachableFleet returns a fleet whose cut-off routers do not reach the store's table either.
 // The holder of the lease, if any, also counts the routers.
-func newReachableFleet(holder ident.Node) *greedyFleet {
-	f := &greedyFleet{zone: newZone()}
+func newReachableFleet(holder ident.Node) *slackFleet {
+	f := &slackFleet{zone: newZone()}
 	f.beforeStart = func(ctx context.Context, running *zoneRouter) {
 		if running.node == holder {
 			go running.follower.countRouters(ctx, func() bool { return true })
@@ -86,15 +86,15 @@
 	return f
 }
 
-func (f *greedyFleet) startInOrder(t *testing.T, nodes []ident.Node) {
+func (f *slackFleet) startInOrder(t *testing.T, nodes []ident.Node) {
 	for _, node := range nodes {
-		f.up(t, node)
+		f.startRouter(t, node)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
 // requireCount fails the test unless each router counts want routers.
-func (f *greedyFleet) requireCount(t *testing.T, want int) {
+func (f *slackFleet) requireCount(t *testing.T, want int) {
 	for node, running := range f.routers {
 		if routers := running.follower.replica.Routers(); routers != want {
 			t.Errorf("%s counts %d routers, not %d", node, routers, want)
--- a/internal/node/recipients.go
+++ b/internal/node/recipients.go
@@ -69,8 +69,8 @@
 		if relays[peer.Zone]++; relays[peer.Zone] > relaysPerZone {
 			continue
 		}
-		if place := r.regions.Of(peer.Zone); place != r.regions.Of(r.zone) {
-			r.otherRegions[place] = append(r.otherRegions[place], peer.Addr)
+		if peerRegion := r.regions.Of(peer.Zone); peerRegion != r.regions.Of(r.zone) {
+			r.otherRegions[peerRegion] = append(r.otherRegions[peerRegion], peer.Addr)
 		} else {
 			r.otherZones[peer.Zone] = append(r.otherZones[peer.Zone], peer.Addr)
 		}
--- a/internal/node/region_test.go
+++ b/internal/node/region_test.go
@@ -105,11 +105,11 @@
 				time.Sleep(10 * time.Second)
 				z.writeConfiguration(5)
 				time.Sleep(2 * time.Second)
-				for _, place := range []ident.Region{"a", "b", "c"} {
-					for _, running := range z.routersIn(place) {
+				for _, regionName := range []ident.Region{"a", "b", "c"} {
+					for _, running := range z.routersIn(regionName) {
 						age := running.follower.replica.holder.View().Age(time.Now())
-						is.Equal(running.version() == 5, place != isolated)
-						is.Equal(age < 2*time.Second, place != isolated)
+						is.Equal(running.version() == 5, regionName != isolated)
+						is.Equal(age < 2*time.Second, regionName != isolated)
 					}
 				}
 				z.partition("", false)
--- a/internal/node/rollouts_test.go
+++ b/internal/node/rollouts_test.go
@@ -105,7 +105,7 @@
 	is := is.New(t)
 	peer, stranger := netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
 	var answered []netip.AddrPort
-	c := newCanaries(guardedBounds, &canaries{
+	c := newCanaries(canaryBounds, &canaries{
 		metrics: newMetrics(func() gaugeValues { return gaugeValues{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{peer} },
 		send: func(to netip.AddrPort, _ datagram) { answered = append(answered, to) },
 	})
--- a/internal/node/sharers_test.go
+++ b/internal/node/sharers_test.go
@@ -49,22 +49,22 @@
 	is.Equal(counted(), 0)
 }
 
-// greedySlack is the retry slack of all routers of a greedyFleet.
-const greedySlack = 54
+// totalSlack is the retry slack of all routers of a slackFleet.
+const totalSlack = 54
 
-// greedyWindow is the window of the retry slack.
-var greedyWindow = admission.WindowConfig{Window: zoneSharers.Window}
+// slackWindow is the window of the retry slack.
+var slackWindow = admission.WindowConfig{Window: zoneSharers.Window}
 
-// greedyFleet is a zone whose routers use their whole share of the retry slack.
-type greedyFleet struct {
+// slackFleet is a zone whose routers use their whole share of the retry slack.
+type slackFleet struct {
 	*zone
 
 	granting sync.Mutex
 	grants   []time.Time
 }
 
-// up starts an incarnation of a router; end kills it.
-func (f *greedyFleet) up(t *testing.T, node ident.Node) (running *zoneRouter, end func()) {
+// startRouter starts an incarnation of a router; end kills it.
+func (f *slackFleet) startRouter(t *testing.T, node ident.Node) (running *zoneRouter, end func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	running = f.start(ctx, node)
 	go f.useSlack(ctx, running)
@@ -75,12 +75,12 @@
 }
 
 // useSlack records all retries that the router's share of the slack allows.
-func (f *greedyFleet) useSlack(ctx context.Context, running *zoneRouter) {
-	budget := admission.NewWindowBudget(greedyWindow, time.Now())
+func (f *slackFleet) useSlack(ctx context.Context, running *zoneRouter) {
+	budget := admission.NewWindowBudget(slackWindow, time.Now())
 	wait.Every(ctx, 50*time.Millisecond, func() {
 		now := time.Now()
 		sharers := running.follower.replica.Sharers()
-		for sharers > 0 && budget.Allow(now, float64(greedySlack)/float64(sharers)) {
+		for sharers > 0 && budget.Allow(now, float64(totalSlack)/float64(sharers)) {
 			f.granting.Lock()
 			f.grants = append(f.grants, now)
 			f.granting.Unlock()
@@ -90,22 +90,22 @@
 
 // restart ends a router as a planned stop does, after it has served for a while, and starts it
 // again.
-func (f *greedyFleet) restart(t *testing.T, running *zoneRouter, end func(), serves, pause time.Duration) {
+func (f *slackFleet) restart(t *testing.T, running *zoneRouter, end func(), serves, pause time.Duration) {
 	time.Sleep(serves)
 	end()
 	running.follower.routerList.leave(t.Context())
 	time.Sleep(pause)
-	f.up(t, running.node)
+	f.startRouter(t, running.node)
 }
 
 // maxInWindow returns the largest number of retries in one window.
-func (f *greedyFleet) maxInWindow() int {
+func (f *slackFleet) maxInWindow() int {
 	f.granting.Lock()
 	defer f.granting.Unlock()
 	slices.SortFunc(f.grants, time.Time.Compare)
 	most, first := 0, 0
 	for last, at := range f.grants {
-		for at.Sub(f.grants[first]) > greedyWindow.Window {
+		for at.Sub(f.grants[first]) > slackWindow.Window {
 			first++
 		}
 		most = max(most, last-first+1)
@@ -115,21 +115,21 @@
 
 // requireWithinSlack fails if a window had more retries than the slack, or if the slack was not
 // used.
-func (f *greedyFleet) requireWithinSlack(t *testing.T) {
+func (f *slackFleet) requireWithinSlack(t *testing.T) {
 	t.Helper()
 	most := f.maxInWindow()
-	t.Logf("at most %d retries in a window, %d are allowed", most, greedySlack)
+	t.Logf("at most %d retries in a window, %d are allowed", most, totalSlack)
 	is := is.New(t)
-	is.True(most <= greedySlack)
-	is.True(most > greedySlack*3/4)
+	is.True(most <= totalSlack)
+	is.True(most > totalSlack*3/4)
 }
 
 func TestRollingRestartStaysWithinSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &greedyFleet{zone: newZone()}
+		f := &slackFleet{zone: newZone()}
 		var restarts []func()
 		for _, node := range []ident.Node{"a", "b", "c", "d", "e", "f", "g"} {
-			running, end := f.up(t, node)
+			running, end := f.startRouter(t, node)
 			restarts = append(restarts, func() { f.restart(t, running, end, 6*time.Second, 700*time.Millisecond) })
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -145,16 +145,16 @@
 
 func TestRepeatedRestartsStayWithinSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &greedyFleet{zone: newZone()}
+		f := &slackFleet{zone: newZone()}
 		for _, node := range []ident.Node{"a", "b", "c"} {
-			f.up(t, node)
+			f.startRouter(t, node)
 		}
-		_, end := f.up(t, "d")
+		_, end := f.startRouter(t, "d")
 		time.Sleep(time.Minute)
 		for range 8 {
 			end()
 			time.Sleep(500 * time.Millisecond)
-			_, end = f.up(t, "d")
+			_, end = f.startRouter(t, "d")
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
@@ -189,18 +189,18 @@
 
 // randomFleet is a fleet whose routers are started and ended at random.
 type randomFleet struct {
-	greedyFleet
+	slackFleet
 	random *rand.Rand
 	// ends end the routers that are up.
 	ends [12]func()
 }
 
-func (d *randomFleet) upAt(t *testing.T, index int) {
-	running, end := d.up(t, ident.Node(fmt.Sprint("n", index)))
-	d.ends[index] = func() {
-		planned := d.random.IntN(2) == 0
+func (f *randomFleet) startAt(t *testing.T, index int) {
+	running, end := f.startRouter(t, ident.Node(fmt.Sprint("n", index)))
+	f.ends[index] = func() {
+		planned := f.random.IntN(2) == 0
 		if planned {
-			time.Sleep(time.Duration(d.random.IntN(8000)) * time.Millisecond)
+			time.Sleep(time.Duration(f.random.IntN(8000)) * time.Millisecond)
 		}
 		end()
 		if planned {
@@ -210,16 +210,16 @@
 }
 
 // change ends a router that is up, or starts one that is not.
-func (d *randomFleet) change(t *testing.T) {
-	index := d.random.IntN(len(d.ends))
-	if end := d.ends[index]; end != nil {
-		d.ends[index] = nil
+func (f *randomFleet) change(t *testing.T) {
+	index := f.random.IntN(len(f.ends))
+	if end := f.ends[index]; end != nil {
+		f.ends[index] = nil
 		end()
 	} else {
-		d.upAt(t, index)
+		f.startAt(t, index)
 	}
-	if d.random.IntN(3) > 0 {
-		time.Sleep(time.Duration(d.random.IntN(20000)) * time.Millisecond)
+	if f.random.IntN(3) > 0 {
+		time.Sleep(time.Duration(f.random.IntN(20000)) * time.Millisecond)
 	}
 }
 
@@ -228,16 +228,16 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &randomFleet{greedyFleet: greedyFleet{zone: newZone()}, random: rand.New(rand.NewPCG(seed, 1))}
+				f := &randomFleet{slackFleet: slackFleet{zone: newZone()}, random: rand.New(rand.NewPCG(seed, 1))}
 				for index := range 7 {
-					d.upAt(t, index)
+					f.startAt(t, index)
 				}
 				time.Sleep(time.Minute)
 				for range 40 {
-					d.change(t)
+					f.change(t)
 				}
 				time.Sleep(time.Minute)
-				d.requireWithinSlack(t)
+				f.requireWithinSlack(t)
 			})
 		})
 	}
--- a/internal/node/stalecount_test.go
+++ b/internal/node/stalecount_test.go
@@ -36,8 +36,8 @@
 }
 
 // newCutOffFleet returns a fleet whose cut-off routers cannot read the router list either.
-func newCutOffFleet() *greedyFleet {
-	f := &greedyFleet{zone: newZone()}
+func newCutOffFleet() *slackFleet {
+	f := &slackFleet{zone: newZone()}
 	f.beforeStart = func(_ context.Context, running *zoneRouter) {
 		running.follower.routerList.table = &cutOffTable{Table: f.store, router: running}
 	}
@@ -45,7 +45,7 @@
 }
 
 // startIdle starts a router that sends no retries for a while.
-func (f *greedyFleet) startIdle(t *testing.T, node ident.Node, quiet time.Duration) *zoneRouter {
+func (f *slackFleet) startIdle(t *testing.T, node ident.Node, quiet time.Duration) *zoneRouter {
 	ctx, cancel := context.WithCancel(t.Context())
 	running := f.start(ctx, node)
 	stop := running.stop
@@ -62,9 +62,9 @@
 }
 
 // startNew starts further routers, which use their whole share of the slack from the start.
-func (f *greedyFleet) startNew(t *testing.T, routers int) {
+func (f *slackFleet) startNew(t *testing.T, routers int) {
 	for index := range routers {
-		f.up(t, ident.Node(fmt.Sprint("new", index)))
+		f.startRouter(t, ident.Node(fmt.Sprint("new", index)))
 	}
 }
 
@@ -74,7 +74,7 @@
 		f := newCutOffFleet()
 		f.partitioned = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
 		for _, node := range []ident.Node{"a", "b", "c-far"} {
-			f.up(t, node)
+			f.startRouter(t, node)
 			time.Sleep(20 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
@@ -94,11 +94,11 @@
 		f := newCutOffFleet()
 		f.partitioned = func(a, b ident.Zone) bool { return (a == "zfar") != (b == "zfar") }
 		far := f.startIdle(t, "c-far", 60*time.Second+34*time.Second)
-		f.up(t, "a")
+		f.startRouter(t, "a")
 		time.Sleep(time.Minute)
 		f.changeRouter("c-far", func(r *zoneRouter) { r.cutOff = true })
 		for _, node := range []ident.Node{"d", "e", "f", "g"} {
-			running, end := f.up(t, node)
+			running, end := f.startRouter(t, node)
 			time.AfterFunc(30*time.Second, func() {
 				end()
 				running.follower.routerList.leave(context.Background())
@@ -121,7 +121,7 @@
 		t.Run(died.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newCutOffFleet()
-				f.up(t, "a")
+				f.startRouter(t, "a")
 				time.Sleep(100 * time.Millisecond)
 				f.startIdle(t, "b", 66*time.Second)
 				time.Sleep(60*time.Second - 90*time.Millisecond)
@@ -140,11 +140,11 @@
 func TestJoiningRouterKeepsItsOwnCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCutOffFleet()
-		f.up(t, "a")
+		f.startRouter(t, "a")
 		time.Sleep(time.Minute + time.Second)
 		var last *zoneRouter
 		for index := range 6 {
-			last, _ = f.up(t, ident.Node(fmt.Sprint("new", index)))
+			last, _ = f.startRouter(t, ident.Node(fmt.Sprint("new", index)))
 			time.Sleep(100 * time.Millisecond)
 		}
 		for range 50 {
--- a/internal/node/storeclock.go
+++ b/internal/node/storeclock.go
@@ -13,11 +13,11 @@
 // earliest returns the earliest local time at which the store can have sent an answer that was
 // requested at askedAt and has the store's time storeTime. The time at which the answer was read
 // may be too late, as the process may have been paused, and askedAt may be watchHold too early.
-func (m storeClock) earliest(askedAt time.Time, storeTime time.Duration, now time.Time) time.Time {
-	if m.storeTime == 0 || storeTime == 0 {
+func (c storeClock) earliest(askedAt time.Time, storeTime time.Duration, now time.Time) time.Time {
+	if c.storeTime == 0 || storeTime == 0 {
 		return askedAt
 	}
-	earliest := m.askedAt.Add(storeTime - m.storeTime)
+	earliest := c.askedAt.Add(storeTime - c.storeTime)
 	switch {
 	case earliest.Before(askedAt):
 		return askedAt
