--- a/internal/node/advertised_test.go
+++ b/internal/node/advertised_test.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// Routers learn from each other that an engine is draining, and one that joins knows it before
-// it serves.
+// Routers report to each other that an engine is draining, and one that joins receives that
+// before it serves.
 func TestDrainReachesOtherRouters(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/node/backendlimit_test.go
+++ b/internal/node/backendlimit_test.go
@@ -1,7 +1,7 @@
 package node
 
 // Guards against engines that get more requests than the limit that they advertise: routers
-// must keep it together, since one request of each may already exceed it.
+// must enforce it jointly, since one request of each may already exceed it.
 
 import (
 	"fmt"
@@ -148,7 +148,7 @@
 	is.True(slow <= len(result.refusals)/50)
 }
 
-// Routers learn of a limit from each other, and one that joins knows it before it serves.
+// Routers report limits to each other, and one that joins receives them before it serves.
 func TestLimitsReachOtherRouters(t *testing.T) {
 	t.Parallel()
 	f := newLimitFleet(t, 2, 3)
@@ -164,9 +164,9 @@
 	eventually(t, func() bool { return hasLimit(1) && hasLimit(2) })
 	f.startRouter(3)
 	if !hasLimit(3) {
-		t.Error("a router serves before it knows a limit that its peers know")
+		t.Error("a router serves before it has received a limit that its peers have")
 	}
 	if count := len(f.engines[0].firstLimitAt); count != 1 {
-		t.Errorf("%d routers learned the limit from the engine", count)
+		t.Errorf("%d routers received the limit from the engine", count)
 	}
 }
--- a/internal/node/caches_test.go
+++ b/internal/node/caches_test.go
@@ -26,7 +26,7 @@
 func (c *fakeCaches) List(context.Context, netip.AddrPort) (*promptcache.Listing, error) {
 	c.lists++
 	if c.unreachable {
-		return nil, errors.New("dark")
+		return nil, errors.New("unreachable")
 	}
 	return &promptcache.Listing{Epoch: 1, Next: 1, Held: []promptcache.Change{storedPart}}, nil
 }
@@ -35,7 +35,7 @@
 func (c *fakeCaches) Changes(context.Context, netip.AddrPort, uint64) (*promptcache.Changes, error) {
 	c.changes++
 	if c.unreachable {
-		return nil, errors.New("dark")
+		return nil, errors.New("unreachable")
 	}
 	return &promptcache.Changes{Epoch: 1, Next: 1, Lost: c.lost}, nil
 }
--- a/internal/node/canary.go
+++ b/internal/node/canary.go
@@ -61,7 +61,7 @@
 	rollouts *knownRollouts
 	// listedReleases are the releases of each service, as last passed to the gate.
 	listedReleases map[ident.Service][]ident.Release
-	// busyUntil is when run may sleep, unless an order comes.
+	// busyUntil is when run may sleep, unless an order arrives.
 	busyUntil time.Time
 	// routersReadAt is when a read of the routers' rows last began; routersReadDue is true if
 	// another one is requested.
--- a/internal/node/crashingfaults_test.go
+++ b/internal/node/crashingfaults_test.go
@@ -94,7 +94,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 7*time.Second)
 	defer cancel()
 	frequent := &clientLoad{}
-	loops := frequent.run(ctx, f, 48, time.Now(), func(int, int) string { return "hot" })
+	loops := frequent.run(ctx, f, 48, time.Now(), func(int, int) string { return "frequent" })
 	for round := 0; ctx.Err() == nil; round++ {
 		time.Sleep(1200 * time.Millisecond)
 		for index := range 5 {
@@ -125,7 +125,7 @@
 	is.New(t).Equal(f.arrivedAfter(crashBody, restarted), 0)
 }
 
-// A router that joins later knows the quarantined requests.
+// A router that joins later receives the quarantined requests.
 func TestNewRouterKnowsQuarantine(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, 16, 3)
--- a/internal/node/director.go
+++ b/internal/node/director.go
@@ -65,7 +65,7 @@
 }
 
 // readWithdrawn reads the states of unfinished rollouts whose orders are withdrawn, as a new
-// director would not ask for them; the caller holds the mutex.
+// director does not request them; the caller holds the mutex.
 func (c *canaries) readWithdrawn(ctx context.Context, now time.Time) {
 	if now.Sub(c.term.withdrawnReadAt) < withdrawnReadInterval {
 		return
--- a/internal/node/follower.go
+++ b/internal/node/follower.go
@@ -20,14 +20,14 @@
 // follower keeps the replica up to date: it reads the store as often as this router's
 // place in the chain requires, and otherwise pulls from a peer. A read counts from the
 // time of its request, so that a slow answer or a paused process doesn't make old state
-// look current.
+// count as current.
 type follower struct {
 	source       Source
 	replica      *replica
 	config       FollowConfig
 	publications *publicationStore
 	routerList   *routerList
-	// states reads the states of rollouts; nil without guarded rollouts.
+	// states reads the states of rollouts; nil without canary rollouts.
 	states *rolloutStates
 	// guard reads the quarantined requests; it may be nil.
 	guard  *guard.Guard
--- a/internal/node/follower_test.go
+++ b/internal/node/follower_test.go
@@ -341,6 +341,6 @@
 		go follower.followConfiguration(t.Context())
 		time.Sleep(time.Second)
 		is.True(follower.replica.holder.View().Models[model].Publications[0].SeenAtStart)
-		is.Equal(len(store.rows), 0) // no row claims to know its time
+		is.Equal(len(store.rows), 0) // no row states its time
 	})
 }
--- a/internal/node/fuzz_test.go
+++ b/internal/node/fuzz_test.go
@@ -55,8 +55,8 @@
 
 var fuzzOrder = canary.Order{Service: "s", Target: newRelease, Duration: time.Minute, Revision: 1}
 
-// newFuzzCanaries returns the canaries of a router that directs a rollout and knows the sender
-// of the fuzzed datagram as a peer.
+// newFuzzCanaries returns the canaries of a router that directs a rollout and has the sender of
+// the fuzzed datagram as a peer.
 func newFuzzCanaries(now time.Time) *canaries {
 	c := newCanaries(canaryBounds, &canaries{
 		metrics: newMetrics(func() gaugeValues { return gaugeValues{} }), peers: func() []netip.AddrPort { return []netip.AddrPort{{}} },
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -51,7 +51,7 @@
 	return []backend.Record{
 		{Instance: "a", Service: "s", Zone: "z", Models: models}, {Instance: "b", Service: "s", Zone: "z", Models: models},
 		{Instance: "c", Service: "s", Zone: "z", Models: models}, {Instance: "far", Service: "s", Zone: "y", Models: models},
-		{Instance: "leaving", Service: "s", Zone: "z", Models: models, Draining: true}, {Instance: "app", Service: "t", Zone: "z"},
+		{Instance: "draining", Service: "s", Zone: "z", Models: models, Draining: true}, {Instance: "app", Service: "t", Zone: "z"},
 	}
 }
 
@@ -108,7 +108,7 @@
 				silent, queues := runWatcher(t, 3*time.Second, engines, tt.leads)
 				is.Equal(silent, tt.silent)
 				is.Equal(queues, tt.queues)
-				for _, instance := range []ident.Incarnation{"far", "leaving", "app"} {
+				for _, instance := range []ident.Incarnation{"far", "draining", "app"} {
 					is.Equal(engines.checks[instance], 0)
 				}
 			})
--- a/internal/node/laterow_test.go
+++ b/internal/node/laterow_test.go
@@ -28,7 +28,7 @@
 	return result, err
 }
 
-// A router that leaves must also remove a row that a late write of its own has changed, but not
+// A stopping router must also remove a row that a late write of its own has changed, but not
 // one of a later incarnation.
 func TestLateWriteOfOwnRowIsRemoved(t *testing.T) {
 	tests := []struct {
--- a/internal/node/limitfleet_test.go
+++ b/internal/node/limitfleet_test.go
@@ -277,7 +277,7 @@
 }
 
 // largestWindow returns the most requests that reached an engine in a window that ends after
-// a time, from routers that know its limit.
+// a time, from routers that got its limit.
 func (e *limitedEngine) largestWindow(from time.Time) int {
 	var counted []time.Time
 	largest := 0
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -64,7 +64,7 @@
 	// GracePeriod is the time from the request to stop until the process is killed.
 	GracePeriod time.Duration
 	// ShutdownDelay is how long a stopping node still accepts new connections, until load
-	// balancers have noticed.
+	// balancers have removed it.
 	ShutdownDelay time.Duration
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -145,7 +145,7 @@
 	time.Sleep(50 * time.Millisecond)
 	stop()
 	waitForReadyStatus(t, config, http.StatusServiceUnavailable)
-	go send() // load balancers have not noticed yet
+	go send() // load balancers have not removed the node yet
 	is.NoErr(<-answers)
 	is.NoErr(<-answers)
 	is.NoErr(<-ended)
--- a/internal/node/notifier.go
+++ b/internal/node/notifier.go
@@ -77,7 +77,7 @@
 func (n *notifier) Notify(notification rollout.Notification) {
 	n.applyRollout(&notification)
 	for _, part := range splitRollout(notification) {
-		// It is not repeated later, so it goes by two relays if there are any.
+		// It is not sent again later, so it is sent through two relays if there are any.
 		n.send(datagram{Rollout: &part})
 		n.sendAll(datagram{Rollout: &part}, n.recipients.toNextRelays())
 	}
--- a/internal/node/pull.go
+++ b/internal/node/pull.go
@@ -234,9 +234,9 @@
 	return result
 }
 
-// epochsCurrent reports whether a peer knows of all store restores that this router knows of.
+// epochsCurrent reports whether a peer has observed all store restores that this router has.
 // Otherwise it may have confirmed its state by a version that was assigned again after a restore.
-// Older builds and routers that pull only from them know of none.
+// Older builds and routers that pull only from them observe none.
 func (f *follower) epochsCurrent(update *upstream.Update) bool {
 	_, known := f.epochs.First()
 	return update.Epoch >= f.handledEpoch.Load() && (update.FirstEra > 0 || !known)
--- a/internal/node/quotas_test.go
+++ b/internal/node/quotas_test.go
@@ -82,7 +82,7 @@
 		return ok && granted.Grant.Leader == routers[1].peer.Addr
 	})
 	eventually(t, func() bool {
-		// The others notice it with their hellos, some hundred ms apart.
+		// The others detect it by their hellos, some hundred ms apart.
 		time.Sleep(quotaTick / 10)
 		return routers[1].quotas.members() == 3
 	})
--- a/internal/node/region_test.go
+++ b/internal/node/region_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// A region without the others and the store knows the age of its state; the others continue,
-// and it follows them again after the partition.
+// A region cut off from the others and the store must count its state as aging; the others
+// continue, and it follows them again after the partition.
 func TestIsolatedRegionKnowsAgeOfState(t *testing.T) {
 	for _, isolated := range []ident.Region{"a", "c"} {
 		t.Run(string(isolated), func(t *testing.T) {
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -28,7 +28,7 @@
 	decode   func(body []byte) (*catalog.Snapshot, error)
 	// caches indexes the contents of prompt cache stores; it is only passed on here.
 	caches *promptcache.Index
-	// canaries receives orders, states and releases; nil without guarded rollouts.
+	// canaries receives orders, states and releases; nil without canary rollouts.
 	canaries *canaries
 	// epochs counts restores of the store.
 	epochs optionalEpochs
--- a/internal/node/routerlist.go
+++ b/internal/node/routerlist.go
@@ -150,7 +150,7 @@
 )
 
 // leave removes this router's row, unless a later incarnation has written it. Failed removals are
-// retried: otherwise the router would count forever, and all bounds that are divided by the number
+// retried: otherwise the router would be counted forever, and all bounds that are divided by the number
 // of routers would be too small.
 func (r *routerList) leave(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, leaveTimeout)
--- a/internal/node/sharers_test.go
+++ b/internal/node/sharers_test.go
@@ -191,7 +191,7 @@
 type randomFleet struct {
 	slackFleet
 	random *rand.Rand
-	// ends end the routers that are up.
+	// ends are the functions that end the running routers.
 	ends [12]func()
 }
 
--- a/internal/node/stalecount_test.go
+++ b/internal/node/stalecount_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// A router that is cut off from the store and all peers does not see who joins.
+// A router that is cut off from the store and all peers does not observe that others join.
 func TestCutOffRouterGetsNoShareOfTheSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newCutOffFleet()
