--- a/internal/node/follower_test.go
+++ b/internal/node/follower_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -170,7 +171,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.records, nil
+	return slices.Clone(s.records), nil // tests change records in place
 }
 
 // Commit implements platform.Table.
@@ -340,6 +341,6 @@
 		go follower.followConfiguration(t.Context())
 		time.Sleep(time.Second)
 		is.True(follower.replica.holder.View().Models[model].Publications[0].SeenAtStart)
-		is.Equal(len(store.rows), 0) // no row claims to know its time
+		is.Equal(len(store.rows), 0) // no row states its time
 	})
 }
--- a/internal/node/limitfleet_test.go
+++ b/internal/node/limitfleet_test.go
@@ -277,13 +277,13 @@
 }
 
 // largestWindow returns the most requests that reached an engine in a window that ends after
-// a time, from routers that know its limit.
+// a time, from routers that got its limit.
 func (e *limitedEngine) largestWindow(from time.Time) int {
 	var counted []time.Time
 	largest := 0
 	for _, arrival := range e.arrivals {
-		learnedAt, known := e.firstLimitAt[arrival.router]
-		if !known || arrival.at.Before(learnedAt.Add(limitDelay)) {
+		firstAt, known := e.firstLimitAt[arrival.router]
+		if !known || arrival.at.Before(firstAt.Add(limitDelay)) {
 			continue
 		}
 		counted = append(counted, arrival.at)
--- a/internal/node/region_test.go
+++ b/internal/node/region_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// A region without the others and the store knows the age of its state; the others continue,
-// and it follows them again after the partition.
+// A region cut off from the others and the store must count its state as aging; the others
+// continue, and it follows them again after the partition.
 func TestIsolatedRegionKnowsAgeOfState(t *testing.T) {
 	for _, isolated := range []ident.Region{"a", "c"} {
 		t.Run(string(isolated), func(t *testing.T) {
@@ -105,11 +105,11 @@
 				time.Sleep(10 * time.Second)
 				z.writeConfiguration(5)
 				time.Sleep(2 * time.Second)
-				for _, place := range []ident.Region{"a", "b", "c"} {
-					for _, running := range z.routersIn(place) {
+				for _, regionName := range []ident.Region{"a", "b", "c"} {
+					for _, running := range z.routersIn(regionName) {
 						age := running.follower.replica.holder.View().Age(time.Now())
-						is.Equal(running.version() == 5, place != isolated)
-						is.Equal(age < 2*time.Second, place != isolated)
+						is.Equal(running.version() == 5, regionName != isolated)
+						is.Equal(age < 2*time.Second, regionName != isolated)
 					}
 				}
 				z.partition("", false)
