--- a/proofs/answers_test.go
+++ b/proofs/answers_test.go
@@ -87,7 +87,7 @@
 
 // Guards against late output of an engine that was frozen during its streams,
 // given up and resumed: it must not reach any caller.
-func TestLateAnswersOfAFrozenEngineReachNobody(t *testing.T) {
+func TestLateAnswersOfFrozenEngineAreDiscarded(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := harness.Start(t, harness.Config{Engines: 2})
--- a/proofs/atmostonce_test.go
+++ b/proofs/atmostonce_test.go
@@ -33,7 +33,7 @@
 // Guards against a second execution while both tenants send the same keys to both
 // routers at once and retry, the table loses and delays answers, and the
 // applications refuse, delay, or cut the connection before or after running.
-func TestBookingsRunAtMostOnceInAStorm(t *testing.T) {
+func TestBookingsRunAtMostOnceUnderConcurrentRetries(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{RouterSettings: shortClaimTimeouts})
 	table := func(kind string, probability float64, delay int64) faultboard.Fault {
@@ -207,7 +207,7 @@
 
 // Guards against a second execution when a holder that was frozen with its claim
 // beyond every timeout resumes.
-func TestFrozenHolderAwakesAfterItsTimeouts(t *testing.T) {
+func TestFrozenHolderResumesAfterTimeouts(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := harness.Start(t, harness.Config{RouterSettings: "\ntable:\n  timeout: 3s\n  claimTimeout: 3s\n"})
@@ -267,7 +267,7 @@
 
 // Guards against a second execution when every router is killed at once under
 // bookings and restarts while the store is down, and callers retry.
-func TestHerdRestartWithTheStoreDown(t *testing.T) {
+func TestSimultaneousRouterRestartDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := harness.Start(t, harness.Config{Routers: 3, RouterSettings: shortClaimTimeouts, ApplicationArgs: []string{"--execute-millis", "400"}})
--- a/proofs/cache_test.go
+++ b/proofs/cache_test.go
@@ -124,10 +124,10 @@
 	}},
 }
 
-// TestNoRelianceOnForeignOrDeadCaches guards against reuse of blocks of another
-// tenant, version or incarnation, and against placement for blocks that the
-// incarnation never held, by the engines' truth records and real caches.
-func TestNoRelianceOnForeignOrDeadCaches(t *testing.T) {
+// Guards against reuse of blocks of another tenant, version or incarnation, and
+// against placement for blocks that the incarnation never held, by the engines'
+// truth records and real caches.
+func TestNoCacheReuseAcrossTenantsVersionsOrIncarnations(t *testing.T) {
 	for _, test := range cacheFaults {
 		t.Run(test.name, func(t *testing.T) {
 			check := is.New(t)
--- a/proofs/cacheprocess_test.go
+++ b/proofs/cacheprocess_test.go
@@ -62,7 +62,7 @@
 // Guards, with real processes, against reuse of blocks of another tenant, version
 // or incarnation, and against use of weights or zones that the adopted fleet
 // file no longer permits.
-func TestCachesAreNotSharedOnRealSockets(t *testing.T) {
+func TestNoCacheSharingWithRealProcesses(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{PlatformArgs: []string{"--weight-rate", "0", "--weight-gigabytes-per-second", "0"}})
 	r := &cacheRun{Cluster: c, t: t, callers: startTraffic(t, c)}
--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -47,7 +47,7 @@
 // Guards against a second execution and false "not run" reports under combined
 // faults: routers killed and frozen, the table slow, losing answers and down, and
 // applications that refuse, cut, or run without an answer.
-func TestBookingsWhileEverythingFails(t *testing.T) {
+func TestBookingsUnderCombinedFaults(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Routers: 3, RouterSettings: shortClaimTimeouts})
 	for _, name := range c.Applications {
@@ -93,7 +93,7 @@
 
 // Guards against corrupt streams under combined faults: routers killed and frozen,
 // engines crashing and losing events, connections cut and chunks sent twice.
-func TestStreamsWhileEverythingFails(t *testing.T) {
+func TestStreamsUnderCombinedFaults(t *testing.T) {
 	t.Parallel()
 	plan := filepath.Join(t.TempDir(), "faults.yaml")
 	is := is.New(t)
--- a/proofs/draining_test.go
+++ b/proofs/draining_test.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestLeavingEngineGetsNoNewWork fails if anything reaches the draining engine
-// later than drainingBound after a router could first observe it.
-func TestLeavingEngineGetsNoNewWork(t *testing.T) {
+// Guards against anything that reaches the draining engine later than drainingBound
+// after a router could first observe it.
+func TestDrainingEngineGetsNoNewWork(t *testing.T) {
 	cases := []struct {
 		name          string
 		startDraining func(w *drainingSimulation)
--- a/proofs/drainingprocess_test.go
+++ b/proofs/drainingprocess_test.go
@@ -22,7 +22,7 @@
 
 // Guards against new work on an engine that is observed draining, and against
 // cutting the streams that run on it.
-func TestLeavingBackEndsGetNoNewWorkOnRealSockets(t *testing.T) {
+func TestDrainingEngineProcessGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{
 		Routers: 3, Engines: 4, RouterSettings: fastMachinePoll, PlatformArgs: []string{"--lag", "200ms"},
@@ -134,7 +134,7 @@
 }
 
 // Guards against new work on a draining application.
-func TestLeavingApplicationsGetNoNewWorkOnRealSockets(t *testing.T) {
+func TestDrainingApplicationProcessGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{
 		Routers: 3, Engines: 1, Applications: 4, RouterSettings: fastMachinePoll, PlatformArgs: []string{"--lag", "200ms"},
--- a/proofs/notrun_test.go
+++ b/proofs/notrun_test.go
@@ -50,7 +50,7 @@
 
 // Guards against "not run" for a request that ran, when the connection to its back
 // end is cut at any point.
-func TestNotRunIsTrueWhereverTheConnectionIsCut(t *testing.T) {
+func TestNotRunReportsAreCorrectAfterConnectionCuts(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Relayed: true})
 	cases := []struct {
@@ -92,7 +92,7 @@
 
 // Guards against wrong execution reports when applications refuse, cut, stop or
 // are killed, and against losing a request that another could run.
-func TestNotRunIsTrueWhateverApplicationsDo(t *testing.T) {
+func TestNotRunReportsAreCorrectWhenApplicationsFail(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := harness.Start(t, harness.Config{Applications: 3, ApplicationArgs: []string{"--execute-millis", "30"}})
@@ -147,7 +147,7 @@
 
 // Guards against "not run" for a request that an engine started while its hold
 // timed out.
-func TestNotRunIsTrueWhenAHoldEnds(t *testing.T) {
+func TestNotRunReportsAreCorrectWhenHoldsTimeOut(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := harness.Start(t, harness.Config{
--- a/proofs/page_test.go
+++ b/proofs/page_test.go
@@ -17,7 +17,7 @@
 )
 
 // Guards against names of missing tests in docs/PROOFS.md.
-func TestThePageNamesTestsThatExist(t *testing.T) {
+func TestProofsPageNamesExistingTests(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/PROOFS.md")
 	is.NoErr(err)
--- a/proofs/streams_test.go
+++ b/proofs/streams_test.go
@@ -25,7 +25,7 @@
 
 // Under faults of engines and connections, a caller must get the complete answer
 // while one healthy engine is left, and otherwise a prefix of it and an error.
-func TestStreamsAreWholeUnderFaults(t *testing.T) {
+func TestStreamsAreCompleteUnderFaults(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Relayed: true})
 	injectFault := func(kind faultplan.Kind, parameters faultplan.Parameters, engines int) func() {
@@ -101,7 +101,7 @@
 
 // Guards against incomplete answers when engines are repeatedly killed during
 // their streams.
-func TestStreamsAreWholeWhenEnginesAreKilled(t *testing.T) {
+func TestStreamsAreCompleteWhenEnginesAreKilled(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{})
 	caller := c.NewCaller(harness.TenantA)
@@ -160,7 +160,7 @@
 
 // Guards against lost or duplicated text, and against a second generation, when a
 // caller's router is killed and it resumes its stream at the other one.
-func TestStreamsGoOnAtAnotherRouterWhenTheirsIsKilled(t *testing.T) {
+func TestStreamsResumeAtAnotherRouterAfterKill(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{})
 	caller := c.NewCaller(harness.TenantA)
@@ -193,7 +193,7 @@
 
 // When the router and the only engine of a stream are killed, the caller must keep
 // a prefix of the answer and get an error with a retry delay.
-func TestStreamWithoutAWayEndsWithAnError(t *testing.T) {
+func TestUnrecoverableStreamEndsWithError(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Engines: 1})
 	caller := c.NewCaller(harness.TenantA)
@@ -218,7 +218,7 @@
 
 // Guards against lost text when a caller stops reading for a while. Every event id
 // contains the long tenant name, which makes the stream exceed all buffers.
-func TestSlowReaderLosesNothing(t *testing.T) {
+func TestSlowReaderReceivesEveryChunk(t *testing.T) {
 	t.Parallel()
 	verbose := ident.Tenant(strings.Repeat("long-name-", 12))
 	c := harness.Start(t, harness.Config{
