--- a/proofs/cache_test.go
+++ b/proofs/cache_test.go
@@ -34,25 +34,25 @@
 }
 
 // deliverLateEvents gives every router cache events of an ended incarnation.
-func (w *cacheSimulation) deliverLateEvents(batch protocol.CacheEventBatch) {
-	for _, router := range w.routers {
-		router.core.ApplyCacheEvents(w.now, w.faulty.name, batch)
+func (s *cacheSimulation) deliverLateEvents(batch protocol.CacheEventBatch) {
+	for _, router := range s.routers {
+		router.core.ApplyCacheEvents(s.now, s.faulty.name, batch)
 	}
 }
 
 // sendOrder changes the weights of the faulty engine.
-func (w *cacheSimulation) sendOrder(kind protocol.OrderKind, version ident.ModelVersion) {
-	w.faulty.Order(w.now, protocol.Order{
-		OrderID: string(kind) + string(version), Fence: 1, ExpectedIncarnation: w.faulty.Incarnation(),
+func (s *cacheSimulation) sendOrder(kind protocol.OrderKind, version ident.ModelVersion) {
+	s.faulty.Order(s.now, protocol.Order{
+		OrderID: string(kind) + string(version), Fence: 1, ExpectedIncarnation: s.faulty.Incarnation(),
 		Kind: kind, Model: "m", Version: version,
 	})
 }
 
 // storedBlocksBatch returns a batch with every block in the faulty engine's cache.
-func (w *cacheSimulation) storedBlocksBatch() protocol.CacheEventBatch {
-	batch := protocol.CacheEventBatch{Incarnation: w.faulty.Incarnation()}
+func (s *cacheSimulation) storedBlocksBatch() protocol.CacheEventBatch {
+	batch := protocol.CacheEventBatch{Incarnation: s.faulty.Incarnation()}
 	event := protocol.CacheEvent{Sequence: 1 << 40, Kind: protocol.CacheStored}
-	for hash := range w.faulty.stored {
+	for hash := range s.faulty.stored {
 		event.Hashes = append(event.Hashes, hash)
 	}
 	batch.Events = []protocol.CacheEvent{event}
@@ -61,66 +61,66 @@
 
 var cacheFaults = []struct {
 	name  string
-	fault func(w *cacheSimulation)
+	fault func(s *cacheSimulation)
 }{
 	{"two tenants with the same prompts", func(*cacheSimulation) {}},
-	{"crash and quick return at the same address", func(w *cacheSimulation) {
-		w.crash(w.faulty)
-		w.after(100*time.Millisecond, func() { w.restart(w.faulty) })
+	{"crash and quick return at the same address", func(s *cacheSimulation) {
+		s.crash(s.faulty)
+		s.after(100*time.Millisecond, func() { s.restart(s.faulty) })
 	}},
-	{"crash and quick return, twice", func(w *cacheSimulation) {
+	{"crash and quick return, twice", func(s *cacheSimulation) {
 		for _, delay := range []time.Duration{0, time.Second} {
-			w.after(delay, func() { w.crash(w.faulty) })
-			w.after(delay+50*time.Millisecond, func() { w.restart(w.faulty) })
+			s.after(delay, func() { s.crash(s.faulty) })
+			s.after(delay+50*time.Millisecond, func() { s.restart(s.faulty) })
 		}
 	}},
-	{"crash and late return", func(w *cacheSimulation) {
-		w.crash(w.faulty)
-		w.after(3*time.Second, func() { w.restart(w.faulty) })
+	{"crash and late return", func(s *cacheSimulation) {
+		s.crash(s.faulty)
+		s.after(3*time.Second, func() { s.restart(s.faulty) })
 	}},
-	{"crash with an event gap across it", func(w *cacheSimulation) {
-		for _, router := range w.routers {
+	{"crash with an event gap across it", func(s *cacheSimulation) {
+		for _, router := range s.routers {
 			router.eventGaps = true
 		}
-		w.crash(w.faulty)
-		w.after(300*time.Millisecond, func() { w.restart(w.faulty) })
+		s.crash(s.faulty)
+		s.after(300*time.Millisecond, func() { s.restart(s.faulty) })
 	}},
-	{"events of the ended incarnation come after the crash", func(w *cacheSimulation) {
-		late := w.storedBlocksBatch()
-		w.crash(w.faulty)
-		w.after(2*time.Second, func() { w.deliverLateEvents(late) })
-		w.after(3*time.Second, func() { w.restart(w.faulty) })
-		w.after(3500*time.Millisecond, func() { w.deliverLateEvents(late) })
+	{"events of the ended incarnation come after the crash", func(s *cacheSimulation) {
+		late := s.storedBlocksBatch()
+		s.crash(s.faulty)
+		s.after(2*time.Second, func() { s.deliverLateEvents(late) })
+		s.after(3*time.Second, func() { s.restart(s.faulty) })
+		s.after(3500*time.Millisecond, func() { s.deliverLateEvents(late) })
 	}},
-	{"weights unloaded while dispatches are on their way", func(w *cacheSimulation) {
-		for _, router := range w.routers {
+	{"weights unloaded while dispatches are on their way", func(s *cacheSimulation) {
+		for _, router := range s.routers {
 			router.dispatchDelay = 300 * time.Millisecond
 		}
-		w.sendOrder(protocol.OrderUnload, "v2")
-		w.after(time.Second, func() { w.sendOrder(protocol.OrderLoad, "v2") })
+		s.sendOrder(protocol.OrderUnload, "v2")
+		s.after(time.Second, func() { s.sendOrder(protocol.OrderLoad, "v2") })
 	}},
-	{"weights unloaded and loaded again, events lost", func(w *cacheSimulation) {
-		for _, router := range w.routers {
+	{"weights unloaded and loaded again, events lost", func(s *cacheSimulation) {
+		for _, router := range s.routers {
 			router.eventsLost = true
 		}
-		w.sendOrder(protocol.OrderUnload, "v2")
-		w.after(time.Second, func() { w.sendOrder(protocol.OrderLoad, "v2") })
-		w.after(4*time.Second, func() { w.crash(w.engines[1]) }) // leaves only the first engine
+		s.sendOrder(protocol.OrderUnload, "v2")
+		s.after(time.Second, func() { s.sendOrder(protocol.OrderLoad, "v2") })
+		s.after(4*time.Second, func() { s.crash(s.engines[1]) }) // leaves only the first engine
 	}},
-	{"dispatches with a new prompt are refused for a while", func(w *cacheSimulation) {
-		w.shared = []string{"ruling", "charter", "tariff"}
+	{"dispatches with a new prompt are refused for a while", func(s *cacheSimulation) {
+		s.shared = []string{"ruling", "charter", "tariff"}
 		usual := model.DefaultConfig().Conditions()
 		full := usual
 		full.RefuseFull = true
-		w.faulty.SetConditions(w.now, full)
-		w.after(time.Second, func() { w.faulty.SetConditions(w.now, usual) })
+		s.faulty.SetConditions(s.now, full)
+		s.after(time.Second, func() { s.faulty.SetConditions(s.now, usual) })
 	}},
-	{"crash and return with a dispatch on its way", func(w *cacheSimulation) {
-		for _, router := range w.routers {
+	{"crash and return with a dispatch on its way", func(s *cacheSimulation) {
+		for _, router := range s.routers {
 			router.dispatchDelay = 200 * time.Millisecond
 		}
-		w.crash(w.faulty)
-		w.after(50*time.Millisecond, func() { w.restart(w.faulty) })
+		s.crash(s.faulty)
+		s.after(50*time.Millisecond, func() { s.restart(s.faulty) })
 	}},
 }
 
--- a/proofs/cacheprocess_test.go
+++ b/proofs/cacheprocess_test.go
@@ -43,7 +43,7 @@
 
 // streamDuring runs long streams and calls disturb once one of them has text. No
 // stream may be corrupted.
-func (r *cacheRun) streamDuring(disturb func()) {
+func (r *cacheRun) streamDuring(disrupt func()) {
 	r.t.Helper()
 	caller := r.NewCaller(harness.TenantA)
 	var once sync.Once
@@ -51,7 +51,7 @@
 		req := longRequest(fmt.Sprint("long ", number), 120)
 		req.OnText = func(bytes int) {
 			if bytes > 40 {
-				once.Do(disturb)
+				once.Do(disrupt)
 			}
 		}
 		outcome := caller.Stream(r.t.Context(), r.RouterURLs()[number%2], req)
@@ -99,19 +99,19 @@
 		})
 		r.Inject(r.Engines[2], engine.FaultRequest{Kind: faultplan.Crash, Duration: faultplan.Duration(100 * time.Millisecond)})
 	})
-	awaitEngines(r.t, r.Cluster, "every engine has the new weights", has(newWeights))
+	awaitEngines(r.t, r.Cluster, "every engine has the new weights", hasLoaded(newWeights))
 	r.callers.awaitAnswers(r.Cluster, 30)
 	r.apply(func(document *fleet.Document) { document.Models[0].AcceptVersions = nil })
 	adopted := time.Now()
-	awaitEngines(r.t, r.Cluster, "no engine has the old weights", func(engine status.Engine) bool { return !has(harness.ModelVersion)(engine) })
+	awaitEngines(r.t, r.Cluster, "no engine has the old weights", func(engine status.Engine) bool { return !hasLoaded(harness.ModelVersion)(engine) })
 	r.callers.awaitAnswers(r.Cluster, 60)
 	requireNoStart(r.t, allTruth(r.Cluster), r.callers.requestsSentAfter(adopted), func(record truth.Record) bool {
 		return record.Version != newWeights
 	})
 }
 
-// has returns a condition that holds for engines with the version loaded.
-func has(version ident.ModelVersion) func(engine status.Engine) bool {
+// hasLoaded returns a condition that holds for engines with the version loaded.
+func hasLoaded(version ident.ModelVersion) func(engine status.Engine) bool {
 	return func(engine status.Engine) bool {
 		return slices.ContainsFunc(engine.Loaded, func(loaded status.Loaded) bool { return loaded.Version == version })
 	}
--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -108,7 +108,7 @@
 	load, endLoad := context.WithCancel(t.Context())
 	var work sync.WaitGroup
 	var mutex sync.Mutex
-	whole, all := 0, 0
+	complete, all := 0, 0
 	for worker := range 9 {
 		work.Go(func() {
 			for number := 0; load.Err() == nil; number++ {
@@ -120,7 +120,7 @@
 				mutex.Lock()
 				all++
 				if outcome.Done {
-					whole++
+					complete++
 				}
 				mutex.Unlock()
 			}
@@ -129,8 +129,8 @@
 	disruptRouters(c, rand.New(rand.NewPCG(chaosSeed, 2)))
 	endLoad()
 	work.Wait()
-	t.Logf("%d of %d answers were complete, the others ended with an error", whole, all)
-	is.True(whole > all/2)
+	t.Logf("%d of %d answers were complete, the others ended with an error", complete, all)
+	is.True(complete > all/2)
 }
 
 // crashPlan returns a fault plan in which every engine sends its chunks twice and
--- a/proofs/configuration_test.go
+++ b/proofs/configuration_test.go
@@ -96,7 +96,7 @@
 		o.unknownOutcomes++
 		return false
 	}
-	if other, taken := o.accepted[applied.Version]; taken {
+	if other, reported := o.accepted[applied.Version]; reported {
 		o.t.Errorf("%s and %s were both reported as version %d", name, other, applied.Version)
 	}
 	o.accepted[applied.Version] = name
--- a/proofs/draining_test.go
+++ b/proofs/draining_test.go
@@ -47,49 +47,49 @@
 }
 
 // broadcast sends a router's first observation that an engine is draining.
-func (w *drainingSimulation) broadcast(node *simnet.Node, change endpoint.Change) {
+func (s *drainingSimulation) broadcast(node *simnet.Node, change endpoint.Change) {
 	if change.Kind != endpoint.ChangeDraining {
 		return
 	}
-	w.network.Do(node, func(machine *membership.Machine, now time.Time) {
+	s.network.Do(node, func(machine *membership.Machine, now time.Time) {
 		err := machine.Broadcast(now, membership.BackendReport{
 			Backend: string(change.Engine), Incarnation: change.Incarnation, Kind: membership.ReportDraining,
 			Observer: node.Member.Node, ObservedAt: now.UnixMilli(),
 		})
 		if err != nil {
-			w.t.Error(err)
+			s.t.Error(err)
 		}
 	})
 }
 
 // gossip runs the network for a step and applies the received reports.
-func (w *drainingSimulation) gossip() {
-	w.network.Run(virtualStep)
-	for index, node := range w.network.Nodes {
+func (s *drainingSimulation) gossip() {
+	s.network.Run(virtualStep)
+	for index, node := range s.network.Nodes {
 		for _, event := range node.TakeEvents() {
 			if event.Kind == membership.ReportReceived {
-				router := w.routers[index]
-				w.applyEffects(router, router.core.ObserveDraining(w.now, ident.Engine(event.Report.Backend), event.Report.Incarnation))
+				router := s.routers[index]
+				s.applyEffects(router, router.core.ObserveDraining(s.now, ident.Engine(event.Report.Backend), event.Report.Incarnation))
 			}
 		}
 	}
 }
 
 // applyMachineList gives the first routers the machine list, as one read does.
-func (w *drainingSimulation) applyMachineList(readers int, draining bool) {
-	for _, router := range w.routers[:readers] {
-		w.applyEffects(router, router.core.ApplyMachineList(w.now, map[ident.Engine]bool{w.draining.name: draining}))
+func (s *drainingSimulation) applyMachineList(readers int, draining bool) {
+	for _, router := range s.routers[:readers] {
+		s.applyEffects(router, router.core.ApplyMachineList(s.now, map[ident.Engine]bool{s.draining.name: draining}))
 	}
 }
 
 // applyFleetFile applies a fleet file with the engine draining on one router.
-func (w *drainingSimulation) applyFleetFile(router *simulatedRouter) {
-	targets := w.targets()
+func (s *drainingSimulation) applyFleetFile(router *simulatedRouter) {
+	targets := s.targets()
 	targets[0].Draining = true
-	w.applyEffects(router, router.core.Configure(w.now, targets))
+	s.applyEffects(router, router.core.Configure(s.now, targets))
 }
 
-func (w *drainingSimulation) dropReports(routers ...*simulatedRouter) {
+func (s *drainingSimulation) dropReports(routers ...*simulatedRouter) {
 	for _, router := range routers {
 		router.reportsLost = true
 	}
@@ -100,30 +100,30 @@
 func TestDrainingEngineGetsNoNewWork(t *testing.T) {
 	cases := []struct {
 		name          string
-		startDraining func(w *drainingSimulation)
+		startDraining func(s *drainingSimulation)
 	}{
-		{"by the machine list", func(w *drainingSimulation) { w.applyMachineList(3, true) }},
-		{"by the machine list, lost on two of three", func(w *drainingSimulation) { w.applyMachineList(1, true) }},
-		{"by its own report, lost on two of three", func(w *drainingSimulation) {
-			w.dropReports(w.routers[1:]...)
-			w.draining.Drain(w.now)
+		{"by the machine list", func(s *drainingSimulation) { s.applyMachineList(3, true) }},
+		{"by the machine list, lost on two of three", func(s *drainingSimulation) { s.applyMachineList(1, true) }},
+		{"by its own report, lost on two of three", func(s *drainingSimulation) {
+			s.dropReports(s.routers[1:]...)
+			s.draining.Drain(s.now)
 		}},
-		{"by its own refusal only, while the list lags", func(w *drainingSimulation) {
-			w.dropReports(w.routers...)
-			w.draining.Drain(w.now)
+		{"by its own refusal only, while the list lags", func(s *drainingSimulation) {
+			s.dropReports(s.routers...)
+			s.draining.Drain(s.now)
 			for second := range 6 {
-				w.after(time.Duration(second)*time.Second, func() { w.applyMachineList(3, false) })
+				s.after(time.Duration(second)*time.Second, func() { s.applyMachineList(3, false) })
 			}
 		}},
-		{"by the fleet file, adopted one after the other", func(w *drainingSimulation) {
-			for index, router := range w.routers {
-				w.after(time.Duration(index)*time.Second, func() { w.applyFleetFile(router) })
+		{"by the fleet file, adopted one after the other", func(s *drainingSimulation) {
+			for index, router := range s.routers {
+				s.after(time.Duration(index)*time.Second, func() { s.applyFleetFile(router) })
 			}
 		}},
-		{"by the list, and the engine crashes and returns", func(w *drainingSimulation) {
-			w.applyMachineList(3, true)
-			w.after(drainingBound, func() { w.crash(w.draining) })
-			w.after(drainingBound+100*time.Millisecond, func() { w.restart(w.draining) })
+		{"by the list, and the engine crashes and returns", func(s *drainingSimulation) {
+			s.applyMachineList(3, true)
+			s.after(drainingBound, func() { s.crash(s.draining) })
+			s.after(drainingBound+100*time.Millisecond, func() { s.restart(s.draining) })
 		}},
 	}
 	for _, test := range cases {
--- a/proofs/notrun_test.go
+++ b/proofs/notrun_test.go
@@ -27,10 +27,10 @@
 // markedBody is small enough to be sent in one write.
 var markedBody = strings.Repeat("head ", 100) + markMiddle + strings.Repeat(" rest", 100) + markTail
 
-// requireNotRunTrue fails if a request that was reported not run was executed, or
+// requireCorrectExecutionReports fails if a request that was reported not run was executed, or
 // one reported as run was not executed once. Each key must have been sent once.
 // It returns the number of requests reported not run.
-func requireNotRunTrue(t *testing.T, executions []application.Execution, caller *harness.Caller) (count int) {
+func requireCorrectExecutionReports(t *testing.T, executions []application.Execution, caller *harness.Caller) (count int) {
 	t.Helper()
 	for _, outcome := range caller.History() {
 		requireOwnAnswer(t, outcome)
@@ -79,7 +79,7 @@
 	}
 	c.Await("every execution has ended", c.Idle)
 	executions := c.AllExecutions()
-	requireNotRunTrue(t, executions, caller)
+	requireCorrectExecutionReports(t, executions, caller)
 	cuts := 0
 	for _, name := range c.Applications {
 		cuts += c.Relay(name).CutCount()
@@ -133,7 +133,7 @@
 	c.Kill(c.Applications[0])
 	send("all-gone")
 	executions := c.AllExecutions()
-	is.True(requireNotRunTrue(t, executions, caller) >= 24) // "all refuse" and "all gone"
+	is.True(requireCorrectExecutionReports(t, executions, caller) >= 24) // "all refuse" and "all gone"
 	requireAtMostOnce(t, executions, caller)
 	for _, outcome := range caller.History() {
 		if strings.HasPrefix(outcome.Key, "one-killed") || strings.HasPrefix(outcome.Key, "one-leaving") || strings.HasPrefix(outcome.Key, "two-gone") {
--- a/proofs/observe_test.go
+++ b/proofs/observe_test.go
@@ -90,9 +90,9 @@
 
 // Size of the traffic.
 const (
-	trafficCallers = 6
-	trafficTokens  = 4
-	trafficTries   = 100
+	trafficCallers  = 6
+	trafficTokens   = 4
+	trafficAttempts = 100
 )
 
 func startTraffic(tb testing.TB, c *harness.Cluster) *traffic {
@@ -107,7 +107,7 @@
 			for turn := 0; ctx.Err() == nil; turn++ {
 				first := (number + turn) % len(routers)
 				req := harness.ModelRequest{Prompt: sharedPrompt([]string{"graz", "linz", "wien"}[turn%3], turn), MaxTokens: trafficTokens}
-				caller.StreamWithRetries(ctx, append(routers[first:len(routers):len(routers)], routers[:first]...), req, trafficTries)
+				caller.StreamWithRetries(ctx, append(routers[first:len(routers):len(routers)], routers[:first]...), req, trafficAttempts)
 			}
 		})
 	}
@@ -141,15 +141,15 @@
 
 // requestsSentAfter returns the ids of requests that were sent after a time.
 func (r *traffic) requestsSentAfter(after time.Time) map[ident.Request]bool {
-	names := map[ident.Request]bool{}
+	ids := map[ident.Request]bool{}
 	for _, caller := range r.callers {
 		for _, outcome := range caller.History() {
 			if outcome.RequestID != "" && outcome.Began.After(after) {
-				names[outcome.RequestID] = true
+				ids[outcome.RequestID] = true
 			}
 		}
 	}
-	return names
+	return ids
 }
 
 // requireNoStart fails if one of the requests started where it is forbidden, or if
--- a/proofs/simulatedtraffic_test.go
+++ b/proofs/simulatedtraffic_test.go
@@ -118,8 +118,8 @@
 	}))
 }
 
-func (w *requestSpec) salt(version ident.ModelVersion) prefix.Salt {
-	return prefix.Namespace{Tenant: w.tenant, Model: "m", Version: version}.Salt()
+func (r *requestSpec) salt(version ident.ModelVersion) prefix.Salt {
+	return prefix.Namespace{Tenant: r.tenant, Model: "m", Version: version}.Salt()
 }
 
 // applyEffects carries out the effects that a core returned.
--- a/proofs/versionchange_test.go
+++ b/proofs/versionchange_test.go
@@ -161,18 +161,18 @@
 	t.Helper()
 	victim := ""
 	c.Await("one engine is busy with the old version and the others serve the next one", func() bool {
-		known := map[ident.Engine]int{}
+		observers := map[ident.Engine]int{}
 		for _, router := range c.Routers {
 			state, _ := routerStatus(t.Context(), c, router)
 			for _, engine := range state.Engines {
 				if slices.Contains(engine.Loaded, status.Loaded{Model: harness.Model, Version: nextVersion}) {
-					known[engine.Engine]++
+					observers[engine.Engine]++
 				}
 			}
 		}
 		for index, name := range c.Engines {
 			first, second := c.Engines[(index+1)%len(c.Engines)], c.Engines[(index+2)%len(c.Engines)]
-			everywhere := known[ident.Engine(first)] == len(c.Routers) && known[ident.Engine(second)] == len(c.Routers)
+			everywhere := observers[ident.Engine(first)] == len(c.Routers) && observers[ident.Engine(second)] == len(c.Routers)
 			if everywhere && unfinishedGenerations(withVersion(c.Truth(name), harness.ModelVersion)) > 0 {
 				victim = name
 			}
@@ -249,7 +249,7 @@
 func checkOrders(t *testing.T, c *harness.Cluster) {
 	t.Helper()
 	for _, name := range c.Engines {
-		fence, taken, changes := uint64(0), map[string]bool{}, map[string]bool{}
+		fence, accepted, changes := uint64(0), map[string]bool{}, map[string]bool{}
 		for _, record := range c.Truth(name) {
 			if record.Kind != truth.OrderApplied {
 				continue
@@ -259,12 +259,12 @@
 			}
 			fence = record.Fence
 			change := fmt.Sprint(record.Incarnation, record.Fence, record.OrderKind, record.Version)
-			if taken[record.OrderID] || changes[change] {
+			if accepted[record.OrderID] || changes[change] {
 				t.Errorf("%s accepted order %s, %s %s, twice", name, record.OrderID, record.OrderKind, record.Version)
 			}
-			taken[record.OrderID], changes[change] = true, true
+			accepted[record.OrderID], changes[change] = true, true
 		}
-		if len(taken) == 0 {
+		if len(accepted) == 0 {
 			t.Errorf("%s accepted no order", name)
 		}
 	}
--- a/standin/engine/model/orders.go
+++ b/standin/engine/model/orders.go
@@ -75,7 +75,7 @@
 	if refusal := e.checkOrder(order); refusal != nil {
 		return protocol.OrderResult{}, refusal
 	}
-	if result, repeated := e.orders.accepted[order.OrderID]; repeated {
+	if result, retried := e.orders.accepted[order.OrderID]; retried {
 		return result, nil
 	}
 	if order.Fence < e.orders.fence {
--- a/standin/engine/streams.go
+++ b/standin/engine/streams.go
@@ -34,31 +34,31 @@
 }
 
 // stream returns the log of a stream, or nil.
-func (l *incarnationState) stream(name ident.Stream) *streamLog {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.streams[name]
+func (s *incarnationState) stream(name ident.Stream) *streamLog {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.streams[name]
 }
 
-func (l *incarnationState) streamFor(name ident.Stream, now time.Time) *streamLog {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.streams[name] == nil {
-		l.streams[name] = &streamLog{idleSince: now}
+func (s *incarnationState) streamFor(name ident.Stream, now time.Time) *streamLog {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.streams[name] == nil {
+		s.streams[name] = &streamLog{idleSince: now}
 	}
-	return l.streams[name]
+	return s.streams[name]
 }
 
-func (l *incarnationState) listStreams() map[ident.Stream]*streamLog {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return maps.Clone(l.streams)
+func (s *incarnationState) listStreams() map[ident.Stream]*streamLog {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return maps.Clone(s.streams)
 }
 
-func (l *incarnationState) remove(name ident.Stream) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	delete(l.streams, name)
+func (s *incarnationState) remove(name ident.Stream) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.streams, name)
 }
 
 // broadcast wakes every waiter at once. Its zero value is ready.
--- a/standin/experiment/engines.go
+++ b/standin/experiment/engines.go
@@ -100,20 +100,20 @@
 
 // applyStreamEvent applies a stream event to its attempt.
 func (n *engineNode) applyStreamEvent(event *protocol.StreamEvent) {
-	about := n.attempts[endpoint.AttemptKey{Request: event.RequestID, Attempt: event.Attempt}]
-	if about == nil {
+	matched := n.attempts[endpoint.AttemptKey{Request: event.RequestID, Attempt: event.Attempt}]
+	if matched == nil {
 		return
 	}
-	about.stream = event.Stream
+	matched.stream = event.Stream
 	switch event.Kind {
 	case protocol.EventStart:
 		usage, incarnation := *event.Usage, event.Incarnation
-		about.deliverToRouter(func() { about.accepted(incarnation, usage) })
+		matched.deliverToRouter(func() { matched.accepted(incarnation, usage) })
 	case protocol.EventChunk:
-		about.chunk(event.Text, event.Tokens)
+		matched.chunk(event.Text, event.Tokens)
 	case protocol.EventEnd:
-		n.removeAttempt(about)
-		about.deliverToRouter(about.completed)
+		n.removeAttempt(matched)
+		matched.deliverToRouter(matched.completed)
 	}
 }
 
@@ -129,13 +129,13 @@
 
 // recordTruth measures a truth record of an attempt.
 func (n *engineNode) recordTruth(record *truth.Record) {
-	about := n.attempts[endpoint.AttemptKey{Request: record.RequestID, Attempt: record.Attempt}]
-	if about == nil || !about.exchange.measured {
+	matched := n.attempts[endpoint.AttemptKey{Request: record.RequestID, Attempt: record.Attempt}]
+	if matched == nil || !matched.exchange.measured {
 		return
 	}
 	switch record.Kind {
 	case truth.Started:
-		n.simulation.measures.recordStarted(about, record)
+		n.simulation.measures.recordStarted(matched, record)
 	case truth.Lost, truth.Cancelled:
 		n.simulation.measures.discarded += int64(record.PrefilledTokens + record.GeneratedTokens)
 	}
--- a/standin/experiment/measure.go
+++ b/standin/experiment/measure.go
@@ -102,11 +102,11 @@
 }
 
 // recordStarted records the truth about an attempt that started to run.
-func (c *collector) recordStarted(about *attempt, record *truth.Record) {
+func (c *collector) recordStarted(started *attempt, record *truth.Record) {
 	c.prompt += int64(record.PromptTokens)
 	c.cached += int64(record.CachedTokens)
-	c.recomputed += int64(max(0, about.mostCachedTokens-record.CachedTokens))
-	c.evicted += int64(max(0, min(about.targetCachedTokens, about.mostCachedTokens)-record.CachedTokens))
+	c.recomputed += int64(max(0, started.mostCachedTokens-record.CachedTokens))
+	c.evicted += int64(max(0, min(started.targetCachedTokens, started.mostCachedTokens)-record.CachedTokens))
 }
 
 // recordEnded records the end of a request.
--- a/standin/experiment/routers.go
+++ b/standin/experiment/routers.go
@@ -174,8 +174,8 @@
 	r.alive = false
 	r.tickAt = time.Time{}
 	var waiting []*exchange
-	for _, waits := range r.waiting {
-		waiting = append(waiting, waits)
+	for _, pending := range r.waiting {
+		waiting = append(waiting, pending)
 	}
 	sortExchanges(waiting)
 	r.waiting = make(map[ident.Request]*exchange)
@@ -184,7 +184,7 @@
 
 // resubmit retries, after a delay, the requests of callers whose router failed.
 func (s *simulation) resubmit(waiting []*exchange) {
-	for _, again := range waiting {
-		s.clock.after(clientRetryDelay, again.assignRouter)
+	for _, pending := range waiting {
+		s.clock.after(clientRetryDelay, pending.assignRouter)
 	}
 }
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -165,7 +165,7 @@
 			is.Equal(got.Outcome, test.want.Outcome)
 			is.Equal([]int{got.Retries, got.Resumes, got.Restarts, got.Breaks},
 				[]int{test.want.Retries, test.want.Resumes, test.want.Restarts, test.want.Breaks}) // retries, resumes, restarts, breaks
-			for _, key := range router.seenKeys() {
+			for _, key := range router.receivedKeys() {
 				is.Equal(key, test.arrival.IdempotencyKey)
 			}
 		})
@@ -203,8 +203,8 @@
 	is.True(json.Valid(document.Bytes()))
 }
 
-// seenKeys returns the idempotency key of every exchange so far.
-func (f *fakeRouter) seenKeys() []string {
+// receivedKeys returns the idempotency key of every exchange so far.
+func (f *fakeRouter) receivedKeys() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]string(nil), f.keys...)
--- a/standin/overhead/overhead.go
+++ b/standin/overhead/overhead.go
@@ -170,11 +170,11 @@
 	if response.StatusCode != http.StatusOK {
 		return fault.New(fault.BackendRefused, "%s answered with status %d", request.URL.Host, response.StatusCode)
 	}
-	taken, found, err := firstText(response, started)
+	elapsed, found, err := firstText(response, started)
 	if err != nil || !found {
 		return fault.Wrap(err, fault.StreamBroken, "no text received from %s", request.URL.Host)
 	}
-	return times.RecordValue(max(lowest, taken.Microseconds()))
+	return times.RecordValue(max(lowest, elapsed.Microseconds()))
 }
 
 // firstText reads a whole stream and returns the time to its first text. Both
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -173,10 +173,10 @@
 	http.Error(w, "rate limit exceeded; the operation was not run", http.StatusTooManyRequests)
 }
 
-func (a reply) send(w http.ResponseWriter) {
-	if a.contentType != "" {
-		w.Header().Set("Content-Type", a.contentType)
+func (r reply) send(w http.ResponseWriter) {
+	if r.contentType != "" {
+		w.Header().Set("Content-Type", r.contentType)
 	}
-	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body)
+	w.WriteHeader(r.status)
+	_, _ = w.Write(r.body)
 }
--- a/standin/workload/workload_test.go
+++ b/standin/workload/workload_test.go
@@ -92,7 +92,7 @@
 	all := arrivals(t, examples[0], 4)
 	is.True(countFlood(all, 40*time.Second, 50*time.Second) > 3*countFlood(all, 10*time.Second, 20*time.Second)+5)
 	keys := map[string]string{}
-	repeats := 0
+	retries := 0
 	for _, arrival := range all {
 		if arrival.IdempotencyKey == "" {
 			continue
@@ -100,12 +100,12 @@
 		earlier, known := keys[arrival.IdempotencyKey]
 		is.Equal(known, arrival.Retry)
 		if known {
-			repeats++
+			retries++
 			is.Equal(earlier, arrival.Body)
 		}
 		keys[arrival.IdempotencyKey] = arrival.Body
 	}
-	is.True(repeats > 0)
+	is.True(retries > 0)
 }
 
 func TestParseRejectsInvalidSpecs(t *testing.T) {
