--- a/proofs/atmostonce_test.go
+++ b/proofs/atmostonce_test.go
@@ -183,7 +183,7 @@
 `
 
 // A holder killed between claim and dispatch leaves a key that is never run: no
-// caller may be told "not run", since another router cannot know that.
+// caller may get "not run", since another router cannot prove that.
 func TestHolderKilledBeforeDispatch(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -194,7 +194,7 @@
 	is.True((<-ended).Broken)
 	for range 3 {
 		outcome := caller.Book(t.Context(), c.URL(c.Routers[1]), key, "{}")
-		is.Equal(outcome.Ran(), fault.RanUnknown) // never "not run": the router cannot know
+		is.Equal(outcome.Ran(), fault.RanUnknown) // never "not run": the router cannot prove it
 		is.Equal(outcome.Kind(), fault.AlreadyClaimed)
 	}
 	c.Restart(c.Routers[0])
--- a/proofs/cacheprocess_test.go
+++ b/proofs/cacheprocess_test.go
@@ -41,7 +41,7 @@
 	r.Document = &document
 }
 
-// streamDuring runs long streams and calls disturb once one of them has text. No
+// streamDuring runs long streams and calls disrupt once one of them has text. No
 // stream may be corrupted.
 func (r *cacheRun) streamDuring(disrupt func()) {
 	r.t.Helper()
--- a/proofs/harness/cluster.go
+++ b/proofs/harness/cluster.go
@@ -329,7 +329,7 @@
 func (c *Cluster) AwaitServing(routers ...string) {
 	c.tb.Helper()
 	for _, router := range routers {
-		c.Await(router+" knows every engine", func() bool {
+		c.Await(router+" reports every engine alive or draining", func() bool {
 			var state status.Router
 			return c.probe(router, "/readyz", nil) && c.probe(router, "/status.json", &state) && allAlive(state.Engines)
 		})
--- a/proofs/harness/stream.go
+++ b/proofs/harness/stream.go
@@ -68,8 +68,8 @@
 }
 
 // StreamWithRetries sends the request to the first router and resumes or retries
-// it at the next ones until the answer is complete, the router refuses for good,
-// or no attempts are left.
+// it at the next ones until the answer is complete, a refusal is final, or no
+// attempts are left.
 func (c *Caller) StreamWithRetries(ctx context.Context, routers []string, modelRequest ModelRequest, attempts int) Outcome {
 	var outcome Outcome
 	for attempt := range attempts {
--- a/proofs/notrun_test.go
+++ b/proofs/notrun_test.go
@@ -126,7 +126,7 @@
 	stopped := make(chan int, 1)
 	go func() { stopped <- c.Terminate(c.Applications[1]) }()
 	for number := range 6 {
-		send(fmt.Sprintf("one-leaving-%d", number))
+		send(fmt.Sprintf("one-draining-%d", number))
 	}
 	is.Equal(<-stopped, 0)
 	send("two-gone")
@@ -136,7 +136,7 @@
 	is.True(requireCorrectExecutionReports(t, executions, caller) >= 24) // "all refuse" and "all gone"
 	requireAtMostOnce(t, executions, caller)
 	for _, outcome := range caller.History() {
-		if strings.HasPrefix(outcome.Key, "one-killed") || strings.HasPrefix(outcome.Key, "one-leaving") || strings.HasPrefix(outcome.Key, "two-gone") {
+		if strings.HasPrefix(outcome.Key, "one-killed") || strings.HasPrefix(outcome.Key, "one-draining") || strings.HasPrefix(outcome.Key, "two-gone") {
 			is.True(outcome.Answered() || outcome.Ran() == fault.RanNo) // no started request is lost
 		}
 		if strings.HasPrefix(outcome.Key, "all-gone") {
--- a/proofs/restart_test.go
+++ b/proofs/restart_test.go
@@ -127,7 +127,7 @@
 }
 
 // restartAllWithoutPlatform restarts every router with the platform down: no router
-// has a fleet file, so none knows the permitted places of a tenant.
+// has a fleet file, so the permitted places of a tenant are unknown.
 func restartAllWithoutPlatform(t *testing.T, c *harness.Cluster) {
 	c.Inject(harness.Platform, platformDown)
 	for _, router := range c.Routers {
--- a/proofs/simulatedtraffic_test.go
+++ b/proofs/simulatedtraffic_test.go
@@ -183,7 +183,7 @@
 	request.router.inFlight[stream] = attempt
 }
 
-// removeRefused forgets a refused dispatch: its incarnation will not hold the blocks.
+// removeRefused removes a refused dispatch: its incarnation will not hold the blocks.
 func (r *simulatedRouter) removeRefused(attempt *inFlightAttempt) {
 	chosen := attempt.placed.Candidate
 	for _, hash := range attempt.placed.Job.Request.Chains[chosen.Version] {
--- a/standin/experiment/move.go
+++ b/standin/experiment/move.go
@@ -9,8 +9,8 @@
 )
 
 // move exports the attempt's cached blocks from one engine, imports them into its
-// own, as the router's placer does, and then calls then. A failed move only costs
-// a recomputation.
+// own, as the router's placer does, and calls then at the end. A failed move only
+// costs a recomputation.
 func (a *attempt) move(source *engineNode, incarnation ident.Incarnation, then func()) {
 	s := a.exchange.simulation
 	perBlock := model.DefaultConfig().TransferPerBlock
