--- a/proofs/chaos_test.go
+++ b/proofs/chaos_test.go
@@ -47,7 +47,7 @@
 // Guards against a second execution and false "not run" reports under combined
 // faults: routers killed and frozen, the table slow, losing answers and down, and
 // applications that refuse, cut, or run without an answer.
-func TestBookingsWhileEverythingFails(t *testing.T) {
+func TestBookingsUnderCombinedFaults(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Routers: 3, RouterSettings: shortClaimTimeouts})
 	for _, name := range c.Applications {
@@ -93,7 +93,7 @@
 
 // Guards against corrupt streams under combined faults: routers killed and frozen,
 // engines crashing and losing events, connections cut and chunks sent twice.
-func TestStreamsWhileEverythingFails(t *testing.T) {
+func TestStreamsUnderCombinedFaults(t *testing.T) {
 	t.Parallel()
 	plan := filepath.Join(t.TempDir(), "faults.yaml")
 	is := is.New(t)
@@ -108,7 +108,7 @@
 	load, endLoad := context.WithCancel(t.Context())
 	var work sync.WaitGroup
 	var mutex sync.Mutex
-	whole, all := 0, 0
+	complete, all := 0, 0
 	for worker := range 9 {
 		work.Go(func() {
 			for number := 0; load.Err() == nil; number++ {
@@ -120,7 +120,7 @@
 				mutex.Lock()
 				all++
 				if outcome.Done {
-					whole++
+					complete++
 				}
 				mutex.Unlock()
 			}
@@ -129,8 +129,8 @@
 	disruptRouters(c, rand.New(rand.NewPCG(chaosSeed, 2)))
 	endLoad()
 	work.Wait()
-	t.Logf("%d of %d answers were complete, the others ended with an error", whole, all)
-	is.True(whole > all/2)
+	t.Logf("%d of %d answers were complete, the others ended with an error", complete, all)
+	is.True(complete > all/2)
 }
 
 // crashPlan returns a fault plan in which every engine sends its chunks twice and
--- a/proofs/notrun_test.go
+++ b/proofs/notrun_test.go
@@ -27,10 +27,10 @@
 // markedBody is small enough to be sent in one write.
 var markedBody = strings.Repeat("head ", 100) + markMiddle + strings.Repeat(" rest", 100) + markTail
 
-// requireNotRunTrue fails if a request that was reported not run was executed, or
+// requireCorrectExecutionReports fails if a request that was reported not run was executed, or
 // one reported as run was not executed once. Each key must have been sent once.
 // It returns the number of requests reported not run.
-func requireNotRunTrue(t *testing.T, executions []application.Execution, caller *harness.Caller) (count int) {
+func requireCorrectExecutionReports(t *testing.T, executions []application.Execution, caller *harness.Caller) (count int) {
 	t.Helper()
 	for _, outcome := range caller.History() {
 		requireOwnAnswer(t, outcome)
@@ -50,7 +50,7 @@
 
 // Guards against "not run" for a request that ran, when the connection to its back
 // end is cut at any point.
-func TestNotRunIsTrueWhereverTheConnectionIsCut(t *testing.T) {
+func TestNotRunReportsAreCorrectAfterConnectionCuts(t *testing.T) {
 	t.Parallel()
 	c := harness.Start(t, harness.Config{Relayed: true})
 	cases := []struct {
@@ -79,7 +79,7 @@
 	}
 	c.Await("every execution has ended", c.Idle)
 	executions := c.AllExecutions()
-	requireNotRunTrue(t, executions, caller)
+	requireCorrectExecutionReports(t, executions, caller)
 	cuts := 0
 	for _, name := range c.Applications {
 		cuts += c.Relay(name).CutCount()
@@ -92,7 +92,7 @@
 
 // Guards against wrong execution reports when applications refuse, cut, stop or
 // are killed, and against losing a request that another could run.
-func TestNotRunIsTrueWhateverApplicationsDo(t *testing.T) {
+func TestNotRunReportsAreCorrectWhenApplicationsFail(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := harness.Start(t, harness.Config{Applications: 3, ApplicationArgs: []string{"--execute-millis", "30"}})
@@ -126,17 +126,17 @@
 	stopped := make(chan int, 1)
 	go func() { stopped <- c.Terminate(c.Applications[1]) }()
 	for number := range 6 {
-		send(fmt.Sprintf("one-leaving-%d", number))
+		send(fmt.Sprintf("one-draining-%d", number))
 	}
 	is.Equal(<-stopped, 0)
 	send("two-gone")
 	c.Kill(c.Applications[0])
 	send("all-gone")
 	executions := c.AllExecutions()
-	is.True(requireNotRunTrue(t, executions, caller) >= 24) // "all refuse" and "all gone"
+	is.True(requireCorrectExecutionReports(t, executions, caller) >= 24) // "all refuse" and "all gone"
 	requireAtMostOnce(t, executions, caller)
 	for _, outcome := range caller.History() {
-		if strings.HasPrefix(outcome.Key, "one-killed") || strings.HasPrefix(outcome.Key, "one-leaving") || strings.HasPrefix(outcome.Key, "two-gone") {
+		if strings.HasPrefix(outcome.Key, "one-killed") || strings.HasPrefix(outcome.Key, "one-draining") || strings.HasPrefix(outcome.Key, "two-gone") {
 			is.True(outcome.Answered() || outcome.Ran() == fault.RanNo) // no started request is lost
 		}
 		if strings.HasPrefix(outcome.Key, "all-gone") {
@@ -147,7 +147,7 @@
 
 // Guards against "not run" for a request that an engine started while its hold
 // timed out.
-func TestNotRunIsTrueWhenAHoldEnds(t *testing.T) {
+func TestNotRunReportsAreCorrectWhenHoldsTimeOut(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := harness.Start(t, harness.Config{
--- a/proofs/simulatedtraffic_test.go
+++ b/proofs/simulatedtraffic_test.go
@@ -118,8 +118,8 @@
 	}))
 }
 
-func (w *requestSpec) salt(version ident.ModelVersion) prefix.Salt {
-	return prefix.Namespace{Tenant: w.tenant, Model: "m", Version: version}.Salt()
+func (r *requestSpec) salt(version ident.ModelVersion) prefix.Salt {
+	return prefix.Namespace{Tenant: r.tenant, Model: "m", Version: version}.Salt()
 }
 
 // applyEffects carries out the effects that a core returned.
@@ -183,7 +183,7 @@
 	request.router.inFlight[stream] = attempt
 }
 
-// removeRefused forgets a refused dispatch: its incarnation will not hold the blocks.
+// removeRefused removes a refused dispatch: its incarnation will not hold the blocks.
 func (r *simulatedRouter) removeRefused(attempt *inFlightAttempt) {
 	chosen := attempt.placed.Candidate
 	for _, hash := range attempt.placed.Job.Request.Chains[chosen.Version] {
